--- /dev/null
+++ b/internal/config/schema/golden_test.go
@@ -0,0 +1,92 @@
+package main
+
+import (
+	"encoding/json"
+	"fmt"
+	"maps"
+	"path/filepath"
+	"slices"
+	"strings"
+	"testing"
+
+	"clayladder/internal/golden"
+)
+
+// TestGoldenKeys pins the keys of each published schema by their paths, whatever the Go types are called.
+func TestGoldenKeys(t *testing.T) {
+	for _, file := range slices.Sorted(maps.Keys(published)) {
+		x := published[file]
+		t.Run(filepath.Base(file), func(t *testing.T) {
+			text, err := schemaFromRoot(t, x.title, x.of)
+			if err != nil {
+				t.Fatal(err)
+			}
+			var root map[string]any
+			if err := json.Unmarshal(text, &root); err != nil {
+				t.Fatal(err)
+			}
+			definitions, _ := root["$defs"].(map[string]any)
+			w := schemaWalker{definitions: definitions, lines: map[string]bool{}}
+			w.walk("", root, nil)
+			golden.Compare(t, filepath.Base(file)+".keys.txt", strings.Join(slices.Sorted(maps.Keys(w.lines)), "\n")+"\n")
+		})
+	}
+}
+
+// schemaFromRoot makes a schema from the module's root and returns to this folder.
+func schemaFromRoot(t *testing.T, title string, of any) ([]byte, error) {
+	t.Helper()
+	var text []byte
+	var err error
+	t.Run("made", func(t *testing.T) {
+		t.Chdir("../../..")
+		text, err = schema(".", title, of)
+	})
+	return text, err
+}
+
+// schemaWalker collects the paths of all keys of a schema with their constraints.
+type schemaWalker struct {
+	definitions map[string]any
+	lines       map[string]bool
+}
+
+func (w *schemaWalker) walk(path string, node map[string]any, outer []string) {
+	if reference, ok := node["$ref"].(string); ok {
+		name := strings.TrimPrefix(reference, "#/$defs/")
+		if slices.Contains(outer, name) {
+			w.lines[path+" (as above)"] = true
+			return
+		}
+		target, _ := w.definitions[name].(map[string]any)
+		w.walk(path, target, append(slices.Clone(outer), name))
+	}
+	for key, value := range node {
+		switch inner := value.(type) {
+		case map[string]any:
+			switch key {
+			case "$defs":
+			case "properties", "patternProperties":
+				for name, property := range inner {
+					if schema, ok := property.(map[string]any); ok {
+						w.walk(path+"."+name, schema, outer)
+					}
+				}
+			default:
+				w.walk(path+"{"+key+"}", inner, outer)
+			}
+		case []any:
+			for i, one := range inner {
+				if schema, ok := one.(map[string]any); ok {
+					w.walk(fmt.Sprintf("%s{%s %d}", path, key, i), schema, outer)
+				} else {
+					w.lines[fmt.Sprintf("%s %s %v", path, key, one)] = true
+				}
+			}
+		default:
+			if key != "description" && key != "$ref" && key != "title" && key != "$schema" {
+				w.lines[fmt.Sprintf("%s %s=%v", path, key, value)] = true
+			}
+		}
+	}
+}
--- /dev/null
+++ b/internal/handover/golden_test.go
@@ -0,0 +1,43 @@
+package handover
+
+import (
+	"encoding/json"
+	"reflect"
+	"strings"
+	"testing"
+	"time"
+
+	"clayladder"
+	"clayladder/internal/golden"
+	"clayladder/internal/maintenance"
+)
+
+// TestGoldenMessages pins the messages between an old and a new process in both directions: what this version writes, and that it reads
+// what an earlier one wrote.
+func TestGoldenMessages(t *testing.T) {
+	learnt := clayladder.Memory{Figures: map[string]float64{"lat": 2.5}, Classes: map[string]float64{"read": 7}, Upstreams: []clayladder.Learnt{
+		{ID: 3, StartedAt: time.Second, Silent: true, TrialAt: 2 * time.Second, Wait: time.Millisecond, Readings: 4, Answers: 5, Mute: 6,
+			Window: []float64{0.5, 0.25}, Figures: map[string]float64{"bound": 3}},
+	}}
+	var text strings.Builder
+	for _, m := range []Message{
+		{Kind: Take, Listen: "127.0.0.1:8080"},
+		{Kind: State, Serial: 3, Listen: "127.0.0.1:8080", Standby: true, Held: map[string]maintenance.Entry{"s-1": {Out: true, At: 17}, "s-2": {At: 18}}},
+		{Kind: Ack, Serial: 3},
+		{Kind: Ready},
+		{Kind: Recall},
+		{Kind: Memory, Memory: &learnt},
+		{Kind: Client},
+	} {
+		encoded, err := json.Marshal(m)
+		if err != nil {
+			t.Fatal(err)
+		}
+		decoded, err := Decode(encoded)
+		if err != nil || !reflect.DeepEqual(decoded, m) {
+			t.Errorf("%s: read again as %+v, %v", encoded, decoded, err)
+		}
+		text.Write(append(encoded, '\n'))
+	}
+	golden.Compare(t, "messages.txt", text.String())
+}
--- /dev/null
+++ b/internal/ledger/golden_test.go
@@ -0,0 +1,128 @@
+package ledger
+
+import (
+	"encoding/hex"
+	"fmt"
+	"os"
+	"path/filepath"
+	"reflect"
+	"strings"
+	"testing"
+	"time"
+
+	"clayladder/internal/disk"
+	"clayladder/internal/golden"
+	"clayladder/internal/promise"
+)
+
+// goldenState is the state that the stored copy holds.
+func goldenState(t *testing.T) *promise.State {
+	t.Helper()
+	s := promise.NewState()
+	for i, c := range []promise.Command{
+		&promise.SetWord{Subject: promise.Subject{Kind: promise.Out, Scope: promise.Upstream, Target: "a"}, By: "eva", Why: "disk", At: 1700000000000},
+		&promise.SetWord{Subject: promise.Subject{Kind: promise.Share, Scope: promise.Upstream, Target: "b"}, Value: 250, By: "ann"},
+		&promise.SetWord{Subject: promise.Subject{Kind: promise.Out, Scope: promise.Zone, Target: "z1"}, By: "ann"},
+	} {
+		if result, err := s.Apply(uint64(i+1), uint64(i+1)*100, c); err != nil || !result.OK() {
+			t.Fatal(result, err)
+		}
+	}
+	return s
+}
+
+// TestGoldenMessages pins the bytes of each message between voters, callers and followers.
+func TestGoldenMessages(t *testing.T) {
+	members := []promise.Member{{ID: 11, Name: "k1", Address: "127.0.0.1:7101"}, {ID: 12, Name: "k2", Address: "127.0.0.1:7102", Learner: true}}
+	hello := Hello{Role: Hears, Cluster: 5, From: 11, Name: "k1", Level: 1, Applied: 40}
+	welcome := Welcome{Cluster: 5, ID: 12, Name: "k2", Level: 1, Refused: "no", Tick: 99}
+	request := Request{Number: 3, Verb: Join, Command: []byte("command"), Within: 1500 * time.Millisecond, Hops: 1, Cluster: 5, Members: members,
+		Name: "k2", Level: 1, Tick: 98}
+	answer := Answer{Number: 3, Outcome: No, Text: "full", Result: promise.Result{Reason: promise.NoRoom, Text: "none is left", Revision: 41,
+		Clock: 4100, Fence: 9, Free: 4, Booked: []promise.Booked{{Second: 12, Places: 5}}}, Held: 2, Of: 3, Leader: "k1", Body: []byte("state"),
+		Index: 41, Age: 250 * time.Millisecond, Cluster: 5, ID: 11, Name: "k1", Level: 1, Members: members, Tick: 97}
+	update := Update{State: []byte("state"), Commands: [][]byte{[]byte("one"), []byte("two")}, Index: 42, Beat: true, Ping: 6, Leader: "k1",
+		Cluster: 5, Voters: 3, Up: 2}
+
+	var text strings.Builder
+	for _, message := range []struct {
+		name    string
+		encoded []byte
+		want    any
+		decode  func([]byte) (any, error)
+	}{
+		{"hello", hello.Encode(), hello, func(b []byte) (any, error) { return DecodeHello(b) }},
+		{"welcome", welcome.Encode(), welcome, func(b []byte) (any, error) { return DecodeWelcome(b) }},
+		{"request", request.Encode(), request, func(b []byte) (any, error) { return DecodeRequest(b) }},
+		{"answer", answer.Encode(), answer, func(b []byte) (any, error) { return DecodeAnswer(b) }},
+		{"update", update.Encode(), update, func(b []byte) (any, error) { return DecodeUpdate(b) }},
+		{"ping", EncodePing(7), uint64(7), func(b []byte) (any, error) { return DecodePing(b) }},
+	} {
+		fmt.Fprintf(&text, "%s %x\n", message.name, message.encoded)
+		got, err := message.decode(message.encoded)
+		if err != nil || !reflect.DeepEqual(got, message.want) {
+			t.Errorf("%s: read again as %+v, %v", message.name, got, err)
+		}
+	}
+	for i, verb := range []Verb{Propose, Read, Local, Who, Form, Join, Gone, Status} {
+		fmt.Fprintln(&text, "verb", i+1, uint8(verb))
+	}
+	for i, outcome := range []Outcome{Yes, No, Nowhere, Unsure} {
+		fmt.Fprintln(&text, "outcome", i+1, uint8(outcome))
+	}
+	golden.Compare(t, "messages.txt", text.String())
+}
+
+// TestGoldenFrame pins the head of a frame.
+func TestGoldenFrame(t *testing.T) {
+	var text strings.Builder
+	if err := WriteFrame(hexWriter{&text}, []byte("body")); err != nil {
+		t.Fatal(err)
+	}
+	golden.Compare(t, "frame.txt", text.String()+"\n")
+}
+
+type hexWriter struct{ to *strings.Builder }
+
+func (w hexWriter) Write(b []byte) (int, error) {
+	w.to.WriteString(hex.EncodeToString(b))
+	return len(b), nil
+}
+
+// TestGoldenStatus pins the keys of a voter's status.
+func TestGoldenStatus(t *testing.T) {
+	golden.Compare(t, "status-keys.txt", golden.Keys(reflect.TypeFor[VoterStatus](), "json"))
+}
+
+// TestGoldenCopy reads the copy that an earlier version stored, and writes the same bytes.
+func TestGoldenCopy(t *testing.T) {
+	stored := filepath.Join("testdata", "copy")
+	c := &Copy{name: "n1", path: stored, state: goldenState(t), cluster: 5, index: 42, end: func() {}}
+	if golden.Updating() {
+		if err := disk.Replace(stored, c.file()); err != nil {
+			t.Fatal(err)
+		}
+	}
+	want, err := disk.Read(stored, MaxFrame)
+	if err != nil {
+		t.Fatal(err)
+	}
+	if got := c.file(); string(got) != string(want) {
+		t.Errorf("written now:\n%x\nstored:\n%x", got, want)
+	}
+	path := filepath.Join(t.TempDir(), "copy")
+	whole, err := os.ReadFile(stored)
+	if err != nil {
+		t.Fatal(err)
+	}
+	if err := os.WriteFile(path, whole, 0o600); err != nil {
+		t.Fatal(err)
+	}
+	var told []promise.Word
+	follower := Follow("n1", map[string]string{}, path, func(words []promise.Word) { told = words })
+	defer follower.Close()
+	v := follower.View()
+	if !v.Known || v.Cluster != 5 || v.Index != 42 || len(v.Words) != 3 || len(told) != 3 || v.Words[0].Target != "a" || v.Words[0].Why != "disk" {
+		t.Errorf("%+v, told %v", v, told)
+	}
+}
--- /dev/null
+++ b/internal/replica/golden_test.go
@@ -0,0 +1,96 @@
+package replica
+
+import (
+	"fmt"
+	"os"
+	"path/filepath"
+	"strings"
+	"testing"
+
+	"go.etcd.io/raft/v3/raftpb"
+
+	"clayladder/internal/golden"
+	"clayladder/internal/promise"
+)
+
+// goldenFolder holds a voter's folder as an earlier version wrote it.
+var goldenFolder = filepath.Join("testdata", "folder")
+
+// writeGoldenFolder makes a folder with a snapshot and two entries after it.
+func writeGoldenFolder(t *testing.T) {
+	t.Helper()
+	if err := os.MkdirAll(goldenFolder, 0o755); err != nil {
+		t.Fatal(err)
+	}
+	s, _, err := openStore(goldenFolder, "k1", func() uint64 { return 7 })
+	if err != nil {
+		t.Fatal(err)
+	}
+	state := promise.NewState()
+	apply := func(revision uint64, c promise.Command) {
+		if result, err := state.Apply(revision, revision*100, c); err != nil || !result.OK() {
+			t.Fatal(result, err)
+		}
+	}
+	apply(1, &promise.Enrol{Member: promise.Member{ID: 7, Name: "k1", Address: "127.0.0.1:7101"}})
+	apply(2, &promise.SetWord{Subject: promise.Subject{Kind: promise.Out, Scope: promise.Upstream, Target: "a"}, By: "eva", Why: "disk"})
+	apply(3, &promise.SetBound{Name: "connections", Limit: 10})
+	snapshot := &raftpb.Snapshot{Data: state.Encode(), Metadata: &raftpb.SnapshotMetadata{Index: new(uint64(3)), Term: new(uint64(1)),
+		ConfState: &raftpb.ConfState{Voters: []uint64{7}}}}
+	if err := s.begin(99, snapshot, firstHard()); err != nil {
+		t.Fatal(err)
+	}
+	var entries []*raftpb.Entry
+	for i, c := range []promise.Command{
+		&promise.SetWord{Subject: promise.Subject{Kind: promise.Cap, Scope: promise.Upstream, Target: "b"}, Value: 7, By: "ann"},
+		&promise.Take{Bound: "connections", Holder: "n1", Parts: 6, For: promise.MaxLease},
+	} {
+		index := uint64(4 + i)
+		data := promise.Envelope{ID: index, Clock: index * 100, Command: c}.Encode()
+		entries = append(entries, &raftpb.Entry{Index: new(index), Term: new(uint64(2)), Data: data})
+	}
+	hard := &raftpb.HardState{Term: new(uint64(2)), Vote: new(uint64(7)), Commit: new(uint64(5))}
+	if err := s.append(batch{entries: entries, hard: hard}); err != nil {
+		t.Fatal(err)
+	}
+	if err := s.close(); err != nil {
+		t.Fatal(err)
+	}
+	if err := os.Remove(filepath.Join(goldenFolder, "lock")); err != nil {
+		t.Fatal(err)
+	}
+}
+
+// TestGoldenFolder opens a voter's folder that an earlier version wrote: identity, vote, log and all that was granted are there.
+func TestGoldenFolder(t *testing.T) {
+	if golden.Updating() {
+		writeGoldenFolder(t)
+	}
+	whole, err := os.ReadFile(filepath.Join(goldenFolder, fileName))
+	if err != nil {
+		t.Fatal(err)
+	}
+	folder := t.TempDir()
+	if err := os.WriteFile(filepath.Join(folder, fileName), whole, 0o600); err != nil {
+		t.Fatal(err)
+	}
+	shown, err := Show(folder, "k1")
+	if err != nil {
+		t.Fatal(err)
+	}
+	s, held, state, err := open(folder, "k1")
+	if err != nil {
+		t.Fatal(err)
+	}
+	defer s.close()
+	var text strings.Builder
+	text.WriteString(shown)
+	fmt.Fprintln(&text, "identity", s.identity.Name, s.identity.ID, s.identity.Cluster)
+	fmt.Fprintln(&text, "hard state", held.hard.GetTerm(), held.hard.GetVote(), held.hard.GetCommit())
+	fmt.Fprintf(&text, "snapshot %d %x\n", held.snapshot.GetMetadata().GetIndex(), held.snapshot.GetData())
+	for _, e := range held.entries {
+		fmt.Fprintf(&text, "entry %d %d %x\n", e.GetIndex(), e.GetTerm(), e.GetData())
+	}
+	fmt.Fprintf(&text, "state %x\n", state.Encode())
+	golden.Compare(t, "folder.txt", text.String())
+}
