--- a/api.go
+++ b/balancer/api.go
@@ -1,4 +1,4 @@
-// Package clayladder makes the decisions of a load-balancing proxy for fleets of
+// Package balancer makes the decisions of a load-balancing proxy for fleets of
 // HTTP servers: which upstream gets a request, whether it is sent again, held,
 // refused or failed, and how the upstream list is followed. It does no I/O.
 //
@@ -17,7 +17,7 @@
 //
 // Every request gets exactly one final answer: a successful Outcome, Refuse or
 // Fail. Refuse promises the client that another try is harmless.
-package clayladder
+package balancer
 
 import "time"
 
--- a/balancer.go
+++ b/balancer/balancer.go
@@ -1,7 +1,7 @@
-// The decisions of clayladder: every rule and every constant is in this file and in slowstart.go. Its
+// The decisions of the balancer: every rule and every constant is in this file and in slowstart.go. Its
 // interface (types, events, actions) is in api.go, what it keeps in state.go; docs/design gives the reasons.
 
-package clayladder
+package balancer
 
 import (
 	"cmp"
--- a/balancer_test.go
+++ b/balancer/balancer_test.go
@@ -1,4 +1,4 @@
-package clayladder
+package balancer
 
 import (
 	"bytes"
@@ -411,7 +411,7 @@
 
 // The operators' staff carry a printed copy, so the module stays short: 800 lines in a file, 1,200 in all that the deploy file names.
 func TestModuleSize(t *testing.T) {
-	deploy, err := os.ReadFile("deploy/balancer.toml")
+	deploy, err := os.ReadFile("../deploy/balancer.toml")
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -420,7 +420,7 @@
 	all := 0
 	for name := range strings.SplitSeq(policy, ",") {
 		name = strings.Trim(name, " \"")
-		text, err := os.ReadFile(name)
+		text, err := os.ReadFile("../" + name)
 		if err != nil {
 			t.Fatal(err)
 		}
--- a/golden_test.go
+++ b/balancer/golden_test.go
@@ -1,4 +1,4 @@
-package clayladder
+package balancer
 
 import (
 	"encoding/json"
@@ -10,7 +10,7 @@
 	"testing"
 	"time"
 
-	"clayladder/internal/golden"
+	"olivearch/internal/golden"
 )
 
 // TestGoldenMemoryKeys pins the keys of what a Balancer hands to the process that takes its place.
--- a/memory.go
+++ b/balancer/memory.go
@@ -1,4 +1,4 @@
-package clayladder
+package balancer
 
 import "time"
 
--- a/rest.go
+++ b/balancer/rest.go
@@ -1,7 +1,7 @@
 // A module at rest. With Settings.Rest a Balancer with nothing open sets no timer: what the ticks left out
 // would have done it makes up for at its next event, to the bit.
 
-package clayladder
+package balancer
 
 import (
 	"cmp"
--- a/settings.go
+++ b/balancer/settings.go
@@ -1,4 +1,4 @@
-package clayladder
+package balancer
 
 import (
 	"errors"
@@ -12,7 +12,7 @@
 
 // bad reports a setting that is missing or out of range.
 func bad(format string, args ...any) error {
-	return fmt.Errorf("clayladder: %w: %s", ErrSettings, fmt.Sprintf(format, args...))
+	return fmt.Errorf("balancer: %w: %s", ErrSettings, fmt.Sprintf(format, args...))
 }
 
 // amount tells whether x is a finite figure that is not negative.
--- a/slowstart.go
+++ b/balancer/slowstart.go
@@ -1,6 +1,6 @@
 // The decisions about upstreams that have just started: how much of one is there, and who may send when.
 
-package clayladder
+package balancer
 
 import (
 	"cmp"
--- a/rigs/capacity/balancer.go
+++ b/benchmarks/capacity/balancer.go
@@ -15,15 +15,15 @@
 	"syscall"
 	"time"
 
-	"clayladder/internal/capacity"
-	"clayladder/internal/ground/proc"
-	"clayladder/internal/procstat"
-	"clayladder/internal/standin/loopnodes"
+	"olivearch/internal/capacity"
+	"olivearch/internal/faulttest/process"
+	"olivearch/internal/procstat"
+	"olivearch/internal/standin/loopnodes"
 )
 
 // balancer is a process of "olivearch serve" with its site.
 type balancer struct {
-	*proc.Process
+	*process.Process
 	site   *capacity.Site
 	places capacity.Places
 	config string // its file
--- a/rigs/capacity/bounds.go
+++ b/benchmarks/capacity/bounds.go
@@ -4,7 +4,7 @@
 	"fmt"
 	"math"
 
-	"clayladder/internal/capacity"
+	"olivearch/internal/capacity"
 )
 
 // The bounds, which hold for a balancer of the planned size.
--- a/rigs/capacity/change.go
+++ b/benchmarks/capacity/change.go
@@ -6,7 +6,7 @@
 	"net/http"
 	"time"
 
-	"clayladder/internal/capacity"
+	"olivearch/internal/capacity"
 )
 
 // kinds are the changes that are measured, in their order.
--- a/rigs/capacity/discovery.go
+++ b/benchmarks/capacity/discovery.go
@@ -16,8 +16,8 @@
 	"sync/atomic"
 	"time"
 
-	"clayladder/internal/capacity"
-	"clayladder/internal/discovery"
+	"olivearch/internal/capacity"
+	"olivearch/internal/discovery"
 )
 
 // Discovery is what a balancer and a discovery service say to each other, measured at the service: whole bytes of TCP's payload.
--- a/rigs/capacity/fleet.go
+++ b/benchmarks/capacity/fleet.go
@@ -11,8 +11,8 @@
 	"sync"
 	"time"
 
-	"clayladder/internal/capacity"
-	"clayladder/internal/capacity/hollow"
+	"olivearch/internal/capacity"
+	"olivearch/internal/capacity/hollow"
 )
 
 // middling is the size of the default run's fleet.
--- a/rigs/capacity/hollow.go
+++ b/benchmarks/capacity/hollow.go
@@ -15,11 +15,11 @@
 	"sync/atomic"
 	"time"
 
-	"clayladder/internal/capacity"
-	"clayladder/internal/capacity/hollow"
-	"clayladder/internal/ground/proc"
-	"clayladder/internal/procstat"
-	"clayladder/internal/standin/loopnodes"
+	"olivearch/internal/capacity"
+	"olivearch/internal/capacity/hollow"
+	"olivearch/internal/faulttest/process"
+	"olivearch/internal/procstat"
+	"olivearch/internal/standin/loopnodes"
 )
 
 // role is the word with which this program starts itself as a process of hollow balancers.
@@ -27,7 +27,7 @@
 
 // hollows is a process of them.
 type hollows struct {
-	*proc.Process
+	*process.Process
 	tell      io.WriteCloser
 	replies   *json.Decoder
 	log       *lines
--- a/rigs/capacity/main.go
+++ b/benchmarks/capacity/main.go
@@ -2,10 +2,10 @@
 // all together, with real processes; and a fleet of hollow balancers, many in one process. Progress goes to stderr, one JSON object
 // with the figures to stdout; it exits with 1 if a bound is broken.
 //
-//	go run ./rigs/capacity                          a smaller size, under 60 s
-//	go run ./rigs/capacity -full                    the planned size
-//	go run ./rigs/capacity -full -out docs/experiments   and the figures and plots beside the page
-//	go run ./rigs/capacity -only slopes             or another part: discovery, calibrate, fleet; several with commas
+//	go run ./benchmarks/capacity                          a smaller size, under 60 s
+//	go run ./benchmarks/capacity -full                    the planned size
+//	go run ./benchmarks/capacity -full -out docs/experiments   and the figures and plots beside the page
+//	go run ./benchmarks/capacity -only slopes             or another part: discovery, calibrate, fleet; several with commas
 package main
 
 import (
@@ -23,11 +23,11 @@
 	"syscall"
 	"time"
 
-	"clayladder/internal/capacity"
-	"clayladder/internal/capacity/hollow"
-	"clayladder/internal/ground/proc"
-	"clayladder/internal/standin/loopnodes"
-	"clayladder/internal/standin/peers"
+	"olivearch/internal/capacity"
+	"olivearch/internal/capacity/hollow"
+	"olivearch/internal/faulttest/process"
+	"olivearch/internal/standin/loopnodes"
+	"olivearch/internal/standin/peers"
 )
 
 // Figures is what is printed.
@@ -66,7 +66,7 @@
 type rig struct {
 	*Figures
 	options
-	group *proc.Group
+	group *process.Group
 	nodes *loopnodes.Nodes
 }
 
@@ -124,7 +124,7 @@
 
 func run(ctx context.Context, o options) error {
 	began := time.Now()
-	r := &rig{Figures: &Figures{Command: strings.Join(append([]string{"go run ./rigs/capacity"}, os.Args[1:]...), " "), Commit: commit(ctx), Cores: runtime.NumCPU(), Load: load(), Full: o.full, Fits: map[string]capacity.Fit{}}, options: o, group: proc.NewGroup()}
+	r := &rig{Figures: &Figures{Command: strings.Join(append([]string{"go run ./benchmarks/capacity"}, os.Args[1:]...), " "), Commit: commit(ctx), Cores: runtime.NumCPU(), Load: load(), Full: o.full, Fits: map[string]capacity.Fit{}}, options: o, group: process.NewGroup()}
 	defer r.group.Close()
 	var err error
 	if r.folder, err = os.MkdirTemp(r.folder, "capacity-rig-"); err != nil {
@@ -132,7 +132,7 @@
 	}
 	defer os.RemoveAll(r.folder)
 	r.program = filepath.Join(r.folder, "olivearch")
-	if text, err := exec.CommandContext(ctx, "go", "build", "-o", r.program, "clayladder/cmd/olivearch").CombinedOutput(); err != nil {
+	if text, err := exec.CommandContext(ctx, "go", "build", "-o", r.program, "olivearch/cmd/olivearch").CombinedOutput(); err != nil {
 		return fmt.Errorf("building olivearch: %w\n%s", err, text)
 	}
 	if r.nodes, err = loopnodes.Start(); err != nil {
--- a/rigs/capacity/rig_test.go
+++ b/benchmarks/capacity/rig_test.go
@@ -14,9 +14,9 @@
 	"testing"
 	"time"
 
-	"clayladder/internal/capacity"
-	"clayladder/internal/discovery"
-	"clayladder/internal/standin/loopnodes"
+	"olivearch/internal/capacity"
+	"olivearch/internal/discovery"
+	"olivearch/internal/standin/loopnodes"
 )
 
 // TestLinesAreFoundFromWhereOneLooks: a line that came before does not count, one in two pieces does, and one that never comes is told.
--- a/rigs/capacity/scrape.go
+++ b/benchmarks/capacity/scrape.go
@@ -9,7 +9,7 @@
 	"net/http"
 	"time"
 
-	"clayladder/internal/live"
+	"olivearch/internal/live"
 )
 
 // Scrape is what it costs to tell counters and levels to something that gathers them, and parts of the live view. Each is a mean.
--- a/rigs/capacity/slopes.go
+++ b/benchmarks/capacity/slopes.go
@@ -5,8 +5,8 @@
 	"fmt"
 	"time"
 
-	"clayladder/internal/capacity"
-	"clayladder/internal/procstat"
+	"olivearch/internal/capacity"
+	"olivearch/internal/procstat"
 )
 
 // Row is what one process of a size cost.
--- a/rigs/capacity/tables.go
+++ b/benchmarks/capacity/tables.go
@@ -9,7 +9,7 @@
 	"slices"
 	"strings"
 
-	"clayladder/internal/capacity"
+	"olivearch/internal/capacity"
 )
 
 // page is a page of tables, in Markdown.
@@ -42,7 +42,7 @@
 // tables writes what was measured as a page.
 func (r *rig) tables() error {
 	p := &page{}
-	p.say("# Figures of a run of `rigs/capacity`\n")
+	p.say("# Figures of a run of `benchmarks/capacity`\n")
 	p.say("Written by `%s` on the code of commit %s; %d cores, load of the machine before the run %.1f, %.0f s. Under a load of its own the machine gives", r.Command, r.Commit, r.Cores, r.Load, r.Seconds)
 	p.say("CPU times that can be used, and times by the clock that are too long. What the columns mean: [operate/capacity.md](../operate/capacity.md).")
 	if len(r.Rows) > 0 {
--- a/rigs/capacity/traffic.go
+++ b/benchmarks/capacity/traffic.go
@@ -10,8 +10,8 @@
 	"sync"
 	"time"
 
-	"clayladder/internal/capacity"
-	"clayladder/internal/standin/peers"
+	"olivearch/internal/capacity"
+	"olivearch/internal/standin/peers"
 )
 
 // Traffic is what requests saw, without changes and while one came every second.
--- a/rigs/capacity/write.go
+++ b/benchmarks/capacity/write.go
@@ -9,7 +9,7 @@
 
 	"gonum.org/v1/plot/plotter"
 
-	"clayladder/internal/report"
+	"olivearch/internal/report"
 )
 
 // write writes the figures and their plots into the folder for results.
--- a/rigs/experiments/main.go
+++ b/benchmarks/experiments/main.go
@@ -1,4 +1,4 @@
-// Command experiments measures what olivebench showed first: ordinary load where the cap on connections binds, on sockets,
+// Command experiments measures what olivearch-bench showed first: ordinary load where the cap on connections binds, on sockets,
 // against ReverseProxy and the best of the pickers; and a scene of each kind in simulated time. It prints progress on standard
 // error and one JSON object last on standard output, and exits with 1 if a stated bound is broken.
 package main
@@ -12,9 +12,9 @@
 	"path/filepath"
 	"strings"
 
-	"clayladder/internal/experiment"
-	"clayladder/internal/figures"
-	"clayladder/internal/scenario"
+	"olivearch/internal/experiment"
+	"olivearch/internal/scenario"
+	"olivearch/internal/stats"
 )
 
 // onSockets are the contenders of the short run on sockets; all with -all.
@@ -24,7 +24,7 @@
 type cell struct {
 	Mode       string                        `json:"mode"`
 	Contenders map[string]map[string]float64 `json:"contenders"`
-	Findings   []figures.Finding             `json:"bounds"`
+	Findings   []stats.Finding               `json:"bounds"`
 }
 
 type result struct {
--- a/rigs/ground/main.go
+++ b/benchmarks/ground/main.go
@@ -1,9 +1,9 @@
 // Command ground plays the proving ground's hard cases with many processes of the program and faults between them, and schedules of
 // faults that are drawn. Progress goes to stderr, one JSON object with the figures to stdout; it exits with 1 if a bound is broken.
 //
-//	go run ./rigs/ground                      small: up to 24 processes at once, under 50 s on two cores
-//	go run ./rigs/ground -full -seeds 3       all scripts of grounds/ as they stand (300 processes), on three seeds each
-//	go run ./rigs/ground -schedules 200       and so many drawn schedules on 8 processes
+//	go run ./benchmarks/ground                      small: up to 24 processes at once, under 50 s on two cores
+//	go run ./benchmarks/ground -full -seeds 3       all scripts of faultscripts/ as they stand (300 processes), on three seeds each
+//	go run ./benchmarks/ground -schedules 200       and so many drawn schedules on 8 processes
 package main
 
 import (
@@ -20,12 +20,12 @@
 	"syscall"
 	"time"
 
-	"clayladder/internal/config"
-	"clayladder/internal/ground"
-	"clayladder/internal/ground/draw"
-	"clayladder/internal/ground/script"
-	"clayladder/internal/ground/timeline"
-	"clayladder/internal/standin/crowd"
+	"olivearch/internal/config"
+	"olivearch/internal/faulttest"
+	"olivearch/internal/faulttest/schedule"
+	"olivearch/internal/faulttest/script"
+	"olivearch/internal/faulttest/timeline"
+	"olivearch/internal/standin/fleetsim"
 )
 
 // role is the word with which this program starts itself as a process of stand-ins.
@@ -60,7 +60,7 @@
 
 func main() {
 	if len(os.Args) == 2 && os.Args[1] == role {
-		if err := crowd.Run(os.Stdin, os.Stdout); err != nil {
+		if err := fleetsim.Run(os.Stdin, os.Stdout); err != nil {
 			fmt.Fprintln(os.Stderr, "ground:", err)
 			os.Exit(1)
 		}
@@ -71,7 +71,7 @@
 	flag.IntVar(&o.seeds, "seeds", 1, "seeds of each script")
 	flag.IntVar(&o.schedules, "schedules", 4, "schedules that are drawn")
 	flag.IntVar(&o.jobs, "jobs", 4, "plays at once; with -full, of schedules alone")
-	flag.StringVar(&o.scripts, "scripts", "grounds", "folder of the scripts")
+	flag.StringVar(&o.scripts, "scripts", "faultscripts", "folder of the scripts")
 	flag.StringVar(&o.out, "out", "", "folder for plots and results of each play")
 	flag.Parse()
 	ctx, stop := signal.NotifyContext(context.Background(), os.Interrupt, syscall.SIGTERM)
@@ -90,7 +90,7 @@
 		return err
 	}
 	defer os.RemoveAll(folder)
-	if o.program, _, err = ground.Build(ctx, folder); err != nil {
+	if o.program, _, err = faulttest.Build(ctx, folder); err != nil {
 		return fmt.Errorf("building the program: %w", err)
 	}
 	if o.out != "" {
@@ -184,7 +184,7 @@
 			return nil, err
 		}
 		s.Seed = seed
-		s.Faults = draw.Faults(s, 5+seed%4)
+		s.Faults = schedule.Faults(s, 5+seed%4)
 		all = append(all, s)
 	}
 	return all, nil
@@ -224,7 +224,7 @@
 	if err != nil {
 		return err
 	}
-	r, err := ground.Play(ctx, s, ground.Options{Program: o.program, Self: []string{self, role}})
+	r, err := faulttest.Play(ctx, s, faulttest.Options{Program: o.program, Self: []string{self, role}})
 	if err != nil {
 		return fmt.Errorf("%s, seed %d: %w", s.Name, s.Seed, err)
 	}
@@ -240,7 +240,7 @@
 	return errors.Join(os.WriteFile(name+".json", append(text, '\n'), 0o644), timeline.Write(name+".svg", r))
 }
 
-func (f *Figures) add(s *script.File, r *ground.Result) {
+func (f *Figures) add(s *script.File, r *faulttest.Result) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	x := r.Figures
--- a/rigs/overhead/main.go
+++ b/benchmarks/overhead/main.go
@@ -22,8 +22,8 @@
 	"sync/atomic"
 	"time"
 
-	"clayladder/internal/standin/instant"
-	"clayladder/internal/standin/peers"
+	"olivearch/internal/standin/instant"
+	"olivearch/internal/standin/peers"
 )
 
 // bound is the most that a request may cost, as a part of ReverseProxy's CPU time, at 16 and 128 connections. It keeps what
--- a/rigs/promises/main.go
+++ b/benchmarks/promises/main.go
@@ -3,10 +3,10 @@
 // pays for it, and whether any promise is lost through rounds of lost disks and drawn faults. Progress goes to stderr, one JSON object
 // of figures to stdout; it exits with 1 if a bound is broken.
 //
-//	go run ./rigs/promises                       under 50 s on two cores
-//	go run ./rigs/promises -schedules 50         fifty drawn schedules of six faults
-//	go run ./rigs/promises -rounds 10            ten rounds in which two of five disks are lost
-//	go run ./rigs/promises -balancers 300        how soon as many balancers know
+//	go run ./benchmarks/promises                       under 50 s on two cores
+//	go run ./benchmarks/promises -schedules 50         fifty drawn schedules of six faults
+//	go run ./benchmarks/promises -rounds 10            ten rounds in which two of five disks are lost
+//	go run ./benchmarks/promises -balancers 300        how soon as many balancers know
 package main
 
 import (
@@ -25,10 +25,10 @@
 	"syscall"
 	"time"
 
-	"clayladder/internal/ground"
-	"clayladder/internal/ground/draw"
-	"clayladder/internal/ground/script"
-	"clayladder/internal/standin/crowd"
+	"olivearch/internal/faulttest"
+	"olivearch/internal/faulttest/schedule"
+	"olivearch/internal/faulttest/script"
+	"olivearch/internal/standin/fleetsim"
 )
 
 // role is the word with which this program starts itself as a process of stand-ins.
@@ -82,7 +82,7 @@
 
 func main() {
 	if len(os.Args) == 2 && os.Args[1] == role {
-		if err := crowd.Run(os.Stdin, os.Stdout); err != nil {
+		if err := fleetsim.Run(os.Stdin, os.Stdout); err != nil {
 			fmt.Fprintln(os.Stderr, "promises:", err)
 			os.Exit(1)
 		}
@@ -112,7 +112,7 @@
 		return err
 	}
 	defer os.RemoveAll(folder)
-	if o.program, o.ledger, err = ground.Build(ctx, folder); err != nil {
+	if o.program, o.ledger, err = faulttest.Build(ctx, folder); err != nil {
 		return fmt.Errorf("building the programs: %w", err)
 	}
 	for _, part := range []func(context.Context, options) error{f.speed, f.idle, f.gaps, f.path, f.lost, f.known} {
@@ -140,7 +140,7 @@
 }
 
 // play plays a script that is given as text.
-func play(ctx context.Context, o options, text string, change func(*script.File)) (*ground.Result, error) {
+func play(ctx context.Context, o options, text string, change func(*script.File)) (*faulttest.Result, error) {
 	f, err := script.Parse("rig.yaml", []byte(text))
 	if err != nil {
 		return nil, err
@@ -153,7 +153,7 @@
 	if err != nil {
 		return nil, err
 	}
-	r, err := ground.Play(ctx, f, ground.Options{Program: o.program, Ledger: o.ledger, Self: []string{self, role}})
+	r, err := faulttest.Play(ctx, f, faulttest.Options{Program: o.program, Ledger: o.ledger, Self: []string{self, role}})
 	if err == nil {
 		fmt.Fprintf(os.Stderr, "%s, seed %d: %g promises, p99 %.1f ms, longest without one %.0f ms, %g lost, %d wrong %v\n", f.Name, f.Seed, r.Figures["promises"],
 			r.Figures["yes_p99"], r.Figures["yes_gap"], r.Figures["promises_lost"], len(r.Wrong), r.Wrong)
@@ -217,7 +217,7 @@
 }
 
 // count adds a play.
-func (x *Rounds) count(r *ground.Result) {
+func (x *Rounds) count(r *faulttest.Result) {
 	x.Plays++
 	for _, n := range r.Faults {
 		x.Faults += n
@@ -230,7 +230,7 @@
 
 // rounds plays n scripts, several at a time: of these no time is measured.
 func rounds(ctx context.Context, o options, n int, text string, change func(*script.File)) (all Rounds, broken []string, err error) {
-	results, errs := make([]*ground.Result, n), make([]error, n)
+	results, errs := make([]*faulttest.Result, n), make([]error, n)
 	places := make(chan struct{}, max(1, min(4, runtime.GOMAXPROCS(0)-1)))
 	var players sync.WaitGroup
 	for i := range n {
@@ -268,7 +268,7 @@
 	})
 	both.Go(func() {
 		f.Schedules, broken[1], errs[1] = rounds(ctx, o, o.schedules, "name: drawn\nlength: 6s\n"+trivial+"voters: {count: 5, clients: 8, rate: 25}\n",
-			func(s *script.File) { s.Faults = draw.Faults(s, 6) })
+			func(s *script.File) { s.Faults = schedule.Faults(s, 6) })
 	})
 	both.Wait()
 	f.Broken = append(f.Broken, append(broken[0], broken[1]...)...)
@@ -281,7 +281,7 @@
 	if o.balancers == 0 {
 		return nil
 	}
-	text, err := os.ReadFile(filepath.Join("grounds", "promises", "three-hundred.yaml"))
+	text, err := os.ReadFile(filepath.Join("faultscripts", "promises", "three-hundred.yaml"))
 	if err != nil {
 		return err
 	}
--- a/rigs/services/main.go
+++ b/benchmarks/services/main.go
@@ -16,10 +16,10 @@
 	"sync"
 	"time"
 
-	"clayladder/internal/config"
-	"clayladder/internal/nodelist"
-	"clayladder/internal/service"
-	"clayladder/internal/standin/fleet"
+	"olivearch/internal/config"
+	"olivearch/internal/endpointlist"
+	"olivearch/internal/service"
+	"olivearch/internal/standin/fleet"
 )
 
 // The bounds of the issue: beside a stalled pool the other's p99 stays within both.
@@ -106,7 +106,7 @@
 	}
 	defer os.RemoveAll(folder)
 	j := fleet.NewJudge(time.Second)
-	lists := map[string][]nodelist.Node{}
+	lists := map[string][]endpointlist.Node{}
 	for i := range 6 {
 		n, err := fleet.NewNode(fleet.Spec{ID: fmt.Sprint("node-", i), Cores: 2, Work: 20 * time.Millisecond, Spread: 0.4, Queue: 40,
 			Reports: 300 * time.Millisecond, Seed: seed + uint64(i)}, j)
@@ -115,7 +115,7 @@
 		}
 		defer n.Close()
 		list := []string{"checkin", "maps"}[i/3]
-		lists[list] = append(lists[list], n.Entry(nodelist.Up))
+		lists[list] = append(lists[list], n.Entry(endpointlist.Up))
 		if stalled && list == "checkin" {
 			n.Stall(true)
 		}
--- a/rigs/spread/main.go
+++ b/benchmarks/spread/main.go
@@ -2,9 +2,9 @@
 // module against plain pickers in simulated time, and processes of the program on sockets with faults between them. Progress goes
 // to stderr, one JSON object with the figures to stdout; it exits with 1 if a bound is broken.
 //
-//	go run ./rigs/spread                 300 balancers and 200 nodes simulated, 24 processes on sockets; under 50 s on two cores
-//	go run ./rigs/spread -full           300 processes on sockets, and 1,000 and 10,000 nodes simulated
-//	go run ./rigs/spread -out DIR        and pictures: nodes across, time down, load as colour
+//	go run ./benchmarks/spread                 300 balancers and 200 nodes simulated, 24 processes on sockets; under 50 s on two cores
+//	go run ./benchmarks/spread -full           300 processes on sockets, and 1,000 and 10,000 nodes simulated
+//	go run ./benchmarks/spread -out DIR        and pictures: nodes across, time down, load as colour
 package main
 
 import (
@@ -19,8 +19,8 @@
 	"syscall"
 	"time"
 
-	"clayladder/internal/spread"
-	"clayladder/internal/standin/crowd"
+	"olivearch/internal/loadspread"
+	"olivearch/internal/standin/fleetsim"
 )
 
 // role is the word with which this program starts itself as a process of stand-ins.
@@ -43,7 +43,7 @@
 
 func main() {
 	if len(os.Args) == 2 && os.Args[1] == role {
-		if err := crowd.Run(os.Stdin, os.Stdout); err != nil {
+		if err := fleetsim.Run(os.Stdin, os.Stdout); err != nil {
 			fmt.Fprintln(os.Stderr, "spread:", err)
 			os.Exit(1)
 		}
@@ -52,7 +52,7 @@
 	var o options
 	flag.BoolVar(&o.full, "full", false, "play the whole: 300 processes, and up to 10,000 nodes in simulated time")
 	flag.IntVar(&o.seed, "seed", 1, "seed of arrivals, work and faults")
-	flag.StringVar(&o.scripts, "scripts", "grounds/spread", "folder of the scripts on sockets")
+	flag.StringVar(&o.scripts, "scripts", "faultscripts/spread", "folder of the scripts on sockets")
 	flag.StringVar(&o.out, "out", "", "folder for pictures")
 	flag.Parse()
 	ctx, stop := signal.NotifyContext(context.Background(), os.Interrupt, syscall.SIGTERM)
@@ -97,7 +97,7 @@
 }
 
 // picture writes what a play's load looked like.
-func picture(o options, name string, c *spread.Counts, length time.Duration) error {
+func picture(o options, name string, c *loadspread.Counts, length time.Duration) error {
 	if o.out == "" {
 		return nil
 	}
--- a/rigs/spread/simulated.go
+++ b/benchmarks/spread/simulated.go
@@ -8,10 +8,10 @@
 	"sync"
 	"time"
 
-	"clayladder/internal/emulator"
-	"clayladder/internal/figures"
-	"clayladder/internal/scenario"
-	"clayladder/internal/spread"
+	"olivearch/internal/emulator"
+	"olivearch/internal/loadspread"
+	"olivearch/internal/scenario"
+	"olivearch/internal/stats"
 )
 
 // Row is what one contender made of one scene.
@@ -103,7 +103,7 @@
 }
 
 // play plays the scene for a contender.
-func (s *scene) play(contender string, seed int) (Row, *figures.Turn, error) {
+func (s *scene) play(contender string, seed int) (Row, *stats.Turn, error) {
 	f, err := s.file(seed)
 	if err != nil {
 		return Row{}, nil, err
@@ -117,19 +117,19 @@
 		healthy[n] = 1
 	}
 	e := turn.Spread.Windows(settled, length, time.Second, healthy)
-	sum := figures.Total([]*figures.Turn{&turn})
+	sum := stats.Total([]*stats.Turn{&turn})
 	asked := float64(max(sum.Asked, 1))
 	row := Row{Scene: s.name, Contender: contender, Nodes: s.nodes, Deviation: e.Deviation, Busiest: e.Busiest, Idle: e.Idle,
 		FirstBusiest: turn.Spread.First(100 * time.Millisecond).Busiest, InAim: float64(sum.InAim) / asked, Refused: float64(sum.Refused) / asked,
 		P99MS: sum.Quantile(0.99), Users: float64(turn.Pairs) / float64(s.nodes), Breaches: turn.Breaches}
-	row.LearntAim = inAim(turn.Blocks[int(learnt/figures.BlockLength):])
+	row.LearntAim = inAim(turn.Blocks[int(learnt/stats.BlockLength):])
 	if s.sick > 0 {
 		parts := turn.Spread.Parts(settled, length, 250*time.Millisecond, func(n int) bool { return n >= well })
 		for _, x := range parts {
 			row.SlowPart += x / float64(len(parts))
 		}
 		for lag := 4; lag <= 32; lag++ {
-			row.Swing = min(row.Swing, spread.Correlation(parts, lag))
+			row.Swing = min(row.Swing, loadspread.Correlation(parts, lag))
 		}
 		if s.step {
 			row.Overshoot = overshoot(turn.Spread, well)
@@ -139,7 +139,7 @@
 }
 
 // inAim is the share of what was asked that was served within the aim.
-func inAim(blocks []figures.Block) float64 {
+func inAim(blocks []stats.Block) float64 {
 	asked, in := 0, 0
 	for _, b := range blocks {
 		asked, in = asked+b.Asked, in+b.InAim
@@ -149,7 +149,7 @@
 
 // overshoot is how far the slow nodes' part went, in any second after the step, beyond where it came to rest: as a part of that, over what
 // chance explains.
-func overshoot(c *spread.Counts, well int) float64 {
+func overshoot(c *loadspread.Counts, well int) float64 {
 	parts := c.Parts(stepAt, length, time.Second, func(n int) bool { return n >= well })
 	rest, far := 0.0, 0.0
 	for _, x := range parts {
--- a/rigs/spread/sockets.go
+++ b/benchmarks/spread/sockets.go
@@ -8,10 +8,10 @@
 	"sync"
 	"time"
 
-	"clayladder/internal/config"
-	"clayladder/internal/ground"
-	"clayladder/internal/ground/script"
-	"clayladder/internal/spread"
+	"olivearch/internal/config"
+	"olivearch/internal/faulttest"
+	"olivearch/internal/faulttest/script"
+	"olivearch/internal/loadspread"
 )
 
 // Ground is what processes of the program made of a script. Deviation and the like are means over seconds.
@@ -64,7 +64,7 @@
 		return err
 	}
 	defer os.RemoveAll(folder)
-	program, _, err := ground.Build(ctx, folder)
+	program, _, err := faulttest.Build(ctx, folder)
 	if err != nil {
 		return fmt.Errorf("building the program: %w", err)
 	}
@@ -117,7 +117,7 @@
 	if err != nil {
 		return Ground{}, err
 	}
-	r, err := ground.Play(ctx, s, ground.Options{Program: program, Self: []string{self, role}})
+	r, err := faulttest.Play(ctx, s, faulttest.Options{Program: program, Self: []string{self, role}})
 	if err != nil {
 		return Ground{}, err
 	}
@@ -129,7 +129,7 @@
 	for _, fault := range s.Faults {
 		calm = min(calm, fault.At)
 		end := time.Duration(fault.At + fault.For)
-		row.AfterBusiest = max(row.AfterBusiest, spread.Of(r.Spread.Between(end, end+time.Second), nil).Busiest)
+		row.AfterBusiest = max(row.AfterBusiest, loadspread.Of(r.Spread.Between(end, end+time.Second), nil).Busiest)
 	}
 	e := r.Spread.Windows(calmFrom(calm), time.Duration(calm), time.Second, nil)
 	row.Deviation, row.Busiest = e.Deviation, e.Busiest
--- a/rigs/streams/load.go
+++ b/benchmarks/streams/load.go
@@ -12,7 +12,7 @@
 	"sync"
 	"time"
 
-	"clayladder/internal/standin/peers"
+	"olivearch/internal/standin/peers"
 )
 
 // through lets bodies through a peer, n at a time, and tells what that cost it.
--- a/rigs/streams/main.go
+++ b/benchmarks/streams/main.go
@@ -14,7 +14,7 @@
 	"strconv"
 	"strings"
 
-	"clayladder/internal/standin/peers"
+	"olivearch/internal/standin/peers"
 )
 
 // The bounds: CPU a gigabyte as a part of ReverseProxy's, memory that bodies may add, and p99 beside slow clients as a part of that
--- a/cmd/olivebench/golden_test.go
+++ b/cmd/olivearch-bench/golden_test.go
@@ -7,7 +7,7 @@
 	"strings"
 	"testing"
 
-	"clayladder/internal/golden"
+	"olivearch/internal/golden"
 )
 
 // flagLine is a line of a command's help that tells a flag.
--- a/cmd/olivebench/ground.go
+++ b/cmd/olivearch-bench/ground.go
@@ -13,10 +13,10 @@
 	"path/filepath"
 	"slices"
 
-	"clayladder/internal/ground"
-	"clayladder/internal/ground/draw"
-	"clayladder/internal/ground/script"
-	"clayladder/internal/ground/timeline"
+	"olivearch/internal/faulttest"
+	"olivearch/internal/faulttest/schedule"
+	"olivearch/internal/faulttest/script"
+	"olivearch/internal/faulttest/timeline"
 )
 
 // standinRole is the word with which this program starts itself as a process of stand-ins.
@@ -79,7 +79,7 @@
 			return err
 		}
 		defer os.RemoveAll(folder)
-		program, ledger, err := ground.Build(ctx, folder)
+		program, ledger, err := faulttest.Build(ctx, folder)
 		if err != nil {
 			return fmt.Errorf("building the programs under test (or name them with --olivearch and --oliveledger): %w", err)
 		}
@@ -97,7 +97,7 @@
 	if err != nil {
 		return err
 	}
-	o := ground.Options{Program: x.program, Ledger: x.ledger, Self: []string{self, standinRole}, Progress: os.Stderr}
+	o := faulttest.Options{Program: x.program, Ledger: x.ledger, Self: []string{self, standinRole}, Progress: os.Stderr}
 	if x.keep != "" {
 		o.Folder = filepath.Join(x.keep, file.Name)
 		if err := os.MkdirAll(o.Folder, 0o755); err != nil {
@@ -108,9 +108,9 @@
 		file.Seed = x.seed
 	}
 	if x.faults > 0 {
-		file.Faults = draw.Faults(file, x.faults)
+		file.Faults = schedule.Faults(file, x.faults)
 	}
-	r, err := ground.Play(ctx, file, o)
+	r, err := faulttest.Play(ctx, file, o)
 	if err != nil {
 		return err
 	}
@@ -137,10 +137,10 @@
 }
 
 // shrink looks for a shorter schedule that fails too, and prints it as a script that plays again.
-func (x *groundFlags) shrink(ctx context.Context, file *script.File, o ground.Options, out io.Writer) error {
+func (x *groundFlags) shrink(ctx context.Context, file *script.File, o faulttest.Options, out io.Writer) error {
 	o.Progress = io.Discard
-	short, plays := draw.Shrink(file, draw.Plays, func(f *script.File) bool {
-		r, err := ground.Play(ctx, f, o)
+	short, plays := schedule.Shrink(file, schedule.Plays, func(f *script.File) bool {
+		r, err := faulttest.Play(ctx, f, o)
 		return err == nil && !r.Holds
 	})
 	text, err := short.Text()
--- a/cmd/olivebench/ground_test.go
+++ b/cmd/olivearch-bench/ground_test.go
@@ -27,7 +27,7 @@
 func build(t *testing.T, name string, tags string) string {
 	t.Helper()
 	path := filepath.Join(t.TempDir(), name)
-	if out, err := exec.Command("go", "build", "-tags", tags, "-o", path, "clayladder/cmd/"+name).CombinedOutput(); err != nil {
+	if out, err := exec.Command("go", "build", "-tags", tags, "-o", path, "olivearch/cmd/"+name).CombinedOutput(); err != nil {
 		t.Fatalf("%v\n%s", err, out)
 	}
 	return path
@@ -35,7 +35,7 @@
 
 // A script is played by the command line: a result in JSON, a plot, exit status by its bounds; --check and bad words say what is wrong.
 func TestGroundCommand(t *testing.T) {
-	bench, program := build(t, "olivebench", ""), build(t, "olivearch", "ground")
+	bench, program := build(t, "olivearch-bench", ""), build(t, "olivearch", "faultinject")
 	folder := t.TempDir()
 	good := file(t, folder, "tiny.yaml", groundText)
 	out, err := exec.Command(bench, "ground", "--olivearch", program, "--out", folder, "--seed", "3", good).Output()
@@ -106,7 +106,7 @@
 
 // A ground that is killed leaves no process behind, not even one that it had stopped.
 func TestKilledGroundLeavesNothing(t *testing.T) {
-	bench, program := build(t, "olivebench", ""), build(t, "olivearch", "ground")
+	bench, program := build(t, "olivearch-bench", ""), build(t, "olivearch", "faultinject")
 	script := file(t, t.TempDir(), "long.yaml", strings.Replace(strings.Replace(groundText, "length: 1s", "length: 60s", 1), "for: 200ms", "for: 50s", 1))
 	cmd := exec.Command(bench, "ground", "--olivearch", program, script)
 	progress, err := cmd.StderrPipe()
--- a/cmd/olivebench/main.go
+++ b/cmd/olivearch-bench/main.go
@@ -1,4 +1,4 @@
-// Command olivebench plays scenarios (a fleet, its troubles and a load) against olivearch and against what people would use
+// Command olivearch-bench plays scenarios (a fleet, its troubles and a load) against olivearch and against what people would use
 // instead, and tells what it saw.
 package main
 
@@ -17,12 +17,12 @@
 	"syscall"
 	"text/tabwriter"
 
-	"clayladder/internal/experiment"
-	"clayladder/internal/figures"
-	"clayladder/internal/report"
-	"clayladder/internal/scenario"
-	"clayladder/internal/standin/crowd"
-	"clayladder/internal/strictyaml"
+	"olivearch/internal/experiment"
+	"olivearch/internal/report"
+	"olivearch/internal/scenario"
+	"olivearch/internal/standin/fleetsim"
+	"olivearch/internal/stats"
+	"olivearch/internal/strictyaml"
 )
 
 // command is a word that may follow the program's name.
@@ -46,14 +46,14 @@
 func main() {
 	if len(os.Args) > 1 && os.Args[1] == experiment.Role { // started by itself
 		if err := experiment.Contend(os.Args[2:], os.Stdout); err != nil {
-			fmt.Fprintln(os.Stderr, "olivebench:", err)
+			fmt.Fprintln(os.Stderr, "olivearch-bench:", err)
 			os.Exit(1)
 		}
 		return
 	}
 	if len(os.Args) == 2 && os.Args[1] == standinRole { // and as stand-ins of a ground
-		if err := crowd.Run(os.Stdin, os.Stdout); err != nil {
-			fmt.Fprintln(os.Stderr, "olivebench:", err)
+		if err := fleetsim.Run(os.Stdin, os.Stdout); err != nil {
+			fmt.Fprintln(os.Stderr, "olivearch-bench:", err)
 			os.Exit(1)
 		}
 		return
@@ -63,11 +63,11 @@
 	switch err := dispatch(ctx, os.Args[1:], os.Stdout); {
 	case err == nil, errors.Is(err, flag.ErrHelp):
 	case errors.Is(err, errUsage):
-		fmt.Fprintln(os.Stderr, "olivebench:", err)
-		fmt.Fprintln(os.Stderr, `Run "olivebench --help" for the commands.`)
+		fmt.Fprintln(os.Stderr, "olivearch-bench:", err)
+		fmt.Fprintln(os.Stderr, `Run "olivearch-bench --help" for the commands.`)
 		os.Exit(2)
 	default:
-		fmt.Fprintln(os.Stderr, "olivebench:", err)
+		fmt.Fprintln(os.Stderr, "olivearch-bench:", err)
 		os.Exit(1)
 	}
 }
@@ -91,12 +91,12 @@
 }
 
 func help(out io.Writer) {
-	fmt.Fprint(out, "olivebench plays scenarios against olivearch and against what people would use instead.\n\nUsage:\n")
+	fmt.Fprint(out, "olivearch-bench plays scenarios against olivearch and against what people would use instead.\n\nUsage:\n")
 	for _, c := range commands {
-		fmt.Fprintf(out, "  olivebench %-8s %-27s %s\n", c.name, c.arguments, c.about)
+		fmt.Fprintf(out, "  olivearch-bench %-8s %-27s %s\n", c.name, c.arguments, c.about)
 	}
 	fmt.Fprint(out, `
-"olivebench COMMAND --help" tells the flags of a command. Scenarios are in scenarios/; docs/operate/experiments.md tells how
+"olivearch-bench COMMAND --help" tells the flags of a command. Scenarios are in scenarios/; docs/operate/experiments.md tells how
 to write one for your own fleet. All traffic stays on 127.0.0.1.
 Exit status: 0 done, 1 a bound is broken, it failed or a file is wrong, 2 wrong usage.
 `)
@@ -108,7 +108,7 @@
 	define(f)
 	switch err := f.Parse(args); {
 	case errors.Is(err, flag.ErrHelp):
-		fmt.Fprintln(out, "Usage: olivebench", name, usage)
+		fmt.Fprintln(out, "Usage: olivearch-bench", name, usage)
 		f.SetOutput(out)
 		f.PrintDefaults()
 		return nil, err
@@ -183,7 +183,7 @@
 }
 
 // keep writes a result and its page.
-func keep(folder string, r *figures.Result, findings []figures.Finding) error {
+func keep(folder string, r *stats.Result, findings []stats.Finding) error {
 	if err := os.MkdirAll(folder, 0o755); err != nil {
 		return err
 	}
@@ -198,7 +198,7 @@
 	return page(base+".html", r, findings)
 }
 
-func page(path string, r *figures.Result, findings []figures.Finding) error {
+func page(path string, r *stats.Result, findings []stats.Finding) error {
 	f, err := os.Create(path)
 	if err != nil {
 		return err
@@ -224,12 +224,12 @@
 }
 
 // result reads the raw figures of a run.
-func result(path string) (*figures.Result, error) {
+func result(path string) (*stats.Result, error) {
 	text, err := os.ReadFile(path)
 	if err != nil {
 		return nil, err
 	}
-	r := &figures.Result{}
+	r := &stats.Result{}
 	if err := json.Unmarshal(text, r); err != nil {
 		return nil, fmt.Errorf("%s: %w", path, err)
 	}
@@ -267,21 +267,21 @@
 	if err != nil {
 		return err
 	}
-	changes, err := figures.Changes(a, b, names)
+	changes, err := stats.Changes(a, b, names)
 	if err != nil {
 		return err
 	}
 	fmt.Fprintf(out, "%s (%s): new against old\n", a.Scenario, a.Mode)
 	lost := 0
 	for _, c := range changes {
-		if c.Verdict != figures.Noise {
+		if c.Verdict != stats.Noise {
 			fmt.Fprintf(out, "%-12s %v\n", c.Contender, c.Ratio)
 		}
 		if c.Contender == scenario.Olivearch && c.Worse(most) {
 			lost++
 		}
 	}
-	fmt.Fprintf(out, "%d figures; those not shown are %s\n", len(changes), figures.Noise)
+	fmt.Fprintf(out, "%d figures; those not shown are %s\n", len(changes), stats.Noise)
 	if lost > 0 {
 		return fmt.Errorf("%d figures of olivearch are worse by over %g %%", lost, most*100)
 	}
--- a/cmd/olivebench/main_test.go
+++ b/cmd/olivearch-bench/main_test.go
@@ -9,7 +9,7 @@
 	"strings"
 	"testing"
 
-	"clayladder/internal/figures"
+	"olivearch/internal/stats"
 )
 
 const text = `
@@ -78,7 +78,7 @@
 	folder := t.TempDir()
 	good := file(t, folder, "tiny.yaml", text)
 	bad := file(t, folder, "bad.yaml", strings.Replace(text, "fleet", "flet", 1))
-	other, err := json.Marshal(&figures.Result{Scenario: "x", Turns: []figures.Turn{{}}})
+	other, err := json.Marshal(&stats.Result{Scenario: "x", Turns: []stats.Turn{{}}})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -114,10 +114,10 @@
 	if out, err := call(t, "list", "../../scenarios"); err != nil || !strings.Contains(out, "cap-binding.yaml") {
 		t.Error(out, err)
 	}
-	if out, err := call(t, "--help"); err != nil || !strings.Contains(out, "olivebench run") {
+	if out, err := call(t, "--help"); err != nil || !strings.Contains(out, "olivearch-bench run") {
 		t.Error(out, err)
 	}
-	if out, err := call(t, "run", "--help"); err == nil || !strings.Contains(out, "Usage: olivebench run") || !strings.Contains(out, "-mode") {
+	if out, err := call(t, "run", "--help"); err == nil || !strings.Contains(out, "Usage: olivearch-bench run") || !strings.Contains(out, "-mode") {
 		t.Error(out, err)
 	}
 }
--- a/cmd/oliveledger/main.go
+++ b/cmd/olivearch-coordinator/main.go
@@ -1,4 +1,4 @@
-// Command oliveledger is a voter of the ledger of promises: a process on each of three, five or seven machines that keeps, with the
+// Command olivearch-coordinator is a voter of the ledger of promises: a process on each of three, five or seven machines that keeps, with the
 // others, what balancers hold for each other. It is a command of its own, so that balancers do not carry its libraries.
 package main
 
@@ -15,17 +15,17 @@
 	"syscall"
 	"time"
 
-	"clayladder/internal/config"
-	"clayladder/internal/replica"
+	"olivearch/internal/config"
+	"olivearch/internal/coordination/server"
 )
 
-const usage = `oliveledger is a voter of the ledger of promises (docs/operate/promises.md).
+const usage = `olivearch-coordinator is a voter of the ledger of promises (docs/operate/promises.md).
 
 Usage:
-  oliveledger run FILE                       take part, until SIGTERM
-  oliveledger check FILE...                  tell everything that is wrong with voters' files, alone and with each other
-  oliveledger recover --accept-loss FILE     after a majority has been lost: go on from this voter's folder alone
-  oliveledger show FILE                      tell what the folder of a voter that does not run holds
+  olivearch-coordinator run FILE                       take part, until SIGTERM
+  olivearch-coordinator check FILE...                  tell everything that is wrong with voters' files, alone and with each other
+  olivearch-coordinator recover --accept-loss FILE     after a majority has been lost: go on from this voter's folder alone
+  olivearch-coordinator show FILE                      tell what the folder of a voter that does not run holds
 
 Exit status: 0 done, 1 it failed or a file is wrong, 2 wrong usage, 3 the folder or the disk can't be trusted.
 `
@@ -37,12 +37,12 @@
 	if err == nil {
 		return
 	}
-	fmt.Fprintln(os.Stderr, "oliveledger:", err)
+	fmt.Fprintln(os.Stderr, "olivearch-coordinator:", err)
 	switch {
 	case errors.Is(err, errUsage):
 		fmt.Fprint(os.Stderr, usage)
 		os.Exit(2)
-	case errors.Is(err, replica.ErrDamaged), errors.Is(err, replica.ErrForeign), errors.Is(err, replica.ErrDisk):
+	case errors.Is(err, server.ErrDamaged), errors.Is(err, server.ErrForeign), errors.Is(err, server.ErrDisk):
 		os.Exit(3)
 	}
 	os.Exit(1)
@@ -65,13 +65,13 @@
 			return fmt.Errorf("%w: recover wants --accept-loss and a FILE: what the lost majority held and this folder does not is lost for good", errUsage)
 		}
 		return one(rest[1:], func(v *config.Voter) error {
-			text, err := replica.Recover(v.Folder, v.Name, v.Voters[v.Name])
+			text, err := server.Recover(v.Folder, v.Name, v.Voters[v.Name])
 			fmt.Fprint(out, text)
 			return err
 		})
 	case "show":
 		return one(rest, func(v *config.Voter) error {
-			text, err := replica.Show(v.Folder, v.Name)
+			text, err := server.Show(v.Folder, v.Name)
 			fmt.Fprint(out, text)
 			return err
 		})
@@ -120,7 +120,7 @@
 		return fmt.Errorf("listening: %w", err)
 	}
 	runtime.GOMAXPROCS(1) // it is beside a balancer; on several it uses twice as much when idle, for waking them
-	x, err := replica.New(replica.Config{Name: v.Name, Address: v.Voters[v.Name], Voters: v.Voters, Folder: v.Folder, Copies: v.Copies,
+	x, err := server.New(server.Config{Name: v.Name, Address: v.Voters[v.Name], Voters: v.Voters, Folder: v.Folder, Copies: v.Copies,
 		Gone: time.Duration(v.ReplaceAfter)}, l)
 	if err != nil {
 		l.Close()
--- a/cmd/olivearch/demo.go
+++ b/cmd/olivearch/demo.go
@@ -10,7 +10,7 @@
 	"os/signal"
 	"time"
 
-	"clayladder/internal/demo"
+	"olivearch/internal/demo"
 )
 
 // runDemo plays the demo and ends with an error if a rule broke.
--- a/cmd/olivearch/main.go
+++ b/cmd/olivearch/main.go
@@ -11,7 +11,7 @@
 	"runtime/debug"
 	"slices"
 
-	"clayladder/internal/strictyaml"
+	"olivearch/internal/strictyaml"
 )
 
 // command is a word that may follow the program's name.
--- a/cmd/olivearch/platform.go
+++ b/cmd/olivearch/platform.go
@@ -14,8 +14,8 @@
 
 	"golang.org/x/sys/unix"
 
-	"clayladder/internal/manage"
-	"clayladder/internal/proxy"
+	"olivearch/internal/admincmd"
+	"olivearch/internal/proxy"
 )
 
 // platform runs one pool as a platform tells by the RELAY_ environment variables.
@@ -59,7 +59,7 @@
 		if err != nil {
 			return fmt.Errorf("listening for the staff's calls: %w", err)
 		}
-		go manage.Serve(context.Background(), calls, b) // to the end: staff may ask while what was taken is answered
+		go admincmd.Serve(context.Background(), calls, b) // to the end: staff may ask while what was taken is answered
 	}
 	reloads := make(chan proxy.Config, 1)
 	go reload(hangups, c, reloads)
--- a/cmd/olivearch/promises.go
+++ b/cmd/olivearch/promises.go
@@ -18,10 +18,10 @@
 	"text/tabwriter"
 	"time"
 
-	"clayladder/internal/config"
-	"clayladder/internal/disk"
-	"clayladder/internal/ledger"
-	"clayladder/internal/promise"
+	"olivearch/internal/config"
+	"olivearch/internal/coordination/client"
+	"olivearch/internal/coordination/state"
+	"olivearch/internal/disk"
 )
 
 const promisesUsage = `olivearch promises asks the ledger of promises (docs/operate/promises.md).
@@ -50,7 +50,7 @@
 	within, hold          time.Duration
 	slots, stale          bool
 	args                  []string
-	caller                *ledger.Caller
+	caller                *client.Caller
 	out                   io.Writer
 }
 
@@ -88,7 +88,7 @@
 			c.by = u.Username
 		}
 	}
-	c.caller = ledger.NewCaller(c.by, voters)
+	c.caller = client.NewCaller(c.by, voters)
 	defer c.caller.Close()
 	run := map[string]struct {
 		least, most int // further words
@@ -156,7 +156,7 @@
 }
 
 // state is what is held, by a quorum's word, or with --stale by the voter's that has come furthest.
-func (c *ledgerCall) state(ctx context.Context) (*promise.State, string, error) {
+func (c *ledgerCall) state(ctx context.Context) (*state.State, string, error) {
 	s, a, err := c.caller.Read(ctx)
 	if err == nil {
 		return s, fmt.Sprintf("held by the ledger, revision %d", a.Index), nil
@@ -164,7 +164,7 @@
 	if !c.stale {
 		return nil, "", fmt.Errorf("%w (--stale shows what a voter has, however old)", err)
 	}
-	var best *promise.State
+	var best *state.State
 	note, index := "", uint64(0)
 	for _, voter := range c.caller.Voters() {
 		one, cancel := context.WithTimeout(context.Background(), time.Second)
@@ -190,7 +190,7 @@
 }
 
 func (c *ledgerCall) show(ctx context.Context, words []string) error {
-	scope, target, err := promise.ParseTarget(words[0])
+	scope, target, err := state.ParseTarget(words[0])
 	if err != nil {
 		return fmt.Errorf("%w: %w", errUsage, err)
 	}
@@ -198,18 +198,18 @@
 	if err != nil {
 		return err
 	}
-	of := slices.DeleteFunc(s.Words(), func(w promise.Word) bool { return w.Scope != scope || w.Target != target })
+	of := slices.DeleteFunc(s.Words(), func(w state.Word) bool { return w.Scope != scope || w.Target != target })
 	return c.print(s, note, of, false)
 }
 
 // print prints words, and bounds where they are wanted.
-func (c *ledgerCall) print(s *promise.State, note string, words []promise.Word, bounds bool) error {
-	fmt.Fprintf(c.out, "%s; %d of %d bytes\n", note, s.Used(), int64(promise.MaxBytes))
+func (c *ledgerCall) print(s *state.State, note string, words []state.Word, bounds bool) error {
+	fmt.Fprintf(c.out, "%s; %d of %d bytes\n", note, s.Used(), int64(state.MaxBytes))
 	t := tabwriter.NewWriter(c.out, 0, 0, 2, ' ', 0)
 	fmt.Fprintln(t, "what\ttarget\tvalue\tby\twhen\tuntil\twhy")
 	for _, w := range words {
 		value, until := "", "cleared"
-		if w.Kind != promise.Out {
+		if w.Kind != state.Out {
 			value = strconv.FormatInt(w.Value, 10)
 		}
 		if w.Until > 0 {
@@ -233,7 +233,7 @@
 }
 
 // propose asks for a promise and prints what came of it.
-func (c *ledgerCall) propose(ctx context.Context, command promise.Command) error {
+func (c *ledgerCall) propose(ctx context.Context, command state.Command) error {
 	a, err := c.caller.Propose(ctx, command)
 	if err != nil {
 		return err
@@ -243,9 +243,9 @@
 }
 
 // subject reads a kind and a target.
-func subject(kind, target string) (s promise.Subject, err error) {
-	if s.Kind, err = promise.ParseKind(kind); err == nil {
-		s.Scope, s.Target, err = promise.ParseTarget(target)
+func subject(kind, target string) (s state.Subject, err error) {
+	if s.Kind, err = state.ParseKind(kind); err == nil {
+		s.Scope, s.Target, err = state.ParseTarget(target)
 	}
 	if err != nil {
 		err = fmt.Errorf("%w: %w", errUsage, err)
@@ -258,11 +258,11 @@
 	if err != nil {
 		return err
 	}
-	word := &promise.SetWord{Subject: s, By: c.by, Why: c.why, At: time.Now().UnixMilli(), For: c.hold}
-	if (s.Kind == promise.Out) != (len(words) == 2) {
+	word := &state.SetWord{Subject: s, By: c.by, Why: c.why, At: time.Now().UnixMilli(), For: c.hold}
+	if (s.Kind == state.Out) != (len(words) == 2) {
 		return fmt.Errorf("%w: out takes a target alone; cap and share take a number behind it", errUsage)
 	}
-	if s.Kind != promise.Out {
+	if s.Kind != state.Out {
 		if word.Value, err = strconv.ParseInt(words[2], 10, 64); err != nil {
 			return fmt.Errorf("%w: %q is no number", errUsage, words[2])
 		}
@@ -275,7 +275,7 @@
 	if err != nil {
 		return err
 	}
-	return c.propose(ctx, &promise.ClearWord{Subject: s, By: c.by})
+	return c.propose(ctx, &state.ClearWord{Subject: s, By: c.by})
 }
 
 func (c *ledgerCall) bound(ctx context.Context, words []string) error {
@@ -283,7 +283,7 @@
 	if err != nil {
 		return fmt.Errorf("%w: %q is no number", errUsage, words[1])
 	}
-	return c.propose(ctx, &promise.SetBound{Name: words[0], Slots: c.slots, Limit: limit})
+	return c.propose(ctx, &state.SetBound{Name: words[0], Slots: c.slots, Limit: limit})
 }
 
 func (c *ledgerCall) members(ctx context.Context, words []string) error {
@@ -295,9 +295,9 @@
 		if _, err := netip.ParseAddrPort(address); !ok || err != nil {
 			return fmt.Errorf("%w: %q is not NAME=ADDRESS, such as k4=127.0.0.1:7104", errUsage, words[1])
 		}
-		return c.propose(ctx, &promise.Admit{Name: name, Address: address})
+		return c.propose(ctx, &state.Admit{Name: name, Address: address})
 	case len(words) == 2 && words[0] == "remove":
-		return c.propose(ctx, &promise.Dismiss{Name: words[1]})
+		return c.propose(ctx, &state.Dismiss{Name: words[1]})
 	}
 	return fmt.Errorf("%w: members, members add NAME=ADDRESS or members remove NAME", errUsage)
 }
@@ -307,7 +307,7 @@
 	t := tabwriter.NewWriter(c.out, 0, 0, 2, ' ', 0)
 	fmt.Fprintln(t, "voter\tmember\trole\tleader\tterm\tapplied\tconfirmed\tdisk ms\tfollowers\tnote")
 	reached := 0
-	var leader *ledger.VoterStatus
+	var leader *client.VoterStatus
 	for _, name := range c.caller.Voters() {
 		s, err := c.status(name)
 		if err != nil {
@@ -329,7 +329,7 @@
 	}
 	switch {
 	case reached == 0:
-		return fmt.Errorf("%w: no voter was reached", ledger.ErrNobody)
+		return fmt.Errorf("%w: no voter was reached", client.ErrNobody)
 	case leader == nil:
 		fmt.Fprintln(c.out, "NO VOTER LEADS: what is held stays, and no new promise is given")
 		return nil
@@ -351,14 +351,14 @@
 	return nil
 }
 
-func (c *ledgerCall) status(voter string) (*ledger.VoterStatus, error) {
+func (c *ledgerCall) status(voter string) (*client.VoterStatus, error) {
 	ctx, cancel := context.WithTimeout(context.Background(), min(c.within, time.Second))
 	defer cancel()
-	a, err := c.caller.Ask(ctx, voter, ledger.Request{Verb: ledger.Status})
+	a, err := c.caller.Ask(ctx, voter, client.Request{Verb: client.Status})
 	if err != nil {
 		return nil, err
 	}
-	s := &ledger.VoterStatus{}
+	s := &client.VoterStatus{}
 	return s, json.Unmarshal(a.Body, s)
 }
 
@@ -391,7 +391,7 @@
 	if err != nil {
 		return err
 	}
-	kept, err := promise.DecodeState(text)
+	kept, err := state.DecodeState(text)
 	if err != nil {
 		return fmt.Errorf("%s: %w", words[0], err)
 	}
@@ -402,16 +402,16 @@
 	if n := len(now.Words()); n > 0 {
 		return fmt.Errorf("the ledger holds %d words already: a snapshot is restored to an empty one", n)
 	}
-	var commands []promise.Command
+	var commands []state.Command
 	for _, b := range kept.Bounds() {
-		commands = append(commands, &promise.SetBound{Name: b.Name, Slots: b.Slots, Limit: b.Limit})
+		commands = append(commands, &state.SetBound{Name: b.Name, Slots: b.Slots, Limit: b.Limit})
 	}
 	for _, w := range kept.Words() {
 		left := time.Duration(0)
 		if w.Until > 0 {
 			left = time.Duration(max(1, w.Until-min(w.Until, kept.Clock()))) * time.Millisecond
 		}
-		commands = append(commands, &promise.SetWord{Subject: w.Subject, Value: w.Value, By: w.By, Why: w.Why, At: w.At, For: left})
+		commands = append(commands, &state.SetWord{Subject: w.Subject, Value: w.Value, By: w.By, Why: w.Why, At: w.At, For: left})
 	}
 	for i, command := range commands {
 		one, cancel := context.WithTimeout(context.Background(), c.within)
--- a/cmd/olivearch/promises_test.go
+++ b/cmd/olivearch/promises_test.go
@@ -14,7 +14,7 @@
 	"testing"
 	"time"
 
-	"clayladder/internal/ledger"
+	"olivearch/internal/coordination/client"
 )
 
 // TestStaffsWordIsShared starts three voters and two balancers. What staff say to one holds at the other, survives the death of the one, and an
@@ -26,8 +26,8 @@
 		io.WriteString(w, "done")
 	})
 	folder := t.TempDir()
-	voter := filepath.Join(folder, "oliveledger")
-	if out, err := exec.Command("go", "build", "-o", voter, "clayladder/cmd/oliveledger").CombinedOutput(); err != nil {
+	voter := filepath.Join(folder, "olivearch-coordinator")
+	if out, err := exec.Command("go", "build", "-o", voter, "olivearch/cmd/olivearch-coordinator").CombinedOutput(); err != nil {
 		t.Fatalf("%v\n%s", err, out)
 	}
 	addresses, names := map[string]string{}, ""
@@ -52,7 +52,7 @@
 		voters = append(voters, x)
 		t.Cleanup(func() { x.Process.Kill(); x.Wait() })
 	}
-	c := ledger.NewCaller("test", addresses)
+	c := client.NewCaller("test", addresses)
 	defer c.Close()
 	ctx, cancel := context.WithTimeout(t.Context(), 30*time.Second)
 	defer cancel()
--- a/cmd/olivearch/reload_test.go
+++ b/cmd/olivearch/reload_test.go
@@ -11,8 +11,8 @@
 	"testing"
 	"time"
 
-	"clayladder/internal/config"
-	"clayladder/internal/service"
+	"olivearch/internal/config"
+	"olivearch/internal/service"
 )
 
 // TestReloadDuringReload: while a configuration is being read it is written again twice, with a hang-up each; the last text wins, and
--- a/cmd/olivearch/serve.go
+++ b/cmd/olivearch/serve.go
@@ -17,11 +17,11 @@
 	"syscall"
 	"time"
 
-	"clayladder"
-	"clayladder/internal/config"
-	"clayladder/internal/live"
-	"clayladder/internal/route"
-	"clayladder/internal/service"
+	"olivearch/balancer"
+	"olivearch/internal/config"
+	"olivearch/internal/live"
+	"olivearch/internal/route"
+	"olivearch/internal/service"
 )
 
 // serve runs a configuration file until SIGTERM.
@@ -151,7 +151,7 @@
 
 // use is what a balancer with some settings uses, as text.
 type use struct {
-	settings clayladder.Settings
+	settings balancer.Settings
 	text     string
 }
 
--- a/cmd/olivearch/services_test.go
+++ b/cmd/olivearch/services_test.go
@@ -14,7 +14,7 @@
 	"testing"
 	"time"
 
-	"clayladder/internal/standin/instant"
+	"olivearch/internal/standin/instant"
 )
 
 // build returns the path of the program, built here: RUN names the platform's start, which takes none.
--- a/cmd/clayladder-sim/main.go
+++ b/cmd/simadapter/main.go
@@ -1,4 +1,4 @@
-// Command clayladder-sim hosts instances of the decision module on the simulator's
+// Command simadapter hosts instances of the decision module on the simulator's
 // wire, on standard input and output. It translates and decides nothing.
 package main
 
@@ -9,13 +9,13 @@
 	"os"
 	"time"
 
-	"clayladder"
-	"clayladder/internal/wire"
+	"olivearch/balancer"
+	"olivearch/internal/wire"
 )
 
 func main() {
 	if err := run(os.Stdin, os.Stdout); err != nil {
-		fmt.Fprintln(os.Stderr, "clayladder-sim:", err)
+		fmt.Fprintln(os.Stderr, "simadapter:", err)
 		os.Exit(1)
 	}
 }
@@ -23,7 +23,7 @@
 // run answers batches until the end of input.
 func run(in io.Reader, out io.Writer) error {
 	reader, writer := wire.NewReader(in), wire.NewWriter(out)
-	instances := map[int]*clayladder.Balancer{}
+	instances := map[int]*balancer.Balancer{}
 	var batch wire.Batch
 	for {
 		err := reader.Next(&batch)
@@ -43,7 +43,7 @@
 }
 
 // deliver hands one event to its instance; a panic ends the day with its text.
-func deliver(instances map[int]*clayladder.Balancer, w *wire.Writer, now time.Duration, e *wire.Event) {
+func deliver(instances map[int]*balancer.Balancer, w *wire.Writer, now time.Duration, e *wire.Event) {
 	defer func() {
 		if p := recover(); p != nil {
 			wire.NewPort(w, e.Instance).Crash(fmt.Sprint(p))
@@ -52,7 +52,7 @@
 	}()
 	if e.Kind == wire.Attach {
 		port := wire.NewPort(w, e.Instance)
-		b, err := clayladder.New(e.Settings, e.Seed, now, port)
+		b, err := balancer.New(e.Settings, e.Seed, now, port)
 		if err != nil {
 			port.Crash(err.Error())
 			return
--- a/cmd/clayladder-sim/main_test.go
+++ b/cmd/simadapter/main_test.go
@@ -41,7 +41,7 @@
 func TestBadSettingsCrashTheDay(t *testing.T) {
 	bad := strings.Replace(params, `"max_attempts":3`, `"max_attempts":0`, 1)
 	got, err := exchange(t, "frame at_time_us=1 serial=1\nattach balancer_id=3 random_seed=5 params="+bad+"\neob\n")
-	if err != nil || !strings.HasPrefix(got, "crash balancer_id=3 note_text=clayladder: bad settings: Limits.MaxAttempts") {
+	if err != nil || !strings.HasPrefix(got, "crash balancer_id=3 note_text=balancer: bad settings: Limits.MaxAttempts") {
 		t.Errorf("error %v, got %q", err, got)
 	}
 }
--- a/internal/manage/golden_test.go
+++ b/internal/admincmd/golden_test.go
@@ -1,11 +1,11 @@
-package manage
+package admincmd
 
 import (
 	"fmt"
 	"strings"
 	"testing"
 
-	"clayladder/internal/golden"
+	"olivearch/internal/golden"
 )
 
 // TestGoldenAnswers pins the answers of the line protocol.
--- a/internal/manage/manage.go
+++ b/internal/admincmd/manage.go
@@ -1,6 +1,6 @@
 // Package manage serves the calls of operators' staff: a connection carries one line, and the answer is one line that
 // starts with +OK or -ERR. It knows nothing of pools or clients; what a call does is its Operator's.
-package manage
+package admincmd
 
 import (
 	"bufio"
--- a/internal/manage/manage_test.go
+++ b/internal/admincmd/manage_test.go
@@ -1,4 +1,4 @@
-package manage
+package admincmd
 
 import (
 	"context"
--- a/internal/body/download.go
+++ b/internal/body/download.go
@@ -9,7 +9,7 @@
 	"sync"
 	"time"
 
-	"clayladder/internal/http1"
+	"olivearch/internal/http1"
 )
 
 const (
--- a/internal/body/download_test.go
+++ b/internal/body/download_test.go
@@ -7,7 +7,7 @@
 	"testing"
 	"time"
 
-	"clayladder/internal/http1"
+	"olivearch/internal/http1"
 )
 
 // The end of an answer is told after its beginning, however late that is: an answer that had just begun to go on was once told
--- a/internal/body/limits.go
+++ b/internal/body/limits.go
@@ -3,7 +3,7 @@
 import (
 	"time"
 
-	"clayladder/internal/http1"
+	"olivearch/internal/http1"
 )
 
 // Limits are what bodies may take, by the route of their request.
--- a/internal/body/tunnel.go
+++ b/internal/body/tunnel.go
@@ -10,7 +10,7 @@
 	"sync/atomic"
 	"time"
 
-	"clayladder/internal/http1"
+	"olivearch/internal/http1"
 )
 
 const (
--- a/internal/body/upload.go
+++ b/internal/body/upload.go
@@ -11,7 +11,7 @@
 	"sync/atomic"
 	"time"
 
-	"clayladder/internal/http1"
+	"olivearch/internal/http1"
 )
 
 const (
--- a/internal/capacity/capacity_test.go
+++ b/internal/capacity/capacity_test.go
@@ -8,9 +8,9 @@
 	"strings"
 	"testing"
 
-	"clayladder/internal/config"
-	"clayladder/internal/nodelist"
-	"clayladder/internal/service"
+	"olivearch/internal/config"
+	"olivearch/internal/endpointlist"
+	"olivearch/internal/service"
 )
 
 var sizes = []Size{
@@ -157,7 +157,7 @@
 	if err := s.WriteLists(p, func(int) Word { return Gone }); err != nil {
 		t.Fatal(err)
 	}
-	if l, err := nodelist.Load(p.list(1)); err != nil || len(l.Nodes) != 0 {
+	if l, err := endpointlist.Load(p.list(1)); err != nil || len(l.Nodes) != 0 {
 		t.Errorf("%d nodes stand in an empty list: %v", len(l.Nodes), err)
 	}
 	first := s.Services[1].First
@@ -173,12 +173,12 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	l, err := nodelist.Load(p.list(1))
+	l, err := endpointlist.Load(p.list(1))
 	if err != nil || len(l.Nodes) != s.Services[1].Nodes-1 {
 		t.Fatalf("%d nodes: %v", len(l.Nodes), err)
 	}
 	for _, n := range l.Nodes {
-		if want := n.ID == "n-"+pad(first); (n.Phase == nodelist.Draining) != want {
+		if want := n.ID == "n-"+pad(first); (n.Phase == endpointlist.Draining) != want {
 			t.Errorf("%s is %s", n.ID, n.Phase)
 		}
 	}
--- a/internal/capacity/hollow/hollow.go
+++ b/internal/capacity/hollow/hollow.go
@@ -15,8 +15,8 @@
 	"sync"
 	"time"
 
-	"clayladder/internal/config"
-	"clayladder/internal/service"
+	"olivearch/internal/config"
+	"olivearch/internal/service"
 )
 
 // The verbs of commands.
--- a/internal/capacity/hollow/hollow_test.go
+++ b/internal/capacity/hollow/hollow_test.go
@@ -8,8 +8,8 @@
 	"path/filepath"
 	"testing"
 
-	"clayladder/internal/capacity"
-	"clayladder/internal/standin/loopnodes"
+	"olivearch/internal/capacity"
+	"olivearch/internal/standin/loopnodes"
 )
 
 // TestHollowBalancersRunTheRealThing starts two in this process: requests through their listeners reach a node, a route that a reload
--- a/internal/clock/clock.go
+++ b/internal/clock/clock.go
@@ -1,7 +1,7 @@
 // Package clock reads the machine's clock, where Unix time is meant: what other machines date stands on it. What is measured or awaited
 // goes by the monotonic clock (time.Since) and does not use it.
 //
-// A build with the tag "ground" can be told that the clock is wrong, for the proving ground's tests (internal/ground); the product
+// A build with the tag "faultinject" can be told that the clock is wrong, for the proving ground's tests (internal/faulttest); the product
 // has no such door.
 package clock
 
--- a/internal/config/check.go
+++ b/internal/config/check.go
@@ -12,10 +12,10 @@
 	"strings"
 	"time"
 
-	"clayladder"
-	"clayladder/internal/nodelist"
-	"clayladder/internal/route"
-	"clayladder/internal/strictyaml"
+	"olivearch/balancer"
+	"olivearch/internal/endpointlist"
+	"olivearch/internal/route"
+	"olivearch/internal/strictyaml"
 )
 
 const (
@@ -39,7 +39,7 @@
 	// Targets are what the table's rules lead to, by their numbers, beside pools.
 	Targets []Target
 	// Tenants is shared by the settings of all pools.
-	Tenants *clayladder.Tenants
+	Tenants *balancer.Tenants
 
 	targets  map[targetKey]int
 	held     *held                     // nil: it was read as a whole
@@ -121,11 +121,11 @@
 	if err := d.Err(); err != nil {
 		return nil, err
 	}
-	tenants := make([]clayladder.Tenant, 0, len(c.File.Tenants))
+	tenants := make([]balancer.Tenant, 0, len(c.File.Tenants))
 	for name, t := range c.File.Tenants {
-		tenants = append(tenants, clayladder.Tenant{Name: name, Quota: t.Quota})
+		tenants = append(tenants, balancer.Tenant{Name: name, Quota: t.Quota})
 	}
-	c.Tenants, c.File.Tenants = clayladder.NewTenants(tenants), nil
+	c.Tenants, c.File.Tenants = balancer.NewTenants(tenants), nil
 	return c, nil
 }
 
@@ -376,7 +376,7 @@
 	case n.Discovery != "":
 		k.address(at+".discovery", n.Discovery)
 	default:
-		nodelist.Check(k.Doc, at+".static", n.Static)
+		endpointlist.Check(k.Doc, at+".static", n.Static)
 		if n.Hold != 0 {
 			k.Fail(at+".hold", "a list that stands here is never silent")
 		}
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -7,8 +7,8 @@
 	"testing"
 	"time"
 
-	"clayladder"
-	"clayladder/internal/route"
+	"olivearch/balancer"
+	"olivearch/internal/route"
 )
 
 const small = `listeners: [{address: '127.0.0.1:0'}]
@@ -28,7 +28,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if c.Class("c").Repeat != clayladder.Unsafe {
+	if c.Class("c").Repeat != balancer.Unsafe {
 		t.Error("a missing repeat kind is not unsafe")
 	}
 	if got := c.Targets[c.Table.Rule("two").To].Deadline; got != Duration(2*time.Second) {
@@ -123,14 +123,14 @@
 			return
 		}
 		for name := range c.Pools {
-			if _, err := clayladder.New(c.Settings(name), 1, 0, host{}); err != nil {
+			if _, err := balancer.New(c.Settings(name), 1, 0, host{}); err != nil {
 				t.Errorf("%v\n%s", err, text)
 			}
 		}
 	})
 }
 
-type host struct{ clayladder.Host }
+type host struct{ balancer.Host }
 
 func (host) SetTimer(time.Duration, uint64) {}
 func (host) Watch(bool)                     {}
--- a/internal/config/cost.go
+++ b/internal/config/cost.go
@@ -3,7 +3,7 @@
 import (
 	"fmt"
 
-	"clayladder/internal/strictyaml"
+	"olivearch/internal/strictyaml"
 )
 
 // What things take in memory, in bytes, by docs/design/configuration.md, where the runs are named that gave the figures. Pools and nodes count
--- a/internal/config/promises.go
+++ b/internal/config/promises.go
@@ -13,10 +13,10 @@
 
 	"go.yaml.in/yaml/v3"
 
-	"clayladder/internal/strictyaml"
+	"olivearch/internal/strictyaml"
 )
 
-// Voter is the configuration of one voter of the ledger of promises: a file for "oliveledger".
+// Voter is the configuration of one voter of the ledger of promises: a file for "olivearch-coordinator".
 type Voter struct {
 	// This voter's name: a key of voters.
 	Name string `yaml:"name"`
--- a/internal/config/read.go
+++ b/internal/config/read.go
@@ -6,8 +6,8 @@
 	"runtime"
 	"sync"
 
-	"clayladder"
-	"clayladder/internal/strictyaml"
+	"olivearch/balancer"
+	"olivearch/internal/strictyaml"
 )
 
 // batch is how many entries of a long section are read at once, in about a millisecond: on a machine with one processor decisions wait for
@@ -49,7 +49,7 @@
 			}
 		}
 	}()
-	var tenants []clayladder.Tenant
+	var tenants []balancer.Tenant
 	for _, p := range h.parts {
 		if !long[p.Key] || !p.Block {
 			d, whole := strictyaml.ReadPart(path, text, p, &c.File)
@@ -67,10 +67,10 @@
 		var values int
 		switch p.Key {
 		case "tenants":
-			tenants = make([]clayladder.Tenant, len(e.Starts))
+			tenants = make([]balancer.Tenant, len(e.Starts))
 			values, whole, maybe = inBatches(path, before, e, func(from int, read map[string]Tenant) {
 				for name, t := range read {
-					tenants[from] = clayladder.Tenant{Name: name, Quota: t.Quota}
+					tenants[from] = balancer.Tenant{Name: name, Quota: t.Quota}
 					from++
 				}
 			})
@@ -97,9 +97,9 @@
 		}
 	}
 	for name, t := range c.File.Tenants { // in one line
-		tenants = append(tenants, clayladder.Tenant{Name: name, Quota: t.Quota})
+		tenants = append(tenants, balancer.Tenant{Name: name, Quota: t.Quota})
 	}
-	if c.Tenants = clayladder.NewTenants(tenants); c.Tenants.Err() != nil || h.values > strictyaml.MaxValues/2 {
+	if c.Tenants = balancer.NewTenants(tenants); c.Tenants.Err() != nil || h.values > strictyaml.MaxValues/2 {
 		return nil, nil
 	}
 	k := checker{Doc: &strictyaml.Doc{File: path}, Loaded: c}
--- a/internal/config/reload.go
+++ b/internal/config/reload.go
@@ -7,9 +7,9 @@
 	"reflect"
 	"slices"
 
-	"clayladder"
-	"clayladder/internal/route"
-	"clayladder/internal/strictyaml"
+	"olivearch/balancer"
+	"olivearch/internal/route"
+	"olivearch/internal/strictyaml"
 )
 
 // Reload reads and checks a file again that old came from. It gives what Load gives, and has in common with old what has not changed; where
@@ -280,7 +280,7 @@
 		k.Fail("", "a name is there twice")
 		return false
 	}
-	var changed []clayladder.Tenant
+	var changed []balancer.Tenant
 	var gone []string
 	var unfair []string
 	for name, t := range next {
@@ -288,7 +288,7 @@
 			unfair = append(unfair, name)
 		}
 		if before, known := old[name]; !known || before != t {
-			changed = append(changed, clayladder.Tenant{Name: name, Quota: t.Quota})
+			changed = append(changed, balancer.Tenant{Name: name, Quota: t.Quota})
 		}
 	}
 	if len(unfair) > 0 {
--- a/internal/config/reload_test.go
+++ b/internal/config/reload_test.go
@@ -13,8 +13,8 @@
 	"testing"
 	"time"
 
-	"clayladder"
-	"clayladder/internal/route"
+	"olivearch/balancer"
+	"olivearch/internal/route"
 )
 
 // told is all that a configuration says, in a form that can be compared.
@@ -46,7 +46,7 @@
 		rule.To = 0
 		say(rule, c.Targets[r.To])
 	}
-	for _, t := range slices.SortedFunc(c.Tenants.All(), func(x, y clayladder.Tenant) int { return strings.Compare(x.Name, y.Name) }) {
+	for _, t := range slices.SortedFunc(c.Tenants.All(), func(x, y balancer.Tenant) int { return strings.Compare(x.Name, y.Name) }) {
 		say(t)
 	}
 	return b.String()
--- a/internal/config/schema/golden_test.go
+++ b/internal/config/schema/golden_test.go
@@ -9,7 +9,7 @@
 	"strings"
 	"testing"
 
-	"clayladder/internal/golden"
+	"olivearch/internal/golden"
 )
 
 // TestGoldenKeys pins the keys of each published schema by their paths, whatever the Go types are called.
--- a/internal/config/schema/main.go
+++ b/internal/config/schema/main.go
@@ -10,9 +10,9 @@
 
 	"github.com/invopop/jsonschema"
 
-	"clayladder/internal/config"
-	"clayladder/internal/ground/script"
-	"clayladder/internal/scenario"
+	"olivearch/internal/config"
+	"olivearch/internal/faulttest/script"
+	"olivearch/internal/scenario"
 )
 
 // published are the schemas, by their file.
@@ -21,9 +21,9 @@
 	of    any
 }{
 	"docs/olivearch.schema.json": {"olivearch serve", &config.File{}},
-	"docs/scenario.schema.json":  {"olivebench scenario", &scenario.File{}},
-	"docs/ground.schema.json":    {"olivebench ground", &script.File{}},
-	"docs/ledger.schema.json":    {"oliveledger", &config.Voter{}},
+	"docs/scenario.schema.json":  {"olivearch-bench scenario", &scenario.File{}},
+	"docs/ground.schema.json":    {"olivearch-bench ground", &script.File{}},
+	"docs/ledger.schema.json":    {"olivearch-coordinator", &config.Voter{}},
 	"docs/promises.schema.json":  {"RELAY_PROMISES", &config.Promises{}},
 }
 
@@ -56,8 +56,8 @@
 	if err := os.Chdir(root); err != nil { // comments are found by the import path's folders
 		return nil, err
 	}
-	for _, folder := range []string{"./internal/config", "./internal/nodelist", "./internal/scenario", "./internal/ground/script"} {
-		if err := r.AddGoComments("clayladder", folder); err != nil {
+	for _, folder := range []string{"./internal/config", "./internal/endpointlist", "./internal/scenario", "./internal/faulttest/script"} {
+		if err := r.AddGoComments("olivearch", folder); err != nil {
 			return nil, err
 		}
 	}
--- a/internal/config/settings.go
+++ b/internal/config/settings.go
@@ -5,20 +5,20 @@
 	"slices"
 	"time"
 
-	"clayladder"
-	"clayladder/internal/route"
+	"olivearch/balancer"
+	"olivearch/internal/route"
 )
 
 var (
-	repeats = map[string]clayladder.Repeat{"safe": clayladder.Safe, "keyed": clayladder.Keyed, "unsafe": clayladder.Unsafe}
-	groups  = map[string]clayladder.Group{"all": clayladder.GroupAll, "zone": clayladder.GroupZone, "cell": clayladder.GroupCell}
-	reports = map[string]clayladder.ReportVia{"answers": clayladder.ReportAnswers, "probes": clayladder.ReportProbes, "none": clayladder.ReportNone}
+	repeats = map[string]balancer.Repeat{"safe": balancer.Safe, "keyed": balancer.Keyed, "unsafe": balancer.Unsafe}
+	groups  = map[string]balancer.Group{"all": balancer.GroupAll, "zone": balancer.GroupZone, "cell": balancer.GroupCell}
+	reports = map[string]balancer.ReportVia{"answers": balancer.ReportAnswers, "probes": balancer.ReportProbes, "none": balancer.ReportNone}
 )
 
 // Class returns a class in the module's form.
-func (c *Loaded) Class(name string) clayladder.Class {
+func (c *Loaded) Class(name string) balancer.Class {
 	x := c.Classes[name]
-	return clayladder.Class{Name: name, Aim: time.Duration(x.Aim), Deadline: time.Duration(x.Deadline), Repeat: repeats[x.Repeat],
+	return balancer.Class{Name: name, Aim: time.Duration(x.Aim), Deadline: time.Duration(x.Deadline), Repeat: repeats[x.Repeat],
 		Group: groups[x.Group], Memory: time.Duration(x.Memory), Worth: *x.Worth, LateWorth: x.LateWorth}
 }
 
@@ -49,17 +49,17 @@
 
 // Settings returns what a pool's decision module is told: the classes of the routes to the pool and no others, so that
 // what changes elsewhere does not reach it.
-func (c *Loaded) Settings(pool string) clayladder.Settings {
+func (c *Loaded) Settings(pool string) balancer.Settings {
 	p, r := c.Pools[pool], c.Rules
 	used := slices.Sorted(maps.Keys(c.used[pool]))
 	if len(used) == 0 { // the module wants a class; a pool that no route names gets no request
 		used = slices.Sorted(maps.Keys(c.Classes))
 	}
-	s := clayladder.Settings{Zone: c.Instances.Zone, Balancers: c.Instances.Count, Rank: c.Instances.Rank,
-		OverShareWorth: *c.OverQuotaWorth, Granularity: time.Millisecond, Rest: true, Weights: clayladder.WeightNominal, Reports: reports[p.Reports],
-		Limits: clayladder.Limits{Cancel: true, Probes: p.Reports == "probes", RetryAfter: true, MaxRetry: time.Duration(p.MaxRetryAfter),
+	s := balancer.Settings{Zone: c.Instances.Zone, Balancers: c.Instances.Count, Rank: c.Instances.Rank,
+		OverShareWorth: *c.OverQuotaWorth, Granularity: time.Millisecond, Rest: true, Weights: balancer.WeightNominal, Reports: reports[p.Reports],
+		Limits: balancer.Limits{Cancel: true, Probes: p.Reports == "probes", RetryAfter: true, MaxRetry: time.Duration(p.MaxRetryAfter),
 			MaxAttempts: p.MaxAttempts, Out: p.Connections},
-		Rules: clayladder.Rules{AskWithin: 20 * time.Second, ColdFrom: r.ColdFrom, RampTime: time.Duration(r.RampTime),
+		Rules: balancer.Rules{AskWithin: 20 * time.Second, ColdFrom: r.ColdFrom, RampTime: time.Duration(r.RampTime),
 			TipMultiple: r.TipMultiple, TipAfter: time.Duration(r.TipAfter), DrainGrace: time.Duration(r.DrainGrace)}}
 	for _, name := range used {
 		s.Classes = append(s.Classes, c.Class(name))
--- a/internal/config/size_test.go
+++ b/internal/config/size_test.go
@@ -10,7 +10,7 @@
 	"math/rand/v2"
 	"testing"
 
-	"clayladder/internal/discovery"
+	"olivearch/internal/discovery"
 )
 
 // What a whole picture of the planned size takes: 18,000 nodes as a discovery service tells them, 15,000 routes and 140,000 tenants as they
--- a/internal/config/texts.go
+++ b/internal/config/texts.go
@@ -6,7 +6,7 @@
 	"runtime"
 	"syscall"
 
-	"clayladder/internal/strictyaml"
+	"olivearch/internal/strictyaml"
 )
 
 // texts is memory outside the heap for the text that holds and for the next one, in turns. Between two reloads one of them holds
--- a/internal/config/types.go
+++ b/internal/config/types.go
@@ -3,7 +3,7 @@
 package config
 
 import (
-	"clayladder/internal/nodelist"
+	"olivearch/internal/endpointlist"
 )
 
 // File is the configuration of one process.
@@ -169,7 +169,7 @@
 	// A file with a list, read again whenever it changes. A relative path starts at the configuration's folder.
 	File string `yaml:"file,omitempty"`
 	// The list itself.
-	Static []nodelist.Node `yaml:"static,omitempty"`
+	Static []endpointlist.Node `yaml:"static,omitempty"`
 	// IP address and port of a discovery service.
 	Discovery string `yaml:"discovery,omitempty"`
 	// For discovery: a file in which the last list is kept, so that a process that starts while discovery is down begins with it. A
--- a/internal/ledger/caller.go
+++ b/internal/coordination/client/caller.go
@@ -1,4 +1,4 @@
-package ledger
+package client
 
 import (
 	"context"
@@ -11,7 +11,7 @@
 	"sync"
 	"time"
 
-	"clayladder/internal/promise"
+	"olivearch/internal/coordination/state"
 )
 
 // ErrUnsure is wrapped by errors of calls of which nobody can say whether they were carried out, or will be.
@@ -196,15 +196,15 @@
 
 // Propose asks for a promise. A nil error says that it is held by Held of Of voters, on their disks. An error wraps ErrRefused,
 // ErrNobody or ErrUnsure; what is not sure is not proposed again, as it could then hold twice or undo what came between.
-func (c *Caller) Propose(ctx context.Context, command promise.Command) (Answer, error) {
+func (c *Caller) Propose(ctx context.Context, command state.Command) (Answer, error) {
 	if err := command.Check(); err != nil {
 		return Answer{}, fmt.Errorf("%w: %w", ErrRefused, err)
 	}
-	return c.anywhere(ctx, Request{Verb: Propose, Command: promise.Encode(command)})
+	return c.anywhere(ctx, Request{Verb: Propose, Command: state.Encode(command)})
 }
 
 // Read returns what is held: all that was promised before the call. The error wraps ErrNobody if no quorum answers.
-func (c *Caller) Read(ctx context.Context) (*promise.State, Answer, error) {
+func (c *Caller) Read(ctx context.Context) (*state.State, Answer, error) {
 	for {
 		a, err := c.anywhere(ctx, Request{Verb: Read})
 		if errors.Is(err, ErrUnsure) && ctx.Err() == nil { // a reading may be asked again
@@ -213,7 +213,7 @@
 		if err != nil {
 			return nil, a, err
 		}
-		s, err := promise.DecodeState(a.Body)
+		s, err := state.DecodeState(a.Body)
 		return s, a, err
 	}
 }
@@ -225,7 +225,7 @@
 }
 
 // ReadLocal returns what one voter has, however old: Age says since when no quorum has confirmed it.
-func (c *Caller) ReadLocal(ctx context.Context, voter string) (*promise.State, Answer, error) {
+func (c *Caller) ReadLocal(ctx context.Context, voter string) (*state.State, Answer, error) {
 	asked := time.Now()
 	a, err := c.Ask(ctx, voter, Request{Verb: Local})
 	a.Age += time.Since(asked) // it was told at some moment since
@@ -235,6 +235,6 @@
 	if a.Outcome != Yes {
 		return nil, a, fmt.Errorf("%w: %s", ErrNobody, a.Text)
 	}
-	s, err := promise.DecodeState(a.Body)
+	s, err := state.DecodeState(a.Body)
 	return s, a, err
 }
--- a/internal/ledger/conn.go
+++ b/internal/coordination/client/conn.go
@@ -1,4 +1,4 @@
-package ledger
+package client
 
 import (
 	"bufio"
--- a/internal/ledger/copy.go
+++ b/internal/coordination/client/copy.go
@@ -1,4 +1,4 @@
-package ledger
+package client
 
 import (
 	"bufio"
@@ -15,15 +15,15 @@
 	"sync/atomic"
 	"time"
 
-	"clayladder/internal/disk"
-	"clayladder/internal/promise"
-	"clayladder/internal/protomsg"
+	"olivearch/internal/coordination/state"
+	"olivearch/internal/disk"
+	"olivearch/internal/protomsg"
 )
 
 // View is what a Copy has at a moment. It never changes.
 type View struct {
 	Known   bool // it has something: from a voter, or from its file
-	Words   []promise.Word
+	Words   []state.Word
 	Cluster uint64
 	Index   uint64
 	Voter   string // that it follows; empty: none can be reached
@@ -48,12 +48,12 @@
 	name    string
 	voters  map[string]string
 	path    string // of the file that keeps it; empty: none
-	changed func([]promise.Word)
+	changed func([]state.Word)
 	view    atomic.Pointer[View]
 	end     context.CancelFunc
 	ended   chan struct{}
 
-	state   *promise.State // belongs to run, as all below
+	state   *state.State // belongs to run, as all below
 	cluster uint64
 	index   uint64
 	held    time.Time
@@ -72,8 +72,8 @@
 // Follow begins to follow the voters, from what the file has, if there is one. The voter that is followed is chosen by the copy's own name,
 // so that many copies spread over the voters. changed is called with all words whenever some have changed, from one goroutine, and
 // before Follow returns with those of the file; it may not wait.
-func Follow(name string, voters map[string]string, path string, changed func([]promise.Word)) *Copy {
-	c := &Copy{name: name, voters: maps.Clone(voters), path: path, changed: changed, ended: make(chan struct{}), state: promise.NewState()}
+func Follow(name string, voters map[string]string, path string, changed func([]state.Word)) *Copy {
+	c := &Copy{name: name, voters: maps.Clone(voters), path: path, changed: changed, ended: make(chan struct{}), state: state.NewState()}
 	known := false
 	if path != "" {
 		switch err := c.load(); {
@@ -142,7 +142,7 @@
 
 // follow takes what one voter sends, until it stops.
 func (c *Copy) follow(ctx context.Context, voter string) error {
-	conn, in, _, err := Dial(ctx, c.voters[voter], Hello{Role: Follows, Cluster: c.cluster, Name: c.name, Applied: c.index, Level: promise.Newest})
+	conn, in, _, err := Dial(ctx, c.voters[voter], Hello{Role: Follows, Cluster: c.cluster, Name: c.name, Applied: c.index, Level: state.Newest})
 	if err != nil {
 		return err
 	}
@@ -237,7 +237,7 @@
 		return fmt.Errorf("cluster %x answers, and %x is followed: what was promised there still holds here", u.Cluster, c.cluster)
 	}
 	if u.State != nil {
-		s, err := promise.DecodeState(u.State)
+		s, err := state.DecodeState(u.State)
 		if err != nil {
 			return err
 		}
@@ -254,8 +254,8 @@
 		if u.Index <= c.index {
 			break // it was in the state already
 		}
-		e, err := promise.DecodeEnvelope(b)
-		if errors.Is(err, promise.ErrUnknownKind) { // of a newer version: it says nothing about the words that are known here
+		e, err := state.DecodeEnvelope(b)
+		if errors.Is(err, state.ErrUnknownKind) { // of a newer version: it says nothing about the words that are known here
 			continue
 		} else if err != nil {
 			return err
@@ -312,10 +312,10 @@
 		return nil
 	})
 	if err == nil {
-		c.state, err = promise.DecodeState(text)
+		c.state, err = state.DecodeState(text)
 	}
 	if err != nil {
-		c.state, c.cluster, c.index = promise.NewState(), 0, 0
+		c.state, c.cluster, c.index = state.NewState(), 0, 0
 		return fmt.Errorf("%s: %w", c.path, err)
 	}
 	c.kept = c.index
--- a/internal/ledger/frame.go
+++ b/internal/coordination/client/frame.go
@@ -1,6 +1,6 @@
 // Package ledger is how processes talk to the ledger's voters: the frames and messages on a connection, a Caller that asks for promises
 // and readings, and a Copy that follows what is held, for those who serve by it. It decides nothing and keeps nothing but the copy.
-package ledger
+package client
 
 import (
 	"encoding/binary"
--- a/internal/ledger/golden_test.go
+++ b/internal/coordination/client/golden_test.go
@@ -1,4 +1,4 @@
-package ledger
+package client
 
 import (
 	"encoding/hex"
@@ -10,19 +10,19 @@
 	"testing"
 	"time"
 
-	"clayladder/internal/disk"
-	"clayladder/internal/golden"
-	"clayladder/internal/promise"
+	"olivearch/internal/coordination/state"
+	"olivearch/internal/disk"
+	"olivearch/internal/golden"
 )
 
 // goldenState is the state that the stored copy holds.
-func goldenState(t *testing.T) *promise.State {
+func goldenState(t *testing.T) *state.State {
 	t.Helper()
-	s := promise.NewState()
-	for i, c := range []promise.Command{
-		&promise.SetWord{Subject: promise.Subject{Kind: promise.Out, Scope: promise.Upstream, Target: "a"}, By: "eva", Why: "disk", At: 1700000000000},
-		&promise.SetWord{Subject: promise.Subject{Kind: promise.Share, Scope: promise.Upstream, Target: "b"}, Value: 250, By: "ann"},
-		&promise.SetWord{Subject: promise.Subject{Kind: promise.Out, Scope: promise.Zone, Target: "z1"}, By: "ann"},
+	s := state.NewState()
+	for i, c := range []state.Command{
+		&state.SetWord{Subject: state.Subject{Kind: state.Out, Scope: state.Upstream, Target: "a"}, By: "eva", Why: "disk", At: 1700000000000},
+		&state.SetWord{Subject: state.Subject{Kind: state.Share, Scope: state.Upstream, Target: "b"}, Value: 250, By: "ann"},
+		&state.SetWord{Subject: state.Subject{Kind: state.Out, Scope: state.Zone, Target: "z1"}, By: "ann"},
 	} {
 		if result, err := s.Apply(uint64(i+1), uint64(i+1)*100, c); err != nil || !result.OK() {
 			t.Fatal(result, err)
@@ -33,13 +33,13 @@
 
 // TestGoldenMessages pins the bytes of each message between voters, callers and followers.
 func TestGoldenMessages(t *testing.T) {
-	members := []promise.Member{{ID: 11, Name: "k1", Address: "127.0.0.1:7101"}, {ID: 12, Name: "k2", Address: "127.0.0.1:7102", Learner: true}}
+	members := []state.Member{{ID: 11, Name: "k1", Address: "127.0.0.1:7101"}, {ID: 12, Name: "k2", Address: "127.0.0.1:7102", Learner: true}}
 	hello := Hello{Role: Hears, Cluster: 5, From: 11, Name: "k1", Level: 1, Applied: 40}
 	welcome := Welcome{Cluster: 5, ID: 12, Name: "k2", Level: 1, Refused: "no", Tick: 99}
 	request := Request{Number: 3, Verb: Join, Command: []byte("command"), Within: 1500 * time.Millisecond, Hops: 1, Cluster: 5, Members: members,
 		Name: "k2", Level: 1, Tick: 98}
-	answer := Answer{Number: 3, Outcome: No, Text: "full", Result: promise.Result{Reason: promise.NoRoom, Text: "none is left", Revision: 41,
-		Clock: 4100, Fence: 9, Free: 4, Booked: []promise.Booked{{Second: 12, Places: 5}}}, Held: 2, Of: 3, Leader: "k1", Body: []byte("state"),
+	answer := Answer{Number: 3, Outcome: No, Text: "full", Result: state.Result{Reason: state.NoRoom, Text: "none is left", Revision: 41,
+		Clock: 4100, Fence: 9, Free: 4, Booked: []state.Booked{{Second: 12, Places: 5}}}, Held: 2, Of: 3, Leader: "k1", Body: []byte("state"),
 		Index: 41, Age: 250 * time.Millisecond, Cluster: 5, ID: 11, Name: "k1", Level: 1, Members: members, Tick: 97}
 	update := Update{State: []byte("state"), Commands: [][]byte{[]byte("one"), []byte("two")}, Index: 42, Beat: true, Ping: 6, Leader: "k1",
 		Cluster: 5, Voters: 3, Up: 2}
@@ -118,8 +118,8 @@
 	if err := os.WriteFile(path, whole, 0o600); err != nil {
 		t.Fatal(err)
 	}
-	var told []promise.Word
-	follower := Follow("n1", map[string]string{}, path, func(words []promise.Word) { told = words })
+	var told []state.Word
+	follower := Follow("n1", map[string]string{}, path, func(words []state.Word) { told = words })
 	defer follower.Close()
 	v := follower.View()
 	if !v.Known || v.Cluster != 5 || v.Index != 42 || len(v.Words) != 3 || len(told) != 3 || v.Words[0].Target != "a" || v.Words[0].Why != "disk" {
--- a/internal/ledger/lease.go
+++ b/internal/coordination/client/lease.go
@@ -1,11 +1,11 @@
-package ledger
+package client
 
 import (
 	"context"
 	"errors"
 	"time"
 
-	"clayladder/internal/promise"
+	"olivearch/internal/coordination/state"
 )
 
 // Drift is by how much two monotonic clocks may differ, as a part of the time that they measure. A holder's end of a lease comes before
@@ -27,7 +27,7 @@
 // Take asks for a lease, or renews one. Nothing is known of a lease after an error that wraps ErrUnsure: the one before stays what it
 // was until its end.
 func (c *Caller) Take(ctx context.Context, bound, holder string, parts int64, d time.Duration, renewed *Lease) (*Lease, error) {
-	command := &promise.Take{Bound: bound, Holder: holder, Parts: parts, For: d}
+	command := &state.Take{Bound: bound, Holder: holder, Parts: parts, For: d}
 	if renewed != nil {
 		command.Fence = renewed.Fence
 	}
--- a/internal/ledger/ledger_test.go
+++ b/internal/coordination/client/ledger_test.go
@@ -1,4 +1,4 @@
-package ledger
+package client
 
 import (
 	"bufio"
@@ -11,8 +11,8 @@
 	"testing"
 	"time"
 
-	"clayladder/internal/promise"
-	"clayladder/internal/protomsg"
+	"olivearch/internal/coordination/state"
+	"olivearch/internal/protomsg"
 )
 
 // voter is one end of a connection that a test speaks on.
@@ -60,13 +60,13 @@
 	}
 }
 
-func word(target string) *promise.SetWord {
-	return &promise.SetWord{Subject: promise.Subject{Kind: promise.Out, Scope: promise.Upstream, Target: target}, By: "x"}
+func word(target string) *state.SetWord {
+	return &state.SetWord{Subject: state.Subject{Kind: state.Out, Scope: state.Upstream, Target: target}, By: "x"}
 }
 
-// state is one with words, and its update.
-func state(index, cluster uint64, targets ...string) Update {
-	s := promise.NewState()
+// stateUpdate is one with words, and its update.
+func stateUpdate(index, cluster uint64, targets ...string) Update {
+	s := state.NewState()
 	for _, target := range targets {
 		s.Apply(index, 0, word(target))
 	}
@@ -77,20 +77,20 @@
 func TestCopy(t *testing.T) {
 	v := newVoter(t)
 	path := filepath.Join(t.TempDir(), "copy")
-	told := make(chan []promise.Word, 100)
+	told := make(chan []state.Word, 100)
 	follow := func() *Copy {
-		return Follow("b-1", map[string]string{"k1": v.l.Addr().String()}, path, func(w []promise.Word) { told <- w })
+		return Follow("b-1", map[string]string{"k1": v.l.Addr().String()}, path, func(w []state.Word) { told <- w })
 	}
 	c := follow()
 	if c.View().Known || c.View().Age(time.Now()) < time.Hour {
 		t.Error("it knows something of nothing")
 	}
 	v.greet(Welcome{Cluster: 5, ID: 1, Name: "k1"})
-	v.say(state(10, 5, "a"))
+	v.say(stateUpdate(10, 5, "a"))
 	if w := <-told; len(w) != 1 {
 		t.Errorf("%v", w)
 	}
-	v.say(Update{Commands: [][]byte{promise.Envelope{ID: 1, Clock: 1, Command: word("b")}.Encode()}, Index: 11, Cluster: 5})
+	v.say(Update{Commands: [][]byte{state.Envelope{ID: 1, Clock: 1, Command: word("b")}.Encode()}, Index: 11, Cluster: 5})
 	if w := <-told; len(w) != 2 || c.View().Index != 11 {
 		t.Errorf("%v", w)
 	}
@@ -104,7 +104,7 @@
 	command.Uint(1, 1000)
 	newer.Raw(3, command.Bytes())
 	v.say(Update{Commands: [][]byte{newer.Bytes()}, Index: 12, Cluster: 5})
-	v.say(Update{Commands: [][]byte{promise.Envelope{ID: 2, Clock: 2, Command: word("c")}.Encode()}, Index: 13, Cluster: 5})
+	v.say(Update{Commands: [][]byte{state.Envelope{ID: 2, Clock: 2, Command: word("c")}.Encode()}, Index: 13, Cluster: 5})
 	for w := range told {
 		if len(w) == 3 {
 			break
@@ -117,9 +117,9 @@
 	if h := v.greet(Welcome{Cluster: 5}); h.Applied != 13 || h.Cluster != 5 {
 		t.Errorf("%+v", h)
 	}
-	v.say(state(12, 5)) // older than what it has
+	v.say(stateUpdate(12, 5)) // older than what it has
 	v.greet(Welcome{Cluster: 6})
-	v.say(state(99, 6)) // another cluster's
+	v.say(stateUpdate(99, 6)) // another cluster's
 	v.greet(Welcome{Cluster: 5})
 	if x := c.View(); len(x.Words) != 3 || x.Cluster != 5 || x.Trouble == "" {
 		t.Errorf("%+v", x)
@@ -187,7 +187,7 @@
 	if err := <-got; !errors.Is(err, ErrUnsure) {
 		t.Error(err)
 	}
-	if _, err := c.Propose(t.Context(), &promise.SetWord{}); !errors.Is(err, ErrRefused) {
+	if _, err := c.Propose(t.Context(), &state.SetWord{}); !errors.Is(err, ErrRefused) {
 		t.Errorf("a word about nothing: %v", err)
 	}
 }
@@ -203,9 +203,9 @@
 }
 
 func FuzzMessages(f *testing.F) {
-	a := Answer{Number: 1, Outcome: Yes, Result: promise.Result{Fence: 3, Booked: []promise.Booked{{Second: 1, Places: 2}}}, Members: []promise.Member{{ID: 1, Name: "a"}}}
+	a := Answer{Number: 1, Outcome: Yes, Result: state.Result{Fence: 3, Booked: []state.Booked{{Second: 1, Places: 2}}}, Members: []state.Member{{ID: 1, Name: "a"}}}
 	f.Add(a.Encode())
-	u := state(1, 2, "a")
+	u := stateUpdate(1, 2, "a")
 	f.Add(u.Encode())
 	f.Fuzz(func(t *testing.T, b []byte) {
 		if x, err := DecodeAnswer(b); err == nil {
--- a/internal/ledger/message.go
+++ b/internal/coordination/client/message.go
@@ -1,11 +1,11 @@
-package ledger
+package client
 
 import (
 	"fmt"
 	"time"
 
-	"clayladder/internal/promise"
-	"clayladder/internal/protomsg"
+	"olivearch/internal/coordination/state"
+	"olivearch/internal/protomsg"
 )
 
 type (
@@ -66,7 +66,7 @@
 	Within  time.Duration // how long an answer is waited for
 	Hops    uint8         // how often it has been passed on
 	Cluster uint64
-	Members []promise.Member
+	Members []state.Member
 	Name    string
 	Level   uint32
 	Tick    uint64 // the last that was heard of the voter; 0: none
@@ -88,7 +88,7 @@
 	Number  uint64
 	Outcome Outcome
 	Text    string // why not
-	Result  promise.Result
+	Result  state.Result
 	Held    int    // voters that have it on their disks
 	Of      int    // voters that there are
 	Leader  string // name of the leader, where known
@@ -99,7 +99,7 @@
 	ID      uint64 // Who
 	Name    string
 	Level   uint32
-	Members []promise.Member
+	Members []state.Member
 	Tick    uint64 // ms of the voter's own clock as it says so: a request that names an old one has waited on its way
 }
 
@@ -144,7 +144,7 @@
 		case 3:
 			h.From = f.Uint
 		case 4:
-			return f.Text(&h.Name, promise.MaxName)
+			return f.Text(&h.Name, state.MaxName)
 		case 5:
 			h.Level = uint32(min(f.Uint, 1<<31))
 		case 6:
@@ -176,7 +176,7 @@
 		case 3:
 			h.ID = f.Uint
 		case 4:
-			return f.Text(&h.Name, promise.MaxName)
+			return f.Text(&h.Name, state.MaxName)
 		case 5:
 			h.Level = uint32(min(f.Uint, 1<<31))
 		case 6:
@@ -189,17 +189,17 @@
 	return h, err
 }
 
-func writeMembers(w writer, n protomsg.Number, all []promise.Member) {
+func writeMembers(w writer, n protomsg.Number, all []state.Member) {
 	for _, m := range all {
 		w.Message(n, m.Write)
 	}
 }
 
-func readMember(f field, into *[]promise.Member) error {
+func readMember(f field, into *[]state.Member) error {
 	if len(*into) == maxMembers {
 		return fmt.Errorf("%w: more than %d members", protomsg.ErrMalformed, maxMembers)
 	}
-	var m promise.Member
+	var m state.Member
 	err := protomsg.Each(f.Raw, m.Read)
 	*into = append(*into, m)
 	return err
@@ -247,7 +247,7 @@
 		case 7:
 			return readMember(f, &r.Members)
 		case 8:
-			return f.Text(&r.Name, promise.MaxName)
+			return f.Text(&r.Name, state.MaxName)
 		case 9:
 			r.Level = uint32(min(f.Uint, 1<<31))
 		case 10:
@@ -273,7 +273,7 @@
 	w.Uint(7, a.Result.Clock)
 	w.Uint(8, a.Result.Fence)
 	w.Int(9, a.Result.Free)
-	promise.WriteBooked(&w, 10, a.Result.Booked)
+	state.WriteBooked(&w, 10, a.Result.Booked)
 	w.Uint(11, uint64(a.Held))
 	w.Uint(12, uint64(a.Of))
 	w.String(13, a.Leader)
@@ -300,7 +300,7 @@
 		case 3:
 			return f.Text(&a.Text, maxText)
 		case 4:
-			a.Result.Reason = promise.Reason(min(f.Uint, 255))
+			a.Result.Reason = state.Reason(min(f.Uint, 255))
 		case 5:
 			return f.Text(&a.Result.Text, maxText)
 		case 6:
@@ -312,7 +312,7 @@
 		case 9:
 			a.Result.Free = f.Int()
 		case 10:
-			x, err := promise.ReadBooked(f.Raw)
+			x, err := state.ReadBooked(f.Raw)
 			a.Result.Booked = append(a.Result.Booked, x)
 			return err
 		case 11:
@@ -320,7 +320,7 @@
 		case 12:
 			a.Of = int(min(f.Uint, maxMembers))
 		case 13:
-			return f.Text(&a.Leader, promise.MaxName)
+			return f.Text(&a.Leader, state.MaxName)
 		case 14:
 			a.Body = f.Raw
 		case 15:
@@ -332,7 +332,7 @@
 		case 18:
 			a.ID = f.Uint
 		case 19:
-			return f.Text(&a.Name, promise.MaxName)
+			return f.Text(&a.Name, state.MaxName)
 		case 20:
 			a.Level = uint32(min(f.Uint, 1<<31))
 		case 21:
@@ -377,7 +377,7 @@
 		case 5:
 			u.Ping = f.Uint
 		case 6:
-			return f.Text(&u.Leader, promise.MaxName)
+			return f.Text(&u.Leader, state.MaxName)
 		case 7:
 			u.Cluster = f.Uint
 		case 8:
--- a/internal/ledger/size_test.go
+++ b/internal/coordination/client/size_test.go
@@ -1,11 +1,11 @@
-package ledger
+package client
 
 import (
 	"bytes"
 	"fmt"
 	"testing"
 
-	"clayladder/internal/promise"
+	"olivearch/internal/coordination/state"
 )
 
 // What the ledger's messages take, in bytes with their frames: a beat and a ping pass each follower twice a second at rest, a word once
@@ -32,10 +32,10 @@
 	})
 	for _, words := range []int{0, 1, 100, 4000} {
 		b.Run(fmt.Sprint("state of ", words), func(b *testing.B) {
-			s, word := promise.NewState(), 0
+			s, word := state.NewState(), 0
 			for i := range words {
-				c := &promise.SetWord{Subject: promise.Subject{Kind: promise.Out, Scope: promise.Upstream, Target: fmt.Sprintf("s-%08x", i)}, By: "eva", Why: "disk swap, second try"}
-				envelope := promise.Envelope{Clock: uint64(i) * 1000, Command: c}
+				c := &state.SetWord{Subject: state.Subject{Kind: state.Out, Scope: state.Upstream, Target: fmt.Sprintf("s-%08x", i)}, By: "eva", Why: "disk swap, second try"}
+				envelope := state.Envelope{Clock: uint64(i) * 1000, Command: c}
 				word = len(envelope.Encode())
 				if _, err := s.Apply(uint64(i+1), uint64(i)*1000, c); err != nil {
 					b.Fatal(err)
@@ -43,7 +43,7 @@
 			}
 			text := s.Encode()
 			for b.Loop() {
-				if _, err := promise.DecodeState(text); err != nil {
+				if _, err := state.DecodeState(text); err != nil {
 					b.Fatal(err)
 				}
 			}
--- a/internal/ledger/status.go
+++ b/internal/coordination/client/status.go
@@ -1,4 +1,4 @@
-package ledger
+package client
 
 // VoterStatus is a voter's state at a moment, as "olivearch promises members" shows it. Times are in milliseconds.
 type VoterStatus struct {
--- a/internal/cluster/cluster.go
+++ b/internal/coordination/membership/cluster.go
@@ -3,7 +3,7 @@
 //
 // A voter is a life of a disk. One that comes back empty has forgotten what it had promised and must not vote as the one that it was:
 // it has another id, and takes the old one's place only by a change that a quorum agrees to.
-package cluster
+package membership
 
 import (
 	"cmp"
@@ -12,7 +12,7 @@
 	"slices"
 	"time"
 
-	"clayladder/internal/promise"
+	"olivearch/internal/coordination/state"
 )
 
 // Report is what a voter's process says of itself.
@@ -25,7 +25,7 @@
 
 // Found decides whether a process begins the cluster: it is the first by name of those that are configured, and all of them are there,
 // under names and ids of their own, and belong to none yet. One that was a member before keeps a second cluster from beginning.
-func Found(self string, addresses map[string]string, reports map[string]Report) (members []promise.Member, why string) {
+func Found(self string, addresses map[string]string, reports map[string]Report) (members []state.Member, why string) {
 	names := slices.Sorted(maps.Keys(addresses))
 	if len(names) == 0 || names[0] != self {
 		return nil, "another voter comes first by name, and begins"
@@ -44,14 +44,14 @@
 			return nil, fmt.Sprintf("%s and %s are one member: a folder was copied", seen[r.ID], name)
 		}
 		seen[r.ID] = name
-		members = append(members, promise.Member{ID: r.ID, Name: name, Address: addresses[name]})
+		members = append(members, state.Member{ID: r.ID, Name: name, Address: addresses[name]})
 	}
 	return members, ""
 }
 
 // Peer is a member as the leader sees it.
 type Peer struct {
-	promise.Member
+	state.Member
 	Heard time.Duration // since the leader last heard of it; 0: the leader itself
 	Known time.Duration // since the leader has known it as a member, and could have heard it
 	Match uint64        // up to which its log is known to be the leader's
@@ -99,7 +99,7 @@
 // Step is what is to be done next. One step is taken at a time.
 type Step struct {
 	Kind   Kind
-	Member promise.Member
+	Member state.Member
 	Old    uint64
 	Level  uint32
 }
@@ -158,7 +158,7 @@
 	}
 	for _, n := range v.Newcomers {
 		if why[n.ID] == "" {
-			return Step{Kind: Learn, Member: promise.Member{ID: n.ID, Name: n.Name, Address: n.Address, Learner: true}}, why
+			return Step{Kind: Learn, Member: state.Member{ID: n.ID, Name: n.Name, Address: n.Address, Learner: true}}, why
 		}
 	}
 	if level := lowest(v.Members); level > v.Raised {
--- a/internal/cluster/cluster_test.go
+++ b/internal/coordination/membership/cluster_test.go
@@ -1,4 +1,4 @@
-package cluster
+package membership
 
 import (
 	"fmt"
@@ -7,7 +7,7 @@
 	"testing"
 	"time"
 
-	"clayladder/internal/promise"
+	"olivearch/internal/coordination/state"
 )
 
 func TestFound(t *testing.T) {
@@ -15,7 +15,7 @@
 	all := func() map[string]Report {
 		return map[string]Report{"a": {"a", 1, 0, 1}, "b": {"b", 2, 0, 1}, "c": {"c", 3, 0, 1}}
 	}
-	if m, why := Found("a", addresses, all()); len(m) != 3 || m[2] != (promise.Member{ID: 3, Name: "c", Address: "3"}) {
+	if m, why := Found("a", addresses, all()); len(m) != 3 || m[2] != (state.Member{ID: 3, Name: "c", Address: "3"}) {
 		t.Errorf("%v %s", m, why)
 	}
 	for _, c := range []struct {
@@ -42,7 +42,7 @@
 func five() View {
 	v := View{Self: 1, Admitted: map[string]string{}, Committed: 1000, Raised: 1}
 	for i, name := range []string{"a", "b", "c", "d", "e"} {
-		v.Members = append(v.Members, Peer{Member: promise.Member{ID: uint64(i + 1), Name: name}, Match: 1000, Level: 1, Known: time.Hour})
+		v.Members = append(v.Members, Peer{Member: state.Member{ID: uint64(i + 1), Name: name}, Match: 1000, Level: 1, Known: time.Hour})
 		v.Admitted[name] = name
 	}
 	return v
@@ -50,7 +50,7 @@
 
 func TestNext(t *testing.T) {
 	newB := Newcomer{Report{"b", 22, 0, 1}, "addr"}
-	learner := Peer{Member: promise.Member{ID: 22, Name: "b", Learner: true}, Match: 1000, Level: 1, Known: time.Hour}
+	learner := Peer{Member: state.Member{ID: 22, Name: "b", Learner: true}, Match: 1000, Level: 1, Known: time.Hour}
 	for _, c := range []struct {
 		name   string
 		change func(*View)
@@ -70,7 +70,7 @@
 		{"a name that nobody has admitted", func(v *View) { v.Newcomers = []Newcomer{{Report{"x", 22, 0, 1}, "addr"}} }, Nothing, "no voter x is wanted"},
 		{"an older version than the ledger", func(v *View) { v.Newcomers, v.Members[1].Heard, v.Raised = []Newcomer{newB}, time.Hour, 2 }, Nothing, "knows level 1"},
 		{"one at a time", func(v *View) {
-			v.Members = append(v.Members, Peer{Member: promise.Member{ID: 33, Name: "c", Learner: true}, Match: 0, Known: time.Hour})
+			v.Members = append(v.Members, Peer{Member: state.Member{ID: 33, Name: "c", Learner: true}, Match: 0, Known: time.Hour})
 			v.Newcomers, v.Members[1].Heard = []Newcomer{newB}, time.Hour
 		}, Nothing, "one joins at a time"},
 		{"it has caught up", func(v *View) { v.Members, v.Members[1].Heard = append(v.Members, learner), time.Hour }, Swap, ""},
@@ -139,7 +139,7 @@
 		}
 		if rng.IntN(2) == 0 {
 			i := rng.IntN(5)
-			v.Members = append(v.Members, Peer{Member: promise.Member{ID: 50, Name: v.Members[i].Name, Learner: true}, Match: uint64(900 + rng.IntN(101)), Heard: times[rng.IntN(3)], Known: time.Hour})
+			v.Members = append(v.Members, Peer{Member: state.Member{ID: 50, Name: v.Members[i].Name, Learner: true}, Match: uint64(900 + rng.IntN(101)), Heard: times[rng.IntN(3)], Known: time.Hour})
 		}
 		if rng.IntN(3) == 0 {
 			delete(v.Admitted, v.Members[rng.IntN(5)].Name)
--- a/internal/replica/apply.go
+++ b/internal/coordination/server/apply.go
@@ -1,4 +1,4 @@
-package replica
+package server
 
 import (
 	"encoding/binary"
@@ -9,9 +9,9 @@
 	"go.etcd.io/raft/v3/raftpb"
 	"google.golang.org/protobuf/proto"
 
-	"clayladder/internal/ledger"
-	"clayladder/internal/promise"
-	"clayladder/internal/protomsg"
+	"olivearch/internal/coordination/client"
+	"olivearch/internal/coordination/state"
+	"olivearch/internal/protomsg"
 )
 
 // applyAll applies entries that a quorum has; false: the voter can't go on.
@@ -42,7 +42,7 @@
 		c.applied = e.GetIndex()
 		c.since += len(e.GetData())
 		if len(commands) > 0 {
-			c.tell(ledger.Update{Commands: commands, Index: e.GetIndex()})
+			c.tell(client.Update{Commands: commands, Index: e.GetIndex()})
 		}
 		if c.leading && !c.ready && e.GetTerm() == c.node.BasicStatus().GetTerm() {
 			c.ready, c.clockAt, c.clockOf = true, time.Now(), c.state.Clock()
@@ -54,7 +54,7 @@
 
 // applyOne applies a command and answers whoever waits for it.
 func (c *core) applyOne(index uint64, b []byte) error {
-	e, err := promise.DecodeEnvelope(b)
+	e, err := state.DecodeEnvelope(b)
 	if err != nil {
 		return err
 	}
@@ -93,11 +93,11 @@
 		switch {
 		case !p.result.OK():
 			c.no(p.result.Text)
-			p.answer(ledger.Answer{Outcome: ledger.No, Text: p.result.Text, Result: p.result, Held: held, Of: len(matches)})
+			p.answer(client.Answer{Outcome: client.No, Text: p.result.Text, Result: p.result, Held: held, Of: len(matches)})
 		case held >= min(c.Copies, len(matches)):
-			p.answer(ledger.Answer{Outcome: ledger.Yes, Result: p.result, Held: held, Of: len(matches)})
+			p.answer(client.Answer{Outcome: client.Yes, Result: p.result, Held: held, Of: len(matches)})
 		case now.After(p.until):
-			p.answer(ledger.Answer{Outcome: ledger.Unsure, Text: fmt.Sprintf("%d voters have it, and %d are wanted", held, c.Copies), Held: held, Of: len(matches)})
+			p.answer(client.Answer{Outcome: client.Unsure, Text: fmt.Sprintf("%d voters have it, and %d are wanted", held, c.Copies), Held: held, Of: len(matches)})
 		default:
 			rest = append(rest, p)
 		}
@@ -140,10 +140,10 @@
 }
 
 // bringing is what a change of the voters brings: commands that say who the members are.
-func bringing(clock uint64, all ...promise.Command) []byte {
+func bringing(clock uint64, all ...state.Command) []byte {
 	var w protomsg.Writer
 	for _, x := range all {
-		w.Raw(1, promise.Envelope{Clock: clock, Command: x}.Encode())
+		w.Raw(1, state.Envelope{Clock: clock, Command: x}.Encode())
 	}
 	return w.Bytes()
 }
--- a/internal/replica/asks.go
+++ b/internal/coordination/server/asks.go
@@ -1,4 +1,4 @@
-package replica
+package server
 
 import (
 	"context"
@@ -11,8 +11,8 @@
 	"go.etcd.io/raft/v3"
 	"go.etcd.io/raft/v3/tracker"
 
-	"clayladder/internal/ledger"
-	"clayladder/internal/promise"
+	"olivearch/internal/coordination/client"
+	"olivearch/internal/coordination/state"
 )
 
 type progress = tracker.Progress
@@ -21,7 +21,7 @@
 
 // ask is a caller's request.
 type ask struct {
-	ledger.Request
+	client.Request
 	answer answerTo
 }
 
@@ -35,47 +35,47 @@
 		a.Within = usualWithin
 	}
 	answer := a.answer
-	a.answer = func(x ledger.Answer) { // every answer says who gives it
-		x.Name, x.ID, x.Cluster, x.Level = c.Name, c.id(), c.identity.Cluster, promise.Newest
+	a.answer = func(x client.Answer) { // every answer says who gives it
+		x.Name, x.ID, x.Cluster, x.Level = c.Name, c.id(), c.identity.Cluster, state.Newest
 		x.Leader = c.leader()
 		answer(x)
 	}
-	if now := c.ticksNow(); a.Tick > 0 && now > a.Tick+uint64((a.Within+ledger.Stale)/time.Millisecond) {
+	if now := c.ticksNow(); a.Tick > 0 && now > a.Tick+uint64((a.Within+client.Stale)/time.Millisecond) {
 		// It has waited in this process, stopped, or on a link that was cut: whoever asked has given up, and may have said something
 		// else since.
-		a.answer(ledger.Answer{Outcome: ledger.Nowhere, Text: fmt.Sprintf("it has been on its way for up to %d ms", now-a.Tick)})
+		a.answer(client.Answer{Outcome: client.Nowhere, Text: fmt.Sprintf("it has been on its way for up to %d ms", now-a.Tick)})
 		return
 	}
 	switch a.Verb {
-	case ledger.Propose:
+	case client.Propose:
 		c.propose(a)
-	case ledger.Read:
+	case client.Read:
 		c.read(a.Within, func(c *core, err error) {
 			if err != nil {
-				a.answer(ledger.Answer{Outcome: ledger.Nowhere, Text: err.Error()})
+				a.answer(client.Answer{Outcome: client.Nowhere, Text: err.Error()})
 				return
 			}
 			a.answer(c.held())
 		})
-	case ledger.Local:
+	case client.Local:
 		a.answer(c.held())
-	case ledger.Who:
-		a.answer(ledger.Answer{Outcome: ledger.Yes})
-	case ledger.Form:
+	case client.Who:
+		a.answer(client.Answer{Outcome: client.Yes})
+	case client.Form:
 		c.form(a)
-	case ledger.Join:
+	case client.Join:
 		c.join(a)
-	case ledger.Gone:
+	case client.Gone:
 		c.goneForGood(a)
-	case ledger.Status:
+	case client.Status:
 		text, err := json.Marshal(c.status())
 		if err != nil {
-			a.answer(ledger.Answer{Outcome: ledger.No, Text: err.Error()})
+			a.answer(client.Answer{Outcome: client.No, Text: err.Error()})
 			return
 		}
-		a.answer(ledger.Answer{Outcome: ledger.Yes, Body: text})
+		a.answer(client.Answer{Outcome: client.Yes, Body: text})
 	default:
-		a.answer(ledger.Answer{Outcome: ledger.No, Text: fmt.Sprintf("there is no verb %d", a.Verb)})
+		a.answer(client.Answer{Outcome: client.No, Text: fmt.Sprintf("there is no verb %d", a.Verb)})
 	}
 }
 
@@ -86,8 +86,8 @@
 }
 
 // held is what this voter has.
-func (c *core) held() ledger.Answer {
-	return ledger.Answer{Outcome: ledger.Yes, Body: c.state.Encode(), Index: c.applied, Age: c.age()}
+func (c *core) held() client.Answer {
+	return client.Answer{Outcome: client.Yes, Body: c.state.Encode(), Index: c.applied, Age: c.age()}
 }
 
 // age is how long ago a quorum confirmed that nothing newer was promised than what is here.
@@ -105,17 +105,17 @@
 	now := time.Now()
 	switch {
 	case c.node == nil:
-		a.answer(ledger.Answer{Outcome: ledger.Nowhere, Text: "it belongs to no cluster yet: " + c.waits})
+		a.answer(client.Answer{Outcome: client.Nowhere, Text: "it belongs to no cluster yet: " + c.waits})
 	case c.stalled(now):
-		a.answer(ledger.Answer{Outcome: ledger.Nowhere, Text: fmt.Sprintf("the disk of %s has not answered for %v", c.Name, c.writer.owes(now).Round(time.Millisecond))})
+		a.answer(client.Answer{Outcome: client.Nowhere, Text: fmt.Sprintf("the disk of %s has not answered for %v", c.Name, c.writer.owes(now).Round(time.Millisecond))})
 	case c.leading && c.ready:
 		return false
 	case c.leading:
-		a.answer(ledger.Answer{Outcome: ledger.Nowhere, Text: "it has just been elected"})
+		a.answer(client.Answer{Outcome: client.Nowhere, Text: "it has just been elected"})
 	case c.lead == raft.None:
-		a.answer(ledger.Answer{Outcome: ledger.Nowhere, Text: errNoLeader.Error()})
+		a.answer(client.Answer{Outcome: client.Nowhere, Text: errNoLeader.Error()})
 	case a.Hops >= maxHops:
-		a.answer(ledger.Answer{Outcome: ledger.Nowhere, Text: "it does not lead"})
+		a.answer(client.Answer{Outcome: client.Nowhere, Text: "it does not lead"})
 	default:
 		leader := c.leader()
 		go func() { // its answer, or what is known without one
@@ -125,10 +125,10 @@
 			r.Hops, r.Within = r.Hops+1, 0
 			x, err := c.caller.Ask(ctx, leader, r)
 			switch {
-			case errors.Is(err, ledger.ErrNobody):
-				x = ledger.Answer{Outcome: ledger.Nowhere, Text: err.Error()}
+			case errors.Is(err, client.ErrNobody):
+				x = client.Answer{Outcome: client.Nowhere, Text: err.Error()}
 			case err != nil:
-				x = ledger.Answer{Outcome: ledger.Unsure, Text: err.Error()}
+				x = client.Answer{Outcome: client.Unsure, Text: err.Error()}
 			}
 			x.Number = a.Number
 			c.hand(eventFunc(func(c *core) { a.answer(x) }))
@@ -142,25 +142,25 @@
 	if c.elsewhere(a) {
 		return
 	}
-	command, err := promise.Decode(a.Command)
-	if err == nil && promise.Ours(command) {
+	command, err := state.Decode(a.Command)
+	if err == nil && state.Ours(command) {
 		err = errors.New("such a command is not taken from outside")
 	}
 	if err == nil {
 		err = command.Check()
 	}
 	if err != nil {
-		a.answer(ledger.Answer{Outcome: ledger.No, Text: err.Error(), Result: promise.Result{Reason: promise.Invalid, Text: err.Error()}})
+		a.answer(client.Answer{Outcome: client.No, Text: err.Error(), Result: state.Result{Reason: state.Invalid, Text: err.Error()}})
 		return
 	}
 	twist(command, c.state)
 	if len(c.pending) >= maxPending {
-		a.answer(ledger.Answer{Outcome: ledger.Nowhere, Text: fmt.Sprintf("%d promises wait for a quorum already", maxPending)})
+		a.answer(client.Answer{Outcome: client.Nowhere, Text: fmt.Sprintf("%d promises wait for a quorum already", maxPending)})
 		return
 	}
-	e := promise.Envelope{ID: rand.Uint64(), Clock: c.clock(time.Now()), Command: command}
+	e := state.Envelope{ID: rand.Uint64(), Clock: c.clock(time.Now()), Command: command}
 	if err := c.node.Propose(e.Encode()); err != nil {
-		a.answer(ledger.Answer{Outcome: ledger.Nowhere, Text: err.Error()})
+		a.answer(client.Answer{Outcome: client.Nowhere, Text: err.Error()})
 		return
 	}
 	p := &proposal{answer: a.answer, until: time.Now().Add(a.Within)}
@@ -171,17 +171,17 @@
 }
 
 // ours lets the log have a command of the cluster's own.
-func (c *core) ours(command promise.Command) {
-	e := promise.Envelope{ID: rand.Uint64(), Clock: c.clock(time.Now()), Command: command}
+func (c *core) ours(command state.Command) {
+	e := state.Envelope{ID: rand.Uint64(), Clock: c.clock(time.Now()), Command: command}
 	c.node.Propose(e.Encode()) // dropped: the next turn tries again
 }
 
 // status is what the view shows.
-func (c *core) status() ledger.VoterStatus {
+func (c *core) status() client.VoterStatus {
 	now := time.Now()
 	hex := func(id uint64) string { return fmt.Sprintf("%x", id) }
-	s := ledger.VoterStatus{Name: c.Name, ID: hex(c.id()), Role: "waiting", Leader: c.leader(), Applied: c.applied, AgeMS: c.age().Milliseconds(), ClockMS: c.state.Clock(),
-		Level: promise.Newest, Raised: c.state.Raised(), UsedBytes: c.state.Used(), MaxBytes: promise.MaxBytes, Promises: map[string]int{}, Followers: len(c.followers),
+	s := client.VoterStatus{Name: c.Name, ID: hex(c.id()), Role: "waiting", Leader: c.leader(), Applied: c.applied, AgeMS: c.age().Milliseconds(), ClockMS: c.state.Clock(),
+		Level: state.Newest, Raised: c.state.Raised(), UsedBytes: c.state.Used(), MaxBytes: state.MaxBytes, Promises: map[string]int{}, Followers: len(c.followers),
 		Refused: c.refused, LastRefused: c.lastNo, DiskMS: float64(c.disk.Microseconds()) / 1000, Trouble: c.waits}
 	if c.stalled(now) {
 		s.Trouble = fmt.Sprintf("the disk has not answered for %v", c.writer.owes(now).Round(time.Millisecond))
@@ -194,7 +194,7 @@
 		c.node.WithProgress(func(id uint64, _ raft.ProgressType, p progress) { match[id] = p.Match })
 	}
 	for _, m := range c.state.Members() {
-		x := ledger.MemberStatus{Name: m.Name, ID: hex(m.ID), Address: m.Address, Learner: m.Learner, HeardMS: -1}
+		x := client.MemberStatus{Name: m.Name, ID: hex(m.ID), Address: m.Address, Learner: m.Learner, HeardMS: -1}
 		if m.ID == c.id() {
 			if x.HeardMS = 0; m.Learner {
 				s.Role = "learner"
@@ -208,7 +208,7 @@
 		s.Members = append(s.Members, x)
 	}
 	for id, n := range c.newcomers {
-		s.Newcomers = append(s.Newcomers, ledger.Newcomer{Name: n.Name, ID: hex(id), Why: n.why})
+		s.Newcomers = append(s.Newcomers, client.Newcomer{Name: n.Name, ID: hex(id), Why: n.why})
 	}
 	for _, w := range c.state.Words() {
 		s.Promises[w.Kind.String()]++
--- a/internal/replica/core.go
+++ b/internal/coordination/server/core.go
@@ -1,4 +1,4 @@
-package replica
+package server
 
 import (
 	"context"
@@ -13,9 +13,9 @@
 	"go.etcd.io/raft/v3"
 	"go.etcd.io/raft/v3/raftpb"
 
-	"clayladder/internal/cluster"
-	"clayladder/internal/ledger"
-	"clayladder/internal/promise"
+	"olivearch/internal/coordination/client"
+	"olivearch/internal/coordination/membership"
+	"olivearch/internal/coordination/state"
 )
 
 // core owns a voter's state. All of it belongs to the goroutine of run; the others hand it events.
@@ -29,12 +29,12 @@
 	began    time.Time
 	events   chan event
 	written  chan written
-	caller   *ledger.Caller // to the other voters, for what is passed on
+	caller   *client.Caller // to the other voters, for what is passed on
 
 	memory  *raft.MemoryStorage
 	node    *raft.RawNode // nil: it belongs to no cluster yet
 	conf    *raftpb.ConfState
-	state   *promise.State
+	state   *state.State
 	applied uint64
 	since   int    // bytes of log since the last snapshot
 	snapped uint64 // index of the last snapshot
@@ -62,8 +62,8 @@
 	levels    map[uint64]uint32
 	gone      map[string]bool // names of which staff say that the machine has gone
 	newcomers map[uint64]*newcomer
-	reports   map[string]cluster.Report // of the configured voters, while it belongs to no cluster
-	changing  bool                      // a change of the voters is proposed or under way
+	reports   map[string]membership.Report // of the configured voters, while it belongs to no cluster
+	changing  bool                         // a change of the voters is proposed or under way
 	changeAt  time.Time
 	beginning bool
 	waits     string // why it does not take part yet
@@ -83,7 +83,7 @@
 	answer answerTo
 	until  time.Time
 	index  uint64
-	result promise.Result
+	result state.Result
 }
 
 // reading waits for a quorum's word on how far the log had come when it was asked.
@@ -105,10 +105,10 @@
 			others[name] = address
 		}
 	}
-	c := &core{Config: cfg, began: time.Now(), store: s, identity: s.identity, writer: newWriter(s), events: make(chan event, 4096), written: make(chan written), caller: ledger.NewCaller(cfg.Name, others),
-		memory: raft.NewMemoryStorage(), state: promise.NewState(), pending: map[uint64]*proposal{}, reads: map[uint64]*reading{},
+	c := &core{Config: cfg, began: time.Now(), store: s, identity: s.identity, writer: newWriter(s), events: make(chan event, 4096), written: make(chan written), caller: client.NewCaller(cfg.Name, others),
+		memory: raft.NewMemoryStorage(), state: state.NewState(), pending: map[uint64]*proposal{}, reads: map[uint64]*reading{},
 		links: map[uint64]*link{}, outboxes: map[uint64]*outbox{}, followers: map[*follower]bool{}, heard: map[uint64]time.Time{}, known: map[uint64]time.Time{}, levels: map[uint64]uint32{},
-		number: rand.Uint64(), gone: map[string]bool{}, newcomers: map[uint64]*newcomer{}, reports: map[string]cluster.Report{}, waits: "it has just started"}
+		number: rand.Uint64(), gone: map[string]bool{}, newcomers: map[uint64]*newcomer{}, reports: map[string]membership.Report{}, waits: "it has just started"}
 	if s.identity.Cluster == 0 {
 		return c, nil
 	}
@@ -142,12 +142,12 @@
 
 // restore takes a snapshot's state.
 func (c *core) restore(x *raftpb.Snapshot) error {
-	s, err := promise.DecodeState(x.GetData())
+	s, err := state.DecodeState(x.GetData())
 	if err != nil {
 		return err
 	}
-	if s.Raised() > promise.Newest {
-		return fmt.Errorf("the ledger is at level %d, and this version knows %d: a newer one is wanted", s.Raised(), promise.Newest)
+	if s.Raised() > state.Newest {
+		return fmt.Errorf("the ledger is at level %d, and this version knows %d: a newer one is wanted", s.Raised(), state.Newest)
 	}
 	c.state, c.applied, c.snapped = s, x.GetMetadata().GetIndex(), x.GetMetadata().GetIndex()
 	c.conf, c.since = x.GetMetadata().GetConfState(), 0
@@ -188,7 +188,7 @@
 
 // end lets go of all that waits.
 func (c *core) end() {
-	c.abandon(ledger.Unsure, "the voter ends")
+	c.abandon(client.Unsure, "the voter ends")
 	for _, l := range c.links {
 		l.stop()
 	}
@@ -226,7 +226,7 @@
 	for id, p := range c.pending {
 		if now.After(p.until) {
 			delete(c.pending, id)
-			p.answer(ledger.Answer{Outcome: ledger.Unsure, Text: "no quorum has confirmed it in time"})
+			p.answer(client.Answer{Outcome: client.Unsure, Text: "no quorum has confirmed it in time"})
 		}
 	}
 	c.settle(now)
@@ -364,20 +364,20 @@
 		c.known = map[uint64]time.Time{}
 	}
 	if c.leading && !leading {
-		c.abandon(ledger.Unsure, "another voter leads now, and may have it or not")
+		c.abandon(client.Unsure, "another voter leads now, and may have it or not")
 		c.ready, c.changing = false, false
 	}
 	c.lead, c.leading = lead, leading
 }
 
 // abandon answers all that waits for a commitment of this leader's.
-func (c *core) abandon(o ledger.Outcome, why string) {
+func (c *core) abandon(o client.Outcome, why string) {
 	for id, p := range c.pending {
 		delete(c.pending, id)
-		p.answer(ledger.Answer{Outcome: o, Text: why})
+		p.answer(client.Answer{Outcome: o, Text: why})
 	}
 	for _, p := range c.settling {
-		p.answer(ledger.Answer{Outcome: o, Text: why})
+		p.answer(client.Answer{Outcome: o, Text: why})
 	}
 	c.settling = nil
 }
--- a/internal/replica/disk_real.go
+++ b/internal/coordination/server/disk_real.go
@@ -1,6 +1,6 @@
-//go:build !ground
+//go:build !faultinject
 
-package replica
+package server
 
 // spoil and synced are where a build with the tag "ground" lets disks fail; the product has no such door.
 func spoil(string) error  { return nil }
--- a/internal/replica/golden_test.go
+++ b/internal/coordination/server/golden_test.go
@@ -1,4 +1,4 @@
-package replica
+package server
 
 import (
 	"fmt"
@@ -9,8 +9,8 @@
 
 	"go.etcd.io/raft/v3/raftpb"
 
-	"clayladder/internal/golden"
-	"clayladder/internal/promise"
+	"olivearch/internal/coordination/state"
+	"olivearch/internal/golden"
 )
 
 // goldenFolder holds a voter's folder as an earlier version wrote it.
@@ -26,27 +26,27 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	state := promise.NewState()
-	apply := func(revision uint64, c promise.Command) {
-		if result, err := state.Apply(revision, revision*100, c); err != nil || !result.OK() {
+	contents := state.NewState()
+	apply := func(revision uint64, c state.Command) {
+		if result, err := contents.Apply(revision, revision*100, c); err != nil || !result.OK() {
 			t.Fatal(result, err)
 		}
 	}
-	apply(1, &promise.Enrol{Member: promise.Member{ID: 7, Name: "k1", Address: "127.0.0.1:7101"}})
-	apply(2, &promise.SetWord{Subject: promise.Subject{Kind: promise.Out, Scope: promise.Upstream, Target: "a"}, By: "eva", Why: "disk"})
-	apply(3, &promise.SetBound{Name: "connections", Limit: 10})
-	snapshot := &raftpb.Snapshot{Data: state.Encode(), Metadata: &raftpb.SnapshotMetadata{Index: new(uint64(3)), Term: new(uint64(1)),
+	apply(1, &state.Enrol{Member: state.Member{ID: 7, Name: "k1", Address: "127.0.0.1:7101"}})
+	apply(2, &state.SetWord{Subject: state.Subject{Kind: state.Out, Scope: state.Upstream, Target: "a"}, By: "eva", Why: "disk"})
+	apply(3, &state.SetBound{Name: "connections", Limit: 10})
+	snapshot := &raftpb.Snapshot{Data: contents.Encode(), Metadata: &raftpb.SnapshotMetadata{Index: new(uint64(3)), Term: new(uint64(1)),
 		ConfState: &raftpb.ConfState{Voters: []uint64{7}}}}
 	if err := s.begin(99, snapshot, firstHard()); err != nil {
 		t.Fatal(err)
 	}
 	var entries []*raftpb.Entry
-	for i, c := range []promise.Command{
-		&promise.SetWord{Subject: promise.Subject{Kind: promise.Cap, Scope: promise.Upstream, Target: "b"}, Value: 7, By: "ann"},
-		&promise.Take{Bound: "connections", Holder: "n1", Parts: 6, For: promise.MaxLease},
+	for i, c := range []state.Command{
+		&state.SetWord{Subject: state.Subject{Kind: state.Cap, Scope: state.Upstream, Target: "b"}, Value: 7, By: "ann"},
+		&state.Take{Bound: "connections", Holder: "n1", Parts: 6, For: state.MaxLease},
 	} {
 		index := uint64(4 + i)
-		data := promise.Envelope{ID: index, Clock: index * 100, Command: c}.Encode()
+		data := state.Envelope{ID: index, Clock: index * 100, Command: c}.Encode()
 		entries = append(entries, &raftpb.Entry{Index: new(index), Term: new(uint64(2)), Data: data})
 	}
 	hard := &raftpb.HardState{Term: new(uint64(2)), Vote: new(uint64(7)), Commit: new(uint64(5))}
--- a/internal/replica/identity.go
+++ b/internal/coordination/server/identity.go
@@ -1,4 +1,4 @@
-package replica
+package server
 
 import (
 	"hash/fnv"
@@ -6,8 +6,8 @@
 
 	"golang.org/x/sys/unix"
 
-	"clayladder/internal/promise"
-	"clayladder/internal/protomsg"
+	"olivearch/internal/coordination/state"
+	"olivearch/internal/protomsg"
 )
 
 func (i *identity) encode() []byte {
@@ -23,7 +23,7 @@
 	return protomsg.Each(b, func(f protomsg.Field) error {
 		switch f.Number {
 		case 2:
-			return f.Text(&i.Name, promise.MaxName)
+			return f.Text(&i.Name, state.MaxName)
 		case 3:
 			i.ID = f.Uint
 		case 4:
--- a/internal/replica/links.go
+++ b/internal/coordination/server/links.go
@@ -1,4 +1,4 @@
-package replica
+package server
 
 import (
 	"context"
@@ -12,8 +12,8 @@
 	"go.etcd.io/raft/v3/raftpb"
 	"google.golang.org/protobuf/proto"
 
-	"clayladder/internal/ledger"
-	"clayladder/internal/promise"
+	"olivearch/internal/coordination/client"
+	"olivearch/internal/coordination/state"
 )
 
 // A member is heard only on a connection that was opened towards its own address, and speaks only on those that others have opened
@@ -23,7 +23,7 @@
 const (
 	redialLeast = 50 * time.Millisecond
 	redialMost  = 500 * time.Millisecond
-	linkSilent  = 4 * ledger.KeepAlive
+	linkSilent  = 4 * client.KeepAlive
 	outboxMost  = 4096
 	outboxBytes = 64 << 20
 	writeWithin = 2 * time.Second
@@ -31,7 +31,7 @@
 
 // link hears one member.
 type link struct {
-	member promise.Member
+	member state.Member
 	stop   context.CancelFunc
 }
 
@@ -71,7 +71,7 @@
 }
 
 // connect begins to hear a member.
-func (c *core) connect(m promise.Member) {
+func (c *core) connect(m state.Member) {
 	if old := c.links[m.ID]; old != nil {
 		if c.reachable(old.member) == c.reachable(m) {
 			return
@@ -80,12 +80,12 @@
 	}
 	ctx, cancel := context.WithCancel(c.ctx)
 	c.links[m.ID] = &link{m, cancel}
-	hello := ledger.Hello{Role: ledger.Hears, Cluster: c.identity.Cluster, From: c.id(), Name: c.Name, Level: promise.Newest}
+	hello := client.Hello{Role: client.Hears, Cluster: c.identity.Cluster, From: c.id(), Name: c.Name, Level: state.Newest}
 	go c.hear(ctx, m, c.reachable(m), hello)
 }
 
 // hear opens connections to a member, one after the other, and hands on what comes.
-func (c *core) hear(ctx context.Context, m promise.Member, address string, hello ledger.Hello) {
+func (c *core) hear(ctx context.Context, m state.Member, address string, hello client.Hello) {
 	pause, why := redialLeast, ""
 	for ctx.Err() == nil {
 		err := c.hearOn(ctx, m, address, hello, func() { pause = redialLeast })
@@ -101,8 +101,8 @@
 	}
 }
 
-func (c *core) hearOn(ctx context.Context, m promise.Member, address string, hello ledger.Hello, up func()) error {
-	conn, in, w, err := ledger.Dial(ctx, address, hello)
+func (c *core) hearOn(ctx context.Context, m state.Member, address string, hello client.Hello, up func()) error {
+	conn, in, w, err := client.Dial(ctx, address, hello)
 	if err != nil {
 		return err
 	}
@@ -115,7 +115,7 @@
 	c.hand(eventFunc(func(c *core) { c.levels[m.ID] = w.Level }))
 	for {
 		conn.SetReadDeadline(time.Now().Add(linkSilent))
-		b, err := ledger.ReadFrame(in, ledger.MaxFrame)
+		b, err := client.ReadFrame(in, client.MaxFrame)
 		if err != nil {
 			return err
 		}
--- a/internal/replica/members.go
+++ b/internal/coordination/server/members.go
@@ -1,4 +1,4 @@
-package replica
+package server
 
 import (
 	"context"
@@ -11,14 +11,14 @@
 	"go.etcd.io/raft/v3"
 	"go.etcd.io/raft/v3/raftpb"
 
-	"clayladder/internal/cluster"
-	"clayladder/internal/ledger"
-	"clayladder/internal/promise"
+	"olivearch/internal/coordination/client"
+	"olivearch/internal/coordination/membership"
+	"olivearch/internal/coordination/state"
 )
 
 // newcomer is a process with an empty folder that has asked to join.
 type newcomer struct {
-	cluster.Newcomer
+	membership.Newcomer
 	at  time.Time
 	why string // it has to wait
 }
@@ -51,7 +51,7 @@
 	}
 	// All that was promised before a follower sent its ping was promised before this reading began, and is sent to it before this word.
 	c.read(time.Second, func(c *core, err error) {
-		u := ledger.Update{Beat: true, Index: c.applied, Leader: c.leader(), Cluster: c.identity.Cluster, Voters: uint32(voters), Up: uint32(up)}
+		u := client.Update{Beat: true, Index: c.applied, Leader: c.leader(), Cluster: c.identity.Cluster, Voters: uint32(voters), Up: uint32(up)}
 		for f, ping := range pings {
 			if err == nil {
 				u.Ping = ping
@@ -83,18 +83,18 @@
 		c.changing = false
 	}
 	if c.state.Due() <= c.clock(now) {
-		c.ours(&promise.Pass{})
+		c.ours(&state.Pass{})
 	}
-	v := cluster.View{Self: c.id(), Admitted: c.state.Admitted(), Changing: c.changing, Raised: c.state.Raised(), Committed: c.node.BasicStatus().GetCommit()}
+	v := membership.View{Self: c.id(), Admitted: c.state.Admitted(), Changing: c.changing, Raised: c.state.Raised(), Committed: c.node.BasicStatus().GetCommit()}
 	match := map[uint64]uint64{}
 	c.node.WithProgress(func(id uint64, _ raft.ProgressType, p progress) { match[id] = p.Match })
 	for _, m := range c.state.Members() {
 		if _, known := c.known[m.ID]; !known {
 			c.known[m.ID] = now
 		}
-		p := cluster.Peer{Member: m, Match: match[m.ID], Level: c.levels[m.ID], Gone: c.gone[m.Name], Heard: longAgo, Known: now.Sub(c.known[m.ID])}
+		p := membership.Peer{Member: m, Match: match[m.ID], Level: c.levels[m.ID], Gone: c.gone[m.Name], Heard: longAgo, Known: now.Sub(c.known[m.ID])}
 		if m.ID == c.id() {
-			p.Heard, p.Level = 0, promise.Newest
+			p.Heard, p.Level = 0, state.Newest
 		} else if at, ok := c.heard[m.ID]; ok {
 			p.Heard = now.Sub(at)
 		}
@@ -103,7 +103,7 @@
 	for _, n := range c.newcomers {
 		v.Newcomers = append(v.Newcomers, n.Newcomer)
 	}
-	step, why := cluster.Next(v, cluster.Options{Gone: c.Gone, Idle: learnerIdle})
+	step, why := membership.Next(v, membership.Options{Gone: c.Gone, Idle: learnerIdle})
 	for id, n := range c.newcomers {
 		n.why = why[id]
 	}
@@ -111,8 +111,8 @@
 }
 
 // take carries out a step.
-func (c *core) take(s cluster.Step, now time.Time) {
-	change := func(changes []*raftpb.ConfChangeSingle, commands ...promise.Command) {
+func (c *core) take(s membership.Step, now time.Time) {
+	change := func(changes []*raftpb.ConfChangeSingle, commands ...state.Command) {
 		err := c.node.ProposeConfChange(&raftpb.ConfChangeV2{Changes: changes, Context: bringing(c.clock(now), commands...)})
 		if err == nil {
 			c.changing, c.changeAt = true, now
@@ -125,20 +125,20 @@
 	voter := s.Member
 	voter.Learner = false
 	switch s.Kind {
-	case cluster.Learn:
-		change([]*raftpb.ConfChangeSingle{single(raftpb.ConfChangeAddLearnerNode, s.Member.ID)}, &promise.Enrol{Member: s.Member})
-	case cluster.Swap:
+	case membership.Learn:
+		change([]*raftpb.ConfChangeSingle{single(raftpb.ConfChangeAddLearnerNode, s.Member.ID)}, &state.Enrol{Member: s.Member})
+	case membership.Swap:
 		delete(c.gone, s.Member.Name)
 		change([]*raftpb.ConfChangeSingle{single(raftpb.ConfChangeAddNode, s.Member.ID), single(raftpb.ConfChangeRemoveNode, s.Old)},
-			&promise.Enrol{Member: voter}, &promise.Strike{ID: s.Old})
-	case cluster.Promote:
-		change([]*raftpb.ConfChangeSingle{single(raftpb.ConfChangeAddNode, s.Member.ID)}, &promise.Enrol{Member: voter})
-	case cluster.Drop:
-		change([]*raftpb.ConfChangeSingle{single(raftpb.ConfChangeRemoveNode, s.Old)}, &promise.Strike{ID: s.Old})
-	case cluster.HandOver:
+			&state.Enrol{Member: voter}, &state.Strike{ID: s.Old})
+	case membership.Promote:
+		change([]*raftpb.ConfChangeSingle{single(raftpb.ConfChangeAddNode, s.Member.ID)}, &state.Enrol{Member: voter})
+	case membership.Drop:
+		change([]*raftpb.ConfChangeSingle{single(raftpb.ConfChangeRemoveNode, s.Old)}, &state.Strike{ID: s.Old})
+	case membership.HandOver:
 		c.node.TransferLeader(s.Member.ID)
-	case cluster.RaiseTo:
-		c.ours(&promise.Raise{To: s.Level})
+	case membership.RaiseTo:
+		c.ours(&state.Raise{To: s.Level})
 	}
 }
 
@@ -150,14 +150,14 @@
 	for name := range c.Voters {
 		switch {
 		case name == c.Name:
-			c.reports[name] = cluster.Report{Name: name, ID: c.id(), Level: promise.Newest}
+			c.reports[name] = membership.Report{Name: name, ID: c.id(), Level: state.Newest}
 		case c.reports[name].Cluster != 0: // there is one: it wants to join
 			c.inquire(name, c.wish())
 		default:
-			c.inquire(name, ledger.Request{Verb: ledger.Who})
+			c.inquire(name, client.Request{Verb: client.Who})
 		}
 	}
-	members, why := cluster.Found(c.Name, c.Voters, c.reports)
+	members, why := membership.Found(c.Name, c.Voters, c.reports)
 	if members == nil {
 		if !c.joining() {
 			c.waits = why
@@ -173,7 +173,7 @@
 		go func() {
 			ctx, cancel := context.WithTimeout(c.ctx, usualWithin)
 			defer cancel()
-			if _, err := c.caller.Ask(ctx, m.Name, ledger.Request{Verb: ledger.Form, Cluster: id, Members: members}); err != nil {
+			if _, err := c.caller.Ask(ctx, m.Name, client.Request{Verb: client.Form, Cluster: id, Members: members}); err != nil {
 				slog.Warn("telling a voter of the new cluster", "name", m.Name, "err", err) // it will ask to join
 			}
 		}()
@@ -182,12 +182,12 @@
 }
 
 // wish is the request to join.
-func (c *core) wish() ledger.Request {
-	return ledger.Request{Verb: ledger.Join, Level: promise.Newest, Members: []promise.Member{{ID: c.id(), Name: c.Name, Address: c.Address}}}
+func (c *core) wish() client.Request {
+	return client.Request{Verb: client.Join, Level: state.Newest, Members: []state.Member{{ID: c.id(), Name: c.Name, Address: c.Address}}}
 }
 
 // inquire asks a voter who it is, or to be let in.
-func (c *core) inquire(name string, r ledger.Request) {
+func (c *core) inquire(name string, r client.Request) {
 	go func() {
 		ctx, cancel := context.WithTimeout(c.ctx, usualWithin/2)
 		defer cancel()
@@ -206,7 +206,7 @@
 }
 
 // hearAll begins to hear members that another voter has told of, until a snapshot says who they are.
-func (c *core) hearAll(members []promise.Member) {
+func (c *core) hearAll(members []state.Member) {
 	for _, m := range members {
 		if m.ID != c.id() {
 			c.connect(m)
@@ -225,7 +225,7 @@
 }
 
 // reported takes what a voter has said of itself, or of the wish to join.
-func (c *core) reported(name string, a ledger.Answer, err error) {
+func (c *core) reported(name string, a client.Answer, err error) {
 	if c.node != nil && err == nil && a.Cluster == c.identity.Cluster && len(c.state.Members()) == 0 {
 		c.waits = a.Text
 		c.hearAll(a.Members)
@@ -237,7 +237,7 @@
 		delete(c.reports, name)
 		return
 	}
-	c.reports[name] = cluster.Report{Name: a.Name, ID: a.ID, Cluster: a.Cluster, Level: a.Level}
+	c.reports[name] = membership.Report{Name: a.Name, ID: a.ID, Cluster: a.Cluster, Level: a.Level}
 	if a.Cluster == 0 || len(a.Members) == 0 {
 		if a.Text != "" {
 			c.waits = a.Text
@@ -249,13 +249,13 @@
 }
 
 // adopt makes the folder one of a cluster that is there already; what it holds comes from the others.
-func (c *core) adopt(id uint64, members []promise.Member) {
+func (c *core) adopt(id uint64, members []state.Member) {
 	c.beginning = true
 	c.writer.put(job{begin: &beginning{cluster: id, done: func() { c.hearAll(members) }}})
 }
 
 // begin makes the folder one of a new cluster.
-func (c *core) begin(id uint64, members []promise.Member) {
+func (c *core) begin(id uint64, members []state.Member) {
 	c.beginning = true
 	x, err := founding(members)
 	if err != nil {
@@ -266,14 +266,14 @@
 }
 
 // founding is the state that all voters of a new cluster begin with.
-func founding(members []promise.Member) (*raftpb.Snapshot, error) {
-	s := promise.NewState()
+func founding(members []state.Member) (*raftpb.Snapshot, error) {
+	s := state.NewState()
 	conf := &raftpb.ConfState{}
 	members = slices.Clone(members)
-	slices.SortFunc(members, func(a, b promise.Member) int { return int(min(1, max(-1, int64(a.ID)-int64(b.ID)))) })
+	slices.SortFunc(members, func(a, b state.Member) int { return int(min(1, max(-1, int64(a.ID)-int64(b.ID)))) })
 	for _, m := range members {
 		conf.Voters = append(conf.Voters, m.ID)
-		for _, command := range []promise.Command{&promise.Admit{Name: m.Name, Address: m.Address}, &promise.Enrol{Member: m}} {
+		for _, command := range []state.Command{&state.Admit{Name: m.Name, Address: m.Address}, &state.Enrol{Member: m}} {
 			if r, err := s.Apply(1, 0, command); err != nil || !r.OK() {
 				return nil, fmt.Errorf("the first voters: %w %s", err, r.Text)
 			}
@@ -311,29 +311,29 @@
 
 // form begins a cluster as the first voter by name has decided.
 func (c *core) form(a ask) {
-	i := slices.IndexFunc(a.Members, func(m promise.Member) bool { return m.ID == c.id() && m.Name == c.Name })
+	i := slices.IndexFunc(a.Members, func(m state.Member) bool { return m.ID == c.id() && m.Name == c.Name })
 	switch {
 	case c.node != nil && c.identity.Cluster == a.Cluster:
-		a.answer(ledger.Answer{Outcome: ledger.Yes})
+		a.answer(client.Answer{Outcome: client.Yes})
 	case c.node != nil || c.beginning:
-		a.answer(ledger.Answer{Outcome: ledger.No, Text: "it belongs to a cluster already"})
+		a.answer(client.Answer{Outcome: client.No, Text: "it belongs to a cluster already"})
 	case i < 0 || a.Cluster == 0:
-		a.answer(ledger.Answer{Outcome: ledger.No, Text: "it is not among the members of that cluster"})
+		a.answer(client.Answer{Outcome: client.No, Text: "it is not among the members of that cluster"})
 	default:
 		c.begin(a.Cluster, a.Members)
-		a.answer(ledger.Answer{Outcome: ledger.Yes})
+		a.answer(client.Answer{Outcome: client.Yes})
 	}
 }
 
 // join lets a process with an empty folder in, once it is a member.
 func (c *core) join(a ask) {
 	if len(a.Members) != 1 || a.Members[0].ID == 0 || a.Members[0].Name == "" {
-		a.answer(ledger.Answer{Outcome: ledger.No, Text: "one member with a name and an id is wanted"})
+		a.answer(client.Answer{Outcome: client.No, Text: "one member with a name and an id is wanted"})
 		return
 	}
 	m := a.Members[0]
 	if _, member := c.state.Member(m.ID); member && c.node != nil {
-		a.answer(ledger.Answer{Outcome: ledger.Yes, Members: c.state.Members()})
+		a.answer(client.Answer{Outcome: client.Yes, Members: c.state.Members()})
 		return
 	}
 	if c.elsewhere(a) {
@@ -345,8 +345,8 @@
 		c.newcomers[m.ID] = n
 		slog.Info("a voter with an empty folder wants to join", "name", m.Name, "id", fmt.Sprintf("%x", m.ID))
 	}
-	n.Newcomer, n.at = cluster.Newcomer{Report: cluster.Report{Name: m.Name, ID: m.ID, Level: a.Level}, Address: m.Address}, time.Now()
-	a.answer(ledger.Answer{Outcome: ledger.Nowhere, Text: n.why})
+	n.Newcomer, n.at = membership.Newcomer{Report: membership.Report{Name: m.Name, ID: m.ID, Level: a.Level}, Address: m.Address}, time.Now()
+	a.answer(client.Answer{Outcome: client.Nowhere, Text: n.why})
 }
 
 // goneForGood notes that staff know of a voter whose machine will not come back: it need not be waited for.
@@ -357,9 +357,9 @@
 	for _, m := range c.state.Members() {
 		if m.Name == a.Name && !m.Learner {
 			c.gone[a.Name] = true
-			a.answer(ledger.Answer{Outcome: ledger.Yes})
+			a.answer(client.Answer{Outcome: client.Yes})
 			return
 		}
 	}
-	a.answer(ledger.Answer{Outcome: ledger.No, Text: fmt.Sprintf("there is no voter %s", a.Name)})
+	a.answer(client.Answer{Outcome: client.No, Text: fmt.Sprintf("there is no voter %s", a.Name)})
 }
--- a/internal/replica/plant_ground.go
+++ b/internal/coordination/server/plant_ground.go
@@ -1,6 +1,6 @@
-//go:build ground
+//go:build faultinject
 
-package replica
+package server
 
 import (
 	"bytes"
@@ -11,9 +11,9 @@
 	"syscall"
 	"time"
 
-	"clayladder/internal/disk"
-	"clayladder/internal/ledger"
-	"clayladder/internal/promise"
+	"olivearch/internal/coordination/client"
+	"olivearch/internal/coordination/state"
+	"olivearch/internal/disk"
 )
 
 // PlantVariable names a rule that the voter breaks, so that tests can show that it would be found: early, amnesia, unfenced, unsynced.
@@ -29,13 +29,13 @@
 	if !planted("early") {
 		return false
 	}
-	p.answer(ledger.Answer{Outcome: ledger.Yes, Result: promise.Result{Revision: c.applied + 1, Clock: c.state.Clock(), Fence: c.applied + 1}, Held: 1, Of: len(c.state.Members())})
+	p.answer(client.Answer{Outcome: client.Yes, Result: state.Result{Revision: c.applied + 1, Clock: c.state.Clock(), Fence: c.applied + 1}, Held: 1, Of: len(c.state.Members())})
 	return true
 }
 
 // twist lets a lease be had under any fence.
-func twist(command promise.Command, s *promise.State) {
-	take, ok := command.(*promise.Take)
+func twist(command state.Command, s *state.State) {
+	take, ok := command.(*state.Take)
 	if !ok || !planted("unfenced") {
 		return
 	}
--- a/internal/replica/recover.go
+++ b/internal/coordination/server/recover.go
@@ -1,4 +1,4 @@
-package replica
+package server
 
 import (
 	"errors"
@@ -9,7 +9,7 @@
 	"go.etcd.io/raft/v3"
 	"go.etcd.io/raft/v3/raftpb"
 
-	"clayladder/internal/promise"
+	"olivearch/internal/coordination/state"
 )
 
 // ErrDisk is wrapped by errors of a disk that did not do what it was asked: nothing is known of what it has.
@@ -19,7 +19,7 @@
 var errWait = errors.New("the folder belongs to no cluster yet")
 
 // open reads a folder that no process uses, with all that it has applied, held or not.
-func open(folder, name string) (*store, *content, *promise.State, error) {
+func open(folder, name string) (*store, *content, *state.State, error) {
 	s, held, err := openStore(folder, name, rand.Uint64)
 	if err != nil {
 		return nil, nil, nil, err
@@ -27,9 +27,9 @@
 	if s.identity.Cluster == 0 {
 		return nil, nil, nil, errors.Join(fmt.Errorf("%s: %w", folder, errWait), s.close())
 	}
-	state := promise.NewState()
+	applied := state.NewState()
 	if !raft.IsEmptySnap(held.snapshot) {
-		if state, err = promise.DecodeState(held.snapshot.GetData()); err != nil {
+		if applied, err = state.DecodeState(held.snapshot.GetData()); err != nil {
 			return nil, nil, nil, errors.Join(err, s.close())
 		}
 	}
@@ -37,15 +37,15 @@
 		if e.GetIndex() <= held.snapshot.GetMetadata().GetIndex() || e.GetType() != raftpb.EntryNormal || len(e.GetData()) == 0 {
 			continue
 		}
-		x, err := promise.DecodeEnvelope(e.GetData())
+		x, err := state.DecodeEnvelope(e.GetData())
 		if err == nil {
-			_, err = state.Apply(e.GetIndex(), x.Clock, x.Command)
+			_, err = applied.Apply(e.GetIndex(), x.Clock, x.Command)
 		}
 		if err != nil {
 			return nil, nil, nil, errors.Join(fmt.Errorf("entry %d: %w", e.GetIndex(), err), s.close())
 		}
 	}
-	return s, held, state, nil
+	return s, held, applied, nil
 }
 
 // Show tells what the folder of a voter holds that does not run.
@@ -58,7 +58,7 @@
 	return told(s, held, state), nil
 }
 
-func told(s *store, held *content, state *promise.State) string {
+func told(s *store, held *content, applied *state.State) string {
 	var b strings.Builder
 	last := held.snapshot.GetMetadata().GetIndex()
 	if n := len(held.entries); n > 0 {
@@ -66,7 +66,7 @@
 	}
 	fmt.Fprintf(&b, "voter %s, member %x of cluster %x\n", s.identity.Name, s.identity.ID, s.identity.Cluster)
 	fmt.Fprintf(&b, "the log ends at %d (term %d), and all up to %d was known to be held by a majority\n", last, held.hard.GetTerm(), held.hard.GetCommit())
-	fmt.Fprintf(&b, "%d words, %d bounds, %d bytes of %d\n", len(state.Words()), len(state.Bounds()), state.Used(), int64(promise.MaxBytes))
+	fmt.Fprintf(&b, "%d words, %d bounds, %d bytes of %d\n", len(applied.Words()), len(applied.Bounds()), applied.Used(), int64(state.MaxBytes))
 	return b.String()
 }
 
@@ -74,28 +74,28 @@
 // a new cluster with this one voter. What the log holds counts as promised, also what no majority had; what it does not hold is lost. No
 // lease is carried over before its time, and fences go on growing.
 func Recover(folder, name, address string) (string, error) {
-	s, held, state, err := open(folder, name)
+	s, held, applied, err := open(folder, name)
 	if err != nil {
 		return "", err
 	}
 	defer s.close()
-	text := told(s, held, state)
+	text := told(s, held, applied)
 	last := held.snapshot.GetMetadata().GetIndex()
 	if n := len(held.entries); n > 0 {
 		last = max(last, held.entries[n-1].GetIndex())
 	}
 	term := held.hard.GetTerm() + 1
-	self := promise.Member{ID: rand.Uint64()>>2 + 1, Name: name, Address: address}
-	for _, m := range state.Members() {
-		if _, err := state.Apply(last+1, state.Clock(), &promise.Strike{ID: m.ID}); err != nil {
+	self := state.Member{ID: rand.Uint64()>>2 + 1, Name: name, Address: address}
+	for _, m := range applied.Members() {
+		if _, err := applied.Apply(last+1, applied.Clock(), &state.Strike{ID: m.ID}); err != nil {
 			return text, err
 		}
 	}
-	if _, err := state.Apply(last+1, state.Clock(), &promise.Enrol{Member: self}); err != nil {
+	if _, err := applied.Apply(last+1, applied.Clock(), &state.Enrol{Member: self}); err != nil {
 		return text, err
 	}
 	s.identity.ID = self.ID
-	x := &raftpb.Snapshot{Data: state.Encode(), Metadata: &raftpb.SnapshotMetadata{Index: new(last + 1), Term: new(term), ConfState: &raftpb.ConfState{Voters: []uint64{self.ID}}}}
+	x := &raftpb.Snapshot{Data: applied.Encode(), Metadata: &raftpb.SnapshotMetadata{Index: new(last + 1), Term: new(term), ConfState: &raftpb.ConfState{Voters: []uint64{self.ID}}}}
 	hard := &raftpb.HardState{Term: new(term), Vote: new(uint64(0)), Commit: new(last + 1)}
 	if err := s.append(batch{snapshot: x, reset: true}); err != nil {
 		return text, err
--- a/internal/replica/replica.go
+++ b/internal/coordination/server/replica.go
@@ -1,7 +1,7 @@
 // Package replica is a voter of the ledger: the replicated log, by the Raft library of etcd (go.etcd.io/raft; Ongaro and Ousterhout, "In
 // Search of an Understandable Consensus Algorithm", 2014), its folder on a disk, its links to the other voters, and the service to
 // callers and followers. One goroutine owns the state and never waits: for the disk, a link or a caller others do.
-package replica
+package server
 
 import (
 	"context"
@@ -12,8 +12,8 @@
 	"net"
 	"time"
 
-	"clayladder/internal/ledger"
-	"clayladder/internal/promise"
+	"olivearch/internal/coordination/client"
+	"olivearch/internal/coordination/state"
 )
 
 // Config is what a voter is told.
@@ -102,7 +102,7 @@
 func (l quietLogger) Panicf(f string, v ...any)   { panic(fmt.Sprintf(f, v...)) }
 
 // reachable is at which address a voter is reached from here.
-func (c *Config) reachable(m promise.Member) string {
+func (c *Config) reachable(m state.Member) string {
 	if a := c.Voters[m.Name]; a != "" {
 		return a
 	}
@@ -110,4 +110,4 @@
 }
 
 // answerTo is where a request's answer goes; it does not wait.
-type answerTo func(ledger.Answer)
+type answerTo func(client.Answer)
--- a/internal/replica/serve.go
+++ b/internal/coordination/server/serve.go
@@ -1,4 +1,4 @@
-package replica
+package server
 
 import (
 	"bufio"
@@ -14,8 +14,8 @@
 	"go.etcd.io/raft/v3/raftpb"
 	"google.golang.org/protobuf/proto"
 
-	"clayladder/internal/ledger"
-	"clayladder/internal/promise"
+	"olivearch/internal/coordination/client"
+	"olivearch/internal/coordination/state"
 )
 
 const (
@@ -62,11 +62,11 @@
 	defer watch(c, conn)()
 	conn.SetDeadline(time.Now().Add(helloWithin))
 	in := bufio.NewReaderSize(conn, 16<<10)
-	b, err := ledger.ReadFrame(in, maxHello)
+	b, err := client.ReadFrame(in, maxHello)
 	if err != nil {
 		return
 	}
-	h, err := ledger.DecodeHello(b)
+	h, err := client.DecodeHello(b)
 	if err != nil {
 		return
 	}
@@ -95,14 +95,14 @@
 }
 
 // greet answers a connection's first words, and returns what serves it.
-func (c *core) greet(conn net.Conn, in *bufio.Reader, h ledger.Hello) func() {
-	w := ledger.Welcome{Cluster: c.identity.Cluster, ID: c.id(), Name: c.Name, Level: promise.Newest, Tick: c.ticksNow()}
+func (c *core) greet(conn net.Conn, in *bufio.Reader, h client.Hello) func() {
+	w := client.Welcome{Cluster: c.identity.Cluster, ID: c.id(), Name: c.Name, Level: state.Newest, Tick: c.ticksNow()}
 	var serve func()
 	left := func() {} // once the connection is of no more use, greeted or not
 	switch h.Role {
-	case ledger.Asks:
+	case client.Asks:
 		serve = func() { c.answerOn(conn, in) }
-	case ledger.Follows:
+	case client.Follows:
 		switch {
 		case c.node == nil:
 			w.Refused = "it belongs to no cluster yet: " + c.waits
@@ -120,7 +120,7 @@
 			}
 			left = func() { c.hand(eventFunc(func(c *core) { delete(c.followers, f) })) }
 		}
-	case ledger.Hears:
+	case client.Hears:
 		m, member := c.state.Member(h.From)
 		switch {
 		case c.node == nil:
@@ -143,7 +143,7 @@
 	return func() {
 		defer left()
 		conn.SetDeadline(time.Now().Add(helloWithin))
-		if ledger.WriteFrame(conn, w.Encode()) != nil || serve == nil {
+		if client.WriteFrame(conn, w.Encode()) != nil || serve == nil {
 			return
 		}
 		conn.SetDeadline(time.Time{})
@@ -153,7 +153,7 @@
 
 // speak writes what waits for a member until its connection breaks or another takes its place.
 func (c *core) speak(conn net.Conn, o *outbox) {
-	idle := time.NewTicker(ledger.KeepAlive)
+	idle := time.NewTicker(client.KeepAlive)
 	defer idle.Stop()
 	for {
 		var frames bytes.Buffer
@@ -165,7 +165,7 @@
 			for _, m := range o.take() {
 				b, err := proto.Marshal(m)
 				if err == nil {
-					err = ledger.WriteFrame(&frames, b)
+					err = client.WriteFrame(&frames, b)
 				}
 				if err != nil {
 					slog.Error("a message to a voter", "err", err)
@@ -173,9 +173,9 @@
 				snapshots = snapshots || m.GetType() == raftpb.MsgSnap
 			}
 		case <-idle.C:
-			ledger.WriteFrame(&frames, nil)
+			client.WriteFrame(&frames, nil)
 		}
-		idle.Reset(ledger.KeepAlive) // what is said says that the voter is there
+		idle.Reset(client.KeepAlive) // what is said says that the voter is there
 		conn.SetWriteDeadline(time.Now().Add(writeWithin))
 		_, err := conn.Write(frames.Bytes())
 		if snapshots {
@@ -201,14 +201,14 @@
 
 // answerOn takes requests and writes answers until the connection ends.
 func (c *core) answerOn(conn net.Conn, in *bufio.Reader) {
-	answers := make(chan ledger.Answer, answersMost)
+	answers := make(chan client.Answer, answersMost)
 	ended := make(chan struct{})
 	defer close(ended)
 	go func() { // the one writer
-		idle := time.NewTicker(ledger.KeepAlive)
+		idle := time.NewTicker(client.KeepAlive)
 		defer idle.Stop()
 		for {
-			var a ledger.Answer // with no number it only says that the voter is there
+			var a client.Answer // with no number it only says that the voter is there
 			select {
 			case a = <-answers:
 			case <-idle.C:
@@ -217,22 +217,22 @@
 			}
 			a.Tick = c.ticksNow()
 			conn.SetWriteDeadline(time.Now().Add(writeWithin))
-			if ledger.WriteFrame(conn, a.Encode()) != nil {
+			if client.WriteFrame(conn, a.Encode()) != nil {
 				conn.Close()
 				return
 			}
 		}
 	}()
 	for {
-		b, err := ledger.ReadFrame(in, maxRequest)
+		b, err := client.ReadFrame(in, maxRequest)
 		if err != nil {
 			return
 		}
-		r, err := ledger.DecodeRequest(b)
+		r, err := client.DecodeRequest(b)
 		if err != nil {
 			return
 		}
-		answer := func(a ledger.Answer) {
+		answer := func(a client.Answer) {
 			a.Number = r.Number
 			select {
 			case answers <- a:
@@ -277,10 +277,10 @@
 // pings takes a follower's pings until its connection ends.
 func (c *core) pings(in *bufio.Reader, f *follower) {
 	for {
-		b, err := ledger.ReadFrame(in, maxHello)
+		b, err := client.ReadFrame(in, maxHello)
 		var n uint64
 		if err == nil {
-			n, err = ledger.DecodePing(b)
+			n, err = client.DecodePing(b)
 		}
 		if err != nil {
 			f.close()
@@ -294,12 +294,12 @@
 
 // whole is an update with all that is held.
 func (c *core) whole() []byte {
-	u := ledger.Update{State: c.state.Encode(), Index: c.applied, Leader: c.leader(), Cluster: c.identity.Cluster, Beat: true}
+	u := client.Update{State: c.state.Encode(), Index: c.applied, Leader: c.leader(), Cluster: c.identity.Cluster, Beat: true}
 	return u.Encode()
 }
 
 // tell sends an update to all followers.
-func (c *core) tell(u ledger.Update) {
+func (c *core) tell(u client.Update) {
 	if len(c.followers) == 0 {
 		return
 	}
@@ -315,7 +315,7 @@
 		select {
 		case b := <-f.updates:
 			conn.SetWriteDeadline(time.Now().Add(writeWithin))
-			if ledger.WriteFrame(conn, b) != nil {
+			if client.WriteFrame(conn, b) != nil {
 				return
 			}
 		case <-f.closed:
--- a/internal/replica/size_test.go
+++ b/internal/coordination/server/size_test.go
@@ -1,4 +1,4 @@
-package replica
+package server
 
 import (
 	"context"
@@ -10,13 +10,13 @@
 	"testing"
 	"time"
 
-	"clayladder/internal/ledger"
-	"clayladder/internal/promise"
+	"olivearch/internal/coordination/client"
+	"olivearch/internal/coordination/state"
 )
 
 // What followers cost at rest, in one process with one voter: CPU of both sides, heap, and how long a word takes until all have it.
 //
-//	go test -run - -bench Followers -benchtime 1x ./internal/replica
+//	go test -run - -bench Followers -benchtime 1x ./internal/coordination/server
 func BenchmarkFollowers(b *testing.B) {
 	for _, n := range []int{0, 100, 300, 1500} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
@@ -47,12 +47,12 @@
 	})
 	defer all.Wait()
 	defer cancel()
-	c := ledger.NewCaller("test", addresses)
+	c := client.NewCaller("test", addresses)
 	defer c.Close()
 	within, end := context.WithTimeout(b.Context(), 30*time.Second)
 	defer end()
 	say := func(i int) {
-		if _, err := c.Propose(within, &promise.SetWord{Subject: promise.Subject{Kind: promise.Out, Scope: promise.Upstream, Target: fmt.Sprintf("s-%08x", i)}, By: "test", Why: "disk swap"}); err != nil {
+		if _, err := c.Propose(within, &state.SetWord{Subject: state.Subject{Kind: state.Out, Scope: state.Upstream, Target: fmt.Sprintf("s-%08x", i)}, By: "test", Why: "disk swap"}); err != nil {
 			b.Fatal(err)
 		}
 	}
@@ -62,7 +62,7 @@
 	runtime.ReadMemStats(&before)
 	told := make(chan int, 10*n+10)
 	for i := range n {
-		f := ledger.Follow(fmt.Sprint("balancer ", i), addresses, "", func(w []promise.Word) { told <- len(w) })
+		f := client.Follow(fmt.Sprint("balancer ", i), addresses, "", func(w []state.Word) { told <- len(w) })
 		defer f.Close()
 	}
 	know := func(words int) {
--- a/internal/replica/store_test.go
+++ b/internal/coordination/server/store_test.go
@@ -1,4 +1,4 @@
-package replica
+package server
 
 import (
 	"bytes"
--- a/internal/replica/voter_test.go
+++ b/internal/coordination/server/voter_test.go
@@ -1,4 +1,4 @@
-package replica
+package server
 
 import (
 	"bufio"
@@ -9,8 +9,8 @@
 	"testing"
 	"time"
 
-	"clayladder/internal/ledger"
-	"clayladder/internal/promise"
+	"olivearch/internal/coordination/client"
+	"olivearch/internal/coordination/state"
 )
 
 // TestVoters runs three voters in one process, for the race detector: what several processes do is shown on the ground.
@@ -37,10 +37,10 @@
 			}
 		})
 	}
-	c := ledger.NewCaller("test", addresses)
+	c := client.NewCaller("test", addresses)
 	defer c.Close()
 	words := make(chan int, 1000)
-	copied := ledger.Follow("test", addresses, "", func(w []promise.Word) { words <- len(w) })
+	copied := client.Follow("test", addresses, "", func(w []state.Word) { words <- len(w) })
 	defer copied.Close()
 	within, end := context.WithTimeout(t.Context(), 30*time.Second)
 	defer end()
@@ -48,7 +48,7 @@
 	for i := range 8 {
 		askers.Go(func() {
 			for k := range 20 {
-				a, err := c.Propose(within, &promise.SetWord{Subject: promise.Subject{Kind: promise.Out, Scope: promise.Upstream, Target: fmt.Sprintf("s-%d-%d", i, k)}, By: "test"})
+				a, err := c.Propose(within, &state.SetWord{Subject: state.Subject{Kind: state.Out, Scope: state.Upstream, Target: fmt.Sprintf("s-%d-%d", i, k)}, By: "test"})
 				if err != nil || a.Held != 3 || a.Of != 3 { // copies: 3
 					t.Errorf("held by %d of %d: %v", a.Held, a.Of, err)
 					return
@@ -66,7 +66,7 @@
 			break
 		}
 	}
-	if _, err := c.Propose(within, &promise.SetBound{Name: "b", Limit: 2}); err != nil {
+	if _, err := c.Propose(within, &state.SetBound{Name: "b", Limit: 2}); err != nil {
 		t.Fatal(err)
 	}
 	one, err := c.Take(within, "b", "x", 2, time.Second, nil)
@@ -83,11 +83,11 @@
 		t.Error("a voter that there is not has gone")
 	}
 	for _, name := range c.Voters() {
-		if a, err := c.Ask(within, name, ledger.Request{Verb: ledger.Status}); err != nil || len(a.Body) == 0 {
+		if a, err := c.Ask(within, name, client.Request{Verb: client.Status}); err != nil || len(a.Body) == 0 {
 			t.Errorf("%s: %v", name, err)
 		}
 	}
-	if o := late(t, addresses["k0"]); o != ledger.Nowhere {
+	if o := late(t, addresses["k0"]); o != client.Nowhere {
 		t.Errorf("a request that has been on its way for longer than its asker waited: %v", o)
 	}
 	cancel()
@@ -125,7 +125,7 @@
 	run(ctx, "k0", t.TempDir(), listeners["k0"])
 	run(ctx, "k1", t.TempDir(), listeners["k1"])
 	ended := run(dies, "k2", t.TempDir(), listeners["k2"])
-	c := ledger.NewCaller("test", addresses)
+	c := client.NewCaller("test", addresses)
 	defer c.Close()
 	within, end := context.WithTimeout(t.Context(), 40*time.Second)
 	defer end()
@@ -160,31 +160,31 @@
 }
 
 // late asks for a promise as one whose request was written long ago, and came only now.
-func late(t *testing.T, address string) ledger.Outcome {
+func late(t *testing.T, address string) client.Outcome {
 	t.Helper()
 	var c net.Conn
 	var in *bufio.Reader
 	for { // the voter's clock has to have come beyond what an asker waits
-		conn, r, w, err := ledger.Dial(t.Context(), address, ledger.Hello{Role: ledger.Asks, Name: "late"})
+		conn, r, w, err := client.Dial(t.Context(), address, client.Hello{Role: client.Asks, Name: "late"})
 		if err != nil {
 			t.Fatal(err)
 		}
-		if c, in = conn, r; w.Tick > uint64(2*ledger.Stale/time.Millisecond) {
+		if c, in = conn, r; w.Tick > uint64(2*client.Stale/time.Millisecond) {
 			break
 		}
 		c.Close()
 	}
 	defer c.Close()
-	r := ledger.Request{Number: 9, Verb: ledger.Propose, Within: time.Millisecond, Tick: 1, Command: promise.Encode(&promise.SetBound{Name: "late", Limit: 1})}
-	if err := ledger.WriteFrame(c, r.Encode()); err != nil {
+	r := client.Request{Number: 9, Verb: client.Propose, Within: time.Millisecond, Tick: 1, Command: state.Encode(&state.SetBound{Name: "late", Limit: 1})}
+	if err := client.WriteFrame(c, r.Encode()); err != nil {
 		t.Fatal(err)
 	}
 	for {
-		b, err := ledger.ReadFrame(in, ledger.MaxFrame)
+		b, err := client.ReadFrame(in, client.MaxFrame)
 		if err != nil {
 			t.Fatal(err)
 		}
-		if a, err := ledger.DecodeAnswer(b); err != nil || a.Number == r.Number {
+		if a, err := client.DecodeAnswer(b); err != nil || a.Number == r.Number {
 			return a.Outcome
 		}
 	}
--- a/internal/promise/codec.go
+++ b/internal/coordination/state/codec.go
@@ -1,4 +1,4 @@
-package promise
+package state
 
 import (
 	"cmp"
@@ -8,7 +8,7 @@
 	"slices"
 	"time"
 
-	"clayladder/internal/protomsg"
+	"olivearch/internal/protomsg"
 )
 
 // The wire format is that of Protocol Buffers; docs/design/promises.md lists the fields. Numbers of kinds and fields are never used
--- a/internal/promise/command.go
+++ b/internal/coordination/state/command.go
@@ -1,4 +1,4 @@
-package promise
+package state
 
 import (
 	"fmt"
--- a/internal/promise/golden_test.go
+++ b/internal/coordination/state/golden_test.go
@@ -1,4 +1,4 @@
-package promise
+package state
 
 import (
 	"encoding/hex"
@@ -8,7 +8,7 @@
 	"testing"
 	"time"
 
-	"clayladder/internal/golden"
+	"olivearch/internal/golden"
 )
 
 // everyCommand is one command of each kind, in the order of their numbers, with all fields set.
--- a/internal/promise/level.go
+++ b/internal/coordination/state/level.go
@@ -1,6 +1,6 @@
 //go:build !nextlevel
 
-package promise
+package state
 
 // Newest is the highest level of commands that this version knows.
 const Newest = 1
--- a/internal/promise/level_next.go
+++ b/internal/coordination/state/level_next.go
@@ -1,6 +1,6 @@
 //go:build nextlevel
 
-package promise
+package state
 
 // Newest is that of a version to come: builds with this tag stand for it, to show what an upgrade of all voters looks like while
 // some of them do not know a kind of command yet.
--- a/internal/promise/promise_test.go
+++ b/internal/coordination/state/promise_test.go
@@ -1,4 +1,4 @@
-package promise
+package state
 
 import (
 	"bytes"
@@ -9,7 +9,7 @@
 
 	"pgregory.net/rapid"
 
-	"clayladder/internal/protomsg"
+	"olivearch/internal/protomsg"
 )
 
 // do applies a command a second after the last.
--- a/internal/promise/types.go
+++ b/internal/coordination/state/types.go
@@ -4,7 +4,7 @@
 //
 // Time is the ledger's own: milliseconds that leaders have counted on their monotonic clocks and written into the commands. It never
 // runs ahead of real time (but for the drift of one clock) and stands still while there is no leader. So nothing ends early.
-package promise
+package state
 
 import (
 	"fmt"
--- a/internal/demo/demo.go
+++ b/internal/demo/demo.go
@@ -11,11 +11,11 @@
 	"sync"
 	"time"
 
-	"clayladder/internal/config"
-	"clayladder/internal/live"
-	"clayladder/internal/nodelist"
-	"clayladder/internal/service"
-	"clayladder/internal/standin/fleet"
+	"olivearch/internal/config"
+	"olivearch/internal/endpointlist"
+	"olivearch/internal/live"
+	"olivearch/internal/service"
+	"olivearch/internal/standin/fleet"
 )
 
 const (
@@ -61,7 +61,7 @@
 	folder   string
 	judge    *fleet.Judge
 	nodes    []*fleet.Node
-	phases   map[string]nodelist.Phase // what the lists say; left out: not listed
+	phases   map[string]endpointlist.Phase // what the lists say; left out: not listed
 	service  *service.Service
 	checkins *fleet.Clients
 	maps     *fleet.Clients
@@ -77,7 +77,7 @@
 		return Result{}, err
 	}
 	defer os.RemoveAll(folder)
-	s := &stage{out: out, folder: folder, judge: fleet.NewJudge(grace), phases: map[string]nodelist.Phase{}}
+	s := &stage{out: out, folder: folder, judge: fleet.NewJudge(grace), phases: map[string]endpointlist.Phase{}}
 	defer s.close()
 	if err := s.start(o.Seed); err != nil {
 		return Result{}, err
@@ -112,7 +112,7 @@
 			return err
 		}
 		s.nodes = append(s.nodes, n)
-		s.phases[n.ID] = nodelist.Up
+		s.phases[n.ID] = endpointlist.Up
 	}
 	if err := s.list(); err != nil {
 		return err
@@ -140,7 +140,7 @@
 // list writes both lists by the phases that hold.
 func (s *stage) list() error {
 	for list, nodes := range map[string][]*fleet.Node{"checkin": s.nodes[:6], "maps": s.nodes[4:]} {
-		entries, gone := []nodelist.Node{}, []string{}
+		entries, gone := []endpointlist.Node{}, []string{}
 		for _, n := range nodes {
 			if phase, ok := s.phases[n.ID]; ok {
 				entries = append(entries, n.Entry(phase))
@@ -172,7 +172,7 @@
 			}
 			return s.list()
 		}},
-		{0.45, "shared node-4 drains", func() error { s.phases["node-4"] = nodelist.Draining; return s.list() }},
+		{0.45, "shared node-4 drains", func() error { s.phases["node-4"] = endpointlist.Draining; return s.list() }},
 		{0.55, "node-4 has left the lists", func() error { delete(s.phases, "node-4"); return s.list() }},
 		{0.60, "the list of maps is torn: the last one holds", func() error {
 			return os.WriteFile(s.path("maps"), []byte("nodes: [{id: node-5, addr"), 0o600)
@@ -189,7 +189,7 @@
 			if err := s.nodes[4].Restart(); err != nil {
 				return err
 			}
-			s.phases["node-4"] = nodelist.Up
+			s.phases["node-4"] = endpointlist.Up
 			return s.list()
 		}},
 		{0.80, "twice the check-ins", func() error { s.checkins.SetRate(300); return nil }},
--- a/internal/discovery/discovery.go
+++ b/internal/discovery/discovery.go
@@ -16,7 +16,7 @@
 	"sync/atomic"
 	"time"
 
-	"clayladder"
+	"olivearch/balancer"
 )
 
 // A change counts as told ToldWithin after discovery had it and could be reached, whether or not it arrived (PROTOCOL, Figures).
@@ -58,7 +58,7 @@
 	UpSinceMS int64   `json:"up_since_ms"`
 }
 
-var phases = map[string]clayladder.State{"up": clayladder.Active, "draining": clayladder.Draining, "removed": clayladder.Gone}
+var phases = map[string]balancer.State{"up": balancer.Active, "draining": balancer.Draining, "removed": balancer.Gone}
 
 // Check tells what makes the entry unusable.
 func (m *Member) Check() error {
@@ -68,7 +68,7 @@
 		return fmt.Errorf("an entry has no id")
 	case !ok:
 		return fmt.Errorf("%s: phase %q is unknown", m.ID, m.Phase)
-	case state == clayladder.Gone:
+	case state == balancer.Gone:
 		return nil
 	}
 	if _, err := netip.ParseAddrPort(m.HostPort); err != nil {
@@ -78,8 +78,8 @@
 }
 
 // Upstream is the entry as the module takes it.
-func (m *Member) Upstream(id clayladder.UpstreamID) clayladder.Upstream {
-	return clayladder.Upstream{ID: id, Zone: m.Locality, Cell: m.Cell, Weight: m.Size, State: phases[m.Phase],
+func (m *Member) Upstream(id balancer.UpstreamID) balancer.Upstream {
+	return balancer.Upstream{ID: id, Zone: m.Locality, Cell: m.Cell, Weight: m.Size, State: phases[m.Phase],
 		StartedAt: time.Duration(m.UpSinceMS) * time.Millisecond} // the loop's clock is Unix time at its start, so 0 stays 0
 }
 
--- a/internal/discovery/discovery_test.go
+++ b/internal/discovery/discovery_test.go
@@ -4,7 +4,7 @@
 	"testing"
 	"time"
 
-	"clayladder"
+	"olivearch/balancer"
 )
 
 // An upstream that started before this process is as cold as it is at other balancers; one of long ago is not.
@@ -21,17 +21,17 @@
 
 func TestNames(t *testing.T) {
 	n := NewNames()
-	if got := n.ID("s-5be2a07c"); got != clayladder.UpstreamID(0x5be2a07c) {
+	if got := n.ID("s-5be2a07c"); got != balancer.UpstreamID(0x5be2a07c) {
 		t.Errorf("%s: got %v", "hex", got)
 	}
-	if got := n.ID("s-5be2a07c"); got != clayladder.UpstreamID(0x5be2a07c) {
+	if got := n.ID("s-5be2a07c"); got != balancer.UpstreamID(0x5be2a07c) {
 		t.Errorf("%s: got %v", "the same again", got)
 	}
 	other := n.ID("5be2a07c.example")
 	if got := other; got != Hashed("5be2a07c.example") {
 		t.Errorf("%s: got %v", "another form", got)
 	}
-	seen := map[clayladder.UpstreamID]string{}
+	seen := map[balancer.UpstreamID]string{}
 	for _, text := range []string{"s-7", "s-07", "s-007", "s-zz", "s-123456789", "", "s-"} { // three that come to one number
 		id := n.ID(text)
 		if seen[id] != "" {
--- a/internal/discovery/names.go
+++ b/internal/discovery/names.go
@@ -4,7 +4,7 @@
 	"strconv"
 	"strings"
 
-	"clayladder"
+	"olivearch/balancer"
 )
 
 // Names maps discovery's ids to the module's. The module orders upstreams by these
@@ -15,8 +15,8 @@
 // differ at most in which of two such ids came first: their rings differ then, but
 // no two upstreams are ever mixed up. An id keeps its number until it is gone and nothing is out there.
 type Names struct {
-	of    map[clayladder.UpstreamID]string
-	moved map[string]clayladder.UpstreamID // those whose own number was another's
+	of    map[balancer.UpstreamID]string
+	moved map[string]balancer.UpstreamID // those whose own number was another's
 }
 
 // NewNames returns a Names without ids.
@@ -24,11 +24,11 @@
 
 // NewNamesFor returns a Names without ids, with room for n.
 func NewNamesFor(n int) *Names {
-	return &Names{of: make(map[clayladder.UpstreamID]string, n), moved: map[string]clayladder.UpstreamID{}}
+	return &Names{of: make(map[balancer.UpstreamID]string, n), moved: map[string]balancer.UpstreamID{}}
 }
 
 // ID returns an id's number.
-func (n *Names) ID(text string) clayladder.UpstreamID {
+func (n *Names) ID(text string) balancer.UpstreamID {
 	id, free, known := n.find(text)
 	if known {
 		return id
@@ -45,7 +45,7 @@
 }
 
 // find returns an id's number, if it has one, and else its own and whether that is free.
-func (n *Names) find(text string) (id clayladder.UpstreamID, free, known bool) {
+func (n *Names) find(text string) (id balancer.UpstreamID, free, known bool) {
 	if len(n.moved) > 0 {
 		if id, known = n.moved[text]; known {
 			return id, false, true
@@ -57,7 +57,7 @@
 }
 
 // Known returns the number of an id that has one.
-func (n *Names) Known(text string) (id clayladder.UpstreamID, ok bool) {
+func (n *Names) Known(text string) (id balancer.UpstreamID, ok bool) {
 	id, _, ok = n.find(text)
 	if !ok {
 		id = 0
@@ -77,20 +77,20 @@
 	}
 }
 
-func plainID(text string) clayladder.UpstreamID {
+func plainID(text string) balancer.UpstreamID {
 	if digits, ok := strings.CutPrefix(text, "s-"); ok {
 		if x, err := strconv.ParseUint(digits, 16, 32); err == nil {
-			return clayladder.UpstreamID(x)
+			return balancer.UpstreamID(x)
 		}
 	}
 	return Hashed(text)
 }
 
 // Hashed is the FNV-1a hash of a text.
-func Hashed(text string) clayladder.UpstreamID {
+func Hashed(text string) balancer.UpstreamID {
 	h := uint32(2166136261)
 	for i := range len(text) {
 		h = (h ^ uint32(text[i])) * 16777619
 	}
-	return clayladder.UpstreamID(h)
+	return balancer.UpstreamID(h)
 }
--- a/internal/disk/disk.go
+++ b/internal/disk/disk.go
@@ -1,7 +1,7 @@
 // Package disk writes and reads the few files that outlive a process. A file is replaced whole: whoever reads it, also after a crash or
 // a loss of power at any moment, finds the old text or the new one, as far as the disk keeps its word; Read finds out if it did not.
 //
-// A build with the tag "ground" can be told that the disk fails, for the proving ground's tests (internal/ground); the product has no
+// A build with the tag "faultinject" can be told that the disk fails, for the proving ground's tests (internal/faulttest); the product has no
 // such door.
 package disk
 
--- a/internal/disk/failing.go
+++ b/internal/disk/failing.go
@@ -1,4 +1,4 @@
-//go:build ground
+//go:build faultinject
 
 package disk
 
--- a/internal/emulator/emulator.go
+++ b/internal/emulator/emulator.go
@@ -10,9 +10,9 @@
 	"strings"
 	"time"
 
-	"clayladder/internal/figures"
-	"clayladder/internal/scenario"
-	"clayladder/internal/spread"
+	"olivearch/internal/loadspread"
+	"olivearch/internal/scenario"
+	"olivearch/internal/stats"
 )
 
 const (
@@ -38,7 +38,7 @@
 	meant    time.Duration
 	size     float64
 	deadline time.Duration
-	balancer balancer
+	balancer simulatedBalancer
 	ended    bool
 	mayHave  int // attempts that may have run
 	runs     int
@@ -62,19 +62,19 @@
 }
 
 // end is the one final answer, on its way to the client.
-func (r *request) end(e figures.End) {
+func (r *request) end(e stats.End) {
 	if r.ended {
 		r.w.breach("request %d has two answers", r.id)
 		return
 	}
 	r.ended = true
-	if e == figures.Refused && r.mayHave > 0 && r.load.Repeat == "unsafe" {
+	if e == stats.Refused && r.mayHave > 0 && r.load.Repeat == "unsafe" {
 		r.w.breach("unsafe request %d was refused, which promises that it never ran, and may have run", r.id)
 	}
 	r.w.after(hop, func() {
 		w := r.w
 		w.turn.AskedAll++
-		if e == figures.Served {
+		if e == stats.Served {
 			w.turn.ServedAll++
 		}
 		if w.now > r.deadline+slack {
@@ -87,14 +87,14 @@
 	})
 }
 
-// balancer is one instance of a contender.
-type balancer interface {
+// simulatedBalancer is one instance of a contender.
+type simulatedBalancer interface {
 	// take receives a request, which gets its end by its deadline.
 	take(r *request)
 	// list tells the nodes that are listed. Each call has the whole list.
 	list(nodes []*node)
 	// sample adds what it knows of a node.
-	sample(n *node, s *figures.NodeSample)
+	sample(n *node, s *stats.NodeSample)
 }
 
 // world is one turn.
@@ -103,11 +103,11 @@
 	file      *scenario.File
 	start     time.Duration // of the measuring
 	nodes     []*node
-	balancers []balancer
+	balancers []simulatedBalancer
 	parts     []float64  // up to each balancer, the part of all requests that comes to those before it and to it
 	rng       *rand.Rand // of clients: which balancer each request comes to
-	recorder  *figures.Recorder
-	turn      figures.Turn
+	recorder  *stats.Recorder
+	turn      stats.Turn
 	serial    uint64
 	silent    bool // nothing is told of lists
 	changed   bool // since then
@@ -116,7 +116,7 @@
 
 // pair is a balancer and a node that it has sent something.
 type pair struct {
-	b balancer
+	b simulatedBalancer
 	n *node
 }
 
@@ -125,8 +125,8 @@
 	for i := range f.Fleet {
 		nodes += f.Fleet[i].Count
 	}
-	return &world{clock: clock{now: origin}, file: f, start: start, recorder: figures.NewRecorder(time.Duration(f.Length)),
-		turn: figures.Turn{Spread: spread.New(nodes)}, pairs: map[pair]bool{}}
+	return &world{clock: clock{now: origin}, file: f, start: start, recorder: stats.NewRecorder(time.Duration(f.Length)),
+		turn: stats.Turn{Spread: loadspread.New(nodes)}, pairs: map[pair]bool{}}
 }
 
 // breach notes that a rule was broken.
@@ -137,7 +137,7 @@
 }
 
 // Play plays a scenario for one contender, once.
-func Play(f *scenario.File, contender string, repeat int) (figures.Turn, error) {
+func Play(f *scenario.File, contender string, repeat int) (stats.Turn, error) {
 	seed := uint64(f.Seed)*1000003 + uint64(repeat)
 	w := newWorld(f, origin+time.Duration(f.Warmup))
 	w.rng = rand.New(rand.NewPCG(seed, 3))
@@ -151,7 +151,7 @@
 	for rank := range f.Balancers {
 		b, err := w.newBalancer(contender, rank, seed+uint64(rank)*7919)
 		if err != nil {
-			return figures.Turn{}, err
+			return stats.Turn{}, err
 		}
 		w.balancers = append(w.balancers, b)
 	}
@@ -182,7 +182,7 @@
 	return w.turn, err
 }
 
-func (w *world) newBalancer(contender string, rank int, seed uint64) (balancer, error) {
+func (w *world) newBalancer(contender string, rank int, seed uint64) (simulatedBalancer, error) {
 	switch contender {
 	case scenario.Olivearch:
 		return newModule(w, rank, seed)
@@ -323,7 +323,7 @@
 		return
 	}
 	for _, n := range w.nodes[:min(len(w.nodes), sampleMost)] {
-		s := figures.NodeSample{AtMS: (w.now - w.start).Milliseconds(), Node: n.name, Runs: n.runs}
+		s := stats.NodeSample{AtMS: (w.now - w.start).Milliseconds(), Node: n.name, Runs: n.runs}
 		w.balancers[0].sample(n, &s)
 		w.turn.Nodes = append(w.turn.Nodes, s)
 	}
--- a/internal/emulator/emulator_test.go
+++ b/internal/emulator/emulator_test.go
@@ -7,9 +7,9 @@
 	"testing"
 	"time"
 
-	"clayladder/internal/figures"
-	"clayladder/internal/picker"
-	"clayladder/internal/scenario"
+	"olivearch/internal/lbpolicy"
+	"olivearch/internal/scenario"
+	"olivearch/internal/stats"
 )
 
 func parse(t *testing.T, text string) *scenario.File {
@@ -21,7 +21,7 @@
 	return f
 }
 
-func play(t *testing.T, f *scenario.File, contender string) (figures.Turn, *figures.Sum) {
+func play(t *testing.T, f *scenario.File, contender string) (stats.Turn, *stats.Sum) {
 	t.Helper()
 	x, err := Play(f, contender, 0)
 	if err != nil {
@@ -30,7 +30,7 @@
 	if x.Breaches > 0 {
 		t.Errorf("%s, %s: %d breaches: %s", f.Name, contender, x.Breaches, x.Breach)
 	}
-	return x, figures.Total([]*figures.Turn{&x})
+	return x, stats.Total([]*stats.Turn{&x})
 }
 
 const troubled = `
@@ -56,7 +56,7 @@
 // and nothing is asked without an end.
 func TestSameSeedSameBytes(t *testing.T) {
 	f := parse(t, troubled)
-	for _, c := range append(picker.Names(), scenario.Olivearch) {
+	for _, c := range append(lbpolicy.Names(), scenario.Olivearch) {
 		x, sum := play(t, f, c)
 		y, _ := play(t, f, c)
 		one, err := json.Marshal(x)
@@ -81,13 +81,13 @@
 func TestBreachesAreFound(t *testing.T) {
 	f := parse(t, strings.Replace(troubled, "tip_multiple: 3", "tip_multiple: 0.05", 1))
 	for what, do := range map[string]func(w *world, r *request){
-		"has two answers":        func(w *world, r *request) { r.end(figures.Served); r.end(figures.Served) },
+		"has two answers":        func(w *world, r *request) { r.end(stats.Served); r.end(stats.Served) },
 		"was sent again":         func(w *world, r *request) { r.arrived(w.nodes[0]); r.arrived(w.nodes[1]) },
 		"ran 2 times":            func(w *world, r *request) { r.executed(w.nodes[0]); r.executed(w.nodes[0]) },
-		"promises that it never": func(w *world, r *request) { r.arrived(w.nodes[0]); r.end(figures.Refused) },
+		"promises that it never": func(w *world, r *request) { r.arrived(w.nodes[0]); r.end(stats.Refused) },
 		"after its deadline": func(w *world, r *request) {
 			w.now += 2 * time.Second
-			r.end(figures.Failed)
+			r.end(stats.Failed)
 			w.run(w.now + time.Second)
 		},
 		"after the drain was told": func(w *world, r *request) {
--- a/internal/emulator/module.go
+++ b/internal/emulator/module.go
@@ -3,10 +3,10 @@
 import (
 	"time"
 
-	"clayladder"
-	"clayladder/internal/config"
-	"clayladder/internal/figures"
-	"clayladder/internal/scenario"
+	"olivearch/balancer"
+	"olivearch/internal/config"
+	"olivearch/internal/scenario"
+	"olivearch/internal/stats"
 )
 
 // flight is a request at the module.
@@ -29,25 +29,25 @@
 // calling are told after it has returned; at a request's deadline what is out ends as timed out.
 type module struct {
 	w       *world
-	b       *clayladder.Balancer
-	flights map[clayladder.RequestID]*flight
+	b       *balancer.Balancer
+	flights map[balancer.RequestID]*flight
 	calls   int // the module is being called
 	due     []func()
-	view    map[clayladder.UpstreamID]clayladder.UpstreamView
+	view    map[balancer.UpstreamID]balancer.UpstreamView
 	viewAt  time.Duration
 }
 
-var _ clayladder.Host = (*module)(nil)
+var _ balancer.Host = (*module)(nil)
 
-func newModule(w *world, rank int, seed uint64) (balancer, error) {
+func newModule(w *world, rank int, seed uint64) (simulatedBalancer, error) {
 	c, err := config.Parse("scenario", []byte(w.file.Config("127.0.0.1:1", "127.0.0.1:2", "{discovery: '127.0.0.1:3'}")))
 	if err != nil {
 		return nil, err
 	}
 	s := c.Settings(scenario.Pool)
 	s.Rank = rank
-	m := &module{w: w, flights: map[clayladder.RequestID]*flight{}}
-	m.b, err = clayladder.New(s, seed, w.now, m)
+	m := &module{w: w, flights: map[balancer.RequestID]*flight{}}
+	m.b, err = balancer.New(s, seed, w.now, m)
 	return m, err
 }
 
@@ -68,88 +68,88 @@
 }
 
 func (m *module) list(nodes []*node) {
-	var list []clayladder.Upstream
+	var list []balancer.Upstream
 	for _, n := range nodes {
-		u := clayladder.Upstream{ID: clayladder.UpstreamID(n.index + 1), Zone: n.Zone, Weight: n.Weight, Part: 1, Most: m.w.file.Connections}
+		u := balancer.Upstream{ID: balancer.UpstreamID(n.index + 1), Zone: n.Zone, Weight: n.Weight, Part: 1, Most: m.w.file.Connections}
 		if n.started >= 0 {
 			u.StartedAt = n.started
 		}
 		if n.draining {
-			u.State = clayladder.Draining
+			u.State = balancer.Draining
 		}
 		list = append(list, u)
 	}
-	m.call(func() { m.b.Members(m.w.now, clayladder.ListFull, list) })
+	m.call(func() { m.b.Members(m.w.now, balancer.ListFull, list) })
 }
 
 func (m *module) take(r *request) {
 	if len(m.flights) >= m.w.file.Queue {
-		r.end(figures.Refused)
+		r.end(stats.Refused)
 		return
 	}
-	id := clayladder.RequestID(r.id)
+	id := balancer.RequestID(r.id)
 	f := &flight{request: r}
 	m.flights[id] = f
 	m.w.after(r.deadline-m.w.now, func() {
 		for _, a := range f.attempts {
-			m.tell(a, clayladder.Timeout, report{})
+			m.tell(a, balancer.Timeout, report{})
 		}
 	})
 	m.call(func() {
-		m.b.Request(m.w.now, clayladder.Request{ID: id, Budget: r.deadline - m.w.now, Class: r.load.Name, Tenant: r.load.Tenant})
+		m.b.Request(m.w.now, balancer.Request{ID: id, Budget: r.deadline - m.w.now, Class: r.load.Name, Tenant: r.load.Tenant})
 	})
 }
 
 // tell gives the module an attempt's one outcome, and the client the answer if it is served.
-func (m *module) tell(a *attempt, s clayladder.Status, x report) {
+func (m *module) tell(a *attempt, s balancer.Status, x report) {
 	if a.told {
 		return
 	}
 	a.told = true
 	f := a.flight
-	if s == clayladder.OK && !f.ended {
-		f.end(figures.Served)
+	if s == balancer.OK && !f.ended {
+		f.end(stats.Served)
 	}
 	f.out--
 	closed := f.ended
 	m.release(f)
-	o := clayladder.Outcome{ID: clayladder.RequestID(f.id), Upstream: clayladder.UpstreamID(a.node.index + 1), Attempt: a.n, Latency: m.w.now - a.sentAt,
+	o := balancer.Outcome{ID: balancer.RequestID(f.id), Upstream: balancer.UpstreamID(a.node.index + 1), Attempt: a.n, Latency: m.w.now - a.sentAt,
 		Status: s, Closed: closed}
 	if x.known {
-		o.Load = clayladder.Load{Fields: clayladder.HasUtil | clayladder.HasService | clayladder.HasRate | clayladder.HasErrors, Util: x.util, Service: x.latency, Rate: x.qps}
+		o.Load = balancer.Load{Fields: balancer.HasUtil | balancer.HasService | balancer.HasRate | balancer.HasErrors, Util: x.util, Service: x.latency, Rate: x.qps}
 	}
 	m.call(func() { m.b.Outcome(m.w.now, o) })
 }
 
 func (m *module) release(f *flight) {
 	if f.ended && f.out == 0 {
-		delete(m.flights, clayladder.RequestID(f.id))
+		delete(m.flights, balancer.RequestID(f.id))
 	}
 }
 
 // Send makes an attempt.
-func (m *module) Send(id clayladder.RequestID, up clayladder.UpstreamID, timeout time.Duration) {
+func (m *module) Send(id balancer.RequestID, up balancer.UpstreamID, timeout time.Duration) {
 	f, n := m.flights[id], m.w.nodes[up-1]
 	a := &attempt{flight: f, n: len(f.attempts), node: n, sentAt: m.w.now}
 	f.attempts = append(f.attempts, a)
 	f.out++
 	if timeout > 0 {
-		m.w.after(timeout, func() { m.tell(a, clayladder.Timeout, report{}) })
+		m.w.after(timeout, func() { m.tell(a, balancer.Timeout, report{}) })
 	}
 	way := hop + time.Duration(n.Delay)
-	statuses := map[reply]clayladder.Status{answered: clayladder.OK, full: clayladder.Full, refused: clayladder.ConnectFailed, reset: clayladder.Reset}
+	statuses := map[reply]balancer.Status{answered: balancer.OK, full: balancer.Full, refused: balancer.ConnectFailed, reset: balancer.Reset}
 	j := &job{request: f.request, size: f.size}
 	j.back = func(v reply, x report) { m.w.after(way, func() { m.tell(a, statuses[v], x) }) }
 	m.w.after(way, func() { n.take(j) })
 }
 
 // Refuse answers a client.
-func (m *module) Refuse(id clayladder.RequestID, _ time.Duration) { m.answer(id, figures.Refused) }
+func (m *module) Refuse(id balancer.RequestID, _ time.Duration) { m.answer(id, stats.Refused) }
 
 // Fail answers a client.
-func (m *module) Fail(id clayladder.RequestID) { m.answer(id, figures.Failed) }
+func (m *module) Fail(id balancer.RequestID) { m.answer(id, stats.Failed) }
 
-func (m *module) answer(id clayladder.RequestID, e figures.End) {
+func (m *module) answer(id balancer.RequestID, e stats.End) {
 	if f := m.flights[id]; f != nil && !f.ended {
 		f.end(e)
 		m.release(f)
@@ -157,9 +157,9 @@
 }
 
 // Cancel stops waiting for an attempt.
-func (m *module) Cancel(id clayladder.RequestID, n int) {
+func (m *module) Cancel(id balancer.RequestID, n int) {
 	if f := m.flights[id]; f != nil && n < len(f.attempts) {
-		m.due = append(m.due, func() { m.tell(f.attempts[n], clayladder.Cancelled, report{}) })
+		m.due = append(m.due, func() { m.tell(f.attempts[n], balancer.Cancelled, report{}) })
 	}
 }
 
@@ -170,20 +170,20 @@
 
 // The rest has no part here: nodes are not probed, connections not modelled, lists pushed.
 
-func (m *module) Probe(clayladder.UpstreamID)      {}
-func (m *module) Disconnect(clayladder.UpstreamID) {}
-func (m *module) Watch(bool)                       {}
-func (m *module) Fetch()                           {}
-func (m *module) Log(string)                       {}
+func (m *module) Probe(balancer.UpstreamID)      {}
+func (m *module) Disconnect(balancer.UpstreamID) {}
+func (m *module) Watch(bool)                     {}
+func (m *module) Fetch()                         {}
+func (m *module) Log(string)                     {}
 
-func (m *module) sample(n *node, s *figures.NodeSample) {
+func (m *module) sample(n *node, s *stats.NodeSample) {
 	if m.view == nil || m.viewAt != m.w.now {
 		views, _ := m.b.View(m.w.now)
-		m.view, m.viewAt = map[clayladder.UpstreamID]clayladder.UpstreamView{}, m.w.now
+		m.view, m.viewAt = map[balancer.UpstreamID]balancer.UpstreamView{}, m.w.now
 		for _, v := range views {
 			m.view[v.ID] = v
 		}
 	}
-	v := m.view[clayladder.UpstreamID(n.index+1)]
+	v := m.view[balancer.UpstreamID(n.index+1)]
 	s.Share, s.Mean, s.Lower, s.Upper, s.Bound, s.Out = v.Share, v.Mean, v.Lower, v.Upper, v.Bound, v.Out
 }
--- a/internal/emulator/node.go
+++ b/internal/emulator/node.go
@@ -4,8 +4,8 @@
 	"slices"
 	"time"
 
-	"clayladder/internal/picker"
-	"clayladder/internal/scenario"
+	"olivearch/internal/lbpolicy"
+	"olivearch/internal/scenario"
 )
 
 // reply is what comes back of one attempt.
@@ -57,7 +57,7 @@
 	runs     int
 	busy     time.Duration
 	latency  float64 // mean of late, ms
-	recent   picker.Latencies
+	recent   lbpolicy.Latencies
 	readAt   time.Duration
 	runsRead int
 	last     report
--- a/internal/emulator/plain.go
+++ b/internal/emulator/plain.go
@@ -3,8 +3,8 @@
 import (
 	"time"
 
-	"clayladder/internal/figures"
-	"clayladder/internal/picker"
+	"olivearch/internal/lbpolicy"
+	"olivearch/internal/stats"
 )
 
 // triesMost bounds how often a plain proxy asks on for a request that never ran, or may run again.
@@ -13,18 +13,18 @@
 // plain is a plain proxy: a picker and a queue. It repeats what never ran, and safe requests whose connection was lost.
 type plain struct {
 	w     *world
-	d     *picker.Dispatch
+	d     *lbpolicy.Dispatch
 	nodes []*node // by the dispatch's number
 	open  map[uint64]*request
 	tries map[uint64]int
 }
 
-func newPlain(w *world, name string, seed uint64) (balancer, error) {
-	p, err := picker.New(name, seed)
+func newPlain(w *world, name string, seed uint64) (simulatedBalancer, error) {
+	p, err := lbpolicy.New(name, seed)
 	if err != nil {
 		return nil, err
 	}
-	return &plain{w: w, d: picker.NewDispatch(p, w.file.Connections), open: map[uint64]*request{}, tries: map[uint64]int{}}, nil
+	return &plain{w: w, d: lbpolicy.NewDispatch(p, w.file.Connections), open: map[uint64]*request{}, tries: map[uint64]int{}}, nil
 }
 
 func (p *plain) list(nodes []*node) {
@@ -50,14 +50,14 @@
 
 func (p *plain) take(r *request) {
 	if p.d.Waiting() >= p.w.file.Queue {
-		r.end(figures.Refused)
+		r.end(stats.Refused)
 		return
 	}
 	p.open[r.id] = r
 	p.w.after(r.deadline-p.w.now, func() {
 		if !r.ended {
 			p.d.Gone(r.id)
-			p.close(r, figures.Failed)
+			p.close(r, stats.Failed)
 		}
 	})
 	if k, ok := p.d.Arrive(p.w.now, r.id); ok {
@@ -66,7 +66,7 @@
 	p.probe()
 }
 
-func (p *plain) close(r *request, e figures.End) {
+func (p *plain) close(r *request, e stats.End) {
 	delete(p.open, r.id)
 	delete(p.tries, r.id)
 	r.end(e)
@@ -76,13 +76,13 @@
 func (p *plain) send(r *request, k int) {
 	w, n, at, done := p.w, p.nodes[k], p.w.now, false
 	p.tries[r.id]++
-	end := func(o picker.Outcome, x report) {
+	end := func(o lbpolicy.Outcome, x report) {
 		done = true
-		p.d.Done(w.now, k, w.now-at, o, picker.Report{Known: x.known, Util: x.util, Rate: x.qps})
+		p.d.Done(w.now, k, w.now-at, o, lbpolicy.Report{Known: x.known, Util: x.util, Rate: x.qps})
 	}
 	w.after(r.deadline-w.now, func() {
 		if !done {
-			end(picker.Failed, report{})
+			end(lbpolicy.Failed, report{})
 			p.turn()
 		}
 	})
@@ -91,25 +91,25 @@
 			if done {
 				return
 			}
-			o := picker.Answered
+			o := lbpolicy.Answered
 			if v == refused || v == reset {
-				o = picker.Failed
+				o = lbpolicy.Failed
 			}
 			end(o, x)
 			switch again := p.tries[r.id] < triesMost; {
 			case r.ended:
 			case v == answered:
-				p.close(r, figures.Served)
+				p.close(r, stats.Served)
 			case v == full:
-				p.close(r, figures.Refused)
+				p.close(r, stats.Refused)
 			case again && (v == refused || r.load.Repeat == "safe"):
 				if k, ok := p.d.Again(w.now); ok {
 					p.send(r, k)
 					break
 				}
-				p.close(r, figures.Failed)
+				p.close(r, stats.Failed)
 			default:
-				p.close(r, figures.Failed)
+				p.close(r, stats.Failed)
 			}
 			p.turn()
 		})
@@ -143,4 +143,4 @@
 	}
 }
 
-func (p *plain) sample(*node, *figures.NodeSample) {}
+func (p *plain) sample(*node, *stats.NodeSample) {}
--- a/internal/keep/golden_test.go
+++ b/internal/endpointcache/golden_test.go
@@ -1,4 +1,4 @@
-package keep
+package endpointcache
 
 import (
 	"os"
@@ -6,9 +6,9 @@
 	"reflect"
 	"testing"
 
-	"clayladder/internal/discovery"
-	"clayladder/internal/disk"
-	"clayladder/internal/golden"
+	"olivearch/internal/discovery"
+	"olivearch/internal/disk"
+	"olivearch/internal/golden"
 )
 
 // TestGoldenList reads a list that an earlier version stored, and writes the same bytes.
--- a/internal/keep/keep.go
+++ b/internal/endpointcache/keep.go
@@ -1,7 +1,7 @@
 // Package keep keeps the list that a pool was last told on a disk, so that a process that starts while its list's source is down
 // begins with it. It is not in the way of anything: the pool hands lists over and goes on, and of several that come while one is
 // written only the last is written.
-package keep
+package endpointcache
 
 import (
 	"encoding/json"
@@ -13,8 +13,8 @@
 	"strings"
 	"sync"
 
-	"clayladder/internal/discovery"
-	"clayladder/internal/disk"
+	"olivearch/internal/discovery"
+	"olivearch/internal/disk"
 )
 
 // most bounds a kept list, in bytes.
--- a/internal/keep/keep_test.go
+++ b/internal/endpointcache/keep_test.go
@@ -1,4 +1,4 @@
-package keep
+package endpointcache
 
 import (
 	"errors"
@@ -6,8 +6,8 @@
 	"path/filepath"
 	"testing"
 
-	"clayladder/internal/discovery"
-	"clayladder/internal/disk"
+	"olivearch/internal/discovery"
+	"olivearch/internal/disk"
 )
 
 func member(id, phase string) discovery.Member {
--- a/internal/keep/size_test.go
+++ b/internal/endpointcache/size_test.go
@@ -1,11 +1,11 @@
-package keep
+package endpointcache
 
 import (
 	"fmt"
 	"path/filepath"
 	"testing"
 
-	"clayladder/internal/discovery"
+	"olivearch/internal/discovery"
 )
 
 // What a kept list costs when one of its entries changes, by its length: the file is written whole.
--- a/internal/nodelist/list.go
+++ b/internal/endpointlist/list.go
@@ -1,6 +1,6 @@
 // Package nodelist keeps the lists of nodes that come from files or stand in the configuration. A list is checked whole
 // before it counts: a torn or bad one changes nothing.
-package nodelist
+package endpointlist
 
 import (
 	"fmt"
@@ -8,7 +8,7 @@
 	"strings"
 	"time"
 
-	"clayladder/internal/strictyaml"
+	"olivearch/internal/strictyaml"
 )
 
 // maxFile bounds a list's file, in bytes.
--- a/internal/nodelist/look.go
+++ b/internal/endpointlist/look.go
@@ -1,4 +1,4 @@
-package nodelist
+package endpointlist
 
 import (
 	"hash/maphash"
@@ -6,7 +6,7 @@
 	"syscall"
 	"time"
 
-	"clayladder/internal/strictyaml"
+	"olivearch/internal/strictyaml"
 )
 
 // stamp tells one state of a file from others, as far as the system's clock for files is fine enough: two writes within
--- a/internal/nodelist/watch.go
+++ b/internal/endpointlist/watch.go
@@ -1,4 +1,4 @@
-package nodelist
+package endpointlist
 
 import (
 	"container/heap"
--- a/internal/experiment/contender.go
+++ b/internal/experiment/contender.go
@@ -17,11 +17,11 @@
 	"syscall"
 	"time"
 
-	"clayladder/internal/config"
-	"clayladder/internal/nodelist"
-	"clayladder/internal/scenario"
-	"clayladder/internal/service"
-	"clayladder/internal/standin/plainproxy"
+	"olivearch/internal/config"
+	"olivearch/internal/endpointlist"
+	"olivearch/internal/scenario"
+	"olivearch/internal/service"
+	"olivearch/internal/standin/plainproxy"
 )
 
 // Role is the command-line word with which this program starts itself as a contender: ROLE NAME FOLDER CAP QUEUE SEED. The
@@ -63,7 +63,7 @@
 		return err
 	}
 	list := filepath.Join(folder, listFile)
-	go nodelist.Watch(ctx, list, time.Second, p.List, func(error) {}) // a bad list changes nothing; it ends with the process
+	go endpointlist.Watch(ctx, list, time.Second, p.List, func(error) {}) // a bad list changes nothing; it ends with the process
 	server := &http.Server{Handler: p}
 	go func() { <-ctx.Done(); server.Close() }()
 	fmt.Fprintln(out, l.Addr())
--- a/internal/experiment/experiment.go
+++ b/internal/experiment/experiment.go
@@ -16,14 +16,14 @@
 	"sync"
 	"time"
 
-	"clayladder/internal/emulator"
-	"clayladder/internal/figures"
-	"clayladder/internal/live"
-	"clayladder/internal/loadgen"
-	"clayladder/internal/nodelist"
-	"clayladder/internal/procstat"
-	"clayladder/internal/scenario"
-	"clayladder/internal/standin/fleet"
+	"olivearch/internal/emulator"
+	"olivearch/internal/endpointlist"
+	"olivearch/internal/live"
+	"olivearch/internal/loadgen"
+	"olivearch/internal/procstat"
+	"olivearch/internal/scenario"
+	"olivearch/internal/standin/fleet"
+	"olivearch/internal/stats"
 )
 
 // The modes of an experiment.
@@ -49,13 +49,13 @@
 }
 
 // Run plays a scenario. Contenders take turns, in alternating order.
-func Run(ctx context.Context, f *scenario.File, o Options) (*figures.Result, error) {
+func Run(ctx context.Context, f *scenario.File, o Options) (*stats.Result, error) {
 	if f.Modes != "both" && f.Modes != o.Mode {
 		return nil, fmt.Errorf("scenario %s is played in mode %s alone", f.Name, f.Modes)
 	}
 	play := *f
 	play.Repeats, play.Seed = cmp.Or(o.Repeats, f.Repeats), cmp.Or(o.Seed, f.Seed)
-	r := &figures.Result{Scenario: f.Name, About: f.About, Mode: o.Mode, Seed: play.Seed, Cores: runtime.NumCPU()}
+	r := &stats.Result{Scenario: f.Name, About: f.About, Mode: o.Mode, Seed: play.Seed, Cores: runtime.NumCPU()}
 	for _, c := range f.Contenders {
 		if (len(o.Contenders) == 0 || slices.Contains(o.Contenders, c)) && (c != scenario.Reverse || o.Mode == Sockets) {
 			r.Contenders = append(r.Contenders, c)
@@ -66,9 +66,9 @@
 	}
 	for _, t := range f.Troubles {
 		where := strings.Join(t.Nodes, ", ")
-		r.Marks = append(r.Marks, figures.Mark{AtMS: time.Duration(t.At).Milliseconds(), Text: strings.TrimSpace(t.Kind + " " + where)})
+		r.Marks = append(r.Marks, stats.Mark{AtMS: time.Duration(t.At).Milliseconds(), Text: strings.TrimSpace(t.Kind + " " + where)})
 		if t.For > 0 {
-			r.Marks = append(r.Marks, figures.Mark{AtMS: time.Duration(t.At + t.For).Milliseconds(), Text: "end of " + t.Kind})
+			r.Marks = append(r.Marks, stats.Mark{AtMS: time.Duration(t.At + t.For).Milliseconds(), Text: "end of " + t.Kind})
 		}
 	}
 	for k := range play.Repeats {
@@ -80,7 +80,7 @@
 			if err := ctx.Err(); err != nil {
 				return nil, err
 			}
-			var t figures.Turn
+			var t stats.Turn
 			var err error
 			if o.Mode == Simulated {
 				t, err = emulator.Play(&play, c, k)
@@ -91,7 +91,7 @@
 				return nil, fmt.Errorf("scenario %s, %s: %w", f.Name, c, err)
 			}
 			r.Turns = append(r.Turns, t)
-			s := figures.Total([]*figures.Turn{&t})
+			s := stats.Total([]*stats.Turn{&t})
 			fmt.Fprintf(o.Progress, "%-16s %-9s %-12s turn %d of %d: %6d asked, %6.2f %% in time, %5.2f %% refused, p50 %7.2f ms, p99 %7.2f ms, %d breaches\n", f.Name, o.Mode, c,
 				k+1, play.Repeats, s.Asked, 100*float64(s.InAim)/float64(max(1, s.Asked)), 100*float64(s.Refused)/float64(max(1, s.Asked)), s.Quantile(0.5), s.Quantile(0.99), t.Breaches)
 		}
@@ -106,18 +106,18 @@
 	judge  *fleet.Judge
 	nodes  []*fleet.Node
 	mu     sync.Mutex
-	phases map[string]nodelist.Phase
+	phases map[string]endpointlist.Phase
 	silent bool // the list's file is left as it is
 }
 
 // turn plays one contender once, with a fleet of its own.
-func turn(ctx context.Context, f *scenario.File, contender string, repeat int, program string) (t figures.Turn, err error) {
-	folder, err := os.MkdirTemp("", "olivebench")
+func turn(ctx context.Context, f *scenario.File, contender string, repeat int, program string) (t stats.Turn, err error) {
+	folder, err := os.MkdirTemp("", "olivearch-bench")
 	if err != nil {
 		return t, err
 	}
 	defer os.RemoveAll(folder)
-	s := &stage{file: f, folder: folder, judge: fleet.NewJudge(grace), phases: map[string]nodelist.Phase{}}
+	s := &stage{file: f, folder: folder, judge: fleet.NewJudge(grace), phases: map[string]endpointlist.Phase{}}
 	defer s.close()
 	seed := uint64(f.Seed)*1000003 + uint64(repeat)
 	if err := s.fleet(seed); err != nil {
@@ -128,7 +128,7 @@
 		return t, err
 	}
 	defer p.stop()
-	t = figures.Turn{Contender: contender, Repeat: repeat, Seconds: time.Duration(f.Length).Seconds()}
+	t = stats.Turn{Contender: contender, Repeat: repeat, Seconds: time.Duration(f.Length).Seconds()}
 	begin := time.Now().Add(time.Duration(f.Warmup))
 	run := &loadgen.Run{File: f, Address: p.address, Judge: s.judge, Seed: seed, Start: begin}
 	life, end := context.WithDeadline(ctx, begin.Add(time.Duration(f.Length)))
@@ -177,7 +177,7 @@
 				return err
 			}
 			s.nodes = append(s.nodes, n)
-			s.phases[n.ID] = nodelist.Up
+			s.phases[n.ID] = endpointlist.Up
 		}
 	}
 	return s.list()
@@ -190,7 +190,7 @@
 	if s.silent {
 		return nil
 	}
-	var entries []nodelist.Node
+	var entries []endpointlist.Node
 	for _, n := range s.nodes {
 		entries = append(entries, n.Entry(s.phases[n.ID]))
 	}
@@ -254,7 +254,7 @@
 			}
 		case x.Kind == "drain":
 			s.mu.Lock()
-			s.phases[n.ID] = map[bool]nodelist.Phase{true: nodelist.Draining, false: nodelist.Up}[x.on]
+			s.phases[n.ID] = map[bool]endpointlist.Phase{true: endpointlist.Draining, false: endpointlist.Up}[x.on]
 			s.mu.Unlock()
 		}
 	}
@@ -274,7 +274,7 @@
 }
 
 // samples notes what goes on at the nodes; from olivearch's live view, where there is one.
-func (s *stage) samples(ctx context.Context, begin time.Time, admin string) (all []figures.NodeSample) {
+func (s *stage) samples(ctx context.Context, begin time.Time, admin string) (all []stats.NodeSample) {
 	client := &http.Client{Timeout: time.Second}
 	defer client.CloseIdleConnections()
 	tick := time.NewTicker(sampleEvery)
@@ -294,7 +294,7 @@
 		at := time.Since(begin).Milliseconds()
 		for _, n := range s.nodes[:min(len(s.nodes), sampleMost)] {
 			v := views[n.ID]
-			all = append(all, figures.NodeSample{AtMS: at, Node: n.ID, Runs: n.Runs(), Share: v.Share, Mean: v.Mean, Lower: v.Lower, Upper: v.Upper, Bound: v.Bound, Out: v.Out})
+			all = append(all, stats.NodeSample{AtMS: at, Node: n.ID, Runs: n.Runs(), Share: v.Share, Mean: v.Mean, Lower: v.Lower, Upper: v.Upper, Bound: v.Bound, Out: v.Out})
 		}
 	}
 }
--- a/internal/experiment/experiment_test.go
+++ b/internal/experiment/experiment_test.go
@@ -11,9 +11,9 @@
 	"testing"
 	"time"
 
-	"clayladder/internal/figures"
-	"clayladder/internal/picker"
-	"clayladder/internal/scenario"
+	"olivearch/internal/lbpolicy"
+	"olivearch/internal/scenario"
+	"olivearch/internal/stats"
 )
 
 // The test's binary is a contender where it starts itself as one.
@@ -37,7 +37,7 @@
 	return f
 }
 
-func run(t *testing.T, f *scenario.File, o Options) *figures.Result {
+func run(t *testing.T, f *scenario.File, o Options) *stats.Result {
 	t.Helper()
 	var progress bytes.Buffer
 	o.Progress = &progress
@@ -63,12 +63,12 @@
   - {name: checkin, rate: 20, deadline: 2s, tenant: aero, quota: 100, sizes: {kind: uniform, spread: 0.5}}
 `)
 	r := run(t, f, Options{Mode: Sockets})
-	if len(r.Turns) != len(picker.Names())+2 {
+	if len(r.Turns) != len(lbpolicy.Names())+2 {
 		t.Errorf("%d turns", len(r.Turns))
 	}
 	for i := range r.Turns {
 		x := &r.Turns[i]
-		sum := figures.Total([]*figures.Turn{x})
+		sum := stats.Total([]*stats.Turn{x})
 		if sum.Served < 20 || sum.Failed+sum.Refused > 0 || x.Executions != x.ServedAll || x.Breaches > 0 {
 			t.Errorf("%s: %+v, %d executions, %d breaches: %s", x.Contender, sum.Block, x.Executions, x.Breaches, x.Breach)
 		}
@@ -155,7 +155,7 @@
 load: [{name: maps, rate: 250, repeat: safe, sizes: {kind: exponential}, aim: 100ms, deadline: 2s}]
 `)
 	simulated := run(t, f, Options{Mode: Simulated})
-	var real *figures.Result
+	var real *stats.Result
 	for try := 1; ; try++ {
 		late := oversleep(func() { real = run(t, f, Options{Mode: Sockets}) })
 		t.Logf("try %d: sleeps took longer by %v", try, late)
