--- a/internal/ground/askers.go
+++ b/internal/faulttest/askers.go
@@ -1,4 +1,4 @@
-package ground
+package faulttest
 
 import (
 	"context"
@@ -10,10 +10,10 @@
 
 	"github.com/HdrHistogram/hdrhistogram-go"
 
-	"clayladder/internal/ground/event"
-	"clayladder/internal/ground/history"
-	"clayladder/internal/ledger"
-	"clayladder/internal/promise"
+	"olivearch/internal/coordination/client"
+	"olivearch/internal/coordination/state"
+	"olivearch/internal/faulttest/event"
+	"olivearch/internal/faulttest/history"
 )
 
 // askers are the clients of the ledger's voters.
@@ -21,7 +21,7 @@
 	*world
 	history *history.History
 	all     sync.WaitGroup
-	watched []*ledger.Copy
+	watched []*client.Copy
 
 	mu       sync.Mutex
 	yes      *hdrhistogram.Histogram // us
@@ -53,8 +53,8 @@
 	return all
 }
 
-func (w *world) newAsker(i int) *ledger.Caller {
-	return ledger.NewCaller(fmt.Sprintf("asker-%d", i), w.voterAddresses(firstAsker+i))
+func (w *world) newAsker(i int) *client.Caller {
+	return client.NewCaller(fmt.Sprintf("asker-%d", i), w.voterAddresses(firstAsker+i))
 }
 
 // ask lets the clients begin; nil: there are no voters.
@@ -67,7 +67,7 @@
 	defer setup.Close()
 	ctx, cancel := context.WithTimeout(w.ctx, finalWithin)
 	defer cancel()
-	for _, c := range []promise.Command{&promise.SetBound{Name: leaseBound, Limit: leaseLimit}, &promise.SetBound{Name: slotBound, Slots: true, Limit: slotLimit}} {
+	for _, c := range []state.Command{&state.SetBound{Name: leaseBound, Limit: leaseLimit}, &state.SetBound{Name: slotBound, Slots: true, Limit: slotLimit}} {
 		if _, err := setup.Propose(ctx, c); err != nil {
 			return nil, fmt.Errorf("the first promises: %w", err)
 		}
@@ -82,15 +82,15 @@
 	}
 	for i := range watchers {
 		name := fmt.Sprintf("watcher-%d", i)
-		c := ledger.Follow(name, w.voterAddresses(firstAsker+300+i), "", func([]promise.Word) {})
+		c := client.Follow(name, w.voterAddresses(firstAsker+300+i), "", func([]state.Word) {})
 		x.watched = append(x.watched, c)
 		x.all.Go(func() { x.watch(name, c, end) })
 	}
 	return x, nil
 }
 
-func capOf(subject string) promise.Subject {
-	return promise.Subject{Kind: promise.Cap, Scope: promise.Upstream, Target: subject}
+func capOf(subject string) state.Subject {
+	return state.Subject{Kind: state.Cap, Scope: state.Upstream, Target: subject}
 }
 
 // answered notes how a proposal ended; sure: it is known whether it holds.
@@ -103,9 +103,9 @@
 		x.gap, x.lastYes = max(x.gap, now.Sub(x.lastYes)), now
 		x.yes.RecordValue(max(1, took.Microseconds()))
 		return true, true
-	case errors.Is(err, ledger.ErrUnsure):
+	case errors.Is(err, client.ErrUnsure):
 		return false, false
-	case errors.Is(err, ledger.ErrNobody):
+	case errors.Is(err, client.ErrNobody):
 		x.nobody++
 	}
 	return false, true
@@ -118,7 +118,7 @@
 	rng := rand.New(rand.NewPCG(uint64(x.f.Seed), uint64(1000+i)))
 	mine := fmt.Sprintf("c-%d", i)
 	var lease *history.Lease
-	var held *ledger.Lease
+	var held *client.Lease
 	drop := func(until int64) {
 		if lease != nil {
 			lease.Until = min(lease.Until, until)
@@ -161,12 +161,12 @@
 			case err == nil:
 				drop(asked)
 				held, lease = got, &history.Lease{Bound: leaseBound, Holder: got.Holder, Parts: 1, Fence: got.Fence, Asked: asked, From: event.Now(), Until: until(got), Limit: leaseLimit}
-			case errors.Is(err, ledger.ErrRefused) && held != nil: // it has ended there, so it had ended here
+			case errors.Is(err, client.ErrRefused) && held != nil: // it has ended there, so it had ended here
 				drop(lease.Until)
 			}
 		case d < 19 && held != nil:
 			now := event.Now()
-			if _, err := c.Propose(ctx, &promise.Release{Bound: leaseBound, Holder: held.Holder, Fence: held.Fence}); !errors.Is(err, ledger.ErrNobody) {
+			if _, err := c.Propose(ctx, &state.Release{Bound: leaseBound, Holder: held.Holder, Fence: held.Fence}); !errors.Is(err, client.ErrNobody) {
 				drop(now) // whoever gives back does not use it any more, whatever comes of it
 			}
 		default:
@@ -177,13 +177,13 @@
 }
 
 // until is a lease's end on the clock of events.
-func until(l *ledger.Lease) int64 { return event.Now() + int64(time.Until(l.Until)) }
+func until(l *client.Lease) int64 { return event.Now() + int64(time.Until(l.Until)) }
 
-func (x *askers) write(ctx context.Context, c *ledger.Caller, i int, subject string, value int64) {
+func (x *askers) write(ctx context.Context, c *client.Caller, i int, subject string, value int64) {
 	from, began := event.Now(), time.Now()
-	var command promise.Command = &promise.SetWord{Subject: capOf(subject), Value: value, By: "ground"}
+	var command state.Command = &state.SetWord{Subject: capOf(subject), Value: value, By: "ground"}
 	if value == 0 {
-		command = &promise.ClearWord{Subject: capOf(subject), By: "ground"}
+		command = &state.ClearWord{Subject: capOf(subject), By: "ground"}
 	}
 	_, err := c.Propose(ctx, command)
 	held, sure := x.answered(err, time.Since(began))
@@ -200,7 +200,7 @@
 	}
 }
 
-func (x *askers) read(ctx context.Context, c *ledger.Caller, i int, subject string) {
+func (x *askers) read(ctx context.Context, c *client.Caller, i int, subject string) {
 	from := event.Now()
 	s, _, err := c.Read(ctx)
 	if err != nil {
@@ -210,9 +210,9 @@
 	x.history.Call(history.Call{Client: i, Subject: subject, Kind: history.Read, Value: w.Value, From: from, To: event.Now()})
 }
 
-func (x *askers) book(ctx context.Context, c *ledger.Caller, i int, n int64) {
+func (x *askers) book(ctx context.Context, c *client.Caller, i int, n int64) {
 	began := time.Now()
-	a, err := c.Propose(ctx, &promise.Book{Bound: slotBound, Holder: fmt.Sprintf("c-%d", i), Sequence: uint64(n), Places: 2, After: 1, Within: 30})
+	a, err := c.Propose(ctx, &state.Book{Bound: slotBound, Holder: fmt.Sprintf("c-%d", i), Sequence: uint64(n), Places: 2, After: 1, Within: 30})
 	if held, _ := x.answered(err, time.Since(began)); !held {
 		return
 	}
@@ -229,7 +229,7 @@
 	for n := int64(1); time.Now().Before(end) && x.ctx.Err() == nil && n < 1e6; n++ {
 		ctx, cancel := context.WithTimeout(x.ctx, askWithin)
 		began := time.Now()
-		_, err := c.Propose(ctx, &promise.SetWord{Subject: capOf(subject), Value: n, By: "ground"})
+		_, err := c.Propose(ctx, &state.SetWord{Subject: capOf(subject), Value: n, By: "ground"})
 		cancel()
 		switch held, sure := x.answered(err, time.Since(began)); {
 		case held:
@@ -241,7 +241,7 @@
 }
 
 // watch looks at a copy.
-func (x *askers) watch(name string, c *ledger.Copy, end time.Time) {
+func (x *askers) watch(name string, c *client.Copy, end time.Time) {
 	for time.Now().Before(end) && x.ctx.Err() == nil {
 		v := c.View()
 		age, at := v.Age(time.Now()), event.Now()
--- a/internal/ground/balancer.go
+++ b/internal/faulttest/balancer.go
@@ -1,4 +1,4 @@
-package ground
+package faulttest
 
 import (
 	"context"
@@ -11,7 +11,7 @@
 	"path/filepath"
 	"time"
 
-	"clayladder/internal/ground/event"
+	"olivearch/internal/faulttest/event"
 )
 
 // balancer is a machine with a balancer.
--- a/internal/ground/build.go
+++ b/internal/faulttest/build.go
@@ -1,4 +1,4 @@
-package ground
+package faulttest
 
 import (
 	"context"
@@ -8,13 +8,13 @@
 	"strings"
 )
 
-// Build builds the programs under test from the source that stands here, with the tag "ground" and further ones.
+// Build builds the programs under test from the source that stands here, with the tag "faultinject" and further ones.
 func Build(ctx context.Context, folder string, tags ...string) (program, ledger string, err error) {
-	tags = append([]string{"ground"}, tags...)
+	tags = append([]string{"faultinject"}, tags...)
 	text, err := exec.CommandContext(ctx, "go", "build", "-tags", strings.Join(tags, ","), "-o", folder+string(filepath.Separator),
-		"clayladder/cmd/olivearch", "clayladder/cmd/oliveledger").CombinedOutput()
+		"olivearch/cmd/olivearch", "olivearch/cmd/olivearch-coordinator").CombinedOutput()
 	if err != nil {
 		return "", "", fmt.Errorf("%w\n%s", err, text)
 	}
-	return filepath.Join(folder, "olivearch"), filepath.Join(folder, "oliveledger"), nil
+	return filepath.Join(folder, "olivearch"), filepath.Join(folder, "olivearch-coordinator"), nil
 }
--- a/internal/ground/judge/cold.go
+++ b/internal/faulttest/checker/cold.go
@@ -1,4 +1,4 @@
-package judge
+package checker
 
 // coldNode is a node that has just started, and the work that came to it lately.
 type coldNode struct {
--- a/internal/ground/judge/judge.go
+++ b/internal/faulttest/checker/judge.go
@@ -1,7 +1,7 @@
 // Package judge finds breaches of the four rules over all processes of a ground together, by what clients, nodes and the relay
 // between them saw, never by the program's own accounting. It reads records after the run, in the order of their times; it does no
 // I/O and has no clock.
-package judge
+package checker
 
 import (
 	"cmp"
@@ -10,7 +10,7 @@
 	"slices"
 	"time"
 
-	"clayladder/internal/ground/event"
+	"olivearch/internal/faulttest/event"
 )
 
 // Rule is one of the four that hold on every path, or that the dead are silent.
--- a/internal/ground/judge/judge_test.go
+++ b/internal/faulttest/checker/judge_test.go
@@ -1,11 +1,11 @@
-package judge
+package checker
 
 import (
 	"strings"
 	"testing"
 	"time"
 
-	"clayladder/internal/ground/event"
+	"olivearch/internal/faulttest/event"
 )
 
 const msec = int64(time.Millisecond)
--- a/internal/ground/faults.go
+++ b/internal/faulttest/faults.go
@@ -1,4 +1,4 @@
-package ground
+package faulttest
 
 import (
 	"cmp"
@@ -9,11 +9,11 @@
 	"sync"
 	"time"
 
-	"clayladder/internal/ground/event"
-	"clayladder/internal/ground/judge"
-	"clayladder/internal/ground/relay"
-	"clayladder/internal/ground/script"
-	"clayladder/internal/standin/crowd"
+	"olivearch/internal/faulttest/checker"
+	"olivearch/internal/faulttest/event"
+	"olivearch/internal/faulttest/relay"
+	"olivearch/internal/faulttest/script"
+	"olivearch/internal/standin/fleetsim"
 )
 
 // step is something that a script says is done at a time.
@@ -74,7 +74,7 @@
 	return func() {
 		w.mu.Lock()
 		defer w.mu.Unlock()
-		w.judge.Excuse(judge.Window{Balancer: balancer, From: from, To: event.Now()})
+		w.judge.Excuse(checker.Window{Balancer: balancer, From: from, To: event.Now()})
 	}
 }
 
@@ -84,7 +84,7 @@
 	return func() {
 		w.mu.Lock()
 		defer w.mu.Unlock()
-		w.judge.Hold(judge.Window{Balancer: balancer, From: from, To: event.Now()})
+		w.judge.Hold(checker.Window{Balancer: balancer, From: from, To: event.Now()})
 	}
 }
 
@@ -117,7 +117,7 @@
 	case script.Clients:
 		return clientCaller
 	case script.Peer:
-		return crowd.FirstPeer + p.Index
+		return fleetsim.FirstPeer + p.Index
 	case script.Voter:
 		return firstVoter + p.Index
 	}
@@ -374,7 +374,7 @@
 func (w *world) fell(node int) error {
 	err := w.services[node].Point("")
 	w.later(func(all []member) { all[node].phase = "removed" })
-	return cmp.Or(err, w.nodes.order(crowd.Command{Verb: crowd.Crash, Node: int32(node)}))
+	return cmp.Or(err, w.nodes.order(fleetsim.Command{Verb: fleetsim.Crash, Node: int32(node)}))
 }
 
 // later changes the list once its notice has come.
@@ -386,7 +386,7 @@
 func (w *world) comeBack(node int) {
 	err := w.boot(node, true, func() {
 		since := time.Now().UnixMilli()
-		w.record(judge.Record{Kind: judge.Started, At: event.Now(), Node: node})
+		w.record(checker.Record{Kind: checker.Started, At: event.Now(), Node: node})
 		w.later(func(all []member) { all[node].phase, all[node].since = "up", since })
 	})
 	if err != nil && !w.ending() {
@@ -414,22 +414,22 @@
 func (x *fault) stall() error {
 	x.lift = func() {
 		x.eachNode(func(node int) error {
-			return x.nodes.order(crowd.Command{Verb: crowd.Stall, Node: int32(node)})
+			return x.nodes.order(fleetsim.Command{Verb: fleetsim.Stall, Node: int32(node)})
 		})
 	}
 	return x.eachNode(func(node int) error {
-		return x.nodes.order(crowd.Command{Verb: crowd.Stall, Node: int32(node), On: true})
+		return x.nodes.order(fleetsim.Command{Verb: fleetsim.Stall, Node: int32(node), On: true})
 	})
 }
 
 func (x *fault) slowNode() error {
 	x.lift = func() {
 		x.eachNode(func(node int) error {
-			return x.nodes.order(crowd.Command{Verb: crowd.Slow, Node: int32(node), Factor: 1})
+			return x.nodes.order(fleetsim.Command{Verb: fleetsim.Slow, Node: int32(node), Factor: 1})
 		})
 	}
 	return x.eachNode(func(node int) error {
-		return x.nodes.order(crowd.Command{Verb: crowd.Slow, Node: int32(node), Factor: x.Factor})
+		return x.nodes.order(fleetsim.Command{Verb: fleetsim.Slow, Node: int32(node), Factor: x.Factor})
 	})
 }
 
--- a/internal/ground/ground_test.go
+++ b/internal/faulttest/ground_test.go
@@ -1,4 +1,4 @@
-package ground
+package faulttest
 
 import (
 	"context"
@@ -9,9 +9,9 @@
 	"sync"
 	"testing"
 
-	"clayladder/internal/ground/script"
-	"clayladder/internal/standin/crowd"
-	"clayladder/internal/standin/rogue"
+	"olivearch/internal/faulttest/script"
+	"olivearch/internal/standin/faultybalancer"
+	"olivearch/internal/standin/fleetsim"
 )
 
 // The test's program is what a ground starts: stand-ins, and balancers that break a rule.
@@ -21,7 +21,7 @@
 var program, ledgerProgram string
 
 func TestMain(m *testing.M) {
-	if rogue.LeftBehind() {
+	if faultybalancer.LeftBehind() {
 		return
 	}
 	role, _ := os.LookupEnv(roleVariable)
@@ -29,9 +29,9 @@
 	var err error
 	switch {
 	case role == "standin":
-		err = crowd.Run(os.Stdin, os.Stdout)
+		err = fleetsim.Run(os.Stdin, os.Stdout)
 	case strings.HasPrefix(name, roguePrefix): // a ground gives balancers no further word: the breach is in the name
-		err = rogue.Run(strings.TrimPrefix(name, roguePrefix))
+		err = faultybalancer.Run(strings.TrimPrefix(name, roguePrefix))
 	default:
 		os.Exit(run(m))
 	}
@@ -138,17 +138,17 @@
 		breach, script, want string
 		result               func(*testing.T) *Result
 	}{
-		{rogue.Honest, load, "", nil},
-		{rogue.Silent, load, "has no answer", nil},
-		{rogue.Late, load, "after its deadline", nil},
-		{rogue.Forged, load, "what no node made", nil},
-		{rogue.Twice, load, "was sent again", nil},
-		{rogue.Both, strings.Replace(load, "work: 2ms", "work: 120ms, repeat: safe", 1), "at once", nil},
-		{rogue.Refuses, load, "was refused", nil},
-		{rogue.After, load, "after its final answer", nil},
-		{rogue.KeepsDrain, strings.Replace(drain, "1500ms", "2500ms", 1), "after it was told that it leaves", nil},
-		{rogue.Floods, strings.Replace(cold, "rate: 40, work: 2ms", "rate: 120, work: 20ms", 1), "cold n-0 was sent", nil},
-		{rogue.Undead, kill, "after its process had ended", nil},
+		{faultybalancer.Honest, load, "", nil},
+		{faultybalancer.Silent, load, "has no answer", nil},
+		{faultybalancer.Late, load, "after its deadline", nil},
+		{faultybalancer.Forged, load, "what no node made", nil},
+		{faultybalancer.Twice, load, "was sent again", nil},
+		{faultybalancer.Both, strings.Replace(load, "work: 2ms", "work: 120ms, repeat: safe", 1), "at once", nil},
+		{faultybalancer.Refuses, load, "was refused", nil},
+		{faultybalancer.After, load, "after its final answer", nil},
+		{faultybalancer.KeepsDrain, strings.Replace(drain, "1500ms", "2500ms", 1), "after it was told that it leaves", nil},
+		{faultybalancer.Floods, strings.Replace(cold, "rate: 40, work: 2ms", "rate: 120, work: 20ms", 1), "cold n-0 was sent", nil},
+		{faultybalancer.Undead, kill, "after its process had ended", nil},
 	}
 	folder := t.TempDir()
 	for i, c := range cases {
--- a/internal/ground/hard_test.go
+++ b/internal/faulttest/hard_test.go
@@ -1,14 +1,14 @@
-package ground
+package faulttest
 
 import (
 	"strings"
 	"testing"
 
-	"clayladder/internal/ground/draw"
-	"clayladder/internal/ground/script"
+	"olivearch/internal/faulttest/schedule"
+	"olivearch/internal/faulttest/script"
 )
 
-// The hard cases with few processes: each must show that its faults happened, and that no rule broke. The scripts in grounds/ have them
+// The hard cases with few processes: each must show that its faults happened, and that no rule broke. The scripts in faultscripts/ have them
 // with 300.
 func TestHardCases(t *testing.T) {
 	cases := []struct {
@@ -192,7 +192,7 @@
 	for seed := 1; seed <= seeds; seed++ {
 		f := parsed(t, "name: drawn\nlength: 3s\nbalancers: {count: 5, zones: [a, b]}\nnodes: {count: 4}\nload: {rate: 12, retries: 2}\n")
 		f.Seed = seed
-		f.Faults = draw.Faults(f, 6)
+		f.Faults = schedule.Faults(f, 6)
 		files, results = append(files, f), append(results, play(t, program, f))
 	}
 	for i, f := range files {
--- a/internal/ground/holes.go
+++ b/internal/faulttest/holes.go
@@ -1,12 +1,12 @@
-package ground
+package faulttest
 
 import (
 	"net/netip"
 	"sync"
 
-	"clayladder/internal/ground/event"
-	"clayladder/internal/ground/script"
-	"clayladder/internal/standin/crowd"
+	"olivearch/internal/faulttest/event"
+	"olivearch/internal/faulttest/script"
+	"olivearch/internal/standin/fleetsim"
 )
 
 const (
@@ -53,7 +53,7 @@
 	for range (wanted + holesEach - 1) / holesEach {
 		one := &digger{ready: make(chan struct{}, 1), has: map[netip.AddrPort]bool{}}
 		var err error
-		one.standin, err = w.summon("holes", crowd.Spec{Role: crowd.RoleHoles}, func(e event.Event) {
+		one.standin, err = w.summon("holes", fleetsim.Spec{Role: fleetsim.RoleHoles}, func(e event.Event) {
 			if e.Kind == event.Ready {
 				one.ready <- struct{}{}
 			}
@@ -76,7 +76,7 @@
 		parts[k] = append(parts[k], at)
 		d.all[k].has[at] = true
 	}
-	d.order(crowd.Dig, parts)
+	d.order(fleetsim.Dig, parts)
 }
 
 // Fill tells each process of those that it has.
@@ -92,17 +92,17 @@
 			}
 		}
 	}
-	d.order(crowd.Fill, parts)
+	d.order(fleetsim.Fill, parts)
 }
 
 // order tells processes what to do and waits until it is done. The caller holds the lock.
-func (d *diggers) order(verb crowd.Verb, parts [][]netip.AddrPort) {
+func (d *diggers) order(verb fleetsim.Verb, parts [][]netip.AddrPort) {
 	for k, part := range parts {
 		texts := make([]string, len(part))
 		for i, at := range part {
 			texts[i] = at.String()
 		}
-		if err := d.all[k].order(crowd.Command{Verb: verb, Addresses: texts}); err != nil {
+		if err := d.all[k].order(fleetsim.Command{Verb: verb, Addresses: texts}); err != nil {
 			d.fail(err)
 			return
 		}
--- a/internal/ground/host.go
+++ b/internal/faulttest/host.go
@@ -1,4 +1,4 @@
-package ground
+package faulttest
 
 import (
 	"context"
@@ -9,8 +9,8 @@
 	"sync"
 	"time"
 
-	"clayladder/internal/ground/proc"
-	"clayladder/internal/ground/relay"
+	"olivearch/internal/faulttest/process"
+	"olivearch/internal/faulttest/relay"
 )
 
 // host is a machine with one process of the program under its name, and those that follow it there.
@@ -28,7 +28,7 @@
 	hold    func() (end func())      // of what it is told from now on
 
 	mu      sync.Mutex
-	process *proc.Process
+	process *process.Process
 	life    int  // how many processes have been started
 	wanted  bool // it should run
 	started bool // it has been ready
@@ -118,7 +118,7 @@
 const askHealth = 10 * time.Millisecond
 
 // watch notes the end of a process.
-func (h *host) watch(p *proc.Process) {
+func (h *host) watch(p *process.Process) {
 	<-p.Ended()
 	h.mu.Lock()
 	current := h.process == p
@@ -133,7 +133,7 @@
 }
 
 // running is the process, if there is one that should run.
-func (h *host) running() *proc.Process {
+func (h *host) running() *process.Process {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	if !h.wanted || h.process == nil || h.process.EndedAt() > 0 {
--- a/internal/ground/links.go
+++ b/internal/faulttest/links.go
@@ -1,9 +1,9 @@
-package ground
+package faulttest
 
 import (
 	"sync"
 
-	"clayladder/internal/ground/relay"
+	"olivearch/internal/faulttest/relay"
 )
 
 // links keeps which faults each link has now: several may lie on one.
--- a/internal/ground/list.go
+++ b/internal/faulttest/list.go
@@ -1,4 +1,4 @@
-package ground
+package faulttest
 
 import (
 	"encoding/json"
@@ -11,8 +11,8 @@
 	"sync"
 	"time"
 
-	"clayladder/internal/ground/event"
-	"clayladder/internal/ground/relay"
+	"olivearch/internal/faulttest/event"
+	"olivearch/internal/faulttest/relay"
 )
 
 // member is a node as the list service tells it.
--- a/internal/ground/play.go
+++ b/internal/faulttest/play.go
@@ -1,4 +1,4 @@
-package ground
+package faulttest
 
 import (
 	"context"
@@ -9,11 +9,11 @@
 	"sync"
 	"time"
 
-	"clayladder/internal/ground/event"
-	"clayladder/internal/ground/history"
-	"clayladder/internal/ground/judge"
-	"clayladder/internal/ground/script"
-	"clayladder/internal/spread"
+	"olivearch/internal/faulttest/checker"
+	"olivearch/internal/faulttest/event"
+	"olivearch/internal/faulttest/history"
+	"olivearch/internal/faulttest/script"
+	"olivearch/internal/loadspread"
 )
 
 // Options are how a script is played.
@@ -141,7 +141,7 @@
 )
 
 // settle waits for what is still on its way, ends the processes and asks the judge.
-func (w *world) settle(began int64) (judge.Verdict, int, *spread.Counts) {
+func (w *world) settle(began int64) (checker.Verdict, int, *loadspread.Counts) {
 	time.Sleep(settling + time.Duration(w.f.Load.Deadline)) // what comes to a node after its request's end would come by now
 	w.mu.Lock()
 	w.closing = true
--- a/internal/ground/proc/proc.go
+++ b/internal/faulttest/process/proc.go
@@ -1,6 +1,6 @@
 // Package proc starts processes and does to them what a ground's faults say: kill, stop, resume. It touches none that it has not
 // started, and none outlives it: a process that it starts is ended by the system when the ground's own ends, however that does.
-package proc
+package process
 
 import (
 	"errors"
@@ -11,7 +11,7 @@
 	"syscall"
 	"time"
 
-	"clayladder/internal/ground/event"
+	"olivearch/internal/faulttest/event"
 )
 
 // Group starts processes and ends all of them.
--- a/internal/ground/process_test.go
+++ b/internal/faulttest/process_test.go
@@ -1,4 +1,4 @@
-package ground
+package faulttest
 
 import (
 	"bytes"
--- a/internal/ground/promises_test.go
+++ b/internal/faulttest/promises_test.go
@@ -1,4 +1,4 @@
-package ground
+package faulttest
 
 import (
 	"context"
@@ -9,9 +9,9 @@
 	"testing"
 	"time"
 
-	"clayladder/internal/ground/draw"
-	"clayladder/internal/ledger"
-	"clayladder/internal/promise"
+	"olivearch/internal/coordination/client"
+	"olivearch/internal/coordination/state"
+	"olivearch/internal/faulttest/schedule"
 )
 
 const fiveVoters = `
@@ -23,7 +23,7 @@
 
 // TestPromises: voters of the ledger as processes, and faults between them. In each, what was promised is held at the end, the history
 // could have been, no lease exceeds its bound, no slot is given twice, and no copy is older than it says. The scripts in
-// grounds/promises/ have the cases at length.
+// faultscripts/promises/ have the cases at length.
 func TestPromises(t *testing.T) {
 	for _, c := range []struct {
 		name, script string
@@ -102,14 +102,14 @@
 	}
 }
 
-// TestDrawnVoterFaults: faults that chance has drawn. go run ./rigs/promises plays many.
+// TestDrawnVoterFaults: faults that chance has drawn. go run ./benchmarks/promises plays many.
 func TestDrawnVoterFaults(t *testing.T) {
 	for seed := 1; seed <= 2; seed++ {
 		t.Run(fmt.Sprint("seed ", seed), func(t *testing.T) {
 			t.Parallel()
 			f := parsed(t, fiveVoters+"name: drawn\nlength: 8s\n")
 			f.Seed = seed
-			f.Faults = draw.Faults(f, 6)
+			f.Faults = schedule.Faults(f, 6)
 			if r := play(t, program, f)(t); !r.Holds {
 				t.Errorf("%v %v %v", r.Crashes, r.Wrong, f.Faults)
 			}
@@ -190,7 +190,7 @@
 }
 
 // propose asks until there is an answer that is sure.
-func (p *processes) propose(c *ledger.Caller, command promise.Command) error {
+func (p *processes) propose(c *client.Caller, command state.Command) error {
 	p.t.Helper()
 	ctx, cancel := context.WithTimeout(context.Background(), 20*time.Second)
 	defer cancel()
@@ -211,16 +211,16 @@
 	for name := range p.addresses {
 		running[name] = p.start(ledgerProgram, name)
 	}
-	c := ledger.NewCaller("test", p.addresses)
+	c := client.NewCaller("test", p.addresses)
 	defer c.Close()
-	word := promise.Subject{Kind: promise.Out, Scope: promise.Zone, Target: "a"}
-	if err := p.propose(c, &promise.SetWord{Subject: word, By: "test"}); err != nil {
+	word := state.Subject{Kind: state.Out, Scope: state.Zone, Target: "a"}
+	if err := p.propose(c, &state.SetWord{Subject: word, By: "test"}); err != nil {
 		t.Fatal(err)
 	}
 	for i, name := range c.Voters() {
 		running[name].kill()
 		running[name] = p.start(newer, name)
-		if err := p.propose(c, &promise.SetWord{Subject: word, By: "test", Why: fmt.Sprint(i)}); err != nil {
+		if err := p.propose(c, &state.SetWord{Subject: word, By: "test", Why: fmt.Sprint(i)}); err != nil {
 			t.Fatal(err)
 		}
 		s := p.read(c)
@@ -243,7 +243,7 @@
 	}
 }
 
-func (p *processes) read(c *ledger.Caller) *promise.State {
+func (p *processes) read(c *client.Caller) *state.State {
 	p.t.Helper()
 	ctx, cancel := context.WithTimeout(context.Background(), 20*time.Second)
 	defer cancel()
@@ -263,10 +263,10 @@
 	for name := range p.addresses {
 		running[name] = p.start(ledgerProgram, name)
 	}
-	c := ledger.NewCaller("test", p.addresses)
+	c := client.NewCaller("test", p.addresses)
 	defer c.Close()
-	word := promise.Subject{Kind: promise.Out, Scope: promise.Upstream, Target: "s-1"}
-	if err := p.propose(c, &promise.SetWord{Subject: word, By: "test"}); err != nil {
+	word := state.Subject{Kind: state.Out, Scope: state.Upstream, Target: "s-1"}
+	if err := p.propose(c, &state.SetWord{Subject: word, By: "test"}); err != nil {
 		t.Fatal(err)
 	}
 	for end := time.Now().Add(20 * time.Second); ; time.Sleep(10 * time.Millisecond) { // a yes may be of the two that are lost
@@ -289,8 +289,8 @@
 	ctx, cancel := context.WithTimeout(context.Background(), 3*time.Second)
 	defer cancel()
 	// Of another upstream: a proposal that has no answer may come into force if the survivor led, and would clear what is looked for below.
-	other := promise.Subject{Kind: promise.Out, Scope: promise.Upstream, Target: "s-2"}
-	if _, err := c.Propose(ctx, &promise.SetWord{Subject: other, By: "test"}); err == nil {
+	other := state.Subject{Kind: state.Out, Scope: state.Upstream, Target: "s-2"}
+	if _, err := c.Propose(ctx, &state.SetWord{Subject: other, By: "test"}); err == nil {
 		t.Error("a promise without a quorum")
 	}
 	running["k0"].kill()
@@ -303,7 +303,7 @@
 	for name := range p.addresses {
 		p.start(ledgerProgram, name)
 	}
-	if err := p.propose(c, &promise.SetWord{Subject: promise.Subject{Kind: promise.Out, Scope: promise.Zone, Target: "b"}, By: "test"}); err != nil {
+	if err := p.propose(c, &state.SetWord{Subject: state.Subject{Kind: state.Out, Scope: state.Zone, Target: "b"}, By: "test"}); err != nil {
 		t.Fatal(err)
 	}
 	if _, ok := p.read(c).Word(word); !ok {
@@ -324,7 +324,7 @@
 	}
 }
 
-func (p *processes) learns(c *ledger.Caller) bool {
+func (p *processes) learns(c *client.Caller) bool {
 	for _, m := range p.read(c).Members() {
 		if m.Learner {
 			return true
--- a/internal/ground/relay/lag.go
+++ b/internal/faulttest/relay/lag.go
@@ -7,7 +7,7 @@
 
 	"github.com/HdrHistogram/hdrhistogram-go"
 
-	"clayladder/internal/ground/event"
+	"olivearch/internal/faulttest/event"
 )
 
 const (
--- a/internal/ground/relay/relay_test.go
+++ b/internal/faulttest/relay/relay_test.go
@@ -10,7 +10,7 @@
 	"testing"
 	"time"
 
-	"clayladder/internal/ground/event"
+	"olivearch/internal/faulttest/event"
 )
 
 // echo answers each byte with itself and tells of each connection that came.
--- a/internal/ground/relay/stream.go
+++ b/internal/faulttest/relay/stream.go
@@ -8,7 +8,7 @@
 	"sync"
 	"time"
 
-	"clayladder/internal/ground/event"
+	"olivearch/internal/faulttest/event"
 )
 
 const (
--- a/internal/ground/result.go
+++ b/internal/faulttest/result.go
@@ -1,4 +1,4 @@
-package ground
+package faulttest
 
 import (
 	"fmt"
@@ -9,11 +9,11 @@
 
 	"github.com/HdrHistogram/hdrhistogram-go"
 
-	"clayladder/internal/ground/event"
-	"clayladder/internal/ground/judge"
-	"clayladder/internal/ground/script"
-	"clayladder/internal/procstat"
-	"clayladder/internal/spread"
+	"olivearch/internal/faulttest/checker"
+	"olivearch/internal/faulttest/event"
+	"olivearch/internal/faulttest/script"
+	"olivearch/internal/loadspread"
+	"olivearch/internal/procstat"
 )
 
 // eventPeers is what is counted between two peers.
@@ -37,7 +37,7 @@
 	starved  bool               // connections waited for descriptors, and may have been given up
 	Blocks   []Block            `json:"-"` // by time
 	Spans    []Span             `json:"-"` // faults
-	Spread   *spread.Counts     `json:"-"` // requests by node from the load's start
+	Spread   *loadspread.Counts `json:"-"` // requests by node from the load's start
 	Dots     []Dot              `json:"-"` // breaches
 }
 
@@ -134,7 +134,7 @@
 	m.voters.end(w.voterHosts(), seconds)
 }
 
-func (w *world) result(v judge.Verdict, m *measure) *Result {
+func (w *world) result(v checker.Verdict, m *measure) *Result {
 	r := &Result{Script: w.f.Name, Seed: w.f.Seed, Faults: w.counts.faults, Crashes: w.counts.crashes[:min(len(w.counts.crashes), toldMost)]}
 	asked := float64(max(v.Asked, 1))
 	aim := int64(w.f.Load.Aim)
@@ -207,11 +207,11 @@
 }
 
 // tell is a breach as it is told: by the time of the load.
-func (w *world) tell(b judge.Breach, m *measure) string {
+func (w *world) tell(b checker.Breach, m *measure) string {
 	return fmt.Sprintf("%.3f s: %s: %s", float64(b.At-m.began)/1e9, b.Rule, b.What)
 }
 
-func blocks(v judge.Verdict, m *measure) []Block {
+func blocks(v checker.Verdict, m *measure) []Block {
 	n := int((m.ended-m.began)/int64(blockTime)) + 1
 	all := make([]Block, n)
 	for i := range all {
@@ -238,7 +238,7 @@
 }
 
 // recovered is how long after the last fault's end, in s, nine in ten of what is asked are served in time again; -1: never.
-func (w *world) recovered(v judge.Verdict, m *measure) float64 {
+func (w *world) recovered(v checker.Verdict, m *measure) float64 {
 	last := time.Duration(0)
 	for _, x := range w.f.Faults {
 		last = max(last, time.Duration(x.At+x.For))
--- a/internal/ground/draw/draw.go
+++ b/internal/faulttest/schedule/draw.go
@@ -1,5 +1,5 @@
 // Package draw makes schedules of faults at random, by a script's seed, and makes one that fails shorter.
-package draw
+package schedule
 
 import (
 	"fmt"
@@ -7,8 +7,8 @@
 	"slices"
 	"time"
 
-	"clayladder/internal/config"
-	"clayladder/internal/ground/script"
+	"olivearch/internal/config"
+	"olivearch/internal/faulttest/script"
 )
 
 // Plays is how many shorter schedules Shrink tries at most.
--- a/internal/ground/draw/draw_test.go
+++ b/internal/faulttest/schedule/draw_test.go
@@ -1,4 +1,4 @@
-package draw
+package schedule
 
 import (
 	"reflect"
@@ -6,7 +6,7 @@
 	"testing"
 	"time"
 
-	"clayladder/internal/ground/script"
+	"olivearch/internal/faulttest/script"
 )
 
 func base(t *testing.T, seed int) *script.File {
--- a/internal/ground/draw/shrink.go
+++ b/internal/faulttest/schedule/shrink.go
@@ -1,9 +1,9 @@
-package draw
+package schedule
 
 import (
 	"slices"
 
-	"clayladder/internal/ground/script"
+	"olivearch/internal/faulttest/script"
 )
 
 // Shrink looks for a schedule with fewer and shorter faults for which fails still says yes, in so many plays at most. It is a search
--- a/internal/ground/draw/voters.go
+++ b/internal/faulttest/schedule/voters.go
@@ -1,10 +1,10 @@
-package draw
+package schedule
 
 import (
 	"math/rand/v2"
 	"time"
 
-	"clayladder/internal/ground/script"
+	"olivearch/internal/faulttest/script"
 )
 
 // voterMakers draw faults of the ledger's voters. No more disks are lost in a schedule than a cluster has to bear: see spare.
--- a/internal/ground/script/check.go
+++ b/internal/faulttest/script/check.go
@@ -8,8 +8,8 @@
 
 	"go.yaml.in/yaml/v3"
 
-	"clayladder/internal/config"
-	"clayladder/internal/strictyaml"
+	"olivearch/internal/config"
+	"olivearch/internal/strictyaml"
 )
 
 const (
--- a/internal/ground/script/script_test.go
+++ b/internal/faulttest/script/script_test.go
@@ -75,7 +75,7 @@
 }
 
 func TestScriptsOfTheProject(t *testing.T) {
-	paths, err := filepath.Glob("../../../grounds/*.yaml")
+	paths, err := filepath.Glob("../../../faultscripts/*.yaml")
 	if err != nil || len(paths) == 0 {
 		t.Fatal(paths, err)
 	}
--- a/internal/ground/script/types.go
+++ b/internal/faulttest/script/types.go
@@ -6,7 +6,7 @@
 	"fmt"
 	"time"
 
-	"clayladder/internal/config"
+	"olivearch/internal/config"
 )
 
 // File is one script.
@@ -92,7 +92,7 @@
 	Rate float64 `yaml:"rate,omitempty"`
 }
 
-// Voters are processes of oliveledger, v-0, v-1 and so on, and clients that ask them for promises and readings. All that these ask and are
+// Voters are processes of olivearch-coordinator, v-0, v-1 and so on, and clients that ask them for promises and readings. All that these ask and are
 // answered is checked at the end: as one history that could have been (linearizability), and by what each kind of promise means.
 type Voters struct {
 	// How many: 1, 3, 5 or 7; left out: none.
@@ -204,7 +204,7 @@
 
 // Bound is a statement about a figure.
 type Bound struct {
-	// One of the names that "olivebench ground --figures" lists.
+	// One of the names that "olivearch-bench ground --figures" lists.
 	Figure string `yaml:"figure"`
 	// At most, at least: one of the two or both.
 	Most  *float64 `yaml:"most,omitempty"`
--- a/internal/ground/seen.go
+++ b/internal/faulttest/seen.go
@@ -1,4 +1,4 @@
-package ground
+package faulttest
 
 import (
 	"cmp"
@@ -7,16 +7,16 @@
 	"slices"
 	"time"
 
-	"clayladder/internal/ground/event"
-	"clayladder/internal/ground/judge"
-	"clayladder/internal/ground/relay"
-	"clayladder/internal/ground/script"
-	"clayladder/internal/spread"
+	"olivearch/internal/faulttest/checker"
+	"olivearch/internal/faulttest/event"
+	"olivearch/internal/faulttest/relay"
+	"olivearch/internal/faulttest/script"
+	"olivearch/internal/loadspread"
 )
 
 // This file takes what stand-ins, relay and list service saw, and makes records for the judge of it.
 
-func (w *world) record(r judge.Record) {
+func (w *world) record(r checker.Record) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.judge.Add(r)
@@ -25,9 +25,9 @@
 func (w *world) heardClients(e event.Event) {
 	switch e.Kind {
 	case event.Asked:
-		w.record(judge.Record{Kind: judge.Asked, At: e.At, ID: e.ID, First: e.First, Balancer: int(e.Balancer), Effect: e.Effect, Limit: e.Limit})
+		w.record(checker.Record{Kind: checker.Asked, At: e.At, ID: e.ID, First: e.First, Balancer: int(e.Balancer), Effect: e.Effect, Limit: e.Limit})
 	case event.Answered:
-		w.record(judge.Record{Kind: judge.Answered, At: e.At, ID: e.ID, Balancer: int(e.Balancer), Status: int(e.Status), Stamp: e.Stamp, Fresh: e.Fresh})
+		w.record(checker.Record{Kind: checker.Answered, At: e.At, ID: e.ID, Balancer: int(e.Balancer), Status: int(e.Status), Stamp: e.Stamp, Fresh: e.Fresh})
 	case event.Untaken:
 		w.mu.Lock()
 		w.counts.untaken++
@@ -47,9 +47,9 @@
 	case event.Got:
 		w.got(node, e)
 	case event.TurnedOff:
-		w.record(judge.Record{Kind: judge.TurnedOff, At: e.At, ID: e.ID, Node: node})
+		w.record(checker.Record{Kind: checker.TurnedOff, At: e.At, ID: e.ID, Node: node})
 	case event.Ran:
-		w.record(judge.Record{Kind: judge.Ran, At: e.At, ID: e.ID, Node: node, Stamp: e.Stamp})
+		w.record(checker.Record{Kind: checker.Ran, At: e.At, ID: e.ID, Node: node, Stamp: e.Stamp})
 	case event.Done:
 		w.mu.Lock()
 		w.done[doneKey{e.ID, node, e.Conn}] = e.End
@@ -79,7 +79,7 @@
 // got notes a request's arrival, and does what waits for one.
 func (w *world) got(node int, e event.Event) {
 	b := int(e.Balancer)
-	a := arrival{record: judge.Record{Kind: judge.Got, At: e.At, ID: e.ID, Node: node, Balancer: b, Work: e.Work, SentBegin: e.At, SentEnd: e.At},
+	a := arrival{record: checker.Record{Kind: checker.Got, At: e.At, ID: e.ID, Node: node, Balancer: b, Work: e.Work, SentBegin: e.At, SentEnd: e.At},
 		conn: w.services[node].Find(b, e.Conn), begin: e.Begin, end: e.End, port: e.Conn}
 	w.mu.Lock()
 	w.arrivals = append(w.arrivals, a)
@@ -95,20 +95,20 @@
 
 // told notes what the list service has written to a balancer.
 func (w *world) told(caller, node int, leaves bool) {
-	w.record(judge.Record{Kind: judge.Told, At: event.Now(), Balancer: caller, Node: node, Leaves: leaves})
+	w.record(checker.Record{Kind: checker.Told, At: event.Now(), Balancer: caller, Node: node, Leaves: leaves})
 }
 
 // due notes that all balancers count as told that a node leaves, which the list service has had for so long that they had to ask.
 func (w *world) due(node int, had int64) {
-	w.record(judge.Record{Kind: judge.Due, At: event.Now(), Had: had, Balancer: -1, Node: node, Leaves: true})
+	w.record(checker.Record{Kind: checker.Due, At: event.Now(), Had: had, Balancer: -1, Node: node, Leaves: true})
 }
 
 func (w *world) born(balancer int) {
-	w.record(judge.Record{Kind: judge.Born, At: event.Now(), Balancer: balancer})
+	w.record(checker.Record{Kind: checker.Born, At: event.Now(), Balancer: balancer})
 }
 
 func (w *world) died(balancer int, at int64) {
-	r := judge.Record{Kind: judge.Died, At: at, Balancer: balancer}
+	r := checker.Record{Kind: checker.Died, At: at, Balancer: balancer}
 	w.record(r)
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -164,11 +164,11 @@
 
 // verdict gives the judge what nodes got, with the times at which balancers sent it and had their answers, and asks it. It counts
 // the processes too that ended between a request's arrival at a node and its answer.
-func (w *world) verdict(began int64) (v judge.Verdict, deathsInFlight int, even *spread.Counts) {
+func (w *world) verdict(began int64) (v checker.Verdict, deathsInFlight int, even *loadspread.Counts) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	even = spread.New(w.f.Nodes.Count)
-	out := map[int][]judge.Record{}
+	even = loadspread.New(w.f.Nodes.Count)
+	out := map[int][]checker.Record{}
 	for _, a := range w.arrivals {
 		r := a.record
 		if c := a.conn; c != nil {
@@ -188,7 +188,7 @@
 		even.Add(r.Node, time.Duration(r.At-began))
 	}
 	for _, d := range w.counts.deaths {
-		if slices.ContainsFunc(out[d.Balancer], func(r judge.Record) bool {
+		if slices.ContainsFunc(out[d.Balancer], func(r checker.Record) bool {
 			return r.At <= d.At && (r.OutUntil == 0 || r.OutUntil > d.At-int64(slack))
 		}) {
 			deathsInFlight++
--- a/internal/ground/spread_test.go
+++ b/internal/faulttest/spread_test.go
@@ -1,15 +1,15 @@
-package ground
+package faulttest
 
 import (
 	"math"
 	"testing"
 	"time"
 
-	"clayladder/internal/spread"
+	"olivearch/internal/loadspread"
 )
 
 func TestEvenness(t *testing.T) {
-	c := spread.New(4)
+	c := loadspread.New(4)
 	put := func(at time.Duration, counts ...int) {
 		for node, n := range counts {
 			for range n {
@@ -28,7 +28,7 @@
 			t.Errorf("%s is %v, want %v", name, f[name], want)
 		}
 	}
-	evenness(spread.New(3), time.Second, f)
+	evenness(loadspread.New(3), time.Second, f)
 	if f["spread"] != 0 || f["first_busiest"] != 0 {
 		t.Errorf("nothing came: %v", f)
 	}
--- a/internal/ground/standins.go
+++ b/internal/faulttest/standins.go
@@ -1,4 +1,4 @@
-package ground
+package faulttest
 
 import (
 	"encoding/gob"
@@ -9,14 +9,14 @@
 	"path/filepath"
 	"sync"
 
-	"clayladder/internal/ground/event"
-	"clayladder/internal/ground/proc"
-	"clayladder/internal/standin/crowd"
+	"olivearch/internal/faulttest/event"
+	"olivearch/internal/faulttest/process"
+	"olivearch/internal/standin/fleetsim"
 )
 
 // standin is a process of stand-ins with its pipes.
 type standin struct {
-	process *proc.Process
+	process *process.Process
 	mu      sync.Mutex
 	in      io.WriteCloser
 	orders  *gob.Encoder
@@ -24,7 +24,7 @@
 }
 
 // summon starts a process of stand-ins.
-func (w *world) summon(name string, s crowd.Spec, each func(event.Event)) (*standin, error) {
+func (w *world) summon(name string, s fleetsim.Spec, each func(event.Event)) (*standin, error) {
 	cmd := exec.Command(w.self[0], w.self[1:]...)
 	cmd.Env = append(os.Environ(), w.selfEnv...)
 	log, err := os.Create(filepath.Join(w.folder, name+".log"))
@@ -66,7 +66,7 @@
 }
 
 // order tells the stand-ins what to do.
-func (x *standin) order(c crowd.Command) error {
+func (x *standin) order(c fleetsim.Command) error {
 	x.mu.Lock()
 	defer x.mu.Unlock()
 	return x.orders.Encode(c)
--- a/internal/ground/timeline/timeline.go
+++ b/internal/faulttest/timeline/timeline.go
@@ -16,7 +16,7 @@
 	"gonum.org/v1/plot/vg/draw"
 	"gonum.org/v1/plot/vg/vgsvg"
 
-	"clayladder/internal/ground"
+	"olivearch/internal/faulttest"
 )
 
 const (
@@ -27,7 +27,7 @@
 )
 
 // Write draws a result into an SVG file.
-func Write(path string, r *ground.Result) error {
+func Write(path string, r *faulttest.Result) error {
 	text, err := Draw(r)
 	if err != nil {
 		return err
@@ -36,7 +36,7 @@
 }
 
 // Draw returns the drawing as SVG.
-func Draw(r *ground.Result) ([]byte, error) {
+func Draw(r *faulttest.Result) ([]byte, error) {
 	end := 0.1
 	for _, b := range r.Blocks {
 		end = max(end, b.At)
@@ -59,7 +59,7 @@
 }
 
 // faults draws a row for each kind of fault, in the order in which they begin.
-func faults(r *ground.Result, end float64) (*plot.Plot, error) {
+func faults(r *faulttest.Result, end float64) (*plot.Plot, error) {
 	p := plot.New()
 	p.Title.Text = fmt.Sprintf("%s, seed %d", r.Script, r.Seed)
 	row := map[string]int{}
@@ -85,16 +85,16 @@
 	return p, nil
 }
 
-func load(r *ground.Result, end float64) (*plot.Plot, error) {
+func load(r *faulttest.Result, end float64) (*plot.Plot, error) {
 	p := plot.New()
 	p.X.Label.Text, p.Y.Label.Text = "s, from the start of the load", "requests a second"
 	p.Legend.Top, p.Legend.Left = true, true
 	p.Legend.TextStyle.Font.Size = font.Length(9)
 	for i, line := range []struct {
 		name string
-		of   func(ground.Block) float64
-	}{{"served", func(b ground.Block) float64 { return b.Served }}, {"refused", func(b ground.Block) float64 { return b.Refused }},
-		{"failed", func(b ground.Block) float64 { return b.Failed }}, {"no answer", func(b ground.Block) float64 { return b.Lost }}} {
+		of   func(faulttest.Block) float64
+	}{{"served", func(b faulttest.Block) float64 { return b.Served }}, {"refused", func(b faulttest.Block) float64 { return b.Refused }},
+		{"failed", func(b faulttest.Block) float64 { return b.Failed }}, {"no answer", func(b faulttest.Block) float64 { return b.Lost }}} {
 		var xy plotter.XYs
 		for _, b := range r.Blocks {
 			xy = append(xy, plotter.XY{X: b.At, Y: line.of(b)})
--- a/internal/ground/voter.go
+++ b/internal/faulttest/voter.go
@@ -1,4 +1,4 @@
-package ground
+package faulttest
 
 import (
 	"context"
@@ -13,8 +13,8 @@
 	"sync"
 	"time"
 
-	"clayladder/internal/ground/script"
-	"clayladder/internal/ledger"
+	"olivearch/internal/coordination/client"
+	"olivearch/internal/faulttest/script"
 )
 
 // voter is a machine with a voter of the ledger.
@@ -84,14 +84,14 @@
 	for _, v := range w.voters {
 		addresses[v.name] = v.address
 	}
-	c := ledger.NewCaller("ground", addresses)
+	c := client.NewCaller("ground", addresses)
 	defer c.Close()
 	found := make(chan int, len(w.voters))
 	for i, v := range w.voters {
 		go func() {
 			ctx, cancel := context.WithTimeout(w.ctx, leaderWithin)
 			defer cancel()
-			if a, err := c.Ask(ctx, v.name, ledger.Request{Verb: ledger.Who}); err == nil && a.Leader == v.name {
+			if a, err := c.Ask(ctx, v.name, client.Request{Verb: client.Who}); err == nil && a.Leader == v.name {
 				found <- i
 				return
 			}
@@ -129,7 +129,7 @@
 func (v *voter) answers() bool {
 	ctx, cancel := context.WithTimeout(v.ctx, time.Second)
 	defer cancel()
-	c, _, _, err := ledger.Dial(ctx, v.address, ledger.Hello{Role: ledger.Asks, Name: "ground"})
+	c, _, _, err := client.Dial(ctx, v.address, client.Hello{Role: client.Asks, Name: "ground"})
 	if err != nil {
 		return false
 	}
--- a/internal/ground/word.go
+++ b/internal/faulttest/word.go
@@ -1,4 +1,4 @@
-package ground
+package faulttest
 
 import (
 	"context"
@@ -8,8 +8,8 @@
 	"slices"
 	"time"
 
-	"clayladder/internal/ledger"
-	"clayladder/internal/promise"
+	"olivearch/internal/coordination/client"
+	"olivearch/internal/coordination/state"
 )
 
 // word has staff say through the ledger that nodes are out, and take it back at the end. From the yes on it counts as told to every
@@ -19,7 +19,7 @@
 	var nodes []int
 	err := x.eachNode(func(node int) error {
 		nodes = append(nodes, node)
-		return x.say(c, &promise.SetWord{Subject: outOf(node), By: "ground", Why: x.f.Name})
+		return x.say(c, &state.SetWord{Subject: outOf(node), By: "ground", Why: x.f.Name})
 	})
 	if err != nil {
 		c.Close()
@@ -46,7 +46,7 @@
 			for _, b := range x.balancers {
 				x.told(b.index, node, false)
 			}
-			if err := x.say(c, &promise.ClearWord{Subject: outOf(node), By: "ground"}); err != nil && !x.ending() {
+			if err := x.say(c, &state.ClearWord{Subject: outOf(node), By: "ground"}); err != nil && !x.ending() {
 				x.fail(err)
 			}
 		}
@@ -58,21 +58,21 @@
 const wordWithin = 15 * time.Second
 
 // say asks for a promise until there is a yes. What is unsure is asked again: staff's word may be given twice.
-func (x *fault) say(c *ledger.Caller, command promise.Command) error {
+func (x *fault) say(c *client.Caller, command state.Command) error {
 	ctx, cancel := context.WithTimeout(x.ctx, wordWithin)
 	defer cancel()
 	for {
 		one, end := context.WithTimeout(ctx, askWithin)
 		_, err := c.Propose(one, command)
 		end()
-		if err == nil || errors.Is(err, ledger.ErrRefused) || ctx.Err() != nil {
+		if err == nil || errors.Is(err, client.ErrRefused) || ctx.Err() != nil {
 			return err
 		}
 	}
 }
 
-func outOf(node int) promise.Subject {
-	return promise.Subject{Kind: promise.Out, Scope: promise.Upstream, Target: fmt.Sprintf("s-%08x", node+1)}
+func outOf(node int) state.Subject {
+	return state.Subject{Kind: state.Out, Scope: state.Upstream, Target: fmt.Sprintf("s-%08x", node+1)}
 }
 
 // wordsHold tells a process that is started what staff have said.
--- a/internal/ground/world.go
+++ b/internal/faulttest/world.go
@@ -1,6 +1,6 @@
 // Package ground is a proving ground: it starts real processes of the program on the loopback interface, puts itself between them
 // and the stand-ins of nodes, clients and list service, does to them what a script says, and has a judge look at what came of it.
-package ground
+package faulttest
 
 import (
 	"context"
@@ -11,12 +11,12 @@
 	"sync"
 	"time"
 
-	"clayladder/internal/ground/event"
-	"clayladder/internal/ground/judge"
-	"clayladder/internal/ground/proc"
-	"clayladder/internal/ground/relay"
-	"clayladder/internal/ground/script"
-	"clayladder/internal/standin/crowd"
+	"olivearch/internal/faulttest/checker"
+	"olivearch/internal/faulttest/event"
+	"olivearch/internal/faulttest/process"
+	"olivearch/internal/faulttest/relay"
+	"olivearch/internal/faulttest/script"
+	"olivearch/internal/standin/fleetsim"
 )
 
 const (
@@ -42,7 +42,7 @@
 	ctx     context.Context
 	cancel  context.CancelCauseFunc
 
-	group       *proc.Group
+	group       *process.Group
 	relay       *relay.Relay
 	lag         *relay.Lag
 	list        *list
@@ -61,7 +61,7 @@
 	ends      []func()
 	over      chan struct{}  // closed when all that clients ask is answered
 	booted    map[int]func() // what waits for a node to listen
-	judge     *judge.Judge
+	judge     *checker.Judge
 	arrivals  []arrival
 	done      map[doneKey]int64
 	cutsShort map[int]func(balancer int) // by fault: what is done as a request has come to a node
@@ -77,12 +77,12 @@
 	distrusted        int // voters that ended since they did not trust their disks
 	crashes           []string
 	faults            map[string]int
-	deaths            []judge.Record
+	deaths            []checker.Record
 }
 
 // arrival is a request that came to a node, and the connection that it came on.
 type arrival struct {
-	record judge.Record
+	record checker.Record
 	conn   *relay.Conn
 	begin  int64
 	end    int64
@@ -114,7 +114,7 @@
 // build puts all in place but the balancers' processes.
 func (w *world) build() error {
 	f := w.f
-	w.group = proc.NewGroup()
+	w.group = process.NewGroup()
 	w.atEnd(w.group.Close)
 	var holes relay.Holes
 	if wanted := holesWanted(f); wanted > holesHere {
@@ -127,7 +127,7 @@
 	w.relay = relay.New(uint64(f.Seed), f.Relay, holes)
 	w.atEnd(w.relay.Close)
 	w.links = newLinks(w.relay)
-	w.judge = judge.New(judge.Rules{Grace: grace, Slack: slack, Cores: f.Nodes.Cores, ColdFrom: f.Nodes.ColdFrom, Ramp: time.Duration(f.Nodes.RampTime),
+	w.judge = checker.New(checker.Rules{Grace: grace, Slack: slack, Cores: f.Nodes.Cores, ColdFrom: f.Nodes.ColdFrom, Ramp: time.Duration(f.Nodes.RampTime),
 		TipMultiple: f.Nodes.TipMultiple, TipAfter: time.Duration(f.Nodes.TipAfter)}, func(from, to int64) time.Duration { return w.lag.Worst(from, to) })
 	var err error
 	if w.lag, err = w.relay.Measure(echoCaller); err != nil {
@@ -174,9 +174,9 @@
 	return nil
 }
 
-func (w *world) spec(role string) crowd.Spec {
+func (w *world) spec(role string) fleetsim.Spec {
 	f := w.f
-	return crowd.Spec{Role: role, Seed: uint64(f.Seed), Count: f.Nodes.Count, Cores: f.Nodes.Cores, Queue: f.Nodes.Queue, Reports: time.Duration(f.Nodes.Reports), Late: time.Duration(f.Nodes.Late),
+	return fleetsim.Spec{Role: role, Seed: uint64(f.Seed), Count: f.Nodes.Count, Cores: f.Nodes.Cores, Queue: f.Nodes.Queue, Reports: time.Duration(f.Nodes.Reports), Late: time.Duration(f.Nodes.Late),
 		ColdFrom: f.Nodes.ColdFrom, Ramp: time.Duration(f.Nodes.RampTime), Balancers: f.Balancers.Count, Rates: f.Rates(), Length: time.Duration(f.Length),
 		Effect: effects[f.Load.Repeat], Work: time.Duration(f.Load.Work), Deadline: time.Duration(f.Load.Deadline), Retries: f.Load.Retries}
 }
@@ -184,7 +184,7 @@
 // bootNodes starts the nodes and waits until all listen.
 func (w *world) bootNodes() error {
 	var err error
-	if w.nodes, err = w.summon("nodes", w.spec(crowd.RoleNodes), w.heardNodes); err != nil {
+	if w.nodes, err = w.summon("nodes", w.spec(fleetsim.RoleNodes), w.heardNodes); err != nil {
 		return err
 	}
 	var all sync.WaitGroup
@@ -202,7 +202,7 @@
 	w.mu.Lock()
 	w.booted[node] = then
 	w.mu.Unlock()
-	return w.nodes.order(crowd.Command{Verb: crowd.Boot, Node: int32(node), Cold: cold})
+	return w.nodes.order(fleetsim.Command{Verb: fleetsim.Boot, Node: int32(node), Cold: cold})
 }
 
 // standinsIn bounds how long stand-ins may take to be there.
@@ -231,7 +231,7 @@
 			return err
 		}
 		w.peerService = append(w.peerService, s)
-		x := w.spec(crowd.RolePeer)
+		x := w.spec(fleetsim.RolePeer)
 		x.Rank, x.Rate = i, w.f.Peers.Rate
 		all.Add(1)
 		p, err := w.summon(s.Name, x, func(e event.Event) { w.heardPeer(s, e, all.Done) })
@@ -277,18 +277,18 @@
 		addresses[i] = b.service.At(clientCaller)
 	}
 	var err error
-	if w.clients, err = w.summon("clients", w.spec(crowd.RoleClients), w.heardClients); err != nil {
+	if w.clients, err = w.summon("clients", w.spec(fleetsim.RoleClients), w.heardClients); err != nil {
 		return err
 	}
-	if err := errors.Join(w.clients.order(crowd.Command{Verb: crowd.Targets, Addresses: addresses}), w.clients.order(crowd.Command{Verb: crowd.Ask})); err != nil {
+	if err := errors.Join(w.clients.order(fleetsim.Command{Verb: fleetsim.Targets, Addresses: addresses}), w.clients.order(fleetsim.Command{Verb: fleetsim.Ask})); err != nil {
 		return err
 	}
 	for i, p := range w.peers {
 		mates := make([]string, len(w.peers))
 		for k, s := range w.peerService {
-			mates[k] = s.At(crowd.FirstPeer + i)
+			mates[k] = s.At(fleetsim.FirstPeer + i)
 		}
-		if err := p.order(crowd.Command{Verb: crowd.Mates, Addresses: mates}); err != nil {
+		if err := p.order(fleetsim.Command{Verb: fleetsim.Mates, Addresses: mates}); err != nil {
 			return err
 		}
 	}
--- a/internal/edge/client.go
+++ b/internal/frontend/client.go
@@ -1,4 +1,4 @@
-package edge
+package frontend
 
 import (
 	"errors"
@@ -9,9 +9,9 @@
 	"syscall"
 	"time"
 
-	"clayladder/internal/body"
-	"clayladder/internal/http1"
-	"clayladder/internal/pool"
+	"olivearch/internal/body"
+	"olivearch/internal/http1"
+	"olivearch/internal/pool"
 )
 
 // pacer sets a connection's limits of time. To set one costs as much as a good part of a request, so one that stands serves for as
--- a/internal/edge/desk.go
+++ b/internal/frontend/desk.go
@@ -1,12 +1,12 @@
-package edge
+package frontend
 
 import (
 	"fmt"
 	"net/http"
 	"time"
 
-	"clayladder/internal/http1"
-	"clayladder/internal/pool"
+	"olivearch/internal/http1"
+	"olivearch/internal/pool"
 )
 
 // Desk decides where a front's requests go, and which of them never reach a pool. Fronts call it from many goroutines.
--- a/internal/edge/exchange_test.go
+++ b/internal/frontend/exchange_test.go
@@ -1,4 +1,4 @@
-package edge
+package frontend
 
 import (
 	"bytes"
@@ -7,10 +7,10 @@
 	"testing"
 	"time"
 
-	"clayladder/internal/http1"
-	"clayladder/internal/pool"
-	"clayladder/internal/standin/scripted"
-	"clayladder/internal/upstream"
+	"olivearch/internal/http1"
+	"olivearch/internal/pool"
+	"olivearch/internal/standin/scripted"
+	"olivearch/internal/upstream"
 )
 
 // counter is a desk whose pool answers each request at once, with the body that came.
--- a/internal/edge/front.go
+++ b/internal/frontend/front.go
@@ -1,6 +1,6 @@
 // Package edge serves the connections of clients: it lets them in within bounds, reads their requests, hands these to a desk and
 // writes the one answer that each of them gets.
-package edge
+package frontend
 
 import (
 	"errors"
@@ -11,9 +11,9 @@
 	"syscall"
 	"time"
 
-	"clayladder/internal/body"
-	"clayladder/internal/handover"
-	"clayladder/internal/http1"
+	"olivearch/internal/body"
+	"olivearch/internal/hotrestart"
+	"olivearch/internal/http1"
 )
 
 const (
@@ -72,7 +72,7 @@
 	leaving bool             // told to stop: every answer closes its connection
 	standby *time.Timer      // drained: every answer closes its connection, and idle ones go when it goes off; nil: it is not
 	closed  bool             // no more connections are taken, and idle ones go
-	heir    *handover.Link   // takes the connections without a request in them; nil: nobody does
+	heir    *hotrestart.Link // takes the connections without a request in them; nil: nobody does
 	ended   chan struct{}    // closed once serve takes no more connections
 	spool   body.Spool       // for bodies that are read ahead
 	gone    sync.WaitGroup
@@ -271,7 +271,7 @@
 
 // HandOver ends service where another process has the listener too: that one gets the connections without a request in
 // them, now or once they are answered. Bytes that come meanwhile wait in the socket, so nothing crosses with a close.
-func (f *Front) HandOver(heir *handover.Link) {
+func (f *Front) HandOver(heir *hotrestart.Link) {
 	f.mu.Lock()
 	f.heir, f.closed = heir, true
 	f.listener.Close()
@@ -294,7 +294,7 @@
 	if heir == nil || !timedOut(err) || c.Buffered() > 0 {
 		return false
 	}
-	if err := heir.Send(handover.Message{Kind: handover.Client}, c.pace.Conn.(syscall.Conn)); err != nil {
+	if err := heir.Send(hotrestart.Message{Kind: hotrestart.Client}, c.pace.Conn.(syscall.Conn)); err != nil {
 		slog.Warn("handing a client over", "err", err)
 	}
 	return true
--- a/internal/edge/limits.go
+++ b/internal/frontend/limits.go
@@ -1,9 +1,9 @@
-package edge
+package frontend
 
 import (
 	"time"
 
-	"clayladder/internal/http1"
+	"olivearch/internal/http1"
 )
 
 // Limits are what a listener's clients may take.
--- a/internal/edge/moments_test.go
+++ b/internal/frontend/moments_test.go
@@ -1,4 +1,4 @@
-package edge
+package frontend
 
 import (
 	"bufio"
@@ -14,9 +14,9 @@
 	"testing"
 	"time"
 
-	"clayladder/internal/http1"
-	"clayladder/internal/pool"
-	"clayladder/internal/upstream"
+	"olivearch/internal/http1"
+	"olivearch/internal/pool"
+	"olivearch/internal/upstream"
 )
 
 // held is a desk whose pool answers each request when the test says so.
--- a/internal/edge/present_test.go
+++ b/internal/frontend/present_test.go
@@ -1,11 +1,11 @@
-package edge
+package frontend
 
 import (
 	"net"
 	"syscall"
 	"testing"
 
-	"clayladder/internal/http1"
+	"olivearch/internal/http1"
 )
 
 // A client that has closed its connection is seen to have left by who is about to send its request on, whoever reads it; one that
--- a/internal/edge/read.go
+++ b/internal/frontend/read.go
@@ -1,4 +1,4 @@
-package edge
+package frontend
 
 import (
 	"errors"
@@ -7,9 +7,9 @@
 	"net/http"
 	"strings"
 
-	"clayladder/internal/body"
-	"clayladder/internal/http1"
-	"clayladder/internal/pool"
+	"olivearch/internal/body"
+	"olivearch/internal/http1"
+	"olivearch/internal/pool"
 )
 
 // readBody reads a body, or the part of it that is read ahead.
--- a/internal/edge/write.go
+++ b/internal/frontend/write.go
@@ -1,4 +1,4 @@
-package edge
+package frontend
 
 import (
 	"errors"
@@ -8,9 +8,9 @@
 	"strconv"
 	"time"
 
-	"clayladder/internal/body"
-	"clayladder/internal/http1"
-	"clayladder/internal/pool"
+	"olivearch/internal/body"
+	"olivearch/internal/http1"
+	"olivearch/internal/pool"
 )
 
 // turnAway answers a client whose request can't be served, and closes the connection: where its next request begins
--- a/internal/handover/golden_test.go
+++ b/internal/hotrestart/golden_test.go
@@ -1,4 +1,4 @@
-package handover
+package hotrestart
 
 import (
 	"encoding/json"
@@ -7,22 +7,22 @@
 	"testing"
 	"time"
 
-	"clayladder"
-	"clayladder/internal/golden"
-	"clayladder/internal/maintenance"
+	"olivearch/balancer"
+	"olivearch/internal/golden"
+	"olivearch/internal/override"
 )
 
 // TestGoldenMessages pins the messages between an old and a new process in both directions: what this version writes, and that it reads
 // what an earlier one wrote.
 func TestGoldenMessages(t *testing.T) {
-	learnt := clayladder.Memory{Figures: map[string]float64{"lat": 2.5}, Classes: map[string]float64{"read": 7}, Upstreams: []clayladder.Learnt{
+	learnt := balancer.Memory{Figures: map[string]float64{"lat": 2.5}, Classes: map[string]float64{"read": 7}, Upstreams: []balancer.Learnt{
 		{ID: 3, StartedAt: time.Second, Silent: true, TrialAt: 2 * time.Second, Wait: time.Millisecond, Readings: 4, Answers: 5, Mute: 6,
 			Window: []float64{0.5, 0.25}, Figures: map[string]float64{"bound": 3}},
 	}}
 	var text strings.Builder
 	for _, m := range []Message{
 		{Kind: Take, Listen: "127.0.0.1:8080"},
-		{Kind: State, Serial: 3, Listen: "127.0.0.1:8080", Standby: true, Held: map[string]maintenance.Entry{"s-1": {Out: true, At: 17}, "s-2": {At: 18}}},
+		{Kind: State, Serial: 3, Listen: "127.0.0.1:8080", Standby: true, Held: map[string]override.Entry{"s-1": {Out: true, At: 17}, "s-2": {At: 18}}},
 		{Kind: Ack, Serial: 3},
 		{Kind: Ready},
 		{Kind: Recall},
--- a/internal/handover/handover.go
+++ b/internal/hotrestart/handover.go
@@ -1,6 +1,6 @@
 // Package handover is the link between an old and a new process of one balancer: messages with at most one descriptor
 // each, over a Unix socket that only processes with the same folder can reach. What is handed over, and when, is its users'.
-package handover
+package hotrestart
 
 import (
 	"encoding/json"
@@ -13,8 +13,8 @@
 	"syscall"
 	"time"
 
-	"clayladder"
-	"clayladder/internal/maintenance"
+	"olivearch/balancer"
+	"olivearch/internal/override"
 )
 
 const (
@@ -42,12 +42,12 @@
 
 // Message is what one process tells the other.
 type Message struct {
-	Kind    Kind                         `json:"kind"`
-	Serial  uint64                       `json:"serial,omitempty"` // of a State, and in its Ack
-	Listen  string                       `json:"listen,omitempty"` // address that the balancer serves
-	Held    map[string]maintenance.Entry `json:"held,omitempty"`
-	Standby bool                         `json:"standby,omitempty"`
-	Memory  *clayladder.Memory           `json:"memory,omitempty"`
+	Kind    Kind                      `json:"kind"`
+	Serial  uint64                    `json:"serial,omitempty"` // of a State, and in its Ack
+	Listen  string                    `json:"listen,omitempty"` // address that the balancer serves
+	Held    map[string]override.Entry `json:"held,omitempty"`
+	Standby bool                      `json:"standby,omitempty"`
+	Memory  *balancer.Memory          `json:"memory,omitempty"`
 }
 
 // Decode reads a message.
--- a/internal/handover/handover_test.go
+++ b/internal/hotrestart/handover_test.go
@@ -1,4 +1,4 @@
-package handover
+package hotrestart
 
 import (
 	"errors"
@@ -9,7 +9,7 @@
 	"strings"
 	"testing"
 
-	"clayladder/internal/maintenance"
+	"olivearch/internal/override"
 )
 
 func pair(t *testing.T, path string) (old, fresh *Link) {
@@ -79,9 +79,9 @@
 // TestMessages: a message comes whole, one at a time, and the end of the other process is an error.
 func TestMessages(t *testing.T) {
 	old, fresh := pair(t, filepath.Join(t.TempDir(), "s"))
-	held := map[string]maintenance.Entry{}
+	held := map[string]override.Entry{}
 	for i := range 1000 {
-		held[strings.Repeat("i", i%40)+string(rune('a'+i%26))] = maintenance.Entry{Out: true, At: int64(i)}
+		held[strings.Repeat("i", i%40)+string(rune('a'+i%26))] = override.Entry{Out: true, At: int64(i)}
 	}
 	old.Send(Message{Kind: State, Serial: 3, Held: held, Standby: true}, nil)
 	old.Send(Message{Kind: Ready}, nil)
--- a/internal/http1/stream_test.go
+++ b/internal/http1/stream_test.go
@@ -7,7 +7,7 @@
 	"net/http"
 	"testing"
 
-	"clayladder/internal/standin/scripted"
+	"olivearch/internal/standin/scripted"
 )
 
 // FuzzAnswer reads what an upstream may say. What is taken for whole must be so for net/http too, with the same body.
--- a/internal/picker/picker.go
+++ b/internal/lbpolicy/picker.go
@@ -1,7 +1,7 @@
 // Package picker holds the ways by which widely used proxies and RPC libraries choose a server, to set olivearch against
 // them: each as its source says, with the source's constants. It does no I/O, reads no clock and starts no goroutine;
 // a Picker belongs to one goroutine.
-package picker
+package lbpolicy
 
 import (
 	"fmt"
--- a/internal/picker/picker_test.go
+++ b/internal/lbpolicy/picker_test.go
@@ -1,4 +1,4 @@
-package picker
+package lbpolicy
 
 import (
 	"fmt"
--- a/internal/picker/weighted.go
+++ b/internal/lbpolicy/weighted.go
@@ -1,4 +1,4 @@
-package picker
+package lbpolicy
 
 import (
 	"math/rand/v2"
--- a/internal/loadgen/loadgen.go
+++ b/internal/loadgen/loadgen.go
@@ -7,9 +7,9 @@
 	"sync"
 	"time"
 
-	"clayladder/internal/figures"
-	"clayladder/internal/scenario"
-	"clayladder/internal/standin/fleet"
+	"olivearch/internal/scenario"
+	"olivearch/internal/standin/fleet"
+	"olivearch/internal/stats"
 )
 
 // patience is how much longer than its deadline a client waits for the answer that it is owed.
@@ -24,14 +24,14 @@
 	Start   time.Time // of the measuring; the warm-up is before it
 
 	mu       sync.Mutex
-	recorder *figures.Recorder
+	recorder *stats.Recorder
 	served   int
 	asked    int
 }
 
 // Play asks until the scenario's end and returns when all is answered.
-func (r *Run) Play() ([]figures.Block, error) {
-	r.recorder = figures.NewRecorder(time.Duration(r.File.Length))
+func (r *Run) Play() ([]stats.Block, error) {
+	r.recorder = stats.NewRecorder(time.Duration(r.File.Length))
 	var all sync.WaitGroup
 	for i := range r.File.Load {
 		l, c := &r.File.Load[i], &client{address: r.Address}
@@ -111,7 +111,7 @@
 	}
 	r.Judge.Asked(id, effect, time.Duration(l.Deadline))
 	status, body, err := c.ask(text(l, id, size), time.Duration(l.Deadline)+patience)
-	end := figures.Failed
+	end := stats.Failed
 	switch {
 	case errors.Is(err, errDial):
 		r.Judge.Left(id)
@@ -121,16 +121,16 @@
 		r.Judge.Answered(id, status, body)
 		switch status {
 		case http.StatusOK:
-			end = figures.Served
+			end = stats.Served
 		case http.StatusServiceUnavailable, http.StatusTooManyRequests:
-			end = figures.Refused
+			end = stats.Refused
 		}
 	}
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.recorder.Add(meant, time.Since(r.Start), time.Duration(l.Aim), end)
 	r.asked++
-	if end == figures.Served {
+	if end == stats.Served {
 		r.served++
 	}
 }
--- a/internal/spread/spread.go
+++ b/internal/loadspread/spread.go
@@ -1,6 +1,6 @@
 // Package spread measures how even a fleet's requests are over its nodes: counts by node in equal bins of time, and from
 // them the deviation over the mean, the busiest node over the mean, idle nodes, and whether a node's part swings.
-package spread
+package loadspread
 
 import (
 	"math"
--- a/internal/spread/spread_test.go
+++ b/internal/loadspread/spread_test.go
@@ -1,4 +1,4 @@
-package spread
+package loadspread
 
 import (
 	"bytes"
--- a/internal/metrics/golden_test.go
+++ b/internal/metrics/golden_test.go
@@ -10,7 +10,7 @@
 	"github.com/prometheus/common/expfmt"
 	"github.com/prometheus/common/model"
 
-	"clayladder/internal/golden"
+	"olivearch/internal/golden"
 )
 
 // TestGoldenNames pins the name, type and labels of each metric.
--- a/internal/metrics/metrics.go
+++ b/internal/metrics/metrics.go
@@ -13,9 +13,9 @@
 	"sync/atomic"
 	"time"
 
-	"clayladder/internal/live"
-	"clayladder/internal/pool"
-	"clayladder/internal/procstat"
+	"olivearch/internal/live"
+	"olivearch/internal/pool"
+	"olivearch/internal/procstat"
 )
 
 // Snapshot is what is told at a moment.
--- a/internal/metrics/metrics_test.go
+++ b/internal/metrics/metrics_test.go
@@ -17,8 +17,8 @@
 	"github.com/prometheus/common/expfmt"
 	"github.com/prometheus/common/model"
 
-	"clayladder/internal/live"
-	"clayladder/internal/pool"
+	"olivearch/internal/live"
+	"olivearch/internal/pool"
 )
 
 // read asks once, as something that gathers does.
--- a/internal/maintenance/maintenance.go
+++ b/internal/override/maintenance.go
@@ -1,5 +1,5 @@
 // Package maintenance keeps which upstreams operators have taken out by hand. It is free of I/O, clock and goroutines.
-package maintenance
+package override
 
 import (
 	"maps"
--- a/internal/maintenance/maintenance_test.go
+++ b/internal/override/maintenance_test.go
@@ -1,4 +1,4 @@
-package maintenance
+package override
 
 import (
 	"testing"
--- a/internal/maintenance/shared.go
+++ b/internal/override/shared.go
@@ -1,10 +1,10 @@
-package maintenance
+package override
 
 import (
 	"maps"
 	"time"
 
-	"clayladder/internal/promise"
+	"olivearch/internal/coordination/state"
 )
 
 // Shared is what the ledger of promises says of a pool's upstreams: staff's word, given to all balancers. The zero value says nothing.
@@ -17,19 +17,19 @@
 }
 
 // Of picks what words say of a pool.
-func Of(words []promise.Word, pool string) Shared {
+func Of(words []state.Word, pool string) Shared {
 	s := Shared{Out: map[string]bool{}, Zones: map[string]bool{}, Caps: map[string]int{}, Shares: map[string]float64{}}
 	for _, w := range words {
 		switch {
-		case w.Kind == promise.Out && w.Scope == promise.Upstream:
+		case w.Kind == state.Out && w.Scope == state.Upstream:
 			s.Out[w.Target] = true
-		case w.Kind == promise.Out && w.Scope == promise.Zone:
+		case w.Kind == state.Out && w.Scope == state.Zone:
 			s.Zones[w.Target] = true
-		case w.Kind == promise.Out && w.Scope == promise.Pool:
+		case w.Kind == state.Out && w.Scope == state.Pool:
 			s.All = s.All || w.Target == pool
-		case w.Kind == promise.Cap:
+		case w.Kind == state.Cap:
 			s.Caps[w.Target] = int(w.Value)
-		case w.Kind == promise.Share:
+		case w.Kind == state.Share:
 			s.Shares[w.Target] = float64(w.Value) / 1000
 		}
 	}
--- a/internal/maintenance/shared_test.go
+++ b/internal/override/shared_test.go
@@ -1,24 +1,24 @@
-package maintenance
+package override
 
 import (
 	"testing"
 	"time"
 
-	"clayladder/internal/promise"
+	"olivearch/internal/coordination/state"
 )
 
 // What the ledger says lies over what this balancer was told: out by either is out, and what comes back counts as just started.
 func TestShared(t *testing.T) {
-	word := func(k promise.Kind, s promise.Scope, target string, value int64) promise.Word {
-		return promise.Word{Subject: promise.Subject{Kind: k, Scope: s, Target: target}, Value: value}
+	word := func(k state.Kind, s state.Scope, target string, value int64) state.Word {
+		return state.Word{Subject: state.Subject{Kind: k, Scope: s, Target: target}, Value: value}
 	}
 	var l Ledger
 	if l.Held("a", "z") || l.Part("a") != 1 || l.Cap("a") != 0 {
 		t.Error("nothing was said")
 	}
 	l.Out("a", 1)
-	l.Govern(Of([]promise.Word{word(promise.Out, promise.Upstream, "a", 0), word(promise.Out, promise.Zone, "z", 0), word(promise.Out, promise.Pool, "other", 0),
-		word(promise.Cap, promise.Upstream, "b", 4), word(promise.Share, promise.Upstream, "b", 250)}, "mine"), 2)
+	l.Govern(Of([]state.Word{word(state.Out, state.Upstream, "a", 0), word(state.Out, state.Zone, "z", 0), word(state.Out, state.Pool, "other", 0),
+		word(state.Cap, state.Upstream, "b", 4), word(state.Share, state.Upstream, "b", 250)}, "mine"), 2)
 	if !l.Held("a", "y") || !l.Held("b", "z") || l.Held("b", "y") || l.Cap("b") != 4 || l.Part("b") != 0.25 {
 		t.Errorf("%+v", l)
 	}
@@ -26,7 +26,7 @@
 	if l.IsOut("a") || !l.Held("a", "y") {
 		t.Error("it is out by the ledger's word")
 	}
-	l.Govern(Of([]promise.Word{word(promise.Out, promise.Pool, "mine", 0)}, "mine"), 5)
+	l.Govern(Of([]state.Word{word(state.Out, state.Pool, "mine", 0)}, "mine"), 5)
 	if !l.Held("c", "y") || l.Returned("a", "y") != 5 || l.Returned("b", "z") != 5 || l.Returned("b", "y") != 0 {
 		t.Errorf("%+v", l)
 	}
--- a/internal/pool/attempt.go
+++ b/internal/pool/attempt.go
@@ -5,10 +5,10 @@
 	"net/http"
 	"time"
 
-	"clayladder"
-	"clayladder/internal/body"
-	"clayladder/internal/http1"
-	"clayladder/internal/upstream"
+	"olivearch/balancer"
+	"olivearch/internal/body"
+	"olivearch/internal/http1"
+	"olivearch/internal/upstream"
 )
 
 // lingerFor and lingerMost bound the connections of attempts whose client has gone. The upstream works on
@@ -49,7 +49,7 @@
 func (a *attempt) Open() bool { return a.req.waits() }
 
 // Send makes an attempt.
-func (l *loop) Send(id clayladder.RequestID, up clayladder.UpstreamID, timeout time.Duration) {
+func (l *loop) Send(id balancer.RequestID, up balancer.UpstreamID, timeout time.Duration) {
 	r, p := l.requests[id], l.peers[up]
 	if r == nil || p == nil { // the module sends what it was told of, where it was told
 		l.Log(fmt.Sprintf("send of unknown request %d or upstream %d", id, up))
@@ -74,12 +74,12 @@
 	}
 	var room bool
 	crowded := r.Message.Upgrade != "" && p.tunnels >= l.caps.PerNode
-	if !r.closed && wait > 0 && p.state == clayladder.Active && !crowded {
+	if !r.closed && wait > 0 && p.state == balancer.Active && !crowded {
 		a.link, room = l.link(p, now)
 	}
 	if !room { // no fault of the upstream's
 		a.Drop()
-		l.due = append(l.due, owing{a, clayladder.Moot})
+		l.due = append(l.due, owing{a, balancer.Moot})
 		return
 	}
 	if p.out == nil {
@@ -169,7 +169,7 @@
 	if a.told {
 		l.ghost(a.peer, -1)
 	}
-	if a.req.gone.Load() && !a.req.closed && e.Status != clayladder.OK { // seen as it was to be written, or meanwhile
+	if a.req.gone.Load() && !a.req.closed && e.Status != balancer.OK { // seen as it was to be written, or meanwhile
 		l.leave(a.req)
 	}
 	l.tell(a, e.Result)
@@ -184,11 +184,11 @@
 	a.told = true
 	l.alarms.unset(&a.limit)
 	q, now := a.req, l.now()
-	if r.Status == clayladder.OK && !q.closed {
+	if r.Status == balancer.OK && !q.closed {
 		l.answer(q, Answer{Status: r.Code, Body: r.Body, Kind: r.Kind, Header: r.Header, Trailer: r.Trailer, More: r.More, Tunnel: r.Tunnel})
 	}
-	if r.Status != clayladder.OK && !q.closed && q.Message.Rest.Spent() { // the module can't send it anew
-		if r.Status == clayladder.Full || r.Status == clayladder.ConnectFailed || r.Status == clayladder.Moot {
+	if r.Status != balancer.OK && !q.closed && q.Message.Rest.Spent() { // the module can't send it anew
+		if r.Status == balancer.Full || r.Status == balancer.ConnectFailed || r.Status == balancer.Moot {
 			l.answer(q, Answer{Status: http.StatusServiceUnavailable})
 		} else {
 			l.answer(q, Answer{Status: http.StatusBadGateway})
@@ -197,14 +197,14 @@
 	q.out--
 	closed := q.closed
 	l.release(q)
-	l.balancer.Outcome(now, clayladder.Outcome{ID: q.ID, Upstream: a.peer.id, Attempt: a.n, Latency: now - a.sentAt,
+	l.balancer.Outcome(now, balancer.Outcome{ID: q.ID, Upstream: a.peer.id, Attempt: a.n, Latency: now - a.sentAt,
 		Status: r.Status, Closed: closed, Load: r.Load})
 }
 
 // owing is an outcome to tell as soon as the module has returned.
 type owing struct {
 	a      *attempt
-	status clayladder.Status
+	status balancer.Status
 }
 
 // settle tells the outcomes that came up while the module was calling.
@@ -218,15 +218,15 @@
 }
 
 // end stops waiting for an attempt. One that was never written is moot.
-func (l *loop) end(a *attempt, status clayladder.Status) {
+func (l *loop) end(a *attempt, status balancer.Status) {
 	if a.told {
 		return
 	}
 	if a.Drop() {
-		status = clayladder.Moot
+		status = balancer.Moot
 	} else {
 		// An attempt of a request that may be sent again gives up its connection, or it would count as a second copy.
-		until, linger := time.Unix(0, 1), (a.req.closed || l.now() >= a.req.deadline) && a.peer.lingering < a.peer.lingerMost() && a.peer.state == clayladder.Active
+		until, linger := time.Unix(0, 1), (a.req.closed || l.now() >= a.req.deadline) && a.peer.lingering < a.peer.lingerMost() && a.peer.state == balancer.Active
 		if linger {
 			until = time.Now().Add(lingerFor)
 		}
@@ -244,6 +244,6 @@
 // expire ends an attempt whose time is up.
 func (l *loop) expire(a *attempt) {
 	if !a.told {
-		l.end(a, clayladder.Timeout)
+		l.end(a, balancer.Timeout)
 	}
 }
--- a/internal/pool/conns.go
+++ b/internal/pool/conns.go
@@ -4,8 +4,8 @@
 	"slices"
 	"time"
 
-	"clayladder"
-	"clayladder/internal/upstream"
+	"olivearch/balancer"
+	"olivearch/internal/upstream"
 )
 
 const (
@@ -123,7 +123,7 @@
 		l.conns, p.conns = l.conns-1, p.conns-1
 	case p.share.Connections > 0 && p.conns > p.share.Connections: // its part has become smaller
 		l.shut(p, k)
-	case p.state != clayladder.Active || c.Address() != p.address:
+	case p.state != balancer.Active || c.Address() != p.address:
 		l.shut(p, k)
 	case c.Reuse() != nil:
 		l.shut(p, k)
@@ -160,7 +160,7 @@
 }
 
 // Disconnect closes the idle links to an upstream.
-func (l *loop) Disconnect(up clayladder.UpstreamID) {
+func (l *loop) Disconnect(up balancer.UpstreamID) {
 	if p := l.peers[up]; p != nil {
 		l.shut(p, p.idle...)
 		p.idle = nil
@@ -168,9 +168,9 @@
 }
 
 // Probe asks an upstream for its load.
-func (l *loop) Probe(up clayladder.UpstreamID) {
+func (l *loop) Probe(up balancer.UpstreamID) {
 	p := l.peers[up]
-	if p == nil || p.state != clayladder.Active {
+	if p == nil || p.state != balancer.Active {
 		return
 	}
 	sentAt := l.now()
@@ -178,7 +178,7 @@
 	if !room {
 		return
 	}
-	ask := upstream.Probe{Address: p.address, Load: l.settings.Reports != clayladder.ReportNone, Conn: k.conn}
+	ask := upstream.Probe{Address: p.address, Load: l.settings.Reports != balancer.ReportNone, Conn: k.conn}
 	via := l.transport
 	go func() { l.post(probed{p, k, sentAt, via.Probe(ask)}) }()
 }
@@ -198,5 +198,5 @@
 		e.peer.strays++
 	}
 	now := l.now()
-	l.balancer.Probed(now, clayladder.ProbeResult{Upstream: e.peer.id, Latency: now - e.sentAt, Status: e.Status, Load: e.Load})
+	l.balancer.Probed(now, balancer.ProbeResult{Upstream: e.peer.id, Latency: now - e.sentAt, Status: e.Status, Load: e.Load})
 }
--- a/internal/pool/directory.go
+++ b/internal/pool/directory.go
@@ -4,8 +4,8 @@
 	"context"
 	"sync"
 
-	"clayladder"
-	"clayladder/internal/nodeshare"
+	"olivearch/balancer"
+	"olivearch/internal/sharedlimit"
 )
 
 // Directory tells the pools of a process what each may use of the nodes that several of them list. It runs in a
@@ -20,11 +20,11 @@
 
 // directory is what the goroutine keeps.
 type directory struct {
-	ledger  *nodeshare.Ledger
-	ties    map[*nodeshare.Pool]*tie
-	claimed map[*nodeshare.Pool]struct{} // since pools were last told
-	limit   int                          // connections to one node over all pools
-	limited bool                         // anew, since pools were last told
+	ledger  *sharedlimit.Ledger
+	ties    map[*sharedlimit.Pool]*tie
+	claimed map[*sharedlimit.Pool]struct{} // since pools were last told
+	limit   int                            // connections to one node over all pools
+	limited bool                           // anew, since pools were last told
 }
 
 // tie is what the directory's goroutine keeps of a pool.
@@ -37,14 +37,14 @@
 // What it holds beside the claim is what differs from the rule, which is that a node is all the pool's.
 type sharing struct {
 	directory *Directory
-	pool      *nodeshare.Pool // the directory's
+	pool      *sharedlimit.Pool // the directory's
 	weight    float64
-	own       bool                       // drains that other pools were told do not count here
-	limit     int                        // connections to a node that is all the pool's; 0: not told yet
-	claimed   map[string]bool            // by address; true: drains by the pool's list. The directory reads it too: it never changes
-	serial    uint64                     // of that claim
-	waiting   map[string]uint64          // nodes for which the directory has not answered, by the claim that has them first
-	shared    map[string]nodeshare.Share // nodes that other pools list too
+	own       bool                         // drains that other pools were told do not count here
+	limit     int                          // connections to a node that is all the pool's; 0: not told yet
+	claimed   map[string]bool              // by address; true: drains by the pool's list. The directory reads it too: it never changes
+	serial    uint64                       // of that claim
+	waiting   map[string]uint64            // nodes for which the directory has not answered, by the claim that has them first
+	shared    map[string]sharedlimit.Share // nodes that other pools list too
 }
 
 // NewDirectory starts a directory, for so many connections to one node over all pools.
@@ -65,7 +65,7 @@
 }
 
 func newDirectory(connections int) *directory {
-	return &directory{ledger: nodeshare.New(connections), ties: map[*nodeshare.Pool]*tie{}, claimed: map[*nodeshare.Pool]struct{}{}, limit: connections}
+	return &directory{ledger: sharedlimit.New(connections), ties: map[*sharedlimit.Pool]*tie{}, claimed: map[*sharedlimit.Pool]struct{}{}, limit: connections}
 }
 
 // turn answers what was asked.
@@ -136,7 +136,7 @@
 	if d == nil {
 		return nil
 	}
-	s := &sharing{directory: d, pool: new(nodeshare.Pool), weight: weight, own: own, waiting: map[string]uint64{}, shared: map[string]nodeshare.Share{}}
+	s := &sharing{directory: d, pool: new(sharedlimit.Pool), weight: weight, own: own, waiting: map[string]uint64{}, shared: map[string]sharedlimit.Share{}}
 	d.ask(func(state *directory) { state.ties[s.pool] = &tie{hand: hand} })
 	return s
 }
@@ -176,17 +176,17 @@
 }
 
 // share is what the pool may use of a node; false: the directory has not answered for it, and it gets nothing.
-func (s *sharing) share(address string) (nodeshare.Share, bool) {
+func (s *sharing) share(address string) (sharedlimit.Share, bool) {
 	if _, waits := s.waiting[address]; waits {
-		return nodeshare.Share{}, false
+		return sharedlimit.Share{}, false
 	}
 	if _, ok := s.claimed[address]; !ok {
-		return nodeshare.Share{}, false
+		return sharedlimit.Share{}, false
 	}
 	if x, ok := s.shared[address]; ok {
 		return x, true
 	}
-	return nodeshare.Share{Part: 1, Connections: s.limit}, true
+	return sharedlimit.Share{Part: 1, Connections: s.limit}, true
 }
 
 func (s *sharing) leave() {
@@ -202,7 +202,7 @@
 
 // sharesTold is word from the directory.
 type sharesTold struct {
-	changes []nodeshare.Change
+	changes []sharedlimit.Change
 	serial  uint64 // the pool's claim that the directory has: of nodes that are first in a later one it knows nothing
 	in      bool   // nodes up to that claim may be used
 	limit   int    // connections to a node that is all the pool's, if in
@@ -270,7 +270,7 @@
 // reshare applies anew what the directory has told of nodes, by address; nil: of all.
 func (l *loop) reshare(nodes map[string]struct{}) {
 	l.counts.recount = true
-	var changed []clayladder.Upstream
+	var changed []balancer.Upstream
 	for _, p := range l.peers {
 		if _, ok := nodes[p.address]; !ok && nodes != nil {
 			continue
@@ -285,7 +285,7 @@
 		}
 	}
 	if len(changed) > 0 {
-		l.balancer.Members(l.now(), clayladder.ListDelta, changed)
+		l.balancer.Members(l.now(), balancer.ListDelta, changed)
 	}
 	l.settle()
 }
--- a/internal/pool/directory_test.go
+++ b/internal/pool/directory_test.go
@@ -6,9 +6,9 @@
 	"runtime"
 	"testing"
 
-	"clayladder"
-	"clayladder/internal/discovery"
-	"clayladder/internal/nodeshare"
+	"olivearch/balancer"
+	"olivearch/internal/discovery"
+	"olivearch/internal/sharedlimit"
 )
 
 // desk is a directory that a test turns by hand.
@@ -51,7 +51,7 @@
 	if p := h.named(fmt.Sprint("n", i)); p != nil {
 		return p
 	}
-	return &peer{state: clayladder.Gone}
+	return &peer{state: balancer.Gone}
 }
 
 // TestNothingBeforeTheDirectoryAnswers: a pool uses a node once the directory has its claim, and the pools that list the
@@ -60,29 +60,29 @@
 	d := newDesk(t, 40)
 	a, b := d.pool(t, "a", 3, false), d.pool(t, "b", 1, false)
 	a.lists("up", "up")
-	want(t, "a, before the answer", a.node(0).state, clayladder.Draining)
+	want(t, "a, before the answer", a.node(0).state, balancer.Draining)
 	d.turn()
 	a.rush()
-	want(t, "a", a.node(0).state, clayladder.Active)
-	want(t, "a alone", a.node(0).share, nodeshare.Share{Part: 1, Connections: 40})
+	want(t, "a", a.node(0).state, balancer.Active)
+	want(t, "a alone", a.node(0).share, sharedlimit.Share{Part: 1, Connections: 40})
 	for range 20 { // by a map's order the other way would come up
 		d.order = nil
 		b.lists("up")
 		a.rush()
-		want(t, "b, before the answer", b.node(0).state, clayladder.Draining)
+		want(t, "b, before the answer", b.node(0).state, balancer.Draining)
 		d.turn()
 		want(t, "order", fmt.Sprint(d.order), "[a b]")
 		b.rush()
-		want(t, "b, while a has not looked", b.node(0).share, nodeshare.Share{Part: 0.25, Connections: 10})
+		want(t, "b, while a has not looked", b.node(0).share, sharedlimit.Share{Part: 0.25, Connections: 10})
 		a.rush()
-		want(t, "a", a.node(0).share, nodeshare.Share{Part: 0.75, Connections: 30})
+		want(t, "a", a.node(0).share, sharedlimit.Share{Part: 0.75, Connections: 30})
 		want(t, "a, at the module", a.node(0).entry.Part, 0.75)
-		want(t, "a, the other node", a.node(1).share, nodeshare.Share{Part: 1, Connections: 40})
+		want(t, "a, the other node", a.node(1).share, sharedlimit.Share{Part: 1, Connections: 40})
 		b.lists()
 		d.turn()
 		a.rush()
 		b.rush()
-		want(t, "a, alone again", a.node(0).share, nodeshare.Share{Part: 1, Connections: 40})
+		want(t, "a, alone again", a.node(0).share, sharedlimit.Share{Part: 1, Connections: 40})
 	}
 }
 
@@ -104,26 +104,26 @@
 			all()
 			a.lists("up", "up")
 			all()
-			want(t, "b before the drain", b.node(0).state, clayladder.Active)
+			want(t, "b before the drain", b.node(0).state, balancer.Active)
 		}
 		a.lists("draining", "up")
-		want(t, "a at once", a.node(0).state, clayladder.Draining)
+		want(t, "a at once", a.node(0).state, balancer.Draining)
 		all()
 		if late {
 			b.lists("up", "up")
 			own.lists("up", "up")
 			all()
 		}
-		want(t, "b", b.node(0).state, clayladder.Draining)
-		want(t, "b, the other node", b.node(1).state, clayladder.Active)
-		want(t, "own", own.node(0).state, clayladder.Active)
+		want(t, "b", b.node(0).state, balancer.Draining)
+		want(t, "b, the other node", b.node(1).state, balancer.Active)
+		want(t, "own", own.node(0).state, balancer.Active)
 		if late {
 			a.lists("up", "up")
 		} else {
 			a.shares.leave()
 		}
 		all()
-		want(t, "b after the drain", b.node(0).state, clayladder.Active)
+		want(t, "b after the drain", b.node(0).state, balancer.Active)
 	}
 }
 
@@ -137,7 +137,7 @@
 	a.lists()
 	a.lists("up")
 	a.rush()
-	want(t, "a, by the word that its first claim is in", a.node(0).state, clayladder.Draining)
+	want(t, "a, by the word that its first claim is in", a.node(0).state, balancer.Draining)
 	b.lists("up")
 	d.turn()
 	a.rush()
@@ -147,12 +147,12 @@
 	a.lists()
 	a.lists("up")
 	a.rush()
-	want(t, "a, by an answer to its first claim", a.node(0).state, clayladder.Draining)
+	want(t, "a, by an answer to its first claim", a.node(0).state, balancer.Draining)
 	b.shares.leave()
 	d.turn()
 	a.rush()
-	want(t, "a, by the answer to its last", a.node(0).state, clayladder.Active)
-	want(t, "a", a.node(0).share, nodeshare.Share{Part: 1, Connections: 40})
+	want(t, "a, by the answer to its last", a.node(0).state, balancer.Active)
+	want(t, "a", a.node(0).share, sharedlimit.Share{Part: 1, Connections: 40})
 	want(t, "what a keeps beside its claim", len(a.shares.shared)+len(a.shares.waiting), 0)
 }
 
@@ -170,8 +170,8 @@
 	d.turn()
 	next.rush()
 	other.rush()
-	want(t, "the successor", next.node(0).share, nodeshare.Share{Part: 0.5, Connections: 20})
-	want(t, "the other", other.node(0).share, nodeshare.Share{Part: 0.5, Connections: 20})
+	want(t, "the successor", next.node(0).share, sharedlimit.Share{Part: 0.5, Connections: 20})
+	want(t, "the other", other.node(0).share, sharedlimit.Share{Part: 0.5, Connections: 20})
 }
 
 // TestLimitReachesAll: pools are told another limit of connections to one node, also for nodes that they have alone.
@@ -229,7 +229,7 @@
 			n, drains := 0, false
 			for _, h := range pools {
 				if p := h.node(k); p.name != "" {
-					n, total, drains = n+1, total+h.shares.weight, drains || p.listed == clayladder.Draining
+					n, total, drains = n+1, total+h.shares.weight, drains || p.listed == balancer.Draining
 				}
 			}
 			for i, h := range pools {
@@ -242,7 +242,7 @@
 				}
 				state := p.listed
 				if drains && !h.shares.own {
-					state = clayladder.Draining
+					state = balancer.Draining
 				}
 				if p.state != state {
 					t.Fatalf("pool %d, node %d: state %v, want %v", i, k, p.state, state)
--- a/internal/pool/host.go
+++ b/internal/pool/host.go
@@ -7,13 +7,13 @@
 	"sync"
 	"time"
 
-	"clayladder"
+	"olivearch/balancer"
 )
 
 // This file has what the module asks for, but for sends (attempt.go) and what concerns connections (conns.go).
 
 // Refuse answers a client that another try is harmless.
-func (l *loop) Refuse(id clayladder.RequestID, retryAfter time.Duration) {
+func (l *loop) Refuse(id balancer.RequestID, retryAfter time.Duration) {
 	if r := l.requests[id]; r != nil {
 		if !l.settings.Limits.RetryAfter {
 			retryAfter = 0
@@ -23,7 +23,7 @@
 }
 
 // Fail answers a client with no promise.
-func (l *loop) Fail(id clayladder.RequestID) {
+func (l *loop) Fail(id balancer.RequestID) {
 	if r := l.requests[id]; r != nil {
 		status := http.StatusBadGateway
 		if l.now() >= r.deadline {
@@ -34,9 +34,9 @@
 }
 
 // Cancel stops waiting for an attempt.
-func (l *loop) Cancel(id clayladder.RequestID, n int) {
+func (l *loop) Cancel(id balancer.RequestID, n int) {
 	if r := l.requests[id]; r != nil && n >= 0 && n < len(r.attempts) {
-		l.due = append(l.due, owing{r.attempts[n], clayladder.Cancelled})
+		l.due = append(l.due, owing{r.attempts[n], balancer.Cancelled})
 	}
 }
 
--- a/internal/pool/loop.go
+++ b/internal/pool/loop.go
@@ -5,11 +5,11 @@
 	"sync/atomic"
 	"time"
 
-	"clayladder"
-	"clayladder/internal/clock"
-	"clayladder/internal/discovery"
-	"clayladder/internal/maintenance"
-	"clayladder/internal/upstream"
+	"olivearch/balancer"
+	"olivearch/internal/clock"
+	"olivearch/internal/discovery"
+	"olivearch/internal/override"
+	"olivearch/internal/upstream"
 )
 
 const logQueue = 256
@@ -20,8 +20,8 @@
 // loop owns the Balancer, from one goroutine. Everything here runs on that goroutine but for post, now and what is
 // started with go. It never waits for anything but its channels.
 type loop struct {
-	balancer  *clayladder.Balancer // nil: it is not made
-	unmade    unmade               // what there is in its place
+	balancer  *balancer.Balancer // nil: it is not made
+	unmade    unmade             // what there is in its place
 	seed      uint64
 	makes     uint64        // how often it was made
 	listed    bool          // a list has been told
@@ -40,7 +40,7 @@
 	stopWatch context.CancelFunc // nil: the module does not follow discovery
 	transport upstream.Transport
 	whole     bool // clients are told in HTTP's usual terms
-	settings  clayladder.Settings
+	settings  balancer.Settings
 	idleFor   time.Duration
 	maxConns  int
 	trust     bool          // connections rest only where strays were seen
@@ -51,16 +51,16 @@
 	keeper    Keeper        // nil: lists are not kept
 	shares    *sharing      // nil: no other pool of the process may use the same upstreams
 
-	maint    maintenance.Ledger // which upstreams are out by hand
-	heard    atomic.Bool        // discovery has told a list
+	maint    override.Ledger // which upstreams are out by hand
+	heard    atomic.Bool     // discovery has told a list
 	names    *discovery.Names
 	revision uint64
 	listings uint64 // lists applied to the peers
 	serial   uint64
 	alarms   alarms
-	requests map[clayladder.RequestID]*Request
+	requests map[balancer.RequestID]*Request
 	open     map[string]bool // the clients' ids of these
-	peers    map[clayladder.UpstreamID]*peer
+	peers    map[balancer.UpstreamID]*peer
 	room     []peer // for those of the list with which the module is made
 	tunnels  map[*attempt]struct{}
 	caps     TunnelCaps
@@ -71,12 +71,12 @@
 	counts counts
 }
 
-var _ clayladder.Host = (*loop)(nil)
+var _ balancer.Host = (*loop)(nil)
 
 func newLoop(ctx context.Context, c Spec) *loop {
 	l := &loop{ctx: ctx, mail: newMailbox(), madeFor: madeFor, firstMost: firstMost,
-		origin: time.Now(), names: discovery.NewNames(), requests: map[clayladder.RequestID]*Request{}, open: map[string]bool{},
-		peers: map[clayladder.UpstreamID]*peer{}, tunnels: map[*attempt]struct{}{}}
+		origin: time.Now(), names: discovery.NewNames(), requests: map[balancer.RequestID]*Request{}, open: map[string]bool{},
+		peers: map[balancer.UpstreamID]*peer{}, tunnels: map[*attempt]struct{}{}}
 	l.limit(c)
 	l.keeper = c.Keep
 	// The clock is Unix time at the start, going on by the monotonic clock: what discovery dates stands on it as it
@@ -120,7 +120,7 @@
 		return err
 	}
 	if known != nil {
-		l.members(clayladder.ListCached, *known)
+		l.members(balancer.ListCached, *known)
 	}
 	if !l.settings.OnRequest { // lists that are pushed come without the module's asking
 		l.Watch(true)
--- a/internal/pool/loop_test.go
+++ b/internal/pool/loop_test.go
@@ -7,12 +7,12 @@
 	"testing"
 	"time"
 
-	"clayladder"
-	"clayladder/internal/discovery"
-	"clayladder/internal/http1"
-	"clayladder/internal/standin/scripted"
-	"clayladder/internal/upstream"
-	"clayladder/internal/wire"
+	"olivearch/balancer"
+	"olivearch/internal/discovery"
+	"olivearch/internal/http1"
+	"olivearch/internal/standin/scripted"
+	"olivearch/internal/upstream"
+	"olivearch/internal/wire"
 )
 
 // hand is a loop that a test turns by hand.
@@ -23,15 +23,15 @@
 
 // testSpec is a pool that follows discovery where nothing listens.
 func testSpec() Spec {
-	class := func(name string, repeat clayladder.Repeat) clayladder.Class {
-		return clayladder.Class{Name: name, Aim: 2 * time.Second, Deadline: 4 * time.Second, Repeat: repeat, Worth: 1}
+	class := func(name string, repeat balancer.Repeat) balancer.Class {
+		return balancer.Class{Name: name, Aim: 2 * time.Second, Deadline: 4 * time.Second, Repeat: repeat, Worth: 1}
 	}
 	return Spec{Name: "n0", Discovery: "127.0.0.1:9", Connections: 400, Known: &discovery.Listing{},
 		Links: wire.Links{KeepAlive: time.Minute, ConnectTimeout: 500 * time.Millisecond},
-		Settings: clayladder.Settings{Zone: "z1", Balancers: 1, OnRequest: true, Reports: clayladder.ReportAnswers,
-			Classes: []clayladder.Class{class("read", clayladder.Safe), class("checkin", clayladder.Unsafe)},
-			Limits:  clayladder.Limits{MaxAttempts: 3, Cancel: true},
-			Rules:   clayladder.Rules{AskWithin: 320 * time.Millisecond, ColdFrom: 0.3, RampTime: 9 * time.Second, TipMultiple: 3, TipAfter: 1500 * time.Millisecond}}}
+		Settings: balancer.Settings{Zone: "z1", Balancers: 1, OnRequest: true, Reports: balancer.ReportAnswers,
+			Classes: []balancer.Class{class("read", balancer.Safe), class("checkin", balancer.Unsafe)},
+			Limits:  balancer.Limits{MaxAttempts: 3, Cancel: true},
+			Rules:   balancer.Rules{AskWithin: 320 * time.Millisecond, ColdFrom: 0.3, RampTime: 9 * time.Second, TipMultiple: 3, TipAfter: 1500 * time.Millisecond}}}
 }
 
 func newHand(t *testing.T, spec Spec) *hand {
@@ -253,9 +253,9 @@
 	maintained{"s-00000001", true, done}.apply(h.loop)
 	h.list(2) // gone from the list, and the call holds
 	h.list(3, discovery.Member{ID: "s-00000001", HostPort: "127.0.0.1:1", Phase: "up", Size: 1})
-	want(t, "state while out", h.peers[1].state, clayladder.Draining)
+	want(t, "state while out", h.peers[1].state, balancer.Draining)
 	maintained{"s-00000001", false, done}.apply(h.loop)
-	want(t, "state", h.peers[1].state, clayladder.Active)
+	want(t, "state", h.peers[1].state, balancer.Active)
 	want(t, "after", cold(), true)
 }
 
--- a/internal/pool/members.go
+++ b/internal/pool/members.go
@@ -4,28 +4,28 @@
 	"fmt"
 	"time"
 
-	"clayladder"
-	"clayladder/internal/discovery"
-	"clayladder/internal/nodeshare"
+	"olivearch/balancer"
+	"olivearch/internal/discovery"
+	"olivearch/internal/sharedlimit"
 )
 
 // peer is what the loop knows of an upstream's address and connections.
 type peer struct {
-	id        clayladder.UpstreamID
+	id        balancer.UpstreamID
 	name      string // discovery's id
 	address   string
 	member    discovery.Member // as it was listed last
-	listed    clayladder.State // by this pool's own list
-	state     clayladder.State // with what the other pools of the process were told, and what is out by hand
+	listed    balancer.State   // by this pool's own list
+	state     balancer.State   // with what the other pools of the process were told, and what is out by hand
 	idle      []*link          // the most recently used last
 	out       map[*attempt]struct{}
 	list      uint64 // the last that named it
 	lingering int
 	tunnels   int
-	ghosts    int             // attempts among those out that the module takes for ended
-	conns     int             // to it, open or opening
-	share     nodeshare.Share // where other pools of the process may use it too
-	entry     clayladder.Upstream
+	ghosts    int               // attempts among those out that the module takes for ended
+	conns     int               // to it, open or opening
+	share     sharedlimit.Share // where other pools of the process may use it too
+	entry     balancer.Upstream
 	weight    float64 // by its list; staff's word may leave it a part of that
 	strays    uint64  // connections on which it sent what nobody had asked for
 	spoilt    uint64  // load reports that could not be read
@@ -50,16 +50,16 @@
 		l.trouble = x.Err.Error()
 		l.Log(l.trouble)
 		if l.settings.OnRequest { // else the agent is asked until it answers
-			l.balancer.Members(l.now(), clayladder.ListFailed, nil)
+			l.balancer.Members(l.now(), balancer.ListFailed, nil)
 		}
 	case x.Revision < l.revision: // overtaken by a newer one: it must not undo that
 		l.Log(fmt.Sprintf("discovery: revision %d after %d passed over", x.Revision, l.revision))
 	default:
 		l.heardAt, l.trouble = l.now(), ""
 		l.heard.Store(true)
-		mode := clayladder.ListDelta
+		mode := balancer.ListDelta
 		if x.Complete {
-			mode = clayladder.ListFull
+			mode = balancer.ListFull
 		}
 		l.members(mode, x.Listing)
 		if l.keeper != nil {
@@ -99,13 +99,13 @@
 
 // members applies a list: first to the peers, so that nothing goes to one that drains, then to the module, which
 // may send at once.
-func (l *loop) members(mode clayladder.ListMode, x discovery.Listing) {
+func (l *loop) members(mode balancer.ListMode, x discovery.Listing) {
 	if l.listed = true; !l.made() {
 		l.relist(mode, x)
 		return
 	}
 	l.revision = x.Revision
-	list := make([]clayladder.Upstream, 0, len(x.Members))
+	list := make([]balancer.Upstream, 0, len(x.Members))
 	l.listings++
 	for i := range x.Members {
 		m := &x.Members[i]
@@ -116,8 +116,8 @@
 		list = append(list, u)
 	}
 	for id, p := range l.peers {
-		if mode != clayladder.ListDelta && p.list != l.listings {
-			p.state, p.listed = clayladder.Gone, clayladder.Gone
+		if mode != balancer.ListDelta && p.list != l.listings {
+			p.state, p.listed = balancer.Gone, balancer.Gone
 			l.Disconnect(id)
 			l.endTunnels(p)
 		}
@@ -133,12 +133,12 @@
 
 // withdraw drops what waits for a connection to an upstream that has left.
 func (l *loop) withdraw(p *peer) {
-	if p.state == clayladder.Active {
+	if p.state == balancer.Active {
 		return
 	}
 	for a := range p.out {
 		if a.Drop() {
-			l.due = append(l.due, owing{a, clayladder.Moot})
+			l.due = append(l.due, owing{a, balancer.Moot})
 		}
 	}
 }
@@ -154,7 +154,7 @@
 
 // forget drops an upstream that is gone and has nothing out.
 func (l *loop) forget(p *peer) {
-	if p.state == clayladder.Gone && len(p.out) == 0 && l.peers[p.id] == p {
+	if p.state == balancer.Gone && len(p.out) == 0 && l.peers[p.id] == p {
 		l.counts.recount = true
 		delete(l.peers, p.id)
 		l.names.Forget(p.name)
@@ -162,10 +162,10 @@
 }
 
 // peer applies a list's entry; nil if it is of no concern.
-func (l *loop) peer(u clayladder.Upstream, m *discovery.Member) *peer {
+func (l *loop) peer(u balancer.Upstream, m *discovery.Member) *peer {
 	p, address := l.peers[u.ID], m.HostPort
 	if p == nil {
-		if u.State == clayladder.Gone {
+		if u.State == balancer.Gone {
 			l.names.Forget(m.ID)
 			return nil
 		}
@@ -177,7 +177,7 @@
 		p.id, p.name = u.ID, m.ID
 		l.peers[u.ID] = p
 	}
-	if u.State != clayladder.Gone {
+	if u.State != balancer.Gone {
 		if address != p.address && p.address != "" {
 			l.Disconnect(u.ID)
 		}
@@ -198,8 +198,8 @@
 		share, known := l.shares.share(p.address)
 		p.share = share
 		p.entry.Part, p.entry.Most = share.Part, p.most()
-		if p.listed == clayladder.Active && (!known || (share.Draining && !l.shares.own)) {
-			p.state = clayladder.Draining
+		if p.listed == balancer.Active && (!known || (share.Draining && !l.shares.own)) {
+			p.state = balancer.Draining
 		}
 	}
 	if back := l.maint.Returned(p.name, p.entry.Zone); back > 0 { // it was restarted while out, and lists tell of that late
@@ -209,11 +209,11 @@
 	if most := l.maint.Cap(p.name); most > 0 && (p.entry.Most == 0 || most < p.entry.Most) {
 		p.entry.Most = most
 	}
-	if l.maint.Held(p.name, p.entry.Zone) && p.state == clayladder.Active {
-		p.state = clayladder.Draining
+	if l.maint.Held(p.name, p.entry.Zone) && p.state == balancer.Active {
+		p.state = balancer.Draining
 	}
 	p.entry.State = p.state
-	if p.state != clayladder.Active {
+	if p.state != balancer.Active {
 		l.Disconnect(p.id)
 		l.endTunnels(p)
 	}
--- a/internal/pool/moments_test.go
+++ b/internal/pool/moments_test.go
@@ -7,10 +7,10 @@
 	"testing"
 	"time"
 
-	"clayladder"
-	"clayladder/internal/http1"
-	"clayladder/internal/standin/scripted"
-	"clayladder/internal/upstream"
+	"olivearch/balancer"
+	"olivearch/internal/http1"
+	"olivearch/internal/standin/scripted"
+	"olivearch/internal/upstream"
 )
 
 // slow is a transport whose connections come up when the test says so: each Do is told, and waits for a word; its end is told too.
@@ -119,8 +119,8 @@
 	const window = 200 * time.Millisecond
 	breaks := scripted.Start(t, func(net.Conn, *http.Request) bool { return false }) // reads it, and closes
 	spec := testSpec()
-	spec.Settings.Classes = append(spec.Settings.Classes, clayladder.Class{Name: "pay", Aim: 2 * time.Second, Deadline: 4 * time.Second,
-		Repeat: clayladder.Keyed, Group: clayladder.GroupAll, Memory: window, Worth: 1})
+	spec.Settings.Classes = append(spec.Settings.Classes, balancer.Class{Name: "pay", Aim: 2 * time.Second, Deadline: 4 * time.Second,
+		Repeat: balancer.Keyed, Group: balancer.GroupAll, Memory: window, Worth: 1})
 	for _, late := range []bool{false, true} {
 		t.Run(fmt.Sprint("late: ", late), func(t *testing.T) {
 			h := newHand(t, spec)
--- a/internal/pool/pool.go
+++ b/internal/pool/pool.go
@@ -9,17 +9,17 @@
 	"sync/atomic"
 	"time"
 
-	"clayladder"
-	"clayladder/internal/discovery"
-	"clayladder/internal/maintenance"
-	"clayladder/internal/nodelist"
-	"clayladder/internal/wire"
+	"olivearch/balancer"
+	"olivearch/internal/discovery"
+	"olivearch/internal/endpointlist"
+	"olivearch/internal/override"
+	"olivearch/internal/wire"
 )
 
 // Spec is what a pool is told. Of these Name, Seed, Known and Keep are for its start only.
 type Spec struct {
 	Name        string
-	Settings    clayladder.Settings
+	Settings    balancer.Settings
 	Links       wire.Links
 	Seed        uint64
 	Known       *discovery.Listing // the list as discovery last told it, maybe stale; nil: none
@@ -65,7 +65,7 @@
 
 // New starts a pool. A nil Directory is for one whose nodes no other pool of the process uses; held is what is out by hand from
 // the start.
-func New(ctx context.Context, spec Spec, d *Directory, held map[string]maintenance.Entry) (*Pool, error) {
+func New(ctx context.Context, spec Spec, d *Directory, held map[string]override.Entry) (*Pool, error) {
 	ctx, end := context.WithCancel(ctx)
 	p := &Pool{loop: newLoop(ctx, spec), name: spec.Name, end: end, ended: make(chan struct{})}
 	p.queue.Store(int64(spec.Queue))
@@ -175,7 +175,7 @@
 func (p *Pool) Ended() <-chan struct{} { return p.ended }
 
 // Tell gives the pool its list, complete.
-func (p *Pool) Tell(nodes []nodelist.Node) {
+func (p *Pool) Tell(nodes []endpointlist.Node) {
 	x := discovery.Listing{Revision: p.source.Add(1), Complete: true}
 	for _, n := range nodes {
 		m := discovery.Member{ID: n.ID, HostPort: n.Address, Locality: n.Zone, Cell: n.Cell, Phase: string(n.Phase), Size: n.Weight}
--- a/internal/pool/request.go
+++ b/internal/pool/request.go
@@ -5,16 +5,16 @@
 	"sync/atomic"
 	"time"
 
-	"clayladder"
-	"clayladder/internal/body"
-	"clayladder/internal/http1"
-	"clayladder/internal/upstream"
+	"olivearch/balancer"
+	"olivearch/internal/body"
+	"olivearch/internal/http1"
+	"olivearch/internal/upstream"
 )
 
 // Request is a client's request. Who takes it from the client fills in what is exported; from the moment that it is asked it is
 // the pool's.
 type Request struct {
-	clayladder.Request
+	balancer.Request
 	Name    string // the client's id of it
 	Message upstream.Message
 	At      time.Duration // when its last byte had come, on the pool's clock
@@ -92,7 +92,7 @@
 	l.open[r.Name] = true
 	l.emptyAt = 0
 	l.serial++
-	r.ID = clayladder.RequestID(l.serial) // the module's own: what clients send need not be unique
+	r.ID = balancer.RequestID(l.serial) // the module's own: what clients send need not be unique
 	r.deadline = r.At + r.Budget
 	now := l.now()
 	r.Budget = max(0, r.deadline-now)
@@ -164,7 +164,7 @@
 	r.closed = true
 	for _, a := range r.attempts {
 		if !a.told && a.Drop() {
-			l.due = append(l.due, owing{a, clayladder.Moot})
+			l.due = append(l.due, owing{a, balancer.Moot})
 		}
 	}
 	l.release(r)
--- a/internal/pool/rest.go
+++ b/internal/pool/rest.go
@@ -6,8 +6,8 @@
 	"slices"
 	"time"
 
-	"clayladder"
-	"clayladder/internal/discovery"
+	"olivearch/balancer"
+	"olivearch/internal/discovery"
 )
 
 // This file is about pools to which no request comes. Such a pool has no goroutine and no timer that has nothing to do: it is
@@ -28,7 +28,7 @@
 // unmade is what a pool holds that is not made: the list as it was told, less what is gone, and what was learnt of it.
 type unmade struct {
 	members []discovery.Member // never changed in place: the keeper may have them too
-	memory  clayladder.Memory  // only of upstreams that have answered or are silent
+	memory  balancer.Memory    // only of upstreams that have answered or are silent
 	marks   map[string]mark    // by name, where there is one
 }
 
@@ -41,7 +41,7 @@
 // mayRest tells whether the pool may be parked and given back. Where the module asks discovery or probes its upstreams, it has to
 // go on.
 func (l *loop) mayRest() bool {
-	return l.settings.Rest && !l.settings.OnRequest && l.settings.Reports != clayladder.ReportProbes
+	return l.settings.Rest && !l.settings.OnRequest && l.settings.Reports != balancer.ReportProbes
 }
 
 // made tells whether the pool has a module, with its upstreams.
@@ -53,16 +53,16 @@
 		return nil
 	}
 	l.makes++
-	b, err := clayladder.New(l.settings, l.seed+l.makes-1, l.now(), l)
+	b, err := balancer.New(l.settings, l.seed+l.makes-1, l.now(), l)
 	if err != nil {
 		return err
 	}
 	held := l.unmade
 	n := len(held.members)
-	l.peers, l.names, l.room = make(map[clayladder.UpstreamID]*peer, n), discovery.NewNamesFor(n), make([]peer, n)
+	l.peers, l.names, l.room = make(map[balancer.UpstreamID]*peer, n), discovery.NewNamesFor(n), make([]peer, n)
 	l.balancer, l.unmade, l.emptyAt = b, unmade{}, 0
 	if l.listed {
-		l.members(clayladder.ListCached, discovery.Listing{Revision: l.revision, Members: held.members})
+		l.members(balancer.ListCached, discovery.Listing{Revision: l.revision, Members: held.members})
 	}
 	l.room = nil
 	for name, m := range held.marks {
@@ -82,7 +82,7 @@
 	views, _ := l.balancer.View(now)
 	for _, v := range views { // in the order in which they came
 		p := l.peers[v.ID]
-		if p == nil || p.listed == clayladder.Gone {
+		if p == nil || p.listed == balancer.Gone {
 			continue
 		}
 		held.members = append(held.members, p.member)
@@ -94,16 +94,16 @@
 		}
 	}
 	held.memory = l.learnt(now)
-	held.memory.Upstreams = slices.Clip(slices.DeleteFunc(held.memory.Upstreams, func(u clayladder.Learnt) bool {
+	held.memory.Upstreams = slices.Clip(slices.DeleteFunc(held.memory.Upstreams, func(u balancer.Learnt) bool {
 		return u.Answers == 0 && u.Readings == 0 && !u.Silent
 	}))
 	l.balancer, l.unmade = nil, held
-	l.peers, l.names = map[clayladder.UpstreamID]*peer{}, discovery.NewNames()
-	l.requests, l.open, l.tunnels = map[clayladder.RequestID]*Request{}, map[string]bool{}, map[*attempt]struct{}{}
+	l.peers, l.names = map[balancer.UpstreamID]*peer{}, discovery.NewNames()
+	l.requests, l.open, l.tunnels = map[balancer.RequestID]*Request{}, map[string]bool{}, map[*attempt]struct{}{}
 }
 
 // learnt is what the module has learnt, or had when there was one.
-func (l *loop) learnt(now time.Duration) clayladder.Memory {
+func (l *loop) learnt(now time.Duration) balancer.Memory {
 	if !l.made() {
 		return l.unmade.memory
 	}
@@ -112,11 +112,11 @@
 }
 
 // relist applies a list to what is held of it.
-func (l *loop) relist(mode clayladder.ListMode, x discovery.Listing) {
+func (l *loop) relist(mode balancer.ListMode, x discovery.Listing) {
 	l.revision = x.Revision
-	gone := func(m discovery.Member) bool { return m.Upstream(0).State == clayladder.Gone }
+	gone := func(m discovery.Member) bool { return m.Upstream(0).State == balancer.Gone }
 	var list []discovery.Member
-	if mode == clayladder.ListDelta {
+	if mode == balancer.ListDelta {
 		list = slices.Clone(l.unmade.members)
 		for _, m := range x.Members {
 			at := slices.IndexFunc(list, func(o discovery.Member) bool { return o.ID == m.ID })
@@ -146,12 +146,12 @@
 	return func(yield func(string, bool) bool) {
 		for i := range l.unmade.members {
 			m := &l.unmade.members[i]
-			if !yield(m.HostPort, m.Upstream(0).State == clayladder.Draining) {
+			if !yield(m.HostPort, m.Upstream(0).State == balancer.Draining) {
 				return
 			}
 		}
 		for _, p := range l.peers {
-			if p.listed != clayladder.Gone && !yield(p.address, p.listed == clayladder.Draining) {
+			if p.listed != balancer.Gone && !yield(p.address, p.listed == balancer.Draining) {
 				return
 			}
 		}
--- a/internal/pool/rest_test.go
+++ b/internal/pool/rest_test.go
@@ -13,14 +13,14 @@
 	"testing"
 	"time"
 
-	"clayladder"
-	"clayladder/internal/body"
-	"clayladder/internal/discovery"
-	"clayladder/internal/maintenance"
-	"clayladder/internal/nodelist"
-	"clayladder/internal/standin/scripted"
-	"clayladder/internal/upstream"
-	"clayladder/internal/wire"
+	"olivearch/balancer"
+	"olivearch/internal/body"
+	"olivearch/internal/discovery"
+	"olivearch/internal/endpointlist"
+	"olivearch/internal/override"
+	"olivearch/internal/standin/scripted"
+	"olivearch/internal/upstream"
+	"olivearch/internal/wire"
 )
 
 // restSpec is a pool that is parked and given back.
@@ -67,8 +67,8 @@
 	return s
 }
 
-func node(id string, s *scripted.Node) nodelist.Node {
-	return nodelist.Node{ID: id, Address: s.Addr, Zone: "z1", Phase: "up", Weight: 1}
+func node(id string, s *scripted.Node) endpointlist.Node {
+	return endpointlist.Node{ID: id, Address: s.Addr, Zone: "z1", Phase: "up", Weight: 1}
 }
 
 // begin asks a request.
@@ -134,7 +134,7 @@
 func TestMadeParkedGivenBack(t *testing.T) {
 	s := taking(t)
 	p := newRest(t, restSpec(), 50*time.Millisecond, nil)
-	p.Tell([]nodelist.Node{node("a", s), node("b", s)})
+	p.Tell([]endpointlist.Node{node("a", s), node("b", s)})
 	p.parked()
 	want(t, "made before a request", p.made(), false)
 	v := p.View()
@@ -163,7 +163,7 @@
 		l.parking = func() { once.Do(func() { close(at); <-let }) }
 	})
 	<-at // it has looked a last time, and its mailbox was empty
-	p.Tell([]nodelist.Node{node("a", s)})
+	p.Tell([]endpointlist.Node{node("a", s)})
 	r := p.begin("1")
 	close(let)
 	select {
@@ -178,7 +178,7 @@
 func TestOneGoroutineAtATime(t *testing.T) {
 	s := taking(t)
 	p := newRest(t, restSpec(), time.Millisecond, func(l *loop) { l.parking = runtime.Gosched })
-	p.Tell([]nodelist.Node{node("a", s)})
+	p.Tell([]endpointlist.Node{node("a", s)})
 	var g sync.WaitGroup
 	for w := range 8 {
 		g.Go(func() {
@@ -191,7 +191,7 @@
 				case 1:
 					p.View()
 				case 2:
-					p.Tell([]nodelist.Node{node("a", s)})
+					p.Tell([]endpointlist.Node{node("a", s)})
 				default:
 					p.Alive()
 				}
@@ -207,10 +207,10 @@
 	drained := node("a", a)
 	drained.Phase = "draining"
 	for what, drain := range map[string]func(p *restPool){
-		"list":    func(p *restPool) { p.Tell([]nodelist.Node{drained, node("b", b)}) },
+		"list":    func(p *restPool) { p.Tell([]endpointlist.Node{drained, node("b", b)}) },
 		"by hand": func(p *restPool) { want(t, "out by hand", p.Maintain("a", true), nil) },
-		"ledger":  func(p *restPool) { p.Govern(maintenance.Shared{Out: map[string]bool{"a": true}}) },
-		"merged":  func(p *restPool) { p.Merge(map[string]maintenance.Entry{"a": {Out: true, At: 1}}) },
+		"ledger":  func(p *restPool) { p.Govern(override.Shared{Out: map[string]bool{"a": true}}) },
+		"merged":  func(p *restPool) { p.Merge(map[string]override.Entry{"a": {Out: true, At: 1}}) },
 		"delta": func(p *restPool) {
 			p.loop.hand(listed{Listing: discovery.Listing{Revision: 9, Members: []discovery.Member{{ID: "a", HostPort: a.Addr, Phase: "draining", Size: 1}}}})
 		},
@@ -222,7 +222,7 @@
 			t.Run(fmt.Sprint(what, after), func(t *testing.T) {
 				t.Parallel()
 				p := newRest(t, restSpec(), time.Minute, nil)
-				p.Tell([]nodelist.Node{node("a", a), node("b", b)})
+				p.Tell([]endpointlist.Node{node("a", a), node("b", b)})
 				p.parked()
 				drain(p)
 				p.parked()
@@ -257,11 +257,11 @@
 	}
 	x, y := start("x"), start("y")
 	for _, p := range []*restPool{x, y} {
-		p.Tell([]nodelist.Node{node("a", a), node("b", b)})
+		p.Tell([]endpointlist.Node{node("a", a), node("b", b)})
 	}
 	drained := node("a", a)
 	drained.Phase = "draining"
-	x.Tell([]nodelist.Node{drained, node("b", b)})
+	x.Tell([]endpointlist.Node{drained, node("b", b)})
 	y.await("told", func() bool {
 		v := y.View().Nodes
 		return len(v) == 2 && v[0].Phase == "draining" && v[1].Phase == "up"
@@ -279,7 +279,7 @@
 	var pools []*restPool
 	for range 300 {
 		p := newRest(t, restSpec(), time.Minute, nil)
-		p.Tell([]nodelist.Node{node("a", s), node("b", s), node("c", s)})
+		p.Tell([]endpointlist.Node{node("a", s), node("b", s), node("c", s)})
 		pools = append(pools, p)
 	}
 	for _, p := range pools {
@@ -310,7 +310,7 @@
 		return false
 	})
 	p := newRest(t, restSpec(), time.Minute, nil)
-	p.Tell([]nodelist.Node{node("a", s)})
+	p.Tell([]endpointlist.Node{node("a", s)})
 	want(t, "status", p.ask("1").Status, http.StatusOK)
 	p.parked()
 	select {
@@ -340,7 +340,7 @@
 	}
 	t.Run("request", func(t *testing.T) {
 		p := newRest(t, restSpec(), madeFor, nil)
-		p.Tell([]nodelist.Node{node("a", slow)})
+		p.Tell([]endpointlist.Node{node("a", slow)})
 		r := p.begin("1")
 		<-slow.Arrivals
 		time.Sleep(300 * time.Millisecond)
@@ -352,9 +352,9 @@
 	t.Run("retry window", func(t *testing.T) {
 		t.Parallel()
 		spec := restSpec()
-		spec.Settings.Classes[1].Repeat, spec.Settings.Classes[1].Memory = clayladder.Keyed, short
+		spec.Settings.Classes[1].Repeat, spec.Settings.Classes[1].Memory = balancer.Keyed, short
 		p := newRest(t, spec, madeFor, nil)
-		p.Tell([]nodelist.Node{node("a", fast)})
+		p.Tell([]endpointlist.Node{node("a", fast)})
 		want(t, "status", p.ask("1").Status, http.StatusOK)
 		ended := time.Now()
 		stays(t, p, true)
@@ -368,10 +368,10 @@
 		spec.Settings.Rules.RampTime = short
 		p := newRest(t, spec, madeFor, nil)
 		fresh := node("a", fast)
-		p.Tell([]nodelist.Node{node("b", fast)})
+		p.Tell([]endpointlist.Node{node("b", fast)})
 		want(t, "status", p.ask("1").Status, http.StatusOK)
 		fresh.Started = time.Now()
-		p.Tell([]nodelist.Node{node("b", fast), fresh})
+		p.Tell([]endpointlist.Node{node("b", fast), fresh})
 		begun := time.Now()
 		stays(t, p, true)
 		if kept := time.Since(begun); kept < short-50*time.Millisecond {
@@ -381,9 +381,9 @@
 	t.Run("tenant", func(t *testing.T) {
 		t.Parallel()
 		spec := restSpec()
-		spec.Settings.Tenants = clayladder.NewTenants([]clayladder.Tenant{{Name: "t", Quota: 0.5}})
+		spec.Settings.Tenants = balancer.NewTenants([]balancer.Tenant{{Name: "t", Quota: 0.5}})
 		p := newRest(t, spec, madeFor, nil)
-		p.Tell([]nodelist.Node{node("a", fast)})
+		p.Tell([]endpointlist.Node{node("a", fast)})
 		r := &Request{Name: "1", At: p.Now(), Reply: make(chan Answer, 2)}
 		r.Class, r.Budget, r.Tenant = "checkin", time.Second, "t"
 		r.Message = upstream.Message{Line: "POST /checkin", Host: "x"}
@@ -406,7 +406,7 @@
 		spec.Tunnels = TunnelCaps{Most: 1, PerNode: 1}
 		spec.Links.KeepAlive = 2 * madeFor // it is no resting connection: it holds the pool by itself
 		p := newRest(t, spec, madeFor, nil)
-		p.Tell([]nodelist.Node{node("a", s)})
+		p.Tell([]endpointlist.Node{node("a", s)})
 		r := &Request{Name: "1", At: p.Now(), Reply: make(chan Answer, 2)}
 		r.Class, r.Budget = "checkin", time.Second
 		r.Message = upstream.Message{Line: "GET /", Host: "x", Upgrade: "echo", Tunnel: &body.TunnelLimits{Idle: time.Minute, Grace: time.Minute}}
@@ -428,7 +428,7 @@
 		spec := restSpec()
 		spec.Links.KeepAlive = 1200 * time.Millisecond
 		p := newRest(t, spec, madeFor, nil)
-		p.Tell([]nodelist.Node{node("a", fast)})
+		p.Tell([]endpointlist.Node{node("a", fast)})
 		want(t, "status", p.ask("1").Status, http.StatusOK)
 		want(t, "connections", p.View().Connections, 1)
 		stays(t, p, true)
@@ -440,7 +440,7 @@
 func TestLargePoolIsMadeAhead(t *testing.T) {
 	s := taking(t)
 	p := newRest(t, restSpec(), 10*time.Millisecond, nil)
-	list := make([]nodelist.Node, firstMost+1)
+	list := make([]endpointlist.Node, firstMost+1)
 	for i := range list {
 		list[i] = node(fmt.Sprintf("n%d", i), s)
 	}
@@ -474,7 +474,7 @@
 	spec := restSpec()
 	spec.Keep = kept
 	p := newRest(t, spec, time.Minute, func(l *loop) { l.shares = NewDirectory(t.Context(), 10).join(1, false, l.hand) })
-	p.Tell([]nodelist.Node{node("a", s)})
+	p.Tell([]endpointlist.Node{node("a", s)})
 	p.parked()
 	want(t, "lists kept", kept.count(), 1)
 	wrong := spec
@@ -494,7 +494,7 @@
 	want(t, "enter", func() bool { ok, _ := p.Enter(); return ok }(), false)
 
 	q := newRest(t, restSpec(), time.Minute, nil)
-	q.Tell([]nodelist.Node{node("a", s)})
+	q.Tell([]endpointlist.Node{node("a", s)})
 	q.parked()
 	q.end() // its context
 	want(t, "nodes in view", len(q.View().Nodes), 0)
@@ -517,7 +517,7 @@
 	p := newRest(t, restSpec(), time.Minute, nil)
 	fresh := node("b", s)
 	fresh.Started = time.Now()
-	p.Tell([]nodelist.Node{node("a", s), fresh})
+	p.Tell([]endpointlist.Node{node("a", s), fresh})
 	want(t, "status", p.ask("1").Status, http.StatusOK)
 	for _, n := range p.View().Nodes {
 		want(t, "cold: "+n.ID, n.Cold, n.ID == "b")
@@ -554,7 +554,7 @@
 
 // Clocks can be set in a build for the proving ground alone, so the test itself is in one.
 func TestClockStepsWhileItRests(t *testing.T) {
-	out, err := exec.CommandContext(t.Context(), "go", "test", "-count=1", "-v", "-tags", "ground", "-run", "^TestClockSteps$", ".").CombinedOutput()
+	out, err := exec.CommandContext(t.Context(), "go", "test", "-count=1", "-v", "-tags", "faultinject", "-run", "^TestClockSteps$", ".").CombinedOutput()
 	if err != nil || strings.Count(string(out), "--- PASS: TestClockSteps/") != 2 {
 		t.Errorf("%v\n%s", err, out)
 	}
--- a/internal/pool/staff.go
+++ b/internal/pool/staff.go
@@ -6,8 +6,8 @@
 	"fmt"
 	"time"
 
-	"clayladder"
-	"clayladder/internal/maintenance"
+	"olivearch/balancer"
+	"olivearch/internal/override"
 )
 
 // This file is about what the staff say of a pool's upstreams, and what a pool hands to one in another process.
@@ -34,30 +34,30 @@
 }
 
 // Held is what is out by hand.
-func (p *Pool) Held() map[string]maintenance.Entry {
-	got := make(chan map[string]maintenance.Entry, 1)
+func (p *Pool) Held() map[string]override.Entry {
+	got := make(chan map[string]override.Entry, 1)
 	p.loop.hand(heldNow(got))
 	held, _ := told(p.loop, got) // of a pool that has ended there is nothing to tell
 	return held
 }
 
 // Merge takes what is out by hand as another process holds it.
-func (p *Pool) Merge(held map[string]maintenance.Entry) {
+func (p *Pool) Merge(held map[string]override.Entry) {
 	done := make(chan struct{}, 1)
 	p.loop.hand(merged{held, done})
 	told(p.loop, done)
 }
 
 // Memory is what the module has learnt.
-func (p *Pool) Memory() clayladder.Memory {
-	got := make(chan clayladder.Memory, 1)
+func (p *Pool) Memory() balancer.Memory {
+	got := make(chan balancer.Memory, 1)
 	p.loop.hand(learntNow(got))
 	m, _ := told(p.loop, got)
 	return m
 }
 
 // Recall lets the module go on from what another has learnt.
-func (p *Pool) Recall(m clayladder.Memory) {
+func (p *Pool) Recall(m balancer.Memory) {
 	done := make(chan struct{}, 1)
 	p.loop.hand(recalled{m, done})
 	told(p.loop, done)
@@ -69,13 +69,13 @@
 }
 
 // learntNow asks for what the module has learnt.
-type learntNow chan<- clayladder.Memory
+type learntNow chan<- balancer.Memory
 
 func (e learntNow) apply(l *loop) { e <- l.learnt(l.now()) }
 
 // recalled is what another module has learnt.
 type recalled struct {
-	clayladder.Memory
+	balancer.Memory
 	done chan<- struct{}
 }
 
@@ -88,13 +88,13 @@
 }
 
 // heldNow asks for what is out by hand.
-type heldNow chan<- map[string]maintenance.Entry
+type heldNow chan<- map[string]override.Entry
 
 func (e heldNow) apply(l *loop) { e <- l.maint.Entries() }
 
 // merged is what is out by hand as the other process holds it.
 type merged struct {
-	held map[string]maintenance.Entry
+	held map[string]override.Entry
 	done chan<- struct{}
 }
 
@@ -129,7 +129,7 @@
 }
 
 // Govern takes what the ledger of promises says of the upstreams, in the place of what it said before.
-func (p *Pool) Govern(s maintenance.Shared) { p.loop.hand(governed(s)) }
+func (p *Pool) Govern(s override.Shared) { p.loop.hand(governed(s)) }
 
 // Released ends this pool's own word that an upstream is out, now that the ledger of promises has had it.
 func (p *Pool) Released(id string) { p.loop.hand(released(id)) }
@@ -150,12 +150,12 @@
 func (e asked) apply(l *loop) { e.known <- l.lists(e.id) || l.maint.Held(e.id, "") }
 
 // governed is what the ledger says.
-type governed maintenance.Shared
+type governed override.Shared
 
 func (e governed) apply(l *loop) {
-	l.maint.Govern(maintenance.Shared(e), l.now())
+	l.maint.Govern(override.Shared(e), l.now())
 	l.counts.recount = true
-	var changed []clayladder.Upstream
+	var changed []balancer.Upstream
 	for _, p := range l.peers {
 		before := p.entry
 		if l.place(p); p.entry != before {
@@ -164,7 +164,7 @@
 		}
 	}
 	if len(changed) > 0 {
-		l.balancer.Members(l.now(), clayladder.ListDelta, changed)
+		l.balancer.Members(l.now(), balancer.ListDelta, changed)
 		l.settle()
 	}
 }
@@ -180,7 +180,7 @@
 // named is the upstream that is listed under a name; nil if none is.
 func (l *loop) named(name string) *peer {
 	id, ok := l.names.Known(name)
-	if p := l.peers[id]; ok && p != nil && p.name == name && p.listed != clayladder.Gone {
+	if p := l.peers[id]; ok && p != nil && p.name == name && p.listed != balancer.Gone {
 		return p
 	}
 	return nil
@@ -194,6 +194,6 @@
 	}
 	l.place(p)
 	l.withdraw(p)
-	l.balancer.Members(l.now(), clayladder.ListDelta, []clayladder.Upstream{p.entry})
+	l.balancer.Members(l.now(), balancer.ListDelta, []balancer.Upstream{p.entry})
 	l.settle()
 }
--- a/internal/pool/stats.go
+++ b/internal/pool/stats.go
@@ -4,8 +4,8 @@
 	"sync/atomic"
 	"time"
 
-	"clayladder"
-	"clayladder/internal/discovery"
+	"olivearch/balancer"
+	"olivearch/internal/discovery"
 )
 
 // Stats are a pool's counters and levels.
@@ -68,7 +68,7 @@
 		return
 	}
 	c.recount = false
-	by := map[clayladder.State]int64{}
+	by := map[balancer.State]int64{}
 	for _, p := range l.peers {
 		by[p.state]++
 	}
@@ -76,8 +76,8 @@
 		p := l.placed(&l.unmade.members[i])
 		by[p.state]++
 	}
-	c.up.Store(by[clayladder.Active])
-	c.draining.Store(by[clayladder.Draining])
+	c.up.Store(by[balancer.Active])
+	c.draining.Store(by[balancer.Draining])
 	c.recount = false // placing has set it
 }
 
--- a/internal/pool/stats_test.go
+++ b/internal/pool/stats_test.go
@@ -8,10 +8,10 @@
 	"testing"
 	"time"
 
-	"clayladder/internal/live"
-	"clayladder/internal/maintenance"
-	"clayladder/internal/nodelist"
-	"clayladder/internal/standin/scripted"
+	"olivearch/internal/endpointlist"
+	"olivearch/internal/live"
+	"olivearch/internal/override"
+	"olivearch/internal/standin/scripted"
 )
 
 // same fails unless what others read of a parked pool is what its goroutine tells.
@@ -57,7 +57,7 @@
 	spec := restSpec()
 	spec.Hold, spec.Links.KeepAlive, spec.Settings.Rules.RampTime = time.Hour, time.Hour, 50*time.Millisecond
 	p := newRest(t, spec, time.Hour, nil)
-	list := func() (nodes []nodelist.Node) {
+	list := func() (nodes []endpointlist.Node) {
 		for i := range 1 + rng.IntN(6) {
 			n := node(fmt.Sprintf("n%d", i), s)
 			if i > 0 && rng.IntN(3) == 0 {
@@ -78,7 +78,7 @@
 			p.Maintain(fmt.Sprintf("n%d", 1+rng.IntN(5)), rng.IntN(2) == 0)
 			what += "by hand"
 		case 3:
-			p.Govern(maintenance.Shared{Out: map[string]bool{fmt.Sprintf("n%d", 1+rng.IntN(5)): true}})
+			p.Govern(override.Shared{Out: map[string]bool{fmt.Sprintf("n%d", 1+rng.IntN(5)): true}})
 			what += "by the ledger"
 		case 4:
 			if status := p.ask(fmt.Sprint(step)).Status; status != http.StatusOK {
@@ -114,7 +114,7 @@
 	s := taking(t)
 	var turns atomic.Int64
 	p := newRest(t, restSpec(), time.Minute, func(l *loop) { l.parking = func() { turns.Add(1) } })
-	p.Tell([]nodelist.Node{node("a", s)})
+	p.Tell([]endpointlist.Node{node("a", s)})
 	p.parked()
 	before := turns.Load()
 	for range 100 {
@@ -134,7 +134,7 @@
 func TestServedTime(t *testing.T) {
 	s := taking(t)
 	p := newRest(t, restSpec(), time.Minute, nil)
-	p.Tell([]nodelist.Node{node("a", s)})
+	p.Tell([]endpointlist.Node{node("a", s)})
 	began := time.Now()
 	want(t, "status", p.ask("1").Status, http.StatusOK)
 	took := time.Since(began)
@@ -142,7 +142,7 @@
 		t.Errorf("%v of at most %v", x.ServedFor, took)
 	}
 	sum := p.Stats().ServedFor
-	p.Tell([]nodelist.Node{node("b", s)}[:0])
+	p.Tell([]endpointlist.Node{node("b", s)}[:0])
 	if a := p.ask("2"); a.Status != http.StatusServiceUnavailable {
 		t.Fatalf("with no node: %d", a.Status)
 	}
@@ -157,7 +157,7 @@
 	spec := restSpec()
 	spec.Links.KeepAlive = time.Hour
 	p := newRest(t, spec, time.Hour, nil)
-	p.Tell([]nodelist.Node{node("a", s)})
+	p.Tell([]endpointlist.Node{node("a", s)})
 	want(t, "status", p.ask("1").Status, http.StatusOK)
 	p.parked()
 	want(t, "connections", p.Stats().Connections, 1)
--- a/internal/pool/view.go
+++ b/internal/pool/view.go
@@ -3,8 +3,8 @@
 import (
 	"cmp"
 
-	"clayladder"
-	"clayladder/internal/live"
+	"olivearch/balancer"
+	"olivearch/internal/live"
 )
 
 // View returns the pool's state at this moment.
@@ -29,11 +29,11 @@
 	got  chan<- live.Pool
 }
 
-var phaseNames = map[clayladder.State]string{clayladder.Active: "up", clayladder.Draining: "draining", clayladder.Gone: "gone"}
+var phaseNames = map[balancer.State]string{balancer.Active: "up", balancer.Draining: "draining", balancer.Gone: "gone"}
 
 func (e viewing) apply(l *loop) {
 	now := l.now()
-	var views []clayladder.UpstreamView
+	var views []balancer.UpstreamView
 	held := 0
 	if l.made() {
 		held = l.balancer.Held()
@@ -68,7 +68,7 @@
 }
 
 // loadKind tells where a node's readings come from.
-func loadKind(u clayladder.UpstreamView) string {
+func loadKind(u balancer.UpstreamView) string {
 	switch {
 	case u.Estimated:
 		return live.Estimated
--- a/internal/proxy/config.go
+++ b/internal/proxy/config.go
@@ -15,11 +15,11 @@
 	"strconv"
 	"syscall"
 
-	"clayladder"
-	"clayladder/internal/config"
-	"clayladder/internal/discovery"
-	"clayladder/internal/pool"
-	"clayladder/internal/wire"
+	"olivearch/balancer"
+	"olivearch/internal/config"
+	"olivearch/internal/discovery"
+	"olivearch/internal/pool"
+	"olivearch/internal/wire"
 )
 
 // Config is what a balancer is told at its start.
@@ -34,7 +34,7 @@
 	Meeting    string            // path at which a later process of this balancer asks to take its place; empty: none does
 	Management string            // host:port for the staff's calls; empty: none
 	Promises   *config.Promises  // the ledger in which it takes part; nil: none
-	Settings   clayladder.Settings
+	Settings   balancer.Settings
 	Links      wire.Links
 	keys       map[string]bool // that the file had, each with its path
 }
--- a/internal/proxy/desk.go
+++ b/internal/proxy/desk.go
@@ -7,13 +7,13 @@
 	"sync/atomic"
 	"time"
 
-	"clayladder"
-	"clayladder/internal/discovery"
-	"clayladder/internal/edge"
-	"clayladder/internal/http1"
-	"clayladder/internal/pool"
-	"clayladder/internal/route"
-	"clayladder/internal/upstream"
+	"olivearch/balancer"
+	"olivearch/internal/discovery"
+	"olivearch/internal/frontend"
+	"olivearch/internal/http1"
+	"olivearch/internal/pool"
+	"olivearch/internal/route"
+	"olivearch/internal/upstream"
 )
 
 // answerMargin is taken off the client's deadline, which counts from its sending: the way here and back, and
@@ -22,21 +22,21 @@
 
 // platform is the desk of a platform's balancer: one pool, and the request forms of its protocol.
 type platform struct {
-	classes atomic.Pointer[map[string]clayladder.Class]
+	classes atomic.Pointer[map[string]balancer.Class]
 	pool    *pool.Pool
 }
 
-var _ edge.Desk = (*platform)(nil)
+var _ frontend.Desk = (*platform)(nil)
 
-func newPlatform(classes []clayladder.Class, p *pool.Pool) *platform {
+func newPlatform(classes []balancer.Class, p *pool.Pool) *platform {
 	d := &platform{pool: p}
 	d.adopt(classes)
 	return d
 }
 
 // adopt puts other classes in the place of those that clients may ask for.
-func (d *platform) adopt(classes []clayladder.Class) {
-	m := make(map[string]clayladder.Class, len(classes))
+func (d *platform) adopt(classes []balancer.Class) {
+	m := make(map[string]balancer.Class, len(classes))
 	for _, class := range classes {
 		m[class.Name] = class
 	}
@@ -67,7 +67,7 @@
 
 // Check reads what a request says of itself. A field that is there must be right: a guess at what was meant would be
 // served in its place.
-func (d *platform) Check(method, target string, h *http1.Fields) (edge.Call, error) {
+func (d *platform) Check(method, target string, h *http1.Fields) (frontend.Call, error) {
 	if absolute, err := route.ParseTarget(target); err == nil && !strings.HasPrefix(target, "/") { // RFC 9112, section 3.2.2
 		target = absolute.String()
 	}
@@ -77,20 +77,20 @@
 	id, key := h.Get("X-Request-Id"), h.Get("Idempotency-Key")
 	switch {
 	case !strings.HasPrefix(target, "/") || strings.ContainsFunc(target, func(r rune) bool { return r <= ' ' || r >= 0x7f }):
-		return nil, edge.Bad("the target is no path")
+		return nil, frontend.Bad("the target is no path")
 	case h.Get("Host") == "":
-		return nil, edge.Bad("Host is wanted")
+		return nil, frontend.Bad("Host is wanted")
 	case !ok:
-		return nil, edge.Bad("X-Class names no known class")
+		return nil, frontend.Bad("X-Class names no known class")
 	case first != class.Name:
-		return nil, edge.Bad("the path does not begin with the class")
+		return nil, frontend.Bad("the path does not begin with the class")
 	case id == "":
-		return nil, edge.Bad("X-Request-Id is wanted")
-	case (class.Repeat == clayladder.Safe) != (method == http.MethodGet),
-		class.Repeat != clayladder.Safe && method != http.MethodPost:
-		return nil, edge.Bad("the method does not fit the class")
-	case (class.Repeat == clayladder.Keyed) != (key != ""), key == "" && h.Has("Idempotency-Key"):
-		return nil, edge.Bad("Idempotency-Key does not fit the class")
+		return nil, frontend.Bad("X-Request-Id is wanted")
+	case (class.Repeat == balancer.Safe) != (method == http.MethodGet),
+		class.Repeat != balancer.Safe && method != http.MethodPost:
+		return nil, frontend.Bad("the method does not fit the class")
+	case (class.Repeat == balancer.Keyed) != (key != ""), key == "" && h.Has("Idempotency-Key"):
+		return nil, frontend.Bad("Idempotency-Key does not fit the class")
 	}
 	q := &platformCall{pool: d.pool, asked: asked{Request: pool.Request{Name: id}}}
 	if err := q.describe(h); err != nil {
@@ -117,18 +117,18 @@
 	if h.Has("X-Deadline-Ms") {
 		ms, ok := http1.Digits(h.Get("X-Deadline-Ms"))
 		if !ok || ms == 0 {
-			return edge.Bad("X-Deadline-Ms is no time")
+			return frontend.Bad("X-Deadline-Ms is no time")
 		}
 		q.patience = time.Duration(min(ms, maxPatience)) * time.Millisecond
 	}
 	if h.Has("X-Cost-Hint") {
 		us, ok := http1.Digits(h.Get("X-Cost-Hint"))
 		if !ok {
-			return edge.Bad("X-Cost-Hint is no number")
+			return frontend.Bad("X-Cost-Hint is no number")
 		}
 		q.Cost = time.Duration(min(us, maxPatience)) * time.Microsecond
 	}
-	http1.DropNamed(h, edge.Once) // what the protocol wants passed on can't be taken out
+	http1.DropNamed(h, frontend.Once) // what the protocol wants passed on can't be taken out
 	return nil
 }
 
@@ -154,7 +154,7 @@
 
 // assign gives a request its class and the shortest of the times that it may take: the client's, the class's, and the
 // limit of where it goes.
-func (q *asked) assign(class clayladder.Class, limit time.Duration) {
+func (q *asked) assign(class balancer.Class, limit time.Duration) {
 	q.Class, q.Budget = class.Name, min(class.Deadline, limit)
 	if q.patience > 0 {
 		q.Budget = min(q.Budget, q.patience)
--- a/internal/proxy/golden_test.go
+++ b/internal/proxy/golden_test.go
@@ -4,7 +4,7 @@
 	"reflect"
 	"testing"
 
-	"clayladder/internal/golden"
+	"olivearch/internal/golden"
 )
 
 // TestGoldenKeys pins the keys of the file that RELAY_CONFIG names.
--- a/internal/proxy/message_test.go
+++ b/internal/proxy/message_test.go
@@ -9,10 +9,10 @@
 	"testing"
 	"time"
 
-	"clayladder"
-	"clayladder/internal/edge"
-	"clayladder/internal/pool"
-	"clayladder/internal/standin/scripted"
+	"olivearch/balancer"
+	"olivearch/internal/frontend"
+	"olivearch/internal/pool"
+	"olivearch/internal/standin/scripted"
 )
 
 // FuzzRequest reads what a client may send. What is passed on must be one request for the upstream, with nothing behind
@@ -31,17 +31,17 @@
 	} {
 		f.Add([]byte(text))
 	}
-	p, err := pool.New(f.Context(), pool.Spec{Settings: clayladder.Settings{Balancers: 1, Classes: []clayladder.Class{{Name: "c", Aim: time.Second, Deadline: time.Second, Repeat: clayladder.Unsafe, Worth: 1}},
-		Limits: clayladder.Limits{MaxAttempts: 1}, Rules: clayladder.Rules{ColdFrom: 1, RampTime: time.Second, TipMultiple: 1, TipAfter: time.Second}}}, nil, nil)
+	p, err := pool.New(f.Context(), pool.Spec{Settings: balancer.Settings{Balancers: 1, Classes: []balancer.Class{{Name: "c", Aim: time.Second, Deadline: time.Second, Repeat: balancer.Unsafe, Worth: 1}},
+		Limits: balancer.Limits{MaxAttempts: 1}, Rules: balancer.Rules{ColdFrom: 1, RampTime: time.Second, TipMultiple: 1, TipAfter: time.Second}}}, nil, nil)
 	if err != nil {
 		f.Fatal(err)
 	}
-	desk := newPlatform([]clayladder.Class{
-		{Name: "checkin", Deadline: time.Second, Repeat: clayladder.Unsafe},
-		{Name: "read", Deadline: time.Second, Repeat: clayladder.Safe},
+	desk := newPlatform([]balancer.Class{
+		{Name: "checkin", Deadline: time.Second, Repeat: balancer.Unsafe},
+		{Name: "read", Deadline: time.Second, Repeat: balancer.Safe},
 	}, p)
 	f.Fuzz(func(t *testing.T, text []byte) {
-		call, err := edge.ReadRequest(desk, scripted.Saying(text))
+		call, err := frontend.ReadRequest(desk, scripted.Saying(text))
 		if err != nil || call == nil {
 			return
 		}
--- a/internal/proxy/operator.go
+++ b/internal/proxy/operator.go
@@ -4,7 +4,7 @@
 	"errors"
 	"time"
 
-	"clayladder/internal/manage"
+	"olivearch/internal/admincmd"
 )
 
 // This file carries out the calls of the staff on a platform's balancer.
@@ -12,7 +12,7 @@
 // listPatience is how long a new process waits for a list of its own before it serves with the one that it was started with.
 const listPatience = 2 * time.Second
 
-var _ manage.Operator = (*Balancer)(nil)
+var _ admincmd.Operator = (*Balancer)(nil)
 
 // Status tells whether this process is ready: it serves, and goes by a list that it has heard itself.
 func (b *Balancer) Status() error {
--- a/internal/proxy/operator_test.go
+++ b/internal/proxy/operator_test.go
@@ -9,14 +9,14 @@
 	"testing"
 	"time"
 
-	"clayladder/internal/discovery"
-	"clayladder/internal/standin/scripted"
+	"olivearch/internal/discovery"
+	"olivearch/internal/standin/scripted"
 
-	"clayladder"
+	"olivearch/balancer"
 )
 
 // served sends so many requests and tells how many of them came to each upstream.
-func (b *balancer) served(t *testing.T, n int, at ...*scripted.Node) []int {
+func (b *testBalancer) served(t *testing.T, n int, at ...*scripted.Node) []int {
 	t.Helper()
 	counts := make([]int, len(at))
 	for range n {
@@ -136,9 +136,9 @@
 	status, _ := b.do(t, b.ask("fresh", ""))
 	want(t, "a class that is not known yet", status, 400)
 	c := b.config
-	c.Settings.Classes = append([]clayladder.Class(nil), c.Settings.Classes[1:]...)
-	c.Settings.Classes = append(c.Settings.Classes, clayladder.Class{Name: "fresh", Aim: time.Second, Deadline: 2 * time.Second,
-		Repeat: clayladder.Unsafe, Worth: 1})
+	c.Settings.Classes = append([]balancer.Class(nil), c.Settings.Classes[1:]...)
+	c.Settings.Classes = append(c.Settings.Classes, balancer.Class{Name: "fresh", Aim: time.Second, Deadline: 2 * time.Second,
+		Repeat: balancer.Unsafe, Worth: 1})
 	c.Settings.Limits.MaxAttempts = 1
 	b.reloads <- c
 	b.reloads <- c // the first is with the loop, and what is posted from now on comes after it
--- a/internal/proxy/promises.go
+++ b/internal/proxy/promises.go
@@ -8,10 +8,10 @@
 	"sync"
 	"time"
 
-	"clayladder/internal/config"
-	"clayladder/internal/ledger"
-	"clayladder/internal/maintenance"
-	"clayladder/internal/promise"
+	"olivearch/internal/config"
+	"olivearch/internal/coordination/client"
+	"olivearch/internal/coordination/state"
+	"olivearch/internal/override"
 )
 
 // promises is this balancer's part in the ledger: it serves by a copy of what is held there, and passes staff's word on. Requests do
@@ -19,32 +19,32 @@
 type promises struct {
 	name   string // the balancer's
 	within time.Duration
-	caller *ledger.Caller
-	copy   *ledger.Copy
+	caller *client.Caller
+	copy   *client.Copy
 
 	mu     sync.Mutex
-	words  []promise.Word
-	govern func([]promise.Word) // nil: the pool is not there yet
-	handed map[string]uint64    // upstreams out by this balancer's own word, until the copy has the ledger's of this revision
+	words  []state.Word
+	govern func([]state.Word) // nil: the pool is not there yet
+	handed map[string]uint64  // upstreams out by this balancer's own word, until the copy has the ledger's of this revision
 	landed func(id string)
 }
 
 func newPromises(name string, c *config.Promises) *promises {
-	p := &promises{name: name, within: time.Duration(c.Within), caller: ledger.NewCaller(name, c.Voters), handed: map[string]uint64{}}
-	p.copy = ledger.Follow(name, c.Voters, c.Copy, p.changed)
+	p := &promises{name: name, within: time.Duration(c.Within), caller: client.NewCaller(name, c.Voters), handed: map[string]uint64{}}
+	p.copy = client.Follow(name, c.Voters, c.Copy, p.changed)
 	return p
 }
 
 // attach gives a pool what is held, now and whenever it changes. landed is called for an upstream that is out by this balancer's own word,
 // once the ledger's says so too.
-func (p *promises) attach(govern func([]promise.Word), landed func(id string)) {
+func (p *promises) attach(govern func([]state.Word), landed func(id string)) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.govern, p.landed = govern, landed
 	govern(p.words)
 }
 
-func (p *promises) changed(words []promise.Word) {
+func (p *promises) changed(words []state.Word) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.words = words
@@ -75,9 +75,9 @@
 func (p *promises) set(id string, at time.Time) (note string, err error) {
 	ctx, cancel := context.WithTimeout(context.Background(), p.within)
 	defer cancel()
-	a, err := p.caller.Propose(ctx, &promise.SetWord{Subject: outOf(id), By: p.name, Why: "maint-on", At: at.UnixMilli()})
+	a, err := p.caller.Propose(ctx, &state.SetWord{Subject: outOf(id), By: p.name, Why: "maint-on", At: at.UnixMilli()})
 	switch {
-	case errors.Is(err, ledger.ErrUnsure):
+	case errors.Is(err, client.ErrUnsure):
 		return "", fmt.Errorf("only here for certain: the others may be told, or not (%w)", err)
 	case err != nil:
 		return "", fmt.Errorf("only here, not copied: %w", err)
@@ -93,7 +93,7 @@
 func (p *promises) clear(id string) (note string, out bool, err error) {
 	ctx, cancel := context.WithTimeout(context.Background(), p.within)
 	defer cancel()
-	a, err := p.caller.Propose(ctx, &promise.ClearWord{Subject: outOf(id), By: p.name})
+	a, err := p.caller.Propose(ctx, &state.ClearWord{Subject: outOf(id), By: p.name})
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if err != nil {
@@ -106,12 +106,12 @@
 	return held(a), false, nil
 }
 
-func outOf(id string) promise.Subject {
-	return promise.Subject{Kind: promise.Out, Scope: promise.Upstream, Target: id}
+func outOf(id string) state.Subject {
+	return state.Subject{Kind: state.Out, Scope: state.Upstream, Target: id}
 }
 
 // held says by how many voters a promise is held.
-func held(a ledger.Answer) string { return fmt.Sprintf("held by %d of %d", a.Held, a.Of) }
+func held(a client.Answer) string { return fmt.Sprintf("held by %d of %d", a.Held, a.Of) }
 
 // out takes an upstream out: here at once, and then by the ledger's word for all.
 func (b *Balancer) out(id string) (string, error) {
@@ -148,7 +148,7 @@
 }
 
 // govern gives the pool what the ledger says.
-func (b *Balancer) govern(words []promise.Word) {
-	b.pool.Govern(maintenance.Of(words, b.config.Name))
+func (b *Balancer) govern(words []state.Word) {
+	b.pool.Govern(override.Of(words, b.config.Name))
 	slog.Info("what the ledger holds", "words", len(words))
 }
--- a/internal/proxy/proxy.go
+++ b/internal/proxy/proxy.go
@@ -6,9 +6,9 @@
 	"net"
 	"sync/atomic"
 
-	"clayladder/internal/edge"
-	"clayladder/internal/maintenance"
-	"clayladder/internal/pool"
+	"olivearch/internal/frontend"
+	"olivearch/internal/override"
+	"olivearch/internal/pool"
 )
 
 // Balancer is a platform's balancer: one front and one pool.
@@ -16,7 +16,7 @@
 	config Config
 	pool   *pool.Pool
 	desk   *platform
-	front  *edge.Front
+	front  *frontend.Front
 	end    context.CancelFunc
 	before *Predecessor // nil: no other process served before this one
 	other  atomic.Pointer[sibling]
@@ -29,7 +29,7 @@
 // before is the process whose place it takes, and whose listener this is; nil: none.
 func Start(c Config, listener net.Listener, before *Predecessor) (*Balancer, error) {
 	life, end := context.WithCancel(context.Background())
-	var held map[string]maintenance.Entry
+	var held map[string]override.Entry
 	if before != nil {
 		held = before.state.Held
 	}
@@ -44,7 +44,7 @@
 		b.promises.attach(b.govern, p.Released)
 		context.AfterFunc(life, b.promises.close)
 	}
-	b.front = edge.New(b.desk, listener, edge.Usual(c.clientConns()))
+	b.front = frontend.New(b.desk, listener, frontend.Usual(c.clientConns()))
 	b.front.Spare(c.requestConns())
 	b.front.Spool(int64(c.MemoryMB) << 20 / 8)
 	b.front.Drain(before != nil && before.state.Standby)
--- a/internal/proxy/proxy_test.go
+++ b/internal/proxy/proxy_test.go
@@ -16,11 +16,11 @@
 	"testing"
 	"time"
 
-	"clayladder/internal/body"
-	"clayladder/internal/discovery"
-	"clayladder/internal/edge"
-	"clayladder/internal/http1"
-	"clayladder/internal/standin/scripted"
+	"olivearch/internal/body"
+	"olivearch/internal/discovery"
+	"olivearch/internal/frontend"
+	"olivearch/internal/http1"
+	"olivearch/internal/standin/scripted"
 )
 
 // settingsText has a class of each kind. Discovery is asked again at once after a failure.
@@ -66,8 +66,8 @@
 
 func draining(m discovery.Member) discovery.Member { m.Phase = "draining"; return m }
 
-// balancer is a running balancer.
-type balancer struct {
+// testBalancer is a running testBalancer.
+type testBalancer struct {
 	*Balancer
 	url      string
 	registry *registry
@@ -78,7 +78,7 @@
 	client   *http.Client
 }
 
-func newBalancer(t *testing.T, members ...discovery.Member) *balancer {
+func newBalancer(t *testing.T, members ...discovery.Member) *testBalancer {
 	t.Helper()
 	g := newRegistry(t)
 	f := file{Name: "n0", Listen: "127.0.0.1:0", Discovery: g.addr, Seed: "8c1f30d27a5be964",
@@ -93,7 +93,7 @@
 		t.Fatal(err)
 	}
 	ctx, cancel := context.WithCancel(context.Background())
-	b := &balancer{url: "http://" + l.Addr().String(), registry: g, cancel: cancel, ended: make(chan error, 1), config: c, reloads: make(chan Config),
+	b := &testBalancer{url: "http://" + l.Addr().String(), registry: g, cancel: cancel, ended: make(chan error, 1), config: c, reloads: make(chan Config),
 		client: &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 100}}}
 	b.Balancer, err = Start(c, l, nil)
 	if err != nil {
@@ -114,7 +114,7 @@
 var lastID int
 
 // ask returns a well-formed request of a class.
-func (b *balancer) ask(class, body string, headers ...string) *http.Request {
+func (b *testBalancer) ask(class, body string, headers ...string) *http.Request {
 	lastID++
 	method := http.MethodPost
 	if class == "read" {
@@ -137,7 +137,7 @@
 }
 
 // do sends a request and returns the answer whole.
-func (b *balancer) do(t *testing.T, r *http.Request) (int, string) {
+func (b *testBalancer) do(t *testing.T, r *http.Request) (int, string) {
 	t.Helper()
 	resp, err := b.client.Do(r)
 	if err != nil {
@@ -318,9 +318,9 @@
 		if _, err := io.WriteString(c, text[:min(piece, len(text))]); err != nil {
 			t.Fatal(err)
 		}
-		time.Sleep(edge.StalledClient / 2) // a slow line is what is tried
+		time.Sleep(frontend.StalledClient / 2) // a slow line is what is tried
 	}
-	if time.Since(start) < edge.SilentClient {
+	if time.Since(start) < frontend.SilentClient {
 		t.Fatal("not slow enough to tell")
 	}
 	resp, err := http.ReadResponse(bufio.NewReader(c), nil)
--- a/internal/proxy/routing.go
+++ b/internal/proxy/routing.go
@@ -11,18 +11,18 @@
 	"sync/atomic"
 	"time"
 
-	"clayladder"
-	"clayladder/internal/body"
-	"clayladder/internal/edge"
-	"clayladder/internal/http1"
-	"clayladder/internal/pool"
-	"clayladder/internal/route"
-	"clayladder/internal/upstream"
+	"olivearch/balancer"
+	"olivearch/internal/body"
+	"olivearch/internal/frontend"
+	"olivearch/internal/http1"
+	"olivearch/internal/pool"
+	"olivearch/internal/route"
+	"olivearch/internal/upstream"
 )
 
 // Destination is what a route does with its requests, beside naming pools.
 type Destination struct {
-	Class     clayladder.Class
+	Class     balancer.Class
 	Limit     time.Duration // on the wait for an answer
 	KeyCookie string        // whose value decides among several pools
 	Bodies    *body.Limits  // nil: the usual ones
@@ -107,7 +107,7 @@
 	pool   *pool.Pool
 }
 
-var _ edge.Desk = (*Desk)(nil)
+var _ frontend.Desk = (*Desk)(nil)
 
 // Now goes by the clocks that pools keep: Unix time at the start, then the monotonic clock. Pools start at other times;
 // what their clocks differ by is how far the machine's clock was set in between, so pools get the time on their own.
@@ -130,21 +130,21 @@
 
 // Check reads a request of any form that HTTP allows, gives its host and target their canonical reading, and finds its
 // route.
-func (d *Desk) Check(method, target string, h *http1.Fields) (edge.Call, error) {
+func (d *Desk) Check(method, target string, h *http1.Fields) (frontend.Call, error) {
 	if method == "" || method == http.MethodConnect || method == http.MethodTrace || strings.ContainsFunc(method, func(r rune) bool { return r < 'A' || r > 'Z' }) {
-		return nil, &edge.Refusal{Status: http.StatusNotImplemented, Why: "the method is not served"}
+		return nil, &frontend.Refusal{Status: http.StatusNotImplemented, Why: "the method is not served"}
 	}
 	t, err := route.ParseTarget(target)
 	if err != nil {
-		return nil, edge.Bad("%v", err)
+		return nil, frontend.Bad("%v", err)
 	}
 	if !h.Has("Host") { // RFC 9112, section 3.2: wanted also beside an absolute target
-		return nil, edge.Bad("Host is wanted")
+		return nil, frontend.Bad("Host is wanted")
 	}
 	host := t.Host // of an absolute target it goes before the field
 	if host == "" {
 		if host, err = route.Host(h.Get("Host")); err != nil {
-			return nil, edge.Bad("%v", err)
+			return nil, frontend.Bad("%v", err)
 		}
 	}
 	upgrade := ""
@@ -156,13 +156,13 @@
 		q.Name = newID()
 		h.Add("X-Request-Id", q.Name)
 	} else if q.Name == "" || len(q.Name) > 256 {
-		return nil, edge.Bad("X-Request-Id is empty or over 256 bytes")
+		return nil, frontend.Bad("X-Request-Id is empty or over 256 bytes")
 	}
 	if err := q.describe(h); err != nil {
 		return nil, err
 	}
 	if h.Has("Idempotency-Key") && h.Get("Idempotency-Key") == "" {
-		return nil, edge.Bad("Idempotency-Key is empty")
+		return nil, frontend.Bad("Idempotency-Key is empty")
 	}
 	q.fields = *h
 	q.query = route.Query{Host: host, Path: t.Path, Method: method, Class: h.Get("X-Class"), Fields: q.fields}
@@ -191,16 +191,16 @@
 	r := d.routing.Load()
 	rule := r.Table.Lookup(&q.query)
 	if rule == nil {
-		return &edge.Refusal{Status: http.StatusNotFound, Why: "no route leads there"}
+		return &frontend.Refusal{Status: http.StatusNotFound, Why: "no route leads there"}
 	}
 	q.route = rule.Name
 	to := &r.To[rule.To]
 	q.to = to
 	switch named := q.query.Class; {
 	case named != "" && named != to.Class.Name:
-		return edge.Bad("X-Class names %q, and the route to this host and path is for another class", named)
-	case to.Class.Repeat == clayladder.Keyed && !q.keyed:
-		return edge.Bad("Idempotency-Key is wanted")
+		return frontend.Bad("X-Class names %q, and the route to this host and path is for another class", named)
+	case to.Class.Repeat == balancer.Keyed && !q.keyed:
+		return frontend.Bad("Idempotency-Key is wanted")
 	}
 	q.about(q.fields, to.KeyCookie)
 	q.hash = q.Key
--- a/internal/proxy/routing_test.go
+++ b/internal/proxy/routing_test.go
@@ -11,13 +11,13 @@
 	"testing"
 	"time"
 
-	"clayladder"
-	"clayladder/internal/edge"
-	"clayladder/internal/http1"
-	"clayladder/internal/pool"
-	"clayladder/internal/route"
-	"clayladder/internal/standin/scripted"
-	"clayladder/internal/wire"
+	"olivearch/balancer"
+	"olivearch/internal/frontend"
+	"olivearch/internal/http1"
+	"olivearch/internal/pool"
+	"olivearch/internal/route"
+	"olivearch/internal/standin/scripted"
+	"olivearch/internal/wire"
 )
 
 // routedPool starts a pool that a test's routes can lead to.
@@ -26,8 +26,8 @@
 	ctx, cancel := context.WithCancel(context.Background())
 	t.Cleanup(cancel)
 	p, err := pool.New(ctx, pool.Spec{Name: name, Queue: queue, Share: 1, Connections: 10, Links: wire.Links{KeepAlive: time.Minute, ConnectTimeout: time.Second},
-		Settings: clayladder.Settings{Balancers: 1, Classes: []clayladder.Class{{Name: "c", Aim: time.Second, Deadline: time.Second, Repeat: clayladder.Unsafe, Worth: 1}},
-			Limits: clayladder.Limits{MaxAttempts: 1}, Rules: clayladder.Rules{ColdFrom: 1, RampTime: time.Second, TipMultiple: 1, TipAfter: time.Second}}},
+		Settings: balancer.Settings{Balancers: 1, Classes: []balancer.Class{{Name: "c", Aim: time.Second, Deadline: time.Second, Repeat: balancer.Unsafe, Worth: 1}},
+			Limits: balancer.Limits{MaxAttempts: 1}, Rules: balancer.Rules{ColdFrom: 1, RampTime: time.Second, TipMultiple: 1, TipAfter: time.Second}}},
 		pool.NewDirectory(ctx, 10), nil)
 	if err != nil {
 		t.Fatal(err)
@@ -37,7 +37,7 @@
 
 func routing(t testing.TB, pools ...*pool.Pool) *Routing {
 	t.Helper()
-	r := &Routing{To: []Destination{{Class: clayladder.Class{Name: "c", Deadline: time.Second, Repeat: clayladder.Unsafe}, Limit: time.Second, KeyCookie: "obj"}}, Pools: map[string]*pool.Pool{}}
+	r := &Routing{To: []Destination{{Class: balancer.Class{Name: "c", Deadline: time.Second, Repeat: balancer.Unsafe}, Limit: time.Second, KeyCookie: "obj"}}, Pools: map[string]*pool.Pool{}}
 	var rules []route.Rule
 	for _, p := range pools {
 		r.Pools[p.Name()] = p
@@ -65,7 +65,7 @@
 	r := routing(f, routedPool(f, "x", 1))
 	desk := NewDesk(r)
 	f.Fuzz(func(t *testing.T, text []byte) {
-		call, err := edge.ReadRequest(desk, scripted.Saying(text))
+		call, err := frontend.ReadRequest(desk, scripted.Saying(text))
 		if err != nil || call == nil {
 			return
 		}
--- a/internal/proxy/stream_test.go
+++ b/internal/proxy/stream_test.go
@@ -14,10 +14,10 @@
 	"testing"
 	"time"
 
-	"clayladder/internal/body"
-	"clayladder/internal/discovery"
-	"clayladder/internal/http1"
-	"clayladder/internal/standin/scripted"
+	"olivearch/internal/body"
+	"olivearch/internal/discovery"
+	"olivearch/internal/http1"
+	"olivearch/internal/standin/scripted"
 )
 
 // random returns so many bytes that a mixed-up stream would not repeat.
@@ -38,7 +38,7 @@
 }
 
 // opened sends a request's head and returns its connection.
-func (b *balancer) opened(t *testing.T, fields string) (net.Conn, *bufio.Reader) {
+func (b *testBalancer) opened(t *testing.T, fields string) (net.Conn, *bufio.Reader) {
 	t.Helper()
 	c, err := net.Dial("tcp", strings.TrimPrefix(b.url, "http://"))
 	if err != nil {
--- a/internal/proxy/succession.go
+++ b/internal/proxy/succession.go
@@ -11,7 +11,7 @@
 	"sync/atomic"
 	"time"
 
-	"clayladder/internal/handover"
+	"olivearch/internal/hotrestart"
 )
 
 // This file is about upgrades: a new process takes the place of the old one while both run, and for clients, upstreams
@@ -26,13 +26,13 @@
 // Predecessor is an old process that still serves, and what it handed over.
 type Predecessor struct {
 	Listener net.Listener
-	state    handover.Message
-	link     *handover.Link
+	state    hotrestart.Message
+	link     *hotrestart.Link
 }
 
 // Precede asks the process that listens at path for what a new one needs to serve at an address.
 func Precede(path, listen string) (*Predecessor, error) {
-	link, err := handover.Dial(path)
+	link, err := hotrestart.Dial(path)
 	if err != nil {
 		return nil, err
 	}
@@ -45,7 +45,7 @@
 }
 
 func (p *Predecessor) take(listen string) error {
-	if err := p.link.Send(handover.Message{Kind: handover.Take, Listen: listen}, nil); err != nil {
+	if err := p.link.Send(hotrestart.Message{Kind: hotrestart.Take, Listen: listen}, nil); err != nil {
 		return err
 	}
 	p.link.SetReadDeadline(time.Now().Add(takeWithin))
@@ -57,7 +57,7 @@
 		return errors.New("the old process has handed over no listener")
 	}
 	defer file.Close()
-	if m.Kind != handover.State || m.Listen != listen {
+	if m.Kind != hotrestart.State || m.Listen != listen {
 		return fmt.Errorf("the old process serves %q", m.Listen)
 	}
 	p.state = m
@@ -68,7 +68,7 @@
 
 // sibling is the other process of this balancer, while there is one.
 type sibling struct {
-	link     *handover.Link
+	link     *hotrestart.Link
 	ready    atomic.Bool   // it serves
 	ended    chan struct{} // closed once the link has
 	mu       sync.Mutex
@@ -78,18 +78,18 @@
 	recalled func()
 }
 
-func newSibling(link *handover.Link) *sibling {
+func newSibling(link *hotrestart.Link) *sibling {
 	s := &sibling{link: link, ended: make(chan struct{}), acks: map[uint64]chan struct{}{}, memory: make(chan struct{})}
 	s.recalled = sync.OnceFunc(func() { close(s.memory) })
 	return s
 }
 
 // tell sends this process's state, and returns once the other has applied it or does not answer in time.
-func (s *sibling) tell(m handover.Message) error {
+func (s *sibling) tell(m hotrestart.Message) error {
 	done := make(chan struct{})
 	s.mu.Lock()
 	s.serial++
-	m.Kind, m.Serial = handover.State, s.serial
+	m.Kind, m.Serial = hotrestart.State, s.serial
 	s.acks[m.Serial] = done
 	s.mu.Unlock()
 	defer func() {
@@ -133,21 +133,21 @@
 			return
 		}
 		switch m.Kind {
-		case handover.Ready:
+		case hotrestart.Ready:
 			s.ready.Store(true)
-		case handover.Ack:
+		case hotrestart.Ack:
 			s.acknowledged(m.Serial)
-		case handover.State:
+		case hotrestart.State:
 			b.adoptState(m)
-			s.link.Send(handover.Message{Kind: handover.Ack, Serial: m.Serial}, nil) // if it fails so does the next Receive
-		case handover.Client:
+			s.link.Send(hotrestart.Message{Kind: hotrestart.Ack, Serial: m.Serial}, nil) // if it fails so does the next Receive
+		case hotrestart.Client:
 			b.welcome(file)
-		case handover.Recall:
+		case hotrestart.Recall:
 			m := b.pool.Memory()
-			if err := s.link.Send(handover.Message{Kind: handover.Memory, Memory: &m}, nil); err != nil { // a fleet too large for a message
+			if err := s.link.Send(hotrestart.Message{Kind: hotrestart.Memory, Memory: &m}, nil); err != nil { // a fleet too large for a message
 				slog.Warn("telling the other process what has been learnt", "err", err)
 			}
-		case handover.Memory:
+		case hotrestart.Memory:
 			if m.Memory != nil {
 				b.pool.Recall(*m.Memory)
 			}
@@ -173,12 +173,12 @@
 }
 
 // state is what staff have said so far.
-func (b *Balancer) state() handover.Message {
-	return handover.Message{Kind: handover.State, Listen: b.config.Listen, Standby: b.front.Drained(), Held: b.pool.Held()}
+func (b *Balancer) state() hotrestart.Message {
+	return hotrestart.Message{Kind: hotrestart.State, Listen: b.config.Listen, Standby: b.front.Drained(), Held: b.pool.Held()}
 }
 
 // adoptState takes what staff have said to the other process.
-func (b *Balancer) adoptState(m handover.Message) {
+func (b *Balancer) adoptState(m hotrestart.Message) {
 	b.pool.Merge(m.Held)
 	b.front.Drain(m.Standby)
 }
@@ -195,7 +195,7 @@
 // await hands over to a new process that asks for it at path, now or later. It returns at once, and the listening ends with the
 // context.
 func (b *Balancer) await(ctx context.Context, path string) error {
-	l, err := handover.Listen(path)
+	l, err := hotrestart.Listen(path)
 	if err != nil {
 		return err
 	}
@@ -213,14 +213,14 @@
 }
 
 // bequeath gives a new process what it asks for.
-func (b *Balancer) bequeath(link *handover.Link) {
+func (b *Balancer) bequeath(link *hotrestart.Link) {
 	link.SetReadDeadline(time.Now().Add(takeWithin))
 	m, file, err := link.Receive()
 	if file != nil {
 		file.Close()
 	}
 	listener, ok := b.front.Listener().(*net.TCPListener)
-	if err != nil || m.Kind != handover.Take || m.Listen != b.config.Listen || !ok {
+	if err != nil || m.Kind != hotrestart.Take || m.Listen != b.config.Listen || !ok {
 		slog.Warn("a process that asked to take over was sent away", "err", err, "listen", m.Listen)
 		link.Close()
 		return
@@ -249,7 +249,7 @@
 		}
 		time.Sleep(readyPause)
 	}
-	if err := p.link.Send(handover.Message{Kind: handover.Recall}, nil); err == nil {
+	if err := p.link.Send(hotrestart.Message{Kind: hotrestart.Recall}, nil); err == nil {
 		select {
 		case <-s.memory:
 		case <-s.ended:
@@ -257,7 +257,7 @@
 		}
 	}
 	b.began.Store(true)
-	if err := p.link.Send(handover.Message{Kind: handover.Ready}, nil); err != nil {
+	if err := p.link.Send(hotrestart.Message{Kind: hotrestart.Ready}, nil); err != nil {
 		slog.Warn("telling the old process that this one serves", "err", err)
 	}
 }
--- a/internal/report/plots.go
+++ b/internal/report/plots.go
@@ -11,8 +11,8 @@
 	"slices"
 	"time"
 
-	"clayladder/internal/figures"
-	"clayladder/internal/scenario"
+	"olivearch/internal/scenario"
+	"olivearch/internal/stats"
 
 	"gonum.org/v1/plot"
 	"gonum.org/v1/plot/font"
@@ -35,9 +35,9 @@
 }
 
 // drawings makes the plots of a result.
-func drawings(r *figures.Result) ([]drawing, error) {
+func drawings(r *stats.Result) ([]drawing, error) {
 	var all []drawing
-	add := func(name, title string, make func(*figures.Result, *plot.Plot) error) error {
+	add := func(name, title string, make func(*stats.Result, *plot.Plot) error) error {
 		p := plot.New()
 		p.Title.Text = title
 		p.Legend.Top, p.Legend.Left = true, true
@@ -50,14 +50,14 @@
 	}
 	for _, x := range []struct {
 		name, title string
-		make        func(*figures.Result, *plot.Plot) error
+		make        func(*stats.Result, *plot.Plot) error
 	}{
 		{"latency", "Latency by quantile", latency},
-		{"goodput", "Answers in time, a second", overTime(func(b *figures.Block) int { return b.InAim })},
-		{"refused", "Refused and failed, a second", overTime(func(b *figures.Block) int { return b.Refused + b.Failed })},
-		{"share", "olivearch: share of each node", ofNodes(func(s *figures.NodeSample) float64 { return s.Share })},
-		{"band", "olivearch: utilisation of each node (moving average)", ofNodes(func(s *figures.NodeSample) float64 { return s.Mean })},
-		{"bound", "olivearch: bound on attempts out at each node", ofNodes(func(s *figures.NodeSample) float64 { return s.Bound })},
+		{"goodput", "Answers in time, a second", overTime(func(b *stats.Block) int { return b.InAim })},
+		{"refused", "Refused and failed, a second", overTime(func(b *stats.Block) int { return b.Refused + b.Failed })},
+		{"share", "olivearch: share of each node", ofNodes(func(s *stats.NodeSample) float64 { return s.Share })},
+		{"band", "olivearch: utilisation of each node (moving average)", ofNodes(func(s *stats.NodeSample) float64 { return s.Mean })},
+		{"bound", "olivearch: bound on attempts out at each node", ofNodes(func(s *stats.NodeSample) float64 { return s.Bound })},
 	} {
 		if len(r.Of(scenario.Olivearch)) == 0 && slices.Contains([]string{"share", "band", "bound"}, x.name) {
 			continue
@@ -100,12 +100,12 @@
 }
 
 // latency draws quantiles on a logarithmic axis, nines at equal distances.
-func latency(r *figures.Result, p *plot.Plot) error {
+func latency(r *stats.Result, p *plot.Plot) error {
 	p.X.Label.Text, p.Y.Label.Text = "quantile", "ms"
 	p.X.Scale, p.Y.Scale = plot.LogScale{}, plot.LogScale{}
 	p.X.Tick.Marker, p.Y.Tick.Marker = nines{}, plot.LogTicks{Prec: -1}
 	for i, c := range r.Contenders {
-		sum := figures.Total(r.Of(c))
+		sum := stats.Total(r.Of(c))
 		if sum.Served == 0 {
 			continue
 		}
@@ -121,8 +121,8 @@
 }
 
 // overTime draws a count a second, the mean over turns.
-func overTime(of func(*figures.Block) int) func(*figures.Result, *plot.Plot) error {
-	return func(r *figures.Result, p *plot.Plot) error {
+func overTime(of func(*stats.Block) int) func(*stats.Result, *plot.Plot) error {
+	return func(r *stats.Result, p *plot.Plot) error {
 		p.X.Label.Text, p.Y.Label.Text, p.Y.Min = "s", "a second", 0
 		for i, c := range r.Contenders {
 			var xy plotter.XYs
@@ -137,7 +137,7 @@
 						n, sum = n+1, sum+of(&t.Blocks[k])
 					}
 				}
-				xy = append(xy, plotter.XY{X: (float64(k) + 0.5) * figures.BlockLength.Seconds(), Y: float64(sum) / float64(n) / figures.BlockLength.Seconds()})
+				xy = append(xy, plotter.XY{X: (float64(k) + 0.5) * stats.BlockLength.Seconds(), Y: float64(sum) / float64(n) / stats.BlockLength.Seconds()})
 			}
 			if err := line(p, i, c, xy); err != nil {
 				return err
@@ -148,8 +148,8 @@
 }
 
 // ofNodes draws a figure of each node in olivearch's first turn.
-func ofNodes(of func(*figures.NodeSample) float64) func(*figures.Result, *plot.Plot) error {
-	return func(r *figures.Result, p *plot.Plot) error {
+func ofNodes(of func(*stats.NodeSample) float64) func(*stats.Result, *plot.Plot) error {
+	return func(r *stats.Result, p *plot.Plot) error {
 		p.X.Label.Text, p.Y.Min = "s", 0
 		by, names := map[string]plotter.XYs{}, []string{}
 		t := r.Of(scenario.Olivearch)[0]
@@ -173,7 +173,7 @@
 }
 
 // marks draws a line for each trouble.
-func marks(r *figures.Result, p *plot.Plot) error {
+func marks(r *stats.Result, p *plot.Plot) error {
 	top := p.Y.Max
 	if !(top > 0) || math.IsInf(top, 0) {
 		top = 1
@@ -205,7 +205,7 @@
 }
 
 // Plots writes the plots of a result as SVG files into a folder.
-func Plots(folder string, r *figures.Result) error {
+func Plots(folder string, r *stats.Result) error {
 	all, err := drawings(r)
 	if err != nil {
 		return err
@@ -247,23 +247,23 @@
 `))
 
 // Page writes a page with the table, the bounds and the plots, that needs nothing beside itself.
-func Page(out io.Writer, r *figures.Result, findings []figures.Finding) error {
+func Page(out io.Writer, r *stats.Result, findings []stats.Finding) error {
 	all, err := drawings(r)
 	if err != nil {
 		return err
 	}
 	x := struct {
-		R        *figures.Result
+		R        *stats.Result
 		Turns    int
 		Rows     [][]string
-		Findings []figures.Finding
-		Ratios   []figures.Change
+		Findings []stats.Finding
+		Ratios   []stats.Change
 		Plots    []template.HTML
 	}{R: r, Turns: len(r.Turns), Rows: rows(r), Findings: findings}
 	for _, c := range r.Contenders {
 		if ours := r.Of(scenario.Olivearch); c != scenario.Olivearch && len(ours) > 0 {
 			for _, name := range []string{"p50", "p99", "in_aim", "per_second"} {
-				x.Ratios = append(x.Ratios, figures.Change{Contender: c, Ratio: figures.Compare(name, ours, r.Of(c), uint64(r.Seed))})
+				x.Ratios = append(x.Ratios, stats.Change{Contender: c, Ratio: stats.Compare(name, ours, r.Of(c), uint64(r.Seed))})
 			}
 		}
 	}
--- a/internal/report/report_test.go
+++ b/internal/report/report_test.go
@@ -12,12 +12,12 @@
 
 	"gonum.org/v1/plot/plotter"
 
-	"clayladder/internal/emulator"
-	"clayladder/internal/figures"
-	"clayladder/internal/scenario"
+	"olivearch/internal/emulator"
+	"olivearch/internal/scenario"
+	"olivearch/internal/stats"
 )
 
-func result(t *testing.T) (*figures.Result, []figures.Finding) {
+func result(t *testing.T) (*stats.Result, []stats.Finding) {
 	t.Helper()
 	f, err := scenario.Parse("f", []byte(`
 name: t
@@ -30,8 +30,8 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	r := &figures.Result{Scenario: f.Name, About: f.About, Mode: "simulated", Seed: 1, Contenders: []string{"olivearch", "least"},
-		Marks: []figures.Mark{{AtMS: 500, Text: `stall <script>"n-0"`}}}
+	r := &stats.Result{Scenario: f.Name, About: f.About, Mode: "simulated", Seed: 1, Contenders: []string{"olivearch", "least"},
+		Marks: []stats.Mark{{AtMS: 500, Text: `stall <script>"n-0"`}}}
 	for _, c := range r.Contenders {
 		x, err := emulator.Play(f, c, 0)
 		if err != nil {
--- a/internal/report/table.go
+++ b/internal/report/table.go
@@ -6,7 +6,7 @@
 	"io"
 	"text/tabwriter"
 
-	"clayladder/internal/figures"
+	"olivearch/internal/stats"
 )
 
 // column is a figure of the table.
@@ -26,7 +26,7 @@
 }
 
 // rows are the table's, with its head.
-func rows(r *figures.Result) (all [][]string) {
+func rows(r *stats.Result) (all [][]string) {
 	head := []string{"contender"}
 	for _, c := range columns {
 		head = append(head, c.title)
@@ -43,7 +43,7 @@
 }
 
 // Table writes a result as a table, with what came of its bounds.
-func Table(out io.Writer, r *figures.Result, findings []figures.Finding) error {
+func Table(out io.Writer, r *stats.Result, findings []stats.Finding) error {
 	fmt.Fprintf(out, "\n%s (%s): %s\n", r.Scenario, r.Mode, r.About)
 	t := tabwriter.NewWriter(out, 0, 0, 2, ' ', tabwriter.AlignRight)
 	for _, row := range rows(r) {
--- a/internal/route/route_test.go
+++ b/internal/route/route_test.go
@@ -8,7 +8,7 @@
 	"strings"
 	"testing"
 
-	"clayladder/internal/http1"
+	"olivearch/internal/http1"
 )
 
 func to(pool string) []WeightedPool { return []WeightedPool{{pool, 1}} }
--- a/internal/scenario/check.go
+++ b/internal/scenario/check.go
@@ -7,9 +7,9 @@
 	"strings"
 	"time"
 
-	"clayladder/internal/config"
-	"clayladder/internal/picker"
-	"clayladder/internal/strictyaml"
+	"olivearch/internal/config"
+	"olivearch/internal/lbpolicy"
+	"olivearch/internal/strictyaml"
 )
 
 const maxFile = 1 << 20
@@ -249,7 +249,7 @@
 }
 
 func (k checker) contenders() {
-	all := append([]string{Olivearch}, picker.Names()...)
+	all := append([]string{Olivearch}, lbpolicy.Names()...)
 	if len(k.Contenders) == 0 {
 		if k.Contenders = all; k.Modes != "simulated" {
 			k.Contenders = append(slices.Clone(all), Reverse)
--- a/internal/scenario/scenario.go
+++ b/internal/scenario/scenario.go
@@ -3,7 +3,7 @@
 package scenario
 
 import (
-	"clayladder/internal/config"
+	"olivearch/internal/config"
 )
 
 // File is one scenario.
--- a/internal/service/admin.go
+++ b/internal/service/admin.go
@@ -8,8 +8,8 @@
 	"net/http"
 	"time"
 
-	"clayladder/internal/live"
-	"clayladder/internal/metrics"
+	"olivearch/internal/live"
+	"olivearch/internal/metrics"
 )
 
 // admin is the listener for operators.
--- a/internal/service/apply_test.go
+++ b/internal/service/apply_test.go
@@ -7,7 +7,7 @@
 	"strings"
 	"testing"
 
-	"clayladder/internal/config"
+	"olivearch/internal/config"
 )
 
 // BenchmarkApply moves a service of the planned size to a configuration in which one thing differs, and back.
--- a/internal/service/differential_test.go
+++ b/internal/service/differential_test.go
@@ -16,7 +16,7 @@
 	"testing"
 	"time"
 
-	"clayladder/internal/standin/fleet"
+	"olivearch/internal/standin/fleet"
 )
 
 var exchanges = flag.Int("exchanges", 4000, "how many random exchanges the differential run has; 100,000 before a landing that changes the data path")
--- a/internal/service/lists.go
+++ b/internal/service/lists.go
@@ -10,17 +10,17 @@
 	"sync"
 	"sync/atomic"
 
-	"clayladder/internal/config"
-	"clayladder/internal/nodelist"
-	"clayladder/internal/pool"
+	"olivearch/internal/config"
+	"olivearch/internal/endpointlist"
+	"olivearch/internal/pool"
 )
 
 // This file is about the lists of nodes that come from files: reading them at the start, and following them.
 
 // firstList is a pool's list as it was when its source was new.
 type firstList struct {
-	nodes []nodelist.Node
-	read  nodelist.Reading
+	nodes []endpointlist.Node
+	read  endpointlist.Reading
 	err   error
 }
 
@@ -32,7 +32,7 @@
 	for range min(runtime.GOMAXPROCS(0), len(names)) {
 		readers.Go(func() {
 			for i := next.Add(1) - 1; int(i) < len(names); i = next.Add(1) - 1 {
-				l, r, err := nodelist.Read(c.Pools[names[i]].Nodes.File)
+				l, r, err := endpointlist.Read(c.Pools[names[i]].Nodes.File)
 				if err != nil {
 					err = fmt.Errorf("pool %s: nodes: %w", names[i], err)
 				}
@@ -76,11 +76,11 @@
 }
 
 // follow begins to follow a list's file, if there is one, from how it stood when it was first read.
-func (s *Service) follow(name string, x *pool.Pool, source config.NodeSource, read nodelist.Reading) (stop func()) {
+func (s *Service) follow(name string, x *pool.Pool, source config.NodeSource, read endpointlist.Reading) (stop func()) {
 	if source.File == "" {
 		return func() {}
 	}
-	return s.lists.Follow(source.File, read, func(w nodelist.Word) {
+	return s.lists.Follow(source.File, read, func(w endpointlist.Word) {
 		switch {
 		case w.Err != nil:
 			slog.Warn("the last list holds", "pool", name, "err", w.Err, "looks_with_another", w.Failed)
--- a/internal/service/lists_test.go
+++ b/internal/service/lists_test.go
@@ -10,7 +10,7 @@
 	"testing"
 	"time"
 
-	"clayladder/internal/live"
+	"olivearch/internal/live"
 )
 
 // fleetOfLists writes so many lists, the longest of 2,000 nodes and the shortest of 2, and returns the pools that follow
--- a/internal/service/memory.go
+++ b/internal/service/memory.go
@@ -5,7 +5,7 @@
 	"runtime/debug"
 	"runtime/metrics"
 
-	"clayladder/internal/config"
+	"olivearch/internal/config"
 )
 
 // headroom is what the heap may grow by over what lives before the collector runs, in bytes: the least heap of 4 MiB times the percentage
--- a/internal/service/promises.go
+++ b/internal/service/promises.go
@@ -8,18 +8,18 @@
 	"sync"
 	"time"
 
-	"clayladder/internal/config"
-	"clayladder/internal/ledger"
-	"clayladder/internal/live"
-	"clayladder/internal/maintenance"
-	"clayladder/internal/promise"
+	"olivearch/internal/config"
+	"olivearch/internal/coordination/client"
+	"olivearch/internal/coordination/state"
+	"olivearch/internal/live"
+	"olivearch/internal/override"
 )
 
 // governing is what the ledger of promises says of all pools. Requests do not wait for it: each pool has what holds of it.
 type governing struct {
 	mu     sync.Mutex
-	words  []promise.Word
-	copy   *ledger.Copy // nil: this process takes no part in a ledger
+	words  []state.Word
+	copy   *client.Copy // nil: this process takes no part in a ledger
 	config config.Promises
 	pools  func() map[string]*member
 }
@@ -46,22 +46,22 @@
 		host = "olivearch"
 	}
 	// The name spreads many copies over the voters, also those of several processes on a machine.
-	g.set(ledger.Follow(fmt.Sprintf("%s-%d", host, os.Getpid()), c.Voters, c.Copy, g.changed), *c)
+	g.set(client.Follow(fmt.Sprintf("%s-%d", host, os.Getpid()), c.Voters, c.Copy, g.changed), *c)
 }
 
-func (g *governing) set(copy *ledger.Copy, c config.Promises) {
+func (g *governing) set(copy *client.Copy, c config.Promises) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	g.copy, g.config = copy, c
 }
 
 // changed takes words, and gives each pool what is said of it.
-func (g *governing) changed(words []promise.Word) {
+func (g *governing) changed(words []state.Word) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	g.words = words
 	for name, p := range g.pools() {
-		p.Govern(maintenance.Of(words, name))
+		p.Govern(override.Of(words, name))
 	}
 	slog.Info("what the ledger holds", "words", len(words))
 }
@@ -71,7 +71,7 @@
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	if len(g.words) > 0 {
-		p.Govern(maintenance.Of(g.words, name))
+		p.Govern(override.Of(g.words, name))
 	}
 }
 
--- a/internal/service/service.go
+++ b/internal/service/service.go
@@ -17,16 +17,16 @@
 	"sync/atomic"
 	"time"
 
-	"clayladder/internal/body"
-	"clayladder/internal/config"
-	"clayladder/internal/edge"
-	"clayladder/internal/keep"
-	"clayladder/internal/live"
-	"clayladder/internal/metrics"
-	"clayladder/internal/nodelist"
-	"clayladder/internal/pool"
-	"clayladder/internal/proxy"
-	"clayladder/internal/wire"
+	"olivearch/internal/body"
+	"olivearch/internal/config"
+	"olivearch/internal/endpointcache"
+	"olivearch/internal/endpointlist"
+	"olivearch/internal/frontend"
+	"olivearch/internal/live"
+	"olivearch/internal/metrics"
+	"olivearch/internal/pool"
+	"olivearch/internal/proxy"
+	"olivearch/internal/wire"
 )
 
 // readEvery is how often a list's file is read even if nothing tells of a change.
@@ -39,16 +39,16 @@
 	ctx       context.Context
 	end       context.CancelFunc
 	directory *pool.Directory
-	lists     *nodelist.Watcher
+	lists     *endpointlist.Watcher
 	desk      *proxy.Desk
-	state     atomic.Pointer[state]
+	state     atomic.Pointer[configuration]
 	promises  *governing
 	failed    chan error
 	leaving   sync.WaitGroup // fronts and pools that a reload has removed
 }
 
-// state is what runs now. It never changes: Apply makes another.
-type state struct {
+// configuration is what runs now. It never changes: Apply makes another.
+type configuration struct {
 	config  *config.Loaded
 	fronts  map[string]*front // by the address in the configuration
 	pools   map[string]*member
@@ -57,7 +57,7 @@
 }
 
 type front struct {
-	*edge.Front
+	*frontend.Front
 	name    string
 	address net.Addr
 }
@@ -75,8 +75,8 @@
 	s := &Service{version: version, started: time.Now(), failed: make(chan error, 1)}
 	s.ctx, s.end = context.WithCancel(context.Background())
 	s.directory = pool.NewDirectory(s.ctx, c.Limits.NodeConnections)
-	s.lists = nodelist.NewWatcher(s.ctx, readEvery, reportWatch)
-	s.state.Store(&state{fronts: map[string]*front{}, pools: map[string]*member{}, reloads: -1})
+	s.lists = endpointlist.NewWatcher(s.ctx, readEvery, reportWatch)
+	s.state.Store(&configuration{fronts: map[string]*front{}, pools: map[string]*member{}, reloads: -1})
 	s.promises = &governing{pools: func() map[string]*member { return s.state.Load().pools }}
 	if err := s.Apply(c); err != nil {
 		s.end()
@@ -90,7 +90,7 @@
 
 // plan is a step from one state to the next. What can fail is in making it, so that an error changes nothing.
 type plan struct {
-	next      *state
+	next      *configuration
 	listeners map[string]net.Listener
 	lists     map[string]firstList // of pools whose source is new, or stands in the configuration
 	specs     map[string]pool.Spec
@@ -153,8 +153,8 @@
 }
 
 // plan checks and opens what a configuration needs.
-func (s *Service) plan(now *state, c *config.Loaded) (*plan, error) {
-	p := &plan{next: &state{config: c, fronts: map[string]*front{}, pools: map[string]*member{}, reloads: now.reloads + 1},
+func (s *Service) plan(now *configuration, c *config.Loaded) (*plan, error) {
+	p := &plan{next: &configuration{config: c, fronts: map[string]*front{}, pools: map[string]*member{}, reloads: now.reloads + 1},
 		listeners: map[string]net.Listener{}, specs: make(map[string]pool.Spec, len(c.Pools)), stay: make(map[string]bool, len(c.Pools))}
 	var errs []error
 	var files []string
@@ -248,11 +248,11 @@
 func (s *Service) open(p *plan, name string, spec pool.Spec, source config.NodeSource) error {
 	spec.Seed = rand.Uint64()
 	if source.Keep != "" {
-		known, err := keep.Load(source.Keep)
+		known, err := endpointcache.Load(source.Keep)
 		if err != nil { // a damaged list must not keep the process from serving
 			slog.Warn("starting without the kept list", "pool", name, "err", err)
 		}
-		spec.Known, spec.Keep = known, keep.New(source.Keep, known)
+		spec.Known, spec.Keep = known, endpointcache.New(source.Keep, known)
 	}
 	x, err := pool.New(s.ctx, spec, s.directory, nil)
 	if err != nil {
@@ -293,7 +293,7 @@
 }
 
 // route makes the routes of a state those that hold.
-func (s *Service) route(next *state) {
+func (s *Service) route(next *configuration) {
 	c := next.config
 	r := &proxy.Routing{Table: c.Table, To: make([]proxy.Destination, len(c.Targets)), Pools: make(map[string]*pool.Pool, len(next.pools))}
 	for i, x := range c.Targets {
@@ -313,7 +313,7 @@
 }
 
 // serve starts, resizes and stops listeners.
-func (s *Service) serve(now *state, p *plan) {
+func (s *Service) serve(now *configuration, p *plan) {
 	spool := int64(p.next.config.Limits.Bodies) / int64(len(p.next.config.Listeners))
 	for _, l := range p.next.config.Listeners {
 		if old := now.fronts[l.Address]; old != nil {
@@ -323,7 +323,7 @@
 			continue
 		}
 		x := p.listeners[l.Address]
-		f := &front{edge.New(s.desk, x, limits(l)), l.Name, x.Addr()}
+		f := &front{frontend.New(s.desk, x, limits(l)), l.Name, x.Addr()}
 		f.Spool(spool)
 		p.next.fronts[l.Address] = f
 		go func() {
@@ -346,8 +346,8 @@
 }
 
 // limits are what a listener's clients may take.
-func limits(l config.Listener) edge.Limits {
-	return edge.Limits{Connections: l.Connections, Head: int(l.Head), Within: time.Duration(l.Within), Rate: int(l.Rate), Floor: true, HTTP10: true}
+func limits(l config.Listener) frontend.Limits {
+	return frontend.Limits{Connections: l.Connections, Head: int(l.Head), Within: time.Duration(l.Within), Rate: int(l.Rate), Floor: true, HTTP10: true}
 }
 
 // retire ends a pool once its requests are answered.
@@ -429,7 +429,7 @@
 }
 
 // listeners are those for clients, by name.
-func (now *state) listeners() []live.Listener {
+func (now *configuration) listeners() []live.Listener {
 	list := []live.Listener{}
 	for _, f := range now.fronts {
 		open, limit := f.Connections()
--- a/internal/service/service_test.go
+++ b/internal/service/service_test.go
@@ -17,10 +17,10 @@
 	"testing"
 	"time"
 
-	"clayladder/internal/config"
-	"clayladder/internal/live"
-	"clayladder/internal/nodelist"
-	"clayladder/internal/standin/fleet"
+	"olivearch/internal/config"
+	"olivearch/internal/endpointlist"
+	"olivearch/internal/live"
+	"olivearch/internal/standin/fleet"
 )
 
 // site is a running service on a fleet.
@@ -83,12 +83,12 @@
 	return all
 }
 
-func (x *site) list(name string, entries ...nodelist.Node) {
+func (x *site) list(name string, entries ...endpointlist.Node) {
 	x.t.Helper()
 	write(x.t, x.judge, x.folder, name, entries...)
 }
 
-func write(t *testing.T, j *fleet.Judge, folder, name string, entries ...nodelist.Node) {
+func write(t *testing.T, j *fleet.Judge, folder, name string, entries ...endpointlist.Node) {
 	t.Helper()
 	if err := fleet.WriteList(filepath.Join(folder, name), j, entries); err != nil {
 		t.Fatal(err)
@@ -273,7 +273,7 @@
 			return "none"
 		}
 		x.until("both nodes are up", func(live.View) bool { return phase("a", "n0") == "up" && phase("b", "n0") == "up" })
-		write(t, fleet.NewJudge(0), folder, "a.yaml", all[0].Entry(nodelist.Draining), all[1].Entry("up"))
+		write(t, fleet.NewJudge(0), folder, "a.yaml", all[0].Entry(endpointlist.Draining), all[1].Entry("up"))
 		x.until("the drain in a", func(live.View) bool { return phase("a", "n0") == "draining" })
 		if own {
 			x.until("b keeps the node", func(live.View) bool { return phase("b", "n0") == "up" })
@@ -718,7 +718,7 @@
 // reports that can't be read.
 func TestWhoReports(t *testing.T) {
 	j, folder := fleet.NewJudge(time.Second), t.TempDir()
-	var entries []nodelist.Node
+	var entries []endpointlist.Node
 	for id, says := range map[string]string{"speaks": "util=0.3", "silent": "", "mumbles": "cpu=30%"} {
 		n, err := fleet.NewNode(fleet.Spec{ID: id, Cores: 2, Queue: 50, Says: says}, j)
 		if err != nil {
--- a/internal/service/streams_test.go
+++ b/internal/service/streams_test.go
@@ -14,10 +14,10 @@
 	"testing"
 	"time"
 
-	"clayladder/internal/config"
-	"clayladder/internal/live"
-	"clayladder/internal/standin/fleet"
-	"clayladder/internal/standin/scripted"
+	"olivearch/internal/config"
+	"olivearch/internal/live"
+	"olivearch/internal/standin/fleet"
+	"olivearch/internal/standin/scripted"
 )
 
 // sockets starts a service on scripted nodes, which list "list" has. more goes behind the route's name.
--- a/internal/service/uses_test.go
+++ b/internal/service/uses_test.go
@@ -3,7 +3,7 @@
 import (
 	"testing"
 
-	"clayladder/internal/config"
+	"olivearch/internal/config"
 )
 
 // What check tells: few balancers use all nodes; many a few, and more with more traffic.
--- a/internal/nodeshare/nodeshare.go
+++ b/internal/sharedlimit/nodeshare.go
@@ -4,7 +4,7 @@
 //
 // A claim costs work by its own length and by the nodes on which it differs for others: a node that one pool lists alone
 // is told to nobody.
-package nodeshare
+package sharedlimit
 
 import "slices"
 
--- a/internal/nodeshare/nodeshare_test.go
+++ b/internal/sharedlimit/nodeshare_test.go
@@ -1,4 +1,4 @@
-package nodeshare
+package sharedlimit
 
 import (
 	"fmt"
--- a/internal/standin/rogue/rogue.go
+++ b/internal/standin/faultybalancer/rogue.go
@@ -1,6 +1,6 @@
 // Package rogue is a plain balancer that can be told to break one rule, so that a judge can be shown to find it. It reads a platform's
 // configuration as the program does.
-package rogue
+package faultybalancer
 
 import (
 	"context"
--- a/internal/standin/fleet/clients.go
+++ b/internal/standin/fleet/clients.go
@@ -16,7 +16,7 @@
 	"sync"
 	"time"
 
-	"clayladder/internal/nodelist"
+	"olivearch/internal/endpointlist"
 
 	"go.yaml.in/yaml/v3"
 )
@@ -132,9 +132,9 @@
 func (c *Clients) Served() int { c.mu.Lock(); defer c.mu.Unlock(); return len(c.times) }
 
 // WriteList replaces a list's file at once. Nodes that it says drain, and those in gone, are told to the judge.
-func WriteList(path string, j *Judge, nodes []nodelist.Node, gone ...string) error {
+func WriteList(path string, j *Judge, nodes []endpointlist.Node, gone ...string) error {
 	var text bytes.Buffer
-	if err := yaml.NewEncoder(&text).Encode(nodelist.List{Nodes: nodes}); err != nil {
+	if err := yaml.NewEncoder(&text).Encode(endpointlist.List{Nodes: nodes}); err != nil {
 		return err
 	}
 	if err := os.WriteFile(path+".new", text.Bytes(), 0o600); err != nil {
@@ -145,7 +145,7 @@
 	}
 	j.Told(gone...)
 	for _, n := range nodes {
-		if n.Phase == nodelist.Draining {
+		if n.Phase == endpointlist.Draining {
 			j.Told(n.ID)
 		} else {
 			j.Back(n.ID)
--- a/internal/standin/fleet/fleet_test.go
+++ b/internal/standin/fleet/fleet_test.go
@@ -10,7 +10,7 @@
 	"testing"
 	"time"
 
-	"clayladder/internal/nodelist"
+	"olivearch/internal/endpointlist"
 )
 
 // These tests put bad balancers between clients and nodes, one for each way to break a rule, and see that the judge finds
@@ -219,10 +219,10 @@
 	j := NewJudge(100 * time.Millisecond)
 	n := node(t, j, Spec{})
 	path := filepath.Join(t.TempDir(), "nodes.yaml")
-	if err := WriteList(path, j, []nodelist.Node{n.Entry(nodelist.Draining)}); err != nil {
+	if err := WriteList(path, j, []endpointlist.Node{n.Entry(endpointlist.Draining)}); err != nil {
 		t.Fatal(err)
 	}
-	if l, err := nodelist.Load(path); err != nil || l.Nodes[0].Phase != nodelist.Draining {
+	if l, err := endpointlist.Load(path); err != nil || l.Nodes[0].Phase != endpointlist.Draining {
 		t.Fatal(l, err)
 	}
 	j.Asked("early", Safe, time.Second)
--- a/internal/standin/fleet/node.go
+++ b/internal/standin/fleet/node.go
@@ -12,8 +12,8 @@
 	"sync"
 	"time"
 
-	"clayladder/internal/nodelist"
-	"clayladder/internal/picker"
+	"olivearch/internal/endpointlist"
+	"olivearch/internal/lbpolicy"
 )
 
 // Spec is what a node is like.
@@ -66,7 +66,7 @@
 	report   string
 	runs     int
 	runsRead int // at the last report
-	recent   picker.Latencies
+	recent   lbpolicy.Latencies
 	slots    chan struct{}
 }
 
@@ -123,10 +123,10 @@
 func (n *Node) Address() string { return n.address }
 
 // Entry is the node as a list names it.
-func (n *Node) Entry(phase nodelist.Phase) nodelist.Node {
+func (n *Node) Entry(phase endpointlist.Phase) endpointlist.Node {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	return nodelist.Node{ID: n.ID, Address: n.address, Zone: n.Zone, Weight: cmp.Or(n.Weight, float64(n.Cores)), Phase: phase, Started: n.listedAt}
+	return endpointlist.Node{ID: n.ID, Address: n.address, Zone: n.Zone, Weight: cmp.Or(n.Weight, float64(n.Cores)), Phase: phase, Started: n.listedAt}
 }
 
 // Runs counts the requests whose work it has done.
--- a/internal/standin/crowd/clients.go
+++ b/internal/standin/fleetsim/clients.go
@@ -1,4 +1,4 @@
-package crowd
+package fleetsim
 
 import (
 	"bufio"
@@ -13,8 +13,8 @@
 	"sync/atomic"
 	"time"
 
-	"clayladder/internal/ground/event"
-	"clayladder/internal/http1"
+	"olivearch/internal/faulttest/event"
+	"olivearch/internal/http1"
 )
 
 // clients ask all balancers, at random times whatever becomes of those before.
--- a/internal/standin/crowd/crowd.go
+++ b/internal/standin/fleetsim/crowd.go
@@ -1,7 +1,7 @@
 // Package crowd has the stand-ins of a proving ground, each kind in one process of its own: many nodes, many clients, and peers that
 // talk to each other. They are lean (hundreds of nodes and thousands of requests a second take part of a core), are told what to do
 // by commands on standard input, and tell what they see by events on standard output.
-package crowd
+package fleetsim
 
 import (
 	"encoding/gob"
@@ -9,7 +9,7 @@
 	"io"
 	"time"
 
-	"clayladder/internal/ground/event"
+	"olivearch/internal/faulttest/event"
 )
 
 // The kinds of process.
--- a/internal/standin/crowd/holes.go
+++ b/internal/standin/fleetsim/holes.go
@@ -1,11 +1,11 @@
-package crowd
+package fleetsim
 
 import (
 	"fmt"
 	"net/netip"
 
-	"clayladder/internal/ground/event"
-	"clayladder/internal/ground/relay"
+	"olivearch/internal/faulttest/event"
+	"olivearch/internal/faulttest/relay"
 )
 
 // holes keep connections of cut links from coming up, with the descriptors of a process that has nothing else to do.
--- a/internal/standin/crowd/nodes.go
+++ b/internal/standin/fleetsim/nodes.go
@@ -1,4 +1,4 @@
-package crowd
+package fleetsim
 
 import (
 	"bufio"
@@ -14,8 +14,8 @@
 	"sync/atomic"
 	"time"
 
-	"clayladder/internal/ground/event"
-	"clayladder/internal/ground/relay"
+	"olivearch/internal/faulttest/event"
+	"olivearch/internal/faulttest/relay"
 )
 
 // nodes are many servers in one process.
--- a/internal/standin/crowd/peer.go
+++ b/internal/standin/fleetsim/peer.go
@@ -1,4 +1,4 @@
-package crowd
+package fleetsim
 
 import (
 	"encoding/binary"
@@ -9,8 +9,8 @@
 	"sync"
 	"time"
 
-	"clayladder/internal/ground/event"
-	"clayladder/internal/ground/relay"
+	"olivearch/internal/faulttest/event"
+	"olivearch/internal/faulttest/relay"
 )
 
 // peer sends numbered messages to its mates, as datagrams and on streams, and counts what comes from them.
--- a/internal/standin/peers/peers.go
+++ b/internal/standin/peers/peers.go
@@ -13,7 +13,7 @@
 	"strings"
 	"time"
 
-	"clayladder/internal/procstat"
+	"olivearch/internal/procstat"
 )
 
 // The names of the peers.
--- a/internal/standin/plainproxy/plainproxy.go
+++ b/internal/standin/plainproxy/plainproxy.go
@@ -18,8 +18,8 @@
 	"sync/atomic"
 	"time"
 
-	"clayladder/internal/nodelist"
-	"clayladder/internal/picker"
+	"olivearch/internal/endpointlist"
+	"olivearch/internal/lbpolicy"
 )
 
 // triesMost bounds how often a request that never ran, or may run again, is sent on.
@@ -27,7 +27,7 @@
 
 // Options say what a proxy is like.
 type Options struct {
-	Picker string // a name of internal/picker; empty: none, nodes in turn as ReverseProxy's users write it
+	Picker string // a name of internal/lbpolicy; empty: none, nodes in turn as ReverseProxy's users write it
 	Cap    int    // connections to one node
 	Queue  int    // requests that wait; one more is refused
 	Seed   uint64
@@ -42,8 +42,8 @@
 	next      atomic.Uint64
 
 	mu        sync.Mutex
-	dispatch  *picker.Dispatch // nil: in turn
-	addresses []string         // by the dispatch's numbers, or of those listed
+	dispatch  *lbpolicy.Dispatch // nil: in turn
+	addresses []string           // by the dispatch's numbers, or of those listed
 	serial    uint64
 	waiting   map[uint64]chan int
 }
@@ -55,11 +55,11 @@
 	if o.Picker == "" {
 		p.transport.MaxConnsPerHost = o.Cap // its queue is first in first out, too
 	} else {
-		x, err := picker.New(o.Picker, o.Seed)
+		x, err := lbpolicy.New(o.Picker, o.Seed)
 		if err != nil {
 			return nil, err
 		}
-		p.dispatch = picker.NewDispatch(x, o.Cap)
+		p.dispatch = lbpolicy.NewDispatch(x, o.Cap)
 	}
 	p.Handler = p.limit(&httputil.ReverseProxy{
 		Rewrite:      func(r *httputil.ProxyRequest) { r.Out.Host, r.Out.URL.Scheme = r.In.Host, "http" },
@@ -97,12 +97,12 @@
 }
 
 // List sets the nodes. Those that drain get nothing new.
-func (p *Proxy) List(l nodelist.List) {
+func (p *Proxy) List(l endpointlist.List) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	var up []string
 	for _, n := range l.Nodes {
-		if n.Phase != nodelist.Draining {
+		if n.Phase != endpointlist.Draining {
 			up = append(up, n.Address)
 		}
 	}
@@ -172,7 +172,7 @@
 }
 
 // done ends a turn.
-func (p *Proxy) done(k int, at time.Duration, o picker.Outcome, r picker.Report) {
+func (p *Proxy) done(k int, at time.Duration, o lbpolicy.Outcome, r lbpolicy.Report) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.dispatch.Done(p.now(), k, p.now()-at, o, r)
@@ -202,10 +202,10 @@
 		p.mu.Unlock()
 		resp, err := p.send(r, address)
 		if err == nil {
-			resp.Body = &body{ReadCloser: resp.Body, end: func() { p.done(k, at, picker.Answered, report(resp.Header.Get("X-Load"))) }}
+			resp.Body = &body{ReadCloser: resp.Body, end: func() { p.done(k, at, lbpolicy.Answered, report(resp.Header.Get("X-Load"))) }}
 			return resp, nil
 		}
-		p.done(k, at, picker.Failed, picker.Report{})
+		p.done(k, at, lbpolicy.Failed, lbpolicy.Report{})
 		var op *net.OpError
 		never := errors.As(err, &op) && op.Op == "dial"
 		if r.Context().Err() != nil || try >= triesMost || (!never && r.Method != http.MethodGet) {
@@ -240,7 +240,7 @@
 }
 
 // report reads what weights need of an X-Load field.
-func report(text string) (r picker.Report) {
+func report(text string) (r lbpolicy.Report) {
 	for part := range strings.SplitSeq(text, ",") {
 		name, v, _ := strings.Cut(part, "=")
 		x, err := strconv.ParseFloat(v, 64)
--- a/internal/figures/compare.go
+++ b/internal/stats/compare.go
@@ -1,4 +1,4 @@
-package figures
+package stats
 
 import (
 	"fmt"
@@ -7,7 +7,7 @@
 	"math/rand/v2"
 	"slices"
 
-	"clayladder/internal/scenario"
+	"olivearch/internal/scenario"
 )
 
 // How many times turns and blocks are drawn again for an interval, and its confidence.
--- a/internal/figures/figures.go
+++ b/internal/stats/figures.go
@@ -1,13 +1,13 @@
 // Package figures keeps what an experiment has seen and says what it shows: quantiles of latency that count from the
 // moment a request was meant to start, ratios with their intervals of confidence, and what has changed between two runs.
-package figures
+package stats
 
 import (
 	"errors"
 	"fmt"
 	"time"
 
-	"clayladder/internal/spread"
+	"olivearch/internal/loadspread"
 
 	"github.com/HdrHistogram/hdrhistogram-go"
 )
@@ -123,7 +123,7 @@
 	Resident   float64      `json:"resident_mb,omitempty"` // after the turn
 	Nodes      []NodeSample `json:"nodes,omitempty"`
 	// Attempts by node, from the start of the measuring; in simulated time alone.
-	Spread *spread.Counts `json:"-"`
+	Spread *loadspread.Counts `json:"-"`
 	// Pairs of a balancer and a node between which there was an attempt; in simulated time alone.
 	Pairs int `json:"pairs,omitempty"`
 }
--- a/internal/figures/figures_test.go
+++ b/internal/stats/figures_test.go
@@ -1,4 +1,4 @@
-package figures
+package stats
 
 import (
 	"encoding/json"
@@ -7,7 +7,7 @@
 	"testing"
 	"time"
 
-	"clayladder/internal/scenario"
+	"olivearch/internal/scenario"
 )
 
 const ms = time.Millisecond
--- a/internal/upstream/conformance_test.go
+++ b/internal/upstream/conformance_test.go
@@ -10,9 +10,9 @@
 	"testing"
 	"time"
 
-	"clayladder/internal/standin/scripted"
-	"clayladder/internal/upstream"
-	"clayladder/internal/upstream/upstreamtest"
+	"olivearch/internal/standin/scripted"
+	"olivearch/internal/upstream"
+	"olivearch/internal/upstream/upstreamtest"
 )
 
 // node speaks HTTP/1.1.
--- a/internal/upstream/giveup_test.go
+++ b/internal/upstream/giveup_test.go
@@ -9,8 +9,8 @@
 	"testing"
 	"time"
 
-	"clayladder/internal/http1"
-	"clayladder/internal/standin/scripted"
+	"olivearch/internal/http1"
+	"olivearch/internal/standin/scripted"
 )
 
 // One that is given up in the moment in which its answer has come does not leave its connection to the next attempt.
--- a/internal/upstream/http1.go
+++ b/internal/upstream/http1.go
@@ -10,9 +10,9 @@
 	"syscall"
 	"time"
 
-	"clayladder"
-	"clayladder/internal/body"
-	"clayladder/internal/http1"
+	"olivearch/balancer"
+	"olivearch/internal/body"
+	"olivearch/internal/http1"
 )
 
 // earlyAnswer is how long is waited for the answer of a node that has stopped reading.
@@ -137,7 +137,7 @@
 	idle, _ := a.Conn.(*conn)
 	c, stray, err := d.connect(idle, a.Address)
 	if err != nil {
-		return Result{Status: clayladder.ConnectFailed, Stray: stray}
+		return Result{Status: balancer.ConnectFailed, Stray: stray}
 	}
 	r := d.send(a, c)
 	r.Stray = r.Stray || stray
@@ -147,7 +147,7 @@
 // send writes the attempt's message on a connection and reads the answer.
 func (d HTTP1) send(a *Attempt, c *conn) Result {
 	if a.Shut() || !a.Claim(c.giveUp) { // dropped: its request ended or its node left
-		return Result{Status: clayladder.Moot, Conn: c}
+		return Result{Status: balancer.Moot, Conn: c}
 	}
 	// A machine that has gone silent takes bytes until its buffers are full, and then none for ever.
 	if c.writeWithin(a.Wait); !a.Until.IsZero() && a.Until.Before(c.writes) {
@@ -156,7 +156,7 @@
 	rest := a.Message.Rest
 	if rest != nil {
 		if !rest.Hold() { // the client's side has ended
-			return Result{Status: clayladder.Moot, Conn: c}
+			return Result{Status: balancer.Moot, Conn: c}
 		}
 		defer rest.Release()
 	}
@@ -168,9 +168,9 @@
 	if err != nil {
 		c.Close()
 		if !whole || rest != nil { // certain: the last byte never left this process
-			return Result{Status: clayladder.ConnectFailed}
+			return Result{Status: balancer.ConnectFailed}
 		}
-		return Result{Status: clayladder.Reset}
+		return Result{Status: balancer.Reset}
 	}
 	if rest != nil {
 		if err := rest.Send(c); err != nil {
@@ -188,7 +188,7 @@
 func (c *conn) unsent(m *Message, whole bool, err error) Result {
 	if failed := (body.ClientFailed{}); errors.As(err, &failed) {
 		c.Close()
-		return Result{Status: clayladder.Moot}
+		return Result{Status: balancer.Moot}
 	}
 	c.SetReadDeadline(time.Now().Add(earlyAnswer))
 	r := c.take(m, whole, nil)
@@ -196,8 +196,8 @@
 		r.Conn.Close() // the node still waits for the body
 		r.Conn = nil
 	}
-	if r.Status == clayladder.Reset {
-		return Result{Status: clayladder.ConnectFailed}
+	if r.Status == balancer.Reset {
+		return Result{Status: balancer.ConnectFailed}
 	}
 	return r // what a node says of a part of a request may tell of work on that part
 }
@@ -209,10 +209,10 @@
 		c.Close()
 		for _, spoilt := range []error{http1.ErrHead, http1.ErrLine, http1.ErrLong, http1.ErrFrame, http1.ErrLarge} {
 			if errors.Is(err, spoilt) {
-				return Result{Status: clayladder.Error}
+				return Result{Status: balancer.Error}
 			}
 		}
-		return Result{Status: clayladder.Reset}
+		return Result{Status: balancer.Reset}
 	}
 	asked := http1.Asked{Head: q.bodiless()}
 	if told != nil {
@@ -227,29 +227,29 @@
 	}
 	if status == http.StatusSwitchingProtocols {
 		t := body.NewTunnel(c.Stream, q.Tunnel)
-		told.Began(Result{Status: clayladder.OK, Code: status, Header: h, Tunnel: t})
+		told.Began(Result{Status: balancer.OK, Code: status, Header: h, Tunnel: t})
 		<-t.Done()
 		c.Close()
-		return Result{Status: clayladder.OK}
+		return Result{Status: balancer.OK}
 	}
 	m := q.Most()
-	r := Result{Status: clayladder.Error}
+	r := Result{Status: balancer.Error}
 	r.Load, r.Spoilt = LoadOf(h.Values("X-Load"))
 	last := http1.Closes(h) || f.ToClose
 	switch {
 	case (status == http.StatusServiceUnavailable || status == http.StatusGatewayTimeout) &&
 		h.Get("X-Not-Run") == "1": // without that mark it may have run
-		r.Status = clayladder.Full
+		r.Status = balancer.Full
 	case whole && status < http.StatusInternalServerError && status != http.StatusTooManyRequests: // 429 would promise that it never ran
 		http1.DropNamed(&h, nil)
-		r.Status, r.Code, r.Header = clayladder.OK, status, h
+		r.Status, r.Code, r.Header = balancer.OK, status, h
 	case status == http.StatusOK:
-		r.Status, r.Code, r.Kind = clayladder.OK, status, h.Get("Content-Type")
+		r.Status, r.Code, r.Kind = balancer.OK, status, h.Get("Content-Type")
 	}
 	switch goesOn := f.Length > body.Whole || f.Chunked || f.ToClose; {
 	case f.Length > uint64(m.Answer), f.Length > body.Whole && told == nil:
 		err = http1.ErrLarge
-	case told != nil && r.Status == clayladder.OK && goesOn:
+	case told != nil && r.Status == balancer.OK && goesOn:
 		d := body.NewDownload(c, f, m)
 		r.Body, err = d.Receive(func() {
 			first := r
@@ -282,7 +282,7 @@
 	c, stray, err := d.connect(idle, p.Address)
 	defer func() { r.Stray = r.Stray || stray }()
 	if err != nil {
-		return Result{Status: clayladder.ConnectFailed}
+		return Result{Status: balancer.ConnectFailed}
 	}
 	path := "/healthz"
 	if p.Load {
@@ -292,10 +292,10 @@
 	c.writeWithin(d.Timeout)
 	if _, err := io.WriteString(c, "GET "+path+" HTTP/1.1\r\nHost: "+p.Address+"\r\n\r\n"); err != nil {
 		c.Close()
-		return Result{Status: clayladder.ConnectFailed}
+		return Result{Status: balancer.ConnectFailed}
 	}
 	r = c.take(&Message{}, false, nil)
-	if p.Load && r.Status == clayladder.OK {
+	if p.Load && r.Status == balancer.OK {
 		if l, why := LoadOf([]string{strings.TrimSpace(string(r.Body))}); l.Fields != 0 {
 			r.Load = l
 		} else {
--- a/internal/upstream/load.go
+++ b/internal/upstream/load.go
@@ -6,8 +6,8 @@
 	"strconv"
 	"strings"
 
-	"clayladder"
-	"clayladder/internal/wire"
+	"olivearch/balancer"
+	"olivearch/internal/wire"
 )
 
 // maxUtil bounds the use that a load report can mean: all cores busy is 1, give or take its noise.
@@ -15,7 +15,7 @@
 
 // LoadOf reads a load report: name=value pairs. One that can't be read in full, or stands there more than once, tells
 // nothing but why: a half of it must not move shares.
-func LoadOf(reports []string) (l clayladder.Load, why string) {
+func LoadOf(reports []string) (l balancer.Load, why string) {
 	if len(reports) == 0 {
 		return l, ""
 	}
@@ -28,18 +28,18 @@
 		x, err := strconv.ParseFloat(v, 64)
 		switch {
 		case err != nil || name == "":
-			return clayladder.Load{}, fmt.Sprintf("%.40q is not NAME=NUMBER", part)
+			return balancer.Load{}, fmt.Sprintf("%.40q is not NAME=NUMBER", part)
 		case named[name]:
-			return clayladder.Load{}, fmt.Sprintf("%.40q stands there more than once", name)
+			return balancer.Load{}, fmt.Sprintf("%.40q stands there more than once", name)
 		case !(x >= 0 && x <= math.MaxInt32):
-			return clayladder.Load{}, fmt.Sprintf("%.40q is out of range", part)
+			return balancer.Load{}, fmt.Sprintf("%.40q is out of range", part)
 		}
 		named[name] = true
 		wire.SetLoad(&l, name, x)
 	}
 	switch {
 	case l.Util > maxUtil:
-		return clayladder.Load{}, fmt.Sprintf("a utilisation of %g: 1 is all cores busy", l.Util)
+		return balancer.Load{}, fmt.Sprintf("a utilisation of %g: 1 is all cores busy", l.Util)
 	case l.Fields == 0:
 		return l, fmt.Sprintf("%.40q names no load that is known", reports[0])
 	}
--- a/internal/upstream/message.go
+++ b/internal/upstream/message.go
@@ -7,8 +7,8 @@
 	"strings"
 	"time"
 
-	"clayladder/internal/body"
-	"clayladder/internal/http1"
+	"olivearch/internal/body"
+	"olivearch/internal/http1"
 )
 
 // Message is a client's request as a node gets it, but for what is added for an attempt. Method, path, query and body go on
--- a/internal/upstream/size_test.go
+++ b/internal/upstream/size_test.go
@@ -7,9 +7,9 @@
 	"testing"
 	"time"
 
-	"clayladder"
-	"clayladder/internal/http1"
-	"clayladder/internal/standin/scripted"
+	"olivearch/balancer"
+	"olivearch/internal/http1"
+	"olivearch/internal/standin/scripted"
 )
 
 // What a new connection to a node costs beside a kept one, in CPU time of both sides, which share this process: connections to 18,000
@@ -29,7 +29,7 @@
 			before := cpu(b)
 			for b.Loop() {
 				r := d.Do(&Attempt{Message: &m, Address: s.Addr, Conn: c, Wait: time.Second})
-				if r.Status != clayladder.OK {
+				if r.Status != balancer.OK {
 					b.Fatal(r)
 				}
 				if c = r.Conn; !kept {
