--- a/internal/upstream/transport.go
+++ b/internal/upstream/transport.go
@@ -8,9 +8,9 @@
 	"sync/atomic"
 	"time"
 
-	"clayladder"
-	"clayladder/internal/body"
-	"clayladder/internal/http1"
+	"olivearch/balancer"
+	"olivearch/internal/body"
+	"olivearch/internal/http1"
 )
 
 // Transport carries attempts in one protocol. Its methods may be called from any goroutine.
@@ -110,8 +110,8 @@
 
 // Result is how an attempt ended, with its connection if that can serve again.
 type Result struct {
-	Status  clayladder.Status
-	Load    clayladder.Load
+	Status  balancer.Status
+	Load    balancer.Load
 	Code    int // of the answer, if it is served
 	Body    []byte
 	Kind    string         // the body's Content-Type
--- a/internal/upstream/upstreamtest/upstreamtest.go
+++ b/internal/upstream/upstreamtest/upstreamtest.go
@@ -14,10 +14,10 @@
 	"testing"
 	"time"
 
-	"clayladder"
-	"clayladder/internal/body"
-	"clayladder/internal/http1"
-	"clayladder/internal/upstream"
+	"olivearch/balancer"
+	"olivearch/internal/body"
+	"olivearch/internal/http1"
+	"olivearch/internal/upstream"
 )
 
 // Behaviour is what a node does with a request that it has read whole.
@@ -149,11 +149,11 @@
 	expect(t, "dropped", a.Drop(), true)
 	expect(t, "dropped twice", a.Drop(), false)
 	r := tr.Do(a)
-	expect(t, "status", r.Status, clayladder.Moot)
+	expect(t, "status", r.Status, balancer.Moot)
 	expect(t, "given up", a.GiveUp(time.Now()), false)
 	if r.Conn != nil { // it serves: nothing was written on it
 		b := attempt(n.Address(), r.Conn)
-		expect(t, "the next", tr.Do(b).Status, clayladder.OK)
+		expect(t, "the next", tr.Do(b).Status, balancer.OK)
 		expect(t, "what arrived", arrives(t, n), b.Message.Header.Get("X-Request-Id"))
 	}
 	none(t, n)
@@ -176,27 +176,27 @@
 		a := attempt(n.Address(), c)
 		set(a)
 		r := tr.Do(a)
-		expect(t, "status", r.Status, clayladder.Moot)
+		expect(t, "status", r.Status, balancer.Moot)
 		expect(t, "given up", a.GiveUp(time.Now()), false)
 		c = r.Conn
 	}
 	none(t, n)
 	a := attempt(n.Address(), c)
 	a.Until, a.Gate = time.Now().Add(patience), gate(true)
-	expect(t, "status of one that may go out", tr.Do(a).Status, clayladder.OK)
+	expect(t, "status of one that may go out", tr.Do(a).Status, balancer.OK)
 	expect(t, "what arrived", arrives(t, n), a.Message.Header.Get("X-Request-Id"))
 }
 
 func outcomes(t *testing.T, s Suite) {
 	for _, x := range []struct {
 		do     Behaviour
-		status clayladder.Status
-	}{{Serve, clayladder.OK}, {Turn, clayladder.Full}, {Fail, clayladder.Error}, {Vanish, clayladder.Reset}} {
+		status balancer.Status
+	}{{Serve, balancer.OK}, {Turn, balancer.Full}, {Fail, balancer.Error}, {Vanish, balancer.Reset}} {
 		n := s.Node(t)
 		n.Do(x.do)
 		r := s.Transport().Do(attempt(n.Address(), nil))
 		expect(t, fmt.Sprint("status of behaviour ", x.do), r.Status, x.status)
-		if x.status == clayladder.OK {
+		if x.status == balancer.OK {
 			expect(t, "body", string(r.Body), string(Answer))
 		}
 		arrives(t, n)
@@ -211,7 +211,7 @@
 	}
 	l.Close()
 	r := s.Transport().Do(attempt(l.Addr().String(), nil))
-	expect(t, "status", r.Status, clayladder.ConnectFailed)
+	expect(t, "status", r.Status, balancer.ConnectFailed)
 	expect(t, "connection", r.Conn, nil)
 }
 
@@ -220,7 +220,7 @@
 	var c upstream.Conn
 	for range 5 {
 		r := tr.Do(attempt(n.Address(), c))
-		expect(t, "status", r.Status, clayladder.OK)
+		expect(t, "status", r.Status, balancer.OK)
 		if c = r.Conn; c == nil {
 			t.Fatal("the connection is closed")
 		}
@@ -243,7 +243,7 @@
 	arrives(t, n)
 	n.Do(Vanish)
 	r = tr.Do(attempt(n.Address(), r.Conn))
-	expect(t, "status", r.Status, clayladder.Reset)
+	expect(t, "status", r.Status, balancer.Reset)
 	arrives(t, n)
 	none(t, n)
 }
@@ -289,12 +289,12 @@
 
 func long(t *testing.T, s Suite) {
 	_, w, _, begun, done := follow(t, s, ServeLong)
-	expect(t, "status", begun.Status, clayladder.OK)
+	expect(t, "status", begun.Status, balancer.OK)
 	got, err := copied(t, begun)
 	if err != nil || !bytes.Equal(got, Long) {
 		t.Errorf("%d bytes came on, %v", len(got), err)
 	}
-	expect(t, "status of its end", (<-done).Status, clayladder.OK)
+	expect(t, "status of its end", (<-done).Status, balancer.OK)
 	expect(t, "what was told", fmt.Sprint(w.seen()), "[began]")
 }
 
@@ -304,7 +304,7 @@
 	if err == nil || len(got) >= len(Long) {
 		t.Errorf("a cut answer passes for whole: %d bytes", len(got))
 	}
-	if r := <-done; r.Status == clayladder.OK || r.Conn != nil {
+	if r := <-done; r.Status == balancer.OK || r.Conn != nil {
 		t.Errorf("its end: %v, %v", r.Status, r.Conn)
 	}
 }
@@ -314,7 +314,7 @@
 	begun.More.Abandon() // its client has gone
 	select {
 	case r := <-done:
-		if r.Status == clayladder.OK || r.Conn != nil {
+		if r.Status == balancer.OK || r.Conn != nil {
 			t.Errorf("its end: %v, %v", r.Status, r.Conn)
 		}
 	case <-time.After(patience):
@@ -332,7 +332,7 @@
 	expect(t, "given up", a.GiveUp(time.Unix(0, 1)), true)
 	select {
 	case r := <-done:
-		if r.Status == clayladder.OK || r.Status == clayladder.Full || r.Status == clayladder.ConnectFailed || r.Status == clayladder.Moot {
+		if r.Status == balancer.OK || r.Status == balancer.Full || r.Status == balancer.ConnectFailed || r.Status == balancer.Moot {
 			t.Errorf("status %v: it may have run", r.Status)
 		}
 	case <-time.After(patience):
@@ -346,7 +346,7 @@
 	n, tr := s.Node(t), s.Transport()
 	n.Do(Extra)
 	r := tr.Do(attempt(n.Address(), nil))
-	expect(t, "status", r.Status, clayladder.OK)
+	expect(t, "status", r.Status, balancer.OK)
 	stray := r.Stray
 	if r.Conn != nil { // what is beyond has not come yet
 		time.Sleep(20 * time.Millisecond) // the rest that a pool gives such a connection, and more
@@ -387,7 +387,7 @@
 		t.Fatal(err)
 	}
 	expect(t, "what the client's side is told", <-u.Done(), nil)
-	expect(t, "status", (<-done).Status, clayladder.OK)
+	expect(t, "status", (<-done).Status, balancer.OK)
 	expect(t, "what was told", fmt.Sprint(w.seen()), "[written]")
 	arrives(t, n)
 }
@@ -402,7 +402,7 @@
 	if err := <-u.Done(); !errors.As(err, new(body.ClientFailed)) {
 		t.Errorf("the client's side is told %v", err)
 	}
-	expect(t, "status", (<-done).Status, clayladder.Moot)
+	expect(t, "status", (<-done).Status, balancer.Moot)
 	none(t, n)
 }
 
@@ -421,9 +421,9 @@
 			if r.Conn != nil {
 				defer r.Conn.Close()
 			}
-			if r.Status == clayladder.OK {
+			if r.Status == balancer.OK {
 				written.Add(1)
-			} else if r.Status != clayladder.Moot {
+			} else if r.Status != balancer.Moot {
 				t.Errorf("status %v", r.Status)
 			}
 		})
@@ -443,8 +443,8 @@
 func probe(t *testing.T, s Suite) {
 	n, tr := s.Node(t), s.Transport()
 	r := tr.Probe(upstream.Probe{Address: n.Address()})
-	expect(t, "status", r.Status, clayladder.OK)
+	expect(t, "status", r.Status, balancer.OK)
 	if r.Conn != nil {
-		expect(t, "an attempt behind it", tr.Do(attempt(n.Address(), r.Conn)).Status, clayladder.OK)
+		expect(t, "an attempt behind it", tr.Do(attempt(n.Address(), r.Conn)).Status, balancer.OK)
 	}
 }
--- a/internal/wire/golden_test.go
+++ b/internal/wire/golden_test.go
@@ -4,7 +4,7 @@
 	"reflect"
 	"testing"
 
-	"clayladder/internal/golden"
+	"olivearch/internal/golden"
 )
 
 // TestGoldenKeys pins the keys of the settings, on the simulator's wire and in the file of a platform.
--- a/internal/wire/read.go
+++ b/internal/wire/read.go
@@ -12,7 +12,7 @@
 	"strconv"
 	"time"
 
-	"clayladder"
+	"olivearch/balancer"
 )
 
 // Kind is the kind of an event.
@@ -37,12 +37,12 @@
 	Kind     Kind
 	Instance int
 	Seed     uint64
-	Settings clayladder.Settings
-	Mode     clayladder.ListMode
-	List     []clayladder.Upstream
-	Request  clayladder.Request
-	Outcome  clayladder.Outcome // also Established: ID, Upstream, Attempt, Latency
-	Probe    clayladder.ProbeResult
+	Settings balancer.Settings
+	Mode     balancer.ListMode
+	List     []balancer.Upstream
+	Request  balancer.Request
+	Outcome  balancer.Outcome // also Established: ID, Upstream, Attempt, Latency
+	Probe    balancer.ProbeResult
 	Token    uint64
 }
 
@@ -62,7 +62,7 @@
 	line  int
 	long  []byte
 	names map[string]string
-	lists [banks][]clayladder.Upstream
+	lists [banks][]balancer.Upstream
 	known [banks]bool
 	parts fields
 }
@@ -156,12 +156,12 @@
 	case "endpoints":
 		e.Kind = Endpoints
 		e.Mode = f.mode("mode")
-		if e.Mode != clayladder.ListFailed {
+		if e.Mode != balancer.ListFailed {
 			e.List = r.list()
 		}
 	case "inbound":
 		e.Kind = Inbound
-		e.Request = clayladder.Request{ID: clayladder.RequestID(f.hex("id", true)), Budget: f.span("budget_us", true),
+		e.Request = balancer.Request{ID: balancer.RequestID(f.hex("id", true)), Budget: f.span("budget_us", true),
 			Class: r.name(f.text("class", true)), Tenant: r.name(f.text("org", false)), Key: f.hex("key", false),
 			HasKey: f.has("key"), Retry: f.flag("retry"), Cost: f.span("cost_guess_us", false)}
 	case "established":
@@ -173,12 +173,12 @@
 		e.Outcome.Status, e.Outcome.Closed, e.Outcome.Load = f.status("disposition"), f.flag("over"), f.load("metrics")
 	case "lapsed":
 		e.Kind = Lapsed
-		e.Request.ID = clayladder.RequestID(f.hex("id", true))
+		e.Request.ID = balancer.RequestID(f.hex("id", true))
 	case "elapsed":
 		e.Kind, e.Token = Elapsed, f.uint("ctx", 63, true)
 	case "health":
 		e.Kind = Health
-		e.Probe = clayladder.ProbeResult{Upstream: clayladder.UpstreamID(f.uint("upstream", 32, true)),
+		e.Probe = balancer.ProbeResult{Upstream: balancer.UpstreamID(f.uint("upstream", 32, true)),
 			Latency: f.span("cost_time_us", true), Status: f.status("disposition"), Load: f.load("metrics")}
 	case "inbox":
 		e.Kind = Inbox
@@ -204,7 +204,7 @@
 	if f.err != nil {
 		return fmt.Errorf("sheet: %w", f.err)
 	}
-	list := make([]clayladder.Upstream, 0, min(n, 1<<12))
+	list := make([]balancer.Upstream, 0, min(n, 1<<12))
 	for range n {
 		line, err := r.next()
 		if err != nil {
@@ -217,7 +217,7 @@
 		if string(name) != "m" {
 			return fmt.Errorf("sheet: items=%d, but %d follow", n, len(list))
 		}
-		u := clayladder.Upstream{ID: clayladder.UpstreamID(f.uint("upstream", 32, true)), Cell: int(f.uint("block", 62, false)),
+		u := balancer.Upstream{ID: balancer.UpstreamID(f.uint("upstream", 32, true)), Cell: int(f.uint("block", 62, false)),
 			Zone: r.name(f.text("region_part", false)), Weight: f.real("nominal", 1),
 			StartedAt: f.span("came_up_us", false), State: f.state("availability")}
 		if f.err != nil {
@@ -229,7 +229,7 @@
 	return nil
 }
 
-func (r *Reader) list() []clayladder.Upstream {
+func (r *Reader) list() []balancer.Upstream {
 	bank := r.parts.uint("bank", 31, true)
 	if bank >= banks || !r.known[bank] {
 		r.parts.fail("bank", "no such list")
@@ -400,57 +400,57 @@
 	return x
 }
 
-func (f *fields) outcome() clayladder.Outcome {
-	return clayladder.Outcome{ID: clayladder.RequestID(f.hex("id", true)), Upstream: clayladder.UpstreamID(f.uint("upstream", 32, true)),
+func (f *fields) outcome() balancer.Outcome {
+	return balancer.Outcome{ID: balancer.RequestID(f.hex("id", true)), Upstream: balancer.UpstreamID(f.uint("upstream", 32, true)),
 		Attempt: int(f.uint("go", 31, true)), Latency: f.span("cost_time_us", true)}
 }
 
-func (f *fields) mode(name string) clayladder.ListMode {
+func (f *fields) mode(name string) balancer.ListMode {
 	switch string(f.text(name, true)) {
 	case "D":
-		return clayladder.ListDelta
+		return balancer.ListDelta
 	case "F":
-		return clayladder.ListFull
+		return balancer.ListFull
 	case "C":
-		return clayladder.ListCached
+		return balancer.ListCached
 	case "X":
-		return clayladder.ListFailed
+		return balancer.ListFailed
 	}
 	f.fail(name, "unknown list mode")
 	return 0
 }
 
-func (f *fields) state(name string) clayladder.State {
+func (f *fields) state(name string) balancer.State {
 	switch string(f.text(name, true)) {
 	case "active":
-		return clayladder.Active
+		return balancer.Active
 	case "leaving":
-		return clayladder.Draining
+		return balancer.Draining
 	case "left":
-		return clayladder.Gone
+		return balancer.Gone
 	}
 	f.fail(name, "unknown state")
 	return 0
 }
 
-func (f *fields) status(name string) clayladder.Status {
+func (f *fields) status(name string) balancer.Status {
 	switch x := f.uint(name, 31, true); x {
 	case 0:
-		return clayladder.OK
+		return balancer.OK
 	case 255:
-		return clayladder.Error
+		return balancer.Error
 	case 254:
-		return clayladder.Full
+		return balancer.Full
 	case 253:
-		return clayladder.Timeout
+		return balancer.Timeout
 	case 252:
-		return clayladder.ConnectFailed
+		return balancer.ConnectFailed
 	case 251:
-		return clayladder.Reset
+		return balancer.Reset
 	case 250:
-		return clayladder.Cancelled
+		return balancer.Cancelled
 	case 249:
-		return clayladder.Moot
+		return balancer.Moot
 	default:
 		f.fail(name, fmt.Sprintf("unknown status %d", x))
 		return 0
@@ -458,8 +458,8 @@
 }
 
 // load reads a report: name:value pairs. Values of other names are passed over.
-func (f *fields) load(name string) clayladder.Load {
-	var l clayladder.Load
+func (f *fields) load(name string) balancer.Load {
+	var l balancer.Load
 	rest := f.text(name, false)
 	for len(rest) > 0 {
 		var part []byte
@@ -477,19 +477,19 @@
 
 // SetLoad puts one value of a load report into l, by its name in the settings or the short one that upstreams use.
 // Values of other names are passed over.
-func SetLoad(l *clayladder.Load, name string, x float64) {
+func SetLoad(l *balancer.Load, name string, x float64) {
 	switch name {
 	case "load_share", "util":
-		l.Util, l.Fields = x, l.Fields|clayladder.HasUtil
+		l.Util, l.Fields = x, l.Fields|balancer.HasUtil
 	case "concurrent", "inflight":
-		l.Inflight, l.Fields = x, l.Fields|clayladder.HasInflight
+		l.Inflight, l.Fields = x, l.Fields|balancer.HasInflight
 	case "depth", "queue":
-		l.Queue, l.Fields = x, l.Fields|clayladder.HasQueue
+		l.Queue, l.Fields = x, l.Fields|balancer.HasQueue
 	case "mean_ms", "latency_ms":
-		l.Service, l.Fields = x, l.Fields|clayladder.HasService
+		l.Service, l.Fields = x, l.Fields|balancer.HasService
 	case "tps", "qps":
-		l.Rate, l.Fields = x, l.Fields|clayladder.HasRate
+		l.Rate, l.Fields = x, l.Fields|balancer.HasRate
 	case "err_ps", "eps":
-		l.Errors, l.Fields = x, l.Fields|clayladder.HasErrors
+		l.Errors, l.Fields = x, l.Fields|balancer.HasErrors
 	}
 }
--- a/internal/wire/settings.go
+++ b/internal/wire/settings.go
@@ -5,7 +5,7 @@
 	"fmt"
 	"time"
 
-	"clayladder"
+	"olivearch/balancer"
 )
 
 // params mirrors the settings that the module uses; other keys are ignored.
@@ -61,20 +61,20 @@
 }
 
 var (
-	repeats = map[string]clayladder.Repeat{"read_like": clayladder.Safe, "idempotency_key": clayladder.Keyed,
-		"non_idempotent": clayladder.Unsafe}
-	groups = map[string]clayladder.Group{"all": clayladder.GroupAll, "zone": clayladder.GroupZone, "cell": clayladder.GroupCell}
-	weigh  = map[string]clayladder.WeightKind{"silent": clayladder.WeightNone, "nominal": clayladder.WeightNominal,
-		"rough": clayladder.WeightRough, "live": clayladder.WeightLive}
-	vias = map[string]clayladder.ReportVia{"silent": clayladder.ReportNone, "piggyback": clayladder.ReportAnswers,
-		"pull": clayladder.ReportProbes}
+	repeats = map[string]balancer.Repeat{"read_like": balancer.Safe, "idempotency_key": balancer.Keyed,
+		"non_idempotent": balancer.Unsafe}
+	groups = map[string]balancer.Group{"all": balancer.GroupAll, "zone": balancer.GroupZone, "cell": balancer.GroupCell}
+	weigh  = map[string]balancer.WeightKind{"silent": balancer.WeightNone, "nominal": balancer.WeightNominal,
+		"rough": balancer.WeightRough, "live": balancer.WeightLive}
+	vias = map[string]balancer.ReportVia{"silent": balancer.ReportNone, "piggyback": balancer.ReportAnswers,
+		"pull": balancer.ReportProbes}
 	asks = map[string]bool{"pushed": false, "on_request": true}
 )
 
 func us(x int64) time.Duration { return time.Duration(x) * time.Microsecond }
 
 // settings reads the JSON of a start message.
-func (f *fields) settings(name string) clayladder.Settings {
+func (f *fields) settings(name string) balancer.Settings {
 	s, _, err := DecodeSettings(f.text(name, true))
 	if err != nil {
 		f.fail(name, err.Error())
@@ -90,18 +90,18 @@
 }
 
 // DecodeSettings reads the settings object of a start message or of a real balancer's configuration.
-func DecodeSettings(text []byte) (clayladder.Settings, Links, error) {
+func DecodeSettings(text []byte) (balancer.Settings, Links, error) {
 	var p params
-	var s clayladder.Settings
+	var s balancer.Settings
 	var links Links
 	if err := json.Unmarshal(text, &p); err != nil {
 		return s, links, fmt.Errorf("settings: %w", err)
 	}
-	s = clayladder.Settings{Zone: p.Zone, Balancers: p.Balancers, Rank: p.Rank, OverShareWorth: p.OverShare,
+	s = balancer.Settings{Zone: p.Zone, Balancers: p.Balancers, Rank: p.Rank, OverShareWorth: p.OverShare,
 		WorthByWork: p.WorthBy == "work", WarmKeys: p.Family.WarmKeys, Granularity: us(p.Granularity),
-		Limits: clayladder.Limits{Cancel: p.Limits.Cancel, Probes: p.Limits.Probes, SecondCopies: p.Limits.SecondCopies,
+		Limits: balancer.Limits{Cancel: p.Limits.Cancel, Probes: p.Limits.Probes, SecondCopies: p.Limits.SecondCopies,
 			RetryAfter: p.Limits.RetryAfter, MaxRetry: us(p.Limits.MaxRetry), MaxAttempts: p.Limits.MaxAttempts},
-		Rules: clayladder.Rules{AskWithin: us(p.Rules.AskWithin), ColdFrom: p.Rules.ColdFrom, RampTime: us(p.Rules.RampTime),
+		Rules: balancer.Rules{AskWithin: us(p.Rules.AskWithin), ColdFrom: p.Rules.ColdFrom, RampTime: us(p.Rules.RampTime),
 			TipMultiple: p.Rules.TipMultiple, TipAfter: us(p.Rules.TipAfter), DrainGrace: us(p.Rules.DrainGrace),
 			AnswerWithin: us(p.Rules.Slack)}}
 	links = Links{KeepAlive: us(p.Limits.KeepAlive), ConnectTimeout: us(p.Limits.ConnectTimeout)}
@@ -116,20 +116,20 @@
 		return s, links, fmt.Errorf("settings: reporting.via %q is unknown", p.Reporting.Via)
 	}
 	for _, c := range p.Classes {
-		class := clayladder.Class{Name: c.Name, Aim: us(c.Target), Deadline: us(c.GiveUp), Memory: us(c.Memory),
+		class := balancer.Class{Name: c.Name, Aim: us(c.Target), Deadline: us(c.GiveUp), Memory: us(c.Memory),
 			Stream: c.Stream, Worth: c.Worth, LateWorth: c.LateWorth}
 		if class.Repeat, ok = repeats[c.Repeat]; !ok {
 			return s, links, fmt.Errorf("settings: profiles: repeat %q is unknown", c.Repeat)
 		}
-		if class.Group, ok = groups[c.Group]; !ok && class.Repeat == clayladder.Keyed {
+		if class.Group, ok = groups[c.Group]; !ok && class.Repeat == balancer.Keyed {
 			return s, links, fmt.Errorf("settings: profiles: group %q is unknown", c.Group)
 		}
 		s.Classes = append(s.Classes, class)
 	}
-	tenants := make([]clayladder.Tenant, 0, len(p.Tenants))
+	tenants := make([]balancer.Tenant, 0, len(p.Tenants))
 	for _, t := range p.Tenants {
-		tenants = append(tenants, clayladder.Tenant{Name: t.Name, Quota: t.Quota})
+		tenants = append(tenants, balancer.Tenant{Name: t.Name, Quota: t.Quota})
 	}
-	s.Tenants = clayladder.NewTenants(tenants)
+	s.Tenants = balancer.NewTenants(tenants)
 	return s, links, nil
 }
--- a/internal/wire/wire_test.go
+++ b/internal/wire/wire_test.go
@@ -9,7 +9,7 @@
 	"testing"
 	"time"
 
-	"clayladder"
+	"olivearch/balancer"
 )
 
 const startText = `{"az":"z1","balancers":2,"granularity_us":5000,"membership_mode":"pushed","weights":"nominal",` +
@@ -76,15 +76,15 @@
 	if got := fmt.Sprintf("%+v", b.Events[1].List); got != want {
 		t.Errorf("list %s, want %s (as it was when referred to)", got, want)
 	}
-	q := clayladder.Request{ID: 0x912855b15d3a91c4, Budget: 240 * time.Millisecond, Class: "c", Tenant: "t", Key: 0x91f03b7c55d20a64, HasKey: true, Cost: 12 * time.Millisecond}
+	q := balancer.Request{ID: 0x912855b15d3a91c4, Budget: 240 * time.Millisecond, Class: "c", Tenant: "t", Key: 0x91f03b7c55d20a64, HasKey: true, Cost: 12 * time.Millisecond}
 	if b.Events[2].Request != q {
 		t.Errorf("request %+v", b.Events[2].Request)
 	}
 	o := b.Events[3].Outcome
-	if o.Attempt != 1 || o.Status != clayladder.Full || o.Closed || o.Load.Util != 0.62 || o.Load.Fields != clayladder.HasUtil|clayladder.HasErrors {
+	if o.Attempt != 1 || o.Status != balancer.Full || o.Closed || o.Load.Util != 0.62 || o.Load.Fields != balancer.HasUtil|balancer.HasErrors {
 		t.Errorf("outcome %+v", o)
 	}
-	if s := b.Events[0].Settings; s.Zone != "z1" || s.Classes[0].Repeat != clayladder.Unsafe || s.Rules.TipMultiple != 3 {
+	if s := b.Events[0].Settings; s.Zone != "z1" || s.Classes[0].Repeat != balancer.Unsafe || s.Rules.TipMultiple != 3 {
 		t.Errorf("settings %+v", s)
 	}
 }
--- a/internal/wire/write.go
+++ b/internal/wire/write.go
@@ -7,7 +7,7 @@
 	"strings"
 	"time"
 
-	"clayladder"
+	"olivearch/balancer"
 )
 
 // Writer gathers the actions of one reply.
@@ -40,7 +40,7 @@
 	return &Port{w: w, inst: " balancer_id=" + strconv.Itoa(instance)}
 }
 
-var _ clayladder.Host = (*Port)(nil)
+var _ balancer.Host = (*Port)(nil)
 
 func (p *Port) open(name string) {
 	p.w.buf = append(p.w.buf, name...)
@@ -61,7 +61,7 @@
 	}
 }
 
-func (p *Port) id(id clayladder.RequestID) {
+func (p *Port) id(id balancer.RequestID) {
 	var raw [8]byte
 	for i := range raw {
 		raw[i] = byte(id >> (56 - 8*i))
@@ -77,7 +77,7 @@
 }
 
 // Send writes an attempt.
-func (p *Port) Send(id clayladder.RequestID, up clayladder.UpstreamID, timeout time.Duration) {
+func (p *Port) Send(id balancer.RequestID, up balancer.UpstreamID, timeout time.Duration) {
 	p.open("submit_to")
 	p.id(id)
 	p.num(" upstream=", uint64(up))
@@ -86,7 +86,7 @@
 }
 
 // Refuse writes a refusal.
-func (p *Port) Refuse(id clayladder.RequestID, retryAfter time.Duration) {
+func (p *Port) Refuse(id balancer.RequestID, retryAfter time.Duration) {
 	p.open("bounce")
 	p.id(id)
 	p.span(" hold_off_us=", retryAfter)
@@ -94,14 +94,14 @@
 }
 
 // Fail writes a failure.
-func (p *Port) Fail(id clayladder.RequestID) {
+func (p *Port) Fail(id balancer.RequestID) {
 	p.open("report_failure")
 	p.id(id)
 	p.end()
 }
 
 // Cancel writes the end of waiting for an attempt.
-func (p *Port) Cancel(id clayladder.RequestID, attempt int) {
+func (p *Port) Cancel(id balancer.RequestID, attempt int) {
 	p.open("withdraw")
 	p.id(id)
 	p.num(" go=", uint64(attempt))
@@ -109,14 +109,14 @@
 }
 
 // Probe writes a probe.
-func (p *Port) Probe(up clayladder.UpstreamID) {
+func (p *Port) Probe(up balancer.UpstreamID) {
 	p.open("ping")
 	p.num(" upstream=", uint64(up))
 	p.end()
 }
 
 // Disconnect writes the closing of idle connections.
-func (p *Port) Disconnect(up clayladder.UpstreamID) {
+func (p *Port) Disconnect(up balancer.UpstreamID) {
 	p.open("disconnect")
 	p.num(" upstream=", uint64(up))
 	p.end()
