--- a/balancer/balancer.go
+++ b/balancer/balancer.go
@@ -69,9 +69,11 @@
 		return nil, err
 	}
 	source := rand.NewPCG(seed, 0)
-	b := &Balancer{host: host, source: source, rng: rand.New(source), requests: map[RequestID]*request{},
+	b := &Balancer{
+		host: host, source: source, rng: rand.New(source), requests: map[RequestID]*request{},
 		byID: map[UpstreamID]*upstream{}, senders: map[string]*sender{}, logged: map[string]time.Duration{},
-		stepAt: now, tightAt: now, bornAt: now}
+		stepAt: now, tightAt: now, bornAt: now,
+	}
 	shortest := b.adopt(s, now)
 	b.gather(now)
 	b.lat = float64(shortest) / 4 // until answers tell
@@ -713,8 +715,10 @@
 		return
 	} else if u == nil {
 		u = b.newUpstream()
-		*u = upstream{weight: e.Weight, factor: 1, most: boundStart, wait: b.tick, spentAt: now, answeredAt: now,
-			cutAt: now, freeAt: now, place: mixed(uint64(e.ID))}
+		*u = upstream{
+			weight: e.Weight, factor: 1, most: boundStart, wait: b.tick, spentAt: now, answeredAt: now,
+			cutAt: now, freeAt: now, place: mixed(uint64(e.ID)),
+		}
 		b.byID[e.ID], b.ups = u, append(b.ups, u)
 	}
 	if e.StartedAt > u.StartedAt { // new, or restarted under the same id
--- a/balancer/host_test.go
+++ b/balancer/host_test.go
@@ -20,15 +20,24 @@
 }
 
 func (h *recorder) Send(id RequestID, up UpstreamID, d time.Duration) { h.note("send", id, up, d, 0) }
-func (h *recorder) Refuse(id RequestID, d time.Duration)              { h.note("refuse", id, 0, d, 0) }
-func (h *recorder) Fail(id RequestID)                                 { h.note("fail", id, 0, 0, 0) }
-func (h *recorder) Cancel(id RequestID, n int)                        { h.note("cancel", id, 0, 0, uint64(n)) }
-func (h *recorder) Probe(up UpstreamID)                               { h.note("probe", 0, up, 0, 0) }
-func (h *recorder) Disconnect(up UpstreamID)                          { h.note("disconnect", 0, up, 0, 0) }
-func (h *recorder) Watch(on bool)                                     { h.note("watch", 0, 0, 0, 0) }
-func (h *recorder) Fetch()                                            { h.note("fetch", 0, 0, 0, 0) }
-func (h *recorder) SetTimer(d time.Duration, n uint64)                { h.note("timer", 0, 0, d, n) }
-func (h *recorder) Log(text string)                                   { h.note("log: "+text, 0, 0, 0, 0) }
+
+func (h *recorder) Refuse(id RequestID, d time.Duration) { h.note("refuse", id, 0, d, 0) }
+
+func (h *recorder) Fail(id RequestID) { h.note("fail", id, 0, 0, 0) }
+
+func (h *recorder) Cancel(id RequestID, n int) { h.note("cancel", id, 0, 0, uint64(n)) }
+
+func (h *recorder) Probe(up UpstreamID) { h.note("probe", 0, up, 0, 0) }
+
+func (h *recorder) Disconnect(up UpstreamID) { h.note("disconnect", 0, up, 0, 0) }
+
+func (h *recorder) Watch(on bool) { h.note("watch", 0, 0, 0, 0) }
+
+func (h *recorder) Fetch() { h.note("fetch", 0, 0, 0, 0) }
+
+func (h *recorder) SetTimer(d time.Duration, n uint64) { h.note("timer", 0, 0, d, n) }
+
+func (h *recorder) Log(text string) { h.note("log: "+text, 0, 0, 0, 0) }
 
 // count tells how many recorded lines begin with prefix.
 func (h *recorder) count(prefix string) int {
--- a/balancer/memory.go
+++ b/balancer/memory.go
@@ -26,15 +26,19 @@
 
 // figures are the learnt figures of the fleet, by name.
 func (b *Balancer) figures() map[string]*float64 {
-	return map[string]*float64{"lat": &b.lat, "cost": &b.cost, "ceiling": &b.ceiling, "carry": &b.carry,
-		"failing": &b.failing, "least": &b.least, "calm": &b.calm}
+	return map[string]*float64{
+		"lat": &b.lat, "cost": &b.cost, "ceiling": &b.ceiling, "carry": &b.carry,
+		"failing": &b.failing, "least": &b.least, "calm": &b.calm,
+	}
 }
 
 // figures are those of an upstream.
 func (u *upstream) figures() map[string]*float64 {
-	return map[string]*float64{"factor": &u.factor, "failing": &u.failing, "mean": &u.mean, "dev": &u.dev, "area": &u.area,
+	return map[string]*float64{
+		"factor": &u.factor, "failing": &u.failing, "mean": &u.mean, "dev": &u.dev, "area": &u.area,
 		"lat": &u.lat, "lat_dev": &u.latDev, "units": &u.units, "least": &u.least, "slow": &u.slow, "calm": &u.calm,
-		"bound": &u.bound, "most": &u.most, "work": &u.work, "carried": &u.carried, "spent": &u.spent}
+		"bound": &u.bound, "most": &u.most, "work": &u.work, "carried": &u.carried, "spent": &u.spent,
+	}
 }
 
 func copied(from map[string]*float64) map[string]float64 {
@@ -66,8 +70,10 @@
 		m.Classes[name] = c.lat
 	}
 	for _, u := range b.near {
-		m.Upstreams = append(m.Upstreams, Learnt{ID: u.ID, StartedAt: u.StartedAt, Silent: u.silent, TrialAt: u.trialAt, Wait: u.wait,
-			Readings: u.readings, Answers: u.answers, Mute: u.mute, Window: u.window[:min(u.readings, bandWindow)], Figures: copied(u.figures())})
+		m.Upstreams = append(m.Upstreams, Learnt{
+			ID: u.ID, StartedAt: u.StartedAt, Silent: u.silent, TrialAt: u.trialAt, Wait: u.wait,
+			Readings: u.readings, Answers: u.answers, Mute: u.mute, Window: u.window[:min(u.readings, bandWindow)], Figures: copied(u.figures()),
+		})
 	}
 	return m
 }
--- a/balancer/view.go
+++ b/balancer/view.go
@@ -30,10 +30,12 @@
 		}
 	}
 	for _, u := range b.ups {
-		v := UpstreamView{ID: u.ID, State: u.State, Member: u.member, Cut: u.factor, Mean: u.mean, Upper: u.mean + bandAlpha*u.dev,
+		v := UpstreamView{
+			ID: u.ID, State: u.State, Member: u.member, Cut: u.factor, Mean: u.mean, Upper: u.mean + bandAlpha*u.dev,
 			Lower: u.mean - bandAlpha*u.dev, Area: u.area, Readings: u.readings,
 			Estimated: b.estimated(u), Cold: u.cold, Silent: u.silent, Out: len(u.outs),
-			Bound: u.bound, Latency: time.Duration(u.lat)}
+			Bound: u.bound, Latency: time.Duration(u.lat),
+		}
 		if u.member && u.State == Active {
 			v.Share = b.share(u, now) / total
 		}
--- a/benchmarks/capacity/balancer.go
+++ b/benchmarks/capacity/balancer.go
@@ -45,9 +45,11 @@
 		return nil, err
 	}
 	folder := filepath.Join(r.folder, name)
-	b := &balancer{site: site, log: &lines{came: make(chan struct{})}, config: filepath.Join(folder, "olivearch.yaml"),
+	b := &balancer{
+		site: site, log: &lines{came: make(chan struct{})}, config: filepath.Join(folder, "olivearch.yaml"),
 		places: capacity.Places{Listen: listen, Lists: filepath.Join(folder, "lists"), Folders: folders, Node: r.nodes.At},
-		client: &http.Client{Timeout: 5 * time.Second, Transport: &http.Transport{MaxIdleConnsPerHost: 256}}}
+		client: &http.Client{Timeout: 5 * time.Second, Transport: &http.Transport{MaxIdleConnsPerHost: 256}},
+	}
 	if err := site.WriteLists(&b.places, b.word); err != nil {
 		return nil, err
 	}
--- a/benchmarks/capacity/discovery.go
+++ b/benchmarks/capacity/discovery.go
@@ -193,8 +193,10 @@
 	if err := os.MkdirAll(folder, 0o755); err != nil {
 		return err
 	}
-	b := &balancer{site: site, log: &lines{came: make(chan struct{})}, config: filepath.Join(folder, "olivearch.yaml"),
-		places: capacity.Places{Listen: listen, Lists: folder, Node: r.nodes.At}, client: &http.Client{Transport: &http.Transport{}}}
+	b := &balancer{
+		site: site, log: &lines{came: make(chan struct{})}, config: filepath.Join(folder, "olivearch.yaml"),
+		places: capacity.Places{Listen: listen, Lists: folder, Node: r.nodes.At}, client: &http.Client{Transport: &http.Transport{}},
+	}
 	defer b.stop()
 	text := string(site.Config(&b.places, capacity.Edit{}))
 	var all []*directory
--- a/benchmarks/capacity/fleet.go
+++ b/benchmarks/capacity/fleet.go
@@ -123,8 +123,10 @@
 	if err != nil {
 		return nil, err
 	}
-	f := &fleet{rig: r, site: site, draining: map[int]bool{}, cut: map[int]bool{}, missed: map[int]bool{},
-		client: &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 2}}}
+	f := &fleet{
+		rig: r, site: site, draining: map[int]bool{}, cut: map[int]bool{}, missed: map[int]bool{},
+		client: &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 2}},
+	}
 	for region := range regions {
 		folder := filepath.Join(r.folder, fmt.Sprintf("region-%d", region))
 		f.places = append(f.places, capacity.Places{Listen: hollow.Listen, Lists: filepath.Join(folder, "lists"), Folders: 1, Node: r.nodes.At})
--- a/benchmarks/spread/simulated.go
+++ b/benchmarks/spread/simulated.go
@@ -119,9 +119,11 @@
 	e := turn.Spread.Windows(settled, length, time.Second, healthy)
 	sum := stats.Total([]*stats.Turn{&turn})
 	asked := float64(max(sum.Asked, 1))
-	row := Row{Scene: s.name, Contender: contender, Nodes: s.nodes, Deviation: e.Deviation, Busiest: e.Busiest, Idle: e.Idle,
+	row := Row{
+		Scene: s.name, Contender: contender, Nodes: s.nodes, Deviation: e.Deviation, Busiest: e.Busiest, Idle: e.Idle,
 		FirstBusiest: turn.Spread.First(100 * time.Millisecond).Busiest, InAim: float64(sum.InAim) / asked, Refused: float64(sum.Refused) / asked,
-		P99MS: sum.Quantile(0.99), Users: float64(turn.Pairs) / float64(s.nodes), Breaches: turn.Breaches}
+		P99MS: sum.Quantile(0.99), Users: float64(turn.Pairs) / float64(s.nodes), Breaches: turn.Breaches,
+	}
 	row.LearntAim = inAim(turn.Blocks[int(learnt/stats.BlockLength):])
 	if s.sick > 0 {
 		parts := turn.Spread.Parts(settled, length, 250*time.Millisecond, func(n int) bool { return n >= well })
--- a/benchmarks/spread/sockets.go
+++ b/benchmarks/spread/sockets.go
@@ -122,9 +122,11 @@
 		return Ground{}, err
 	}
 	x := r.Figures
-	row := Ground{Script: s.Name, Processes: s.Balancers.Count, Nodes: s.Nodes.Count, Rate: x["asked"] / time.Duration(s.Length).Seconds(),
+	row := Ground{
+		Script: s.Name, Processes: s.Balancers.Count, Nodes: s.Nodes.Count, Rate: x["asked"] / time.Duration(s.Length).Seconds(),
 		Idle: x["idle_node_seconds"], FirstBusiest: x["first_busiest"], Served: x["served"], InAim: x["in_aim"], Refused: x["refused"], P99MS: x["p99"],
-		CPUMS: x["cpu_ms"], Connections: x["node_connections"], Connects: x["connects_s"], ListCalls: x["list_calls_s"], Breaches: x["breaches"], Crashes: x["crashes"], Slow: r.Slow}
+		CPUMS: x["cpu_ms"], Connections: x["node_connections"], Connects: x["connects_s"], ListCalls: x["list_calls_s"], Breaches: x["breaches"], Crashes: x["crashes"], Slow: r.Slow,
+	}
 	calm := s.Length // until the first fault
 	for _, fault := range s.Faults {
 		calm = min(calm, fault.At)
--- a/benchmarks/streams/main.go
+++ b/benchmarks/streams/main.go
@@ -76,8 +76,10 @@
 		return err
 	}
 	defer all.Stop()
-	r := result{Cores: runtime.NumCPU(), Gigabytes: gb, Streams: map[string]map[string]map[string]stream{}, OfReverse: map[string]map[string]float64{},
-		Tunnels: map[string]tunnels{}, Within: true}
+	r := result{
+		Cores: runtime.NumCPU(), Gigabytes: gb, Streams: map[string]map[string]map[string]stream{}, OfReverse: map[string]map[string]float64{},
+		Tunnels: map[string]tunnels{}, Within: true,
+	}
 	if err := r.pass(all, gb); err != nil {
 		return err
 	}
--- a/cmd/olivearch-coordinator/main.go
+++ b/cmd/olivearch-coordinator/main.go
@@ -120,8 +120,10 @@
 		return fmt.Errorf("listening: %w", err)
 	}
 	runtime.GOMAXPROCS(1) // it is beside a balancer; on several it uses twice as much when idle, for waking them
-	x, err := server.New(server.Config{Name: v.Name, Address: v.Voters[v.Name], Voters: v.Voters, Folder: v.Folder, Copies: v.Copies,
-		Gone: time.Duration(v.ReplaceAfter)}, l)
+	x, err := server.New(server.Config{
+		Name: v.Name, Address: v.Voters[v.Name], Voters: v.Voters, Folder: v.Folder, Copies: v.Copies,
+		Gone: time.Duration(v.ReplaceAfter),
+	}, l)
 	if err != nil {
 		l.Close()
 		return err
--- a/cmd/olivearch/promises.go
+++ b/cmd/olivearch/promises.go
@@ -93,8 +93,10 @@
 	run := map[string]struct {
 		least, most int // further words
 		do          func(ctx context.Context, words []string) error
-	}{"list": {0, 0, c.list}, "show": {1, 1, c.show}, "set": {2, 3, c.set}, "clear": {2, 2, c.clear}, "bound": {2, 2, c.bound}, "members": {0, 2, c.members},
-		"replace": {1, 1, c.replace}, "snapshot": {1, 1, c.snapshot}, "restore": {1, 1, c.restore}}
+	}{
+		"list": {0, 0, c.list}, "show": {1, 1, c.show}, "set": {2, 3, c.set}, "clear": {2, 2, c.clear}, "bound": {2, 2, c.bound}, "members": {0, 2, c.members},
+		"replace": {1, 1, c.replace}, "snapshot": {1, 1, c.snapshot}, "restore": {1, 1, c.restore},
+	}
 	command, ok := run[c.args[0]]
 	words := c.args[1:]
 	if !ok || len(words) < command.least || len(words) > command.most {
--- a/internal/admincmd/manage_test.go
+++ b/internal/admincmd/manage_test.go
@@ -19,6 +19,7 @@
 	l <- "out " + id
 	return "held by 3 of 5", nil
 }
+
 func (l log) Back(id string) (string, error) { return "", fmt.Errorf("there is no upstream %q", id) }
 func (l log) Standby() error                 { l <- "standby"; return nil }
 func (l log) Active() error                  { l <- "active"; return nil }
--- a/internal/config/check.go
+++ b/internal/config/check.go
@@ -491,8 +491,10 @@
 	if n, known := k.targets[key]; known {
 		return n
 	}
-	k.Targets = append(k.Targets, Target{Class: r.Class, Deadline: r.Deadline, KeyCookie: r.KeyCookie, Body: r.Body, Answer: r.Answer,
-		Upgrades: r.Upgrades, Tunnels: key.tunnels})
+	k.Targets = append(k.Targets, Target{
+		Class: r.Class, Deadline: r.Deadline, KeyCookie: r.KeyCookie, Body: r.Body, Answer: r.Answer,
+		Upgrades: r.Upgrades, Tunnels: key.tunnels,
+	})
 	k.targets[key] = len(k.Targets) - 1
 	return len(k.Targets) - 1
 }
--- a/internal/config/settings.go
+++ b/internal/config/settings.go
@@ -18,8 +18,10 @@
 // Class returns a class in the module's form.
 func (c *Loaded) Class(name string) balancer.Class {
 	x := c.Classes[name]
-	return balancer.Class{Name: name, Aim: time.Duration(x.Aim), Deadline: time.Duration(x.Deadline), Repeat: repeats[x.Repeat],
-		Group: groups[x.Group], Memory: time.Duration(x.Memory), Worth: *x.Worth, LateWorth: x.LateWorth}
+	return balancer.Class{
+		Name: name, Aim: time.Duration(x.Aim), Deadline: time.Duration(x.Deadline), Repeat: repeats[x.Repeat],
+		Group: groups[x.Group], Memory: time.Duration(x.Memory), Worth: *x.Worth, LateWorth: x.LateWorth,
+	}
 }
 
 // uses notes the classes of the routes to each pool.
@@ -55,12 +57,18 @@
 	if len(used) == 0 { // the module wants a class; a pool that no route names gets no request
 		used = slices.Sorted(maps.Keys(c.Classes))
 	}
-	s := balancer.Settings{Zone: c.Instances.Zone, Balancers: c.Instances.Count, Rank: c.Instances.Rank,
+	s := balancer.Settings{
+		Zone: c.Instances.Zone, Balancers: c.Instances.Count, Rank: c.Instances.Rank,
 		OverShareWorth: *c.OverQuotaWorth, Granularity: time.Millisecond, Rest: true, Weights: balancer.WeightNominal, Reports: reports[p.Reports],
-		Limits: balancer.Limits{Cancel: true, Probes: p.Reports == "probes", RetryAfter: true, MaxRetry: time.Duration(p.MaxRetryAfter),
-			MaxAttempts: p.MaxAttempts, Out: p.Connections},
-		Rules: balancer.Rules{AskWithin: 20 * time.Second, ColdFrom: r.ColdFrom, RampTime: time.Duration(r.RampTime),
-			TipMultiple: r.TipMultiple, TipAfter: time.Duration(r.TipAfter), DrainGrace: time.Duration(r.DrainGrace)}}
+		Limits: balancer.Limits{
+			Cancel: true, Probes: p.Reports == "probes", RetryAfter: true, MaxRetry: time.Duration(p.MaxRetryAfter),
+			MaxAttempts: p.MaxAttempts, Out: p.Connections,
+		},
+		Rules: balancer.Rules{
+			AskWithin: 20 * time.Second, ColdFrom: r.ColdFrom, RampTime: time.Duration(r.RampTime),
+			TipMultiple: r.TipMultiple, TipAfter: time.Duration(r.TipAfter), DrainGrace: time.Duration(r.DrainGrace),
+		},
+	}
 	for _, name := range used {
 		s.Classes = append(s.Classes, c.Class(name))
 	}
--- a/internal/coordination/client/copy.go
+++ b/internal/coordination/client/copy.go
@@ -269,8 +269,10 @@
 // show makes what there is now the view.
 func (c *Copy) show(voter string, u *Update, said bool, err error) {
 	before := c.view.Load()
-	v := &View{Known: c.cluster != 0, Words: before.Words, Cluster: c.cluster, Index: c.index, Voter: voter, Leader: before.Leader, Voters: before.Voters, Up: before.Up,
-		held: c.held}
+	v := &View{
+		Known: c.cluster != 0, Words: before.Words, Cluster: c.cluster, Index: c.index, Voter: voter, Leader: before.Leader, Voters: before.Voters, Up: before.Up,
+		held: c.held,
+	}
 	if said {
 		v.Words = c.state.Words()
 	}
--- a/internal/coordination/server/asks.go
+++ b/internal/coordination/server/asks.go
@@ -180,9 +180,11 @@
 func (c *core) status() client.VoterStatus {
 	now := time.Now()
 	hex := func(id uint64) string { return fmt.Sprintf("%x", id) }
-	s := client.VoterStatus{Name: c.Name, ID: hex(c.id()), Role: "waiting", Leader: c.leader(), Applied: c.applied, AgeMS: c.age().Milliseconds(), ClockMS: c.state.Clock(),
+	s := client.VoterStatus{
+		Name: c.Name, ID: hex(c.id()), Role: "waiting", Leader: c.leader(), Applied: c.applied, AgeMS: c.age().Milliseconds(), ClockMS: c.state.Clock(),
 		Level: state.Newest, Raised: c.state.Raised(), UsedBytes: c.state.Used(), MaxBytes: state.MaxBytes, Promises: map[string]int{}, Followers: len(c.followers),
-		Refused: c.refused, LastRefused: c.lastNo, DiskMS: float64(c.disk.Microseconds()) / 1000, Trouble: c.waits}
+		Refused: c.refused, LastRefused: c.lastNo, DiskMS: float64(c.disk.Microseconds()) / 1000, Trouble: c.waits,
+	}
 	if c.stalled(now) {
 		s.Trouble = fmt.Sprintf("the disk has not answered for %v", c.writer.owes(now).Round(time.Millisecond))
 	}
--- a/internal/coordination/server/core.go
+++ b/internal/coordination/server/core.go
@@ -105,10 +105,12 @@
 			others[name] = address
 		}
 	}
-	c := &core{Config: cfg, began: time.Now(), store: s, identity: s.identity, writer: newWriter(s), events: make(chan event, 4096), written: make(chan written), caller: client.NewCaller(cfg.Name, others),
+	c := &core{
+		Config: cfg, began: time.Now(), store: s, identity: s.identity, writer: newWriter(s), events: make(chan event, 4096), written: make(chan written), caller: client.NewCaller(cfg.Name, others),
 		memory: raft.NewMemoryStorage(), state: state.NewState(), pending: map[uint64]*proposal{}, reads: map[uint64]*reading{},
 		links: map[uint64]*link{}, outboxes: map[uint64]*outbox{}, followers: map[*follower]bool{}, heard: map[uint64]time.Time{}, known: map[uint64]time.Time{}, levels: map[uint64]uint32{},
-		number: rand.Uint64(), gone: map[string]bool{}, newcomers: map[uint64]*newcomer{}, reports: map[string]membership.Report{}, waits: "it has just started"}
+		number: rand.Uint64(), gone: map[string]bool{}, newcomers: map[uint64]*newcomer{}, reports: map[string]membership.Report{}, waits: "it has just started",
+	}
 	if s.identity.Cluster == 0 {
 		return c, nil
 	}
@@ -133,9 +135,11 @@
 
 // startNode begins to take part in the cluster of the folder.
 func (c *core) startNode() (err error) {
-	c.node, err = raft.NewRawNode(&raft.Config{ID: c.identity.ID, ElectionTick: electionTicks, HeartbeatTick: beatTicks, Storage: logStorage{c.memory, c},
+	c.node, err = raft.NewRawNode(&raft.Config{
+		ID: c.identity.ID, ElectionTick: electionTicks, HeartbeatTick: beatTicks, Storage: logStorage{c.memory, c},
 		Applied: c.applied, AsyncStorageWrites: true, MaxSizePerMsg: maxMessage, MaxCommittedSizePerReady: maxMessage, MaxUncommittedEntriesSize: maxUnsettled,
-		MaxInflightMsgs: maxInflight, CheckQuorum: true, PreVote: true, DisableProposalForwarding: true, StepDownOnRemoval: true, Logger: quietLogger{slog.Default()}})
+		MaxInflightMsgs: maxInflight, CheckQuorum: true, PreVote: true, DisableProposalForwarding: true, StepDownOnRemoval: true, Logger: quietLogger{slog.Default()},
+	})
 	c.waits = ""
 	return err
 }
--- a/internal/demo/demo.go
+++ b/internal/demo/demo.go
@@ -106,8 +106,10 @@
 		if i == 3 { // as plain nodes do: its load is estimated
 			reports = 0
 		}
-		n, err := fleet.NewNode(fleet.Spec{ID: fmt.Sprintf("node-%d", i), Cores: 2, Work: 20 * time.Millisecond, Spread: 0.4, Queue: 6,
-			Reports: reports, ColdFrom: 0.33, Ramp: 4 * time.Second, Multiple: 3, Window: 1500 * time.Millisecond, Seed: seed + uint64(i)}, s.judge)
+		n, err := fleet.NewNode(fleet.Spec{
+			ID: fmt.Sprintf("node-%d", i), Cores: 2, Work: 20 * time.Millisecond, Spread: 0.4, Queue: 6,
+			Reports: reports, ColdFrom: 0.33, Ramp: 4 * time.Second, Multiple: 3, Window: 1500 * time.Millisecond, Seed: seed + uint64(i),
+		}, s.judge)
 		if err != nil {
 			return err
 		}
@@ -125,10 +127,14 @@
 		return err
 	}
 	url := "http://" + s.service.Address("127.0.0.1:0").String()
-	s.checkins = fleet.NewClients(fleet.Traffic{URL: url + "/checkin/gate", Host: "checkin.plano.example.org", Method: "POST", Body: `{"gate":7}`,
-		Effect: fleet.Unsafe, Deadline: deadline, Rate: 150, Seed: seed, Prefix: "c"}, s.judge)
-	s.maps = fleet.NewClients(fleet.Traffic{URL: url + "/map/level/2", Host: "maps.plano.example.org", Method: "GET",
-		Effect: fleet.Safe, Deadline: deadline, Rate: 70, Seed: seed + 1, Prefix: "m"}, s.judge)
+	s.checkins = fleet.NewClients(fleet.Traffic{
+		URL: url + "/checkin/gate", Host: "checkin.plano.example.org", Method: "POST", Body: `{"gate":7}`,
+		Effect: fleet.Unsafe, Deadline: deadline, Rate: 150, Seed: seed, Prefix: "c",
+	}, s.judge)
+	s.maps = fleet.NewClients(fleet.Traffic{
+		URL: url + "/map/level/2", Host: "maps.plano.example.org", Method: "GET",
+		Effect: fleet.Safe, Deadline: deadline, Rate: 70, Seed: seed + 1, Prefix: "m",
+	}, s.judge)
 	return nil
 }
 
--- a/internal/discovery/discovery.go
+++ b/internal/discovery/discovery.go
@@ -79,8 +79,10 @@
 
 // Upstream is the entry as the module takes it.
 func (m *Member) Upstream(id balancer.UpstreamID) balancer.Upstream {
-	return balancer.Upstream{ID: id, Zone: m.Locality, Cell: m.Cell, Weight: m.Size, State: phases[m.Phase],
-		StartedAt: time.Duration(m.UpSinceMS) * time.Millisecond} // the loop's clock is Unix time at its start, so 0 stays 0
+	return balancer.Upstream{
+		ID: id, Zone: m.Locality, Cell: m.Cell, Weight: m.Size, State: phases[m.Phase],
+		StartedAt: time.Duration(m.UpSinceMS) * time.Millisecond,
+	} // the loop's clock is Unix time at its start, so 0 stays 0
 }
 
 // Client asks one address for the list of upstreams and posts what it hears. It
@@ -105,8 +107,10 @@
 
 // New returns a Client of the service at an address. What it hears it posts.
 func New(ctx context.Context, address string, post func(Heard)) *Client {
-	d := &Client{Address: address, url: "http://" + address + "/v1/servers", post: post,
-		client: &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 2}}}
+	d := &Client{
+		Address: address, url: "http://" + address + "/v1/servers", post: post,
+		client: &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 2}},
+	}
 	d.ctx, d.cancel = context.WithCancel(ctx)
 	return d
 }
--- a/internal/emulator/emulator.go
+++ b/internal/emulator/emulator.go
@@ -125,8 +125,10 @@
 	for i := range f.Fleet {
 		nodes += f.Fleet[i].Count
 	}
-	return &world{clock: clock{now: origin}, file: f, start: start, recorder: stats.NewRecorder(time.Duration(f.Length)),
-		turn: stats.Turn{Spread: loadspread.New(nodes)}, pairs: map[pair]bool{}}
+	return &world{
+		clock: clock{now: origin}, file: f, start: start, recorder: stats.NewRecorder(time.Duration(f.Length)),
+		turn: stats.Turn{Spread: loadspread.New(nodes)}, pairs: map[pair]bool{},
+	}
 }
 
 // breach notes that a rule was broken.
@@ -196,8 +198,10 @@
 func (w *world) ask(load int, meant time.Duration, size float64, again func()) {
 	l := &w.file.Load[load]
 	w.serial++
-	r := &request{w: w, id: w.serial, load: l, meant: meant, size: size, deadline: meant + time.Duration(l.Deadline), again: again,
-		balancer: w.balancers[w.drawn()]}
+	r := &request{
+		w: w, id: w.serial, load: l, meant: meant, size: size, deadline: meant + time.Duration(l.Deadline), again: again,
+		balancer: w.balancers[w.drawn()],
+	}
 	w.after(hop, func() { r.balancer.take(r) })
 }
 
--- a/internal/emulator/module.go
+++ b/internal/emulator/module.go
@@ -113,8 +113,10 @@
 	f.out--
 	closed := f.ended
 	m.release(f)
-	o := balancer.Outcome{ID: balancer.RequestID(f.id), Upstream: balancer.UpstreamID(a.node.index + 1), Attempt: a.n, Latency: m.w.now - a.sentAt,
-		Status: s, Closed: closed}
+	o := balancer.Outcome{
+		ID: balancer.RequestID(f.id), Upstream: balancer.UpstreamID(a.node.index + 1), Attempt: a.n, Latency: m.w.now - a.sentAt,
+		Status: s, Closed: closed,
+	}
 	if x.known {
 		o.Load = balancer.Load{Fields: balancer.HasUtil | balancer.HasService | balancer.HasRate | balancer.HasErrors, Util: x.util, Service: x.latency, Rate: x.qps}
 	}
--- a/internal/emulator/node.go
+++ b/internal/emulator/node.go
@@ -165,8 +165,10 @@
 		return report{}
 	}
 	if since := n.w.now - n.readAt; since >= time.Duration(n.Reports) {
-		n.last = report{known: true, util: min(1, (n.busy.Seconds()/since.Seconds()+float64(n.taken))/float64(n.Cores)),
-			qps: float64(n.runs-n.runsRead) / since.Seconds(), latency: n.latency}
+		n.last = report{
+			known: true, util: min(1, (n.busy.Seconds()/since.Seconds()+float64(n.taken))/float64(n.Cores)),
+			qps: float64(n.runs-n.runsRead) / since.Seconds(), latency: n.latency,
+		}
 		n.readAt, n.busy, n.runsRead = n.w.now, 0, n.runs
 	}
 	return n.last
--- a/internal/endpointlist/watch.go
+++ b/internal/endpointlist/watch.go
@@ -106,10 +106,12 @@
 }
 
 func newWatcher(ctx context.Context, every time.Duration, report func(error)) *Watcher {
-	return &Watcher{every: every, poll: min(every, pollEvery), retry: retryFirst, report: report, open: openInotify, stat: statFile,
+	return &Watcher{
+		every: every, poll: min(every, pollEvery), retry: retryFirst, report: report, open: openInotify, stat: statFile,
 		asks: make(chan func()), looks: make(chan *seen), rounds: make(chan *round), ended: ctx.Done(),
 		turns: make(chan struct{}, max(1, runtime.GOMAXPROCS(0)/2)),
-		start: time.Now(), folders: map[string]*folder{}, names: map[fileID][]string{}}
+		start: time.Now(), folders: map[string]*folder{}, names: map[fileID][]string{},
+	}
 }
 
 // Follow follows the list in a file. tell gets each Word, from the Watcher's goroutine: it must not wait. A file that was read
@@ -334,11 +336,13 @@
 	a[i], a[j] = a[j], a[i]
 	a[i].place, a[j].place = i, j
 }
+
 func (a *agenda) Push(x any) {
 	f := x.(*Following)
 	f.place = len(*a)
 	*a = append(*a, f)
 }
+
 func (a *agenda) Pop() any {
 	last := len(*a) - 1
 	f := (*a)[last]
--- a/internal/faulttest/balancer.go
+++ b/internal/faulttest/balancer.go
@@ -65,10 +65,12 @@
 	b.born(b.index)
 	b.list.forget(b.index, known)
 	b.wordsHold(b.index)
-	text, err := json.Marshal(map[string]any{"name": b.name, "listen": b.address, "discovery": b.listService.At(b.index),
+	text, err := json.Marshal(map[string]any{
+		"name": b.name, "listen": b.address, "discovery": b.listService.At(b.index),
 		"seed": fmt.Sprintf("%016x", uint64(b.f.Seed)<<32|uint64(b.index)<<16|uint64(life)), "known": known,
 		"limits":   map[string]any{"cores": 1, "memory_mb": int64(b.f.Balancers.Memory) >> 20, "sockets": b.f.Balancers.Descriptors},
-		"settings": b.settings()})
+		"settings": b.settings(),
+	})
 	if err != nil {
 		return nil, err
 	}
@@ -109,18 +111,26 @@
 	for _, rate := range f.Rates() {
 		total += rate
 	}
-	class := map[string]any{"name": "c", "target_us": us(time.Duration(f.Load.Aim)), "give_up_us": us(time.Duration(f.Load.Deadline)),
-		"repeat": repeats[effects[f.Load.Repeat]], "worth": 1}
+	class := map[string]any{
+		"name": "c", "target_us": us(time.Duration(f.Load.Aim)), "give_up_us": us(time.Duration(f.Load.Deadline)),
+		"repeat": repeats[effects[f.Load.Repeat]], "worth": 1,
+	}
 	if f.Load.Repeat == "keyed" {
 		class["group"], class["memory_span_us"] = "all", us(keyMemory)
 	}
-	return map[string]any{"az": b.zone, "balancers": f.Balancers.Count, "rank": b.index, "membership_mode": "on_request", "weights": "nominal", "worth_by": "work",
+	return map[string]any{
+		"az": b.zone, "balancers": f.Balancers.Count, "rank": b.index, "membership_mode": "on_request", "weights": "nominal", "worth_by": "work",
 		"over_share_worth": 0.1, "granularity_us": 1000,
-		"limits": map[string]any{"max_attempts": 5, "cancel": true, "connect_timeout_us": 250000, "keepalive_us": 60000000, "retry_after": true,
-			"max_retry_after_us": 1000000},
-		"obligations": map[string]any{"ask_within_us": 10000000, "cold_from": f.Nodes.ColdFrom, "ramp_time_us": us(time.Duration(f.Nodes.RampTime)),
-			"tip_after_us": us(time.Duration(f.Nodes.TipAfter)), "tip_multiple": f.Nodes.TipMultiple, "drain_grace_us": us(grace), "answer_slack_us": 0},
+		"limits": map[string]any{
+			"max_attempts": 5, "cancel": true, "connect_timeout_us": 250000, "keepalive_us": 60000000, "retry_after": true,
+			"max_retry_after_us": 1000000,
+		},
+		"obligations": map[string]any{
+			"ask_within_us": 10000000, "cold_from": f.Nodes.ColdFrom, "ramp_time_us": us(time.Duration(f.Nodes.RampTime)),
+			"tip_after_us": us(time.Duration(f.Nodes.TipAfter)), "tip_multiple": f.Nodes.TipMultiple, "drain_grace_us": us(grace), "answer_slack_us": 0,
+		},
 		"profiles":  []any{class},
 		"tenants":   []any{map[string]any{"name": "t", "quota_rps": quotaTimes * total}},
-		"reporting": map[string]any{"via": "piggyback"}}
+		"reporting": map[string]any{"via": "piggyback"},
+	}
 }
--- a/internal/faulttest/faults.go
+++ b/internal/faulttest/faults.go
@@ -51,10 +51,12 @@
 	w.mu.Lock()
 	w.counts.faults[x.Kind]++
 	w.mu.Unlock()
-	do, ok := map[string]func() error{"cut": x.onLinks, "slow": x.onLinks, "throttle": x.onLinks, "reset": x.onLinks, "half-close": x.onLinks, "lossy": x.onLinks,
+	do, ok := map[string]func() error{
+		"cut": x.onLinks, "slow": x.onLinks, "throttle": x.onLinks, "reset": x.onLinks, "half-close": x.onLinks, "lossy": x.onLinks,
 		"break": x.breakAll, "kill": x.kill, "kill-on-send": x.killOnSend, "stop": x.stop, "terminate": x.terminate, "lose": x.lose,
 		"clock": x.clock, "disk": x.disk, "word": x.word, "flip": x.flip, "power": x.power, "twin": x.twin, "crash": x.crash, "drain": x.drain, "stall": x.stall, "slow-node": x.slowNode,
-		"list-old": x.listOld, "list-down": x.listDown, "list-answers": x.listAnswers, "list-split": x.listSplit, "list-silent": x.onList(x.list.silence), "list-reset": x.onList(x.list.reset)}[x.Kind]
+		"list-old": x.listOld, "list-down": x.listDown, "list-answers": x.listAnswers, "list-split": x.listSplit, "list-silent": x.onList(x.list.silence), "list-reset": x.onList(x.list.reset),
+	}[x.Kind]
 	if !ok {
 		return nil, fmt.Errorf("fault %d: nothing is known of %q", i, x.Kind)
 	}
@@ -140,8 +142,10 @@
 
 func (x *fault) onLinks() error {
 	var f twoWay
-	one := relay.Faults{Cut: x.Kind == "cut", Delay: time.Duration(x.Delay), Jitter: time.Duration(x.Jitter), Rate: x.Fault.Rate, Deliver: x.Deliver,
-		Loss: x.Loss, Twice: x.Twice, Reorder: x.Reorder}
+	one := relay.Faults{
+		Cut: x.Kind == "cut", Delay: time.Duration(x.Delay), Jitter: time.Duration(x.Jitter), Rate: x.Fault.Rate, Deliver: x.Deliver,
+		Loss: x.Loss, Twice: x.Twice, Reorder: x.Reorder,
+	}
 	switch x.Kind {
 	case "reset":
 		one.Reset = x.Share
--- a/internal/faulttest/host.go
+++ b/internal/faulttest/host.go
@@ -41,8 +41,10 @@
 
 // newHost gives a machine its address, as that of a caller of the relay, and its service there.
 func (w *world) newHost(name string, caller int) (*host, error) {
-	h := &host{world: w, name: name, folder: filepath.Join(w.folder, name), died: func(int64) {}, excused: func(error) bool { return false },
-		excuse: func() func() { return func() {} }, hold: func() func() { return func() {} }}
+	h := &host{
+		world: w, name: name, folder: filepath.Join(w.folder, name), died: func(int64) {}, excused: func(error) bool { return false },
+		excuse: func() func() { return func() {} }, hold: func() func() { return func() {} },
+	}
 	if err := os.RemoveAll(h.folder); err != nil { // of an earlier play
 		return nil, err
 	}
--- a/internal/faulttest/list.go
+++ b/internal/faulttest/list.go
@@ -79,8 +79,10 @@
 	if err != nil {
 		return nil, err
 	}
-	x := &list{address: l.Addr().String(), size: size, services: services, told: told, due: due, rng: rand.New(rand.NewPCG(seed, 7)), members: members,
-		revision: 1, changed: make(chan struct{}), silenced: make(chan struct{}), broken: make(chan struct{}), left: map[int]int{}, hidden: map[int]map[int]bool{}, answers: 1, last: map[int]listing{}}
+	x := &list{
+		address: l.Addr().String(), size: size, services: services, told: told, due: due, rng: rand.New(rand.NewPCG(seed, 7)), members: members,
+		revision: 1, changed: make(chan struct{}), silenced: make(chan struct{}), broken: make(chan struct{}), left: map[int]int{}, hidden: map[int]map[int]bool{}, answers: 1, last: map[int]listing{},
+	}
 	x.shown = append([]member(nil), members...)
 	x.server = &http.Server{Handler: http.HandlerFunc(x.serve)}
 	go x.server.Serve(l) // ends with close
@@ -197,8 +199,10 @@
 		if m.phase == "removed" || x.hidden[caller][i] {
 			continue
 		}
-		l.Members = append(l.Members, entry{ID: fmt.Sprintf("s-%08x", i+1), HostPort: x.services[i].At(caller), Locality: m.zone, Flavor: "std", Cell: m.cell,
-			Phase: m.phase, Size: x.size, UpSinceMS: m.since})
+		l.Members = append(l.Members, entry{
+			ID: fmt.Sprintf("s-%08x", i+1), HostPort: x.services[i].At(caller), Locality: m.zone, Flavor: "std", Cell: m.cell,
+			Phase: m.phase, Size: x.size, UpSinceMS: m.since,
+		})
 	}
 	return l
 }
--- a/internal/faulttest/play.go
+++ b/internal/faulttest/play.go
@@ -34,8 +34,10 @@
 	if f.Voters.Count > 0 && o.Ledger == "" {
 		return nil, errors.New("the script has voters, and no program of theirs is given")
 	}
-	w := &world{f: f, program: o.Program, ledger: o.Ledger, self: o.Self, selfEnv: o.SelfEnv, folder: o.Folder, over: make(chan struct{}), booted: map[int]func(){}, done: map[doneKey]int64{},
-		cutsShort: map[int]func(int){}, tallies: map[[2]int]*eventPeers{}, out: map[int]bool{}, counts: counts{faults: map[string]int{}}}
+	w := &world{
+		f: f, program: o.Program, ledger: o.Ledger, self: o.Self, selfEnv: o.SelfEnv, folder: o.Folder, over: make(chan struct{}), booted: map[int]func(){}, done: map[doneKey]int64{},
+		cutsShort: map[int]func(int){}, tallies: map[[2]int]*eventPeers{}, out: map[int]bool{}, counts: counts{faults: map[string]int{}},
+	}
 	if w.folder == "" {
 		if w.folder, err = os.MkdirTemp("", "ground-"); err != nil {
 			return nil, err
--- a/internal/faulttest/result.go
+++ b/internal/faulttest/result.go
@@ -150,13 +150,15 @@
 		}
 	}
 	lag := w.lag.Quantile(99)
-	r.Figures = map[string]float64{"asked": float64(v.Asked), "served": float64(v.Served) / asked, "refused": float64(v.Refused) / asked, "failed": float64(v.Failed) / asked,
+	r.Figures = map[string]float64{
+		"asked": float64(v.Asked), "served": float64(v.Served) / asked, "refused": float64(v.Refused) / asked, "failed": float64(v.Failed) / asked,
 		"lost": float64(v.Lost) / asked, "crossed": float64(v.Crossed), "in_aim": float64(inAim) / asked, "untaken": float64(w.counts.untaken), "twice": float64(v.Twice),
 		"p50": float64(h.ValueAtQuantile(50)) / 1000, "p99": float64(h.ValueAtQuantile(99)) / 1000, "due": float64(v.Due), "executions": float64(v.Executions) / float64(max(v.Served, 1)),
 		"breaches": float64(len(v.Breaches)), "blurred": float64(len(v.Blurred)), "restarts": float64(w.counts.restarts), "crashes": float64(len(w.counts.crashes)),
 		"leaks": float64(w.relay.Leaks()), "relay_p99_ms": float64(lag) / 1e6, "start_s": m.started.Seconds(), "cpu_ms": m.balancers.each, "memory_mb": m.balancers.memory,
 		"voter_cpu_ms": m.voters.each, "voter_memory_mb": m.voters.memory,
-		"recovered_s": w.recovered(v, m), "moved": float64(w.relay.Moved())}
+		"recovered_s": w.recovered(v, m), "moved": float64(w.relay.Moved()),
+	}
 	w.peersSeen(r)
 	w.effort(r, m)
 	if n := w.relay.Starved(); n > 0 {
--- a/internal/faulttest/schedule/draw.go
+++ b/internal/faulttest/schedule/draw.go
@@ -64,8 +64,10 @@
 		return script.Fault{Kind: "cut", From: []string{script.Clients}, To: one(rng, "b", f.Balancers.Count), Way: way(rng)}
 	},
 	func(rng *rand.Rand, f *script.File) script.Fault {
-		return script.Fault{Kind: "slow", From: part(rng, script.Balancer), To: part(rng, script.Node), Way: way(rng),
-			Delay: some(rng, 0, 60*time.Millisecond), Jitter: some(rng, time.Millisecond, 60*time.Millisecond)}
+		return script.Fault{
+			Kind: "slow", From: part(rng, script.Balancer), To: part(rng, script.Node), Way: way(rng),
+			Delay: some(rng, 0, 60*time.Millisecond), Jitter: some(rng, time.Millisecond, 60*time.Millisecond),
+		}
 	},
 	func(rng *rand.Rand, f *script.File) script.Fault {
 		return script.Fault{Kind: "throttle", From: part(rng, script.Balancer), To: part(rng, script.Node), Way: way(rng), Rate: 2000 + rng.IntN(20000)}
--- a/internal/faulttest/schedule/voters.go
+++ b/internal/faulttest/schedule/voters.go
@@ -16,8 +16,10 @@
 		return script.Fault{Kind: "cut", From: voter(rng, f), To: part(rng, script.Voter), Way: way(rng)}
 	},
 	func(rng *rand.Rand, f *script.File) script.Fault {
-		return script.Fault{Kind: "slow", From: part(rng, script.Voter), To: part(rng, script.Voter), Way: way(rng),
-			Delay: some(rng, 0, 100*time.Millisecond), Jitter: some(rng, time.Millisecond, 200*time.Millisecond)}
+		return script.Fault{
+			Kind: "slow", From: part(rng, script.Voter), To: part(rng, script.Voter), Way: way(rng),
+			Delay: some(rng, 0, 100*time.Millisecond), Jitter: some(rng, time.Millisecond, 200*time.Millisecond),
+		}
 	},
 	func(rng *rand.Rand, f *script.File) script.Fault {
 		return script.Fault{Kind: "reset", From: []string{script.Voter}, To: []string{script.Voter}, Way: way(rng), Share: 0.02 * rng.Float64(), Deliver: rng.IntN(2) == 0}
--- a/internal/faulttest/seen.go
+++ b/internal/faulttest/seen.go
@@ -79,8 +79,10 @@
 // got notes a request's arrival, and does what waits for one.
 func (w *world) got(node int, e event.Event) {
 	b := int(e.Balancer)
-	a := arrival{record: checker.Record{Kind: checker.Got, At: e.At, ID: e.ID, Node: node, Balancer: b, Work: e.Work, SentBegin: e.At, SentEnd: e.At},
-		conn: w.services[node].Find(b, e.Conn), begin: e.Begin, end: e.End, port: e.Conn}
+	a := arrival{
+		record: checker.Record{Kind: checker.Got, At: e.At, ID: e.ID, Node: node, Balancer: b, Work: e.Work, SentBegin: e.At, SentEnd: e.At},
+		conn:   w.services[node].Find(b, e.Conn), begin: e.Begin, end: e.End, port: e.Conn,
+	}
 	w.mu.Lock()
 	w.arrivals = append(w.arrivals, a)
 	var do []func(int)
--- a/internal/faulttest/serving.go
+++ b/internal/faulttest/serving.go
@@ -35,11 +35,13 @@
 		return nil, err
 	}
 	defer file.Close()
-	err = service.Execute(file, map[string]any{"Listen": b.address, "MemoryMB": int64(f.Balancers.Memory) >> 20, "Descriptors": f.Balancers.Descriptors,
+	err = service.Execute(file, map[string]any{
+		"Listen": b.address, "MemoryMB": int64(f.Balancers.Memory) >> 20, "Descriptors": f.Balancers.Descriptors,
 		"Count": f.Balancers.Count, "Rank": b.index, "Zone": b.zone, "Repeat": f.Load.Repeat, "Memory": keyMemory,
 		"Aim": time.Duration(f.Load.Aim), "Deadline": time.Duration(f.Load.Deadline), "ColdFrom": f.Nodes.ColdFrom, "RampTime": time.Duration(f.Nodes.RampTime),
 		"TipMultiple": f.Nodes.TipMultiple, "TipAfter": time.Duration(f.Nodes.TipAfter), "Discovery": b.listService.At(b.index),
-		"Keep": filepath.Join(b.folder, "nodes.kept")})
+		"Keep": filepath.Join(b.folder, "nodes.kept"),
+	})
 	if err != nil {
 		return nil, fmt.Errorf("%s: %w", path, err)
 	}
--- a/internal/faulttest/timeline/timeline.go
+++ b/internal/faulttest/timeline/timeline.go
@@ -93,8 +93,12 @@
 	for i, line := range []struct {
 		name string
 		of   func(faulttest.Block) float64
-	}{{"served", func(b faulttest.Block) float64 { return b.Served }}, {"refused", func(b faulttest.Block) float64 { return b.Refused }},
-		{"failed", func(b faulttest.Block) float64 { return b.Failed }}, {"no answer", func(b faulttest.Block) float64 { return b.Lost }}} {
+	}{
+		{"served", func(b faulttest.Block) float64 { return b.Served }},
+		{"refused", func(b faulttest.Block) float64 { return b.Refused }},
+		{"failed", func(b faulttest.Block) float64 { return b.Failed }},
+		{"no answer", func(b faulttest.Block) float64 { return b.Lost }},
+	} {
 		var xy plotter.XYs
 		for _, b := range r.Blocks {
 			xy = append(xy, plotter.XY{X: b.At, Y: line.of(b)})
--- a/internal/frontend/read.go
+++ b/internal/frontend/read.go
@@ -36,8 +36,10 @@
 }
 
 // Once names the fields of which a second one would leave open which of them counts.
-var Once = []string{"Host", "Content-Length", "X-Request-Id", "X-Class", "X-Tenant", "X-Deadline-Ms", "Idempotency-Key",
-	"X-Retry", "X-Cost-Hint", "X-Extras", "Cookie"}
+var Once = []string{
+	"Host", "Content-Length", "X-Request-Id", "X-Class", "X-Tenant", "X-Deadline-Ms", "Idempotency-Key",
+	"X-Retry", "X-Cost-Hint", "X-Extras", "Cookie",
+}
 
 // ReadRequest reads one request off a connection as a Front does, for who wants to know what becomes of it; nil is a question after
 // the balancer's health.
--- a/internal/pool/alarms.go
+++ b/internal/pool/alarms.go
@@ -58,14 +58,17 @@
 func (a alarmHeap) Less(i, j int) bool {
 	return a[i].at < a[j].at || (a[i].at == a[j].at && a[i].serial < a[j].serial)
 }
+
 func (a alarmHeap) Swap(i, j int) {
 	a[i], a[j] = a[j], a[i]
 	a[i].place, a[j].place = i, j
 }
+
 func (a *alarmHeap) Push(x any) {
 	x.(*alarm).place = len(*a)
 	*a = append(*a, x.(*alarm))
 }
+
 func (a *alarmHeap) Pop() any {
 	old := *a
 	x := old[len(old)-1]
--- a/internal/pool/attempt.go
+++ b/internal/pool/attempt.go
@@ -197,8 +197,10 @@
 	q.out--
 	closed := q.closed
 	l.release(q)
-	l.balancer.Outcome(now, balancer.Outcome{ID: q.ID, Upstream: a.peer.id, Attempt: a.n, Latency: now - a.sentAt,
-		Status: r.Status, Closed: closed, Load: r.Load})
+	l.balancer.Outcome(now, balancer.Outcome{
+		ID: q.ID, Upstream: a.peer.id, Attempt: a.n, Latency: now - a.sentAt,
+		Status: r.Status, Closed: closed, Load: r.Load,
+	})
 }
 
 // owing is an outcome to tell as soon as the module has returned.
--- a/internal/pool/loop.go
+++ b/internal/pool/loop.go
@@ -74,9 +74,11 @@
 var _ balancer.Host = (*loop)(nil)
 
 func newLoop(ctx context.Context, c Spec) *loop {
-	l := &loop{ctx: ctx, mail: newMailbox(), madeFor: madeFor, firstMost: firstMost,
+	l := &loop{
+		ctx: ctx, mail: newMailbox(), madeFor: madeFor, firstMost: firstMost,
 		origin: time.Now(), names: discovery.NewNames(), requests: map[balancer.RequestID]*Request{}, open: map[string]bool{},
-		peers: map[balancer.UpstreamID]*peer{}, tunnels: map[*attempt]struct{}{}}
+		peers: map[balancer.UpstreamID]*peer{}, tunnels: map[*attempt]struct{}{},
+	}
 	l.limit(c)
 	l.keeper = c.Keep
 	// The clock is Unix time at the start, going on by the monotonic clock: what discovery dates stands on it as it
--- a/internal/pool/stats.go
+++ b/internal/pool/stats.go
@@ -40,9 +40,11 @@
 // Stats returns the pool's counters and levels. It wakes nobody and waits for nobody.
 func (p *Pool) Stats() Stats {
 	c := &p.loop.counts
-	s := Stats{Served: c.served.Load(), Refused: c.refused.Load(), Failed: c.failed.Load(), TurnedAway: p.away.Load(), ServedFor: time.Duration(c.servedFor.Load()),
+	s := Stats{
+		Served: c.served.Load(), Refused: c.refused.Load(), Failed: c.failed.Load(), TurnedAway: p.away.Load(), ServedFor: time.Duration(c.servedFor.Load()),
 		Open: int(max(0, p.users.Load())), Queue: int(p.queue.Load()), Held: int(c.held.Load()), Connections: int(c.conns.Load()), Limit: int(c.limit.Load()),
-		Tunnels: int(c.tunnels.Load()), Up: int(c.up.Load()), Draining: int(c.draining.Load()), Made: c.made.Load()}
+		Tunnels: int(c.tunnels.Load()), Up: int(c.up.Load()), Draining: int(c.draining.Load()), Made: c.made.Load(),
+	}
 	s.ListAge = max(0, p.loop.now()-max(time.Duration(c.heardAt.Load()), time.Duration(p.loop.confirmed.Load())))
 	if hold := time.Duration(c.hold.Load()); hold > 0 {
 		s.Expired = s.ListAge > hold
--- a/internal/pool/view.go
+++ b/internal/pool/view.go
@@ -41,17 +41,21 @@
 	if l.made() && e.part.Nodes != live.NoNodes {
 		views, _ = l.balancer.View(now)
 	}
-	v := live.Pool{Open: len(l.requests), Held: held, Connections: l.conns, Limit: l.maxConns, Tunnels: len(l.tunnels), Served: l.counts.served.Load(), Refused: l.counts.refused.Load(), Failed: l.counts.failed.Load(),
+	v := live.Pool{
+		Open: len(l.requests), Held: held, Connections: l.conns, Limit: l.maxConns, Tunnels: len(l.tunnels), Served: l.counts.served.Load(), Refused: l.counts.refused.Load(), Failed: l.counts.failed.Load(),
 		ListAgeMS: l.listAge(now).Milliseconds(), HoldMS: l.hold.Milliseconds(), Expired: l.expired(now), Trouble: l.trouble,
-		Nodes: []live.Node{}}
+		Nodes: []live.Node{},
+	}
 	for _, u := range views {
 		p := l.peers[u.ID]
 		if p == nil {
 			continue
 		}
-		v.Nodes = append(v.Nodes, live.Node{ID: p.name, Address: p.address, Phase: phaseNames[p.state], Member: u.Member, Share: u.Share, Cut: u.Cut,
+		v.Nodes = append(v.Nodes, live.Node{
+			ID: p.name, Address: p.address, Phase: phaseNames[p.state], Member: u.Member, Share: u.Share, Cut: u.Cut,
 			Mean: u.Mean, Upper: u.Upper, Lower: u.Lower, Area: u.Area, Readings: u.Readings, Load: loadKind(u), Unreadable: p.spoilt, UnreadableWhy: p.why, Strays: p.strays, Cold: u.Cold, Silent: u.Silent, Out: u.Out, Bound: u.Bound,
-			LatencyMS: float64(u.Latency.Microseconds()) / 1000, Connections: p.conns, Part: cmp.Or(p.share.Part, 1), Limit: p.share.Connections})
+			LatencyMS: float64(u.Latency.Microseconds()) / 1000, Connections: p.conns, Part: cmp.Or(p.share.Part, 1), Limit: p.share.Connections,
+		})
 	}
 	members := l.unmade.members
 	if e.part.Nodes == live.NoNodes {
@@ -61,8 +65,10 @@
 		m := &members[i]
 		p := l.placed(m)
 		mark := l.unmade.marks[m.ID]
-		v.Nodes = append(v.Nodes, live.Node{ID: p.name, Address: p.address, Phase: phaseNames[p.state], Cut: 1, Load: live.Unknown,
-			Unreadable: mark.spoilt, UnreadableWhy: mark.why, Strays: mark.strays, Part: cmp.Or(p.share.Part, 1), Limit: p.share.Connections})
+		v.Nodes = append(v.Nodes, live.Node{
+			ID: p.name, Address: p.address, Phase: phaseNames[p.state], Cut: 1, Load: live.Unknown,
+			Unreadable: mark.spoilt, UnreadableWhy: mark.why, Strays: mark.strays, Part: cmp.Or(p.share.Part, 1), Limit: p.share.Connections,
+		})
 	}
 	e.got <- e.part.Of(v)
 }
--- a/internal/procstat/usage.go
+++ b/internal/procstat/usage.go
@@ -30,8 +30,10 @@
 	if err != nil {
 		return u, err
 	}
-	return Usage{ResidentMB: float64(status["VmRSS"]) / 1024, PeakMB: float64(status["VmHWM"]) / 1024, Threads: int(status["Threads"]),
-		Descriptors: len(open), Read: io["rchar"]}, nil
+	return Usage{
+		ResidentMB: float64(status["VmRSS"]) / 1024, PeakMB: float64(status["VmHWM"]) / 1024, Threads: int(status["Threads"]),
+		Descriptors: len(open), Read: io["rchar"],
+	}, nil
 }
 
 // fields reads the numbers in a file of lines "name: number unit".
--- a/internal/proxy/config.go
+++ b/internal/proxy/config.go
@@ -160,8 +160,10 @@
 
 // config checks what was read.
 func (f *file) config() (Config, error) {
-	c := Config{Name: f.Name, Listen: f.Listen, Discovery: f.Discovery, Management: f.Management, Known: f.Known,
-		MemoryMB: f.Limits.MemoryMB, Sockets: f.Limits.Sockets}
+	c := Config{
+		Name: f.Name, Listen: f.Listen, Discovery: f.Discovery, Management: f.Management, Known: f.Known,
+		MemoryMB: f.Limits.MemoryMB, Sockets: f.Limits.Sockets,
+	}
 	var err error
 	if _, err = netip.ParseAddrPort(c.Listen); err != nil {
 		return c, fmt.Errorf("listen: %w", err)
@@ -216,6 +218,8 @@
 
 // spec is the one pool of a platform's balancer.
 func (c *Config) spec() pool.Spec {
-	return pool.Spec{Name: c.Name, Settings: c.Settings, Links: c.Links, Seed: c.Seed, Discovery: c.Discovery, Known: &c.Known,
-		Connections: c.upstreamConns()}
+	return pool.Spec{
+		Name: c.Name, Settings: c.Settings, Links: c.Links, Seed: c.Seed, Discovery: c.Discovery, Known: &c.Known,
+		Connections: c.upstreamConns(),
+	}
 }
--- a/internal/report/table.go
+++ b/internal/report/table.go
@@ -20,9 +20,17 @@
 func percent(x float64) float64 { return 100 * x }
 
 var columns = []column{
-	{"per_second", "served/s", "%.0f", same}, {"p50", "p50 ms", "%.2f", same}, {"p90", "p90 ms", "%.2f", same}, {"p99", "p99 ms", "%.2f", same},
-	{"in_aim", "in time %", "%.2f", percent}, {"refused", "refused %", "%.2f", percent}, {"failed", "failed %", "%.2f", percent},
-	{"executions", "executions", "%.3f", same}, {"breaches", "breaches", "%.0f", same}, {"cpu_us", "CPU us", "%.1f", same}, {"resident_mb", "MB", "%.0f", same},
+	{"per_second", "served/s", "%.0f", same},
+	{"p50", "p50 ms", "%.2f", same},
+	{"p90", "p90 ms", "%.2f", same},
+	{"p99", "p99 ms", "%.2f", same},
+	{"in_aim", "in time %", "%.2f", percent},
+	{"refused", "refused %", "%.2f", percent},
+	{"failed", "failed %", "%.2f", percent},
+	{"executions", "executions", "%.3f", same},
+	{"breaches", "breaches", "%.0f", same},
+	{"cpu_us", "CPU us", "%.1f", same},
+	{"resident_mb", "MB", "%.0f", same},
 }
 
 // rows are the table's, with its head.
--- a/internal/route/change.go
+++ b/internal/route/change.go
@@ -18,8 +18,10 @@
 
 // Build makes a table, or tells every error in the rules: malformed ones, and ties as Conflicts.
 func Build(rules []Rule) (*Table, []error) {
-	e := &editor{Table: &Table{exact: map[string]*segment{}, suffix: map[string]*segment{}, names: make(map[string]*Rule, len(rules))},
-		ownExact: true, ownSuffix: true, ownNames: true}
+	e := &editor{
+		Table:    &Table{exact: map[string]*segment{}, suffix: map[string]*segment{}, names: make(map[string]*Rule, len(rules))},
+		ownExact: true, ownSuffix: true, ownNames: true,
+	}
 	return e.add(rules)
 }
 
--- a/internal/scenario/check.go
+++ b/internal/scenario/check.go
@@ -28,8 +28,10 @@
 )
 
 // Figures are the names that bounds may use, each with whether more is better.
-var Figures = map[string]bool{"p50": false, "p90": false, "p99": false, "p999": false, "in_aim": true, "served": true, "refused": false,
-	"failed": false, "per_second": true, "executions": false, "breaches": false, "cpu_us": false, "resident_mb": false}
+var Figures = map[string]bool{
+	"p50": false, "p90": false, "p99": false, "p999": false, "in_aim": true, "served": true, "refused": false,
+	"failed": false, "per_second": true, "executions": false, "breaches": false, "cpu_us": false, "resident_mb": false,
+}
 
 // Read reads and checks a file.
 func Read(path string) (*File, error) {
--- a/internal/service/admin.go
+++ b/internal/service/admin.go
@@ -45,8 +45,10 @@
 		}
 	})
 	mux.Handle("GET /metrics", metrics.Handler(snapshot))
-	a := &admin{configured: address, address: l.Addr(), server: &http.Server{Handler: mux, ReadHeaderTimeout: 5 * time.Second,
-		WriteTimeout: 10 * time.Second, IdleTimeout: time.Minute, MaxHeaderBytes: 8 << 10}}
+	a := &admin{configured: address, address: l.Addr(), server: &http.Server{
+		Handler: mux, ReadHeaderTimeout: 5 * time.Second,
+		WriteTimeout: 10 * time.Second, IdleTimeout: time.Minute, MaxHeaderBytes: 8 << 10,
+	}}
 	go func() {
 		if err := a.server.Serve(l); !errors.Is(err, http.ErrServerClosed) {
 			slog.Error("admin listener", "err", err)
--- a/internal/service/promises.go
+++ b/internal/service/promises.go
@@ -92,8 +92,10 @@
 		return nil
 	}
 	v := g.copy.View()
-	p := &live.Promises{Cluster: fmt.Sprintf("%x", v.Cluster), Voter: v.Voter, Leader: v.Leader, Voters: v.Voters, Up: v.Up, Revision: v.Index, AgeMS: -1,
-		Words: map[string]int{}, Trouble: v.Trouble}
+	p := &live.Promises{
+		Cluster: fmt.Sprintf("%x", v.Cluster), Voter: v.Voter, Leader: v.Leader, Voters: v.Voters, Up: v.Up, Revision: v.Index, AgeMS: -1,
+		Words: map[string]int{}, Trouble: v.Trouble,
+	}
 	if age := v.Age(time.Now()); age < live.Ages {
 		p.AgeMS = age.Milliseconds()
 	}
--- a/internal/service/service.go
+++ b/internal/service/service.go
@@ -154,8 +154,10 @@
 
 // plan checks and opens what a configuration needs.
 func (s *Service) plan(now *configuration, c *config.Loaded) (*plan, error) {
-	p := &plan{next: &configuration{config: c, fronts: map[string]*front{}, pools: map[string]*member{}, reloads: now.reloads + 1},
-		listeners: map[string]net.Listener{}, specs: make(map[string]pool.Spec, len(c.Pools)), stay: make(map[string]bool, len(c.Pools))}
+	p := &plan{
+		next:      &configuration{config: c, fronts: map[string]*front{}, pools: map[string]*member{}, reloads: now.reloads + 1},
+		listeners: map[string]net.Listener{}, specs: make(map[string]pool.Spec, len(c.Pools)), stay: make(map[string]bool, len(c.Pools)),
+	}
 	var errs []error
 	var files []string
 	for name, x := range c.Pools {
@@ -227,10 +229,12 @@
 // spec is what a pool is told of a configuration.
 func spec(c *config.Loaded, name string) pool.Spec {
 	x := c.Pools[name]
-	return pool.Spec{Name: name, Settings: c.Settings(name), Discovery: x.Nodes.Discovery, Hold: time.Duration(x.Nodes.Hold),
+	return pool.Spec{
+		Name: name, Settings: c.Settings(name), Discovery: x.Nodes.Discovery, Hold: time.Duration(x.Nodes.Hold),
 		Links:       wire.Links{KeepAlive: time.Duration(x.IdleTimeout), ConnectTimeout: time.Duration(x.ConnectTimeout)},
 		Connections: x.Connections, Queue: x.Queue, Share: x.Share, OwnDrains: x.Drains == "own", Trust: x.Rest == "after_stray",
-		Tunnels: pool.TunnelCaps{Most: x.Tunnels.Most, PerNode: x.Tunnels.PerNode}, Whole: true}
+		Tunnels: pool.TunnelCaps{Most: x.Tunnels.Most, PerNode: x.Tunnels.PerNode}, Whole: true,
+	}
 }
 
 // same tells whether a pool that was told x would be told nothing new by y. A table of tenants that was made anew is taken for another.
@@ -297,10 +301,14 @@
 	c := next.config
 	r := &proxy.Routing{Table: c.Table, To: make([]proxy.Destination, len(c.Targets)), Pools: make(map[string]*pool.Pool, len(next.pools))}
 	for i, x := range c.Targets {
-		r.To[i] = proxy.Destination{Class: c.Class(x.Class), Limit: time.Duration(x.Deadline), KeyCookie: x.KeyCookie,
-			Bodies: &body.Limits{Request: int64(x.Body.Max), Ahead: int(x.Body.Buffer), Within: time.Duration(x.Body.Within), Answer: int64(x.Answer.Max),
-				Quiet: time.Duration(x.Answer.Idle), Total: time.Duration(x.Answer.Total), Trailers: true},
-			Upgrades: x.Upgrades, Tunnels: &body.TunnelLimits{Idle: time.Duration(x.Tunnels.Idle), Total: time.Duration(x.Tunnels.Total), Grace: time.Duration(x.Tunnels.Grace)}}
+		r.To[i] = proxy.Destination{
+			Class: c.Class(x.Class), Limit: time.Duration(x.Deadline), KeyCookie: x.KeyCookie,
+			Bodies: &body.Limits{
+				Request: int64(x.Body.Max), Ahead: int(x.Body.Buffer), Within: time.Duration(x.Body.Within), Answer: int64(x.Answer.Max),
+				Quiet: time.Duration(x.Answer.Idle), Total: time.Duration(x.Answer.Total), Trailers: true,
+			},
+			Upgrades: x.Upgrades, Tunnels: &body.TunnelLimits{Idle: time.Duration(x.Tunnels.Idle), Total: time.Duration(x.Tunnels.Total), Grace: time.Duration(x.Tunnels.Grace)},
+		}
 	}
 	for name, x := range next.pools {
 		r.Pools[name] = x.Pool
--- a/internal/standin/faultybalancer/rogue.go
+++ b/internal/standin/faultybalancer/rogue.go
@@ -72,8 +72,10 @@
 	if err := json.Unmarshal(text, &c); err != nil {
 		return err
 	}
-	b := &balancer{breach: breach, list: c.Known, rng: rand.New(rand.NewPCG(1, uint64(os.Getpid()))),
-		client: &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 16}}}
+	b := &balancer{
+		breach: breach, list: c.Known, rng: rand.New(rand.NewPCG(1, uint64(os.Getpid()))),
+		client: &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 16}},
+	}
 	l, err := listen(c.Listen)
 	if err != nil {
 		return err
--- a/internal/standin/fleet/clients.go
+++ b/internal/standin/fleet/clients.go
@@ -49,7 +49,8 @@
 // NewClients returns clients that do not send yet.
 func NewClients(t Traffic, j *Judge) *Clients {
 	return &Clients{Traffic: t, judge: j, rate: t.Rate, client: &http.Client{Transport: &http.Transport{
-		MaxIdleConns: 1000, MaxIdleConnsPerHost: 1000, DisableCompression: true, IdleConnTimeout: time.Minute}}}
+		MaxIdleConns: 1000, MaxIdleConnsPerHost: 1000, DisableCompression: true, IdleConnTimeout: time.Minute,
+	}}}
 }
 
 // SetRate changes how many come a second.
--- a/internal/standin/fleet/node.go
+++ b/internal/standin/fleet/node.go
@@ -100,8 +100,10 @@
 	if cold {
 		n.startAt, n.listedAt = time.Now(), time.Now()
 	}
-	n.server = &http.Server{Handler: http.HandlerFunc(n.serve), ConnState: n.connState,
-		ConnContext: func(ctx context.Context, c net.Conn) context.Context { return context.WithValue(ctx, connKey{}, c) }}
+	n.server = &http.Server{
+		Handler: http.HandlerFunc(n.serve), ConnState: n.connState,
+		ConnContext: func(ctx context.Context, c net.Conn) context.Context { return context.WithValue(ctx, connKey{}, c) },
+	}
 	go n.server.Serve(l) // ends with Crash or Close
 	return nil
 }
--- a/internal/standin/fleetsim/nodes.go
+++ b/internal/standin/fleetsim/nodes.go
@@ -186,8 +186,10 @@
 			fmt.Fprintf(x, "HTTP/1.1 400 Bad Request\r\nContent-Length: 0\r\n\r\n")
 			continue
 		}
-		e := event.Event{ID: id, Node: n.index, Balancer: int32(balancer), Conn: from.Port(), Begin: begin, End: x.in - int64(in.Buffered()) - 1,
-			Work: workOf(r)}
+		e := event.Event{
+			ID: id, Node: n.index, Balancer: int32(balancer), Conn: from.Port(), Begin: begin, End: x.in - int64(in.Buffered()) - 1,
+			Work: workOf(r),
+		}
 		if err := n.answer(life, x, r, e, from); err != nil {
 			return
 		}
--- a/internal/standin/plainproxy/plainproxy.go
+++ b/internal/standin/plainproxy/plainproxy.go
@@ -50,8 +50,10 @@
 
 // New returns a proxy that knows no nodes.
 func New(o Options) (*Proxy, error) {
-	p := &Proxy{queue: o.Queue, started: time.Now(), waiting: map[uint64]chan int{},
-		transport: &http.Transport{MaxIdleConns: 0, MaxIdleConnsPerHost: o.Cap, DisableCompression: true}}
+	p := &Proxy{
+		queue: o.Queue, started: time.Now(), waiting: map[uint64]chan int{},
+		transport: &http.Transport{MaxIdleConns: 0, MaxIdleConnsPerHost: o.Cap, DisableCompression: true},
+	}
 	if o.Picker == "" {
 		p.transport.MaxConnsPerHost = o.Cap // its queue is first in first out, too
 	} else {
--- a/internal/upstream/upstreamtest/upstreamtest.go
+++ b/internal/upstream/upstreamtest/upstreamtest.go
@@ -72,11 +72,21 @@
 		name string
 		test func(*testing.T, Suite)
 	}{
-		{"a dropped attempt writes nothing", dropped}, {"a gate is shut", shut}, {"outcomes", outcomes}, {"nobody listens", refused},
-		{"a connection serves again", again}, {"one attempt is one write", oneWrite}, {"a long answer goes on", long},
-		{"a long answer is cut", cut}, {"a node falls silent in an answer", hang}, {"a wait is given up", givenUp},
-		{"more than was asked for", extra}, {"a body goes on as it comes", upload}, {"a client fails in its body", clientFails},
-		{"drops race with writes", race}, {"a probe", probe},
+		{"a dropped attempt writes nothing", dropped},
+		{"a gate is shut", shut},
+		{"outcomes", outcomes},
+		{"nobody listens", refused},
+		{"a connection serves again", again},
+		{"one attempt is one write", oneWrite},
+		{"a long answer goes on", long},
+		{"a long answer is cut", cut},
+		{"a node falls silent in an answer", hang},
+		{"a wait is given up", givenUp},
+		{"more than was asked for", extra},
+		{"a body goes on as it comes", upload},
+		{"a client fails in its body", clientFails},
+		{"drops race with writes", race},
+		{"a probe", probe},
 	} {
 		t.Run(x.name, func(t *testing.T) { x.test(t, s) })
 	}
--- a/internal/wire/read.go
+++ b/internal/wire/read.go
@@ -161,9 +161,11 @@
 		}
 	case "inbound":
 		e.Kind = Inbound
-		e.Request = balancer.Request{ID: balancer.RequestID(f.hex("id", true)), Budget: f.span("budget_us", true),
+		e.Request = balancer.Request{
+			ID: balancer.RequestID(f.hex("id", true)), Budget: f.span("budget_us", true),
 			Class: r.name(f.text("class", true)), Tenant: r.name(f.text("org", false)), Key: f.hex("key", false),
-			HasKey: f.has("key"), Retry: f.flag("retry"), Cost: f.span("cost_guess_us", false)}
+			HasKey: f.has("key"), Retry: f.flag("retry"), Cost: f.span("cost_guess_us", false),
+		}
 	case "established":
 		e.Kind = Established
 		e.Outcome = f.outcome()
@@ -178,8 +180,10 @@
 		e.Kind, e.Token = Elapsed, f.uint("ctx", 63, true)
 	case "health":
 		e.Kind = Health
-		e.Probe = balancer.ProbeResult{Upstream: balancer.UpstreamID(f.uint("upstream", 32, true)),
-			Latency: f.span("cost_time_us", true), Status: f.status("disposition"), Load: f.load("metrics")}
+		e.Probe = balancer.ProbeResult{
+			Upstream: balancer.UpstreamID(f.uint("upstream", 32, true)),
+			Latency:  f.span("cost_time_us", true), Status: f.status("disposition"), Load: f.load("metrics"),
+		}
 	case "inbox":
 		e.Kind = Inbox
 		f.uint("author", 31, true)
@@ -217,9 +221,11 @@
 		if string(name) != "m" {
 			return fmt.Errorf("sheet: items=%d, but %d follow", n, len(list))
 		}
-		u := balancer.Upstream{ID: balancer.UpstreamID(f.uint("upstream", 32, true)), Cell: int(f.uint("block", 62, false)),
+		u := balancer.Upstream{
+			ID: balancer.UpstreamID(f.uint("upstream", 32, true)), Cell: int(f.uint("block", 62, false)),
 			Zone: r.name(f.text("region_part", false)), Weight: f.real("nominal", 1),
-			StartedAt: f.span("came_up_us", false), State: f.state("availability")}
+			StartedAt: f.span("came_up_us", false), State: f.state("availability"),
+		}
 		if f.err != nil {
 			return fmt.Errorf("m: %w", f.err)
 		}
@@ -401,8 +407,10 @@
 }
 
 func (f *fields) outcome() balancer.Outcome {
-	return balancer.Outcome{ID: balancer.RequestID(f.hex("id", true)), Upstream: balancer.UpstreamID(f.uint("upstream", 32, true)),
-		Attempt: int(f.uint("go", 31, true)), Latency: f.span("cost_time_us", true)}
+	return balancer.Outcome{
+		ID: balancer.RequestID(f.hex("id", true)), Upstream: balancer.UpstreamID(f.uint("upstream", 32, true)),
+		Attempt: int(f.uint("go", 31, true)), Latency: f.span("cost_time_us", true),
+	}
 }
 
 func (f *fields) mode(name string) balancer.ListMode {
--- a/internal/wire/settings.go
+++ b/internal/wire/settings.go
@@ -61,13 +61,19 @@
 }
 
 var (
-	repeats = map[string]balancer.Repeat{"read_like": balancer.Safe, "idempotency_key": balancer.Keyed,
-		"non_idempotent": balancer.Unsafe}
+	repeats = map[string]balancer.Repeat{
+		"read_like": balancer.Safe, "idempotency_key": balancer.Keyed,
+		"non_idempotent": balancer.Unsafe,
+	}
 	groups = map[string]balancer.Group{"all": balancer.GroupAll, "zone": balancer.GroupZone, "cell": balancer.GroupCell}
-	weigh  = map[string]balancer.WeightKind{"silent": balancer.WeightNone, "nominal": balancer.WeightNominal,
-		"rough": balancer.WeightRough, "live": balancer.WeightLive}
-	vias = map[string]balancer.ReportVia{"silent": balancer.ReportNone, "piggyback": balancer.ReportAnswers,
-		"pull": balancer.ReportProbes}
+	weigh  = map[string]balancer.WeightKind{
+		"silent": balancer.WeightNone, "nominal": balancer.WeightNominal,
+		"rough": balancer.WeightRough, "live": balancer.WeightLive,
+	}
+	vias = map[string]balancer.ReportVia{
+		"silent": balancer.ReportNone, "piggyback": balancer.ReportAnswers,
+		"pull": balancer.ReportProbes,
+	}
 	asks = map[string]bool{"pushed": false, "on_request": true}
 )
 
@@ -97,13 +103,19 @@
 	if err := json.Unmarshal(text, &p); err != nil {
 		return s, links, fmt.Errorf("settings: %w", err)
 	}
-	s = balancer.Settings{Zone: p.Zone, Balancers: p.Balancers, Rank: p.Rank, OverShareWorth: p.OverShare,
+	s = balancer.Settings{
+		Zone: p.Zone, Balancers: p.Balancers, Rank: p.Rank, OverShareWorth: p.OverShare,
 		WorthByWork: p.WorthBy == "work", WarmKeys: p.Family.WarmKeys, Granularity: us(p.Granularity),
-		Limits: balancer.Limits{Cancel: p.Limits.Cancel, Probes: p.Limits.Probes, SecondCopies: p.Limits.SecondCopies,
-			RetryAfter: p.Limits.RetryAfter, MaxRetry: us(p.Limits.MaxRetry), MaxAttempts: p.Limits.MaxAttempts},
-		Rules: balancer.Rules{AskWithin: us(p.Rules.AskWithin), ColdFrom: p.Rules.ColdFrom, RampTime: us(p.Rules.RampTime),
+		Limits: balancer.Limits{
+			Cancel: p.Limits.Cancel, Probes: p.Limits.Probes, SecondCopies: p.Limits.SecondCopies,
+			RetryAfter: p.Limits.RetryAfter, MaxRetry: us(p.Limits.MaxRetry), MaxAttempts: p.Limits.MaxAttempts,
+		},
+		Rules: balancer.Rules{
+			AskWithin: us(p.Rules.AskWithin), ColdFrom: p.Rules.ColdFrom, RampTime: us(p.Rules.RampTime),
 			TipMultiple: p.Rules.TipMultiple, TipAfter: us(p.Rules.TipAfter), DrainGrace: us(p.Rules.DrainGrace),
-			AnswerWithin: us(p.Rules.Slack)}}
+			AnswerWithin: us(p.Rules.Slack),
+		},
+	}
 	links = Links{KeepAlive: us(p.Limits.KeepAlive), ConnectTimeout: us(p.Limits.ConnectTimeout)}
 	var ok bool
 	if s.OnRequest, ok = asks[p.Mode]; !ok {
@@ -116,8 +128,10 @@
 		return s, links, fmt.Errorf("settings: reporting.via %q is unknown", p.Reporting.Via)
 	}
 	for _, c := range p.Classes {
-		class := balancer.Class{Name: c.Name, Aim: us(c.Target), Deadline: us(c.GiveUp), Memory: us(c.Memory),
-			Stream: c.Stream, Worth: c.Worth, LateWorth: c.LateWorth}
+		class := balancer.Class{
+			Name: c.Name, Aim: us(c.Target), Deadline: us(c.GiveUp), Memory: us(c.Memory),
+			Stream: c.Stream, Worth: c.Worth, LateWorth: c.LateWorth,
+		}
 		if class.Repeat, ok = repeats[c.Repeat]; !ok {
 			return s, links, fmt.Errorf("settings: profiles: repeat %q is unknown", c.Repeat)
 		}
