--- a/balancer/api.go
+++ b/balancer/api.go
@@ -27,37 +27,37 @@
 // UpstreamID names an upstream. It carries no meaning and survives restarts.
 type UpstreamID uint32
 
-// Repeat says whether a class may run more than once, safest first.
-type Repeat uint8
+// Idempotency says whether a class may run more than once, safest first.
+type Idempotency uint8
 
 // The repeat kinds.
 const (
-	Safe   Repeat = iota // may run any number of times
-	Keyed                // a group of upstreams drops repeats for Class.Memory
-	Unsafe               // must never run twice
+	Idempotent        Idempotency = iota // may run any number of times
+	IdempotentWithKey                    // a group of upstreams drops repeats for Class.Memory
+	NonIdempotent                        // must never run twice
 )
 
-// Group says which upstreams drop a keyed request's repeats.
-type Group uint8
+// KeyScope says which upstreams drop a keyed request's repeats.
+type KeyScope uint8
 
 // The groups.
 const (
-	GroupAll Group = iota
-	GroupZone
-	GroupCell
+	KeyScopeAll KeyScope = iota
+	KeyScopeZone
+	KeyScopeCell
 )
 
 // Class is one kind of request.
 type Class struct {
-	Name      string
-	Aim       time.Duration // answers within it earn full worth
-	Deadline  time.Duration // the client's total wait
-	Repeat    Repeat
-	Group     Group         // for Keyed
-	Memory    time.Duration // for Keyed: how long repeats are dropped
-	Stream    bool
-	Worth     float64
-	LateWorth float64 // fraction of Worth between Aim and Deadline
+	Name                string
+	LatencyObjective    time.Duration // answers within it earn full worth
+	Deadline            time.Duration // the client's total wait
+	Idempotency         Idempotency
+	KeyScope            KeyScope      // for Keyed
+	DeduplicationWindow time.Duration // for Keyed: how long repeats are dropped
+	Stream              bool
+	PriorityWeight      float64
+	LateWeightFactor    float64 // fraction of Worth between Aim and Deadline
 }
 
 // Tenant is a customer with a share of the service.
@@ -68,24 +68,24 @@
 
 // Limits is what the site permits.
 type Limits struct {
-	Cancel       bool
-	Probes       bool
-	SecondCopies bool
-	RetryAfter   bool
-	MaxRetry     time.Duration // longest wait a client honours
-	MaxAttempts  int
-	Out          int // attempts out at once over all upstreams, such as connections suffice for; 0: any number
+	Cancel        bool
+	HealthChecks  bool
+	Hedging       bool
+	RetryAfter    bool
+	MaxRetryAfter time.Duration // longest wait a client honours
+	MaxAttempts   int
+	MaxInFlight   int // attempts out at once over all upstreams, such as connections suffice for; 0: any number
 }
 
 // Rules holds the figures of the drain and cold-start rules.
 type Rules struct {
-	AskWithin    time.Duration // discovery on request: ask at least this often
-	ColdFrom     float64       // an upstream starts at this share of capacity or more
-	RampTime     time.Duration // and is warm no later than this
-	TipMultiple  float64       // sent more than this multiple of present capacity
-	TipAfter     time.Duration // for this long, a cold upstream falls over
-	DrainGrace   time.Duration // sends to a draining upstream must cease within this
-	AnswerWithin time.Duration // slack of a final answer after the client's deadline
+	PollInterval      time.Duration // discovery on request: ask at least this often
+	SlowStartFloor    float64       // an upstream starts at this share of capacity or more
+	SlowStartDuration time.Duration // and is warm no later than this
+	OverloadMultiple  float64       // sent more than this multiple of present capacity
+	OverloadWindow    time.Duration // for this long, a cold upstream falls over
+	DrainGrace        time.Duration // sends to a draining upstream must cease within this
+	AnswerSlack       time.Duration // slack of a final answer after the client's deadline
 }
 
 // WeightKind says what Upstream.Weight means.
@@ -104,28 +104,28 @@
 
 // The ways of reporting.
 const (
-	ReportNone    ReportVia = iota
-	ReportAnswers           // within outcomes and probe results
-	ReportProbes            // within probe results only
+	ReportNone         ReportVia = iota
+	ReportAnswers                // within outcomes and probe results
+	ReportHealthChecks           // within probe results only
 )
 
 // Settings is what a Balancer is told at its start.
 type Settings struct {
-	Zone           string
-	Balancers      int // instances in this tier
-	Rank           int // of this instance among them, from 0
-	Classes        []Class
-	Tenants        *Tenants
-	OverShareWorth float64 // worth of traffic over a tenant's quota
-	WorthByWork    bool    // worth counts per unit of work, not per request
-	WarmKeys       bool    // an upstream serves keys it met lately with less work
-	Limits         Limits
-	Rules          Rules
-	OnRequest      bool // discovery answers only when asked
-	Weights        WeightKind
-	Reports        ReportVia
-	Granularity    time.Duration // least spacing of event batches
-	Rest           bool          // no timer is set while there is nothing to do; decisions stay the same
+	Zone                  string
+	Balancers             int // instances in this tier
+	Rank                  int // of this instance among them, from 0
+	Classes               []Class
+	Tenants               *Tenants
+	OverQuotaWeightFactor float64 // worth of traffic over a tenant's quota
+	WeightByWork          bool    // worth counts per unit of work, not per request
+	WarmKeys              bool    // an upstream serves keys it met lately with less work
+	Limits                Limits
+	Rules                 Rules
+	PollDiscovery         bool // discovery answers only when asked
+	Weights               WeightKind
+	Reports               ReportVia
+	Granularity           time.Duration // least spacing of event batches
+	SuspendWhenIdle       bool          // no timer is set while there is nothing to do; decisions stay the same
 }
 
 // State is what discovery says of an upstream.
@@ -135,19 +135,19 @@
 const (
 	Active State = iota
 	Draining
-	Gone
+	Removed
 )
 
 // Upstream is one entry of a discovery list.
 type Upstream struct {
-	ID        UpstreamID
-	Zone      string
-	Cell      int
-	Weight    float64
-	StartedAt time.Duration // latest start on the owner's clock; 0: long past
-	State     State
-	Part      float64 // of its cold budget, where one owner runs several Balancers on it; 0: all
-	Most      int     // attempts out at once that it may have of this Balancer; 0: any number
+	ID          UpstreamID
+	Zone        string
+	Cell        int
+	Weight      float64
+	StartedAt   time.Duration // latest start on the owner's clock; 0: long past
+	State       State
+	WarmUpShare float64 // of its cold budget, where one owner runs several Balancers on it; 0: all
+	MaxInFlight int     // attempts out at once that it may have of this Balancer; 0: any number
 }
 
 // ListMode says how a list relates to the one held.
@@ -172,7 +172,7 @@
 	Retry  bool
 	Cost   time.Duration // hint: work on a standard core; 0: unknown
 
-	Sending bool // its body goes on as it comes: an attempt owes no answer before Sent
+	BodyStreaming bool // its body goes on as it comes: an attempt owes no answer before Sent
 }
 
 // Status is how an attempt or probe ended.
@@ -182,12 +182,12 @@
 const (
 	OK            Status = iota
 	Error                // the upstream answered with an error
-	Full                 // * turned away unseen
+	Rejected             // * turned away unseen
 	Timeout              // no answer in time
 	ConnectFailed        // * no connection in time
 	Reset                // connection lost
 	Cancelled            // stopped by Cancel
-	Moot                 // * never sent
+	NotSent              // * never sent
 )
 
 // LoadField is a bit for each value that a Load holds.
@@ -214,8 +214,8 @@
 	Errors   float64 // errors a second
 }
 
-// Outcome is the end of one attempt.
-type Outcome struct {
+// AttemptResult is the end of one attempt.
+type AttemptResult struct {
 	ID       RequestID
 	Upstream UpstreamID
 	Attempt  int // order of the request's Sends, from 0
@@ -225,8 +225,8 @@
 	Load     Load
 }
 
-// ProbeResult is the end of one probe.
-type ProbeResult struct {
+// HealthCheckResult is the end of one probe.
+type HealthCheckResult struct {
 	Upstream UpstreamID
 	Latency  time.Duration
 	Status   Status
@@ -236,28 +236,29 @@
 // Host carries out a Balancer's actions.
 type Host interface {
 	Send(id RequestID, up UpstreamID, timeout time.Duration) // timeout 0: until the client quits
-	Refuse(id RequestID, retryAfter time.Duration)           // retryAfter 0: no advice
+	Reject(id RequestID, retryAfter time.Duration)           // retryAfter 0: no advice
 	Fail(id RequestID)
 	Cancel(id RequestID, attempt int)
-	Probe(up UpstreamID)
-	Disconnect(up UpstreamID) // close idle connections
-	Watch(on bool)            // subscribe to discovery
-	Fetch()                   // ask discovery for the whole list once
+	HealthCheck(up UpstreamID)
+	CloseIdle(up UpstreamID) // close idle connections
+	WatchEndpoints(on bool)  // subscribe to discovery
+	FetchEndpoints()         // ask discovery for the whole list once
 	SetTimer(after time.Duration, token uint64)
 	Log(text string)
 }
 
 // Events is the set of methods by which an owner drives a Balancer.
 type Events interface {
-	Members(now time.Duration, mode ListMode, list []Upstream)
-	Request(now time.Duration, r Request)
-	Started(now time.Duration, id RequestID, attempt int) // a stream's answer has begun
-	Outcome(now time.Duration, o Outcome)
-	Gone(now time.Duration, id RequestID) // the client left, nothing more is owed
-	Probed(now time.Duration, p ProbeResult)
-	Timer(now time.Duration, token uint64)
-	Room(now time.Duration, up UpstreamID, most int) // Upstream.Most has changed
-	Until(id RequestID) time.Duration                // before which a Send must be written; asked from within Host.Send too
+	EndpointsUpdated(now time.Duration, mode ListMode, list []Upstream)
+	RequestArrived(now time.Duration, r Request)
+	ResponseStarted(now time.Duration, id RequestID, attempt int) // a stream's answer has begun
+	AttemptFinished(now time.Duration, o AttemptResult)
+	ClientLeft(now time.Duration, id RequestID) // the client left, nothing more is owed
+	HealthCheckFinished(now time.Duration, p HealthCheckResult)
+	TimerFired(now time.Duration, token uint64)
+	MaxInFlightChanged(now time.Duration, up UpstreamID, most int) // Upstream.Most has changed
+	// SendDeadline is before when a Send must be written; it is asked from within Host.Send too.
+	SendDeadline(id RequestID) time.Duration
 }
 
 var _ Events = (*Balancer)(nil)
--- a/balancer/memory.go
+++ b/balancer/memory.go
@@ -2,26 +2,27 @@
 
 import "time"
 
-// Memory is what a Balancer has learnt, for one that takes its place while both run, or soon after. Times are on the owners'
+// Snapshot is what a Balancer has learnt, for one that takes its place while both run, or soon after. Times
+// are on the owners'
 // clock, which both must share. It can be written as JSON. What a later version does not know it passes over.
-type Memory struct {
+type Snapshot struct {
 	Figures   map[string]float64 `json:"figures"` // of the fleet
 	Classes   map[string]float64 `json:"classes"` // usual latency, ns
-	Upstreams []Learnt           `json:"upstreams"`
+	Upstreams []UpstreamSnapshot `json:"upstreams"`
 }
 
-// Learnt is what a Balancer has learnt of one upstream.
-type Learnt struct {
-	ID        UpstreamID         `json:"id"`
-	StartedAt time.Duration      `json:"started_at"` // its process: of another nothing is known
-	Silent    bool               `json:"silent,omitempty"`
-	TrialAt   time.Duration      `json:"trial_at,omitempty"`
-	Wait      time.Duration      `json:"wait"`
-	Readings  int                `json:"readings"`
-	Answers   int                `json:"answers"`
-	Mute      int                `json:"mute"`
-	Window    []float64          `json:"window"`
-	Figures   map[string]float64 `json:"figures"`
+// UpstreamSnapshot is what a Balancer has learnt of one upstream.
+type UpstreamSnapshot struct {
+	ID           UpstreamID         `json:"id"`
+	StartedAt    time.Duration      `json:"started_at"` // its process: of another nothing is known
+	Unresponsive bool               `json:"silent,omitempty"`
+	TrialAt      time.Duration      `json:"trial_at,omitempty"`
+	Wait         time.Duration      `json:"wait"`
+	Readings     int                `json:"readings"`
+	Answers      int                `json:"answers"`
+	Unreported   int                `json:"mute"`
+	Window       []float64          `json:"window"`
+	Figures      map[string]float64 `json:"figures"`
 }
 
 // figures are the learnt figures of the fleet, by name.
@@ -63,24 +64,26 @@
 	}
 }
 
-// Memory returns what b has learnt.
-func (b *Balancer) Memory() Memory {
-	m := Memory{Figures: copied(b.figures()), Classes: map[string]float64{}}
+// Snapshot returns what b has learnt.
+func (b *Balancer) Snapshot() Snapshot {
+	m := Snapshot{Figures: copied(b.figures()), Classes: map[string]float64{}}
 	for name, c := range b.classes {
 		m.Classes[name] = c.lat
 	}
 	for _, u := range b.near {
-		m.Upstreams = append(m.Upstreams, Learnt{
-			ID: u.ID, StartedAt: u.StartedAt, Silent: u.silent, TrialAt: u.trialAt, Wait: u.wait,
-			Readings: u.readings, Answers: u.answers, Mute: u.mute, Window: u.window[:min(u.readings, bandWindow)], Figures: copied(u.figures()),
+		m.Upstreams = append(m.Upstreams, UpstreamSnapshot{
+			ID: u.ID, StartedAt: u.StartedAt, Unresponsive: u.silent, TrialAt: u.trialAt, Wait: u.wait,
+			Readings: u.readings, Answers: u.answers, Unreported: u.mute,
+			Window: u.window[:min(u.readings, bandWindow)], Figures: copied(u.figures()),
 		})
 	}
 	return m
 }
 
-// Recall takes what another Balancer has learnt in the place of what this one has, upstream by upstream. Of a process that
+// Restore takes what another Balancer has learnt in the place of what this one has, upstream by upstream. Of
+// a process that
 // has been started since nothing counts, so a cold start stays one.
-func (b *Balancer) Recall(now time.Duration, m Memory) {
+func (b *Balancer) Restore(now time.Duration, m Snapshot) {
 	b.catchUp(now)
 	adoptFigures(b.figures(), m.Figures)
 	for name, lat := range m.Classes {
@@ -91,11 +94,11 @@
 	for _, l := range m.Upstreams {
 		u := b.byID[l.ID]
 		if u == nil || u.StartedAt != l.StartedAt || len(l.Window) > bandWindow || l.Readings < len(l.Window) ||
-			l.Answers < 0 || l.Mute < 0 || l.Wait < 0 {
+			l.Answers < 0 || l.Unreported < 0 || l.Wait < 0 {
 			continue
 		}
 		adoptFigures(u.figures(), l.Figures)
-		u.readings, u.answers, u.mute, u.spentAt, u.answeredAt = l.Readings, l.Answers, l.Mute, now, now
+		u.readings, u.answers, u.mute, u.spentAt, u.answeredAt = l.Readings, l.Answers, l.Unreported, now, now
 		for i, x := range l.Window {
 			if amount(x) && x < most {
 				u.window[i] = x
@@ -103,8 +106,8 @@
 		}
 		// The bound is of this balancer's part: never over what was learnt, nor under what any may have.
 		u.bound = max(u.bound, b.start*boundLeast/boundStart)
-		if u.factor = min(1, max(shareFloor, u.factor)); l.Silent {
-			u.silent, u.trialAt, u.wait = true, min(l.TrialAt, now+b.s.Rules.RampTime), max(b.tick, l.Wait)
+		if u.factor = min(1, max(shareFloor, u.factor)); l.Unresponsive {
+			u.silent, u.trialAt, u.wait = true, min(l.TrialAt, now+b.s.Rules.SlowStartDuration), max(b.tick, l.Wait)
 		}
 	}
 	b.gather(now)
--- a/balancer/rest.go
+++ b/balancer/rest.go
@@ -14,8 +14,8 @@
 
 // idle reports whether a tick can do no more than close a period.
 func (b *Balancer) idle() bool {
-	return b.s.Rest && len(b.requests) == 0 && len(b.held) == 0 && b.out == 0 &&
-		(b.s.Reports != ReportProbes || !b.s.Limits.Probes)
+	return b.s.SuspendWhenIdle && len(b.requests) == 0 && len(b.held) == 0 && b.out == 0 &&
+		(b.s.Reports != ReportHealthChecks || !b.s.Limits.HealthChecks)
 }
 
 // nextTick sets the timer for the next tick, or leaves that out and begins to rest.
@@ -57,24 +57,24 @@
 // owesMost bounds the time to the next look at what a tenant of no quota has had: that is never forgotten.
 const owesMost = 24 * time.Hour
 
-// Resting reports whether no timer is set: nothing is open.
-func (b *Balancer) Resting() bool { return b.resting }
+// Suspended reports whether no timer is set: nothing is open.
+func (b *Balancer) Suspended() bool { return b.resting }
 
-// Owes tells until when b has something that no one made in its place would know: what is open, the wait of a
+// NextDue tells until when b has something that no one made in its place would know: what is open, the wait of a
 // cold or failing upstream, the time in which a keyed request must not be repeated elsewhere, a tenant's use
 // of its quota. Not after now: nothing.
-func (b *Balancer) Owes(now time.Duration) (until time.Duration) {
+func (b *Balancer) NextDue(now time.Duration) (until time.Duration) {
 	if b.catchUp(now); !b.resting {
 		return now + b.tick
 	}
 	for _, c := range b.classes {
 		if c.ranAt > 0 {
-			until = max(until, c.ranAt+c.Memory)
+			until = max(until, c.ranAt+c.DeduplicationWindow)
 		}
 	}
 	for _, u := range b.ups {
 		if u.State == Active {
-			until = max(until, u.freeAt, u.StartedAt+b.s.Rules.RampTime)
+			until = max(until, u.freeAt, u.StartedAt+b.s.Rules.SlowStartDuration)
 		}
 	}
 	if b.owing(now) {
--- a/balancer/settings.go
+++ b/balancer/settings.go
@@ -28,20 +28,20 @@
 		{"Classes", len(s.Classes) > 0},
 		{"Balancers", s.Balancers >= 1},
 		{"Rank", s.Rank >= 0 && s.Rank < max(s.Balancers, 1)},
-		{"OverShareWorth", amount(s.OverShareWorth)},
+		{"OverShareWorth", amount(s.OverQuotaWeightFactor)},
 		{"Granularity", s.Granularity >= 0},
 		{"Weights", s.Weights <= WeightLive},
-		{"Reports", s.Reports <= ReportProbes},
+		{"Reports", s.Reports <= ReportHealthChecks},
 		{"Limits.MaxAttempts", s.Limits.MaxAttempts >= 1},
-		{"Limits.Out", s.Limits.Out >= 0},
-		{"Limits.MaxRetry", s.Limits.MaxRetry >= 0},
+		{"Limits.Out", s.Limits.MaxInFlight >= 0},
+		{"Limits.MaxRetry", s.Limits.MaxRetryAfter >= 0},
 		{"Rules.DrainGrace", r.DrainGrace >= 0},
-		{"Rules.AnswerWithin", r.AnswerWithin >= 0},
-		{"Rules.TipAfter", r.TipAfter > 0},
-		{"Rules.RampTime", r.RampTime > 0},
-		{"Rules.TipMultiple", amount(r.TipMultiple) && r.TipMultiple > 0},
-		{"Rules.ColdFrom", r.ColdFrom > 0 && r.ColdFrom <= 1},
-		{"Rules.AskWithin", r.AskWithin > 0 || (r.AskWithin == 0 && !s.OnRequest)},
+		{"Rules.AnswerWithin", r.AnswerSlack >= 0},
+		{"Rules.TipAfter", r.OverloadWindow > 0},
+		{"Rules.RampTime", r.SlowStartDuration > 0},
+		{"Rules.TipMultiple", amount(r.OverloadMultiple) && r.OverloadMultiple > 0},
+		{"Rules.ColdFrom", r.SlowStartFloor > 0 && r.SlowStartFloor <= 1},
+		{"Rules.AskWithin", r.PollInterval > 0 || (r.PollInterval == 0 && !s.PollDiscovery)},
 	} {
 		if !x.ok {
 			return bad("%s is missing or out of range", x.name)
@@ -52,17 +52,17 @@
 		switch {
 		case names[c.Name]:
 			return bad("class %q is set twice", c.Name)
-		case !amount(c.Worth) || !amount(c.LateWorth):
+		case !amount(c.PriorityWeight) || !amount(c.LateWeightFactor):
 			return bad("class %q: Worth and LateWorth must be finite and not negative", c.Name)
-		case c.Aim <= 0:
+		case c.LatencyObjective <= 0:
 			return bad("class %q: Aim must be over zero", c.Name)
-		case c.Deadline < c.Aim:
+		case c.Deadline < c.LatencyObjective:
 			return bad("class %q: Deadline is before Aim", c.Name)
-		case c.Repeat > Unsafe:
+		case c.Idempotency > NonIdempotent:
 			return bad("class %q: Repeat is of no known kind", c.Name)
-		case c.Repeat == Keyed && c.Group > GroupCell:
+		case c.Idempotency == IdempotentWithKey && c.KeyScope > KeyScopeCell:
 			return bad("class %q: Group is of no known kind", c.Name)
-		case c.Repeat == Keyed && c.Memory <= 0:
+		case c.Idempotency == IdempotentWithKey && c.DeduplicationWindow <= 0:
 			return bad("class %q: Memory must be over zero", c.Name)
 		}
 		names[c.Name] = true
@@ -86,7 +86,7 @@
 }
 
 // clean returns o with a latency over zero and a clean load.
-func (o Outcome) clean() Outcome {
+func (o AttemptResult) clean() AttemptResult {
 	o.Latency, o.Load = max(o.Latency, 1), o.Load.clean()
 	return o
 }
--- a/balancer/slowstart.go
+++ b/balancer/slowstart.go
@@ -10,9 +10,9 @@
 
 // ramp is the share of its capacity that u is sure to have.
 func (b *Balancer) ramp(u *upstream, now time.Duration) float64 {
-	if u.cold && now-u.coldAt < b.s.Rules.RampTime {
-		from := b.s.Rules.ColdFrom
-		return from + (1-from)*max(0, float64(now-u.coldAt)/float64(b.s.Rules.RampTime))
+	if u.cold && now-u.coldAt < b.s.Rules.SlowStartDuration {
+		from := b.s.Rules.SlowStartFloor
+		return from + (1-from)*max(0, float64(now-u.coldAt)/float64(b.s.Rules.SlowStartDuration))
 	}
 	u.cold = false
 	return 1
@@ -33,15 +33,15 @@
 	if carry == 0 { // no warm one to judge by: a server does one after the other; the margin counts twice
 		carry = tipMargin * float64(bandPeriod) / b.lat * b.start / boundStart / u.weight
 	}
-	calls := tipMargin * b.s.Rules.TipMultiple * carry * u.weight * u.slice * cmp.Or(u.Part, 1)
-	calls *= b.s.Rules.TipAfter.Seconds() / bandPeriod.Seconds()
+	calls := tipMargin * b.s.Rules.OverloadMultiple * carry * u.weight * u.slice * cmp.Or(u.WarmUpShare, 1)
+	calls *= b.s.Rules.OverloadWindow.Seconds() / bandPeriod.Seconds()
 	part := calls * b.ramp(u, now)
 	if b.carry == 0 && b.warm {
 		return false
 	} else if part < turnsUnder {
 		return b.coldTurn(u, now, calls, part/2)
 	}
-	rate, room := part/b.s.Rules.TipAfter.Seconds(), part/2
+	rate, room := part/b.s.Rules.OverloadWindow.Seconds(), part/2
 	u.spent, u.spentAt = max(0, min(u.spent, room)-rate/2*(now-u.spentAt).Seconds()), now
 	return u.spent <= max(0, room-max(1, r.units))
 }
@@ -54,9 +54,9 @@
 // out its first.
 func (b *Balancer) coldTurn(u *upstream, now time.Duration, calls, open float64) bool {
 	turns := func(at time.Duration) float64 { // that have gone by, the present one in part
-		ramp, from := b.s.Rules.RampTime.Seconds(), b.s.Rules.ColdFrom
+		ramp, from := b.s.Rules.SlowStartDuration.Seconds(), b.s.Rules.SlowStartFloor
 		age := max(0, (at - u.coldAt).Seconds())
-		return calls*age*(from+(1-from)*age/ramp/2)/b.s.Rules.TipAfter.Seconds() + b.phase(u)
+		return calls*age*(from+(1-from)*age/ramp/2)/b.s.Rules.OverloadWindow.Seconds() + b.phase(u)
 	}
 	turn, in := math.Modf(turns(now))
 	last := max(u.sentAt, b.bornAt)
--- a/balancer/state.go
+++ b/balancer/state.go
@@ -78,7 +78,7 @@
 	ring                    []*sender          // the same
 	hand                    int                // where the sweep goes on in it
 	fair                    float64            // its even part of what tenants have bought, requests a second
-	safest                  Repeat
+	safest                  Idempotency
 	requests                map[RequestID]*request
 	byID                    map[UpstreamID]*upstream
 	ups                     []*upstream // in order of arrival
@@ -117,14 +117,14 @@
 // adopt takes settings and returns the shortest aim. What is counted of classes and tenants that stay goes on.
 func (b *Balancer) adopt(s Settings, now time.Duration) (shortest time.Duration) {
 	classes := make(map[string]*class, len(s.Classes))
-	b.safest, shortest = Unsafe, s.Classes[0].Aim
+	b.safest, shortest = NonIdempotent, s.Classes[0].LatencyObjective
 	for _, c := range s.Classes {
 		n := &class{Class: c}
 		if old := b.classes[c.Name]; old != nil {
 			n.lat, n.ranAt = old.lat, old.ranAt // its budget may have shrunk with its deadline: that is learnt anew
 		}
 		classes[c.Name] = n
-		b.safest, shortest = min(b.safest, c.Repeat), min(shortest, c.Aim)
+		b.safest, shortest = min(b.safest, c.Idempotency), min(shortest, c.LatencyObjective)
 	}
 	b.requote(s, now)
 	b.s, b.classes = s, classes
--- a/balancer/tenants.go
+++ b/balancer/tenants.go
@@ -6,11 +6,12 @@
 	"slices"
 	"strings"
 	"sync/atomic"
-	"time"
 )
 
-// Tenants is a table of tenants' quotas. It never changes once it is made, so any number of Balancers may share it: With
-// makes another that has all but the shards concerned in common with it. An entry takes 24 bytes and those of its name; the
+// Tenants is a table of tenants' quotas. It never changes once it is made, so any number of Balancers may
+// share it: With
+// makes another that has all but the shards concerned in common with it. An entry takes 24 bytes and those of
+// its name; the
 // nil table is empty.
 type Tenants struct {
 	shards [][]Tenant // by the high bits of the name's hash, each in order of names
@@ -29,7 +30,8 @@
 // shardTenants is how many tenants a shard has on average, at most: a change copies one shard, a look-up halves it.
 const shardTenants = 32
 
-// NewTenants returns a table of the tenants in a list. What is wrong with the list (a name that stands twice, a quota that is
+// NewTenants returns a table of the tenants in a list. What is wrong with the list (a name that stands twice,
+// a quota that is
 // negative or not finite) is told by Settings.Validate.
 func NewTenants(list []Tenant) *Tenants {
 	t := newTenants(len(list))
@@ -107,7 +109,9 @@
 
 func (t *Tenants) find(name string) (shard, at int, found bool) {
 	shard = t.shard(name)
-	at, found = slices.BinarySearchFunc(t.shards[shard], name, func(x Tenant, name string) int { return strings.Compare(x.Name, name) })
+	at, found = slices.BinarySearchFunc(t.shards[shard], name, func(x Tenant, name string) int {
+		return strings.Compare(x.Name, name)
+	})
 	return shard, at, found
 }
 
@@ -155,7 +159,8 @@
 	}
 }
 
-// With returns a table in which the tenants of a list have new quotas or are new, and those named are gone. t stays as it is.
+// With returns a table in which the tenants of a list have new quotas or are new, and those named are gone. t
+// stays as it is.
 func (t *Tenants) With(changed []Tenant, gone []string) *Tenants {
 	if t == nil {
 		t = NewTenants(nil)
@@ -237,88 +242,3 @@
 	t.part.Store(p)
 	return p.rate
 }
-
-// sender counts a tenant's requests against this balancer's part of its quota. One whose level has run dry counts as one
-// that has not sent.
-type sender struct {
-	name  string
-	rate  float64 // that part, requests a second
-	level float64
-	at    time.Duration // of the level
-}
-
-// drain lowers the level to what it is by now.
-func (s *sender) drain(now time.Duration) {
-	s.level, s.at = max(0, s.level-s.rate*(now.Seconds()-s.at.Seconds())), now
-}
-
-// dry reports whether the level has come to nothing by now.
-func (s *sender) dry(now time.Duration) bool {
-	return s.level <= s.rate*(now.Seconds()-s.at.Seconds())
-}
-
-// sweptAtOnce is how many senders are looked at for each request: more than the one that it may add.
-const sweptAtOnce = 2
-
-// overQuota counts a request and reports whether its tenant is over its quota.
-func (b *Balancer) overQuota(name string, now time.Duration) bool {
-	s := b.senders[name]
-	if s == nil {
-		quota, known := b.s.Tenants.Quota(name)
-		if !known {
-			return false
-		}
-		s = &sender{name: name, rate: quota / float64(b.s.Balancers), at: now}
-		b.senders[name], b.ring = s, append(b.ring, s)
-	}
-	s.drain(now)
-	s.level++
-	b.sweep(now)
-	return s.level > max(s.rate, 1)
-}
-
-// sweep looks at the next few senders and lets go of those whose level has run dry.
-func (b *Balancer) sweep(now time.Duration) {
-	for range min(sweptAtOnce, len(b.ring)) {
-		if b.hand >= len(b.ring) {
-			b.hand = 0
-		}
-		if b.ring[b.hand].dry(now) {
-			b.forget(b.hand)
-		} else {
-			b.hand++
-		}
-	}
-}
-
-// forget lets go of a sender.
-func (b *Balancer) forget(at int) {
-	last := len(b.ring) - 1
-	delete(b.senders, b.ring[at].name)
-	b.ring[at], b.ring[last] = b.ring[last], nil
-	b.ring = b.ring[:last]
-}
-
-// owing reports whether some tenant's level has not run dry, so that it must not be forgotten.
-func (b *Balancer) owing(now time.Duration) bool {
-	for n := -1; len(b.ring) > 0 && len(b.ring) != n; { // until those at the hand are owing
-		n = len(b.ring)
-		b.sweep(now)
-	}
-	return len(b.ring) > 0
-}
-
-// requote moves to other quotas. A level that has been counted stays as it is by now, and goes on at the new rate.
-func (b *Balancer) requote(s Settings, now time.Duration) {
-	for i := len(b.ring) - 1; i >= 0; i-- {
-		x := b.ring[i]
-		quota, known := s.Tenants.Quota(x.name)
-		if !known {
-			b.forget(i)
-		} else if rate := quota / float64(s.Balancers); rate != x.rate {
-			x.drain(now)
-			x.rate = rate
-		}
-	}
-	b.fair = s.Tenants.evenPart(s.Balancers)
-}
--- a/balancer/view.go
+++ b/balancer/view.go
@@ -4,20 +4,20 @@
 
 // UpstreamView is what a Balancer holds of an upstream at a moment: the figures behind its decisions.
 type UpstreamView struct {
-	ID           UpstreamID
-	State        State
-	Member       bool    // in the subset that this Balancer uses
-	Share        float64 // of the traffic, 0 to 1, over all members
-	Cut          float64 // what is left of its share after cuts, 0 to 1
-	Mean         float64 // moving average of utilisation
-	Upper, Lower float64 // the band round it
-	Area         float64 // band gap integrated since the last step
-	Readings     int
-	Estimated    bool // the readings are estimates by latency: it reports nothing
-	Cold, Silent bool
-	Out          int     // attempts out
-	Bound        float64 // that may be out at once
-	Latency      time.Duration
+	ID                      UpstreamID
+	State                   State
+	InSubset                bool    // in the subset that this Balancer uses
+	Share                   float64 // of the traffic, 0 to 1, over all members
+	ShareFactor             float64 // what is left of its share after cuts, 0 to 1
+	Mean                    float64 // moving average of utilisation
+	Upper, Lower            float64 // the band round it
+	Area                    float64 // band gap integrated since the last step
+	Readings                int
+	Estimated               bool // the readings are estimates by latency: it reports nothing
+	WarmingUp, Unresponsive bool
+	InFlight                int     // attempts out
+	ConcurrencyLimit        float64 // that may be out at once
+	Latency                 time.Duration
 }
 
 // View returns the upstreams in order of arrival, and how many requests are held for a turn.
@@ -31,10 +31,10 @@
 	}
 	for _, u := range b.ups {
 		v := UpstreamView{
-			ID: u.ID, State: u.State, Member: u.member, Cut: u.factor, Mean: u.mean, Upper: u.mean + bandAlpha*u.dev,
+			ID: u.ID, State: u.State, InSubset: u.member, ShareFactor: u.factor, Mean: u.mean, Upper: u.mean + bandAlpha*u.dev,
 			Lower: u.mean - bandAlpha*u.dev, Area: u.area, Readings: u.readings,
-			Estimated: b.estimated(u), Cold: u.cold, Silent: u.silent, Out: len(u.outs),
-			Bound: u.bound, Latency: time.Duration(u.lat),
+			Estimated: b.estimated(u), WarmingUp: u.cold, Unresponsive: u.silent, InFlight: len(u.outs),
+			ConcurrencyLimit: u.bound, Latency: time.Duration(u.lat),
 		}
 		if u.member && u.State == Active {
 			v.Share = b.share(u, now) / total
@@ -44,5 +44,5 @@
 	return views, len(b.held)
 }
 
-// Held is how many requests wait for a turn.
-func (b *Balancer) Held() int { return len(b.held) }
+// QueueLength is how many requests wait for a turn.
+func (b *Balancer) QueueLength() int { return len(b.held) }
--- a/cmd/olivearch-coordinator/main.go
+++ b/cmd/olivearch-coordinator/main.go
@@ -42,7 +42,7 @@
 	case errors.Is(err, errUsage):
 		fmt.Fprint(os.Stderr, usage)
 		os.Exit(2)
-	case errors.Is(err, server.ErrDamaged), errors.Is(err, server.ErrForeign), errors.Is(err, server.ErrDisk):
+	case errors.Is(err, server.ErrDamaged), errors.Is(err, server.ErrForeignFolder), errors.Is(err, server.ErrDisk):
 		os.Exit(3)
 	}
 	os.Exit(1)
@@ -71,7 +71,7 @@
 		})
 	case "show":
 		return one(rest, func(v *config.Voter) error {
-			text, err := server.Show(v.Folder, v.Name)
+			text, err := server.Inspect(v.Folder, v.Name)
 			fmt.Fprint(out, text)
 			return err
 		})
@@ -121,8 +121,8 @@
 	}
 	runtime.GOMAXPROCS(1) // it is beside a balancer; on several it uses twice as much when idle, for waking them
 	x, err := server.New(server.Config{
-		Name: v.Name, Address: v.Voters[v.Name], Voters: v.Voters, Folder: v.Folder, Copies: v.Copies,
-		Gone: time.Duration(v.ReplaceAfter),
+		Name: v.Name, Address: v.Voters[v.Name], Voters: v.Voters, Folder: v.Folder, WriteQuorum: v.Copies,
+		ReplaceAfter: time.Duration(v.ReplaceAfter),
 	}, l)
 	if err != nil {
 		l.Close()
--- a/cmd/olivearch/platform.go
+++ b/cmd/olivearch/platform.go
@@ -35,10 +35,10 @@
 	debug.SetMemoryLimit(int64(c.MemoryMB) << 20 * 6 / 10)
 	slog.Info("starting", "name", c.Name, "listen", c.Listen, "known", len(c.Known.Members))
 	// An old process of this balancer may still serve: this one then takes its place.
-	var before *proxy.Predecessor
+	var before *proxy.PreviousProcess
 	var listener net.Listener
 	if c.Meeting != "" {
-		if before, err = proxy.Precede(c.Meeting, c.Listen); err == nil {
+		if before, err = proxy.TakeOver(c.Meeting, c.Listen); err == nil {
 			slog.Info("taking the place of a process that serves")
 			listener = before.Listener
 		} else if !errors.Is(err, os.ErrNotExist) {
--- a/cmd/olivearch/promises.go
+++ b/cmd/olivearch/promises.go
@@ -50,7 +50,7 @@
 	within, hold          time.Duration
 	slots, stale          bool
 	args                  []string
-	caller                *client.Caller
+	caller                *client.Client
 	out                   io.Writer
 }
 
@@ -88,7 +88,7 @@
 			c.by = u.Username
 		}
 	}
-	c.caller = client.NewCaller(c.by, voters)
+	c.caller = client.New(c.by, voters)
 	defer c.caller.Close()
 	run := map[string]struct {
 		least, most int // further words
@@ -188,7 +188,7 @@
 	if err != nil {
 		return err
 	}
-	return c.print(s, note, s.Words(), true)
+	return c.print(s, note, s.Overrides(), true)
 }
 
 func (c *ledgerCall) show(ctx context.Context, words []string) error {
@@ -200,34 +200,34 @@
 	if err != nil {
 		return err
 	}
-	of := slices.DeleteFunc(s.Words(), func(w state.Word) bool { return w.Scope != scope || w.Target != target })
+	of := slices.DeleteFunc(s.Overrides(), func(w state.Override) bool { return w.Scope != scope || w.Target != target })
 	return c.print(s, note, of, false)
 }
 
 // print prints words, and bounds where they are wanted.
-func (c *ledgerCall) print(s *state.State, note string, words []state.Word, bounds bool) error {
-	fmt.Fprintf(c.out, "%s; %d of %d bytes\n", note, s.Used(), int64(state.MaxBytes))
+func (c *ledgerCall) print(s *state.State, note string, words []state.Override, bounds bool) error {
+	fmt.Fprintf(c.out, "%s; %d of %d bytes\n", note, s.UsedBytes(), int64(state.MaxBytes))
 	t := tabwriter.NewWriter(c.out, 0, 0, 2, ' ', 0)
 	fmt.Fprintln(t, "what\ttarget\tvalue\tby\twhen\tuntil\twhy")
 	for _, w := range words {
 		value, until := "", "cleared"
-		if w.Kind != state.Out {
+		if w.Kind != state.OutOfService {
 			value = strconv.FormatInt(w.Value, 10)
 		}
 		if w.Until > 0 {
 			until = "in " + (time.Duration(w.Until-min(w.Until, s.Clock())) * time.Millisecond).Round(time.Second).String()
 		}
-		fmt.Fprintf(t, "%s\t%s/%s\t%s\t%s\t%s\t%s\t%s\n", w.Kind, w.Scope, w.Target, value, w.By, time.UnixMilli(w.At).Format(time.DateTime), until, w.Why)
+		fmt.Fprintf(t, "%s\t%s/%s\t%s\t%s\t%s\t%s\t%s\n", w.Kind, w.Scope, w.Target, value, w.By, time.UnixMilli(w.At).Format(time.DateTime), until, w.Reason)
 	}
 	if bounds {
-		for _, b := range s.Bounds() {
+		for _, b := range s.Resources() {
 			kind := "leases"
 			if b.Slots {
 				kind = "slots"
 			}
 			fmt.Fprintf(t, "%s\t%s\t%d\t\t\t\t\n", kind, b.Name, b.Limit)
 			for _, l := range b.Leases() {
-				fmt.Fprintf(t, "  lease\t%s\t%d\t%s\t\tin %v\tfence %d\n", b.Name, l.Parts, l.Holder, time.Duration(l.Until-min(l.Until, s.Clock()))*time.Millisecond, l.Fence)
+				fmt.Fprintf(t, "  lease\t%s\t%d\t%s\t\tin %v\tfence %d\n", b.Name, l.Units, l.Holder, time.Duration(l.Until-min(l.Until, s.Clock()))*time.Millisecond, l.FencingToken)
 			}
 		}
 	}
@@ -240,7 +240,7 @@
 	if err != nil {
 		return err
 	}
-	_, err = fmt.Fprintf(c.out, "held by %d of %d voters, revision %d\n", a.Held, a.Of, a.Result.Revision)
+	_, err = fmt.Fprintf(c.out, "held by %d of %d voters, revision %d\n", a.Stored, a.Voters, a.Result.Revision)
 	return err
 }
 
@@ -260,11 +260,11 @@
 	if err != nil {
 		return err
 	}
-	word := &state.SetWord{Subject: s, By: c.by, Why: c.why, At: time.Now().UnixMilli(), For: c.hold}
-	if (s.Kind == state.Out) != (len(words) == 2) {
+	word := &state.SetOverride{Subject: s, By: c.by, Reason: c.why, At: time.Now().UnixMilli(), Duration: c.hold}
+	if (s.Kind == state.OutOfService) != (len(words) == 2) {
 		return fmt.Errorf("%w: out takes a target alone; cap and share take a number behind it", errUsage)
 	}
-	if s.Kind != state.Out {
+	if s.Kind != state.OutOfService {
 		if word.Value, err = strconv.ParseInt(words[2], 10, 64); err != nil {
 			return fmt.Errorf("%w: %q is no number", errUsage, words[2])
 		}
@@ -277,7 +277,7 @@
 	if err != nil {
 		return err
 	}
-	return c.propose(ctx, &state.ClearWord{Subject: s, By: c.by})
+	return c.propose(ctx, &state.ClearOverride{Subject: s, By: c.by})
 }
 
 func (c *ledgerCall) bound(ctx context.Context, words []string) error {
@@ -285,7 +285,7 @@
 	if err != nil {
 		return fmt.Errorf("%w: %q is no number", errUsage, words[1])
 	}
-	return c.propose(ctx, &state.SetBound{Name: words[0], Slots: c.slots, Limit: limit})
+	return c.propose(ctx, &state.SetResource{Name: words[0], Slots: c.slots, Limit: limit})
 }
 
 func (c *ledgerCall) members(ctx context.Context, words []string) error {
@@ -297,9 +297,9 @@
 		if _, err := netip.ParseAddrPort(address); !ok || err != nil {
 			return fmt.Errorf("%w: %q is not NAME=ADDRESS, such as k4=127.0.0.1:7104", errUsage, words[1])
 		}
-		return c.propose(ctx, &state.Admit{Name: name, Address: address})
+		return c.propose(ctx, &state.AddVoter{Name: name, Address: address})
 	case len(words) == 2 && words[0] == "remove":
-		return c.propose(ctx, &state.Dismiss{Name: words[1]})
+		return c.propose(ctx, &state.RemoveVoter{Name: words[1]})
 	}
 	return fmt.Errorf("%w: members, members add NAME=ADDRESS or members remove NAME", errUsage)
 }
@@ -324,7 +324,7 @@
 		if s.AgeMS < int64(24*time.Hour/time.Millisecond) {
 			age = fmt.Sprintf("%v ago", time.Duration(s.AgeMS)*time.Millisecond)
 		}
-		fmt.Fprintf(t, "%s\t%s\t%s\t%s\t%d\t%d\t%s\t%.1f\t%d\t%s\n", s.Name, s.ID, s.Role, s.Leader, s.Term, s.Applied, age, s.DiskMS, s.Followers, cmp.Or(s.Trouble, s.LastRefused))
+		fmt.Fprintf(t, "%s\t%s\t%s\t%s\t%d\t%d\t%s\t%.1f\t%d\t%s\n", s.Name, s.ID, s.Role, s.Leader, s.Term, s.Applied, age, s.DiskMS, s.Followers, cmp.Or(s.Fault, s.LastRejected))
 	}
 	if err := t.Flush(); err != nil {
 		return err
@@ -336,10 +336,10 @@
 		fmt.Fprintln(c.out, "NO VOTER LEADS: what is held stays, and no new promise is given")
 		return nil
 	}
-	fmt.Fprintf(c.out, "cluster %s: %d of %d bytes, level %d; promises: %v\n", leader.Cluster, leader.UsedBytes, leader.MaxBytes, leader.Raised, leader.Promises)
+	fmt.Fprintf(c.out, "cluster %s: %d of %d bytes, level %d; promises: %v\n", leader.Cluster, leader.UsedBytes, leader.MaxBytes, leader.FeatureLevel, leader.Grants)
 	for _, m := range leader.Members {
-		note := fmt.Sprintf("heard %v ago, %d entries behind", time.Duration(m.HeardMS)*time.Millisecond, m.Behind)
-		if m.HeardMS < 0 {
+		note := fmt.Sprintf("heard %v ago, %d entries behind", time.Duration(m.LastContactMS)*time.Millisecond, m.EntriesBehind)
+		if m.LastContactMS < 0 {
 			note = "NEVER HEARD by this leader"
 		}
 		if m.Learner {
@@ -347,8 +347,8 @@
 		}
 		fmt.Fprintf(c.out, "  %s (%s): %s\n", m.Name, m.ID, note)
 	}
-	for _, n := range leader.Newcomers {
-		fmt.Fprintf(c.out, "  %s (%s) wants to join: %s\n", n.Name, n.ID, n.Why)
+	for _, n := range leader.JoiningVoters {
+		fmt.Fprintf(c.out, "  %s (%s) wants to join: %s\n", n.Name, n.ID, n.Reason)
 	}
 	return nil
 }
@@ -356,7 +356,7 @@
 func (c *ledgerCall) status(voter string) (*client.VoterStatus, error) {
 	ctx, cancel := context.WithTimeout(context.Background(), min(c.within, time.Second))
 	defer cancel()
-	a, err := c.caller.Ask(ctx, voter, client.Request{Verb: client.Status})
+	a, err := c.caller.Call(ctx, voter, client.Request{Operation: client.OpStatus})
 	if err != nil {
 		return nil, err
 	}
@@ -365,7 +365,7 @@
 }
 
 func (c *ledgerCall) replace(ctx context.Context, words []string) error {
-	if err := c.caller.Gone(ctx, words[0]); err != nil {
+	if err := c.caller.DeclareLost(ctx, words[0]); err != nil {
 		return err
 	}
 	_, err := fmt.Fprintf(c.out, "the next voter named %s with an empty folder takes its place; \"olivearch promises members\" shows how far it has come\n", words[0])
@@ -383,7 +383,7 @@
 	if err := disk.Replace(words[0], s.Encode()); err != nil {
 		return err
 	}
-	_, err = fmt.Fprintf(c.out, "%s: %d words, %d bounds (%s). Leases and slots are not in it: they end by themselves\n", words[0], len(s.Words()), len(s.Bounds()), note)
+	_, err = fmt.Fprintf(c.out, "%s: %d words, %d bounds (%s). Leases and slots are not in it: they end by themselves\n", words[0], len(s.Overrides()), len(s.Resources()), note)
 	return err
 }
 
@@ -401,19 +401,19 @@
 	if err != nil {
 		return err
 	}
-	if n := len(now.Words()); n > 0 {
+	if n := len(now.Overrides()); n > 0 {
 		return fmt.Errorf("the ledger holds %d words already: a snapshot is restored to an empty one", n)
 	}
 	var commands []state.Command
-	for _, b := range kept.Bounds() {
-		commands = append(commands, &state.SetBound{Name: b.Name, Slots: b.Slots, Limit: b.Limit})
+	for _, b := range kept.Resources() {
+		commands = append(commands, &state.SetResource{Name: b.Name, Slots: b.Slots, Limit: b.Limit})
 	}
-	for _, w := range kept.Words() {
+	for _, w := range kept.Overrides() {
 		left := time.Duration(0)
 		if w.Until > 0 {
 			left = time.Duration(max(1, w.Until-min(w.Until, kept.Clock()))) * time.Millisecond
 		}
-		commands = append(commands, &state.SetWord{Subject: w.Subject, Value: w.Value, By: w.By, Why: w.Why, At: w.At, For: left})
+		commands = append(commands, &state.SetOverride{Subject: w.Subject, Value: w.Value, By: w.By, Reason: w.Reason, At: w.At, Duration: left})
 	}
 	for i, command := range commands {
 		one, cancel := context.WithTimeout(context.Background(), c.within)
@@ -423,7 +423,7 @@
 			return fmt.Errorf("%d of %d are held, then: %w", i, len(commands), err)
 		}
 	}
-	_, err = fmt.Fprintf(c.out, "%d words and %d bounds are held again\n", len(kept.Words()), len(kept.Bounds()))
+	_, err = fmt.Fprintf(c.out, "%d words and %d bounds are held again\n", len(kept.Overrides()), len(kept.Resources()))
 	return err
 }
 
--- a/cmd/olivearch/serve.go
+++ b/cmd/olivearch/serve.go
@@ -158,7 +158,7 @@
 // uses tells how many nodes of a pool this one of many balancers uses. Pools with the same settings use the same: known has what was found.
 func uses(out io.Writer, c *config.Loaded, pool string, known []use) ([]use, error) {
 	s := c.Settings(pool)
-	s.Limits.Out, s.Classes = 0, s.Classes[:1] // these say nothing of it
+	s.Limits.MaxInFlight, s.Classes = 0, s.Classes[:1] // these say nothing of it
 	at := slices.IndexFunc(known, func(x use) bool { return x.settings.Equal(s) })
 	if at < 0 {
 		text := fmt.Sprintf("balancer %d of %d uses at first", c.Instances.Rank, c.Instances.Count)
--- a/cmd/simadapter/main.go
+++ b/cmd/simadapter/main.go
@@ -68,18 +68,18 @@
 	case wire.Exit:
 		delete(instances, e.Instance)
 	case wire.Endpoints:
-		b.Members(now, e.Mode, e.List)
+		b.EndpointsUpdated(now, e.Mode, e.List)
 	case wire.Inbound:
-		b.Request(now, e.Request)
+		b.RequestArrived(now, e.Request)
 	case wire.Established:
-		b.Started(now, e.Outcome.ID, e.Outcome.Attempt)
+		b.ResponseStarted(now, e.Outcome.ID, e.Outcome.Attempt)
 	case wire.Verdict:
-		b.Outcome(now, e.Outcome)
+		b.AttemptFinished(now, e.Outcome)
 	case wire.Lapsed:
-		b.Gone(now, e.Request.ID)
+		b.ClientLeft(now, e.Request.ID)
 	case wire.Elapsed:
-		b.Timer(now, e.Token)
+		b.TimerFired(now, e.Token)
 	case wire.Health:
-		b.Probed(now, e.Probe)
+		b.HealthCheckFinished(now, e.Probe)
 	}
 }
--- a/internal/admincmd/manage.go
+++ b/internal/admincmd/manage.go
@@ -22,15 +22,15 @@
 	retryPause = 5 * time.Millisecond
 )
 
-// Operator carries out calls. Its methods may be called from many goroutines; each must return well within a second.
-type Operator interface {
+// Handler carries out calls. Its methods may be called from many goroutines; each must return well within a second.
+type Handler interface {
 	// Status returns nil if this process is ready to serve, or else why it is not.
 	Status() error
-	// Out takes an upstream out until Back. Nothing new goes to it once Out has returned nil. An id that is not known is an error.
+	// TakeOutOfService takes an upstream out until Back. Nothing new goes to it once Out has returned nil. An id that is not known is an error.
 	// The note, if there is one, goes behind the yes.
-	Out(id string) (note string, err error)
-	// Back undoes Out, however often it was called.
-	Back(id string) (note string, err error)
+	TakeOutOfService(id string) (note string, err error)
+	// ReturnToService undoes Out, however often it was called.
+	ReturnToService(id string) (note string, err error)
 	// Standby drains the whole balancer, and Active ends that.
 	Standby() error
 	Active() error
@@ -39,19 +39,19 @@
 // call is a word that a line may begin with.
 type call struct {
 	argument string // that it takes; empty: none
-	run      func(o Operator, argument string) (note string, err error)
+	run      func(o Handler, argument string) (note string, err error)
 }
 
 var calls = map[string]call{
-	"status":    {"", func(o Operator, _ string) (string, error) { return "", o.Status() }},
-	"maint-on":  {"ID", Operator.Out},
-	"maint-off": {"ID", Operator.Back},
-	"standby":   {"", func(o Operator, _ string) (string, error) { return "", o.Standby() }},
-	"active":    {"", func(o Operator, _ string) (string, error) { return "", o.Active() }},
+	"status":    {"", func(o Handler, _ string) (string, error) { return "", o.Status() }},
+	"maint-on":  {"ID", Handler.TakeOutOfService},
+	"maint-off": {"ID", Handler.ReturnToService},
+	"standby":   {"", func(o Handler, _ string) (string, error) { return "", o.Standby() }},
+	"active":    {"", func(o Handler, _ string) (string, error) { return "", o.Active() }},
 }
 
-// Carry carries out the call that a line holds, and returns its answer without the line end.
-func Carry(o Operator, line string) string {
+// Execute carries out the call that a line holds, and returns its answer without the line end.
+func Execute(o Handler, line string) string {
 	words := strings.Fields(line)
 	if len(words) == 0 {
 		return "-ERR no call"
@@ -74,13 +74,13 @@
 
 // Server answers the callers of one listener.
 type Server struct {
-	operator Operator
+	operator Handler
 	mu       sync.Mutex
 	waiting  []net.Conn // no whole line has come from them yet; the one that came first stands first
 }
 
 // Serve answers calls until the context ends, and then closes the listener.
-func Serve(ctx context.Context, l net.Listener, o Operator) error {
+func Serve(ctx context.Context, l net.Listener, o Handler) error {
 	s := &Server{operator: o}
 	stop := context.AfterFunc(ctx, func() { l.Close() })
 	defer stop()
@@ -149,7 +149,7 @@
 	}
 	text := "-ERR the call is too long"
 	if err == nil {
-		text = Carry(s.operator, line)
+		text = Execute(s.operator, line)
 	}
 	io.WriteString(c, text+"\r\n") // a caller who has gone needs no answer
 	slog.Info("call", "line", strings.TrimSpace(line), "answer", text)
--- a/internal/config/settings.go
+++ b/internal/config/settings.go
@@ -10,17 +10,17 @@
 )
 
 var (
-	repeats = map[string]balancer.Repeat{"safe": balancer.Safe, "keyed": balancer.Keyed, "unsafe": balancer.Unsafe}
-	groups  = map[string]balancer.Group{"all": balancer.GroupAll, "zone": balancer.GroupZone, "cell": balancer.GroupCell}
-	reports = map[string]balancer.ReportVia{"answers": balancer.ReportAnswers, "probes": balancer.ReportProbes, "none": balancer.ReportNone}
+	repeats = map[string]balancer.Idempotency{"safe": balancer.Idempotent, "keyed": balancer.IdempotentWithKey, "unsafe": balancer.NonIdempotent}
+	groups  = map[string]balancer.KeyScope{"all": balancer.KeyScopeAll, "zone": balancer.KeyScopeZone, "cell": balancer.KeyScopeCell}
+	reports = map[string]balancer.ReportVia{"answers": balancer.ReportAnswers, "probes": balancer.ReportHealthChecks, "none": balancer.ReportNone}
 )
 
 // Class returns a class in the module's form.
 func (c *Loaded) Class(name string) balancer.Class {
 	x := c.Classes[name]
 	return balancer.Class{
-		Name: name, Aim: time.Duration(x.Aim), Deadline: time.Duration(x.Deadline), Repeat: repeats[x.Repeat],
-		Group: groups[x.Group], Memory: time.Duration(x.Memory), Worth: *x.Worth, LateWorth: x.LateWorth,
+		Name: name, LatencyObjective: time.Duration(x.Aim), Deadline: time.Duration(x.Deadline), Idempotency: repeats[x.Repeat],
+		KeyScope: groups[x.Group], DeduplicationWindow: time.Duration(x.Memory), PriorityWeight: *x.Worth, LateWeightFactor: x.LateWorth,
 	}
 }
 
@@ -59,14 +59,14 @@
 	}
 	s := balancer.Settings{
 		Zone: c.Instances.Zone, Balancers: c.Instances.Count, Rank: c.Instances.Rank,
-		OverShareWorth: *c.OverQuotaWorth, Granularity: time.Millisecond, Rest: true, Weights: balancer.WeightNominal, Reports: reports[p.Reports],
+		OverQuotaWeightFactor: *c.OverQuotaWorth, Granularity: time.Millisecond, SuspendWhenIdle: true, Weights: balancer.WeightNominal, Reports: reports[p.Reports],
 		Limits: balancer.Limits{
-			Cancel: true, Probes: p.Reports == "probes", RetryAfter: true, MaxRetry: time.Duration(p.MaxRetryAfter),
-			MaxAttempts: p.MaxAttempts, Out: p.Connections,
+			Cancel: true, HealthChecks: p.Reports == "probes", RetryAfter: true, MaxRetryAfter: time.Duration(p.MaxRetryAfter),
+			MaxAttempts: p.MaxAttempts, MaxInFlight: p.Connections,
 		},
 		Rules: balancer.Rules{
-			AskWithin: 20 * time.Second, ColdFrom: r.ColdFrom, RampTime: time.Duration(r.RampTime),
-			TipMultiple: r.TipMultiple, TipAfter: time.Duration(r.TipAfter), DrainGrace: time.Duration(r.DrainGrace),
+			PollInterval: 20 * time.Second, SlowStartFloor: r.ColdFrom, SlowStartDuration: time.Duration(r.RampTime),
+			OverloadMultiple: r.TipMultiple, OverloadWindow: time.Duration(r.TipAfter), DrainGrace: time.Duration(r.DrainGrace),
 		},
 	}
 	for _, name := range used {
--- a/internal/coordination/client/copy.go
+++ b/internal/coordination/client/copy.go
@@ -22,16 +22,16 @@
 
 // View is what a Copy has at a moment. It never changes.
 type View struct {
-	Known   bool // it has something: from a voter, or from its file
-	Words   []state.Word
-	Cluster uint64
-	Index   uint64
-	Voter   string // that it follows; empty: none can be reached
-	Leader  string
-	Voters  int
-	Up      int // of these, as the leader hears them; 0: not known
-	Trouble string
-	held    time.Time // a quorum confirmed then that nothing newer was promised
+	Known           bool // it has something: from a voter, or from its file
+	Overrides       []state.Override
+	Cluster         uint64
+	Index           uint64
+	Voter           string // that it follows; empty: none can be reached
+	Leader          string
+	Voters          int
+	ReachableVoters int // of these, as the leader hears them; 0: not known
+	Fault           string
+	held            time.Time // a quorum confirmed then that nothing newer was promised
 }
 
 // Age is how long ago a quorum confirmed that nothing newer was promised than what is here.
@@ -42,13 +42,13 @@
 	return max(0, now.Sub(v.held))
 }
 
-// Copy follows what the ledger holds. What it has stays what holds, however old, until a voter says otherwise: it never goes back to an
+// Follower follows what the ledger holds. What it has stays what holds, however old, until a voter says otherwise: it never goes back to an
 // earlier state, nor to another cluster's.
-type Copy struct {
+type Follower struct {
 	name    string
 	voters  map[string]string
 	path    string // of the file that keeps it; empty: none
-	changed func([]state.Word)
+	changed func([]state.Override)
 	view    atomic.Pointer[View]
 	end     context.CancelFunc
 	ended   chan struct{}
@@ -69,22 +69,22 @@
 	followMost   = time.Second
 )
 
-// Follow begins to follow the voters, from what the file has, if there is one. The voter that is followed is chosen by the copy's own name,
+// StartFollower begins to follow the voters, from what the file has, if there is one. The voter that is followed is chosen by the copy's own name,
 // so that many copies spread over the voters. changed is called with all words whenever some have changed, from one goroutine, and
 // before Follow returns with those of the file; it may not wait.
-func Follow(name string, voters map[string]string, path string, changed func([]state.Word)) *Copy {
-	c := &Copy{name: name, voters: maps.Clone(voters), path: path, changed: changed, ended: make(chan struct{}), state: state.NewState()}
+func StartFollower(name string, voters map[string]string, path string, changed func([]state.Override)) *Follower {
+	c := &Follower{name: name, voters: maps.Clone(voters), path: path, changed: changed, ended: make(chan struct{}), state: state.NewState()}
 	known := false
 	if path != "" {
 		switch err := c.load(); {
 		case err == nil:
 			known = true
-			changed(c.state.Words())
+			changed(c.state.Overrides())
 		case !errors.Is(err, os.ErrNotExist): // a damaged copy must not keep the process from serving
 			slog.Warn("starting without the kept promises", "file", path, "err", err)
 		}
 	}
-	c.view.Store(&View{Known: known, Words: c.state.Words(), Cluster: c.cluster, Index: c.index, Trouble: "no voter has been reached yet"})
+	c.view.Store(&View{Known: known, Overrides: c.state.Overrides(), Cluster: c.cluster, Index: c.index, Fault: "no voter has been reached yet"})
 	ctx, cancel := context.WithCancel(context.Background())
 	c.end = cancel
 	go c.run(ctx)
@@ -92,16 +92,16 @@
 }
 
 // Close ends the following.
-func (c *Copy) Close() {
+func (c *Follower) Close() {
 	c.end()
 	<-c.ended
 }
 
 // View is what the copy has now.
-func (c *Copy) View() *View { return c.view.Load() }
+func (c *Follower) View() *View { return c.view.Load() }
 
 // order are the voters' names, in an order of this copy's own (rendezvous hashing; Thaler and Ravishankar, 1998).
-func (c *Copy) order() []string {
+func (c *Follower) order() []string {
 	weight := func(voter string) uint64 {
 		h := fnv.New64a()
 		fmt.Fprint(h, c.name, " ", voter)
@@ -115,7 +115,7 @@
 	})
 }
 
-func (c *Copy) run(ctx context.Context) {
+func (c *Follower) run(ctx context.Context) {
 	defer close(c.ended)
 	defer c.keep(true)
 	pause := followPause
@@ -141,8 +141,8 @@
 }
 
 // follow takes what one voter sends, until it stops.
-func (c *Copy) follow(ctx context.Context, voter string) error {
-	conn, in, _, err := Dial(ctx, c.voters[voter], Hello{Role: Follows, Cluster: c.cluster, Name: c.name, Applied: c.index, Level: state.Newest})
+func (c *Follower) follow(ctx context.Context, voter string) error {
+	conn, in, _, err := Dial(ctx, c.voters[voter], Hello{Role: RoleFollower, Cluster: c.cluster, Name: c.name, Applied: c.index, Level: state.NewestFeatureLevel})
 	if err != nil {
 		return err
 	}
@@ -157,7 +157,7 @@
 		if err != nil {
 			return err
 		}
-		before, spoken := c.state, c.state.Spoken()
+		before, spoken := c.state, c.state.OverridesRevision()
 		err = c.take(u, first)
 		if err != nil {
 			return err
@@ -166,10 +166,10 @@
 		if held := pings.sent(u.Ping); held.After(c.held) {
 			c.held = held
 		}
-		said := c.state != before || c.state.Spoken() != spoken
+		said := c.state != before || c.state.OverridesRevision() != spoken
 		c.show(voter, &u, said, nil)
 		if said {
-			c.changed(c.view.Load().Words)
+			c.changed(c.view.Load().Overrides)
 		}
 		c.keep(said) // what staff have said at once, the rest at times
 	}
@@ -232,7 +232,7 @@
 }
 
 // take applies an update.
-func (c *Copy) take(u Update, first bool) error {
+func (c *Follower) take(u Update, first bool) error {
 	if c.cluster != 0 && u.Cluster != c.cluster {
 		return fmt.Errorf("cluster %x answers, and %x is followed: what was promised there still holds here", u.Cluster, c.cluster)
 	}
@@ -267,28 +267,28 @@
 }
 
 // show makes what there is now the view.
-func (c *Copy) show(voter string, u *Update, said bool, err error) {
+func (c *Follower) show(voter string, u *Update, said bool, err error) {
 	before := c.view.Load()
 	v := &View{
-		Known: c.cluster != 0, Words: before.Words, Cluster: c.cluster, Index: c.index, Voter: voter, Leader: before.Leader, Voters: before.Voters, Up: before.Up,
+		Known: c.cluster != 0, Overrides: before.Overrides, Cluster: c.cluster, Index: c.index, Voter: voter, Leader: before.Leader, Voters: before.Voters, ReachableVoters: before.ReachableVoters,
 		held: c.held,
 	}
 	if said {
-		v.Words = c.state.Words()
+		v.Overrides = c.state.Overrides()
 	}
 	if err != nil {
-		v.Voter, v.Trouble, v.Up = "", fmt.Sprintf("%s: %v", voter, err), 0
-	} else if u.Beat {
-		v.Leader, v.Voters, v.Up = u.Leader, int(u.Voters), int(u.Up)
+		v.Voter, v.Fault, v.ReachableVoters = "", fmt.Sprintf("%s: %v", voter, err), 0
+	} else if u.Heartbeat {
+		v.Leader, v.Voters, v.ReachableVoters = u.Leader, int(u.Voters), int(u.ReachableVoters)
 		if u.State != nil {
-			v.Voters, v.Up = before.Voters, 0
+			v.Voters, v.ReachableVoters = before.Voters, 0
 		}
 	}
 	c.view.Store(v)
 }
 
 // file is what the file holds: cluster, index, state.
-func (c *Copy) file() []byte {
+func (c *Follower) file() []byte {
 	var w protomsg.Writer
 	w.Uint(1, c.cluster)
 	w.Uint(2, c.index)
@@ -296,7 +296,7 @@
 	return w.Bytes()
 }
 
-func (c *Copy) load() error {
+func (c *Follower) load() error {
 	b, err := disk.Read(c.path, MaxFrame)
 	if err != nil {
 		return err
@@ -325,7 +325,7 @@
 }
 
 // keep writes the file if something is new, at times or now.
-func (c *Copy) keep(now bool) {
+func (c *Follower) keep(now bool) {
 	if c.path == "" || c.index == c.kept || (!now && time.Since(c.keptAt) < keepEvery) {
 		return
 	}
--- a/internal/coordination/client/message.go
+++ b/internal/coordination/client/message.go
@@ -18,9 +18,9 @@
 
 // The roles.
 const (
-	Asks    Role = 1 + iota // requests and answers
-	Follows                 // the voter sends what is held, and what changes
-	Hears                   // another voter: it is sent what the consensus has for it
+	RoleClient   Role = 1 + iota // requests and answers
+	RoleFollower                 // the voter sends what is held, and what changes
+	RolePeer                     // another voter: it is sent what the consensus has for it
 )
 
 // Hello is the first frame of whoever opens a connection.
@@ -35,41 +35,41 @@
 
 // Welcome is the voter's answer.
 type Welcome struct {
-	Cluster uint64
-	ID      uint64 // 0: it belongs to no cluster yet
-	Name    string
-	Level   uint32
-	Refused string // why the connection is of no use; empty: it is
-	Tick    uint64 // see Answer
+	Cluster      uint64
+	ID           uint64 // 0: it belongs to no cluster yet
+	Name         string
+	Level        uint32
+	RejectReason string // why the connection is of no use; empty: it is
+	Tick         uint64 // see Answer
 }
 
-// Verb is what a request asks for.
-type Verb uint8
+// Operation is what a request asks for.
+type Operation uint8
 
 // The verbs.
 const (
-	Propose Verb = 1 + iota // a command
-	Read                    // what is held now, as a quorum knows it
-	Local                   // what this voter has, however old
-	Who                     // who it is
-	Form                    // begin a cluster [Cluster, Members]
-	Join                    // let a voter with an empty disk join [Members[0], Level]
-	Gone                    // staff say that the machine of the voter Name has gone for good
-	Status                  // its state, as JSON
+	OpPropose     Operation = 1 + iota // a command
+	OpRead                             // what is held now, as a quorum knows it
+	OpReadLocal                        // what this voter has, however old
+	OpIdentify                         // who it is
+	OpBootstrap                        // begin a cluster [Cluster, Members]
+	OpJoin                             // let a voter with an empty disk join [Members[0], Level]
+	OpDeclareLost                      // staff say that the machine of the voter Name has gone for good
+	OpStatus                           // its state, as JSON
 )
 
 // Request is one of a caller's. Several may be under way on a connection.
 type Request struct {
-	Number  uint64
-	Verb    Verb
-	Command []byte        // Propose
-	Within  time.Duration // how long an answer is waited for
-	Hops    uint8         // how often it has been passed on
-	Cluster uint64
-	Members []state.Member
-	Name    string
-	Level   uint32
-	Tick    uint64 // the last that was heard of the voter; 0: none
+	Number    uint64
+	Operation Operation
+	Command   []byte        // Propose
+	Within    time.Duration // how long an answer is waited for
+	Hops      uint8         // how often it has been passed on
+	Cluster   uint64
+	Members   []state.Member
+	Name      string
+	Level     uint32
+	Tick      uint64 // the last that was heard of the voter; 0: none
 }
 
 // Outcome says what an answer means.
@@ -77,20 +77,20 @@
 
 // The outcomes.
 const (
-	Yes     Outcome = 1 + iota // done; of a command: it is held
-	No                         // refused, by the ledger's rules
-	Nowhere                    // certainly not done, and not looked at: another voter, or later, may do it
-	Unsure                     // it may have been done, or may yet be
+	OutcomeDone         Outcome = 1 + iota // done; of a command: it is held
+	OutcomeRejected                        // refused, by the ledger's rules
+	OutcomeNotAttempted                    // certainly not done, and not looked at: another voter, or later, may do it
+	OutcomeUncertain                       // it may have been done, or may yet be
 )
 
-// Answer is a voter's.
-type Answer struct {
+// Response is a voter's.
+type Response struct {
 	Number  uint64
 	Outcome Outcome
-	Text    string // why not
+	Message string // why not
 	Result  state.Result
-	Held    int    // voters that have it on their disks
-	Of      int    // voters that there are
+	Stored  int    // voters that have it on their disks
+	Voters  int    // voters that there are
 	Leader  string // name of the leader, where known
 	Body    []byte // Read, Local: the state; Status: JSON
 	Index   uint64 // Read, Local: of the last that is in it
@@ -105,15 +105,15 @@
 
 // Update is what a voter sends to a follower: a whole state, commands, or a word that it is up to date.
 type Update struct {
-	State    []byte   // nil: none
-	Commands [][]byte // envelopes, all of the same index
-	Index    uint64   // of the last that was applied
-	Beat     bool
-	Ping     uint64 // of the follower's: all that was promised before it sent that is in Index; 0: not known
-	Leader   string
-	Cluster  uint64
-	Voters   uint32
-	Up       uint32 // of these, as the leader hears them; 0: not known here
+	State           []byte   // nil: none
+	Commands        [][]byte // envelopes, all of the same index
+	Index           uint64   // of the last that was applied
+	Heartbeat       bool
+	Ping            uint64 // of the follower's: all that was promised before it sent that is in Index; 0: not known
+	Leader          string
+	Cluster         uint64
+	Voters          uint32
+	ReachableVoters uint32 // of these, as the leader hears them; 0: not known here
 }
 
 const (
@@ -162,7 +162,7 @@
 	w.Uint(3, h.ID)
 	w.String(4, h.Name)
 	w.Uint(5, uint64(h.Level))
-	w.String(6, h.Refused)
+	w.String(6, h.RejectReason)
 	w.Uint(7, h.Tick)
 	return w.Bytes()
 }
@@ -180,7 +180,7 @@
 		case 5:
 			h.Level = uint32(min(f.Uint, 1<<31))
 		case 6:
-			return f.Text(&h.Refused, maxText)
+			return f.Text(&h.RejectReason, maxText)
 		case 7:
 			h.Tick = f.Uint
 		}
@@ -209,7 +209,7 @@
 func (r *Request) Encode() []byte {
 	var w protomsg.Writer
 	w.Uint(1, r.Number)
-	w.Uint(2, uint64(r.Verb))
+	w.Uint(2, uint64(r.Operation))
 	w.Raw(3, r.Command)
 	w.Uint(4, uint64(max(0, r.Within/time.Microsecond)))
 	w.Uint(5, uint64(r.Hops))
@@ -235,7 +235,7 @@
 		case 1:
 			r.Number = f.Uint
 		case 2:
-			r.Verb = Verb(min(f.Uint, 255))
+			r.Operation = Operation(min(f.Uint, 255))
 		case 3:
 			r.Command = f.Raw
 		case 4:
@@ -262,20 +262,20 @@
 const longAgo = 1000 * time.Hour
 
 // Encode writes it.
-func (a *Answer) Encode() []byte {
+func (a *Response) Encode() []byte {
 	var w protomsg.Writer
 	w.Uint(1, a.Number)
 	w.Uint(2, uint64(a.Outcome))
-	w.String(3, a.Text)
-	w.Uint(4, uint64(a.Result.Reason))
-	w.String(5, a.Result.Text)
+	w.String(3, a.Message)
+	w.Uint(4, uint64(a.Result.Rejection))
+	w.String(5, a.Result.Message)
 	w.Uint(6, a.Result.Revision)
 	w.Uint(7, a.Result.Clock)
-	w.Uint(8, a.Result.Fence)
+	w.Uint(8, a.Result.FencingToken)
 	w.Int(9, a.Result.Free)
-	state.WriteBooked(&w, 10, a.Result.Booked)
-	w.Uint(11, uint64(a.Held))
-	w.Uint(12, uint64(a.Of))
+	state.WriteReserved(&w, 10, a.Result.Reserved)
+	w.Uint(11, uint64(a.Stored))
+	w.Uint(12, uint64(a.Voters))
 	w.String(13, a.Leader)
 	w.Raw(14, a.Body)
 	w.Uint(15, a.Index)
@@ -289,8 +289,8 @@
 	return w.Bytes()
 }
 
-// DecodeAnswer reads one.
-func DecodeAnswer(b []byte) (a Answer, err error) {
+// DecodeResponse reads one.
+func DecodeResponse(b []byte) (a Response, err error) {
 	err = protomsg.Each(b, func(f field) error {
 		switch f.Number {
 		case 1:
@@ -298,27 +298,27 @@
 		case 2:
 			a.Outcome = Outcome(min(f.Uint, 255))
 		case 3:
-			return f.Text(&a.Text, maxText)
+			return f.Text(&a.Message, maxText)
 		case 4:
-			a.Result.Reason = state.Reason(min(f.Uint, 255))
+			a.Result.Rejection = state.Rejection(min(f.Uint, 255))
 		case 5:
-			return f.Text(&a.Result.Text, maxText)
+			return f.Text(&a.Result.Message, maxText)
 		case 6:
 			a.Result.Revision = f.Uint
 		case 7:
 			a.Result.Clock = f.Uint
 		case 8:
-			a.Result.Fence = f.Uint
+			a.Result.FencingToken = f.Uint
 		case 9:
 			a.Result.Free = f.Int()
 		case 10:
-			x, err := state.ReadBooked(f.Raw)
-			a.Result.Booked = append(a.Result.Booked, x)
+			x, err := state.ReadReserved(f.Raw)
+			a.Result.Reserved = append(a.Result.Reserved, x)
 			return err
 		case 11:
-			a.Held = int(min(f.Uint, maxMembers))
+			a.Stored = int(min(f.Uint, maxMembers))
 		case 12:
-			a.Of = int(min(f.Uint, maxMembers))
+			a.Voters = int(min(f.Uint, maxMembers))
 		case 13:
 			return f.Text(&a.Leader, state.MaxName)
 		case 14:
@@ -353,12 +353,12 @@
 		w.Raw(2, c)
 	}
 	w.Uint(3, u.Index)
-	w.Bool(4, u.Beat)
+	w.Bool(4, u.Heartbeat)
 	w.Uint(5, u.Ping)
 	w.String(6, u.Leader)
 	w.Uint(7, u.Cluster)
 	w.Uint(8, uint64(u.Voters))
-	w.Uint(9, uint64(u.Up))
+	w.Uint(9, uint64(u.ReachableVoters))
 	return w.Bytes()
 }
 
@@ -373,7 +373,7 @@
 		case 3:
 			u.Index = f.Uint
 		case 4:
-			u.Beat = f.Bool()
+			u.Heartbeat = f.Bool()
 		case 5:
 			u.Ping = f.Uint
 		case 6:
@@ -383,7 +383,7 @@
 		case 8:
 			u.Voters = uint32(min(f.Uint, maxMembers))
 		case 9:
-			u.Up = uint32(min(f.Uint, maxMembers))
+			u.ReachableVoters = uint32(min(f.Uint, maxMembers))
 		}
 		return nil
 	})
--- a/internal/coordination/membership/cluster.go
+++ b/internal/coordination/membership/cluster.go
@@ -15,17 +15,17 @@
 	"olivearch/internal/coordination/state"
 )
 
-// Report is what a voter's process says of itself.
-type Report struct {
+// VoterReport is what a voter's process says of itself.
+type VoterReport struct {
 	Name    string
 	ID      uint64
 	Cluster uint64 // 0: its folder belongs to none yet
 	Level   uint32 // of commands that its version knows
 }
 
-// Found decides whether a process begins the cluster: it is the first by name of those that are configured, and all of them are there,
+// Bootstrap decides whether a process begins the cluster: it is the first by name of those that are configured, and all of them are there,
 // under names and ids of their own, and belong to none yet. One that was a member before keeps a second cluster from beginning.
-func Found(self string, addresses map[string]string, reports map[string]Report) (members []state.Member, why string) {
+func Bootstrap(self string, addresses map[string]string, reports map[string]VoterReport) (members []state.Member, why string) {
 	names := slices.Sorted(maps.Keys(addresses))
 	if len(names) == 0 || names[0] != self {
 		return nil, "another voter comes first by name, and begins"
@@ -52,56 +52,56 @@
 // Peer is a member as the leader sees it.
 type Peer struct {
 	state.Member
-	Heard time.Duration // since the leader last heard of it; 0: the leader itself
-	Known time.Duration // since the leader has known it as a member, and could have heard it
-	Match uint64        // up to which its log is known to be the leader's
-	Level uint32        // of commands that its version knows; 0: not known
-	Gone  bool          // staff say that its machine has gone for good
+	SinceContact time.Duration // since the leader last heard of it; 0: the leader itself
+	SinceAdded   time.Duration // since the leader has known it as a member, and could have heard it
+	MatchIndex   uint64        // up to which its log is known to be the leader's
+	Level        uint32        // of commands that its version knows; 0: not known
+	DeclaredLost bool          // staff say that its machine has gone for good
 }
 
-// Newcomer is a process with an empty folder that wants to join.
-type Newcomer struct {
-	Report
+// JoiningVoter is a process with an empty folder that wants to join.
+type JoiningVoter struct {
+	VoterReport
 	Address string
 }
 
 // View is what the leader knows.
 type View struct {
-	Self      uint64
-	Members   []Peer // voters and learners
-	Newcomers []Newcomer
-	Admitted  map[string]string // names that may vote, with their addresses
-	Committed uint64
-	Changing  bool   // a change is under way
-	Raised    uint32 // level of the ledger
+	Self          uint64
+	Members       []Peer // voters and learners
+	JoiningVoters []JoiningVoter
+	Admitted      map[string]string // names that may vote, with their addresses
+	Committed     uint64
+	Changing      bool   // a change is under way
+	FeatureLevel  uint32 // level of the ledger
 }
 
-// Options are the times that decisions go by.
-type Options struct {
-	Gone time.Duration // without a word for so long, a voter may be replaced by one with its name
-	Idle time.Duration // without a word for so long, a learner is given up
+// Timeouts are the times that decisions go by.
+type Timeouts struct {
+	ReplaceAfter time.Duration // without a word for so long, a voter may be replaced by one with its name
+	LearnerIdle  time.Duration // without a word for so long, a learner is given up
 }
 
-// Kind of step.
-type Kind uint8
+// ChangeKind of step.
+type ChangeKind uint8
 
 // The kinds.
 const (
-	Nothing  Kind = iota
-	Learn         // add Member, without a vote
-	Swap          // give Member a vote and take that of Old, in one step
-	Promote       // give Member a vote beside the others
-	Drop          // remove the member Old
-	HandOver      // the leader itself is to go: let Member lead
-	RaiseTo       // raise the ledger's level to Level
+	NoChange           ChangeKind = iota
+	AddLearner                    // add Member, without a vote
+	ReplaceVoter                  // give Member a vote and take that of Old, in one step
+	PromoteLearner                // give Member a vote beside the others
+	RemoveMember                  // remove the member Old
+	TransferLeadership            // the leader itself is to go: let Member lead
+	RaiseFeatureLevel             // raise the ledger's level to Level
 )
 
-// Step is what is to be done next. One step is taken at a time.
-type Step struct {
-	Kind   Kind
-	Member state.Member
-	Old    uint64
-	Level  uint32
+// Change is what is to be done next. One step is taken at a time.
+type Change struct {
+	Kind     ChangeKind
+	Member   state.Member
+	Replaced uint64
+	Level    uint32
 }
 
 // lag is how many entries a learner may be behind to get its vote.
@@ -110,8 +110,8 @@
 // alive is within what time a member that votes was heard.
 const alive = 2 * time.Second
 
-// Next is the next step, and for each newcomer that has to wait or is turned away why.
-func Next(v View, o Options) (Step, map[uint64]string) {
+// NextChange is the next step, and for each newcomer that has to wait or is turned away why.
+func NextChange(v View, o Timeouts) (Change, map[uint64]string) {
 	why := map[uint64]string{}
 	var voters, learners []Peer
 	for _, p := range v.Members {
@@ -121,29 +121,29 @@
 			voters = append(voters, p)
 		}
 	}
-	for _, n := range v.Newcomers {
+	for _, n := range v.JoiningVoters {
 		why[n.ID] = v.waits(n, voters, learners, o)
 	}
 	if v.Changing {
-		return Step{}, why
+		return Change{}, why
 	}
 	for _, l := range learners { // given up, or another life of it is there: its disk was lost once more
 		_, admitted := v.Admitted[l.Name]
-		lost := slices.ContainsFunc(v.Newcomers, func(n Newcomer) bool { return n.Name == l.Name && n.ID != l.ID })
-		if !admitted || l.silent() > o.Idle || (lost && l.silent() > alive) {
-			return Step{Kind: Drop, Old: l.ID}, why
+		lost := slices.ContainsFunc(v.JoiningVoters, func(n JoiningVoter) bool { return n.Name == l.Name && n.ID != l.ID })
+		if !admitted || l.silent() > o.LearnerIdle || (lost && l.silent() > alive) {
+			return Change{Kind: RemoveMember, Replaced: l.ID}, why
 		}
 	}
 	for _, l := range learners {
-		if l.Match+lag < v.Committed || l.Heard > alive {
+		if l.MatchIndex+lag < v.Committed || l.SinceContact > alive {
 			continue
 		}
 		i := slices.IndexFunc(voters, func(p Peer) bool { return p.Name == l.Name })
 		switch {
 		case i >= 0 && quorate(voters) && quorate(append(without(voters, i), l)):
-			return Step{Kind: Swap, Member: l.Member, Old: voters[i].ID}, why
+			return Change{Kind: ReplaceVoter, Member: l.Member, Replaced: voters[i].ID}, why
 		case i < 0 && quorate(append(slices.Clone(voters), l)):
-			return Step{Kind: Promote, Member: l.Member}, why
+			return Change{Kind: PromoteLearner, Member: l.Member}, why
 		}
 	}
 	for i, p := range voters { // dismissed
@@ -151,29 +151,29 @@
 			continue
 		}
 		if p.ID != v.Self {
-			return Step{Kind: Drop, Old: p.ID}, why
+			return Change{Kind: RemoveMember, Replaced: p.ID}, why
 		}
 		rest := without(voters, i)
-		return Step{Kind: HandOver, Member: slices.MinFunc(rest, func(a, b Peer) int { return cmp.Compare(a.Heard, b.Heard) }).Member}, why
+		return Change{Kind: TransferLeadership, Member: slices.MinFunc(rest, func(a, b Peer) int { return cmp.Compare(a.SinceContact, b.SinceContact) }).Member}, why
 	}
-	for _, n := range v.Newcomers {
+	for _, n := range v.JoiningVoters {
 		if why[n.ID] == "" {
-			return Step{Kind: Learn, Member: state.Member{ID: n.ID, Name: n.Name, Address: n.Address, Learner: true}}, why
+			return Change{Kind: AddLearner, Member: state.Member{ID: n.ID, Name: n.Name, Address: n.Address, Learner: true}}, why
 		}
 	}
-	if level := lowest(v.Members); level > v.Raised {
-		return Step{Kind: RaiseTo, Level: level}, why
+	if level := lowest(v.Members); level > v.FeatureLevel {
+		return Change{Kind: RaiseFeatureLevel, Level: level}, why
 	}
-	return Step{}, why
+	return Change{}, why
 }
 
 // waits says why a newcomer may not join now; empty: it may.
-func (v View) waits(n Newcomer, voters, learners []Peer, o Options) string {
+func (v View) waits(n JoiningVoter, voters, learners []Peer, o Timeouts) string {
 	if _, admitted := v.Admitted[n.Name]; !admitted {
 		return fmt.Sprintf("no voter %s is wanted: olivearch promises members add %s=ADDRESS admits one", n.Name, n.Name)
 	}
-	if n.Level < v.Raised {
-		return fmt.Sprintf("its version knows level %d, and the ledger is at %d", n.Level, v.Raised)
+	if n.Level < v.FeatureLevel {
+		return fmt.Sprintf("its version knows level %d, and the ledger is at %d", n.Level, v.FeatureLevel)
 	}
 	for _, l := range learners {
 		if l.ID == n.ID {
@@ -193,8 +193,8 @@
 		if p.ID == n.ID {
 			return "it votes already"
 		}
-		least := o.Gone
-		if p.Gone {
+		least := o.ReplaceAfter
+		if p.DeclaredLost {
 			least = alive
 		}
 		if p.silent() < least {
@@ -205,7 +205,7 @@
 }
 
 // silent is for how long the leader has heard nothing where it could have.
-func (p Peer) silent() time.Duration { return min(p.Heard, p.Known) }
+func (p Peer) silent() time.Duration { return min(p.SinceContact, p.SinceAdded) }
 
 // without leaves one out.
 func without(all []Peer, i int) []Peer { return slices.Delete(slices.Clone(all), i, i+1) }
@@ -214,7 +214,7 @@
 func quorate(voters []Peer) bool {
 	n := 0
 	for _, p := range voters {
-		if p.Heard <= alive {
+		if p.SinceContact <= alive {
 			n++
 		}
 	}
--- a/internal/coordination/server/apply.go
+++ b/internal/coordination/server/apply.go
@@ -92,12 +92,12 @@
 		}
 		switch {
 		case !p.result.OK():
-			c.no(p.result.Text)
-			p.answer(client.Answer{Outcome: client.No, Text: p.result.Text, Result: p.result, Held: held, Of: len(matches)})
-		case held >= min(c.Copies, len(matches)):
-			p.answer(client.Answer{Outcome: client.Yes, Result: p.result, Held: held, Of: len(matches)})
+			c.no(p.result.Message)
+			p.answer(client.Response{Outcome: client.OutcomeRejected, Message: p.result.Message, Result: p.result, Stored: held, Voters: len(matches)})
+		case held >= min(c.WriteQuorum, len(matches)):
+			p.answer(client.Response{Outcome: client.OutcomeDone, Result: p.result, Stored: held, Voters: len(matches)})
 		case now.After(p.until):
-			p.answer(client.Answer{Outcome: client.Unsure, Text: fmt.Sprintf("%d voters have it, and %d are wanted", held, c.Copies), Held: held, Of: len(matches)})
+			p.answer(client.Response{Outcome: client.OutcomeUncertain, Message: fmt.Sprintf("%d voters have it, and %d are wanted", held, c.WriteQuorum), Stored: held, Voters: len(matches)})
 		default:
 			rest = append(rest, p)
 		}
--- a/internal/coordination/server/asks.go
+++ b/internal/coordination/server/asks.go
@@ -35,47 +35,47 @@
 		a.Within = usualWithin
 	}
 	answer := a.answer
-	a.answer = func(x client.Answer) { // every answer says who gives it
-		x.Name, x.ID, x.Cluster, x.Level = c.Name, c.id(), c.identity.Cluster, state.Newest
+	a.answer = func(x client.Response) { // every answer says who gives it
+		x.Name, x.ID, x.Cluster, x.Level = c.Name, c.id(), c.identity.Cluster, state.NewestFeatureLevel
 		x.Leader = c.leader()
 		answer(x)
 	}
 	if now := c.ticksNow(); a.Tick > 0 && now > a.Tick+uint64((a.Within+client.Stale)/time.Millisecond) {
 		// It has waited in this process, stopped, or on a link that was cut: whoever asked has given up, and may have said something
 		// else since.
-		a.answer(client.Answer{Outcome: client.Nowhere, Text: fmt.Sprintf("it has been on its way for up to %d ms", now-a.Tick)})
+		a.answer(client.Response{Outcome: client.OutcomeNotAttempted, Message: fmt.Sprintf("it has been on its way for up to %d ms", now-a.Tick)})
 		return
 	}
-	switch a.Verb {
-	case client.Propose:
+	switch a.Operation {
+	case client.OpPropose:
 		c.propose(a)
-	case client.Read:
+	case client.OpRead:
 		c.read(a.Within, func(c *core, err error) {
 			if err != nil {
-				a.answer(client.Answer{Outcome: client.Nowhere, Text: err.Error()})
+				a.answer(client.Response{Outcome: client.OutcomeNotAttempted, Message: err.Error()})
 				return
 			}
 			a.answer(c.held())
 		})
-	case client.Local:
+	case client.OpReadLocal:
 		a.answer(c.held())
-	case client.Who:
-		a.answer(client.Answer{Outcome: client.Yes})
-	case client.Form:
+	case client.OpIdentify:
+		a.answer(client.Response{Outcome: client.OutcomeDone})
+	case client.OpBootstrap:
 		c.form(a)
-	case client.Join:
+	case client.OpJoin:
 		c.join(a)
-	case client.Gone:
+	case client.OpDeclareLost:
 		c.goneForGood(a)
-	case client.Status:
+	case client.OpStatus:
 		text, err := json.Marshal(c.status())
 		if err != nil {
-			a.answer(client.Answer{Outcome: client.No, Text: err.Error()})
+			a.answer(client.Response{Outcome: client.OutcomeRejected, Message: err.Error()})
 			return
 		}
-		a.answer(client.Answer{Outcome: client.Yes, Body: text})
+		a.answer(client.Response{Outcome: client.OutcomeDone, Body: text})
 	default:
-		a.answer(client.Answer{Outcome: client.No, Text: fmt.Sprintf("there is no verb %d", a.Verb)})
+		a.answer(client.Response{Outcome: client.OutcomeRejected, Message: fmt.Sprintf("there is no verb %d", a.Operation)})
 	}
 }
 
@@ -86,8 +86,8 @@
 }
 
 // held is what this voter has.
-func (c *core) held() client.Answer {
-	return client.Answer{Outcome: client.Yes, Body: c.state.Encode(), Index: c.applied, Age: c.age()}
+func (c *core) held() client.Response {
+	return client.Response{Outcome: client.OutcomeDone, Body: c.state.Encode(), Index: c.applied, Age: c.age()}
 }
 
 // age is how long ago a quorum confirmed that nothing newer was promised than what is here.
@@ -105,17 +105,17 @@
 	now := time.Now()
 	switch {
 	case c.node == nil:
-		a.answer(client.Answer{Outcome: client.Nowhere, Text: "it belongs to no cluster yet: " + c.waits})
+		a.answer(client.Response{Outcome: client.OutcomeNotAttempted, Message: "it belongs to no cluster yet: " + c.waits})
 	case c.stalled(now):
-		a.answer(client.Answer{Outcome: client.Nowhere, Text: fmt.Sprintf("the disk of %s has not answered for %v", c.Name, c.writer.owes(now).Round(time.Millisecond))})
+		a.answer(client.Response{Outcome: client.OutcomeNotAttempted, Message: fmt.Sprintf("the disk of %s has not answered for %v", c.Name, c.writer.owes(now).Round(time.Millisecond))})
 	case c.leading && c.ready:
 		return false
 	case c.leading:
-		a.answer(client.Answer{Outcome: client.Nowhere, Text: "it has just been elected"})
+		a.answer(client.Response{Outcome: client.OutcomeNotAttempted, Message: "it has just been elected"})
 	case c.lead == raft.None:
-		a.answer(client.Answer{Outcome: client.Nowhere, Text: errNoLeader.Error()})
+		a.answer(client.Response{Outcome: client.OutcomeNotAttempted, Message: errNoLeader.Error()})
 	case a.Hops >= maxHops:
-		a.answer(client.Answer{Outcome: client.Nowhere, Text: "it does not lead"})
+		a.answer(client.Response{Outcome: client.OutcomeNotAttempted, Message: "it does not lead"})
 	default:
 		leader := c.leader()
 		go func() { // its answer, or what is known without one
@@ -123,12 +123,12 @@
 			defer cancel()
 			r := a.Request
 			r.Hops, r.Within = r.Hops+1, 0
-			x, err := c.caller.Ask(ctx, leader, r)
+			x, err := c.caller.Call(ctx, leader, r)
 			switch {
 			case errors.Is(err, client.ErrNobody):
-				x = client.Answer{Outcome: client.Nowhere, Text: err.Error()}
+				x = client.Response{Outcome: client.OutcomeNotAttempted, Message: err.Error()}
 			case err != nil:
-				x = client.Answer{Outcome: client.Unsure, Text: err.Error()}
+				x = client.Response{Outcome: client.OutcomeUncertain, Message: err.Error()}
 			}
 			x.Number = a.Number
 			c.hand(eventFunc(func(c *core) { a.answer(x) }))
@@ -143,24 +143,24 @@
 		return
 	}
 	command, err := state.Decode(a.Command)
-	if err == nil && state.Ours(command) {
+	if err == nil && state.IsInternal(command) {
 		err = errors.New("such a command is not taken from outside")
 	}
 	if err == nil {
 		err = command.Check()
 	}
 	if err != nil {
-		a.answer(client.Answer{Outcome: client.No, Text: err.Error(), Result: state.Result{Reason: state.Invalid, Text: err.Error()}})
+		a.answer(client.Response{Outcome: client.OutcomeRejected, Message: err.Error(), Result: state.Result{Rejection: state.RejectedInvalid, Message: err.Error()}})
 		return
 	}
 	twist(command, c.state)
 	if len(c.pending) >= maxPending {
-		a.answer(client.Answer{Outcome: client.Nowhere, Text: fmt.Sprintf("%d promises wait for a quorum already", maxPending)})
+		a.answer(client.Response{Outcome: client.OutcomeNotAttempted, Message: fmt.Sprintf("%d promises wait for a quorum already", maxPending)})
 		return
 	}
 	e := state.Envelope{ID: rand.Uint64(), Clock: c.clock(time.Now()), Command: command}
 	if err := c.node.Propose(e.Encode()); err != nil {
-		a.answer(client.Answer{Outcome: client.Nowhere, Text: err.Error()})
+		a.answer(client.Response{Outcome: client.OutcomeNotAttempted, Message: err.Error()})
 		return
 	}
 	p := &proposal{answer: a.answer, until: time.Now().Add(a.Within)}
@@ -182,11 +182,11 @@
 	hex := func(id uint64) string { return fmt.Sprintf("%x", id) }
 	s := client.VoterStatus{
 		Name: c.Name, ID: hex(c.id()), Role: "waiting", Leader: c.leader(), Applied: c.applied, AgeMS: c.age().Milliseconds(), ClockMS: c.state.Clock(),
-		Level: state.Newest, Raised: c.state.Raised(), UsedBytes: c.state.Used(), MaxBytes: state.MaxBytes, Promises: map[string]int{}, Followers: len(c.followers),
-		Refused: c.refused, LastRefused: c.lastNo, DiskMS: float64(c.disk.Microseconds()) / 1000, Trouble: c.waits,
+		Level: state.NewestFeatureLevel, FeatureLevel: c.state.FeatureLevel(), UsedBytes: c.state.UsedBytes(), MaxBytes: state.MaxBytes, Grants: map[string]int{}, Followers: len(c.followers),
+		Rejected: c.refused, LastRejected: c.lastNo, DiskMS: float64(c.disk.Microseconds()) / 1000, Fault: c.waits,
 	}
 	if c.stalled(now) {
-		s.Trouble = fmt.Sprintf("the disk has not answered for %v", c.writer.owes(now).Round(time.Millisecond))
+		s.Fault = fmt.Sprintf("the disk has not answered for %v", c.writer.owes(now).Round(time.Millisecond))
 	}
 	match := map[uint64]uint64{}
 	if c.node != nil {
@@ -196,30 +196,30 @@
 		c.node.WithProgress(func(id uint64, _ raft.ProgressType, p progress) { match[id] = p.Match })
 	}
 	for _, m := range c.state.Members() {
-		x := client.MemberStatus{Name: m.Name, ID: hex(m.ID), Address: m.Address, Learner: m.Learner, HeardMS: -1}
+		x := client.MemberStatus{Name: m.Name, ID: hex(m.ID), Address: m.Address, Learner: m.Learner, LastContactMS: -1}
 		if m.ID == c.id() {
-			if x.HeardMS = 0; m.Learner {
+			if x.LastContactMS = 0; m.Learner {
 				s.Role = "learner"
 			}
 		} else if at, ok := c.heard[m.ID]; ok {
-			x.HeardMS = now.Sub(at).Milliseconds()
+			x.LastContactMS = now.Sub(at).Milliseconds()
 		}
 		if c.leading && s.Committed > match[m.ID] {
-			x.Behind = s.Committed - match[m.ID]
+			x.EntriesBehind = s.Committed - match[m.ID]
 		}
 		s.Members = append(s.Members, x)
 	}
 	for id, n := range c.newcomers {
-		s.Newcomers = append(s.Newcomers, client.Newcomer{Name: n.Name, ID: hex(id), Why: n.why})
+		s.JoiningVoters = append(s.JoiningVoters, client.JoiningVoter{Name: n.Name, ID: hex(id), Reason: n.why})
 	}
-	for _, w := range c.state.Words() {
-		s.Promises[w.Kind.String()]++
+	for _, w := range c.state.Overrides() {
+		s.Grants[w.Kind.String()]++
 	}
-	for _, b := range c.state.Bounds() {
-		s.Promises["bound"]++
-		s.Promises["lease"] += len(b.Leases())
-		for _, x := range b.Booked() {
-			s.Promises["slot"] += int(x.Places)
+	for _, b := range c.state.Resources() {
+		s.Grants["bound"]++
+		s.Grants["lease"] += len(b.Leases())
+		for _, x := range b.Reserved() {
+			s.Grants["slot"] += int(x.Places)
 		}
 	}
 	return s
--- a/internal/coordination/server/links.go
+++ b/internal/coordination/server/links.go
@@ -80,7 +80,7 @@
 	}
 	ctx, cancel := context.WithCancel(c.ctx)
 	c.links[m.ID] = &link{m, cancel}
-	hello := client.Hello{Role: client.Hears, Cluster: c.identity.Cluster, From: c.id(), Name: c.Name, Level: state.Newest}
+	hello := client.Hello{Role: client.RolePeer, Cluster: c.identity.Cluster, From: c.id(), Name: c.Name, Level: state.NewestFeatureLevel}
 	go c.hear(ctx, m, c.reachable(m), hello)
 }
 
