--- a/internal/coordination/server/recover.go
+++ b/internal/coordination/server/recover.go
@@ -48,8 +48,8 @@
 	return s, held, applied, nil
 }
 
-// Show tells what the folder of a voter holds that does not run.
-func Show(folder, name string) (string, error) {
+// Inspect tells what the folder of a voter holds that does not run.
+func Inspect(folder, name string) (string, error) {
 	s, held, state, err := open(folder, name)
 	if err != nil {
 		return "", err
@@ -66,7 +66,7 @@
 	}
 	fmt.Fprintf(&b, "voter %s, member %x of cluster %x\n", s.identity.Name, s.identity.ID, s.identity.Cluster)
 	fmt.Fprintf(&b, "the log ends at %d (term %d), and all up to %d was known to be held by a majority\n", last, held.hard.GetTerm(), held.hard.GetCommit())
-	fmt.Fprintf(&b, "%d words, %d bounds, %d bytes of %d\n", len(applied.Words()), len(applied.Bounds()), applied.Used(), int64(state.MaxBytes))
+	fmt.Fprintf(&b, "%d words, %d bounds, %d bytes of %d\n", len(applied.Overrides()), len(applied.Resources()), applied.UsedBytes(), int64(state.MaxBytes))
 	return b.String()
 }
 
@@ -87,11 +87,11 @@
 	term := held.hard.GetTerm() + 1
 	self := state.Member{ID: rand.Uint64()>>2 + 1, Name: name, Address: address}
 	for _, m := range applied.Members() {
-		if _, err := applied.Apply(last+1, applied.Clock(), &state.Strike{ID: m.ID}); err != nil {
+		if _, err := applied.Apply(last+1, applied.Clock(), &state.UnregisterMember{ID: m.ID}); err != nil {
 			return text, err
 		}
 	}
-	if _, err := applied.Apply(last+1, applied.Clock(), &state.Enrol{Member: self}); err != nil {
+	if _, err := applied.Apply(last+1, applied.Clock(), &state.RegisterMember{Member: self}); err != nil {
 		return text, err
 	}
 	s.identity.ID = self.ID
--- a/internal/coordination/server/replica.go
+++ b/internal/coordination/server/replica.go
@@ -18,12 +18,12 @@
 
 // Config is what a voter is told.
 type Config struct {
-	Name    string
-	Address string            // under which the other voters reach it
-	Voters  map[string]string // name -> address at which this process reaches them, its own among them
-	Folder  string
-	Copies  int           // disks that have a promise before it is answered; 0: those of a majority
-	Gone    time.Duration // without a word for so long, a voter may be replaced by an empty one of its name
+	Name         string
+	Address      string            // under which the other voters reach it
+	Voters       map[string]string // name -> address at which this process reaches them, its own among them
+	Folder       string
+	WriteQuorum  int           // disks that have a promise before it is answered; 0: those of a majority
+	ReplaceAfter time.Duration // without a word for so long, a voter may be replaced by an empty one of its name
 }
 
 const (
@@ -43,14 +43,14 @@
 	stalledAfter  = time.Second
 )
 
-// Voter runs until its context ends or it can't go on.
-type Voter struct {
+// Server runs until its context ends or it can't go on.
+type Server struct {
 	core     *core
 	listener net.Listener
 }
 
 // New opens the folder. The listener is closed when Run ends.
-func New(c Config, listener net.Listener) (*Voter, error) {
+func New(c Config, listener net.Listener) (*Server, error) {
 	draw := func() uint64 { return rand.Uint64()>>2 + 1 } // the two highest numbers mean threads of the library's
 	s, held, err := openStore(c.Folder, c.Name, draw)
 	if err != nil {
@@ -60,12 +60,12 @@
 	if err != nil {
 		return nil, errors.Join(err, s.close())
 	}
-	return &Voter{core: x, listener: listener}, nil
+	return &Server{core: x, listener: listener}, nil
 }
 
 // Run serves. It returns nil once the context has ended; an error says why it could not go on, and that nothing is to be trusted that
 // it had not answered.
-func (v *Voter) Run(ctx context.Context) error {
+func (v *Server) Run(ctx context.Context) error {
 	ctx, cancel := context.WithCancelCause(ctx)
 	defer cancel(nil)
 	x := v.core
@@ -110,4 +110,4 @@
 }
 
 // answerTo is where a request's answer goes; it does not wait.
-type answerTo func(client.Answer)
+type answerTo func(client.Response)
--- a/internal/coordination/server/serve.go
+++ b/internal/coordination/server/serve.go
@@ -96,20 +96,20 @@
 
 // greet answers a connection's first words, and returns what serves it.
 func (c *core) greet(conn net.Conn, in *bufio.Reader, h client.Hello) func() {
-	w := client.Welcome{Cluster: c.identity.Cluster, ID: c.id(), Name: c.Name, Level: state.Newest, Tick: c.ticksNow()}
+	w := client.Welcome{Cluster: c.identity.Cluster, ID: c.id(), Name: c.Name, Level: state.NewestFeatureLevel, Tick: c.ticksNow()}
 	var serve func()
 	left := func() {} // once the connection is of no more use, greeted or not
 	switch h.Role {
-	case client.Asks:
+	case client.RoleClient:
 		serve = func() { c.answerOn(conn, in) }
-	case client.Follows:
+	case client.RoleFollower:
 		switch {
 		case c.node == nil:
-			w.Refused = "it belongs to no cluster yet: " + c.waits
+			w.RejectReason = "it belongs to no cluster yet: " + c.waits
 		case h.Cluster != 0 && h.Cluster != w.Cluster:
-			w.Refused = fmt.Sprintf("this is cluster %x, not %x", w.Cluster, h.Cluster)
+			w.RejectReason = fmt.Sprintf("this is cluster %x, not %x", w.Cluster, h.Cluster)
 		case h.Applied > c.applied:
-			w.Refused = fmt.Sprintf("it has come to %d, and the follower to %d", c.applied, h.Applied)
+			w.RejectReason = fmt.Sprintf("it has come to %d, and the follower to %d", c.applied, h.Applied)
 		default:
 			f := newFollower()
 			f.push(c.whole())
@@ -120,15 +120,15 @@
 			}
 			left = func() { c.hand(eventFunc(func(c *core) { delete(c.followers, f) })) }
 		}
-	case client.Hears:
+	case client.RolePeer:
 		m, member := c.state.Member(h.From)
 		switch {
 		case c.node == nil:
-			w.Refused = "it belongs to no cluster yet"
+			w.RejectReason = "it belongs to no cluster yet"
 		case h.Cluster != w.Cluster:
-			w.Refused = fmt.Sprintf("this is cluster %x, not %x", w.Cluster, h.Cluster)
+			w.RejectReason = fmt.Sprintf("this is cluster %x, not %x", w.Cluster, h.Cluster)
 		case len(c.state.Members()) > 0 && (!member || m.Name != h.Name):
-			w.Refused = fmt.Sprintf("%s with the id %x is no member: it was replaced, or is not one yet", h.Name, h.From)
+			w.RejectReason = fmt.Sprintf("%s with the id %x is no member: it was replaced, or is not one yet", h.Name, h.From)
 		default:
 			if old := c.outboxes[h.From]; old != nil {
 				old.close()
@@ -138,7 +138,7 @@
 			serve = func() { c.speak(conn, o) }
 		}
 	default:
-		w.Refused = fmt.Sprintf("there is no role %d", h.Role)
+		w.RejectReason = fmt.Sprintf("there is no role %d", h.Role)
 	}
 	return func() {
 		defer left()
@@ -201,14 +201,14 @@
 
 // answerOn takes requests and writes answers until the connection ends.
 func (c *core) answerOn(conn net.Conn, in *bufio.Reader) {
-	answers := make(chan client.Answer, answersMost)
+	answers := make(chan client.Response, answersMost)
 	ended := make(chan struct{})
 	defer close(ended)
 	go func() { // the one writer
 		idle := time.NewTicker(client.KeepAlive)
 		defer idle.Stop()
 		for {
-			var a client.Answer // with no number it only says that the voter is there
+			var a client.Response // with no number it only says that the voter is there
 			select {
 			case a = <-answers:
 			case <-idle.C:
@@ -232,7 +232,7 @@
 		if err != nil {
 			return
 		}
-		answer := func(a client.Answer) {
+		answer := func(a client.Response) {
 			a.Number = r.Number
 			select {
 			case answers <- a:
@@ -294,7 +294,7 @@
 
 // whole is an update with all that is held.
 func (c *core) whole() []byte {
-	u := client.Update{State: c.state.Encode(), Index: c.applied, Leader: c.leader(), Cluster: c.identity.Cluster, Beat: true}
+	u := client.Update{State: c.state.Encode(), Index: c.applied, Leader: c.leader(), Cluster: c.identity.Cluster, Heartbeat: true}
 	return u.Encode()
 }
 
--- a/internal/coordination/state/codec.go
+++ b/internal/coordination/state/codec.go
@@ -27,44 +27,44 @@
 
 // known are the kinds of command, by number.
 var known = map[uint32]func() Command{
-	1: func() Command { return new(SetWord) }, 2: func() Command { return new(ClearWord) }, 3: func() Command { return new(SetBound) },
-	4: func() Command { return new(Take) }, 5: func() Command { return new(Release) }, 6: func() Command { return new(Book) },
-	7: func() Command { return new(Raise) }, 8: func() Command { return new(Admit) }, 9: func() Command { return new(Dismiss) },
-	10: func() Command { return new(Pass) }, 11: func() Command { return new(Enrol) }, 12: func() Command { return new(Strike) },
+	1: func() Command { return new(SetOverride) }, 2: func() Command { return new(ClearOverride) }, 3: func() Command { return new(SetResource) },
+	4: func() Command { return new(AcquireLease) }, 5: func() Command { return new(ReleaseLease) }, 6: func() Command { return new(Reserve) },
+	7: func() Command { return new(RaiseFeatureLevel) }, 8: func() Command { return new(AddVoter) }, 9: func() Command { return new(RemoveVoter) },
+	10: func() Command { return new(AdvanceClock) }, 11: func() Command { return new(RegisterMember) }, 12: func() Command { return new(UnregisterMember) },
 }
 
 // 13 to 19 are kept for the fates of keyed requests.
 
-func (*SetWord) number() uint32   { return 1 }
-func (*ClearWord) number() uint32 { return 2 }
-func (*SetBound) number() uint32  { return 3 }
-func (*Take) number() uint32      { return 4 }
-func (*Release) number() uint32   { return 5 }
-func (*Book) number() uint32      { return 6 }
-func (*Raise) number() uint32     { return 7 }
-func (*Admit) number() uint32     { return 8 }
-func (*Dismiss) number() uint32   { return 9 }
-func (*Pass) number() uint32      { return 10 }
-func (*Enrol) number() uint32     { return 11 }
-func (*Strike) number() uint32    { return 12 }
-
-func (*SetWord) level() uint32   { return 1 }
-func (*ClearWord) level() uint32 { return 1 }
-func (*SetBound) level() uint32  { return 1 }
-func (*Take) level() uint32      { return 1 }
-func (*Release) level() uint32   { return 1 }
-func (*Book) level() uint32      { return 1 }
-func (*Raise) level() uint32     { return 1 }
-func (*Admit) level() uint32     { return 1 }
-func (*Dismiss) level() uint32   { return 1 }
-func (*Pass) level() uint32      { return 1 }
-func (*Enrol) level() uint32     { return 1 }
-func (*Strike) level() uint32    { return 1 }
-
-// Ours tells whether a command comes with changes of the voters alone, and is never asked for from outside.
-func Ours(c Command) bool {
+func (*SetOverride) number() uint32       { return 1 }
+func (*ClearOverride) number() uint32     { return 2 }
+func (*SetResource) number() uint32       { return 3 }
+func (*AcquireLease) number() uint32      { return 4 }
+func (*ReleaseLease) number() uint32      { return 5 }
+func (*Reserve) number() uint32           { return 6 }
+func (*RaiseFeatureLevel) number() uint32 { return 7 }
+func (*AddVoter) number() uint32          { return 8 }
+func (*RemoveVoter) number() uint32       { return 9 }
+func (*AdvanceClock) number() uint32      { return 10 }
+func (*RegisterMember) number() uint32    { return 11 }
+func (*UnregisterMember) number() uint32  { return 12 }
+
+func (*SetOverride) level() uint32       { return 1 }
+func (*ClearOverride) level() uint32     { return 1 }
+func (*SetResource) level() uint32       { return 1 }
+func (*AcquireLease) level() uint32      { return 1 }
+func (*ReleaseLease) level() uint32      { return 1 }
+func (*Reserve) level() uint32           { return 1 }
+func (*RaiseFeatureLevel) level() uint32 { return 1 }
+func (*AddVoter) level() uint32          { return 1 }
+func (*RemoveVoter) level() uint32       { return 1 }
+func (*AdvanceClock) level() uint32      { return 1 }
+func (*RegisterMember) level() uint32    { return 1 }
+func (*UnregisterMember) level() uint32  { return 1 }
+
+// IsInternal tells whether a command comes with changes of the voters alone, and is never asked for from outside.
+func IsInternal(c Command) bool {
 	switch c.(type) {
-	case *Raise, *Pass, *Enrol, *Strike:
+	case *RaiseFeatureLevel, *AdvanceClock, *RegisterMember, *UnregisterMember:
 		return true
 	}
 	return false
@@ -145,7 +145,7 @@
 
 // asMillis reads one; what no duration can hold is the longest.
 func asMillis(f field) time.Duration {
-	const most = int64(MaxWord/time.Millisecond) + 1 // Check refuses it
+	const most = int64(MaxOverrideDuration/time.Millisecond) + 1 // Check refuses it
 	return time.Duration(min(max(f.Int(), -1), most)) * time.Millisecond
 }
 
@@ -159,7 +159,7 @@
 func (s *Subject) read(f field) error {
 	switch f.Number {
 	case 1:
-		s.Kind = Kind(min(f.Uint, 255))
+		s.Kind = OverrideKind(min(f.Uint, 255))
 	case 2:
 		s.Scope = Scope(min(f.Uint, 255))
 	case 3:
@@ -168,52 +168,52 @@
 	return nil
 }
 
-func (c *SetWord) encode(w writer) {
+func (c *SetOverride) encode(w writer) {
 	c.Subject.write(w)
 	w.Int(4, c.Value)
 	w.String(5, c.By)
-	w.String(6, c.Why)
+	w.String(6, c.Reason)
 	w.Int(7, c.At)
-	millis(w, 8, c.For)
+	millis(w, 8, c.Duration)
 }
 
-func (c *SetWord) decode(f field) error {
+func (c *SetOverride) decode(f field) error {
 	switch f.Number {
 	case 4:
 		c.Value = f.Int()
 	case 5:
 		return f.Text(&c.By, MaxName)
 	case 6:
-		return f.Text(&c.Why, MaxWhy)
+		return f.Text(&c.Reason, MaxReason)
 	case 7:
 		c.At = f.Int()
 	case 8:
-		c.For = asMillis(f)
+		c.Duration = asMillis(f)
 	default:
 		return c.Subject.read(f)
 	}
 	return nil
 }
 
-func (c *ClearWord) encode(w writer) {
+func (c *ClearOverride) encode(w writer) {
 	c.Subject.write(w)
 	w.String(5, c.By)
 }
 
-func (c *ClearWord) decode(f field) error {
+func (c *ClearOverride) decode(f field) error {
 	if f.Number == 5 {
 		return f.Text(&c.By, MaxName)
 	}
 	return c.Subject.read(f)
 }
 
-func (c *SetBound) encode(w writer) {
+func (c *SetResource) encode(w writer) {
 	w.String(1, c.Name)
 	w.Bool(2, c.Slots)
 	w.Int(3, c.Limit)
 }
 
-func (c *SetBound) decode(f field) error {
+func (c *SetResource) decode(f field) error {
 	switch f.Number {
 	case 1:
 		return f.Text(&c.Name, MaxName)
@@ -225,50 +225,50 @@
 	return nil
 }
 
-func (c *Take) encode(w writer) {
-	w.String(1, c.Bound)
+func (c *AcquireLease) encode(w writer) {
+	w.String(1, c.Resource)
 	w.String(2, c.Holder)
-	w.Int(3, c.Parts)
-	millis(w, 4, c.For)
-	w.Uint(5, c.Fence)
+	w.Int(3, c.Units)
+	millis(w, 4, c.Duration)
+	w.Uint(5, c.FencingToken)
 }
 
-func (c *Take) decode(f field) error {
+func (c *AcquireLease) decode(f field) error {
 	switch f.Number {
 	case 1:
-		return f.Text(&c.Bound, MaxName)
+		return f.Text(&c.Resource, MaxName)
 	case 2:
 		return f.Text(&c.Holder, MaxName)
 	case 3:
-		c.Parts = f.Int()
+		c.Units = f.Int()
 	case 4:
-		c.For = asMillis(f)
+		c.Duration = asMillis(f)
 	case 5:
-		c.Fence = f.Uint
+		c.FencingToken = f.Uint
 	}
 	return nil
 }
 
-func (c *Release) encode(w writer) {
-	w.String(1, c.Bound)
+func (c *ReleaseLease) encode(w writer) {
+	w.String(1, c.Resource)
 	w.String(2, c.Holder)
-	w.Uint(5, c.Fence)
+	w.Uint(5, c.FencingToken)
 }
 
-func (c *Release) decode(f field) error {
+func (c *ReleaseLease) decode(f field) error {
 	switch f.Number {
 	case 1:
-		return f.Text(&c.Bound, MaxName)
+		return f.Text(&c.Resource, MaxName)
 	case 2:
 		return f.Text(&c.Holder, MaxName)
 	case 5:
-		c.Fence = f.Uint
+		c.FencingToken = f.Uint
 	}
 	return nil
 }
 
-func (c *Book) encode(w writer) {
-	w.String(1, c.Bound)
+func (c *Reserve) encode(w writer) {
+	w.String(1, c.Resource)
 	w.String(2, c.Holder)
 	w.Uint(3, c.Sequence)
 	w.Int(4, c.Places)
@@ -276,10 +276,10 @@
 	w.Uint(6, uint64(c.Within))
 }
 
-func (c *Book) decode(f field) error {
+func (c *Reserve) decode(f field) error {
 	switch f.Number {
 	case 1:
-		return f.Text(&c.Bound, MaxName)
+		return f.Text(&c.Resource, MaxName)
 	case 2:
 		return f.Text(&c.Holder, MaxName)
 	case 3:
@@ -294,21 +294,21 @@
 	return nil
 }
 
-func (c *Raise) encode(w writer) { w.Uint(1, uint64(c.To)) }
+func (c *RaiseFeatureLevel) encode(w writer) { w.Uint(1, uint64(c.To)) }
 
-func (c *Raise) decode(f field) error {
+func (c *RaiseFeatureLevel) decode(f field) error {
 	if f.Number == 1 {
 		c.To = uint32(min(f.Uint, 1<<31))
 	}
 	return nil
 }
 
-func (c *Admit) encode(w writer) {
+func (c *AddVoter) encode(w writer) {
 	w.String(1, c.Name)
 	w.String(2, c.Address)
 }
 
-func (c *Admit) decode(f field) error {
+func (c *AddVoter) decode(f field) error {
 	switch f.Number {
 	case 1:
 		return f.Text(&c.Name, MaxName)
@@ -318,17 +318,17 @@
 	return nil
 }
 
-func (c *Dismiss) encode(w writer) { w.String(1, c.Name) }
+func (c *RemoveVoter) encode(w writer) { w.String(1, c.Name) }
 
-func (c *Dismiss) decode(f field) error {
+func (c *RemoveVoter) decode(f field) error {
 	if f.Number == 1 {
 		return f.Text(&c.Name, MaxName)
 	}
 	return nil
 }
 
-func (*Pass) encode(writer)      {}
-func (*Pass) decode(field) error { return nil }
+func (*AdvanceClock) encode(writer)      {}
+func (*AdvanceClock) decode(field) error { return nil }
 
 // Write adds its fields to a message.
 func (m *Member) Write(w *protomsg.Writer) {
@@ -353,12 +353,12 @@
 	return nil
 }
 
-func (c *Enrol) encode(w writer)      { c.Member.Write(w) }
-func (c *Enrol) decode(f field) error { return c.Member.Read(f) }
+func (c *RegisterMember) encode(w writer)      { c.Member.Write(w) }
+func (c *RegisterMember) decode(f field) error { return c.Member.Read(f) }
 
-func (c *Strike) encode(w writer) { w.Uint(1, c.ID) }
+func (c *UnregisterMember) encode(w writer) { w.Uint(1, c.ID) }
 
-func (c *Strike) decode(f field) error {
+func (c *UnregisterMember) decode(f field) error {
 	if f.Number == 1 {
 		c.ID = f.Uint
 	}
@@ -372,18 +372,18 @@
 	w.Uint(2, s.clock)
 	w.Uint(3, s.revision)
 	w.Uint(4, uint64(s.raised))
-	for _, x := range s.Words() {
+	for _, x := range s.Overrides() {
 		w.Message(5, func(w writer) {
 			x.Subject.write(w)
 			w.Int(4, x.Value)
 			w.String(5, x.By)
-			w.String(6, x.Why)
+			w.String(6, x.Reason)
 			w.Int(7, x.At)
 			w.Uint(8, x.Until)
 			w.Uint(9, x.Revision)
 		})
 	}
-	for _, b := range s.Bounds() {
+	for _, b := range s.Resources() {
 		w.Message(6, func(w writer) {
 			w.String(1, b.Name)
 			w.Bool(2, b.Slots)
@@ -391,12 +391,12 @@
 			for _, l := range b.Leases() {
 				w.Message(4, func(w writer) {
 					w.String(1, l.Holder)
-					w.Int(2, l.Parts)
+					w.Int(2, l.Units)
 					w.Uint(3, l.Until)
-					w.Uint(4, l.Fence)
+					w.Uint(4, l.FencingToken)
 				})
 			}
-			WriteBooked(w, 5, b.Booked())
+			WriteReserved(w, 5, b.Reserved())
 		})
 	}
 	for _, key := range slices.Sorted(maps.Keys(s.bookings)) {
@@ -406,11 +406,11 @@
 			w.String(2, x.holder)
 			w.Uint(3, x.sequence)
 			w.Uint(4, x.until)
-			WriteBooked(w, 5, x.answer)
+			WriteReserved(w, 5, x.answer)
 		})
 	}
 	for _, name := range slices.Sorted(maps.Keys(s.admitted)) {
-		w.Message(8, func(w writer) { (&Admit{name, s.admitted[name]}).encode(w) })
+		w.Message(8, func(w writer) { (&AddVoter{name, s.admitted[name]}).encode(w) })
 	}
 	for _, m := range s.Members() {
 		w.Message(9, func(w writer) { m.Write(w) })
@@ -418,8 +418,8 @@
 	return w.Bytes()
 }
 
-// WriteBooked adds places to a message, under a field's number.
-func WriteBooked(w *protomsg.Writer, n protomsg.Number, all []Booked) {
+// WriteReserved adds places to a message, under a field's number.
+func WriteReserved(w *protomsg.Writer, n protomsg.Number, all []ReservedSlot) {
 	for _, x := range all {
 		w.Message(n, func(w writer) {
 			w.Uint(1, x.Second)
@@ -428,8 +428,8 @@
 	}
 }
 
-// ReadBooked reads places from a field's bytes.
-func ReadBooked(b []byte) (x Booked, err error) {
+// ReadReserved reads places from a field's bytes.
+func ReadReserved(b []byte) (x ReservedSlot, err error) {
 	err = protomsg.Each(b, func(f field) error {
 		switch f.Number {
 		case 1:
@@ -463,7 +463,7 @@
 		case 7:
 			return s.readBooking(f.Raw)
 		case 8:
-			var c Admit
+			var c AddVoter
 			if err := protomsg.Each(f.Raw, c.decode); err != nil {
 				return err
 			}
@@ -488,8 +488,8 @@
 }
 
 func (s *State) readWord(b []byte) error {
-	var c SetWord // whose fields a word has too, but for the last two
-	var x Word
+	var c SetOverride // whose fields a word has too, but for the last two
+	var x Override
 	err := protomsg.Each(b, func(f field) error {
 		switch f.Number {
 		case 8:
@@ -504,7 +504,7 @@
 	if err = cmp.Or(err, c.Subject.check()); err != nil {
 		return err
 	}
-	x.Subject, x.Value, x.By, x.Why, x.At = c.Subject, c.Value, c.By, c.Why, c.At
+	x.Subject, x.Value, x.By, x.Reason, x.At = c.Subject, c.Value, c.By, c.Reason, c.At
 	if _, twice := s.words[x.Subject]; twice {
 		return fmt.Errorf("%w: two words on %v", protomsg.ErrMalformed, x.Subject)
 	}
@@ -514,7 +514,7 @@
 }
 
 func (s *State) readBound(raw []byte) error {
-	b := &Bound{leases: map[string]Lease{}, booked: map[uint64]int64{}}
+	b := &Resource{leases: map[string]Lease{}, booked: map[uint64]int64{}}
 	err := protomsg.Each(raw, func(f field) error {
 		switch f.Number {
 		case 1:
@@ -530,11 +530,11 @@
 				case 1:
 					return f.Text(&l.Holder, MaxName)
 				case 2:
-					l.Parts = f.Int()
+					l.Units = f.Int()
 				case 3:
 					l.Until = f.Uint
 				case 4:
-					l.Fence = f.Uint
+					l.FencingToken = f.Uint
 				}
 				return nil
 			})
@@ -545,7 +545,7 @@
 			s.used += l.cost()
 			return err
 		case 5:
-			x, err := ReadBooked(f.Raw)
+			x, err := ReadReserved(f.Raw)
 			if b.booked[x.Second] == 0 {
 				s.used += costBooked
 			}
@@ -578,7 +578,7 @@
 		case 4:
 			x.until = f.Uint
 		case 5:
-			one, err := ReadBooked(f.Raw)
+			one, err := ReadReserved(f.Raw)
 			x.answer = append(x.answer, one)
 			return err
 		}
--- a/internal/coordination/state/level.go
+++ b/internal/coordination/state/level.go
@@ -2,5 +2,5 @@
 
 package state
 
-// Newest is the highest level of commands that this version knows.
-const Newest = 1
+// NewestFeatureLevel is the highest level of commands that this version knows.
+const NewestFeatureLevel = 1
--- a/internal/coordination/state/level_next.go
+++ b/internal/coordination/state/level_next.go
@@ -2,9 +2,9 @@
 
 package state
 
-// Newest is that of a version to come: builds with this tag stand for it, to show what an upgrade of all voters looks like while
+// NewestFeatureLevel is that of a version to come: builds with this tag stand for it, to show what an upgrade of all voters looks like while
 // some of them do not know a kind of command yet.
-const Newest = 2
+const NewestFeatureLevel = 2
 
 // Trial is a kind of command that only such a version knows. It changes nothing but the revision.
 type Trial struct{ Text string }
--- a/internal/discovery/discovery.go
+++ b/internal/discovery/discovery.go
@@ -58,7 +58,7 @@
 	UpSinceMS int64   `json:"up_since_ms"`
 }
 
-var phases = map[string]balancer.State{"up": balancer.Active, "draining": balancer.Draining, "removed": balancer.Gone}
+var phases = map[string]balancer.State{"up": balancer.Active, "draining": balancer.Draining, "removed": balancer.Removed}
 
 // Check tells what makes the entry unusable.
 func (m *Member) Check() error {
@@ -68,7 +68,7 @@
 		return fmt.Errorf("an entry has no id")
 	case !ok:
 		return fmt.Errorf("%s: phase %q is unknown", m.ID, m.Phase)
-	case state == balancer.Gone:
+	case state == balancer.Removed:
 		return nil
 	}
 	if _, err := netip.ParseAddrPort(m.HostPort); err != nil {
--- a/internal/emulator/module.go
+++ b/internal/emulator/module.go
@@ -70,7 +70,7 @@
 func (m *module) list(nodes []*node) {
 	var list []balancer.Upstream
 	for _, n := range nodes {
-		u := balancer.Upstream{ID: balancer.UpstreamID(n.index + 1), Zone: n.Zone, Weight: n.Weight, Part: 1, Most: m.w.file.Connections}
+		u := balancer.Upstream{ID: balancer.UpstreamID(n.index + 1), Zone: n.Zone, Weight: n.Weight, WarmUpShare: 1, MaxInFlight: m.w.file.Connections}
 		if n.started >= 0 {
 			u.StartedAt = n.started
 		}
@@ -79,7 +79,7 @@
 		}
 		list = append(list, u)
 	}
-	m.call(func() { m.b.Members(m.w.now, balancer.ListFull, list) })
+	m.call(func() { m.b.EndpointsUpdated(m.w.now, balancer.ListFull, list) })
 }
 
 func (m *module) take(r *request) {
@@ -96,7 +96,7 @@
 		}
 	})
 	m.call(func() {
-		m.b.Request(m.w.now, balancer.Request{ID: id, Budget: r.deadline - m.w.now, Class: r.load.Name, Tenant: r.load.Tenant})
+		m.b.RequestArrived(m.w.now, balancer.Request{ID: id, Budget: r.deadline - m.w.now, Class: r.load.Name, Tenant: r.load.Tenant})
 	})
 }
 
@@ -113,14 +113,14 @@
 	f.out--
 	closed := f.ended
 	m.release(f)
-	o := balancer.Outcome{
+	o := balancer.AttemptResult{
 		ID: balancer.RequestID(f.id), Upstream: balancer.UpstreamID(a.node.index + 1), Attempt: a.n, Latency: m.w.now - a.sentAt,
 		Status: s, Closed: closed,
 	}
 	if x.known {
 		o.Load = balancer.Load{Fields: balancer.HasUtil | balancer.HasService | balancer.HasRate | balancer.HasErrors, Util: x.util, Service: x.latency, Rate: x.qps}
 	}
-	m.call(func() { m.b.Outcome(m.w.now, o) })
+	m.call(func() { m.b.AttemptFinished(m.w.now, o) })
 }
 
 func (m *module) release(f *flight) {
@@ -139,14 +139,14 @@
 		m.w.after(timeout, func() { m.tell(a, balancer.Timeout, report{}) })
 	}
 	way := hop + time.Duration(n.Delay)
-	statuses := map[reply]balancer.Status{answered: balancer.OK, full: balancer.Full, refused: balancer.ConnectFailed, reset: balancer.Reset}
+	statuses := map[reply]balancer.Status{answered: balancer.OK, full: balancer.Rejected, refused: balancer.ConnectFailed, reset: balancer.Reset}
 	j := &job{request: f.request, size: f.size}
 	j.back = func(v reply, x report) { m.w.after(way, func() { m.tell(a, statuses[v], x) }) }
 	m.w.after(way, func() { n.take(j) })
 }
 
-// Refuse answers a client.
-func (m *module) Refuse(id balancer.RequestID, _ time.Duration) { m.answer(id, stats.Refused) }
+// Reject answers a client.
+func (m *module) Reject(id balancer.RequestID, _ time.Duration) { m.answer(id, stats.Refused) }
 
 // Fail answers a client.
 func (m *module) Fail(id balancer.RequestID) { m.answer(id, stats.Failed) }
@@ -167,16 +167,16 @@
 
 // SetTimer asks for a Timer event.
 func (m *module) SetTimer(after time.Duration, token uint64) {
-	m.w.after(after, func() { m.call(func() { m.b.Timer(m.w.now, token) }) })
+	m.w.after(after, func() { m.call(func() { m.b.TimerFired(m.w.now, token) }) })
 }
 
 // The rest has no part here: nodes are not probed, connections not modelled, lists pushed.
 
-func (m *module) Probe(balancer.UpstreamID)      {}
-func (m *module) Disconnect(balancer.UpstreamID) {}
-func (m *module) Watch(bool)                     {}
-func (m *module) Fetch()                         {}
-func (m *module) Log(string)                     {}
+func (m *module) HealthCheck(balancer.UpstreamID) {}
+func (m *module) CloseIdle(balancer.UpstreamID)   {}
+func (m *module) WatchEndpoints(bool)             {}
+func (m *module) FetchEndpoints()                 {}
+func (m *module) Log(string)                      {}
 
 func (m *module) sample(n *node, s *stats.NodeSample) {
 	if m.view == nil || m.viewAt != m.w.now {
@@ -187,5 +187,5 @@
 		}
 	}
 	v := m.view[balancer.UpstreamID(n.index+1)]
-	s.Share, s.Mean, s.Lower, s.Upper, s.Bound, s.Out = v.Share, v.Mean, v.Lower, v.Upper, v.Bound, v.Out
+	s.Share, s.Mean, s.Lower, s.Upper, s.Bound, s.Out = v.Share, v.Mean, v.Lower, v.Upper, v.ConcurrencyLimit, v.InFlight
 }
--- a/internal/endpointcache/keep.go
+++ b/internal/endpointcache/keep.go
@@ -43,8 +43,8 @@
 	return &l, nil
 }
 
-// Keeper writes lists.
-type Keeper struct {
+// Writer writes lists.
+type Writer struct {
 	path  string
 	mu    sync.Mutex
 	list  map[string]discovery.Member
@@ -54,9 +54,9 @@
 	done  chan struct{}
 }
 
-// New returns a Keeper for a file. The list that was loaded from it, if there was one, is where changes begin.
-func New(path string, loaded *discovery.Listing) *Keeper {
-	k := &Keeper{path: path, list: map[string]discovery.Member{}, kick: make(chan struct{}, 1), done: make(chan struct{})}
+// NewWriter returns a Keeper for a file. The list that was loaded from it, if there was one, is where changes begin.
+func NewWriter(path string, loaded *discovery.Listing) *Writer {
+	k := &Writer{path: path, list: map[string]discovery.Member{}, kick: make(chan struct{}, 1), done: make(chan struct{})}
 	if loaded != nil {
 		k.take(*loaded)
 	}
@@ -64,8 +64,8 @@
 	return k
 }
 
-// Told takes a list, or changes to it. It does not wait.
-func (k *Keeper) Told(l discovery.Listing) {
+// Save takes a list, or changes to it. It does not wait.
+func (k *Writer) Save(l discovery.Listing) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	if !k.take(l) || k.ended {
@@ -79,7 +79,7 @@
 }
 
 // take applies a list, and tells whether that changed anything. The caller holds the lock, or has the Keeper alone.
-func (k *Keeper) take(l discovery.Listing) (changed bool) {
+func (k *Writer) take(l discovery.Listing) (changed bool) {
 	named := map[string]bool{}
 	for _, m := range l.Members {
 		named[m.ID] = true
@@ -104,7 +104,7 @@
 }
 
 // Close writes what is still to be written, and ends.
-func (k *Keeper) Close() {
+func (k *Writer) Close() {
 	k.mu.Lock()
 	if !k.ended {
 		k.ended = true
@@ -114,7 +114,7 @@
 	<-k.done
 }
 
-func (k *Keeper) run() {
+func (k *Writer) run() {
 	defer close(k.done)
 	why := ""
 	for range k.kick {
@@ -134,7 +134,7 @@
 	}
 }
 
-func (k *Keeper) text() (text []byte, dirty bool) {
+func (k *Writer) text() (text []byte, dirty bool) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	if dirty, k.dirty = k.dirty, false; !dirty {
--- a/internal/faulttest/askers.go
+++ b/internal/faulttest/askers.go
@@ -21,7 +21,7 @@
 	*world
 	history *history.History
 	all     sync.WaitGroup
-	watched []*client.Copy
+	watched []*client.Follower
 
 	mu       sync.Mutex
 	yes      *hdrhistogram.Histogram // us
@@ -53,8 +53,8 @@
 	return all
 }
 
-func (w *world) newAsker(i int) *client.Caller {
-	return client.NewCaller(fmt.Sprintf("asker-%d", i), w.voterAddresses(firstAsker+i))
+func (w *world) newAsker(i int) *client.Client {
+	return client.New(fmt.Sprintf("asker-%d", i), w.voterAddresses(firstAsker+i))
 }
 
 // ask lets the clients begin; nil: there are no voters.
@@ -67,7 +67,7 @@
 	defer setup.Close()
 	ctx, cancel := context.WithTimeout(w.ctx, finalWithin)
 	defer cancel()
-	for _, c := range []state.Command{&state.SetBound{Name: leaseBound, Limit: leaseLimit}, &state.SetBound{Name: slotBound, Slots: true, Limit: slotLimit}} {
+	for _, c := range []state.Command{&state.SetResource{Name: leaseBound, Limit: leaseLimit}, &state.SetResource{Name: slotBound, Slots: true, Limit: slotLimit}} {
 		if _, err := setup.Propose(ctx, c); err != nil {
 			return nil, fmt.Errorf("the first promises: %w", err)
 		}
@@ -82,7 +82,7 @@
 	}
 	for i := range watchers {
 		name := fmt.Sprintf("watcher-%d", i)
-		c := client.Follow(name, w.voterAddresses(firstAsker+300+i), "", func([]state.Word) {})
+		c := client.StartFollower(name, w.voterAddresses(firstAsker+300+i), "", func([]state.Override) {})
 		x.watched = append(x.watched, c)
 		x.all.Go(func() { x.watch(name, c, end) })
 	}
@@ -90,7 +90,7 @@
 }
 
 func capOf(subject string) state.Subject {
-	return state.Subject{Kind: state.Cap, Scope: state.Upstream, Target: subject}
+	return state.Subject{Kind: state.ConcurrencyCap, Scope: state.ScopeUpstream, Target: subject}
 }
 
 // answered notes how a proposal ended; sure: it is known whether it holds.
@@ -154,19 +154,19 @@
 				drop(lease.Until)
 			}
 			asked, before := event.Now(), held
-			got, err := c.Take(ctx, leaseBound, fmt.Sprintf("h-%d", i/2), 1, leaseFor, held)
+			got, err := c.AcquireLease(ctx, leaseBound, fmt.Sprintf("h-%d", i/2), 1, leaseFor, held)
 			switch {
-			case err == nil && before != nil && got.Fence == before.Fence:
+			case err == nil && before != nil && got.FencingToken == before.FencingToken:
 				held, lease.Until = got, until(got)
 			case err == nil:
 				drop(asked)
-				held, lease = got, &history.Lease{Bound: leaseBound, Holder: got.Holder, Parts: 1, Fence: got.Fence, Asked: asked, From: event.Now(), Until: until(got), Limit: leaseLimit}
+				held, lease = got, &history.Lease{Bound: leaseBound, Holder: got.Holder, Parts: 1, Fence: got.FencingToken, Asked: asked, From: event.Now(), Until: until(got), Limit: leaseLimit}
 			case errors.Is(err, client.ErrRefused) && held != nil: // it has ended there, so it had ended here
 				drop(lease.Until)
 			}
 		case d < 19 && held != nil:
 			now := event.Now()
-			if _, err := c.Propose(ctx, &state.Release{Bound: leaseBound, Holder: held.Holder, Fence: held.Fence}); !errors.Is(err, client.ErrNobody) {
+			if _, err := c.Propose(ctx, &state.ReleaseLease{Resource: leaseBound, Holder: held.Holder, FencingToken: held.FencingToken}); !errors.Is(err, client.ErrNobody) {
 				drop(now) // whoever gives back does not use it any more, whatever comes of it
 			}
 		default:
@@ -179,11 +179,11 @@
 // until is a lease's end on the clock of events.
 func until(l *client.Lease) int64 { return event.Now() + int64(time.Until(l.Until)) }
 
-func (x *askers) write(ctx context.Context, c *client.Caller, i int, subject string, value int64) {
+func (x *askers) write(ctx context.Context, c *client.Client, i int, subject string, value int64) {
 	from, began := event.Now(), time.Now()
-	var command state.Command = &state.SetWord{Subject: capOf(subject), Value: value, By: "ground"}
+	var command state.Command = &state.SetOverride{Subject: capOf(subject), Value: value, By: "ground"}
 	if value == 0 {
-		command = &state.ClearWord{Subject: capOf(subject), By: "ground"}
+		command = &state.ClearOverride{Subject: capOf(subject), By: "ground"}
 	}
 	_, err := c.Propose(ctx, command)
 	held, sure := x.answered(err, time.Since(began))
@@ -200,23 +200,23 @@
 	}
 }
 
-func (x *askers) read(ctx context.Context, c *client.Caller, i int, subject string) {
+func (x *askers) read(ctx context.Context, c *client.Client, i int, subject string) {
 	from := event.Now()
 	s, _, err := c.Read(ctx)
 	if err != nil {
 		return
 	}
-	w, _ := s.Word(capOf(subject))
+	w, _ := s.Override(capOf(subject))
 	x.history.Call(history.Call{Client: i, Subject: subject, Kind: history.Read, Value: w.Value, From: from, To: event.Now()})
 }
 
-func (x *askers) book(ctx context.Context, c *client.Caller, i int, n int64) {
+func (x *askers) book(ctx context.Context, c *client.Client, i int, n int64) {
 	began := time.Now()
-	a, err := c.Propose(ctx, &state.Book{Bound: slotBound, Holder: fmt.Sprintf("c-%d", i), Sequence: uint64(n), Places: 2, After: 1, Within: 30})
+	a, err := c.Propose(ctx, &state.Reserve{Resource: slotBound, Holder: fmt.Sprintf("c-%d", i), Sequence: uint64(n), Places: 2, After: 1, Within: 30})
 	if held, _ := x.answered(err, time.Since(began)); !held {
 		return
 	}
-	for _, b := range a.Result.Booked {
+	for _, b := range a.Result.Reserved {
 		x.history.Slots(history.Slot{Bound: slotBound, Second: b.Second, Places: b.Places, Limit: slotLimit})
 	}
 }
@@ -229,7 +229,7 @@
 	for n := int64(1); time.Now().Before(end) && x.ctx.Err() == nil && n < 1e6; n++ {
 		ctx, cancel := context.WithTimeout(x.ctx, askWithin)
 		began := time.Now()
-		_, err := c.Propose(ctx, &state.SetWord{Subject: capOf(subject), Value: n, By: "ground"})
+		_, err := c.Propose(ctx, &state.SetOverride{Subject: capOf(subject), Value: n, By: "ground"})
 		cancel()
 		switch held, sure := x.answered(err, time.Since(began)); {
 		case held:
@@ -241,12 +241,12 @@
 }
 
 // watch looks at a copy.
-func (x *askers) watch(name string, c *client.Copy, end time.Time) {
+func (x *askers) watch(name string, c *client.Follower, end time.Time) {
 	for time.Now().Before(end) && x.ctx.Err() == nil {
 		v := c.View()
 		age, at := v.Age(time.Now()), event.Now()
 		values := map[string]int64{}
-		for _, w := range v.Words {
+		for _, w := range v.Overrides {
 			values[w.Target] = w.Value
 		}
 		for i := range x.f.Voters.Clients {
@@ -278,11 +278,11 @@
 		to := event.Now()
 		for i := range sharedOnes {
 			subject := fmt.Sprintf("s-%d", i)
-			w, _ := s.Word(capOf(subject))
+			w, _ := s.Override(capOf(subject))
 			x.history.Call(history.Call{Client: -1, Subject: subject, Kind: history.Read, Value: w.Value, From: from, To: to})
 		}
 		for _, subject := range x.history.Subjects() {
-			w, _ := s.Word(capOf(subject))
+			w, _ := s.Override(capOf(subject))
 			x.history.Found(subject, w.Value)
 		}
 	}
--- a/internal/faulttest/voter.go
+++ b/internal/faulttest/voter.go
@@ -84,14 +84,14 @@
 	for _, v := range w.voters {
 		addresses[v.name] = v.address
 	}
-	c := client.NewCaller("ground", addresses)
+	c := client.New("ground", addresses)
 	defer c.Close()
 	found := make(chan int, len(w.voters))
 	for i, v := range w.voters {
 		go func() {
 			ctx, cancel := context.WithTimeout(w.ctx, leaderWithin)
 			defer cancel()
-			if a, err := c.Ask(ctx, v.name, client.Request{Verb: client.Who}); err == nil && a.Leader == v.name {
+			if a, err := c.Call(ctx, v.name, client.Request{Operation: client.OpIdentify}); err == nil && a.Leader == v.name {
 				found <- i
 				return
 			}
@@ -129,7 +129,7 @@
 func (v *voter) answers() bool {
 	ctx, cancel := context.WithTimeout(v.ctx, time.Second)
 	defer cancel()
-	c, _, _, err := client.Dial(ctx, v.address, client.Hello{Role: client.Asks, Name: "ground"})
+	c, _, _, err := client.Dial(ctx, v.address, client.Hello{Role: client.RoleClient, Name: "ground"})
 	if err != nil {
 		return false
 	}
--- a/internal/faulttest/word.go
+++ b/internal/faulttest/word.go
@@ -19,7 +19,7 @@
 	var nodes []int
 	err := x.eachNode(func(node int) error {
 		nodes = append(nodes, node)
-		return x.say(c, &state.SetWord{Subject: outOf(node), By: "ground", Why: x.f.Name})
+		return x.say(c, &state.SetOverride{Subject: outOf(node), By: "ground", Reason: x.f.Name})
 	})
 	if err != nil {
 		c.Close()
@@ -46,7 +46,7 @@
 			for _, b := range x.balancers {
 				x.told(b.index, node, false)
 			}
-			if err := x.say(c, &state.ClearWord{Subject: outOf(node), By: "ground"}); err != nil && !x.ending() {
+			if err := x.say(c, &state.ClearOverride{Subject: outOf(node), By: "ground"}); err != nil && !x.ending() {
 				x.fail(err)
 			}
 		}
@@ -58,7 +58,7 @@
 const wordWithin = 15 * time.Second
 
 // say asks for a promise until there is a yes. What is unsure is asked again: staff's word may be given twice.
-func (x *fault) say(c *client.Caller, command state.Command) error {
+func (x *fault) say(c *client.Client, command state.Command) error {
 	ctx, cancel := context.WithTimeout(x.ctx, wordWithin)
 	defer cancel()
 	for {
@@ -72,7 +72,7 @@
 }
 
 func outOf(node int) state.Subject {
-	return state.Subject{Kind: state.Out, Scope: state.Upstream, Target: fmt.Sprintf("s-%08x", node+1)}
+	return state.Subject{Kind: state.OutOfService, Scope: state.ScopeUpstream, Target: fmt.Sprintf("s-%08x", node+1)}
 }
 
 // wordsHold tells a process that is started what staff have said.
--- a/internal/frontend/client.go
+++ b/internal/frontend/client.go
@@ -111,14 +111,14 @@
 	reads   bool      // a request is being read
 	since   time.Time // of the stage
 	state   atomic.Int32
-	call    Call             // the reader's, and from waiting on the writer's
-	tunnel  *body.Tunnel     // that it has become; nil: none. Under the Front's lock
-	final   bool             // it goes behind the next answer. Under the Front's lock
-	whole   bool             // it ends between requests, or behind an answer: what crosses with that is read
-	last    bool             // the client wants the connection closed behind the answer
-	old     bool             // the request is of HTTP/1.0
-	answers chan pool.Answer // holds the one answer to the call, where the writer waits
-	done    chan bool        // the writer has answered; false: the connection ends
+	call    Exchange           // the reader's, and from waiting on the writer's
+	tunnel  *body.Tunnel       // that it has become; nil: none. Under the Front's lock
+	final   bool               // it goes behind the next answer. Under the Front's lock
+	whole   bool               // it ends between requests, or behind an answer: what crosses with that is read
+	last    bool               // the client wants the connection closed behind the answer
+	old     bool               // the request is of HTTP/1.0
+	answers chan pool.Response // holds the one answer to the call, where the writer waits
+	done    chan bool          // the writer has answered; false: the connection ends
 }
 
 // The states of a client's connection.
@@ -145,9 +145,9 @@
 	return true
 }
 
-// Present looks, without waiting and without taking a byte, whether the client is still connected. What it has sent beyond its
+// Connected looks, without waiting and without taking a byte, whether the client is still connected. What it has sent beyond its
 // request is the reader's to see.
-func (c *client) Present() bool {
+func (c *client) Connected() bool {
 	raw, ok := c.pace.Conn.(syscall.Conn)
 	if !ok {
 		return true
@@ -200,8 +200,8 @@
 func (c *client) wake() { c.SetReadDeadline(past) }
 
 // converse serves a connection until one side ends it. Clients send one request at a time.
-func (f *Front) converse(c *client) {
-	c.answers, c.done = make(chan pool.Answer, 2), make(chan bool, 1)
+func (f *Server) converse(c *client) {
+	c.answers, c.done = make(chan pool.Response, 2), make(chan bool, 1)
 	quit := make(chan struct{})
 	defer close(quit)
 	go f.writer(c, quit)
@@ -246,7 +246,7 @@
 
 // request reads a request and hands it to its pool, or answers it here. It tells whether the writer has it now, and whether the
 // connection goes on.
-func (f *Front) request(c *client) (asked, goOn bool) {
+func (f *Server) request(c *client) (asked, goOn bool) {
 	if !f.enter(c, silent) {
 		return false, false
 	}
@@ -265,10 +265,10 @@
 	if call == nil {
 		return false, f.answer(c, f.health(), c.last)
 	}
-	q := call.Asked()
+	q := call.PoolRequest()
 	q.Reply, q.Client, c.call = c.answers, c, call
 	c.state.Store(waiting)
-	refused, err := call.Enter()
+	refused, err := call.Admit()
 	if err != nil || refused.Status != 0 {
 		c.state.Store(free)
 		if q.Message.Rest != nil {
@@ -291,7 +291,7 @@
 }
 
 // sending waits while a body goes on as it comes, since until then nobody else may read the connection.
-func (f *Front) sending(c *client, rest *body.Upload) bool {
+func (f *Server) sending(c *client, rest *body.Upload) bool {
 	select {
 	case goOn := <-c.done: // answered before the body was in
 		c.done <- goOn
@@ -311,7 +311,7 @@
 }
 
 // left ends a request whose client has gone, or sends what may not be sent before its answer.
-func (f *Front) left(c *client, err error) {
+func (f *Server) left(c *client, err error) {
 	c.drop()
 	if err == nil {
 		f.turnAway(c, errAhead)
@@ -320,31 +320,31 @@
 
 // drop lets go of the request that a pool has.
 func (c *client) drop() {
-	c.call.Asked().Left()
+	c.call.PoolRequest().ClientLeft()
 	c.release()
 }
 
 // release counts the call out.
 func (c *client) release() {
-	if rest := c.call.Asked().Message.Rest; rest != nil {
+	if rest := c.call.PoolRequest().Message.Rest; rest != nil {
 		rest.Release()
 	}
-	c.call.Leave()
+	c.call.Done()
 }
 
 // leave ends a connection behind an answer. What the client still sends is read for a while: closed at once, the connection would
 // be reset and the answer lost.
 func (c *client) leave() {
-	if rest := c.call.Asked().Message.Rest; rest.Unread() {
+	if rest := c.call.PoolRequest().Message.Rest; rest.Unread() {
 		rest.Stop()
 		c.farewell(slowClient, farewellLong)
 	}
 }
 
 // writer writes the answer to each request that a pool has, until quit is closed.
-func (f *Front) writer(c *client, quit <-chan struct{}) {
+func (f *Server) writer(c *client, quit <-chan struct{}) {
 	for {
-		var a pool.Answer
+		var a pool.Response
 		select {
 		case a = <-c.answers:
 		case <-quit:
@@ -354,9 +354,9 @@
 			c.hint(a)
 			continue
 		}
-		rest := c.call.Asked().Message.Rest
+		rest := c.call.PoolRequest().Message.Rest
 		if rest.Failed() || !c.take(answering) { // the reader ends the connection
-			a.More.Abandon()
+			a.Stream.Abandon()
 			a.Tunnel.Close()
 			continue
 		}
@@ -378,7 +378,7 @@
 }
 
 // open lets a connection become a tunnel: the writer moves what the node says, the reader what the client does.
-func (f *Front) open(c *client, a pool.Answer) {
+func (f *Server) open(c *client, a pool.Response) {
 	t := a.Tunnel
 	t.Bind(c.pace)
 	if x, ok := c.call.(interface{ Tunnel(*body.Tunnel) }); ok {
@@ -400,7 +400,7 @@
 }
 
 // answer writes an answer, and tells whether the connection goes on.
-func (f *Front) answer(c *client, a pool.Answer, last bool) bool {
+func (f *Server) answer(c *client, a pool.Response, last bool) bool {
 	last = last || f.isLeaving()
 	err := c.write(a, last)
 	if err == nil && !last && f.enter(c, idle) {
@@ -411,10 +411,10 @@
 }
 
 // health is the answer to a question after this balancer's health.
-func (f *Front) health() pool.Answer {
+func (f *Server) health() pool.Response {
 	if f.isLeaving() {
-		return pool.Answer{Status: http.StatusServiceUnavailable, Body: []byte("draining\n"), Kind: "text/plain"}
+		return pool.Response{Status: http.StatusServiceUnavailable, Body: []byte("draining\n"), ContentType: "text/plain"}
 	}
-	f.desk.Alive()
-	return pool.Answer{Status: http.StatusOK, Body: []byte("ok\n"), Kind: "text/plain"}
+	f.desk.Ping()
+	return pool.Response{Status: http.StatusOK, Body: []byte("ok\n"), ContentType: "text/plain"}
 }
--- a/internal/frontend/front.go
+++ b/internal/frontend/front.go
@@ -59,9 +59,9 @@
 	evicted              // closed to make room
 )
 
-// Front takes requests from clients, hands them to the loop and writes its answers.
-type Front struct {
-	desk     Desk
+// Server takes requests from clients, hands them to the loop and writes its answers.
+type Server struct {
+	desk     Router
 	listener net.Listener
 	limits   atomic.Pointer[Limits]
 	spare    int // connections with a request or behind one, over which the longest idle one goes; 0: none goes
@@ -79,37 +79,37 @@
 }
 
 // New returns a Front for a listener's clients.
-func New(d Desk, l net.Listener, limits Limits) *Front {
-	f := &Front{desk: d, listener: l, clients: map[*client]struct{}{}, ended: make(chan struct{})}
+func New(d Router, l net.Listener, limits Limits) *Server {
+	f := &Server{desk: d, listener: l, clients: map[*client]struct{}{}, ended: make(chan struct{})}
 	f.limits.Store(&limits)
 	f.spool.Set(spoolMost)
 	return f
 }
 
 // Spare closes the connection that idles longest whenever more than so many have a request in them or behind them.
-func (f *Front) Spare(connections int) { f.spare = connections }
+func (f *Server) Spare(connections int) { f.spare = connections }
 
 // Spool gives clients' bodies so many bytes to be read ahead into.
-func (f *Front) Spool(bytes int64) { f.spool.Set(bytes) }
+func (f *Server) Spool(bytes int64) { f.spool.Set(bytes) }
 
 // SpoolFree tells how much of that is not taken, in bytes.
-func (f *Front) SpoolFree() int64 { return f.spool.Free() }
+func (f *Server) SpoolFree() int64 { return f.spool.Free() }
 
 // Listener is where it takes connections.
-func (f *Front) Listener() net.Listener { return f.listener }
+func (f *Server) Listener() net.Listener { return f.listener }
 
 // Limit sets other limits. Connections over them go as soon as they are idle and another comes.
-func (f *Front) Limit(limits Limits) { f.limits.Store(&limits) }
+func (f *Server) Limit(limits Limits) { f.limits.Store(&limits) }
 
 // Connections tells how many there are.
-func (f *Front) Connections() (open, limit int) {
+func (f *Server) Connections() (open, limit int) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return len(f.clients), f.limits.Load().Connections
 }
 
 // Serve takes connections until stop has been called.
-func (f *Front) Serve() error {
+func (f *Server) Serve() error {
 	defer close(f.ended)
 	for {
 		c, err := f.listener.Accept()
@@ -127,7 +127,7 @@
 }
 
 // Take begins to serve a connection, once there is room for it.
-func (f *Front) Take(raw net.Conn) {
+func (f *Server) Take(raw net.Conn) {
 	for !f.evict() {
 		time.Sleep(firstBytes / 10)
 	}
@@ -159,19 +159,19 @@
 // retire lets a connection without a request go: its reader looks once more whether one has come, serves that, or else ends this
 // side and reads what crosses with that, for a while. Closed from here, with bytes that nobody has read, it would be reset. The caller
 // holds the lock.
-func (f *Front) retire(c *client) {
+func (f *Server) retire(c *client) {
 	f.move(c, parting)
 	c.wake()
 }
 
 // move takes c to a stage, and remove takes it out. The caller holds the lock.
-func (f *Front) move(c *client, s stage) {
+func (f *Server) move(c *client, s stage) {
 	f.count[c.stage]--
 	f.count[s]++
 	c.stage, c.since = s, time.Now()
 }
 
-func (f *Front) remove(c *client) {
+func (f *Server) remove(c *client) {
 	if _, ok := f.clients[c]; ok {
 		f.count[c.stage]--
 		delete(f.clients, c)
@@ -181,7 +181,7 @@
 // evict tells whether there is room for one more connection. Where there is none it closes the one that has been
 // silent for longest, or else idle for longest, never one with a request in it. Descriptors that run out would be
 // missed by upstreams and discovery too.
-func (f *Front) evict() bool {
+func (f *Server) evict() bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if len(f.clients) < f.limits.Load().Connections {
@@ -198,7 +198,7 @@
 
 // longest is the connection that has been longest at the first of the stages from the given one on that has any, but none with a
 // request in it. The caller holds the lock.
-func (f *Front) longest(from stage) (victim *client) {
+func (f *Server) longest(from stage) (victim *client) {
 	for c := range f.clients {
 		if c.stage < from || c.stage == busy || c.stage == evicted || (c.stage == silent && time.Since(c.since) < firstBytes) {
 			continue
@@ -212,7 +212,7 @@
 
 // enter moves c to a stage. It fails if c has been closed meanwhile, or is to go. One that was to go when a request came is served
 // once more.
-func (f *Front) enter(c *client, s stage) bool {
+func (f *Server) enter(c *client, s stage) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	c.final = c.final || c.stage == parting
@@ -238,7 +238,7 @@
 
 // Stop ends service without losing a request: connections that are still on their way are taken, then the listener is closed,
 // connections without a request go, and what has been taken is answered. A request that has come in part has a last time to be whole.
-func (f *Front) Stop() {
+func (f *Server) Stop() {
 	f.mu.Lock()
 	f.leaving = true
 	f.mu.Unlock()
@@ -271,7 +271,7 @@
 
 // HandOver ends service where another process has the listener too: that one gets the connections without a request in
 // them, now or once they are answered. Bytes that come meanwhile wait in the socket, so nothing crosses with a close.
-func (f *Front) HandOver(heir *hotrestart.Link) {
+func (f *Server) HandOver(heir *hotrestart.Link) {
 	f.mu.Lock()
 	f.heir, f.closed = heir, true
 	f.listener.Close()
@@ -287,32 +287,32 @@
 
 // pass hands a connection over whose wait for a request has ended with an error, if there is somebody to take it and
 // nothing of a request has been read from it. It tells whether it was to be handed over.
-func (f *Front) pass(c *client, err error) bool {
+func (f *Server) pass(c *client, err error) bool {
 	f.mu.Lock()
 	heir := f.heir
 	f.mu.Unlock()
 	if heir == nil || !timedOut(err) || c.Buffered() > 0 {
 		return false
 	}
-	if err := heir.Send(hotrestart.Message{Kind: hotrestart.Client}, c.pace.Conn.(syscall.Conn)); err != nil {
+	if err := heir.Send(hotrestart.Message{Kind: hotrestart.KindClientConnection}, c.pace.Conn.(syscall.Conn)); err != nil {
 		slog.Warn("handing a client over", "err", err)
 	}
 	return true
 }
 
 // settle waits until all that was taken is answered.
-func (f *Front) settle() {
+func (f *Server) settle() {
 	answered := make(chan struct{})
 	go func() { f.gone.Wait(); close(answered) }()
 	select {
 	case <-answered:
-	case <-time.After(max(f.desk.Longest(), f.tunnelGrace()) + lameDuck):
+	case <-time.After(max(f.desk.MaxDeadline(), f.tunnelGrace()) + lameDuck):
 		slog.Warn("clients that did not read their answers are left")
 	}
 }
 
 // tunnelGrace is the longest time that a tunnel still has.
-func (f *Front) tunnelGrace() (most time.Duration) {
+func (f *Server) tunnelGrace() (most time.Duration) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	for c := range f.clients {
@@ -324,7 +324,7 @@
 }
 
 // retireAll lets some of the connections go. The caller holds the lock.
-func (f *Front) retireAll(of func(*client) bool) {
+func (f *Server) retireAll(of func(*client) bool) {
 	for c := range f.clients {
 		if of(c) {
 			f.retire(c)
@@ -333,14 +333,14 @@
 }
 
 // Drained tells whether the balancer is drained by hand.
-func (f *Front) Drained() bool {
+func (f *Server) Drained() bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.standby != nil
 }
 
 // isLeaving tells whether clients are to go elsewhere.
-func (f *Front) isLeaving() bool {
+func (f *Server) isLeaving() bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.leaving || f.standby != nil
@@ -349,7 +349,7 @@
 // Drain begins a drain or ends it. What comes meanwhile is served: the front goes on sending for a while. A connection is
 // closed by its next answer, and one without a request for so long that most have had one: closed at once, many would
 // cross with a request.
-func (f *Front) Drain(on bool) {
+func (f *Server) Drain(on bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	switch {
--- a/internal/frontend/read.go
+++ b/internal/frontend/read.go
@@ -13,7 +13,7 @@
 )
 
 // readBody reads a body, or the part of it that is read ahead.
-func (f *Front) readBody(c *client, q *pool.Request, framed http1.Framing) (err error) {
+func (f *Server) readBody(c *client, q *pool.Request, framed http1.Framing) (err error) {
 	limits := q.Message.Most()
 	src := c.Body(framed, limits.Request)
 	c.pace.extend(maxBody)
@@ -43,7 +43,7 @@
 
 // ReadRequest reads one request off a connection as a Front does, for who wants to know what becomes of it; nil is a question after
 // the balancer's health.
-func ReadRequest(d Desk, c net.Conn) (Call, error) {
+func ReadRequest(d Router, c net.Conn) (Exchange, error) {
 	s := &client{Stream: http1.NewStream(c, readBuffer)}
 	s.Limit(http1.MaxHead)
 	call, _, err := New(d, nil, Usual(1)).read(s)
@@ -52,7 +52,7 @@
 
 // read reads a client's request; nil is a question after this balancer's health. What is malformed never reaches the
 // module.
-func (f *Front) read(c *client) (Call, http1.Fields, error) {
+func (f *Server) read(c *client) (Exchange, http1.Fields, error) {
 	line, h, err := c.Head()
 	if err != nil {
 		return nil, nil, err
@@ -60,14 +60,14 @@
 	method, rest, _ := strings.Cut(line, " ")
 	target, version, _ := strings.Cut(rest, " ")
 	if c.old = version == "HTTP/1.0" && f.limits.Load().HTTP10; version != "HTTP/1.1" && !c.old {
-		return nil, nil, &Refusal{http.StatusHTTPVersionNotSupported, "HTTP/1.1 is wanted"}
+		return nil, nil, &Rejection{http.StatusHTTPVersionNotSupported, "HTTP/1.1 is wanted"}
 	}
 	if c.old && h.Has("Transfer-Encoding") { // RFC 9112, section 6.1
-		return nil, nil, Bad("Transfer-Encoding in HTTP/1.0")
+		return nil, nil, BadRequest("Transfer-Encoding in HTTP/1.0")
 	}
 	for _, name := range Once {
 		if h.Count(name) > 1 {
-			return nil, nil, Bad("%s stands there more than once", name)
+			return nil, nil, BadRequest("%s stands there more than once", name)
 		}
 	}
 	if method == http.MethodGet && target == "/healthz" && h.Get("X-Request-Id") == "" {
@@ -77,25 +77,25 @@
 	if err != nil {
 		return nil, nil, err
 	}
-	q := call.Asked()
+	q := call.PoolRequest()
 	if expect := h.Get("Expect"); expect != "" && !strings.EqualFold(expect, "100-continue") && !c.old {
-		return nil, nil, &Refusal{http.StatusExpectationFailed, "of expectations, 100-continue is known"}
+		return nil, nil, &Rejection{http.StatusExpectationFailed, "of expectations, 100-continue is known"}
 	}
 	framed, some, err := http1.FramingOf(h)
 	switch {
 	case errors.Is(err, http1.ErrLarge), err == nil && framed.Length > uint64(q.Message.Most().Request):
-		return nil, nil, &Refusal{http.StatusRequestEntityTooLarge, "a body of that length is not taken"}
+		return nil, nil, &Rejection{http.StatusRequestEntityTooLarge, "a body of that length is not taken"}
 	case err != nil && !h.Has("Content-Length"): // RFC 9112, section 6.1
-		return nil, nil, &Refusal{http.StatusNotImplemented, "of transfer codings, chunked is known"}
+		return nil, nil, &Rejection{http.StatusNotImplemented, "of transfer codings, chunked is known"}
 	case err != nil && h.Has("Transfer-Encoding"):
 		// An upstream may go by the other one: the rest of the body would be a request of its own.
-		return nil, nil, Bad("Content-Length beside Transfer-Encoding")
+		return nil, nil, BadRequest("Content-Length beside Transfer-Encoding")
 	case err != nil:
-		return nil, nil, Bad("Content-Length is no number")
+		return nil, nil, BadRequest("Content-Length is no number")
 	case !some && q.Message.Bodied:
-		return nil, nil, &Refusal{http.StatusLengthRequired, "a Content-Length or chunks are wanted"}
+		return nil, nil, &Rejection{http.StatusLengthRequired, "a Content-Length or chunks are wanted"}
 	case (framed.Chunked || framed.Length > 0) && !q.Message.Bodied:
-		return nil, nil, Bad("%s with a body", method)
+		return nil, nil, BadRequest("%s with a body", method)
 	}
 	if some {
 		if strings.EqualFold(h.Get("Expect"), "100-continue") && c.Buffered() == 0 && !c.old {
--- a/internal/frontend/write.go
+++ b/internal/frontend/write.go
@@ -15,13 +15,13 @@
 
 // turnAway answers a client whose request can't be served, and closes the connection: where its next request begins
 // is not certain. One whose connection broke gets no answer.
-func (f *Front) turnAway(c *client, err error) {
+func (f *Server) turnAway(c *client, err error) {
 	if !f.enter(c, silent) {
 		return
 	}
-	r := &Refusal{http.StatusBadRequest, err.Error()}
+	r := &Rejection{http.StatusBadRequest, err.Error()}
 	if timedOut(err) {
-		r = &Refusal{http.StatusRequestTimeout, "the request did not come whole in time"}
+		r = &Rejection{http.StatusRequestTimeout, "the request did not come whole in time"}
 	} else if errors.Is(err, body.ErrSlow) {
 		r.Status = http.StatusRequestTimeout
 	} else if errors.Is(err, http1.ErrLine) {
@@ -33,7 +33,7 @@
 	} else if !errors.As(err, &r) && !errors.Is(err, http1.ErrHead) && !errors.Is(err, http1.ErrFrame) {
 		return
 	}
-	if c.write(pool.Answer{Status: r.Status, Body: []byte(r.Why + "\n"), Kind: "text/plain"}, true) != nil {
+	if c.write(pool.Response{Status: r.Status, Body: []byte(r.Why + "\n"), ContentType: "text/plain"}, true) != nil {
 		return
 	}
 	c.farewell(farewellFor, farewellMost)
@@ -52,7 +52,7 @@
 }
 
 // write writes an answer. If it fails the client has gone, and can tell that the answer is not whole.
-func (c *client) write(a pool.Answer, last bool) error {
+func (c *client) write(a pool.Response, last bool) error {
 	b := http1.Buffer()
 	defer http1.Done(b)
 	field := func(name, value string) {
@@ -67,21 +67,21 @@
 		field("Connection: ", "Upgrade")
 		field("Upgrade: ", a.Header.Get("Upgrade"))
 	case a.Status == http.StatusNoContent || a.Status == http.StatusNotModified: // end with their head (RFC 9112, section 6.3)
-	case a.More != nil && a.More.Framed() && c.old: // to the close
+	case a.Stream != nil && a.Stream.Framed() && c.old: // to the close
 		last = true
-	case a.More != nil && a.More.Framed(), len(a.Trailer) > 0 && !c.old:
+	case a.Stream != nil && a.Stream.Framed(), len(a.Trailer) > 0 && !c.old:
 		field("Transfer-Encoding: ", "chunked")
-	case a.More != nil:
-		field("Content-Length: ", strconv.FormatUint(a.More.Length(), 10))
+	case a.Stream != nil:
+		field("Content-Length: ", strconv.FormatUint(a.Stream.Length(), 10))
 	case a.Header.Has("Content-Length") && len(a.Body) == 0: // an answer to HEAD tells the length that GET would have
 		field("Content-Length: ", a.Header.Get("Content-Length"))
 	default:
 		field("Content-Length: ", strconv.Itoa(len(a.Body)))
 	}
-	if a.Kind != "" {
-		field("Content-Type: ", a.Kind)
+	if a.ContentType != "" {
+		field("Content-Type: ", a.ContentType)
 	}
-	if a.RetryAfter > 0 && a.Whole {
+	if a.RetryAfter > 0 && a.RetryAfterInSeconds {
 		field("Retry-After: ", strconv.FormatInt(int64((a.RetryAfter+time.Second-1)/time.Second), 10))
 	} else if a.RetryAfter > 0 {
 		field("Retry-After: ", strconv.FormatFloat(a.RetryAfter.Seconds(), 'f', 3, 64))
@@ -92,18 +92,18 @@
 		field("Connection: ", "keep-alive")
 	}
 	b.WriteString("\r\n")
-	if len(a.Trailer) > 0 && a.More == nil && !c.old {
+	if len(a.Trailer) > 0 && a.Stream == nil && !c.old {
 		http1.WriteChunk(b, a.Body)
 		http1.WriteEnd(b, a.Trailer)
 	} else {
 		b.Write(a.Body)
 	}
 	c.pace.writeWithin(slowReader)
-	if _, err := c.Write(b.Bytes()); err != nil || a.More == nil {
-		a.More.Abandon()
+	if _, err := c.Write(b.Bytes()); err != nil || a.Stream == nil {
+		a.Stream.Abandon()
 		return err
 	}
-	if err := a.More.Copy(c, !c.old); err != nil || !c.old || !a.More.Framed() {
+	if err := a.Stream.Copy(c, !c.old); err != nil || !c.old || !a.Stream.Framed() {
 		return err
 	}
 	return errToClose
@@ -113,7 +113,7 @@
 var errToClose = errors.New("the answer ends with the connection")
 
 // hint writes an interim answer, unless the reader has ended the request.
-func (c *client) hint(a pool.Answer) {
+func (c *client) hint(a pool.Response) {
 	if c.old || c.state.Load() != waiting {
 		return
 	}
--- a/internal/hotrestart/handover.go
+++ b/internal/hotrestart/handover.go
@@ -31,23 +31,23 @@
 
 // The kinds.
 const (
-	Take   Kind = "take"   // the new process asks for what the old one has
-	State  Kind = "state"  // what is out by hand and whether the balancer is drained; the answer to Take brings the listener
-	Ack    Kind = "ack"    // a State has been applied
-	Ready  Kind = "ready"  // the new process serves
-	Recall Kind = "recall" // the new process asks for what has been learnt
-	Memory Kind = "memory" // what has been learnt
-	Client Kind = "client" // a client's connection without a request in it
+	KindTakeOver         Kind = "take"   // the new process asks for what the old one has
+	KindState            Kind = "state"  // what is out by hand and whether the balancer is drained; the answer to Take brings the listener
+	KindAck              Kind = "ack"    // a State has been applied
+	KindReady            Kind = "ready"  // the new process serves
+	KindSnapshotRequest  Kind = "recall" // the new process asks for what has been learnt
+	KindSnapshot         Kind = "memory" // what has been learnt
+	KindClientConnection Kind = "client" // a client's connection without a request in it
 )
 
 // Message is what one process tells the other.
 type Message struct {
-	Kind    Kind                      `json:"kind"`
-	Serial  uint64                    `json:"serial,omitempty"` // of a State, and in its Ack
-	Listen  string                    `json:"listen,omitempty"` // address that the balancer serves
-	Held    map[string]override.Entry `json:"held,omitempty"`
-	Standby bool                      `json:"standby,omitempty"`
-	Memory  *balancer.Memory          `json:"memory,omitempty"`
+	Kind      Kind                      `json:"kind"`
+	Serial    uint64                    `json:"serial,omitempty"` // of a State, and in its Ack
+	Listen    string                    `json:"listen,omitempty"` // address that the balancer serves
+	Overrides map[string]override.Entry `json:"held,omitempty"`
+	Standby   bool                      `json:"standby,omitempty"`
+	Snapshot  *balancer.Snapshot        `json:"memory,omitempty"`
 }
 
 // Decode reads a message.
@@ -57,7 +57,7 @@
 		return m, fmt.Errorf("handover: %w", err)
 	}
 	switch m.Kind {
-	case Take, State, Ack, Ready, Client, Recall, Memory:
+	case KindTakeOver, KindState, KindAck, KindReady, KindClientConnection, KindSnapshotRequest, KindSnapshot:
 		return m, nil
 	}
 	return m, fmt.Errorf("handover: a message of kind %q", m.Kind)
--- a/internal/metrics/metrics.go
+++ b/internal/metrics/metrics.go
@@ -125,7 +125,7 @@
 	var made, never, old, up, draining float64
 	for i := range s.Pools {
 		p := &s.Pools[i]
-		made, never, old = made+one(p.Made), never+one(!p.Asked()), old+one(p.Expired)
+		made, never, old = made+one(p.Created), never+one(!p.Asked()), old+one(p.Expired)
 		up, draining = up+float64(p.Up), draining+float64(p.Draining)
 	}
 	w.family(gauge, "pools", "Pools by what they hold: made ones have their nodes' state, others a list.")
@@ -154,14 +154,14 @@
 		w.line(float64(p.Served), "pool", p.Name, "result", "served")
 		w.line(float64(p.Refused), "pool", p.Name, "result", "refused")
 		w.line(float64(p.Failed), "pool", p.Name, "result", "failed")
-		w.line(float64(p.TurnedAway), "pool", p.Name, "result", "turned_away")
+		w.line(float64(p.QueueFull), "pool", p.Name, "result", "turned_away")
 	})
 	w.family(counter, "served_seconds_total", "The time that served requests took, from their coming to the head of their answer, in sum.")
 	each(func(p *Pool) { w.line(p.ServedFor.Seconds(), "pool", p.Name) })
 	w.family(gauge, "requests_open", "Requests that a pool holds, sent or waiting.")
 	each(func(p *Pool) { w.line(float64(p.Open), "pool", p.Name) })
 	w.family(gauge, "requests_held", "Of these, the ones that wait for a turn.")
-	each(func(p *Pool) { w.line(float64(p.Held), "pool", p.Name) })
+	each(func(p *Pool) { w.line(float64(p.Queued), "pool", p.Name) })
 	w.family(gauge, "connections", "Connections to nodes.")
 	each(func(p *Pool) { w.line(float64(p.Connections), "pool", p.Name) })
 	w.family(gauge, "tunnels", "Connections that have changed their protocol.")
--- a/internal/override/maintenance.go
+++ b/internal/override/maintenance.go
@@ -16,27 +16,27 @@
 	At  int64 `json:"at"`  // when, Unix time in nanoseconds
 }
 
-// Ledger holds the last call on each upstream, by its id in the node list. The zero value is empty. Its owner calls it from one
+// Table holds the last call on each upstream, by its id in the node list. The zero value is empty. Its owner calls it from one
 // goroutine.
-type Ledger struct {
+type Table struct {
 	entries  map[string]Entry
 	shared   Shared
 	returned map[string]time.Duration // what the ledger of promises had out, and when it no longer had
 }
 
-// Out takes an upstream out. Taken out already it stays so.
-func (l *Ledger) Out(id string, now time.Duration) { l.set(id, true, now) }
+// TakeOut takes an upstream out. Taken out already it stays so.
+func (l *Table) TakeOut(id string, now time.Duration) { l.set(id, true, now) }
 
-// Back undoes Out, however often that was called. It tells whether the upstream was out.
-func (l *Ledger) Back(id string, now time.Duration) bool {
-	if !l.IsOut(id) {
+// PutBack undoes Out, however often that was called. It tells whether the upstream was out.
+func (l *Table) PutBack(id string, now time.Duration) bool {
+	if !l.OutLocally(id) {
 		return false
 	}
 	l.set(id, false, now)
 	return true
 }
 
-func (l *Ledger) set(id string, out bool, now time.Duration) {
+func (l *Table) set(id string, out bool, now time.Duration) {
 	if l.entries == nil {
 		l.entries = map[string]Entry{}
 	}
@@ -47,11 +47,11 @@
 	l.entries[id] = Entry{Out: out, At: max(int64(now), l.entries[id].At+1)}
 }
 
-// IsOut tells whether an upstream is out.
-func (l *Ledger) IsOut(id string) bool { return l.entries[id].Out }
+// OutLocally tells whether an upstream is out.
+func (l *Table) OutLocally(id string) bool { return l.entries[id].Out }
 
-// BackAt is when an upstream was called back; 0: not lately.
-func (l *Ledger) BackAt(id string) time.Duration {
+// PutBackAt is when an upstream was called back; 0: not lately.
+func (l *Table) PutBackAt(id string) time.Duration {
 	if e, ok := l.entries[id]; ok && !e.Out {
 		return time.Duration(e.At)
 	}
@@ -59,11 +59,11 @@
 }
 
 // Entries returns a copy of what is held, for another process.
-func (l *Ledger) Entries() map[string]Entry { return maps.Clone(l.entries) }
+func (l *Table) Entries() map[string]Entry { return maps.Clone(l.entries) }
 
 // Merge takes in what another process holds. Of two calls on an upstream the later one counts; at the same moment, the
 // one that keeps it out.
-func (l *Ledger) Merge(other map[string]Entry) {
+func (l *Table) Merge(other map[string]Entry) {
 	for id, e := range other {
 		if mine, ok := l.entries[id]; ok && (mine.At > e.At || (mine.At == e.At && mine.Out)) {
 			continue
--- a/internal/override/shared.go
+++ b/internal/override/shared.go
@@ -16,28 +16,28 @@
 	Shares map[string]float64 // part of its weight
 }
 
-// Of picks what words say of a pool.
-func Of(words []state.Word, pool string) Shared {
+// ForPool picks what words say of a pool.
+func ForPool(words []state.Override, pool string) Shared {
 	s := Shared{Out: map[string]bool{}, Zones: map[string]bool{}, Caps: map[string]int{}, Shares: map[string]float64{}}
 	for _, w := range words {
 		switch {
-		case w.Kind == state.Out && w.Scope == state.Upstream:
+		case w.Kind == state.OutOfService && w.Scope == state.ScopeUpstream:
 			s.Out[w.Target] = true
-		case w.Kind == state.Out && w.Scope == state.Zone:
+		case w.Kind == state.OutOfService && w.Scope == state.ScopeZone:
 			s.Zones[w.Target] = true
-		case w.Kind == state.Out && w.Scope == state.Pool:
+		case w.Kind == state.OutOfService && w.Scope == state.ScopePool:
 			s.All = s.All || w.Target == pool
-		case w.Kind == state.Cap:
+		case w.Kind == state.ConcurrencyCap:
 			s.Caps[w.Target] = int(w.Value)
-		case w.Kind == state.Share:
+		case w.Kind == state.TrafficShare:
 			s.Shares[w.Target] = float64(w.Value) / 1000
 		}
 	}
 	return s
 }
 
-// Govern takes what the ledger says from now on, in the place of what it said before. What is no longer out counts as called back now.
-func (l *Ledger) Govern(s Shared, now time.Duration) {
+// ApplyShared takes what the ledger says from now on, in the place of what it said before. What is no longer out counts as called back now.
+func (l *Table) ApplyShared(s Shared, now time.Duration) {
 	maps.DeleteFunc(l.returned, func(_ string, at time.Duration) bool { return at < now-keepBack })
 	came := func(key string) {
 		if l.returned == nil {
@@ -64,36 +64,36 @@
 // The keys of what has come back, by what was out.
 const upstreamKey, zoneKey, allKey = "upstream ", "zone ", "all"
 
-// Released ends this balancer's own word that an upstream is out, now that the ledger has had it: what the ledger says of it counts alone.
+// ReleaseLocal ends this balancer's own word that an upstream is out, now that the ledger has had it: what the ledger says of it counts alone.
 // Where that has been taken back since, the upstream is called back now.
-func (l *Ledger) Released(id string, now time.Duration) {
+func (l *Table) ReleaseLocal(id string, now time.Duration) {
 	switch {
 	case !l.entries[id].Out:
 	case l.shared.Out[id]:
 		delete(l.entries, id)
 	default:
-		l.Back(id, now)
+		l.PutBack(id, now)
 	}
 }
 
-// Held tells whether an upstream of a zone is out, by whose word ever.
-func (l *Ledger) Held(id, zone string) bool {
-	return l.IsOut(id) || l.shared.All || l.shared.Out[id] || l.shared.Zones[zone]
+// OutOfService tells whether an upstream of a zone is out, by whose word ever.
+func (l *Table) OutOfService(id, zone string) bool {
+	return l.OutLocally(id) || l.shared.All || l.shared.Out[id] || l.shared.Zones[zone]
 }
 
-// Returned is when an upstream of a zone was called back by whatever word kept it out; 0: not lately.
-func (l *Ledger) Returned(id, zone string) time.Duration {
+// ReturnedAt is when an upstream of a zone was called back by whatever word kept it out; 0: not lately.
+func (l *Table) ReturnedAt(id, zone string) time.Duration {
 	if len(l.returned) == 0 { // as nearly always: no keys are made for it
-		return l.BackAt(id)
+		return l.PutBackAt(id)
 	}
-	return max(l.BackAt(id), l.returned[upstreamKey+id], l.returned[zoneKey+zone], l.returned[allKey])
+	return max(l.PutBackAt(id), l.returned[upstreamKey+id], l.returned[zoneKey+zone], l.returned[allKey])
 }
 
-// Cap is how many attempts may be out at an upstream; 0: any number.
-func (l *Ledger) Cap(id string) int { return l.shared.Caps[id] }
+// ConcurrencyCap is how many attempts may be out at an upstream; 0: any number.
+func (l *Table) ConcurrencyCap(id string) int { return l.shared.Caps[id] }
 
-// Part is what an upstream has of its weight: over 0, and 1 where nothing is said.
-func (l *Ledger) Part(id string) float64 {
+// WeightFactor is what an upstream has of its weight: over 0, and 1 where nothing is said.
+func (l *Table) WeightFactor(id string) float64 {
 	if x, ok := l.shared.Shares[id]; ok && x > 0 {
 		return x
 	}
--- a/internal/pool/attempt.go
+++ b/internal/pool/attempt.go
@@ -58,7 +58,7 @@
 	now := l.now()
 	a := &attempt{loop: l, req: r, n: len(r.attempts), peer: p, via: l.transport, sentAt: now}
 	a.Message, a.Address, a.Told, a.Gate = &r.Message, p.address, a, a
-	if until := l.balancer.Until(id); until > 0 {
+	if until := l.balancer.SendDeadline(id); until > 0 {
 		a.Until = time.Now().Add(until - now)
 	}
 	r.attempts, r.out = append(r.attempts, a), r.out+1
@@ -79,7 +79,7 @@
 	}
 	if !room { // no fault of the upstream's
 		a.Drop()
-		l.due = append(l.due, owing{a, balancer.Moot})
+		l.due = append(l.due, owing{a, balancer.NotSent})
 		return
 	}
 	if p.out == nil {
@@ -106,7 +106,7 @@
 	l.alarms.unset(&q.end)
 	q.end.at = q.deadline
 	l.alarms.set(&q.end)
-	l.balancer.Sent(a.sentAt, q.ID, a.n)
+	l.balancer.BodySent(a.sentAt, q.ID, a.n)
 }
 
 // began is an answer of which the first bytes have come.
@@ -141,7 +141,7 @@
 func (e hinted) apply(l *loop) {
 	if q := e.attempt.req; !e.told && !q.closed && !q.hinted {
 		q.hinted = true
-		q.Reply <- Answer{Status: http.StatusEarlyHints, Header: e.fields} // has room, and the last answer too
+		q.Reply <- Response{Status: http.StatusEarlyHints, Header: e.fields} // has room, and the last answer too
 	}
 }
 
@@ -185,19 +185,19 @@
 	l.alarms.unset(&a.limit)
 	q, now := a.req, l.now()
 	if r.Status == balancer.OK && !q.closed {
-		l.answer(q, Answer{Status: r.Code, Body: r.Body, Kind: r.Kind, Header: r.Header, Trailer: r.Trailer, More: r.More, Tunnel: r.Tunnel})
+		l.answer(q, Response{Status: r.Code, Body: r.Body, ContentType: r.Kind, Header: r.Header, Trailer: r.Trailer, Stream: r.More, Tunnel: r.Tunnel})
 	}
 	if r.Status != balancer.OK && !q.closed && q.Message.Rest.Spent() { // the module can't send it anew
-		if r.Status == balancer.Full || r.Status == balancer.ConnectFailed || r.Status == balancer.Moot {
-			l.answer(q, Answer{Status: http.StatusServiceUnavailable})
+		if r.Status == balancer.Rejected || r.Status == balancer.ConnectFailed || r.Status == balancer.NotSent {
+			l.answer(q, Response{Status: http.StatusServiceUnavailable})
 		} else {
-			l.answer(q, Answer{Status: http.StatusBadGateway})
+			l.answer(q, Response{Status: http.StatusBadGateway})
 		}
 	}
 	q.out--
 	closed := q.closed
 	l.release(q)
-	l.balancer.Outcome(now, balancer.Outcome{
+	l.balancer.AttemptFinished(now, balancer.AttemptResult{
 		ID: q.ID, Upstream: a.peer.id, Attempt: a.n, Latency: now - a.sentAt,
 		Status: r.Status, Closed: closed, Load: r.Load,
 	})
@@ -225,7 +225,7 @@
 		return
 	}
 	if a.Drop() {
-		status = balancer.Moot
+		status = balancer.NotSent
 	} else {
 		// An attempt of a request that may be sent again gives up its connection, or it would count as a second copy.
 		until, linger := time.Unix(0, 1), (a.req.closed || l.now() >= a.req.deadline) && a.peer.lingering < a.peer.lingerMost() && a.peer.state == balancer.Active
--- a/internal/pool/configure.go
+++ b/internal/pool/configure.go
@@ -15,9 +15,9 @@
 	}
 	if l.followed() != e.Discovery {
 		l.follow(e.Discovery)
-		l.Watch(true)
+		l.WatchEndpoints(true)
 	}
-	l.shares.reweigh(e.Share)
+	l.shares.reweigh(e.SharedWeight)
 	if l.shares.own != e.OwnDrains {
 		l.shares.own = e.OwnDrains
 		l.reshare(nil)
@@ -35,15 +35,15 @@
 	} else if err := c.Settings.Validate(); err != nil {
 		return err
 	}
-	asked := l.settings.OnRequest
+	asked := l.settings.PollDiscovery
 	l.limit(c)
 	if !l.mayRest() {
 		if err := l.make(); err != nil {
 			return err
 		}
 	}
-	if asked != c.Settings.OnRequest { // the module has asked by what held before
-		l.Watch(true)
+	if asked != c.Settings.PollDiscovery { // the module has asked by what held before
+		l.WatchEndpoints(true)
 	}
 	return nil
 }
@@ -71,7 +71,7 @@
 		l.Log(fmt.Sprintf("configuration read again: discovery is at %s, no longer at %s", e.Discovery, before))
 		l.follow(e.Discovery)
 		if l.stopWatch != nil {
-			l.Watch(true)
+			l.WatchEndpoints(true)
 		}
 		return
 	}
--- a/internal/pool/conns.go
+++ b/internal/pool/conns.go
@@ -159,16 +159,16 @@
 	}
 }
 
-// Disconnect closes the idle links to an upstream.
-func (l *loop) Disconnect(up balancer.UpstreamID) {
+// CloseIdle closes the idle links to an upstream.
+func (l *loop) CloseIdle(up balancer.UpstreamID) {
 	if p := l.peers[up]; p != nil {
 		l.shut(p, p.idle...)
 		p.idle = nil
 	}
 }
 
-// Probe asks an upstream for its load.
-func (l *loop) Probe(up balancer.UpstreamID) {
+// HealthCheck asks an upstream for its load.
+func (l *loop) HealthCheck(up balancer.UpstreamID) {
 	p := l.peers[up]
 	if p == nil || p.state != balancer.Active {
 		return
@@ -198,5 +198,5 @@
 		e.peer.strays++
 	}
 	now := l.now()
-	l.balancer.Probed(now, balancer.ProbeResult{Upstream: e.peer.id, Latency: now - e.sentAt, Status: e.Status, Load: e.Load})
+	l.balancer.HealthCheckFinished(now, balancer.HealthCheckResult{Upstream: e.peer.id, Latency: now - e.sentAt, Status: e.Status, Load: e.Load})
 }
--- a/internal/pool/directory.go
+++ b/internal/pool/directory.go
@@ -8,10 +8,10 @@
 	"olivearch/internal/sharedlimit"
 )
 
-// Directory tells the pools of a process what each may use of the nodes that several of them list. It runs in a
+// EndpointRegistry tells the pools of a process what each may use of the nodes that several of them list. It runs in a
 // goroutine of its own and waits for no pool; no pool waits for it. A pool's claim costs work by its own nodes, and
 // messages only to pools that list one of these too and for which something differs.
-type Directory struct {
+type EndpointRegistry struct {
 	ctx   context.Context
 	mu    sync.Mutex
 	asks  []func(*directory)
@@ -20,7 +20,7 @@
 
 // directory is what the goroutine keeps.
 type directory struct {
-	ledger  *sharedlimit.Ledger
+	ledger  *sharedlimit.Allocator
 	ties    map[*sharedlimit.Pool]*tie
 	claimed map[*sharedlimit.Pool]struct{} // since pools were last told
 	limit   int                            // connections to one node over all pools
@@ -36,20 +36,20 @@
 // sharing is a pool's tie to the directory, as the pool's loop keeps it. A nil one belongs to a pool that shares nothing.
 // What it holds beside the claim is what differs from the rule, which is that a node is all the pool's.
 type sharing struct {
-	directory *Directory
+	directory *EndpointRegistry
 	pool      *sharedlimit.Pool // the directory's
 	weight    float64
-	own       bool                         // drains that other pools were told do not count here
-	limit     int                          // connections to a node that is all the pool's; 0: not told yet
-	claimed   map[string]bool              // by address; true: drains by the pool's list. The directory reads it too: it never changes
-	serial    uint64                       // of that claim
-	waiting   map[string]uint64            // nodes for which the directory has not answered, by the claim that has them first
-	shared    map[string]sharedlimit.Share // nodes that other pools list too
+	own       bool                             // drains that other pools were told do not count here
+	limit     int                              // connections to a node that is all the pool's; 0: not told yet
+	claimed   map[string]bool                  // by address; true: drains by the pool's list. The directory reads it too: it never changes
+	serial    uint64                           // of that claim
+	waiting   map[string]uint64                // nodes for which the directory has not answered, by the claim that has them first
+	shared    map[string]sharedlimit.Allotment // nodes that other pools list too
 }
 
-// NewDirectory starts a directory, for so many connections to one node over all pools.
-func NewDirectory(ctx context.Context, connections int) *Directory {
-	d := &Directory{ctx: ctx, ready: make(chan struct{}, 1)}
+// NewEndpointRegistry starts a directory, for so many connections to one node over all pools.
+func NewEndpointRegistry(ctx context.Context, connections int) *EndpointRegistry {
+	d := &EndpointRegistry{ctx: ctx, ready: make(chan struct{}, 1)}
 	state := newDirectory(connections)
 	go func() {
 		for {
@@ -65,7 +65,7 @@
 }
 
 func newDirectory(connections int) *directory {
-	return &directory{ledger: sharedlimit.New(connections), ties: map[*sharedlimit.Pool]*tie{}, claimed: map[*sharedlimit.Pool]struct{}{}, limit: connections}
+	return &directory{ledger: sharedlimit.NewAllocator(connections), ties: map[*sharedlimit.Pool]*tie{}, claimed: map[*sharedlimit.Pool]struct{}{}, limit: connections}
 }
 
 // turn answers what was asked.
@@ -103,7 +103,7 @@
 }
 
 // ask hands something to the directory's goroutine. It does not wait.
-func (d *Directory) ask(f func(*directory)) {
+func (d *EndpointRegistry) ask(f func(*directory)) {
 	d.mu.Lock()
 	d.asks = append(d.asks, f)
 	d.mu.Unlock()
@@ -113,7 +113,7 @@
 	}
 }
 
-func (d *Directory) take() []func(*directory) {
+func (d *EndpointRegistry) take() []func(*directory) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	asks := d.asks
@@ -121,22 +121,22 @@
 	return asks
 }
 
-// Limit sets anew how many connections a node takes over all pools.
-func (d *Directory) Limit(connections int) {
+// SetConnectionLimit sets anew how many connections a node takes over all pools.
+func (d *EndpointRegistry) SetConnectionLimit(connections int) {
 	d.ask(func(s *directory) {
 		if connections != s.limit {
-			s.ledger.Limit(connections)
+			s.ledger.SetConnectionLimit(connections)
 			s.limit, s.limited = connections, true
 		}
 	})
 }
 
 // join returns a new pool's tie; a nil directory has none.
-func (d *Directory) join(weight float64, own bool, hand func(event)) *sharing {
+func (d *EndpointRegistry) join(weight float64, own bool, hand func(event)) *sharing {
 	if d == nil {
 		return nil
 	}
-	s := &sharing{directory: d, pool: new(sharedlimit.Pool), weight: weight, own: own, waiting: map[string]uint64{}, shared: map[string]sharedlimit.Share{}}
+	s := &sharing{directory: d, pool: new(sharedlimit.Pool), weight: weight, own: own, waiting: map[string]uint64{}, shared: map[string]sharedlimit.Allotment{}}
 	d.ask(func(state *directory) { state.ties[s.pool] = &tie{hand: hand} })
 	return s
 }
@@ -176,17 +176,17 @@
 }
 
 // share is what the pool may use of a node; false: the directory has not answered for it, and it gets nothing.
-func (s *sharing) share(address string) (sharedlimit.Share, bool) {
+func (s *sharing) share(address string) (sharedlimit.Allotment, bool) {
 	if _, waits := s.waiting[address]; waits {
-		return sharedlimit.Share{}, false
+		return sharedlimit.Allotment{}, false
 	}
 	if _, ok := s.claimed[address]; !ok {
-		return sharedlimit.Share{}, false
+		return sharedlimit.Allotment{}, false
 	}
 	if x, ok := s.shared[address]; ok {
 		return x, true
 	}
-	return sharedlimit.Share{Part: 1, Connections: s.limit}, true
+	return sharedlimit.Allotment{Fraction: 1, Connections: s.limit}, true
 }
 
 func (s *sharing) leave() {
@@ -194,7 +194,7 @@
 		return
 	}
 	s.directory.ask(func(d *directory) {
-		d.ledger.Leave(s.pool)
+		d.ledger.Remove(s.pool)
 		delete(d.ties, s.pool)
 		delete(d.claimed, s.pool)
 	})
@@ -214,10 +214,10 @@
 		if _, ok := s.claimed[x.Node]; !ok || s.waiting[x.Node] > told.serial {
 			continue // about a use that has ended
 		}
-		if x.Alone {
+		if x.Exclusive {
 			delete(s.shared, x.Node)
 		} else {
-			s.shared[x.Node] = x.Share
+			s.shared[x.Node] = x.Allotment
 		}
 		changed(x.Node)
 	}
@@ -285,7 +285,7 @@
 		}
 	}
 	if len(changed) > 0 {
-		l.balancer.Members(l.now(), balancer.ListDelta, changed)
+		l.balancer.EndpointsUpdated(l.now(), balancer.ListDelta, changed)
 	}
 	l.settle()
 }
@@ -298,8 +298,8 @@
 func (l *loop) ghost(p *peer, by int) {
 	p.ghosts += by
 	if l.shares != nil {
-		p.entry.Most = p.most()
-		l.balancer.Room(l.now(), p.id, p.entry.Most)
+		p.entry.MaxInFlight = p.most()
+		l.balancer.MaxInFlightChanged(l.now(), p.id, p.entry.MaxInFlight)
 	}
 }
 
--- a/internal/pool/host.go
+++ b/internal/pool/host.go
@@ -12,13 +12,13 @@
 
 // This file has what the module asks for, but for sends (attempt.go) and what concerns connections (conns.go).
 
-// Refuse answers a client that another try is harmless.
-func (l *loop) Refuse(id balancer.RequestID, retryAfter time.Duration) {
+// Reject answers a client that another try is harmless.
+func (l *loop) Reject(id balancer.RequestID, retryAfter time.Duration) {
 	if r := l.requests[id]; r != nil {
 		if !l.settings.Limits.RetryAfter {
 			retryAfter = 0
 		}
-		l.answer(r, Answer{Status: http.StatusServiceUnavailable, RetryAfter: min(retryAfter, l.settings.Limits.MaxRetry)})
+		l.answer(r, Response{Status: http.StatusServiceUnavailable, RetryAfter: min(retryAfter, l.settings.Limits.MaxRetryAfter)})
 	}
 }
 
@@ -29,7 +29,7 @@
 		if l.now() >= r.deadline {
 			status = http.StatusGatewayTimeout
 		}
-		l.answer(r, Answer{Status: status})
+		l.answer(r, Response{Status: status})
 	}
 }
 
@@ -85,13 +85,13 @@
 	}
 }
 
-// Watch begins to follow discovery, or ends it. Lists that are pushed are followed whether or not the module asks.
-func (l *loop) Watch(on bool) {
+// WatchEndpoints begins to follow discovery, or ends it. Lists that are pushed are followed whether or not the module asks.
+func (l *loop) WatchEndpoints(on bool) {
 	if l.stopWatch != nil {
 		l.stopWatch()
 		l.stopWatch = nil
 	}
-	pushed := !l.settings.OnRequest
+	pushed := !l.settings.PollDiscovery
 	if (on || pushed) && l.discovery != nil { // else lists are told from outside
 		ctx, cancel := context.WithCancel(l.ctx)
 		l.stopWatch = cancel
@@ -99,8 +99,8 @@
 	}
 }
 
-// Fetch asks discovery for the whole list.
-func (l *loop) Fetch() {
+// FetchEndpoints asks discovery for the whole list.
+func (l *loop) FetchEndpoints() {
 	if l.discovery != nil {
 		go l.discovery.Fetch()
 	}
--- a/internal/pool/loop.go
+++ b/internal/pool/loop.go
@@ -48,11 +48,11 @@
 	heardAt   time.Duration // last good word from it that came by the mailbox
 	confirmed atomic.Int64  // a time.Duration: when it last said that the list stays as it was
 	trouble   string        // why there is none since, if that is known
-	keeper    Keeper        // nil: lists are not kept
+	keeper    EndpointStore // nil: lists are not kept
 	shares    *sharing      // nil: no other pool of the process may use the same upstreams
 
-	maint    override.Ledger // which upstreams are out by hand
-	heard    atomic.Bool     // discovery has told a list
+	maint    override.Table // which upstreams are out by hand
+	heard    atomic.Bool    // discovery has told a list
 	names    *discovery.Names
 	revision uint64
 	listings uint64 // lists applied to the peers
@@ -63,7 +63,7 @@
 	peers    map[balancer.UpstreamID]*peer
 	room     []peer // for those of the list with which the module is made
 	tunnels  map[*attempt]struct{}
-	caps     TunnelCaps
+	caps     TunnelLimits
 	conns    int     // connections to upstreams, open or opening
 	due      []owing // outcomes that are known but not told: the module is not called while it calls
 	sweepAt  time.Duration
@@ -80,7 +80,7 @@
 		peers: map[balancer.UpstreamID]*peer{}, tunnels: map[*attempt]struct{}{},
 	}
 	l.limit(c)
-	l.keeper = c.Keep
+	l.keeper = c.EndpointStore
 	// The clock is Unix time at the start, going on by the monotonic clock: what discovery dates stands on it as it
 	// is, also from before this process, and a clock that is set does not move it.
 	l.epoch = time.Duration(clock.Now().UnixNano())
@@ -91,8 +91,8 @@
 
 // limit takes what may change while the loop runs, but for the module's settings.
 func (l *loop) limit(c Spec) {
-	l.transport, l.whole = upstream.HTTP1{Timeout: c.Links.ConnectTimeout, Whole: c.Whole}, c.Whole
-	l.settings, l.maxConns, l.hold, l.trust = c.Settings, c.Connections, c.Hold, c.Trust
+	l.transport, l.whole = upstream.HTTP1{Timeout: c.Links.ConnectTimeout, Whole: c.FullResponses}, c.FullResponses
+	l.settings, l.maxConns, l.hold, l.trust = c.Settings, c.Connections, c.MaxEndpointAge, c.KeepUntilUnsolicited
 	l.caps = c.Tunnels
 	l.idleFor = max(c.Links.KeepAlive-spareIdle, c.Links.KeepAlive/2)
 }
@@ -124,8 +124,8 @@
 	if known != nil {
 		l.members(balancer.ListCached, *known)
 	}
-	if !l.settings.OnRequest { // lists that are pushed come without the module's asking
-		l.Watch(true)
+	if !l.settings.PollDiscovery { // lists that are pushed come without the module's asking
+		l.WatchEndpoints(true)
 	}
 	return nil
 }
@@ -200,7 +200,7 @@
 				l.expire(at)
 			}
 		default:
-			l.balancer.Timer(l.now(), a.token)
+			l.balancer.TimerFired(l.now(), a.token)
 		}
 		l.settle()
 	}
--- a/internal/pool/members.go
+++ b/internal/pool/members.go
@@ -22,9 +22,9 @@
 	list      uint64 // the last that named it
 	lingering int
 	tunnels   int
-	ghosts    int               // attempts among those out that the module takes for ended
-	conns     int               // to it, open or opening
-	share     sharedlimit.Share // where other pools of the process may use it too
+	ghosts    int                   // attempts among those out that the module takes for ended
+	conns     int                   // to it, open or opening
+	share     sharedlimit.Allotment // where other pools of the process may use it too
 	entry     balancer.Upstream
 	weight    float64 // by its list; staff's word may leave it a part of that
 	strays    uint64  // connections on which it sent what nobody had asked for
@@ -49,8 +49,8 @@
 	case x.Err != nil:
 		l.trouble = x.Err.Error()
 		l.Log(l.trouble)
-		if l.settings.OnRequest { // else the agent is asked until it answers
-			l.balancer.Members(l.now(), balancer.ListFailed, nil)
+		if l.settings.PollDiscovery { // else the agent is asked until it answers
+			l.balancer.EndpointsUpdated(l.now(), balancer.ListFailed, nil)
 		}
 	case x.Revision < l.revision: // overtaken by a newer one: it must not undo that
 		l.Log(fmt.Sprintf("discovery: revision %d after %d passed over", x.Revision, l.revision))
@@ -63,7 +63,7 @@
 		}
 		l.members(mode, x.Listing)
 		if l.keeper != nil {
-			l.keeper.Told(x.Listing)
+			l.keeper.Save(x.Listing)
 		}
 	}
 	l.settle()
@@ -117,14 +117,14 @@
 	}
 	for id, p := range l.peers {
 		if mode != balancer.ListDelta && p.list != l.listings {
-			p.state, p.listed = balancer.Gone, balancer.Gone
-			l.Disconnect(id)
+			p.state, p.listed = balancer.Removed, balancer.Removed
+			l.CloseIdle(id)
 			l.endTunnels(p)
 		}
 		l.withdraw(p)
 	}
 	l.claim()
-	l.balancer.Members(l.now(), mode, list)
+	l.balancer.EndpointsUpdated(l.now(), mode, list)
 	l.settle()
 	for _, p := range l.peers {
 		l.forget(p)
@@ -138,7 +138,7 @@
 	}
 	for a := range p.out {
 		if a.Drop() {
-			l.due = append(l.due, owing{a, balancer.Moot})
+			l.due = append(l.due, owing{a, balancer.NotSent})
 		}
 	}
 }
@@ -154,7 +154,7 @@
 
 // forget drops an upstream that is gone and has nothing out.
 func (l *loop) forget(p *peer) {
-	if p.state == balancer.Gone && len(p.out) == 0 && l.peers[p.id] == p {
+	if p.state == balancer.Removed && len(p.out) == 0 && l.peers[p.id] == p {
 		l.counts.recount = true
 		delete(l.peers, p.id)
 		l.names.Forget(p.name)
@@ -165,7 +165,7 @@
 func (l *loop) peer(u balancer.Upstream, m *discovery.Member) *peer {
 	p, address := l.peers[u.ID], m.HostPort
 	if p == nil {
-		if u.State == balancer.Gone {
+		if u.State == balancer.Removed {
 			l.names.Forget(m.ID)
 			return nil
 		}
@@ -177,9 +177,9 @@
 		p.id, p.name = u.ID, m.ID
 		l.peers[u.ID] = p
 	}
-	if u.State != balancer.Gone {
+	if u.State != balancer.Removed {
 		if address != p.address && p.address != "" {
-			l.Disconnect(u.ID)
+			l.CloseIdle(u.ID)
 		}
 		p.address = address
 	}
@@ -193,28 +193,28 @@
 // answered for a node it gets nothing: other pools must have been told first that they share it.
 func (l *loop) place(p *peer) {
 	l.counts.recount = true
-	p.state, p.entry.Most = p.listed, 0
+	p.state, p.entry.MaxInFlight = p.listed, 0
 	if l.shares != nil {
 		share, known := l.shares.share(p.address)
 		p.share = share
-		p.entry.Part, p.entry.Most = share.Part, p.most()
+		p.entry.WarmUpShare, p.entry.MaxInFlight = share.Fraction, p.most()
 		if p.listed == balancer.Active && (!known || (share.Draining && !l.shares.own)) {
 			p.state = balancer.Draining
 		}
 	}
-	if back := l.maint.Returned(p.name, p.entry.Zone); back > 0 { // it was restarted while out, and lists tell of that late
+	if back := l.maint.ReturnedAt(p.name, p.entry.Zone); back > 0 { // it was restarted while out, and lists tell of that late
 		p.entry.StartedAt = max(p.entry.StartedAt, back)
 	}
-	p.entry.Weight = p.weight * l.maint.Part(p.name)
-	if most := l.maint.Cap(p.name); most > 0 && (p.entry.Most == 0 || most < p.entry.Most) {
-		p.entry.Most = most
+	p.entry.Weight = p.weight * l.maint.WeightFactor(p.name)
+	if most := l.maint.ConcurrencyCap(p.name); most > 0 && (p.entry.MaxInFlight == 0 || most < p.entry.MaxInFlight) {
+		p.entry.MaxInFlight = most
 	}
-	if l.maint.Held(p.name, p.entry.Zone) && p.state == balancer.Active {
+	if l.maint.OutOfService(p.name, p.entry.Zone) && p.state == balancer.Active {
 		p.state = balancer.Draining
 	}
 	p.entry.State = p.state
 	if p.state != balancer.Active {
-		l.Disconnect(p.id)
+		l.CloseIdle(p.id)
 		l.endTunnels(p)
 	}
 }
--- a/internal/pool/pool.go
+++ b/internal/pool/pool.go
@@ -18,32 +18,32 @@
 
 // Spec is what a pool is told. Of these Name, Seed, Known and Keep are for its start only.
 type Spec struct {
-	Name        string
-	Settings    balancer.Settings
-	Links       wire.Links
-	Seed        uint64
-	Known       *discovery.Listing // the list as discovery last told it, maybe stale; nil: none
-	Keep        Keeper             // hears of each list that holds; nil: nobody does
-	Discovery   string             // address of a discovery service; empty: lists come by Tell
-	Hold        time.Duration      // how long a list holds with no word from its source; 0: for ever
-	Connections int                // to all upstreams
-	Queue       int                // requests at once, sent or waiting
-	Share       float64            // weight on nodes that other pools list too
-	OwnDrains   bool               // drains that other pools were told do not count here
-	Trust       bool               // connections rest between requests only where an upstream has sent what nobody asked for
-	Tunnels     TunnelCaps
-	Whole       bool // clients get all that upstreams say, not 200 and the body only
+	Name                 string
+	Settings             balancer.Settings
+	Links                wire.Links
+	Seed                 uint64
+	InitialEndpoints     *discovery.Listing // the list as discovery last told it, maybe stale; nil: none
+	EndpointStore        EndpointStore      // hears of each list that holds; nil: nobody does
+	Discovery            string             // address of a discovery service; empty: lists come by Tell
+	MaxEndpointAge       time.Duration      // how long a list holds with no word from its source; 0: for ever
+	Connections          int                // to all upstreams
+	Queue                int                // requests at once, sent or waiting
+	SharedWeight         float64            // weight on nodes that other pools list too
+	OwnDrains            bool               // drains that other pools were told do not count here
+	KeepUntilUnsolicited bool               // connections rest between requests only where an upstream has sent what nobody asked for
+	Tunnels              TunnelLimits
+	FullResponses        bool // clients get all that upstreams say, not 200 and the body only
 }
 
-// Keeper hears of lists, or changes to one, that a source has told. Told must not wait; Close is called when the pool ends.
-type Keeper interface {
-	Told(discovery.Listing)
+// EndpointStore hears of lists, or changes to one, that a source has told. Told must not wait; Close is called when the pool ends.
+type EndpointStore interface {
+	Save(discovery.Listing)
 	Close()
 }
 
-// TunnelCaps bound the connections that have changed their protocol.
-type TunnelCaps struct {
-	Most    int // of the pool
+// TunnelLimits bound the connections that have changed their protocol.
+type TunnelLimits struct {
+	Total   int // of the pool
 	PerNode int
 }
 
@@ -65,13 +65,13 @@
 
 // New starts a pool. A nil Directory is for one whose nodes no other pool of the process uses; held is what is out by hand from
 // the start.
-func New(ctx context.Context, spec Spec, d *Directory, held map[string]override.Entry) (*Pool, error) {
+func New(ctx context.Context, spec Spec, d *EndpointRegistry, held map[string]override.Entry) (*Pool, error) {
 	ctx, end := context.WithCancel(ctx)
 	p := &Pool{loop: newLoop(ctx, spec), name: spec.Name, end: end, ended: make(chan struct{})}
 	p.queue.Store(int64(spec.Queue))
-	p.loop.shares = d.join(spec.Share, spec.OwnDrains, p.loop.hand)
+	p.loop.shares = d.join(spec.SharedWeight, spec.OwnDrains, p.loop.hand)
 	p.loop.maint.Merge(held)
-	if err := p.loop.start(spec.Seed, spec.Known); err != nil {
+	if err := p.loop.start(spec.Seed, spec.InitialEndpoints); err != nil {
 		p.loop.shares.leave()
 		end()
 		return nil, err
@@ -83,9 +83,9 @@
 // Name is the pool's, as it was told at its start.
 func (p *Pool) Name() string { return p.name }
 
-// Ask hands a request over. Exactly one answer follows, unless Left is called first. The caller has counted the request in, where
+// Submit hands a request over. Exactly one answer follows, unless Left is called first. The caller has counted the request in, where
 // the pool has a queue.
-func (p *Pool) Ask(q *Request) {
+func (p *Pool) Submit(q *Request) {
 	q.loop = p.loop
 	p.loop.post(arrived{q})
 }
@@ -93,8 +93,8 @@
 // Now is the time on the pool's clock: Unix time at its start, going on by the monotonic clock.
 func (p *Pool) Now() time.Duration { return p.loop.now() }
 
-// Alive returns once the pool's goroutine has had a turn, or has ended.
-func (p *Pool) Alive() {
+// Ping returns once the pool's goroutine has had a turn, or has ended.
+func (p *Pool) Ping() {
 	turned := make(turn)
 	p.loop.post(turned)
 	select {
@@ -108,23 +108,23 @@
 
 func (t turn) apply(*loop) { close(t) }
 
-// Enter counts a request in. It fails if the pool is retired or full.
-func (p *Pool) Enter() (ok, full bool) {
+// Acquire counts a request in. It fails if the pool is retired or full.
+func (p *Pool) Acquire() (ok, full bool) {
 	n := p.users.Add(1)
 	switch {
 	case n < 0:
-		p.Leave()
+		p.Release()
 		return false, false
 	case n > p.queue.Load():
-		p.Leave()
+		p.Release()
 		p.away.Add(1)
 		return false, true
 	}
 	return true, false
 }
 
-// Leave counts a request out.
-func (p *Pool) Leave() {
+// Release counts a request out.
+func (p *Pool) Release() {
 	if p.users.Add(-1) == retired {
 		p.finish()
 	}
@@ -149,7 +149,7 @@
 		l.discovery.End()
 	}
 	for _, p := range l.peers {
-		l.Disconnect(p.id)
+		l.CloseIdle(p.id)
 	}
 	l.shares.leave()
 	if l.keeper != nil {
@@ -158,8 +158,8 @@
 	e.end()
 }
 
-// Retire takes no more requests, and ends the pool when those that it has are answered.
-func (p *Pool) Retire() {
+// Shutdown takes no more requests, and ends the pool when those that it has are answered.
+func (p *Pool) Shutdown() {
 	p.loop.post(withdrawn{})
 	if p.users.Add(retired) == retired {
 		p.finish()
@@ -171,11 +171,11 @@
 
 func (withdrawn) apply(l *loop) { l.endTunnels(nil) }
 
-// Ended is closed when a retired pool has ended.
-func (p *Pool) Ended() <-chan struct{} { return p.ended }
+// Done is closed when a retired pool has ended.
+func (p *Pool) Done() <-chan struct{} { return p.ended }
 
-// Tell gives the pool its list, complete.
-func (p *Pool) Tell(nodes []endpointlist.Node) {
+// UpdateEndpoints gives the pool its list, complete.
+func (p *Pool) UpdateEndpoints(nodes []endpointlist.Node) {
 	x := discovery.Listing{Revision: p.source.Add(1), Complete: true}
 	for _, n := range nodes {
 		m := discovery.Member{ID: n.ID, HostPort: n.Address, Locality: n.Zone, Cell: n.Cell, Phase: string(n.Phase), Size: n.Weight}
@@ -187,11 +187,11 @@
 	p.loop.hand(listed{Listing: x})
 }
 
-// Silent tells the pool why there is no good word from its list's source. The last list holds.
-func (p *Pool) Silent(why error) { p.loop.hand(listed{Err: why}) }
+// SourceFailed tells the pool why there is no good word from its list's source. The last list holds.
+func (p *Pool) SourceFailed(why error) { p.loop.hand(listed{Err: why}) }
 
-// Confirm notes that the list's source was asked, and says that the list stays as it was. It wakes nobody.
-func (p *Pool) Confirm() { p.loop.confirmed.Store(int64(p.loop.now())) }
+// ConfirmEndpoints notes that the list's source was asked, and says that the list stays as it was. It wakes nobody.
+func (p *Pool) ConfirmEndpoints() { p.loop.confirmed.Store(int64(p.loop.now())) }
 
 // Configure changes the pool while it serves. What its module has learnt stays. An error changes nothing.
 func (p *Pool) Configure(spec Spec) error {
--- a/internal/pool/request.go
+++ b/internal/pool/request.go
@@ -18,7 +18,7 @@
 	Name    string // the client's id of it
 	Message upstream.Message
 	At      time.Duration // when its last byte had come, on the pool's clock
-	Reply   chan Answer   // holds the one answer, and an interim one (status 103) where its message wants these
+	Reply   chan Response // holds the one answer, and an interim one (status 103) where its message wants these
 	Client  Client        // nil: nobody knows whether it is still there
 
 	loop     *loop // of the pool that it was asked of
@@ -33,8 +33,8 @@
 
 // Client is who waits for a request's answer.
 type Client interface {
-	// Present tells, without waiting and from any goroutine, whether the client is still connected.
-	Present() bool
+	// Connected tells, without waiting and from any goroutine, whether the client is still connected.
+	Connected() bool
 }
 
 // presentFor is how long a client is taken to be there after its request's last byte, in which no look at its connection is worth
@@ -46,27 +46,27 @@
 	if q.gone.Load() {
 		return false
 	}
-	if q.Client != nil && q.loop.now()-q.At > presentFor && !q.Client.Present() {
+	if q.Client != nil && q.loop.now()-q.At > presentFor && !q.Client.Connected() {
 		q.gone.Store(true)
 	}
 	return !q.gone.Load()
 }
 
-// Answer is what a client gets, once.
-type Answer struct {
-	Status     int // 0: none, the client has gone
-	Body       []byte
-	Kind       string         // the body's Content-Type
-	Header     http1.Fields   // an upstream's, where all of it is passed on
-	RetryAfter time.Duration  // 0: nothing is said of it
-	Trailer    http1.Fields   // of a whole answer
-	Tunnel     *body.Tunnel   // the client's connection changes its protocol
-	More       *body.Download // what of the body goes on as it comes; nil: it is whole
-	Whole      bool           // RetryAfter goes out in whole seconds, as RFC 9110 (section 10.2.3) has it
+// Response is what a client gets, once.
+type Response struct {
+	Status              int // 0: none, the client has gone
+	Body                []byte
+	ContentType         string         // the body's Content-Type
+	Header              http1.Fields   // an upstream's, where all of it is passed on
+	RetryAfter          time.Duration  // 0: nothing is said of it
+	Trailer             http1.Fields   // of a whole answer
+	Tunnel              *body.Tunnel   // the client's connection changes its protocol
+	Stream              *body.Download // what of the body goes on as it comes; nil: it is whole
+	RetryAfterInSeconds bool           // RetryAfter goes out in whole seconds, as RFC 9110 (section 10.2.3) has it
 }
 
-// Left tells that the client of a request that was asked has gone. Nothing of it is sent from then on, also while the loop is busy.
-func (q *Request) Left() {
+// ClientLeft tells that the client of a request that was asked has gone. Nothing of it is sent from then on, also while the loop is busy.
+func (q *Request) ClientLeft() {
 	q.gone.Store(true)
 	q.loop.post(left{q})
 }
@@ -82,7 +82,7 @@
 	}
 	if l.open[r.Name] { // an upstream could not tell the two apart: the newcomer goes, the first is spared
 		r.closed = true
-		r.Reply <- Answer{Status: http.StatusConflict}
+		r.Reply <- Response{Status: http.StatusConflict}
 		return
 	}
 	if err := l.make(); err != nil {
@@ -97,20 +97,20 @@
 	now := l.now()
 	r.Budget = max(0, r.deadline-now)
 	if r.Message.Rest.Live() { // it counts from its last byte, and that is still with the client
-		r.deadline, r.Sending = now+r.Message.Most().Within, true
+		r.deadline, r.BodyStreaming = now+r.Message.Most().Within, true
 	}
 	if l.expired(now) { // what the list says is too old to go by
-		l.answer(r, Answer{Status: http.StatusServiceUnavailable, RetryAfter: min(time.Second, l.settings.Limits.MaxRetry)})
+		l.answer(r, Response{Status: http.StatusServiceUnavailable, RetryAfter: min(time.Second, l.settings.Limits.MaxRetryAfter)})
 		return
 	}
-	if r.Message.Upgrade != "" && len(l.tunnels) >= l.caps.Most {
-		l.answer(r, Answer{Status: http.StatusServiceUnavailable, RetryAfter: l.settings.Limits.MaxRetry})
+	if r.Message.Upgrade != "" && len(l.tunnels) >= l.caps.Total {
+		l.answer(r, Response{Status: http.StatusServiceUnavailable, RetryAfter: l.settings.Limits.MaxRetryAfter})
 		return
 	}
 	l.requests[r.ID] = r
 	r.end = alarm{at: r.deadline, request: r}
 	l.alarms.set(&r.end)
-	l.balancer.Request(now, r.Request)
+	l.balancer.RequestArrived(now, r.Request)
 }
 
 // left tells that a client has closed its connection.
@@ -125,7 +125,7 @@
 	for { // the answer came as the client left: nobody else reads it
 		select {
 		case a := <-r.Reply:
-			a.More.Abandon()
+			a.Stream.Abandon()
 			a.Tunnel.Close()
 		default:
 			return
@@ -136,11 +136,11 @@
 // leave drops a request whose client has gone.
 func (l *loop) leave(r *Request) {
 	l.close(r)
-	l.balancer.Gone(l.now(), r.ID)
+	l.balancer.ClientLeft(l.now(), r.ID)
 }
 
 // answer gives a client the one answer.
-func (l *loop) answer(r *Request, a Answer) {
+func (l *loop) answer(r *Request, a Response) {
 	if r.closed {
 		return
 	}
@@ -153,7 +153,7 @@
 		l.counts.served.Add(1)
 		l.counts.servedFor.Add(int64(max(0, l.now()-r.At)))
 	}
-	a.Whole = l.whole
+	a.RetryAfterInSeconds = l.whole
 	r.Reply <- a
 	l.close(r)
 }
@@ -164,7 +164,7 @@
 	r.closed = true
 	for _, a := range r.attempts {
 		if !a.told && a.Drop() {
-			l.due = append(l.due, owing{a, balancer.Moot})
+			l.due = append(l.due, owing{a, balancer.NotSent})
 		}
 	}
 	l.release(r)
--- a/internal/pool/rest.go
+++ b/internal/pool/rest.go
@@ -28,7 +28,7 @@
 // unmade is what a pool holds that is not made: the list as it was told, less what is gone, and what was learnt of it.
 type unmade struct {
 	members []discovery.Member // never changed in place: the keeper may have them too
-	memory  balancer.Memory    // only of upstreams that have answered or are silent
+	memory  balancer.Snapshot  // only of upstreams that have answered or are silent
 	marks   map[string]mark    // by name, where there is one
 }
 
@@ -41,7 +41,7 @@
 // mayRest tells whether the pool may be parked and given back. Where the module asks discovery or probes its upstreams, it has to
 // go on.
 func (l *loop) mayRest() bool {
-	return l.settings.Rest && !l.settings.OnRequest && l.settings.Reports != balancer.ReportProbes
+	return l.settings.SuspendWhenIdle && !l.settings.PollDiscovery && l.settings.Reports != balancer.ReportHealthChecks
 }
 
 // made tells whether the pool has a module, with its upstreams.
@@ -71,7 +71,7 @@
 		}
 	}
 	if len(held.memory.Figures) > 0 {
-		l.balancer.Recall(l.now(), held.memory)
+		l.balancer.Restore(l.now(), held.memory)
 	}
 	return nil
 }
@@ -82,7 +82,7 @@
 	views, _ := l.balancer.View(now)
 	for _, v := range views { // in the order in which they came
 		p := l.peers[v.ID]
-		if p == nil || p.listed == balancer.Gone {
+		if p == nil || p.listed == balancer.Removed {
 			continue
 		}
 		held.members = append(held.members, p.member)
@@ -94,8 +94,8 @@
 		}
 	}
 	held.memory = l.learnt(now)
-	held.memory.Upstreams = slices.Clip(slices.DeleteFunc(held.memory.Upstreams, func(u balancer.Learnt) bool {
-		return u.Answers == 0 && u.Readings == 0 && !u.Silent
+	held.memory.Upstreams = slices.Clip(slices.DeleteFunc(held.memory.Upstreams, func(u balancer.UpstreamSnapshot) bool {
+		return u.Answers == 0 && u.Readings == 0 && !u.Unresponsive
 	}))
 	l.balancer, l.unmade = nil, held
 	l.peers, l.names = map[balancer.UpstreamID]*peer{}, discovery.NewNames()
@@ -103,18 +103,18 @@
 }
 
 // learnt is what the module has learnt, or had when there was one.
-func (l *loop) learnt(now time.Duration) balancer.Memory {
+func (l *loop) learnt(now time.Duration) balancer.Snapshot {
 	if !l.made() {
 		return l.unmade.memory
 	}
-	l.balancer.Owes(now) // makes up for a rest
-	return l.balancer.Memory()
+	l.balancer.NextDue(now) // makes up for a rest
+	return l.balancer.Snapshot()
 }
 
 // relist applies a list to what is held of it.
 func (l *loop) relist(mode balancer.ListMode, x discovery.Listing) {
 	l.revision = x.Revision
-	gone := func(m discovery.Member) bool { return m.Upstream(0).State == balancer.Gone }
+	gone := func(m discovery.Member) bool { return m.Upstream(0).State == balancer.Removed }
 	var list []discovery.Member
 	if mode == balancer.ListDelta {
 		list = slices.Clone(l.unmade.members)
@@ -151,7 +151,7 @@
 			}
 		}
 		for _, p := range l.peers {
-			if p.listed != balancer.Gone && !yield(p.address, p.listed == balancer.Draining) {
+			if p.listed != balancer.Removed && !yield(p.address, p.listed == balancer.Draining) {
 				return
 			}
 		}
@@ -168,7 +168,7 @@
 
 // stillAt is when the loop has to have its next turn, if no event comes: 0: never, or by an alarm. false: it has to go on until then.
 func (l *loop) stillAt(now time.Duration) (at time.Duration, still bool) {
-	if !l.mayRest() || len(l.due) > 0 || (l.made() && !l.balancer.Resting()) {
+	if !l.mayRest() || len(l.due) > 0 || (l.made() && !l.balancer.Suspended()) {
 		return 0, false
 	}
 	at, _ = l.alarms.next()
@@ -190,7 +190,7 @@
 		}
 		until := l.emptyAt + l.madeFor
 		if now >= until {
-			until = l.balancer.Owes(now)
+			until = l.balancer.NextDue(now)
 		}
 		if now >= until {
 			l.giveBack(now)
@@ -233,5 +233,5 @@
 // refuseUnmade answers a request for which the module can't be made, which its settings' check rules out.
 func (l *loop) refuseUnmade(r *Request, err error) {
 	l.Log(fmt.Sprintf("pool can't be made: %v", err))
-	l.answer(r, Answer{Status: 503})
+	l.answer(r, Response{Status: 503})
 }
