--- a/internal/pool/staff.go
+++ b/internal/pool/staff.go
@@ -24,64 +24,64 @@
 	}
 }
 
-// Maintain takes an upstream out by hand, or puts it back as one that has just been started. Once it has returned nil, nothing new
+// SetOutOfService takes an upstream out by hand, or puts it back as one that has just been started. Once it has returned nil, nothing new
 // goes to one that is out.
-func (p *Pool) Maintain(id string, out bool) error {
+func (p *Pool) SetOutOfService(id string, out bool) error {
 	done := make(chan error, 1)
 	p.loop.hand(maintained{id, out, done})
 	err, ended := told(p.loop, done)
 	return cmp.Or(ended, err)
 }
 
-// Held is what is out by hand.
-func (p *Pool) Held() map[string]override.Entry {
+// LocalOverrides is what is out by hand.
+func (p *Pool) LocalOverrides() map[string]override.Entry {
 	got := make(chan map[string]override.Entry, 1)
 	p.loop.hand(heldNow(got))
 	held, _ := told(p.loop, got) // of a pool that has ended there is nothing to tell
 	return held
 }
 
-// Merge takes what is out by hand as another process holds it.
-func (p *Pool) Merge(held map[string]override.Entry) {
+// MergeOverrides takes what is out by hand as another process holds it.
+func (p *Pool) MergeOverrides(held map[string]override.Entry) {
 	done := make(chan struct{}, 1)
 	p.loop.hand(merged{held, done})
 	told(p.loop, done)
 }
 
-// Memory is what the module has learnt.
-func (p *Pool) Memory() balancer.Memory {
-	got := make(chan balancer.Memory, 1)
+// Snapshot is what the module has learnt.
+func (p *Pool) Snapshot() balancer.Snapshot {
+	got := make(chan balancer.Snapshot, 1)
 	p.loop.hand(learntNow(got))
 	m, _ := told(p.loop, got)
 	return m
 }
 
-// Recall lets the module go on from what another has learnt.
-func (p *Pool) Recall(m balancer.Memory) {
+// Restore lets the module go on from what another has learnt.
+func (p *Pool) Restore(m balancer.Snapshot) {
 	done := make(chan struct{}, 1)
 	p.loop.hand(recalled{m, done})
 	told(p.loop, done)
 }
 
-// Listed tells whether a list has been heard, or its source has been silent for so long that the list of the start has to do.
-func (p *Pool) Listed(patience time.Duration) bool {
+// EndpointsKnown tells whether a list has been heard, or its source has been silent for so long that the list of the start has to do.
+func (p *Pool) EndpointsKnown(patience time.Duration) bool {
 	return p.loop.heard.Load() || time.Since(p.loop.origin) >= patience
 }
 
 // learntNow asks for what the module has learnt.
-type learntNow chan<- balancer.Memory
+type learntNow chan<- balancer.Snapshot
 
 func (e learntNow) apply(l *loop) { e <- l.learnt(l.now()) }
 
 // recalled is what another module has learnt.
 type recalled struct {
-	balancer.Memory
+	balancer.Snapshot
 	done chan<- struct{}
 }
 
 func (e recalled) apply(l *loop) {
 	if err := l.make(); err == nil { // else its settings are wrong, which their check rules out
-		l.balancer.Recall(l.now(), e.Memory)
+		l.balancer.Restore(l.now(), e.Snapshot)
 	}
 	l.settle()
 	e.done <- struct{}{}
@@ -115,27 +115,27 @@
 
 func (e maintained) apply(l *loop) {
 	p := l.named(e.id)
-	if !l.lists(e.id) && !l.maint.IsOut(e.id) {
+	if !l.lists(e.id) && !l.maint.OutLocally(e.id) {
 		e.done <- fmt.Errorf("there is no upstream %.40q", e.id)
 		return
 	}
 	if e.out {
-		l.maint.Out(e.id, l.now())
+		l.maint.TakeOut(e.id, l.now())
 	} else {
-		l.maint.Back(e.id, l.now())
+		l.maint.PutBack(e.id, l.now())
 	}
 	l.overlay(p)
 	e.done <- nil
 }
 
-// Govern takes what the ledger of promises says of the upstreams, in the place of what it said before.
-func (p *Pool) Govern(s override.Shared) { p.loop.hand(governed(s)) }
+// ApplyOverrides takes what the ledger of promises says of the upstreams, in the place of what it said before.
+func (p *Pool) ApplyOverrides(s override.Shared) { p.loop.hand(governed(s)) }
 
-// Released ends this pool's own word that an upstream is out, now that the ledger of promises has had it.
-func (p *Pool) Released(id string) { p.loop.hand(released(id)) }
+// ReleaseLocalOverride ends this pool's own word that an upstream is out, now that the ledger of promises has had it.
+func (p *Pool) ReleaseLocalOverride(id string) { p.loop.hand(released(id)) }
 
-// Knows tells whether an upstream is listed, or out by hand.
-func (p *Pool) Knows(id string) bool {
+// HasEndpoint tells whether an upstream is listed, or out by hand.
+func (p *Pool) HasEndpoint(id string) bool {
 	known := make(chan bool, 1)
 	p.loop.hand(asked{id, known})
 	x, _ := told(p.loop, known) // a pool that has ended knows none
@@ -147,13 +147,13 @@
 	known chan<- bool
 }
 
-func (e asked) apply(l *loop) { e.known <- l.lists(e.id) || l.maint.Held(e.id, "") }
+func (e asked) apply(l *loop) { e.known <- l.lists(e.id) || l.maint.OutOfService(e.id, "") }
 
 // governed is what the ledger says.
 type governed override.Shared
 
 func (e governed) apply(l *loop) {
-	l.maint.Govern(override.Shared(e), l.now())
+	l.maint.ApplyShared(override.Shared(e), l.now())
 	l.counts.recount = true
 	var changed []balancer.Upstream
 	for _, p := range l.peers {
@@ -164,7 +164,7 @@
 		}
 	}
 	if len(changed) > 0 {
-		l.balancer.Members(l.now(), balancer.ListDelta, changed)
+		l.balancer.EndpointsUpdated(l.now(), balancer.ListDelta, changed)
 		l.settle()
 	}
 }
@@ -173,14 +173,14 @@
 type released string
 
 func (e released) apply(l *loop) {
-	l.maint.Released(string(e), l.now())
+	l.maint.ReleaseLocal(string(e), l.now())
 	l.overlay(l.named(string(e)))
 }
 
 // named is the upstream that is listed under a name; nil if none is.
 func (l *loop) named(name string) *peer {
 	id, ok := l.names.Known(name)
-	if p := l.peers[id]; ok && p != nil && p.name == name && p.listed != balancer.Gone {
+	if p := l.peers[id]; ok && p != nil && p.name == name && p.listed != balancer.Removed {
 		return p
 	}
 	return nil
@@ -194,6 +194,6 @@
 	}
 	l.place(p)
 	l.withdraw(p)
-	l.balancer.Members(l.now(), balancer.ListDelta, []balancer.Upstream{p.entry})
+	l.balancer.EndpointsUpdated(l.now(), balancer.ListDelta, []balancer.Upstream{p.entry})
 	l.settle()
 }
--- a/internal/pool/stats.go
+++ b/internal/pool/stats.go
@@ -11,20 +11,20 @@
 // Stats are a pool's counters and levels.
 type Stats struct {
 	Served, Refused, Failed uint64        // requests, by their final answer
-	TurnedAway              uint64        // since the queue was full; not among the refused
+	QueueFull               uint64        // since the queue was full; not among the refused
 	ServedFor               time.Duration // the sum of what the served took, from their coming to the answer's head
 	Open, Queue             int           // requests in it, and at most
-	Held                    int           // of these, waiting for a turn
+	Queued                  int           // of these, waiting for a turn
 	Connections, Limit      int           // to its nodes, and at most
 	Tunnels                 int
 	Up, Draining            int           // nodes listed, by what holds here
-	Made                    bool          // it has a module: it was asked, or is large
+	Created                 bool          // it has a module: it was asked, or is large
 	ListAge                 time.Duration // since the last good word from the list's source
 	Expired                 bool          // it is older than it may become: all is refused
 }
 
 // Asked tells whether a request has ever come to it.
-func (s *Stats) Asked() bool { return s.Served+s.Refused+s.Failed+s.TurnedAway > 0 || s.Open > 0 }
+func (s *Stats) Asked() bool { return s.Served+s.Refused+s.Failed+s.QueueFull > 0 || s.Open > 0 }
 
 // counts are what others read of a pool without its goroutine. Counters are exact; levels are as it left them when it parked, or a second ago
 // at most while it runs.
@@ -41,9 +41,9 @@
 func (p *Pool) Stats() Stats {
 	c := &p.loop.counts
 	s := Stats{
-		Served: c.served.Load(), Refused: c.refused.Load(), Failed: c.failed.Load(), TurnedAway: p.away.Load(), ServedFor: time.Duration(c.servedFor.Load()),
-		Open: int(max(0, p.users.Load())), Queue: int(p.queue.Load()), Held: int(c.held.Load()), Connections: int(c.conns.Load()), Limit: int(c.limit.Load()),
-		Tunnels: int(c.tunnels.Load()), Up: int(c.up.Load()), Draining: int(c.draining.Load()), Made: c.made.Load(),
+		Served: c.served.Load(), Refused: c.refused.Load(), Failed: c.failed.Load(), QueueFull: p.away.Load(), ServedFor: time.Duration(c.servedFor.Load()),
+		Open: int(max(0, p.users.Load())), Queue: int(p.queue.Load()), Queued: int(c.held.Load()), Connections: int(c.conns.Load()), Limit: int(c.limit.Load()),
+		Tunnels: int(c.tunnels.Load()), Up: int(c.up.Load()), Draining: int(c.draining.Load()), Created: c.made.Load(),
 	}
 	s.ListAge = max(0, p.loop.now()-max(time.Duration(c.heardAt.Load()), time.Duration(p.loop.confirmed.Load())))
 	if hold := time.Duration(c.hold.Load()); hold > 0 {
@@ -57,7 +57,7 @@
 	c := &l.counts
 	held := 0
 	if l.made() {
-		held = l.balancer.Held()
+		held = l.balancer.QueueLength()
 	}
 	c.held.Store(int64(held))
 	c.conns.Store(int64(l.conns))
--- a/internal/pool/view.go
+++ b/internal/pool/view.go
@@ -29,14 +29,14 @@
 	got  chan<- live.Pool
 }
 
-var phaseNames = map[balancer.State]string{balancer.Active: "up", balancer.Draining: "draining", balancer.Gone: "gone"}
+var phaseNames = map[balancer.State]string{balancer.Active: "up", balancer.Draining: "draining", balancer.Removed: "gone"}
 
 func (e viewing) apply(l *loop) {
 	now := l.now()
 	var views []balancer.UpstreamView
 	held := 0
 	if l.made() {
-		held = l.balancer.Held()
+		held = l.balancer.QueueLength()
 	}
 	if l.made() && e.part.Nodes != live.NoNodes {
 		views, _ = l.balancer.View(now)
@@ -52,9 +52,9 @@
 			continue
 		}
 		v.Nodes = append(v.Nodes, live.Node{
-			ID: p.name, Address: p.address, Phase: phaseNames[p.state], Member: u.Member, Share: u.Share, Cut: u.Cut,
-			Mean: u.Mean, Upper: u.Upper, Lower: u.Lower, Area: u.Area, Readings: u.Readings, Load: loadKind(u), Unreadable: p.spoilt, UnreadableWhy: p.why, Strays: p.strays, Cold: u.Cold, Silent: u.Silent, Out: u.Out, Bound: u.Bound,
-			LatencyMS: float64(u.Latency.Microseconds()) / 1000, Connections: p.conns, Part: cmp.Or(p.share.Part, 1), Limit: p.share.Connections,
+			ID: p.name, Address: p.address, Phase: phaseNames[p.state], Member: u.InSubset, Share: u.Share, Cut: u.ShareFactor,
+			Mean: u.Mean, Upper: u.Upper, Lower: u.Lower, Area: u.Area, Readings: u.Readings, Load: loadKind(u), Unreadable: p.spoilt, UnreadableWhy: p.why, Strays: p.strays, Cold: u.WarmingUp, Silent: u.Unresponsive, Out: u.InFlight, Bound: u.ConcurrencyLimit,
+			LatencyMS: float64(u.Latency.Microseconds()) / 1000, Connections: p.conns, Part: cmp.Or(p.share.Fraction, 1), Limit: p.share.Connections,
 		})
 	}
 	members := l.unmade.members
@@ -67,7 +67,7 @@
 		mark := l.unmade.marks[m.ID]
 		v.Nodes = append(v.Nodes, live.Node{
 			ID: p.name, Address: p.address, Phase: phaseNames[p.state], Cut: 1, Load: live.Unknown,
-			Unreadable: mark.spoilt, UnreadableWhy: mark.why, Strays: mark.strays, Part: cmp.Or(p.share.Part, 1), Limit: p.share.Connections,
+			Unreadable: mark.spoilt, UnreadableWhy: mark.why, Strays: mark.strays, Part: cmp.Or(p.share.Fraction, 1), Limit: p.share.Connections,
 		})
 	}
 	e.got <- e.part.Of(v)
--- a/internal/proxy/config.go
+++ b/internal/proxy/config.go
@@ -189,7 +189,7 @@
 	if c.Settings, c.Links, err = wire.DecodeSettings(f.Settings); err != nil {
 		return c, err
 	}
-	c.Settings.Limits.Out = c.upstreamConns()
+	c.Settings.Limits.MaxInFlight = c.upstreamConns()
 	if err := c.Settings.Validate(); err != nil {
 		return c, err
 	}
@@ -219,7 +219,7 @@
 // spec is the one pool of a platform's balancer.
 func (c *Config) spec() pool.Spec {
 	return pool.Spec{
-		Name: c.Name, Settings: c.Settings, Links: c.Links, Seed: c.Seed, Discovery: c.Discovery, Known: &c.Known,
+		Name: c.Name, Settings: c.Settings, Links: c.Links, Seed: c.Seed, Discovery: c.Discovery, InitialEndpoints: &c.Known,
 		Connections: c.upstreamConns(),
 	}
 }
--- a/internal/proxy/desk.go
+++ b/internal/proxy/desk.go
@@ -26,7 +26,7 @@
 	pool    *pool.Pool
 }
 
-var _ frontend.Desk = (*platform)(nil)
+var _ frontend.Router = (*platform)(nil)
 
 func newPlatform(classes []balancer.Class, p *pool.Pool) *platform {
 	d := &platform{pool: p}
@@ -44,7 +44,7 @@
 }
 
 func (d *platform) Now() time.Duration { return d.pool.Now() }
-func (d *platform) Alive()             { d.pool.Alive() }
+func (d *platform) Ping()              { d.pool.Ping() }
 
 // platformCall is a request for the one pool that there is.
 type platformCall struct {
@@ -52,13 +52,13 @@
 	pool *pool.Pool
 }
 
-func (c *platformCall) Enter() (pool.Answer, error) {
-	c.pool.Ask(&c.Request)
-	return pool.Answer{}, nil
+func (c *platformCall) Admit() (pool.Response, error) {
+	c.pool.Submit(&c.Request)
+	return pool.Response{}, nil
 }
-func (c *platformCall) Leave() {}
+func (c *platformCall) Done() {}
 
-func (d *platform) Longest() (most time.Duration) {
+func (d *platform) MaxDeadline() (most time.Duration) {
 	for _, class := range *d.classes.Load() {
 		most = max(most, class.Deadline)
 	}
@@ -67,7 +67,7 @@
 
 // Check reads what a request says of itself. A field that is there must be right: a guess at what was meant would be
 // served in its place.
-func (d *platform) Check(method, target string, h *http1.Fields) (frontend.Call, error) {
+func (d *platform) Check(method, target string, h *http1.Fields) (frontend.Exchange, error) {
 	if absolute, err := route.ParseTarget(target); err == nil && !strings.HasPrefix(target, "/") { // RFC 9112, section 3.2.2
 		target = absolute.String()
 	}
@@ -77,20 +77,20 @@
 	id, key := h.Get("X-Request-Id"), h.Get("Idempotency-Key")
 	switch {
 	case !strings.HasPrefix(target, "/") || strings.ContainsFunc(target, func(r rune) bool { return r <= ' ' || r >= 0x7f }):
-		return nil, frontend.Bad("the target is no path")
+		return nil, frontend.BadRequest("the target is no path")
 	case h.Get("Host") == "":
-		return nil, frontend.Bad("Host is wanted")
+		return nil, frontend.BadRequest("Host is wanted")
 	case !ok:
-		return nil, frontend.Bad("X-Class names no known class")
+		return nil, frontend.BadRequest("X-Class names no known class")
 	case first != class.Name:
-		return nil, frontend.Bad("the path does not begin with the class")
+		return nil, frontend.BadRequest("the path does not begin with the class")
 	case id == "":
-		return nil, frontend.Bad("X-Request-Id is wanted")
-	case (class.Repeat == balancer.Safe) != (method == http.MethodGet),
-		class.Repeat != balancer.Safe && method != http.MethodPost:
-		return nil, frontend.Bad("the method does not fit the class")
-	case (class.Repeat == balancer.Keyed) != (key != ""), key == "" && h.Has("Idempotency-Key"):
-		return nil, frontend.Bad("Idempotency-Key does not fit the class")
+		return nil, frontend.BadRequest("X-Request-Id is wanted")
+	case (class.Idempotency == balancer.Idempotent) != (method == http.MethodGet),
+		class.Idempotency != balancer.Idempotent && method != http.MethodPost:
+		return nil, frontend.BadRequest("the method does not fit the class")
+	case (class.Idempotency == balancer.IdempotentWithKey) != (key != ""), key == "" && h.Has("Idempotency-Key"):
+		return nil, frontend.BadRequest("Idempotency-Key does not fit the class")
 	}
 	q := &platformCall{pool: d.pool, asked: asked{Request: pool.Request{Name: id}}}
 	if err := q.describe(h); err != nil {
@@ -108,8 +108,8 @@
 	patience time.Duration // that the client claims; 0: none
 }
 
-// Asked is what goes to the pool.
-func (q *asked) Asked() *pool.Request { return &q.Request }
+// PoolRequest is what goes to the pool.
+func (q *asked) PoolRequest() *pool.Request { return &q.Request }
 
 // describe reads the fields that say what a request is like, whatever its class.
 func (q *asked) describe(h *http1.Fields) error {
@@ -117,14 +117,14 @@
 	if h.Has("X-Deadline-Ms") {
 		ms, ok := http1.Digits(h.Get("X-Deadline-Ms"))
 		if !ok || ms == 0 {
-			return frontend.Bad("X-Deadline-Ms is no time")
+			return frontend.BadRequest("X-Deadline-Ms is no time")
 		}
 		q.patience = time.Duration(min(ms, maxPatience)) * time.Millisecond
 	}
 	if h.Has("X-Cost-Hint") {
 		us, ok := http1.Digits(h.Get("X-Cost-Hint"))
 		if !ok {
-			return frontend.Bad("X-Cost-Hint is no number")
+			return frontend.BadRequest("X-Cost-Hint is no number")
 		}
 		q.Cost = time.Duration(min(us, maxPatience)) * time.Microsecond
 	}
--- a/internal/proxy/operator.go
+++ b/internal/proxy/operator.go
@@ -12,7 +12,7 @@
 // listPatience is how long a new process waits for a list of its own before it serves with the one that it was started with.
 const listPatience = 2 * time.Second
 
-var _ admincmd.Operator = (*Balancer)(nil)
+var _ admincmd.Handler = (*Balancer)(nil)
 
 // Status tells whether this process is ready: it serves, and goes by a list that it has heard itself.
 func (b *Balancer) Status() error {
@@ -27,14 +27,14 @@
 
 // listed tells whether a list has been heard, or discovery has been silent for so long that the list of the start has to do.
 func (b *Balancer) listed() bool {
-	return b.pool.Listed(listPatience)
+	return b.pool.EndpointsKnown(listPatience)
 }
 
-// Out takes an upstream out. Once it has returned nothing new is sent there.
-func (b *Balancer) Out(id string) (string, error) { return b.out(id) }
+// TakeOutOfService takes an upstream out. Once it has returned nothing new is sent there.
+func (b *Balancer) TakeOutOfService(id string) (string, error) { return b.out(id) }
 
-// Back puts it back, as one that has just been started.
-func (b *Balancer) Back(id string) (string, error) { return b.back(id) }
+// ReturnToService puts it back, as one that has just been started.
+func (b *Balancer) ReturnToService(id string) (string, error) { return b.back(id) }
 
 // Standby drains the balancer: /healthz says no, and clients' connections are closed.
 func (b *Balancer) Standby() error { return b.drain(true) }
--- a/internal/proxy/promises.go
+++ b/internal/proxy/promises.go
@@ -19,32 +19,32 @@
 type promises struct {
 	name   string // the balancer's
 	within time.Duration
-	caller *client.Caller
-	copy   *client.Copy
+	caller *client.Client
+	copy   *client.Follower
 
 	mu     sync.Mutex
-	words  []state.Word
-	govern func([]state.Word) // nil: the pool is not there yet
-	handed map[string]uint64  // upstreams out by this balancer's own word, until the copy has the ledger's of this revision
+	words  []state.Override
+	govern func([]state.Override) // nil: the pool is not there yet
+	handed map[string]uint64      // upstreams out by this balancer's own word, until the copy has the ledger's of this revision
 	landed func(id string)
 }
 
 func newPromises(name string, c *config.Promises) *promises {
-	p := &promises{name: name, within: time.Duration(c.Within), caller: client.NewCaller(name, c.Voters), handed: map[string]uint64{}}
-	p.copy = client.Follow(name, c.Voters, c.Copy, p.changed)
+	p := &promises{name: name, within: time.Duration(c.Within), caller: client.New(name, c.Voters), handed: map[string]uint64{}}
+	p.copy = client.StartFollower(name, c.Voters, c.Copy, p.changed)
 	return p
 }
 
 // attach gives a pool what is held, now and whenever it changes. landed is called for an upstream that is out by this balancer's own word,
 // once the ledger's says so too.
-func (p *promises) attach(govern func([]state.Word), landed func(id string)) {
+func (p *promises) attach(govern func([]state.Override), landed func(id string)) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.govern, p.landed = govern, landed
 	govern(p.words)
 }
 
-func (p *promises) changed(words []state.Word) {
+func (p *promises) changed(words []state.Override) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.words = words
@@ -75,7 +75,7 @@
 func (p *promises) set(id string, at time.Time) (note string, err error) {
 	ctx, cancel := context.WithTimeout(context.Background(), p.within)
 	defer cancel()
-	a, err := p.caller.Propose(ctx, &state.SetWord{Subject: outOf(id), By: p.name, Why: "maint-on", At: at.UnixMilli()})
+	a, err := p.caller.Propose(ctx, &state.SetOverride{Subject: outOf(id), By: p.name, Reason: "maint-on", At: at.UnixMilli()})
 	switch {
 	case errors.Is(err, client.ErrUnsure):
 		return "", fmt.Errorf("only here for certain: the others may be told, or not (%w)", err)
@@ -93,7 +93,7 @@
 func (p *promises) clear(id string) (note string, out bool, err error) {
 	ctx, cancel := context.WithTimeout(context.Background(), p.within)
 	defer cancel()
-	a, err := p.caller.Propose(ctx, &state.ClearWord{Subject: outOf(id), By: p.name})
+	a, err := p.caller.Propose(ctx, &state.ClearOverride{Subject: outOf(id), By: p.name})
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if err != nil {
@@ -107,15 +107,15 @@
 }
 
 func outOf(id string) state.Subject {
-	return state.Subject{Kind: state.Out, Scope: state.Upstream, Target: id}
+	return state.Subject{Kind: state.OutOfService, Scope: state.ScopeUpstream, Target: id}
 }
 
 // held says by how many voters a promise is held.
-func held(a client.Answer) string { return fmt.Sprintf("held by %d of %d", a.Held, a.Of) }
+func held(a client.Response) string { return fmt.Sprintf("held by %d of %d", a.Stored, a.Voters) }
 
 // out takes an upstream out: here at once, and then by the ledger's word for all.
 func (b *Balancer) out(id string) (string, error) {
-	if err := b.pool.Maintain(id, true); err != nil {
+	if err := b.pool.SetOutOfService(id, true); err != nil {
 		return "", err
 	}
 	b.inform()
@@ -129,7 +129,7 @@
 func (b *Balancer) back(id string) (note string, err error) {
 	var failed error
 	if b.promises != nil {
-		if !b.pool.Knows(id) {
+		if !b.pool.HasEndpoint(id) {
 			return "", fmt.Errorf("there is no upstream %.40q", id)
 		}
 		out := false
@@ -137,7 +137,7 @@
 			return "", fmt.Errorf("still out, here and at the others: %w", failed)
 		}
 	}
-	if err := b.pool.Maintain(id, false); err != nil {
+	if err := b.pool.SetOutOfService(id, false); err != nil {
 		return "", err
 	}
 	b.inform()
@@ -148,7 +148,7 @@
 }
 
 // govern gives the pool what the ledger says.
-func (b *Balancer) govern(words []state.Word) {
-	b.pool.Govern(override.Of(words, b.config.Name))
+func (b *Balancer) govern(words []state.Override) {
+	b.pool.ApplyOverrides(override.ForPool(words, b.config.Name))
 	slog.Info("what the ledger holds", "words", len(words))
 }
--- a/internal/proxy/proxy.go
+++ b/internal/proxy/proxy.go
@@ -16,9 +16,9 @@
 	config Config
 	pool   *pool.Pool
 	desk   *platform
-	front  *frontend.Front
+	front  *frontend.Server
 	end    context.CancelFunc
-	before *Predecessor // nil: no other process served before this one
+	before *PreviousProcess // nil: no other process served before this one
 	other  atomic.Pointer[sibling]
 	began  atomic.Bool // to serve clients
 
@@ -27,11 +27,11 @@
 
 // Start makes a balancer for the clients of a listener. Its pool follows discovery at once, and clients are served by Run.
 // before is the process whose place it takes, and whose listener this is; nil: none.
-func Start(c Config, listener net.Listener, before *Predecessor) (*Balancer, error) {
+func Start(c Config, listener net.Listener, before *PreviousProcess) (*Balancer, error) {
 	life, end := context.WithCancel(context.Background())
 	var held map[string]override.Entry
 	if before != nil {
-		held = before.state.Held
+		held = before.state.Overrides
 	}
 	p, err := pool.New(life, c.spec(), nil, held)
 	if err != nil {
@@ -41,7 +41,7 @@
 	b := &Balancer{config: c, pool: p, desk: newPlatform(c.Settings.Classes, p), end: end, before: before}
 	if c.Promises != nil {
 		b.promises = newPromises(c.Name, c.Promises)
-		b.promises.attach(b.govern, p.Released)
+		b.promises.attach(b.govern, p.ReleaseLocalOverride)
 		context.AfterFunc(life, b.promises.close)
 	}
 	b.front = frontend.New(b.desk, listener, frontend.Usual(c.clientConns()))
--- a/internal/proxy/routing.go
+++ b/internal/proxy/routing.go
@@ -43,8 +43,8 @@
 	return rule != nil && slices.Contains(r.To[rule.To].Upgrades, by.protocol)
 }
 
-// Desk takes requests for several pools by their routes. Its Routing may be replaced while requests come.
-type Desk struct {
+// RouteTable takes requests for several pools by their routes. Its Routing may be replaced while requests come.
+type RouteTable struct {
 	routing atomic.Pointer[Routing]
 	origin  time.Time
 	epoch   time.Duration
@@ -57,9 +57,9 @@
 // opened is what a tunnel was let through by.
 type opened struct{ route, protocol string }
 
-// NewDesk returns a Desk for the first set of routes.
-func NewDesk(r *Routing) *Desk {
-	d := &Desk{origin: time.Now(), seed: maphash.MakeSeed(), tunnels: map[*body.Tunnel]opened{}}
+// NewRouteTable returns a Desk for the first set of routes.
+func NewRouteTable(r *Routing) *RouteTable {
+	d := &RouteTable{origin: time.Now(), seed: maphash.MakeSeed(), tunnels: map[*body.Tunnel]opened{}}
 	d.epoch = time.Duration(d.origin.UnixNano())
 	d.Route(r)
 	return d
@@ -67,7 +67,7 @@
 
 // Route puts other routes in the place of those that hold. Requests that are in a pool stay there; tunnels whose route has gone, or
 // lets them through no more, end within their grace.
-func (d *Desk) Route(r *Routing) {
+func (d *RouteTable) Route(r *Routing) {
 	d.routing.Store(r)
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -99,7 +99,7 @@
 	asked
 	route  string // that it goes by
 	to     *Destination
-	desk   *Desk
+	desk   *RouteTable
 	query  route.Query
 	fields http1.Fields // as they came
 	hash   uint64
@@ -107,44 +107,44 @@
 	pool   *pool.Pool
 }
 
-var _ frontend.Desk = (*Desk)(nil)
+var _ frontend.Router = (*RouteTable)(nil)
 
 // Now goes by the clocks that pools keep: Unix time at the start, then the monotonic clock. Pools start at other times;
 // what their clocks differ by is how far the machine's clock was set in between, so pools get the time on their own.
-func (d *Desk) Now() time.Duration { return d.epoch + time.Since(d.origin) }
+func (d *RouteTable) Now() time.Duration { return d.epoch + time.Since(d.origin) }
 
-// Longest is the longest limit of a route.
-func (d *Desk) Longest() (most time.Duration) {
+// MaxDeadline is the longest limit of a route.
+func (d *RouteTable) MaxDeadline() (most time.Duration) {
 	for _, to := range d.routing.Load().To {
 		most = max(most, to.Limit)
 	}
 	return most
 }
 
-// Alive returns once every pool has had a turn.
-func (d *Desk) Alive() {
+// Ping returns once every pool has had a turn.
+func (d *RouteTable) Ping() {
 	for _, p := range d.routing.Load().Pools {
-		p.Alive()
+		p.Ping()
 	}
 }
 
 // Check reads a request of any form that HTTP allows, gives its host and target their canonical reading, and finds its
 // route.
-func (d *Desk) Check(method, target string, h *http1.Fields) (frontend.Call, error) {
+func (d *RouteTable) Check(method, target string, h *http1.Fields) (frontend.Exchange, error) {
 	if method == "" || method == http.MethodConnect || method == http.MethodTrace || strings.ContainsFunc(method, func(r rune) bool { return r < 'A' || r > 'Z' }) {
-		return nil, &frontend.Refusal{Status: http.StatusNotImplemented, Why: "the method is not served"}
+		return nil, &frontend.Rejection{Status: http.StatusNotImplemented, Why: "the method is not served"}
 	}
 	t, err := route.ParseTarget(target)
 	if err != nil {
-		return nil, frontend.Bad("%v", err)
+		return nil, frontend.BadRequest("%v", err)
 	}
 	if !h.Has("Host") { // RFC 9112, section 3.2: wanted also beside an absolute target
-		return nil, frontend.Bad("Host is wanted")
+		return nil, frontend.BadRequest("Host is wanted")
 	}
 	host := t.Host // of an absolute target it goes before the field
 	if host == "" {
 		if host, err = route.Host(h.Get("Host")); err != nil {
-			return nil, frontend.Bad("%v", err)
+			return nil, frontend.BadRequest("%v", err)
 		}
 	}
 	upgrade := ""
@@ -156,13 +156,13 @@
 		q.Name = newID()
 		h.Add("X-Request-Id", q.Name)
 	} else if q.Name == "" || len(q.Name) > 256 {
-		return nil, frontend.Bad("X-Request-Id is empty or over 256 bytes")
+		return nil, frontend.BadRequest("X-Request-Id is empty or over 256 bytes")
 	}
 	if err := q.describe(h); err != nil {
 		return nil, err
 	}
 	if h.Has("Idempotency-Key") && h.Get("Idempotency-Key") == "" {
-		return nil, frontend.Bad("Idempotency-Key is empty")
+		return nil, frontend.BadRequest("Idempotency-Key is empty")
 	}
 	q.fields = *h
 	q.query = route.Query{Host: host, Path: t.Path, Method: method, Class: h.Get("X-Class"), Fields: q.fields}
@@ -187,20 +187,20 @@
 }
 
 // find gives a request its route, class and pool by the routes that hold now.
-func (d *Desk) find(q *routed) error {
+func (d *RouteTable) find(q *routed) error {
 	r := d.routing.Load()
 	rule := r.Table.Lookup(&q.query)
 	if rule == nil {
-		return &frontend.Refusal{Status: http.StatusNotFound, Why: "no route leads there"}
+		return &frontend.Rejection{Status: http.StatusNotFound, Why: "no route leads there"}
 	}
 	q.route = rule.Name
 	to := &r.To[rule.To]
 	q.to = to
 	switch named := q.query.Class; {
 	case named != "" && named != to.Class.Name:
-		return frontend.Bad("X-Class names %q, and the route to this host and path is for another class", named)
-	case to.Class.Repeat == balancer.Keyed && !q.keyed:
-		return frontend.Bad("Idempotency-Key is wanted")
+		return frontend.BadRequest("X-Class names %q, and the route to this host and path is for another class", named)
+	case to.Class.Idempotency == balancer.IdempotentWithKey && !q.keyed:
+		return frontend.BadRequest("Idempotency-Key is wanted")
 	}
 	q.about(q.fields, to.KeyCookie)
 	q.hash = q.Key
@@ -212,21 +212,21 @@
 	return nil
 }
 
-// Enter hands the request to its pool. One that was retired since the request was read is not asked: the routes of now are.
-func (q *routed) Enter() (pool.Answer, error) {
+// Admit hands the request to its pool. One that was retired since the request was read is not asked: the routes of now are.
+func (q *routed) Admit() (pool.Response, error) {
 	for {
 		p := q.pool
-		ok, crowded := p.Enter()
+		ok, crowded := p.Acquire()
 		if ok {
 			q.At += p.Now() - q.desk.Now() // on the pool's clock
-			p.Ask(&q.Request)
-			return pool.Answer{}, nil
+			p.Submit(&q.Request)
+			return pool.Response{}, nil
 		}
 		if crowded {
 			return full(time.Second), nil
 		}
 		if err := q.desk.find(q); err != nil {
-			return pool.Answer{}, err
+			return pool.Response{}, err
 		}
 		if q.pool == p {
 			return full(time.Second), nil // the process is stopping
@@ -234,10 +234,10 @@
 	}
 }
 
-// Leave counts the request out of its pool.
-func (q *routed) Leave() { q.pool.Leave() }
+// Done counts the request out of its pool.
+func (q *routed) Done() { q.pool.Release() }
 
 // full is what a request is told that a pool does not take.
-func full(after time.Duration) pool.Answer {
-	return pool.Answer{Status: http.StatusServiceUnavailable, RetryAfter: after, Whole: true}
+func full(after time.Duration) pool.Response {
+	return pool.Response{Status: http.StatusServiceUnavailable, RetryAfter: after, RetryAfterInSeconds: true}
 }
--- a/internal/proxy/succession.go
+++ b/internal/proxy/succession.go
@@ -23,20 +23,20 @@
 	readyPause = 5 * time.Millisecond
 )
 
-// Predecessor is an old process that still serves, and what it handed over.
-type Predecessor struct {
+// PreviousProcess is an old process that still serves, and what it handed over.
+type PreviousProcess struct {
 	Listener net.Listener
 	state    hotrestart.Message
 	link     *hotrestart.Link
 }
 
-// Precede asks the process that listens at path for what a new one needs to serve at an address.
-func Precede(path, listen string) (*Predecessor, error) {
+// TakeOver asks the process that listens at path for what a new one needs to serve at an address.
+func TakeOver(path, listen string) (*PreviousProcess, error) {
 	link, err := hotrestart.Dial(path)
 	if err != nil {
 		return nil, err
 	}
-	p := &Predecessor{link: link}
+	p := &PreviousProcess{link: link}
 	if err := p.take(listen); err != nil {
 		link.Close()
 		return nil, err
@@ -44,8 +44,8 @@
 	return p, nil
 }
 
-func (p *Predecessor) take(listen string) error {
-	if err := p.link.Send(hotrestart.Message{Kind: hotrestart.Take, Listen: listen}, nil); err != nil {
+func (p *PreviousProcess) take(listen string) error {
+	if err := p.link.Send(hotrestart.Message{Kind: hotrestart.KindTakeOver, Listen: listen}, nil); err != nil {
 		return err
 	}
 	p.link.SetReadDeadline(time.Now().Add(takeWithin))
@@ -57,7 +57,7 @@
 		return errors.New("the old process has handed over no listener")
 	}
 	defer file.Close()
-	if m.Kind != hotrestart.State || m.Listen != listen {
+	if m.Kind != hotrestart.KindState || m.Listen != listen {
 		return fmt.Errorf("the old process serves %q", m.Listen)
 	}
 	p.state = m
@@ -89,7 +89,7 @@
 	done := make(chan struct{})
 	s.mu.Lock()
 	s.serial++
-	m.Kind, m.Serial = hotrestart.State, s.serial
+	m.Kind, m.Serial = hotrestart.KindState, s.serial
 	s.acks[m.Serial] = done
 	s.mu.Unlock()
 	defer func() {
@@ -133,23 +133,23 @@
 			return
 		}
 		switch m.Kind {
-		case hotrestart.Ready:
+		case hotrestart.KindReady:
 			s.ready.Store(true)
-		case hotrestart.Ack:
+		case hotrestart.KindAck:
 			s.acknowledged(m.Serial)
-		case hotrestart.State:
+		case hotrestart.KindState:
 			b.adoptState(m)
-			s.link.Send(hotrestart.Message{Kind: hotrestart.Ack, Serial: m.Serial}, nil) // if it fails so does the next Receive
-		case hotrestart.Client:
+			s.link.Send(hotrestart.Message{Kind: hotrestart.KindAck, Serial: m.Serial}, nil) // if it fails so does the next Receive
+		case hotrestart.KindClientConnection:
 			b.welcome(file)
-		case hotrestart.Recall:
-			m := b.pool.Memory()
-			if err := s.link.Send(hotrestart.Message{Kind: hotrestart.Memory, Memory: &m}, nil); err != nil { // a fleet too large for a message
+		case hotrestart.KindSnapshotRequest:
+			m := b.pool.Snapshot()
+			if err := s.link.Send(hotrestart.Message{Kind: hotrestart.KindSnapshot, Snapshot: &m}, nil); err != nil { // a fleet too large for a message
 				slog.Warn("telling the other process what has been learnt", "err", err)
 			}
-		case hotrestart.Memory:
-			if m.Memory != nil {
-				b.pool.Recall(*m.Memory)
+		case hotrestart.KindSnapshot:
+			if m.Snapshot != nil {
+				b.pool.Restore(*m.Snapshot)
 			}
 			s.recalled()
 		}
@@ -174,12 +174,12 @@
 
 // state is what staff have said so far.
 func (b *Balancer) state() hotrestart.Message {
-	return hotrestart.Message{Kind: hotrestart.State, Listen: b.config.Listen, Standby: b.front.Drained(), Held: b.pool.Held()}
+	return hotrestart.Message{Kind: hotrestart.KindState, Listen: b.config.Listen, Standby: b.front.Drained(), Overrides: b.pool.LocalOverrides()}
 }
 
 // adoptState takes what staff have said to the other process.
 func (b *Balancer) adoptState(m hotrestart.Message) {
-	b.pool.Merge(m.Held)
+	b.pool.MergeOverrides(m.Overrides)
 	b.front.Drain(m.Standby)
 }
 
@@ -220,7 +220,7 @@
 		file.Close()
 	}
 	listener, ok := b.front.Listener().(*net.TCPListener)
-	if err != nil || m.Kind != hotrestart.Take || m.Listen != b.config.Listen || !ok {
+	if err != nil || m.Kind != hotrestart.KindTakeOver || m.Listen != b.config.Listen || !ok {
 		slog.Warn("a process that asked to take over was sent away", "err", err, "listen", m.Listen)
 		link.Close()
 		return
@@ -238,7 +238,7 @@
 }
 
 // succeed serves beside the old process from the moment that this one is ready.
-func (b *Balancer) succeed(ctx context.Context, p *Predecessor) {
+func (b *Balancer) succeed(ctx context.Context, p *PreviousProcess) {
 	s := newSibling(p.link)
 	s.ready.Store(true)
 	b.other.Store(s)
@@ -249,7 +249,7 @@
 		}
 		time.Sleep(readyPause)
 	}
-	if err := p.link.Send(hotrestart.Message{Kind: hotrestart.Recall}, nil); err == nil {
+	if err := p.link.Send(hotrestart.Message{Kind: hotrestart.KindSnapshotRequest}, nil); err == nil {
 		select {
 		case <-s.memory:
 		case <-s.ended:
@@ -257,7 +257,7 @@
 		}
 	}
 	b.began.Store(true)
-	if err := p.link.Send(hotrestart.Message{Kind: hotrestart.Ready}, nil); err != nil {
+	if err := p.link.Send(hotrestart.Message{Kind: hotrestart.KindReady}, nil); err != nil {
 		slog.Warn("telling the old process that this one serves", "err", err)
 	}
 }
--- a/internal/service/promises.go
+++ b/internal/service/promises.go
@@ -18,8 +18,8 @@
 // governing is what the ledger of promises says of all pools. Requests do not wait for it: each pool has what holds of it.
 type governing struct {
 	mu     sync.Mutex
-	words  []state.Word
-	copy   *client.Copy // nil: this process takes no part in a ledger
+	words  []state.Override
+	copy   *client.Follower // nil: this process takes no part in a ledger
 	config config.Promises
 	pools  func() map[string]*member
 }
@@ -46,22 +46,22 @@
 		host = "olivearch"
 	}
 	// The name spreads many copies over the voters, also those of several processes on a machine.
-	g.set(client.Follow(fmt.Sprintf("%s-%d", host, os.Getpid()), c.Voters, c.Copy, g.changed), *c)
+	g.set(client.StartFollower(fmt.Sprintf("%s-%d", host, os.Getpid()), c.Voters, c.Copy, g.changed), *c)
 }
 
-func (g *governing) set(copy *client.Copy, c config.Promises) {
+func (g *governing) set(copy *client.Follower, c config.Promises) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	g.copy, g.config = copy, c
 }
 
 // changed takes words, and gives each pool what is said of it.
-func (g *governing) changed(words []state.Word) {
+func (g *governing) changed(words []state.Override) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	g.words = words
 	for name, p := range g.pools() {
-		p.Govern(override.Of(words, name))
+		p.ApplyOverrides(override.ForPool(words, name))
 	}
 	slog.Info("what the ledger holds", "words", len(words))
 }
@@ -71,7 +71,7 @@
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	if len(g.words) > 0 {
-		p.Govern(override.Of(g.words, name))
+		p.ApplyOverrides(override.ForPool(g.words, name))
 	}
 }
 
@@ -93,13 +93,13 @@
 	}
 	v := g.copy.View()
 	p := &live.Promises{
-		Cluster: fmt.Sprintf("%x", v.Cluster), Voter: v.Voter, Leader: v.Leader, Voters: v.Voters, Up: v.Up, Revision: v.Index, AgeMS: -1,
-		Words: map[string]int{}, Trouble: v.Trouble,
+		Cluster: fmt.Sprintf("%x", v.Cluster), Voter: v.Voter, Leader: v.Leader, Voters: v.Voters, Up: v.ReachableVoters, Revision: v.Index, AgeMS: -1,
+		Words: map[string]int{}, Trouble: v.Fault,
 	}
 	if age := v.Age(time.Now()); age < live.Ages {
 		p.AgeMS = age.Milliseconds()
 	}
-	for _, w := range v.Words {
+	for _, w := range v.Overrides {
 		p.Words[w.Kind.String()]++
 	}
 	return p
--- a/internal/service/service.go
+++ b/internal/service/service.go
@@ -38,9 +38,9 @@
 	started   time.Time
 	ctx       context.Context
 	end       context.CancelFunc
-	directory *pool.Directory
+	directory *pool.EndpointRegistry
 	lists     *endpointlist.Watcher
-	desk      *proxy.Desk
+	desk      *proxy.RouteTable
 	state     atomic.Pointer[configuration]
 	promises  *governing
 	failed    chan error
@@ -57,7 +57,7 @@
 }
 
 type front struct {
-	*frontend.Front
+	*frontend.Server
 	name    string
 	address net.Addr
 }
@@ -74,7 +74,7 @@
 func Start(c *config.Loaded, version string) (*Service, error) {
 	s := &Service{version: version, started: time.Now(), failed: make(chan error, 1)}
 	s.ctx, s.end = context.WithCancel(context.Background())
-	s.directory = pool.NewDirectory(s.ctx, c.Limits.NodeConnections)
+	s.directory = pool.NewEndpointRegistry(s.ctx, c.Limits.NodeConnections)
 	s.lists = endpointlist.NewWatcher(s.ctx, readEvery, reportWatch)
 	s.state.Store(&configuration{fronts: map[string]*front{}, pools: map[string]*member{}, reloads: -1})
 	s.promises = &governing{pools: func() map[string]*member { return s.state.Load().pools }}
@@ -112,7 +112,7 @@
 		return err
 	}
 	if now.config == nil || now.config.Limits.NodeConnections != c.Limits.NodeConnections {
-		s.directory.Limit(c.Limits.NodeConnections)
+		s.directory.SetConnectionLimit(c.Limits.NodeConnections)
 	}
 	s.promises.follow(c.Promises)
 	for name, spec := range p.specs {
@@ -230,10 +230,10 @@
 func spec(c *config.Loaded, name string) pool.Spec {
 	x := c.Pools[name]
 	return pool.Spec{
-		Name: name, Settings: c.Settings(name), Discovery: x.Nodes.Discovery, Hold: time.Duration(x.Nodes.Hold),
+		Name: name, Settings: c.Settings(name), Discovery: x.Nodes.Discovery, MaxEndpointAge: time.Duration(x.Nodes.Hold),
 		Links:       wire.Links{KeepAlive: time.Duration(x.IdleTimeout), ConnectTimeout: time.Duration(x.ConnectTimeout)},
-		Connections: x.Connections, Queue: x.Queue, Share: x.Share, OwnDrains: x.Drains == "own", Trust: x.Rest == "after_stray",
-		Tunnels: pool.TunnelCaps{Most: x.Tunnels.Most, PerNode: x.Tunnels.PerNode}, Whole: true,
+		Connections: x.Connections, Queue: x.Queue, SharedWeight: x.Share, OwnDrains: x.Drains == "own", KeepUntilUnsolicited: x.Rest == "after_stray",
+		Tunnels: pool.TunnelLimits{Total: x.Tunnels.Most, PerNode: x.Tunnels.PerNode}, FullResponses: true,
 	}
 }
 
@@ -243,8 +243,8 @@
 		return false
 	}
 	was, is := *x, *y
-	was.Seed, was.Known, was.Keep = is.Seed, is.Known, is.Keep // for its start only
-	was.Settings.Tenants, is.Settings.Tenants = nil, nil       // a table's size is nothing to be compared for each pool
+	was.Seed, was.InitialEndpoints, was.EndpointStore = is.Seed, is.InitialEndpoints, is.EndpointStore // for its start only
+	was.Settings.Tenants, is.Settings.Tenants = nil, nil                                               // a table's size is nothing to be compared for each pool
 	return reflect.DeepEqual(was, is)
 }
 
@@ -256,17 +256,17 @@
 		if err != nil { // a damaged list must not keep the process from serving
 			slog.Warn("starting without the kept list", "pool", name, "err", err)
 		}
-		spec.Known, spec.Keep = known, endpointcache.New(source.Keep, known)
+		spec.InitialEndpoints, spec.EndpointStore = known, endpointcache.NewWriter(source.Keep, known)
 	}
 	x, err := pool.New(s.ctx, spec, s.directory, nil)
 	if err != nil {
-		if spec.Keep != nil {
-			spec.Keep.Close()
+		if spec.EndpointStore != nil {
+			spec.EndpointStore.Close()
 		}
 		return fmt.Errorf("pool %s: %w", name, err)
 	}
 	if source.Discovery == "" {
-		x.Tell(p.lists[name].nodes)
+		x.UpdateEndpoints(p.lists[name].nodes)
 	}
 	next := &member{Pool: x, spec: spec, source: source, stop: s.follow(name, x, source, p.lists[name].read)}
 	p.next.pools[name] = next
@@ -289,7 +289,7 @@
 		}
 	}
 	if source.Discovery == "" && (moved || source.File == "" && !slices.Equal(old.source.Static, source.Static)) {
-		old.Tell(p.lists[name].nodes)
+		old.UpdateEndpoints(p.lists[name].nodes)
 	}
 	if moved {
 		next.stop = s.follow(name, old.Pool, source, p.lists[name].read)
@@ -314,7 +314,7 @@
 		r.Pools[name] = x.Pool
 	}
 	if s.desk == nil {
-		s.desk = proxy.NewDesk(r)
+		s.desk = proxy.NewRouteTable(r)
 		return
 	}
 	s.desk.Route(r)
@@ -361,8 +361,8 @@
 // retire ends a pool once its requests are answered.
 func (s *Service) retire(x *member) {
 	x.stop()
-	x.Retire()
-	s.leaving.Go(func() { <-x.Ended() })
+	x.Shutdown()
+	s.leaving.Go(func() { <-x.Done() })
 }
 
 // Stop answers what was taken, and ends.
--- a/internal/service/uses.go
+++ b/internal/service/uses.go
@@ -10,14 +10,14 @@
 type idle struct{}
 
 func (idle) Send(balancer.RequestID, balancer.UpstreamID, time.Duration) {}
-func (idle) Refuse(balancer.RequestID, time.Duration)                    {}
+func (idle) Reject(balancer.RequestID, time.Duration)                    {}
 func (idle) Fail(balancer.RequestID)                                     {}
 func (idle) Cancel(balancer.RequestID, int)                              {}
-func (idle) Probe(balancer.UpstreamID)                                   {}
-func (idle) Disconnect(balancer.UpstreamID)                              {}
+func (idle) HealthCheck(balancer.UpstreamID)                             {}
+func (idle) CloseIdle(balancer.UpstreamID)                               {}
 func (idle) SetTimer(time.Duration, uint64)                              {}
-func (idle) Watch(bool)                                                  {}
-func (idle) Fetch()                                                      {}
+func (idle) WatchEndpoints(bool)                                         {}
+func (idle) FetchEndpoints()                                             {}
 func (idle) Log(string)                                                  {}
 
 // Uses returns how many of so many nodes, all of one size, a balancer with these settings uses at first.
@@ -30,11 +30,11 @@
 	for i := range list {
 		list[i] = balancer.Upstream{ID: balancer.UpstreamID(i + 1), Weight: 1}
 	}
-	b.Members(time.Hour, balancer.ListFull, list)
+	b.EndpointsUpdated(time.Hour, balancer.ListFull, list)
 	views, _ := b.View(time.Hour)
 	n := 0
 	for _, v := range views {
-		if v.Member {
+		if v.InSubset {
 			n++
 		}
 	}
--- a/internal/sharedlimit/nodeshare.go
+++ b/internal/sharedlimit/nodeshare.go
@@ -8,23 +8,23 @@
 
 import "slices"
 
-// Share is what one pool may use of one node.
-type Share struct {
-	Part        float64 // of its cold budget, over 0 and at most 1
+// Allotment is what one pool may use of one node.
+type Allotment struct {
+	Fraction    float64 // of its cold budget, over 0 and at most 1
 	Connections int     // at most, 1 at least
 	Draining    bool    // by the list of some pool
 }
 
 // cuts tells whether s allows less than before did, in any regard.
-func (s Share) cuts(before Share) bool {
-	return s.Part < before.Part || s.Connections < before.Connections || s.Draining && !before.Draining
+func (s Allotment) cuts(before Allotment) bool {
+	return s.Fraction < before.Fraction || s.Connections < before.Connections || s.Draining && !before.Draining
 }
 
 // Change is a new share of a node that several pools list.
 type Change struct {
-	Node  string // its address
-	Share Share
-	Alone bool // no other pool lists the node any more, and Share says nothing: all of it is this pool's
+	Node      string // its address
+	Allotment Allotment
+	Exclusive bool // no other pool lists the node any more, and Share says nothing: all of it is this pool's
 }
 
 // Pool is a pool in a Ledger. The zero value uses nothing.
@@ -36,24 +36,24 @@
 // use is one pool's use of a node that several list.
 type use struct {
 	pool *Pool
-	told Share // as Changes last returned it; the zero value before
+	told Allotment // as Changes last returned it; the zero value before
 }
 
-// Ledger knows which pools use which nodes.
-type Ledger struct {
+// Allocator knows which pools use which nodes.
+type Allocator struct {
 	connections int // to one node, over all pools
 	alone       map[string]*Pool
 	shared      map[string][]use // also nodes that were shared when Changes was last called
 	touched     map[string]struct{}
 }
 
-// New returns a Ledger for so many connections to one node over all pools.
-func New(connections int) *Ledger {
-	return &Ledger{connections: connections, alone: map[string]*Pool{}, shared: map[string][]use{}, touched: map[string]struct{}{}}
+// NewAllocator returns a Ledger for so many connections to one node over all pools.
+func NewAllocator(connections int) *Allocator {
+	return &Allocator{connections: connections, alone: map[string]*Pool{}, shared: map[string][]use{}, touched: map[string]struct{}{}}
 }
 
-// Limit sets the connections to one node anew.
-func (l *Ledger) Limit(connections int) {
+// SetConnectionLimit sets the connections to one node anew.
+func (l *Allocator) SetConnectionLimit(connections int) {
 	if connections == l.connections {
 		return
 	}
@@ -65,7 +65,7 @@
 
 // Claim notes the nodes that a pool lists, by address, in the place of those that it listed before. The map is kept: it
 // must not be changed any more.
-func (l *Ledger) Claim(p *Pool, weight float64, nodes map[string]bool) {
+func (l *Allocator) Claim(p *Pool, weight float64, nodes map[string]bool) {
 	before, reweighed := p.nodes, weight != p.weight
 	p.weight, p.nodes = weight, nodes
 	for node := range before {
@@ -82,22 +82,22 @@
 	}
 }
 
-// Leave forgets a pool.
-func (l *Ledger) Leave(p *Pool) { l.Claim(p, 0, nil) }
+// Remove forgets a pool.
+func (l *Allocator) Remove(p *Pool) { l.Claim(p, 0, nil) }
 
-func (l *Ledger) add(p *Pool, node string) {
+func (l *Allocator) add(p *Pool, node string) {
 	if uses, ok := l.shared[node]; ok {
 		l.shared[node] = append(uses, use{pool: p})
 	} else if other := l.alone[node]; other != nil {
 		delete(l.alone, node)
-		l.shared[node] = []use{{pool: other, told: Share{1, l.connections, false}}, {pool: p}}
+		l.shared[node] = []use{{pool: other, told: Allotment{1, l.connections, false}}, {pool: p}}
 	} else {
 		l.alone[node] = p
 	}
 	l.touch(node)
 }
 
-func (l *Ledger) drop(p *Pool, node string) {
+func (l *Allocator) drop(p *Pool, node string) {
 	if l.alone[node] == p {
 		delete(l.alone, node)
 		return
@@ -107,7 +107,7 @@
 }
 
 // touch notes that shares of a node may have changed. Nodes that are not shared have none.
-func (l *Ledger) touch(node string) {
+func (l *Allocator) touch(node string) {
 	if _, ok := l.shared[node]; ok {
 		l.touched[node] = struct{}{}
 	}
@@ -119,7 +119,7 @@
 //
 // Over all pools the parts of a node add up to 1, and its connections to no more than its limit, unless there are more
 // pools than connections: each gets one then.
-func (l *Ledger) Changes() (cuts, rest map[*Pool][]Change) {
+func (l *Allocator) Changes() (cuts, rest map[*Pool][]Change) {
 	cuts, rest = map[*Pool][]Change{}, map[*Pool][]Change{}
 	for node := range l.touched {
 		uses := l.shared[node]
@@ -128,8 +128,8 @@
 			if len(uses) == 1 {
 				p := uses[0].pool
 				l.alone[node] = p
-				if uses[0].told != (Share{}) {
-					rest[p] = append(rest[p], Change{Node: node, Alone: true})
+				if uses[0].told != (Allotment{}) {
+					rest[p] = append(rest[p], Change{Node: node, Exclusive: true})
 				}
 			}
 			continue
@@ -143,14 +143,14 @@
 		for i := range uses {
 			u := &uses[i]
 			part := u.pool.weight / total
-			share := Share{part, max(1, int(float64(l.connections)*part+1e-9)), draining}
+			share := Allotment{part, max(1, int(float64(l.connections)*part+1e-9)), draining}
 			switch before := u.told; {
 			case share == before:
 				continue
-			case before != Share{} && share.cuts(before):
-				cuts[u.pool] = append(cuts[u.pool], Change{Node: node, Share: share})
+			case before != Allotment{} && share.cuts(before):
+				cuts[u.pool] = append(cuts[u.pool], Change{Node: node, Allotment: share})
 			default:
-				rest[u.pool] = append(rest[u.pool], Change{Node: node, Share: share})
+				rest[u.pool] = append(rest[u.pool], Change{Node: node, Allotment: share})
 			}
 			u.told = share
 		}
--- a/internal/upstream/http1.go
+++ b/internal/upstream/http1.go
@@ -147,7 +147,7 @@
 // send writes the attempt's message on a connection and reads the answer.
 func (d HTTP1) send(a *Attempt, c *conn) Result {
 	if a.Shut() || !a.Claim(c.giveUp) { // dropped: its request ended or its node left
-		return Result{Status: balancer.Moot, Conn: c}
+		return Result{Status: balancer.NotSent, Conn: c}
 	}
 	// A machine that has gone silent takes bytes until its buffers are full, and then none for ever.
 	if c.writeWithin(a.Wait); !a.Until.IsZero() && a.Until.Before(c.writes) {
@@ -156,7 +156,7 @@
 	rest := a.Message.Rest
 	if rest != nil {
 		if !rest.Hold() { // the client's side has ended
-			return Result{Status: balancer.Moot, Conn: c}
+			return Result{Status: balancer.NotSent, Conn: c}
 		}
 		defer rest.Release()
 	}
@@ -188,7 +188,7 @@
 func (c *conn) unsent(m *Message, whole bool, err error) Result {
 	if failed := (body.ClientFailed{}); errors.As(err, &failed) {
 		c.Close()
-		return Result{Status: balancer.Moot}
+		return Result{Status: balancer.NotSent}
 	}
 	c.SetReadDeadline(time.Now().Add(earlyAnswer))
 	r := c.take(m, whole, nil)
@@ -239,7 +239,7 @@
 	switch {
 	case (status == http.StatusServiceUnavailable || status == http.StatusGatewayTimeout) &&
 		h.Get("X-Not-Run") == "1": // without that mark it may have run
-		r.Status = balancer.Full
+		r.Status = balancer.Rejected
 	case whole && status < http.StatusInternalServerError && status != http.StatusTooManyRequests: // 429 would promise that it never ran
 		http1.DropNamed(&h, nil)
 		r.Status, r.Code, r.Header = balancer.OK, status, h
--- a/internal/wire/read.go
+++ b/internal/wire/read.go
@@ -41,8 +41,8 @@
 	Mode     balancer.ListMode
 	List     []balancer.Upstream
 	Request  balancer.Request
-	Outcome  balancer.Outcome // also Established: ID, Upstream, Attempt, Latency
-	Probe    balancer.ProbeResult
+	Outcome  balancer.AttemptResult // also Established: ID, Upstream, Attempt, Latency
+	Probe    balancer.HealthCheckResult
 	Token    uint64
 }
 
@@ -180,7 +180,7 @@
 		e.Kind, e.Token = Elapsed, f.uint("ctx", 63, true)
 	case "health":
 		e.Kind = Health
-		e.Probe = balancer.ProbeResult{
+		e.Probe = balancer.HealthCheckResult{
 			Upstream: balancer.UpstreamID(f.uint("upstream", 32, true)),
 			Latency:  f.span("cost_time_us", true), Status: f.status("disposition"), Load: f.load("metrics"),
 		}
@@ -406,8 +406,8 @@
 	return x
 }
 
-func (f *fields) outcome() balancer.Outcome {
-	return balancer.Outcome{
+func (f *fields) outcome() balancer.AttemptResult {
+	return balancer.AttemptResult{
 		ID: balancer.RequestID(f.hex("id", true)), Upstream: balancer.UpstreamID(f.uint("upstream", 32, true)),
 		Attempt: int(f.uint("go", 31, true)), Latency: f.span("cost_time_us", true),
 	}
@@ -435,7 +435,7 @@
 	case "leaving":
 		return balancer.Draining
 	case "left":
-		return balancer.Gone
+		return balancer.Removed
 	}
 	f.fail(name, "unknown state")
 	return 0
@@ -448,7 +448,7 @@
 	case 255:
 		return balancer.Error
 	case 254:
-		return balancer.Full
+		return balancer.Rejected
 	case 253:
 		return balancer.Timeout
 	case 252:
@@ -458,7 +458,7 @@
 	case 250:
 		return balancer.Cancelled
 	case 249:
-		return balancer.Moot
+		return balancer.NotSent
 	default:
 		f.fail(name, fmt.Sprintf("unknown status %d", x))
 		return 0
--- a/internal/wire/settings.go
+++ b/internal/wire/settings.go
@@ -61,18 +61,18 @@
 }
 
 var (
-	repeats = map[string]balancer.Repeat{
-		"read_like": balancer.Safe, "idempotency_key": balancer.Keyed,
-		"non_idempotent": balancer.Unsafe,
+	repeats = map[string]balancer.Idempotency{
+		"read_like": balancer.Idempotent, "idempotency_key": balancer.IdempotentWithKey,
+		"non_idempotent": balancer.NonIdempotent,
 	}
-	groups = map[string]balancer.Group{"all": balancer.GroupAll, "zone": balancer.GroupZone, "cell": balancer.GroupCell}
+	groups = map[string]balancer.KeyScope{"all": balancer.KeyScopeAll, "zone": balancer.KeyScopeZone, "cell": balancer.KeyScopeCell}
 	weigh  = map[string]balancer.WeightKind{
 		"silent": balancer.WeightNone, "nominal": balancer.WeightNominal,
 		"rough": balancer.WeightRough, "live": balancer.WeightLive,
 	}
 	vias = map[string]balancer.ReportVia{
 		"silent": balancer.ReportNone, "piggyback": balancer.ReportAnswers,
-		"pull": balancer.ReportProbes,
+		"pull": balancer.ReportHealthChecks,
 	}
 	asks = map[string]bool{"pushed": false, "on_request": true}
 )
@@ -104,21 +104,21 @@
 		return s, links, fmt.Errorf("settings: %w", err)
 	}
 	s = balancer.Settings{
-		Zone: p.Zone, Balancers: p.Balancers, Rank: p.Rank, OverShareWorth: p.OverShare,
-		WorthByWork: p.WorthBy == "work", WarmKeys: p.Family.WarmKeys, Granularity: us(p.Granularity),
+		Zone: p.Zone, Balancers: p.Balancers, Rank: p.Rank, OverQuotaWeightFactor: p.OverShare,
+		WeightByWork: p.WorthBy == "work", WarmKeys: p.Family.WarmKeys, Granularity: us(p.Granularity),
 		Limits: balancer.Limits{
-			Cancel: p.Limits.Cancel, Probes: p.Limits.Probes, SecondCopies: p.Limits.SecondCopies,
-			RetryAfter: p.Limits.RetryAfter, MaxRetry: us(p.Limits.MaxRetry), MaxAttempts: p.Limits.MaxAttempts,
+			Cancel: p.Limits.Cancel, HealthChecks: p.Limits.Probes, Hedging: p.Limits.SecondCopies,
+			RetryAfter: p.Limits.RetryAfter, MaxRetryAfter: us(p.Limits.MaxRetry), MaxAttempts: p.Limits.MaxAttempts,
 		},
 		Rules: balancer.Rules{
-			AskWithin: us(p.Rules.AskWithin), ColdFrom: p.Rules.ColdFrom, RampTime: us(p.Rules.RampTime),
-			TipMultiple: p.Rules.TipMultiple, TipAfter: us(p.Rules.TipAfter), DrainGrace: us(p.Rules.DrainGrace),
-			AnswerWithin: us(p.Rules.Slack),
+			PollInterval: us(p.Rules.AskWithin), SlowStartFloor: p.Rules.ColdFrom, SlowStartDuration: us(p.Rules.RampTime),
+			OverloadMultiple: p.Rules.TipMultiple, OverloadWindow: us(p.Rules.TipAfter), DrainGrace: us(p.Rules.DrainGrace),
+			AnswerSlack: us(p.Rules.Slack),
 		},
 	}
 	links = Links{KeepAlive: us(p.Limits.KeepAlive), ConnectTimeout: us(p.Limits.ConnectTimeout)}
 	var ok bool
-	if s.OnRequest, ok = asks[p.Mode]; !ok {
+	if s.PollDiscovery, ok = asks[p.Mode]; !ok {
 		return s, links, fmt.Errorf("settings: membership_mode %q is unknown", p.Mode)
 	}
 	if s.Weights, ok = weigh[p.Weights]; !ok {
@@ -129,13 +129,13 @@
 	}
 	for _, c := range p.Classes {
 		class := balancer.Class{
-			Name: c.Name, Aim: us(c.Target), Deadline: us(c.GiveUp), Memory: us(c.Memory),
-			Stream: c.Stream, Worth: c.Worth, LateWorth: c.LateWorth,
+			Name: c.Name, LatencyObjective: us(c.Target), Deadline: us(c.GiveUp), DeduplicationWindow: us(c.Memory),
+			Stream: c.Stream, PriorityWeight: c.Worth, LateWeightFactor: c.LateWorth,
 		}
-		if class.Repeat, ok = repeats[c.Repeat]; !ok {
+		if class.Idempotency, ok = repeats[c.Repeat]; !ok {
 			return s, links, fmt.Errorf("settings: profiles: repeat %q is unknown", c.Repeat)
 		}
-		if class.Group, ok = groups[c.Group]; !ok && class.Repeat == balancer.Keyed {
+		if class.KeyScope, ok = groups[c.Group]; !ok && class.Idempotency == balancer.IdempotentWithKey {
 			return s, links, fmt.Errorf("settings: profiles: group %q is unknown", c.Group)
 		}
 		s.Classes = append(s.Classes, class)
--- a/internal/wire/write.go
+++ b/internal/wire/write.go
@@ -85,8 +85,8 @@
 	p.end()
 }
 
-// Refuse writes a refusal.
-func (p *Port) Refuse(id balancer.RequestID, retryAfter time.Duration) {
+// Reject writes a refusal.
+func (p *Port) Reject(id balancer.RequestID, retryAfter time.Duration) {
 	p.open("bounce")
 	p.id(id)
 	p.span(" hold_off_us=", retryAfter)
@@ -108,22 +108,22 @@
 	p.end()
 }
 
-// Probe writes a probe.
-func (p *Port) Probe(up balancer.UpstreamID) {
+// HealthCheck writes a probe.
+func (p *Port) HealthCheck(up balancer.UpstreamID) {
 	p.open("ping")
 	p.num(" upstream=", uint64(up))
 	p.end()
 }
 
-// Disconnect writes the closing of idle connections.
-func (p *Port) Disconnect(up balancer.UpstreamID) {
+// CloseIdle writes the closing of idle connections.
+func (p *Port) CloseIdle(up balancer.UpstreamID) {
 	p.open("disconnect")
 	p.num(" upstream=", uint64(up))
 	p.end()
 }
 
-// Watch writes a subscription to discovery, or its end.
-func (p *Port) Watch(on bool) {
+// WatchEndpoints writes a subscription to discovery, or its end.
+func (p *Port) WatchEndpoints(on bool) {
 	p.open("keep_informed")
 	if on {
 		p.num(" active=", 1)
@@ -133,8 +133,8 @@
 	p.end()
 }
 
-// Fetch writes a call for the whole list.
-func (p *Port) Fetch() {
+// FetchEndpoints writes a call for the whole list.
+func (p *Port) FetchEndpoints() {
 	p.open("query_all")
 	p.end()
 }
