--- a/internal/golden/golden.go
+++ b/internal/golden/golden.go
@@ -1,6 +1,7 @@
-// Package golden compares what a test has produced with a file that an earlier version wrote. The files pin what other processes,
-// operators and stored data rely on: messages, stored forms, metric names, JSON keys and flags. They change only with a deliberate change of
-// such a form, by running the tests with UPDATE_GOLDEN=1.
+// Package golden compares what a test has produced with a file that an earlier version wrote. The files pin
+// what other processes, operators and stored data rely on: messages, stored forms, metric names, JSON keys
+// and flags. They change only with a deliberate change of such a form, by running the tests with
+// UPDATE_GOLDEN=1.
 package golden
 
 import (
@@ -43,8 +44,9 @@
 	}
 }
 
-// Keys lists the keys of the encoded form of a type, one a line with the kind of its value, as in "nodes[].id string". The names come from
-// struct tags of the given name, such as "json" or "yaml". Names of Go types and fields do not show.
+// Keys lists the keys of the encoded form of a type, one a line with the kind of its value, as in "nodes[].id
+// string". The names come from struct tags of the given name, such as "json" or "yaml". Names of Go types and
+// fields do not show.
 func Keys(of reflect.Type, tag string) string {
 	var lines []string
 	collectKeys(of, tag, "", nil, &lines)
