--- a/internal/override/shared.go
+++ b/internal/override/shared.go
@@ -7,95 +7,79 @@
 	"olivearch/internal/coordination/state"
 )
 
-// Shared is what the ledger of promises says of a pool's upstreams: staff's word, given to all balancers. The zero value says nothing.
+// thousandths is the unit of the value of a state.TrafficShare override.
+const thousandths = 1000
+
+// Shared is what the overrides in the coordination cluster say of the upstreams of one pool. The zero value says
+// nothing.
 type Shared struct {
-	All    bool // the whole pool is out
-	Out    map[string]bool
-	Zones  map[string]bool    // these are out
-	Caps   map[string]int     // attempts out at once of this balancer
-	Shares map[string]float64 // part of its weight
+	All    bool               // the whole pool is out of service
+	Out    map[string]bool    // upstreams out of service, by id
+	Zones  map[string]bool    // zones out of service
+	Caps   map[string]int     // by upstream: attempts in flight from this balancer at once
+	Shares map[string]float64 // by upstream: fraction of its weight
 }
 
-// ForPool picks what words say of a pool.
-func ForPool(words []state.Override, pool string) Shared {
-	s := Shared{Out: map[string]bool{}, Zones: map[string]bool{}, Caps: map[string]int{}, Shares: map[string]float64{}}
-	for _, w := range words {
-		switch {
-		case w.Kind == state.OutOfService && w.Scope == state.ScopeUpstream:
-			s.Out[w.Target] = true
-		case w.Kind == state.OutOfService && w.Scope == state.ScopeZone:
-			s.Zones[w.Target] = true
-		case w.Kind == state.OutOfService && w.Scope == state.ScopePool:
-			s.All = s.All || w.Target == pool
-		case w.Kind == state.ConcurrencyCap:
-			s.Caps[w.Target] = int(w.Value)
-		case w.Kind == state.TrafficShare:
-			s.Shares[w.Target] = float64(w.Value) / 1000
-		}
+// ForPool selects what overrides mean for a pool. Those of upstreams and zones name no pool, so they apply to every
+// pool that has such an upstream or zone.
+func ForPool(overrides []state.Override, pool string) Shared {
+	shared := Shared{
+		Out:    map[string]bool{},
+		Zones:  map[string]bool{},
+		Caps:   map[string]int{},
+		Shares: map[string]float64{},
 	}
-	return s
-}
-
-// ApplyShared takes what the ledger says from now on, in the place of what it said before. What is no longer out counts as called back now.
-func (l *Table) ApplyShared(s Shared, now time.Duration) {
-	maps.DeleteFunc(l.returned, func(_ string, at time.Duration) bool { return at < now-keepBack })
-	came := func(key string) {
-		if l.returned == nil {
-			l.returned = map[string]time.Duration{}
+	for _, override := range overrides {
+		switch override.Kind {
+		case state.OutOfService:
+			shared.addOutOfService(override.Subject, pool)
+		case state.ConcurrencyCap:
+			shared.Caps[override.Target] = int(override.Value)
+		case state.TrafficShare:
+			shared.Shares[override.Target] = float64(override.Value) / thousandths
 		}
-		l.returned[key] = now
-	}
-	for id := range l.shared.Out {
-		if !s.Out[id] {
-			came(upstreamKey + id)
-		}
-	}
-	for zone := range l.shared.Zones {
-		if !s.Zones[zone] {
-			came(zoneKey + zone)
-		}
-	}
-	if l.shared.All && !s.All {
-		came(allKey)
 	}
-	l.shared = s
+	return shared
 }
 
-// The keys of what has come back, by what was out.
-const upstreamKey, zoneKey, allKey = "upstream ", "zone ", "all"
-
-// ReleaseLocal ends this balancer's own word that an upstream is out, now that the ledger has had it: what the ledger says of it counts alone.
-// Where that has been taken back since, the upstream is called back now.
-func (l *Table) ReleaseLocal(id string, now time.Duration) {
-	switch {
-	case !l.entries[id].Out:
-	case l.shared.Out[id]:
-		delete(l.entries, id)
-	default:
-		l.PutBack(id, now)
+func (s *Shared) addOutOfService(subject state.Subject, pool string) {
+	switch subject.Scope {
+	case state.ScopeUpstream:
+		s.Out[subject.Target] = true
+	case state.ScopeZone:
+		s.Zones[subject.Target] = true
+	case state.ScopePool:
+		s.All = s.All || subject.Target == pool
 	}
 }
 
-// OutOfService tells whether an upstream of a zone is out, by whose word ever.
-func (l *Table) OutOfService(id, zone string) bool {
-	return l.OutLocally(id) || l.shared.All || l.shared.Out[id] || l.shared.Zones[zone]
-}
-
-// ReturnedAt is when an upstream of a zone was called back by whatever word kept it out; 0: not lately.
-func (l *Table) ReturnedAt(id, zone string) time.Duration {
-	if len(l.returned) == 0 { // as nearly always: no keys are made for it
-		return l.PutBackAt(id)
+// ApplyShared replaces the shared overrides. What they no longer keep out of service counts as put back now.
+func (t *Table) ApplyShared(shared Shared, now time.Duration) {
+	maps.DeleteFunc(t.sharedPutBack, func(_ scopedTarget, at time.Duration) bool { return at < now-putBackMemory })
+	for _, cleared := range t.shared.clearedBy(shared) {
+		if t.sharedPutBack == nil {
+			t.sharedPutBack = map[scopedTarget]time.Duration{}
+		}
+		t.sharedPutBack[cleared] = now
 	}
-	return max(l.PutBackAt(id), l.returned[upstreamKey+id], l.returned[zoneKey+zone], l.returned[allKey])
+	t.shared = shared
 }
 
-// ConcurrencyCap is how many attempts may be out at an upstream; 0: any number.
-func (l *Table) ConcurrencyCap(id string) int { return l.shared.Caps[id] }
-
-// WeightFactor is what an upstream has of its weight: over 0, and 1 where nothing is said.
-func (l *Table) WeightFactor(id string) float64 {
-	if x, ok := l.shared.Shares[id]; ok && x > 0 {
-		return x
+// clearedBy lists what s keeps out of service and next does not.
+func (s *Shared) clearedBy(next Shared) []scopedTarget {
+	var cleared []scopedTarget
+	for id := range s.Out {
+		if !next.Out[id] {
+			cleared = append(cleared, scopedTarget{state.ScopeUpstream, id})
+		}
+	}
+	for zone := range s.Zones {
+		if !next.Zones[zone] {
+			cleared = append(cleared, scopedTarget{state.ScopeZone, zone})
+		}
+	}
+	if s.All && !next.All {
+		cleared = append(cleared, scopedTarget{scope: state.ScopePool})
 	}
-	return 1
+	return cleared
 }
--- a/internal/override/shared_test.go
+++ b/internal/override/shared_test.go
@@ -1,44 +1,133 @@
 package override
 
 import (
+	"reflect"
 	"testing"
 	"time"
 
 	"olivearch/internal/coordination/state"
 )
 
-// What the ledger says lies over what this balancer was told: out by either is out, and what comes back counts as just started.
-func TestShared(t *testing.T) {
-	word := func(k state.OverrideKind, s state.Scope, target string, value int64) state.Override {
-		return state.Override{Subject: state.Subject{Kind: k, Scope: s, Target: target}, Value: value}
+func upstreamOverride(kind state.OverrideKind, id string, value int64) state.Override {
+	return state.Override{Subject: state.Subject{Kind: kind, Scope: state.ScopeUpstream, Target: id}, Value: value}
+}
+
+func outOfService(scope state.Scope, target string) state.Override {
+	return state.Override{Subject: state.Subject{Kind: state.OutOfService, Scope: scope, Target: target}}
+}
+
+// TestSharedOverrides lays shared overrides over a local one: an upstream that either keeps out is out, and one that is
+// put back counts as just started.
+func TestSharedOverrides(t *testing.T) {
+	var table Table
+	wantOut := func(id, zone string, out bool) {
+		t.Helper()
+		if table.OutOfService(id, zone) != out {
+			t.Errorf("%s in zone %s: out of service %v, want %v: %+v", id, zone, !out, out, table)
+		}
 	}
-	var l Table
-	if l.OutOfService("a", "z") || l.WeightFactor("a") != 1 || l.ConcurrencyCap("a") != 0 {
-		t.Error("nothing was said")
+	wantReturned := func(id, zone string, at time.Duration) {
+		t.Helper()
+		if got := table.ReturnedAt(id, zone); got != at {
+			t.Errorf("%s in zone %s: put back at %v, want %v: %+v", id, zone, got, at, table)
+		}
 	}
-	l.TakeOut("a", 1)
-	l.ApplyShared(ForPool([]state.Override{
-		word(state.OutOfService, state.ScopeUpstream, "a", 0), word(state.OutOfService, state.ScopeZone, "z", 0), word(state.OutOfService, state.ScopePool, "other", 0),
-		word(state.ConcurrencyCap, state.ScopeUpstream, "b", 4), word(state.TrafficShare, state.ScopeUpstream, "b", 250),
+	wantLimits := func(id string, weight float64, limit int) {
+		t.Helper()
+		if table.WeightFactor(id) != weight || table.ConcurrencyCap(id) != limit {
+			t.Errorf("%s: weight factor %v, cap %d, want %v, %d: %+v",
+				id, table.WeightFactor(id), table.ConcurrencyCap(id), weight, limit, table)
+		}
+	}
+
+	// No override.
+	wantOut("a", "z", false)
+	wantLimits("a", 1, 0)
+
+	// A local override of a, and shared ones.
+	table.TakeOut("a", 1)
+	table.ApplyShared(ForPool([]state.Override{
+		outOfService(state.ScopeUpstream, "a"),
+		outOfService(state.ScopeZone, "z"),
+		outOfService(state.ScopePool, "other"),
+		upstreamOverride(state.ConcurrencyCap, "b", 4),
+		upstreamOverride(state.TrafficShare, "b", 250),
 	}, "mine"), 2)
-	if !l.OutOfService("a", "y") || !l.OutOfService("b", "z") || l.OutOfService("b", "y") || l.ConcurrencyCap("b") != 4 || l.WeightFactor("b") != 0.25 {
-		t.Errorf("%+v", l)
+	wantOut("a", "y", true)
+	wantOut("b", "z", true)
+	wantOut("b", "y", false)
+	wantLimits("b", 0.25, 4)
+
+	// Without its local override, a stays out by the shared one.
+	table.ReleaseLocal("a", 3)
+	if table.OutLocally("a") {
+		t.Error("a is still out locally")
 	}
-	l.ReleaseLocal("a", 3) // by its own word alone no longer
-	if l.OutLocally("a") || !l.OutOfService("a", "y") {
-		t.Error("it is out by the ledger's word")
+	wantOut("a", "y", true)
+
+	// The upstream and the zone are put back while the whole pool goes out of service.
+	table.ApplyShared(ForPool([]state.Override{outOfService(state.ScopePool, "mine")}, "mine"), 5)
+	wantOut("c", "y", true)
+	wantReturned("a", "y", 5)
+	wantReturned("b", "z", 5)
+	wantReturned("b", "y", 0)
+
+	// The pool is put back.
+	table.ApplyShared(Shared{}, time.Hour)
+	wantOut("c", "y", false)
+	wantReturned("c", "y", time.Hour)
+	wantReturned("a", "", time.Hour)
+
+	// The cluster took the override over, and it was cleared there before this balancer saw it.
+	table.TakeOut("d", 1)
+	table.ReleaseLocal("d", 2*time.Hour)
+	wantOut("d", "", false)
+	wantReturned("d", "", 2*time.Hour)
+}
+
+func TestForPool(t *testing.T) {
+	for _, test := range []struct {
+		name      string
+		overrides []state.Override
+		want      Shared
+	}{
+		{"none", nil, Shared{}},
+		{"upstream", []state.Override{outOfService(state.ScopeUpstream, "a")}, Shared{Out: map[string]bool{"a": true}}},
+		{"zone", []state.Override{outOfService(state.ScopeZone, "z")}, Shared{Zones: map[string]bool{"z": true}}},
+		{"another pool", []state.Override{outOfService(state.ScopePool, "other")}, Shared{}},
+		{
+			"this pool, before another",
+			[]state.Override{outOfService(state.ScopePool, "mine"), outOfService(state.ScopePool, "other")},
+			Shared{All: true},
+		},
+		{"cap", []state.Override{upstreamOverride(state.ConcurrencyCap, "a", 4)}, Shared{Caps: map[string]int{"a": 4}}},
+		{
+			"traffic share",
+			[]state.Override{upstreamOverride(state.TrafficShare, "a", 1)},
+			Shared{Shares: map[string]float64{"a": 0.001}},
+		},
+	} {
+		t.Run(test.name, func(t *testing.T) {
+			if got, want := ForPool(test.overrides, "mine"), withMaps(test.want); !reflect.DeepEqual(got, want) {
+				t.Errorf("got %+v, want %+v", got, want)
+			}
+		})
+	}
+}
+
+// withMaps puts empty maps in the place of nil ones, as ForPool returns them.
+func withMaps(shared Shared) Shared {
+	if shared.Out == nil {
+		shared.Out = map[string]bool{}
 	}
-	l.ApplyShared(ForPool([]state.Override{word(state.OutOfService, state.ScopePool, "mine", 0)}, "mine"), 5)
-	if !l.OutOfService("c", "y") || l.ReturnedAt("a", "y") != 5 || l.ReturnedAt("b", "z") != 5 || l.ReturnedAt("b", "y") != 0 {
-		t.Errorf("%+v", l)
+	if shared.Zones == nil {
+		shared.Zones = map[string]bool{}
 	}
-	l.ApplyShared(Shared{}, time.Hour)
-	if l.OutOfService("c", "y") || l.ReturnedAt("c", "y") != time.Hour || l.ReturnedAt("a", "") != time.Hour {
-		t.Errorf("%+v", l)
+	if shared.Caps == nil {
+		shared.Caps = map[string]int{}
 	}
-	l.TakeOut("d", 1)
-	l.ReleaseLocal("d", 2*time.Hour) // the ledger had it, and somebody has taken it back before this balancer heard of it
-	if l.OutOfService("d", "") || l.ReturnedAt("d", "") != 2*time.Hour {
-		t.Error("this balancer's own word outlives the ledger's")
+	if shared.Shares == nil {
+		shared.Shares = map[string]float64{}
 	}
+	return shared
 }
