--- a/internal/admincmd/golden_test.go
+++ b/internal/admincmd/golden_test.go
@@ -15,7 +15,7 @@
 		"status", "maint-on s-1", "maint-off s-9", "standby", "active", "", "maint-on", "maint-off", "maint-on a b", "status now", "standby now",
 		"STATUS", "GET / HTTP/1.1", "drain", "maint-on \x00\xff",
 	} {
-		fmt.Fprintf(&text, "%q: %q\n", line, Execute(make(log, 10), line+"\r\n"))
+		fmt.Fprintf(&text, "%q: %q\n", line, execute(make(recorder, 10), line+"\r\n"))
 	}
 	golden.Compare(t, "answers.txt", text.String())
 }
