--- a/internal/disk/disk.go
+++ b/internal/disk/disk.go
@@ -1,8 +1,9 @@
-// Package disk writes and reads the few files that outlive a process. A file is replaced whole: whoever reads it, also after a crash or
-// a loss of power at any moment, finds the old text or the new one, as far as the disk keeps its word; Read finds out if it did not.
+// Package disk writes and reads the few files that outlive a process. A file is replaced as a whole: a reader finds the
+// old contents or the new ones, also after a crash or a power failure at any moment, provided that the disk stores what
+// it has acknowledged. Read finds out if it did not.
 //
-// A build with the tag "faultinject" can be told that the disk fails, for the proving ground's tests (internal/faulttest); the product has no
-// such door.
+// A build with the tag "faultinject" can be told that the disk fails, for fault tests (internal/faulttest). Other
+// builds have no way to do that.
 package disk
 
 import (
@@ -15,86 +16,105 @@
 	"path/filepath"
 )
 
-// A file begins with a head of its own: magic, version, length and CRC-32C (Castagnoli, as in RFC 9260, appendix A) of what follows.
+// A file begins with a header, in big-endian order: magic, version, and the length and CRC-32C (Castagnoli, as in RFC
+// 9260, appendix A) of the contents, which follow.
 const (
-	magic    = "olvf"
-	version  = 1
-	headSize = 4 + 4 + 8 + 4
+	magic   = "olvf"
+	version = 1
+
+	versionOffset  = len(magic)
+	lengthOffset   = versionOffset + 4
+	checksumOffset = lengthOffset + 8
+	headerSize     = checksumOffset + 4
 )
 
 var castagnoli = crc32.MakeTable(crc32.Castagnoli)
 
-// ErrDamaged is wrapped by errors of Read that are about what stands in a file: it was torn, changed, or is none of ours.
+// ErrDamaged is wrapped by the errors of Read about what is in a file: it is incomplete, was changed, or was not
+// written by Replace.
 var ErrDamaged = errors.New("the file is damaged")
 
-// Replace puts text in the place of what a file holds, or changes nothing. It returns once the disk has it: write to a file beside
-// it, fsync(2), rename(2), fsync of the folder.
-func Replace(path string, text []byte) error {
-	head := binary.BigEndian.AppendUint32([]byte(magic), version)
-	head = binary.BigEndian.AppendUint64(head, uint64(len(text)))
-	head = binary.BigEndian.AppendUint32(head, crc32.Checksum(text, castagnoli))
-	whole := append(head, text...)
-	if handled, err := fail(path, whole); handled {
+// Replace replaces the contents of a file, or changes nothing and returns an error. It returns once the disk has
+// acknowledged the contents: it writes a file in the same folder, calls fsync(2) and rename(2), and fsync for the
+// folder.
+func Replace(path string, contents []byte) error {
+	encoded := encode(contents)
+	if handled, err := injectFault(path, encoded); handled {
 		return err
 	}
-	f, err := os.CreateTemp(filepath.Dir(path), filepath.Base(path)+".new-*")
+	folder := filepath.Dir(path)
+	file, err := os.CreateTemp(folder, filepath.Base(path)+".new-*")
 	if err != nil {
 		return err
 	}
-	defer os.Remove(f.Name()) // fails once it is renamed
-	_, err = f.Write(whole)
-	if err == nil {
-		err = f.Sync()
+	defer os.Remove(file.Name()) // fails once the file is renamed
+	if err := errors.Join(writeAndSync(file, encoded), file.Close()); err != nil {
+		return err
 	}
-	if err := errors.Join(err, f.Close()); err != nil {
+	if err := os.Rename(file.Name(), path); err != nil {
 		return err
 	}
-	if err := os.Rename(f.Name(), path); err != nil {
+	return syncFolder(folder)
+}
+
+func writeAndSync(file *os.File, contents []byte) error {
+	if _, err := file.Write(contents); err != nil {
 		return err
 	}
-	return syncFolder(filepath.Dir(path))
+	return file.Sync()
 }
 
 func syncFolder(path string) error {
-	d, err := os.Open(path)
+	folder, err := os.Open(path)
 	if err != nil {
 		return err
 	}
-	return errors.Join(d.Sync(), d.Close())
+	return errors.Join(folder.Sync(), folder.Close())
 }
 
-// Read returns what Replace has put into a file, of at most so many bytes. The error wraps os.ErrNotExist if there is none, and
-// ErrDamaged if it does not hold what was put there.
-func Read(path string, most int) ([]byte, error) {
-	f, err := os.Open(path)
+// Read returns the contents that Replace has written to a file. The error wraps os.ErrNotExist if there is no file, and
+// ErrDamaged if it does not hold what was written, or more than maxSize bytes of contents.
+func Read(path string, maxSize int) ([]byte, error) {
+	file, err := os.Open(path)
 	if err != nil {
 		return nil, err
 	}
-	defer f.Close()
-	whole, err := io.ReadAll(io.LimitReader(f, int64(headSize+most+1)))
+	defer file.Close()
+	encoded, err := io.ReadAll(io.LimitReader(file, int64(headerSize+maxSize+1)))
 	if err != nil {
 		return nil, err
 	}
-	text, err := unwrap(whole)
+	contents, err := decode(encoded)
 	if err != nil {
 		return nil, fmt.Errorf("%s: %w", path, err)
 	}
-	return text, nil
+	return contents, nil
+}
+
+// encode returns the header and the contents.
+func encode(contents []byte) []byte {
+	encoded := make([]byte, 0, headerSize+len(contents))
+	encoded = append(encoded, magic...)
+	encoded = binary.BigEndian.AppendUint32(encoded, version)
+	encoded = binary.BigEndian.AppendUint64(encoded, uint64(len(contents)))
+	encoded = binary.BigEndian.AppendUint32(encoded, crc32.Checksum(contents, castagnoli))
+	return append(encoded, contents...)
 }
 
-func unwrap(whole []byte) ([]byte, error) {
-	if len(whole) < headSize || string(whole[:4]) != magic {
+// decode checks the header and returns the contents, which share the memory of encoded. Its errors wrap ErrDamaged.
+func decode(encoded []byte) ([]byte, error) {
+	if len(encoded) < headerSize || string(encoded[:len(magic)]) != magic {
 		return nil, fmt.Errorf("%w: it has no head", ErrDamaged)
 	}
-	if v := binary.BigEndian.Uint32(whole[4:]); v != version {
-		return nil, fmt.Errorf("%w: it is of version %d, and %d is known", ErrDamaged, v, version)
+	if written := binary.BigEndian.Uint32(encoded[versionOffset:]); written != version {
+		return nil, fmt.Errorf("%w: it is of version %d, and %d is known", ErrDamaged, written, version)
 	}
-	text := whole[headSize:]
-	if n := binary.BigEndian.Uint64(whole[8:]); n != uint64(len(text)) {
-		return nil, fmt.Errorf("%w: %d bytes stand there, and %d were written", ErrDamaged, len(text), n)
+	contents := encoded[headerSize:]
+	if written := binary.BigEndian.Uint64(encoded[lengthOffset:]); written != uint64(len(contents)) {
+		return nil, fmt.Errorf("%w: %d bytes stand there, and %d were written", ErrDamaged, len(contents), written)
 	}
-	if crc32.Checksum(text, castagnoli) != binary.BigEndian.Uint32(whole[16:]) {
+	if crc32.Checksum(contents, castagnoli) != binary.BigEndian.Uint32(encoded[checksumOffset:]) {
 		return nil, fmt.Errorf("%w: its checksum differs", ErrDamaged)
 	}
-	return text, nil
+	return contents, nil
 }
--- a/internal/disk/disk_test.go
+++ b/internal/disk/disk_test.go
@@ -8,56 +8,84 @@
 	"testing"
 )
 
-// What was put there comes back; whatever is cut off, flipped or foreign is told by name, and nothing crashes.
-func TestReadTellsDamage(t *testing.T) {
-	path := filepath.Join(t.TempDir(), "x")
-	if _, err := Read(path, 100); !errors.Is(err, os.ErrNotExist) {
-		t.Errorf("no file: %v", err)
-	}
-	text := []byte("what is kept")
+const maxSize = 100
+
+// replacedFile returns the path of a file with contents, alone in its folder. They are written twice, so that the
+// second write replaces a file.
+func replacedFile(t *testing.T, contents []byte) (path string) {
+	t.Helper()
+	path = filepath.Join(t.TempDir(), "x")
 	for range 2 {
-		if err := Replace(path, text); err != nil {
+		if err := Replace(path, contents); err != nil {
 			t.Fatal(err)
 		}
 	}
-	if got, err := Read(path, 100); err != nil || !bytes.Equal(got, text) {
-		t.Fatalf("%q %v", got, err)
+	return path
+}
+
+func TestReplace(t *testing.T) {
+	contents := []byte("what is stored")
+	path := replacedFile(t, contents)
+	if got, err := Read(path, maxSize); err != nil || !bytes.Equal(got, contents) {
+		t.Fatalf("read %q, %v, want %q", got, err, contents)
+	}
+	if files, err := filepath.Glob(filepath.Join(filepath.Dir(path), "*")); err != nil || len(files) != 1 {
+		t.Errorf("files in the folder: %v, %v, want one", files, err)
+	}
+	if err := Replace(filepath.Join(path, "under", "a-file"), contents); err == nil {
+		t.Error("no error where the folder is missing")
+	}
+}
+
+func TestReadWithoutFile(t *testing.T) {
+	if _, err := Read(filepath.Join(t.TempDir(), "x"), maxSize); !errors.Is(err, os.ErrNotExist) {
+		t.Errorf("%v, want one that wraps ErrNotExist", err)
 	}
-	whole, err := os.ReadFile(path)
+}
+
+func TestReadLimit(t *testing.T) {
+	contents := bytes.Repeat([]byte("x"), maxSize)
+	path := replacedFile(t, contents)
+	if got, err := Read(path, maxSize); err != nil || !bytes.Equal(got, contents) {
+		t.Errorf("read %q, %v, want all", got, err)
+	}
+	if got, err := Read(path, maxSize-2); !errors.Is(err, ErrDamaged) {
+		t.Errorf("over the limit: read %q, %v, want ErrDamaged", got, err)
+	}
+}
+
+// TestReadTellsDamage: a file that is cut off anywhere, has any bit flipped or is longer than it was is an error.
+func TestReadTellsDamage(t *testing.T) {
+	path := replacedFile(t, []byte("what is stored"))
+	stored, err := os.ReadFile(path)
 	if err != nil {
 		t.Fatal(err)
 	}
-	damaged := func(what string, b []byte) {
+	wantDamaged := func(damage string, contents []byte) {
 		t.Helper()
-		if err := os.WriteFile(path, b, 0o600); err != nil {
+		if err := os.WriteFile(path, contents, 0o600); err != nil {
 			t.Fatal(err)
 		}
-		if got, err := Read(path, 100); !errors.Is(err, ErrDamaged) {
-			t.Errorf("%s: %q %v", what, got, err)
+		if got, err := Read(path, maxSize); !errors.Is(err, ErrDamaged) {
+			t.Errorf("%s: read %q, %v, want ErrDamaged", damage, got, err)
 		}
 	}
-	for n := range whole {
-		damaged("cut off", whole[:n])
+	for n := range stored {
+		wantDamaged("cut off", stored[:n])
 		for bit := range 8 {
-			flipped := bytes.Clone(whole)
+			flipped := bytes.Clone(stored)
 			flipped[n] ^= 1 << bit
-			damaged("flipped", flipped)
+			wantDamaged("flipped", flipped)
 		}
 	}
-	damaged("longer", append(bytes.Clone(whole), 'x'))
-	if files, err := filepath.Glob(filepath.Join(filepath.Dir(path), "*")); err != nil || len(files) != 1 {
-		t.Errorf("left behind: %v %v", files, err)
-	}
-	if err := Replace(filepath.Join(path, "under", "a-file"), text); err == nil {
-		t.Error("no folder: no error")
-	}
+	wantDamaged("longer", append(bytes.Clone(stored), 'x'))
 }
 
-func FuzzUnwrap(f *testing.F) {
+func FuzzDecode(f *testing.F) {
 	f.Add([]byte("olvf\x00\x00\x00\x01"))
-	f.Fuzz(func(t *testing.T, whole []byte) {
-		if text, err := unwrap(whole); err == nil && len(text)+headSize != len(whole) {
-			t.Errorf("%d of %d bytes", len(text), len(whole))
+	f.Fuzz(func(t *testing.T, encoded []byte) {
+		if contents, err := decode(encoded); err == nil && len(contents)+headerSize != len(encoded) {
+			t.Errorf("%d of %d bytes", len(contents), len(encoded))
 		}
 	})
 }
