--- a/internal/admincmd/server_test.go
+++ b/internal/admincmd/server_test.go
@@ -48,9 +48,9 @@
 
 const longLineAnswer = "-ERR the call is too long\r\n"
 
-// TestSilentCallersMakeRoom: connections that send nothing, or part of a command, take all slots; a command on another
+// TestSilentConnectionsMakeRoom: connections that send nothing, or part of a command, take all slots; a command on another
 // one is answered at once.
-func TestSilentCallersMakeRoom(t *testing.T) {
+func TestSilentConnectionsMakeRoom(t *testing.T) {
 	dial := startServer(t)
 	oldest := dial("")
 	for i := 1; i < maxConnections; i++ {
--- a/internal/disk/disk.go
+++ b/internal/disk/disk.go
@@ -73,7 +73,8 @@
 }
 
 // Read returns the contents that Replace has written to a file. The error wraps os.ErrNotExist if there is no file, and
-// ErrDamaged if it does not hold what was written, or more than maxSize bytes of contents.
+// ErrDamaged if it does not hold what was written. No more than maxSize+1 bytes of contents are read, so a file with
+// more counts as damaged.
 func Read(path string, maxSize int) ([]byte, error) {
 	file, err := os.Open(path)
 	if err != nil {
--- a/internal/disk/disk_test.go
+++ b/internal/disk/disk_test.go
@@ -54,8 +54,8 @@
 	}
 }
 
-// TestReadTellsDamage: a file that is cut off anywhere, has any bit flipped or is longer than it was is an error.
-func TestReadTellsDamage(t *testing.T) {
+// TestReadDetectsDamage: a file that is cut off anywhere, has any bit flipped or is longer than it was is an error.
+func TestReadDetectsDamage(t *testing.T) {
 	path := replacedFile(t, []byte("what is stored"))
 	stored, err := os.ReadFile(path)
 	if err != nil {
--- a/internal/hotrestart/link_test.go
+++ b/internal/hotrestart/link_test.go
@@ -154,7 +154,7 @@
 	}
 }
 
-func TestSendRefusesLongMessages(t *testing.T) {
+func TestSendRejectsLongMessages(t *testing.T) {
 	oldProcess, _ := linkPair(t, filepath.Join(t.TempDir(), "s"))
 	if err := oldProcess.Send(Message{Kind: KindState, Listen: strings.Repeat("x", maxMessage)}, nil); err == nil {
 		t.Error("a message over the limit was sent")
--- a/internal/sharedlimit/allocator_test.go
+++ b/internal/sharedlimit/allocator_test.go
@@ -113,7 +113,7 @@
 	return allotments
 }
 
-func TestSharesByWeight(t *testing.T) {
+func TestAllotmentsByWeight(t *testing.T) {
 	pools := newNotifiedPools(40)
 	want := func(name string, want map[string]Allotment) {
 		t.Helper()
@@ -229,11 +229,11 @@
 	return math.Abs(a.Fraction-b.Fraction) <= 1e-12 && a.Connections == b.Connections && a.Draining == b.Draining
 }
 
-// TestAsThePlainComputation: pools come and go with any lists, weights and limits, some of them between two
+// TestRandomClaimsMatchOracle: pools come and go with any lists, weights and limits, some of them between two
 // notifications. What pools know by the changes is then what the oracle computes. Fractions add up to one endpoint and
 // connections to its limit, also when all cuts and only some of the rest have arrived. Where nothing differs there is
 // no notification.
-func TestAsThePlainComputation(t *testing.T) {
+func TestRandomClaimsMatchOracle(t *testing.T) {
 	walk := &randomWalk{
 		notifiedPools: newNotifiedPools(50),
 		rng:           rand.New(rand.NewPCG(3, 3)),
