--- a/internal/admincmd/server_test.go
+++ b/internal/admincmd/server_test.go
@@ -48,8 +48,8 @@
 
 const longLineAnswer = "-ERR the call is too long\r\n"
 
-// TestSilentConnectionsMakeRoom: connections that send nothing, or part of a command, take all slots; a command on another
-// one is answered at once.
+// TestSilentConnectionsMakeRoom: connections that send nothing, or part of a command, take all slots; a command on
+// another one is answered at once.
 func TestSilentConnectionsMakeRoom(t *testing.T) {
 	dial := startServer(t)
 	oldest := dial("")
