--- a/internal/coordination/client/copy.go
+++ b/internal/coordination/client/copy.go
@@ -37,7 +37,7 @@
 // Age is how long ago a quorum confirmed that nothing newer was promised than what is here.
 func (v *View) Age(now time.Time) time.Duration {
 	if v.held.IsZero() {
-		return longAgo
+		return maxAge
 	}
 	return max(0, now.Sub(v.held))
 }
@@ -302,7 +302,7 @@
 		return err
 	}
 	var text []byte
-	err = protomsg.Each(b, func(f field) error {
+	err = protomsg.Each(b, func(f protomsg.Field) error {
 		switch f.Number {
 		case 1:
 			c.cluster = f.Uint
