--- /dev/null
+++ b/internal/coordination/client/client.go
@@ -0,0 +1,211 @@
+package client
+
+import (
+	"context"
+	"errors"
+	"fmt"
+	"maps"
+	"math/rand/v2"
+	"slices"
+	"sync"
+	"time"
+)
+
+const (
+	// roundPause is between two rounds of attempts at all servers.
+	roundPause = 25 * time.Millisecond
+	// avoidFailedFor is how long a server that could not be reached, or did not answer, is tried after the others.
+	avoidFailedFor = 2 * time.Second
+)
+
+// Client calls servers, and keeps one connection to each. Its methods may be called from many goroutines, and each returns
+// by its context's end.
+type Client struct {
+	name    string
+	servers map[string]string // addresses by name
+
+	mu         sync.Mutex // guards the fields below
+	conns      map[string]*requestConn
+	leaderHint string // the leader by the latest response
+	failedAt   map[string]time.Time
+	closed     bool
+}
+
+// New returns a client of the voters, which are addresses by name. name is the client's own, for the servers' logs.
+func New(name string, voters map[string]string) *Client {
+	return &Client{
+		name:     name,
+		servers:  maps.Clone(voters),
+		conns:    map[string]*requestConn{},
+		failedAt: map[string]time.Time{},
+	}
+}
+
+// Voters returns the names of the servers that the client knows, sorted.
+func (c *Client) Voters() []string { return slices.Sorted(maps.Keys(c.servers)) }
+
+// Close closes the client's connections; calls in flight fail.
+func (c *Client) Close() {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	c.closed = true
+	for _, conn := range c.conns {
+		conn.close()
+	}
+}
+
+// Call sends a request to one server. The error wraps ErrNobody if the server has certainly not received the request, and
+// ErrUnsure otherwise. A response whose outcome is not OutcomeDone is no error.
+func (c *Client) Call(ctx context.Context, server string, request Request) (Response, error) {
+	conn, err := c.connection(ctx, server)
+	if err != nil {
+		c.recordFailure(server)
+		return Response{}, &callError{kind: ErrNobody, server: server, cause: err}
+	}
+	if deadline, ok := ctx.Deadline(); ok && request.Within == 0 {
+		request.Within = time.Until(deadline)
+	}
+	response, err := conn.call(ctx, request)
+	switch {
+	case errors.Is(err, errNotSent):
+		return response, &callError{kind: ErrNobody, server: server, cause: err}
+	case err != nil:
+		c.recordFailure(server)
+		return response, &callError{kind: ErrUnsure, server: server, cause: err}
+	}
+	c.recordSuccess(server, response.Leader)
+	return response, nil
+}
+
+// connection returns the usable connection to a server, or opens one.
+func (c *Client) connection(ctx context.Context, server string) (*requestConn, error) {
+	c.mu.Lock()
+	conn, address := c.conns[server], c.servers[server]
+	c.mu.Unlock()
+	if conn != nil && conn.usable() {
+		return conn, nil
+	}
+	if address == "" {
+		return nil, fmt.Errorf("no address of a voter %q is known", server)
+	}
+	ctx, cancel := context.WithTimeout(ctx, connectTimeout(ctx))
+	defer cancel()
+	conn, err := openRequestConn(ctx, address, c.name)
+	if err != nil {
+		return nil, err
+	}
+	return c.adopt(server, conn)
+}
+
+// connectTimeout bounds the wait for a connection to one server, so that time is left to try others.
+func connectTimeout(ctx context.Context) time.Duration {
+	deadline, ok := ctx.Deadline()
+	if !ok {
+		return dialTimeout
+	}
+	return max(time.Until(deadline)/3, time.Millisecond)
+}
+
+// adopt makes a new connection the one to its server, unless another goroutine was quicker: then it closes the new one and
+// returns the other's.
+func (c *Client) adopt(server string, conn *requestConn) (*requestConn, error) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	if c.closed {
+		conn.close()
+		return nil, errClosed
+	}
+	if current := c.conns[server]; current != nil {
+		if current.usable() {
+			conn.close()
+			return current, nil
+		}
+		current.close()
+	}
+	c.conns[server] = conn
+	return conn, nil
+}
+
+func (c *Client) recordFailure(server string) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	c.failedAt[server] = time.Now()
+}
+
+func (c *Client) recordSuccess(server, leader string) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	delete(c.failedAt, server)
+	if leader != "" {
+		c.leaderHint = leader
+	}
+}
+
+// preferenceOrder is the order in which servers are tried: the leader first, the others at random, and last those that
+// have failed lately.
+func (c *Client) preferenceOrder() []string {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	names := slices.Collect(maps.Keys(c.servers))
+	rand.Shuffle(len(names), func(i, j int) { names[i], names[j] = names[j], names[i] })
+	if i := slices.Index(names, c.leaderHint); i > 0 {
+		names[0], names[i] = names[i], names[0]
+	}
+	now := time.Now()
+	failedLately := func(name string) int {
+		if now.Before(c.failedAt[name].Add(avoidFailedFor)) {
+			return 1
+		}
+		return 0
+	}
+	slices.SortStableFunc(names, func(a, b string) int { return failedLately(a) - failedLately(b) })
+	return names
+}
+
+// callAny tries one server after the other until one carries the request out or rejects it, or the context ends. A request
+// whose outcome is uncertain is not tried again. The error wraps ErrNobody, ErrUnsure or ErrRefused.
+func (c *Client) callAny(ctx context.Context, request Request) (Response, error) {
+	reasons := map[string]string{} // by server: why it has not taken the request
+	for {
+		for _, server := range c.preferenceOrder() {
+			request.Within = 0 // Call sets it to what is left
+			response, err := c.Call(ctx, server, request)
+			answered := err == nil
+			if answered {
+				err = checkOutcome(server, &response)
+			}
+			var failure *callError
+			if !errors.Is(err, ErrNobody) || !errors.As(err, &failure) {
+				return response, err
+			}
+			// That the time was over tells nothing about the server: then its earlier reason stays.
+			if answered || ctx.Err() == nil || reasons[server] == "" {
+				reasons[server] = failure.reason()
+			}
+			if ctx.Err() != nil {
+				return Response{}, unreachableError(reasons)
+			}
+		}
+		select {
+		case <-time.After(roundPause):
+		case <-ctx.Done():
+			return Response{}, unreachableError(reasons)
+		}
+	}
+}
+
+// checkOutcome returns nil if the request was done. The error wraps ErrNobody where another server may be tried, else
+// ErrRefused or ErrUnsure.
+func checkOutcome(server string, response *Response) error {
+	switch response.Outcome {
+	case OutcomeDone:
+		return nil
+	case OutcomeRejected:
+		return fmt.Errorf("%w: %s", ErrRefused, response.Message)
+	case OutcomeNotAttempted:
+		return &callError{kind: ErrNobody, server: server, cause: errors.New(response.Message)}
+	case OutcomeUncertain:
+		return &callError{kind: ErrUnsure, server: server, cause: errors.New(response.Message)}
+	}
+	return fmt.Errorf("%w: voter %s gives an answer of a kind that this version does not know", ErrUnsure, server)
+}
--- a/internal/coordination/client/conn.go
+++ b/internal/coordination/client/conn.go
@@ -3,153 +3,144 @@
 import (
 	"bufio"
 	"context"
-	"errors"
 	"fmt"
 	"net"
 	"sync"
 	"time"
 )
 
-const (
-	// KeepAlive is how often a voter says something on a connection on which it has nothing to say.
-	KeepAlive = 250 * time.Millisecond
-	// Stale is for how long after a voter's last word requests may still be sent to it.
-	Stale = silent * 3 / 4
-	// silent is after how long without a word a connection is taken for cut.
-	silent = 4 * KeepAlive
-	// dialWithin bounds a connection's coming up, its first words included.
-	dialWithin = time.Second
-)
+// requestConn is a connection for requests, of which several may be in flight. A goroutine of its own reads the responses
+// until the connection breaks; its methods may be called from many goroutines.
+type requestConn struct {
+	netConn net.Conn
+	writeMu sync.Mutex // held while a frame is written, so that frames do not mix
 
-// errNotSent is wrapped by errors about requests that certainly reached nobody.
-var errNotSent = errors.New("not sent")
+	mu          sync.Mutex // guards the fields below
+	lastNumber  uint64     // of the last request
+	pending     map[uint64]chan Response
+	lastContact time.Time
+	serverTick  uint64 // the latest Response.Tick
+	err         error  // why the connection broke; nil: it has not
+}
 
-// Dial opens a connection to a voter and exchanges the first words.
-func Dial(ctx context.Context, address string, h Hello) (net.Conn, *bufio.Reader, Welcome, error) {
-	ctx, cancel := context.WithTimeout(ctx, dialWithin)
-	defer cancel()
-	c, err := (&net.Dialer{}).DialContext(ctx, "tcp", address)
+// openRequestConn connects to a server and begins to read. clientName is for the server's logs.
+func openRequestConn(ctx context.Context, address, clientName string) (*requestConn, error) {
+	netConn, reader, welcome, err := Dial(ctx, address, Hello{Role: RoleClient, Name: clientName})
 	if err != nil {
-		return nil, nil, Welcome{}, err
-	}
-	stop := context.AfterFunc(ctx, func() { c.Close() })
-	in := bufio.NewReaderSize(c, 16<<10)
-	w, err := greet(c, in, h)
-	if !stop() && err == nil {
-		err = ctx.Err()
+		return nil, err
 	}
-	if err != nil {
-		c.Close()
-		return nil, nil, w, err
+	c := &requestConn{
+		netConn:     netConn,
+		pending:     map[uint64]chan Response{},
+		lastContact: time.Now(),
+		serverTick:  welcome.Tick,
 	}
-	return c, in, w, nil
+	go c.readResponses(reader)
+	return c, nil
 }
 
-func greet(c net.Conn, in *bufio.Reader, h Hello) (Welcome, error) {
-	if err := WriteFrame(c, h.Encode()); err != nil {
-		return Welcome{}, err
-	}
-	b, err := ReadFrame(in, maxText*2)
-	if err != nil {
-		return Welcome{}, err
-	}
-	w, err := DecodeWelcome(b)
-	if err == nil && w.RejectReason != "" {
-		err = fmt.Errorf("voter %s refuses the connection: %s", w.Name, w.RejectReason)
+// close closes the connection; calls in flight then fail.
+func (c *requestConn) close() { c.netConn.Close() }
+
+// readResponses hands responses to the calls that wait for them, until the connection breaks or is idle for too long.
+func (c *requestConn) readResponses(reader *bufio.Reader) {
+	for {
+		response, err := c.readResponse(reader)
+		if err != nil {
+			c.fail(err)
+			return
+		}
+		c.deliver(response)
 	}
-	return w, err
 }
 
-// conn is a connection for requests.
-type conn struct {
-	c       net.Conn
-	write   sync.Mutex
-	mu      sync.Mutex
-	number  uint64
-	waiting map[uint64]chan Response
-	heard   time.Time
-	tick    uint64 // the voter's, as last heard
-	err     error
+func (c *requestConn) readResponse(reader *bufio.Reader) (Response, error) {
+	_ = c.netConn.SetReadDeadline(time.Now().Add(idleTimeout)) // if it fails, so does the read
+	body, err := ReadFrame(reader, MaxFrame)
+	if err != nil {
+		return Response{}, err
+	}
+	return DecodeResponse(body)
 }
 
-func open(ctx context.Context, address, name string) (*conn, error) {
-	c, in, w, err := Dial(ctx, address, Hello{Role: RoleClient, Name: name})
-	if err != nil {
-		return nil, err
+// deliver hands a response to the call that waits for it. A server's keep-alive has a number that no call has.
+func (c *requestConn) deliver(response Response) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	c.lastContact = time.Now()
+	c.serverTick = max(c.serverTick, response.Tick)
+	if waiting := c.pending[response.Number]; waiting != nil {
+		delete(c.pending, response.Number)
+		waiting <- response // the channel has a buffer of one
 	}
-	x := &conn{c: c, waiting: map[uint64]chan Response{}, heard: time.Now(), tick: w.Tick}
-	go x.read(in)
-	return x, nil
 }
 
-// read takes answers until the connection breaks, or has been silent for too long.
-func (x *conn) read(in *bufio.Reader) {
-	for {
-		x.c.SetReadDeadline(time.Now().Add(silent))
-		b, err := ReadFrame(in, MaxFrame)
-		var a Response
-		if err == nil {
-			a, err = DecodeResponse(b)
-		}
-		x.mu.Lock()
-		if err != nil {
-			x.err = err
-			for _, w := range x.waiting {
-				close(w)
-			}
-			x.waiting = nil
-			x.mu.Unlock()
-			x.c.Close()
-			return
-		}
-		x.heard, x.tick = time.Now(), max(x.tick, a.Tick)
-		if w := x.waiting[a.Number]; w != nil {
-			delete(x.waiting, a.Number)
-			w <- a // it holds one
-		}
-		x.mu.Unlock()
+// fail ends all calls in flight and closes the connection.
+func (c *requestConn) fail(err error) {
+	c.mu.Lock()
+	c.err = err
+	for _, waiting := range c.pending {
+		close(waiting)
 	}
+	c.pending = nil
+	c.mu.Unlock()
+	c.close()
 }
 
-// usable tells whether the voter was heard on it of late.
-func (x *conn) usable() bool {
-	x.mu.Lock()
-	defer x.mu.Unlock()
-	return x.err == nil && time.Since(x.heard) < Stale
+// usable tells whether a message from the server has arrived lately.
+func (c *requestConn) usable() bool {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	return c.err == nil && time.Since(c.lastContact) < Stale
 }
 
-// ask sends a request and waits for its answer. An error that wraps errNotSent says that it reached nobody.
-func (x *conn) ask(ctx context.Context, r Request) (Response, error) {
-	w := make(chan Response, 1)
-	x.mu.Lock()
-	if x.err != nil {
-		x.mu.Unlock()
-		return Response{}, fmt.Errorf("%w: %w", errNotSent, x.err)
-	}
-	x.number++
-	r.Number, r.Tick = x.number, x.tick
-	x.waiting[r.Number] = w
-	x.mu.Unlock()
-	x.write.Lock()
-	if end, ok := ctx.Deadline(); ok {
-		x.c.SetWriteDeadline(end)
+// call sends a request and waits for its response. The error wraps errNotSent if the server has certainly not received the
+// request.
+func (c *requestConn) call(ctx context.Context, request Request) (Response, error) {
+	waiting, err := c.register(&request)
+	if err != nil {
+		return Response{}, err
 	}
-	err := WriteFrame(x.c, r.Encode())
-	x.write.Unlock()
-	if err != nil { // a part of it may be on its way: but a part is no request
-		x.c.Close()
+	if err := c.send(ctx, &request); err != nil {
+		// A part of the frame may be on its way, but a server acts on whole frames only.
+		c.close()
 		return Response{}, fmt.Errorf("%w: %w", errNotSent, err)
 	}
 	select {
-	case a, ok := <-w:
+	case response, ok := <-waiting:
 		if !ok {
-			return a, errors.New("the connection broke before the answer")
+			return response, errConnectionLost
 		}
-		return a, nil
+		return response, nil
 	case <-ctx.Done():
-		x.mu.Lock()
-		delete(x.waiting, r.Number)
-		x.mu.Unlock()
+		c.mu.Lock()
+		delete(c.pending, request.Number)
+		c.mu.Unlock()
 		return Response{}, fmt.Errorf("no answer: %w", ctx.Err())
 	}
 }
+
+// register numbers a request and returns the channel for its response, which is closed if the connection breaks.
+func (c *requestConn) register(request *Request) (<-chan Response, error) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	if c.err != nil {
+		return nil, fmt.Errorf("%w: %w", errNotSent, c.err)
+	}
+	c.lastNumber++
+	request.Number = c.lastNumber
+	request.Tick = c.serverTick
+	waiting := make(chan Response, 1)
+	c.pending[request.Number] = waiting
+	return waiting, nil
+}
+
+// send writes a request's frame, by the context's deadline.
+func (c *requestConn) send(ctx context.Context, request *Request) error {
+	c.writeMu.Lock()
+	defer c.writeMu.Unlock()
+	if deadline, ok := ctx.Deadline(); ok {
+		_ = c.netConn.SetWriteDeadline(deadline) // if it fails, so does the write
+	}
+	return WriteFrame(c.netConn, request.Encode())
+}
--- /dev/null
+++ b/internal/coordination/client/dial.go
@@ -0,0 +1,64 @@
+package client
+
+import (
+	"bufio"
+	"context"
+	"fmt"
+	"net"
+	"time"
+)
+
+const (
+	// KeepAlive is how often a server sends something on a connection that is idle otherwise.
+	KeepAlive = 250 * time.Millisecond
+	// Stale is how long after the last message from a server requests may still be sent to it.
+	Stale = idleTimeout * 3 / 4
+	// idleTimeout is how long after the last message from a server a connection counts as lost.
+	idleTimeout = 4 * KeepAlive
+	// dialTimeout bounds connecting and the handshake together.
+	dialTimeout = time.Second
+
+	// readBufferSize is the size of a connection's read buffer, in bytes.
+	readBufferSize = 16 << 10
+	// maxWelcome bounds a Welcome's frame, in bytes: its reason, and the rest.
+	maxWelcome = 2 * maxText
+)
+
+// Dial connects to a server, sends the Hello and returns the connection, its buffered reader and the server's Welcome. The
+// caller closes the connection. There is an error if the server cannot be reached or rejects the connection; then the
+// connection is closed.
+func Dial(ctx context.Context, address string, hello Hello) (net.Conn, *bufio.Reader, Welcome, error) {
+	ctx, cancel := context.WithTimeout(ctx, dialTimeout)
+	defer cancel()
+	netConn, err := (&net.Dialer{}).DialContext(ctx, "tcp", address)
+	if err != nil {
+		return nil, nil, Welcome{}, err
+	}
+	stop := context.AfterFunc(ctx, func() { netConn.Close() })
+	reader := bufio.NewReaderSize(netConn, readBufferSize)
+	welcome, err := handshake(netConn, reader, hello)
+	if !stop() && err == nil {
+		err = ctx.Err()
+	}
+	if err != nil {
+		netConn.Close()
+		return nil, nil, welcome, err
+	}
+	return netConn, reader, welcome, nil
+}
+
+// handshake sends the Hello and reads the Welcome. There is an error if the server rejects the connection.
+func handshake(netConn net.Conn, reader *bufio.Reader, hello Hello) (Welcome, error) {
+	if err := WriteFrame(netConn, hello.Encode()); err != nil {
+		return Welcome{}, err
+	}
+	body, err := ReadFrame(reader, maxWelcome)
+	if err != nil {
+		return Welcome{}, err
+	}
+	welcome, err := DecodeWelcome(body)
+	if err == nil && welcome.RejectReason != "" {
+		err = fmt.Errorf("voter %s refuses the connection: %s", welcome.Name, welcome.RejectReason)
+	}
+	return welcome, err
+}
--- /dev/null
+++ b/internal/coordination/client/errors_test.go
@@ -0,0 +1,71 @@
+package client
+
+import (
+	"context"
+	"errors"
+	"fmt"
+	"net"
+	"strings"
+	"syscall"
+	"testing"
+	"time"
+)
+
+// unusedAddress is a loopback address at which nobody listens.
+func unusedAddress(t *testing.T) string {
+	t.Helper()
+	listener, err := net.Listen("tcp", "127.0.0.1:0")
+	if err != nil {
+		t.Fatal(err)
+	}
+	defer listener.Close()
+	return listener.Addr().String()
+}
+
+// The error of a call has a kind and a cause, and both are found through further wrapping.
+func TestCallErrorKindAndCause(t *testing.T) {
+	c := New("test", map[string]string{"k1": unusedAddress(t)})
+	defer c.Close()
+	_, err := c.Call(t.Context(), "k1", Request{Operation: OpStatus})
+	wrapped := fmt.Errorf("reading the status: %w", err)
+	if !errors.Is(wrapped, ErrNobody) || errors.Is(wrapped, ErrUnsure) || !errors.Is(wrapped, syscall.ECONNREFUSED) {
+		t.Errorf("a server that does not listen: %v", wrapped)
+	}
+	var operation *net.OpError
+	if !errors.As(wrapped, &operation) || operation.Op != "dial" {
+		t.Errorf("the cause is not found in %v", wrapped)
+	}
+	var failure *callError
+	if !errors.As(wrapped, &failure) || failure.server != "k1" {
+		t.Errorf("the server is not found in %v", wrapped)
+	}
+	if want := ErrNobody.Error() + ": k1: " + operation.Error(); err.Error() != want {
+		t.Errorf("%q, wanted %q", err, want)
+	}
+
+	lost := fmt.Errorf("again: %w", &callError{kind: ErrUnsure, server: "k1", cause: errConnectionLost})
+	if !errors.Is(lost, ErrUnsure) || errors.Is(lost, ErrNobody) || !errors.Is(lost, errConnectionLost) {
+		t.Errorf("a connection that broke: %v", lost)
+	}
+}
+
+// The error of a request that no server took names the reason of each server, once.
+func TestUnreachableErrorNamesEachServer(t *testing.T) {
+	c := New("test", map[string]string{"k1": unusedAddress(t), "k2": ""})
+	defer c.Close()
+	ctx, cancel := context.WithTimeout(t.Context(), 200*time.Millisecond)
+	defer cancel()
+	_, _, err := c.Read(ctx)
+	if !errors.Is(err, ErrNobody) || errors.Is(err, ErrUnsure) {
+		t.Fatal(err)
+	}
+	text := err.Error()
+	for _, part := range []string{ErrNobody.Error(), "k1: dial tcp", `k2: no address of a voter "k2" is known`} {
+		if strings.Count(text, part) != 1 {
+			t.Errorf("%q has %q %d times", text, part, strings.Count(text, part))
+		}
+	}
+	if !strings.HasPrefix(text, ErrNobody.Error()+": k1: ") {
+		t.Errorf("%q does not begin with its kind and the first server", text)
+	}
+}
--- a/internal/coordination/client/response.go
+++ b/internal/coordination/client/response.go
@@ -71,26 +71,27 @@
 
 // Encode returns the message's bytes, without a frame.
 func (r *Response) Encode() []byte {
-	var w protomsg.Writer
-	w.Uint(responseNumber, r.Number)
-	w.Uint(responseOutcome, uint64(r.Outcome))
-	w.String(responseMessage, r.Message)
-	writeResult(&w, &r.Result)
-	w.Uint(responseStored, uint64(r.Stored))
-	w.Uint(responseVoters, uint64(r.Voters))
-	w.String(responseLeader, r.Leader)
-	w.Raw(responseBody, r.Body)
-	w.Uint(responseIndex, r.Index)
-	w.Uint(responseAge, uint64(r.Age/time.Microsecond))
-	w.Uint(responseCluster, r.Cluster)
-	w.Uint(responseID, r.ID)
-	w.String(responseName, r.Name)
-	w.Uint(responseLevel, uint64(r.Level))
-	writeMembers(&w, responseMember, r.Members)
-	w.Uint(responseTick, r.Tick)
-	return w.Bytes()
+	var writer protomsg.Writer
+	writer.Uint(responseNumber, r.Number)
+	writer.Uint(responseOutcome, uint64(r.Outcome))
+	writer.String(responseMessage, r.Message)
+	writeResult(&writer, &r.Result)
+	writer.Uint(responseStored, uint64(r.Stored))
+	writer.Uint(responseVoters, uint64(r.Voters))
+	writer.String(responseLeader, r.Leader)
+	writer.Raw(responseBody, r.Body)
+	writer.Uint(responseIndex, r.Index)
+	writer.Uint(responseAge, uint64(r.Age/time.Microsecond))
+	writer.Uint(responseCluster, r.Cluster)
+	writer.Uint(responseID, r.ID)
+	writer.String(responseName, r.Name)
+	writer.Uint(responseLevel, uint64(r.Level))
+	writeMembers(&writer, responseMember, r.Members)
+	writer.Uint(responseTick, r.Tick)
+	return writer.Bytes()
 }
 
+// writeResult adds the fields of a Result.
 func writeResult(w *protomsg.Writer, result *state.Result) {
 	w.Uint(responseRejection, uint64(result.Rejection))
 	w.String(responseResultMessage, result.Message)
