--- a/internal/coordination/client/client.go
+++ b/internal/coordination/client/client.go
@@ -18,8 +18,8 @@
 	avoidFailedFor = 2 * time.Second
 )
 
-// Client calls servers, and keeps one connection to each. Its methods may be called from many goroutines, and each returns
-// by its context's end.
+// Client calls servers, and keeps one connection to each. Its methods may be called from many goroutines, and each
+// returns by its context's end.
 type Client struct {
 	name    string
 	servers map[string]string // addresses by name
@@ -54,8 +54,8 @@
 	}
 }
 
-// Call sends a request to one server. The error wraps ErrNobody if the server has certainly not received the request, and
-// ErrUnsure otherwise. A response whose outcome is not OutcomeDone is no error.
+// Call sends a request to one server. The error wraps ErrNobody if the server has certainly not received the request,
+// and ErrUnsure otherwise. A response whose outcome is not OutcomeDone is no error.
 func (c *Client) Call(ctx context.Context, server string, request Request) (Response, error) {
 	conn, err := c.connection(ctx, server)
 	if err != nil {
@@ -106,8 +106,8 @@
 	return max(time.Until(deadline)/3, time.Millisecond)
 }
 
-// adopt makes a new connection the one to its server, unless another goroutine was quicker: then it closes the new one and
-// returns the other's.
+// adopt makes a new connection the one to its server, unless another goroutine was quicker: then it closes the new
+// one and returns the other's.
 func (c *Client) adopt(server string, conn *requestConn) (*requestConn, error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -162,8 +162,8 @@
 	return names
 }
 
-// callAny tries one server after the other until one carries the request out or rejects it, or the context ends. A request
-// whose outcome is uncertain is not tried again. The error wraps ErrNobody, ErrUnsure or ErrRefused.
+// callAny tries one server after the other until one carries the request out or rejects it, or the context ends. A
+// request whose outcome is uncertain is not tried again. The error wraps ErrNobody, ErrUnsure or ErrRefused.
 func (c *Client) callAny(ctx context.Context, request Request) (Response, error) {
 	reasons := map[string]string{} // by server: why it has not taken the request
 	for {
--- a/internal/coordination/client/conn.go
+++ b/internal/coordination/client/conn.go
@@ -9,8 +9,8 @@
 	"time"
 )
 
-// requestConn is a connection for requests, of which several may be in flight. A goroutine of its own reads the responses
-// until the connection breaks; its methods may be called from many goroutines.
+// requestConn is a connection for requests, of which several may be in flight. A goroutine of its own reads the
+// responses until the connection breaks; its methods may be called from many goroutines.
 type requestConn struct {
 	netConn net.Conn
 	writeMu sync.Mutex // held while a frame is written, so that frames do not mix
@@ -94,8 +94,8 @@
 	return c.err == nil && time.Since(c.lastContact) < Stale
 }
 
-// call sends a request and waits for its response. The error wraps errNotSent if the server has certainly not received the
-// request.
+// call sends a request and waits for its response. The error wraps errNotSent if the server has certainly not
+// received the request.
 func (c *requestConn) call(ctx context.Context, request Request) (Response, error) {
 	waiting, err := c.register(&request)
 	if err != nil {
--- a/internal/coordination/client/dial.go
+++ b/internal/coordination/client/dial.go
@@ -24,9 +24,9 @@
 	maxWelcome = 2 * maxText
 )
 
-// Dial connects to a server, sends the Hello and returns the connection, its buffered reader and the server's Welcome. The
-// caller closes the connection. There is an error if the server cannot be reached or rejects the connection; then the
-// connection is closed.
+// Dial connects to a server, sends the Hello and returns the connection, its buffered reader and the server's
+// Welcome. The caller closes the connection. There is an error if the server cannot be reached or rejects the
+// connection; then the connection is closed.
 func Dial(ctx context.Context, address string, hello Hello) (net.Conn, *bufio.Reader, Welcome, error) {
 	ctx, cancel := context.WithTimeout(ctx, dialTimeout)
 	defer cancel()
--- /dev/null
+++ b/internal/coordination/client/follower_store.go
@@ -0,0 +1,97 @@
+package client
+
+import (
+	"fmt"
+	"log/slog"
+	"time"
+
+	"olivearch/internal/coordination/state"
+	"olivearch/internal/disk"
+	"olivearch/internal/protomsg"
+)
+
+// Field numbers of the stored copy.
+const (
+	copyCluster protomsg.Number = 1
+	copyIndex   protomsg.Number = 2
+	copyState   protomsg.Number = 3
+)
+
+// storeInterval is between two writes of the copy while no override changes.
+const storeInterval = 200 * time.Millisecond
+
+// storeProgress is how far the copy has been stored.
+type storeProgress struct {
+	index   uint64 // the log index of the stored copy
+	triedAt time.Time
+	fault   string // why the last attempt failed, as it was logged; empty: it did not
+}
+
+// encodeCopy returns the bytes of the stored copy: cluster, index and state.
+func (f *Follower) encodeCopy() []byte {
+	var w protomsg.Writer
+	w.Uint(copyCluster, f.cluster)
+	w.Uint(copyIndex, f.index)
+	w.Raw(copyState, f.state.Encode())
+	return w.Bytes()
+}
+
+// loadCopy takes the state of the stored copy. The error wraps os.ErrNotExist if there is none; after an error the
+// state is empty.
+func (f *Follower) loadCopy() error {
+	encoded, err := disk.Read(f.path, MaxFrame)
+	if err != nil {
+		return err
+	}
+	var encodedState []byte
+	err = protomsg.Each(encoded, func(field protomsg.Field) error {
+		switch field.Number {
+		case copyCluster:
+			f.cluster = field.Uint
+		case copyIndex:
+			f.index = field.Uint
+		case copyState:
+			encodedState = field.Raw
+		}
+		return nil
+	})
+	if err == nil {
+		f.state, err = state.DecodeState(encodedState)
+	}
+	if err != nil {
+		f.state, f.cluster, f.index = state.NewState(), 0, 0
+		return fmt.Errorf("%s: %w", f.path, err)
+	}
+	f.stored.index = f.index
+	return nil
+}
+
+// storeCopy writes the copy if it is newer than the stored one: at once, or else not more often than storeInterval.
+func (f *Follower) storeCopy(atOnce bool) {
+	if f.path == "" || f.index == f.stored.index {
+		return
+	}
+	if !atOnce && time.Since(f.stored.triedAt) < storeInterval {
+		return
+	}
+	f.stored.triedAt = time.Now()
+	if err := disk.Replace(f.path, f.encodeCopy()); err != nil {
+		f.logStoreFault(err)
+		return
+	}
+	f.stored.index = f.index
+	if f.stored.fault != "" {
+		slog.Info("resume storing copy", "file", f.path)
+		f.stored.fault = ""
+	}
+}
+
+// logStoreFault logs that the copy could not be written, once for each cause. A restart while no server can be reached
+// would begin with the older copy.
+func (f *Follower) logStoreFault(err error) {
+	if err.Error() == f.stored.fault {
+		return
+	}
+	f.stored.fault = err.Error()
+	slog.Warn("failed to store copy", "file", f.path, "err", err)
+}
--- a/internal/coordination/client/golden_test.go
+++ b/internal/coordination/client/golden_test.go
@@ -105,9 +105,9 @@
 // TestGoldenCopy reads the copy that an earlier version stored, and writes the same bytes.
 func TestGoldenCopy(t *testing.T) {
 	stored := filepath.Join("testdata", "copy")
-	c := &Follower{name: "n1", path: stored, state: goldenState(t), cluster: 5, index: 42, end: func() {}}
+	c := &Follower{name: "n1", path: stored, state: goldenState(t), cluster: 5, index: 42, cancel: func() {}}
 	if golden.Updating() {
-		if err := disk.Replace(stored, c.file()); err != nil {
+		if err := disk.Replace(stored, c.encodeCopy()); err != nil {
 			t.Fatal(err)
 		}
 	}
@@ -115,7 +115,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if got := c.file(); string(got) != string(want) {
+	if got := c.encodeCopy(); string(got) != string(want) {
 		t.Errorf("written now:\n%x\nstored:\n%x", got, want)
 	}
 	path := filepath.Join(t.TempDir(), "copy")
--- a/internal/coordination/client/lease.go
+++ b/internal/coordination/client/lease.go
@@ -8,8 +8,8 @@
 )
 
 // Drift is by how much two monotonic clocks may differ, as a part of the time that they measure: a lease ends for its
-// holder earlier than for the cluster by that part. (Oscillators are good to 0.0001; a clock that is being slewed runs up
-// to 0.0005 off.)
+// holder earlier than for the cluster by that part. (Oscillators are good to 0.0001; a clock that is being slewed
+// runs up to 0.0005 off.)
 const Drift = 0.01
 
 // Lease is a part of a resource that this process holds. It ends by this process's own monotonic clock, counted from
@@ -22,12 +22,12 @@
 	Until            time.Time // with its monotonic part
 }
 
-// Valid tells whether the lease has not ended yet. A holder checks it at every use, as its process may have been stopped
-// since the last one. A nil lease is not valid.
+// Valid tells whether the lease has not ended yet. A holder checks it at every use, as its process may have been
+// stopped since the last one. A nil lease is not valid.
 func (l *Lease) Valid(now time.Time) bool { return l != nil && now.Before(l.Until) }
 
-// AcquireLease acquires a lease on units of a resource, or renews one. The error wraps ErrRefused, ErrNobody or ErrUnsure;
-// after ErrUnsure nothing is known of the new lease, and the renewed one stays what it was until its end.
+// AcquireLease acquires a lease on units of a resource, or renews one. The error wraps ErrRefused, ErrNobody or
+// ErrUnsure; after ErrUnsure nothing is known of the new lease, and the renewed one stays what it was until its end.
 func (c *Client) AcquireLease(
 	ctx context.Context, resource, holder string, units int64, duration time.Duration, renewed *Lease,
 ) (*Lease, error) {
--- a/internal/coordination/client/operations.go
+++ b/internal/coordination/client/operations.go
@@ -9,9 +9,9 @@
 	"olivearch/internal/coordination/state"
 )
 
-// Propose has a command committed and applied. A nil error says that Stored of Voters voters have it on their disks. An
-// error wraps ErrRefused, ErrNobody or ErrUnsure; a command whose outcome is uncertain is not proposed again, as it could
-// then take effect twice or undo what came between.
+// Propose has a command committed and applied. A nil error says that Stored of Voters voters have it on their disks.
+// An error wraps ErrRefused, ErrNobody or ErrUnsure; a command whose outcome is uncertain is not proposed again, as
+// it could then take effect twice or undo what came between.
 func (c *Client) Propose(ctx context.Context, command state.Command) (Response, error) {
 	if err := command.Check(); err != nil {
 		return Response{}, fmt.Errorf("%w: %w", ErrRefused, err)
@@ -19,8 +19,8 @@
 	return c.callAny(ctx, Request{Operation: OpPropose, Command: state.Encode(command)})
 }
 
-// Read returns the state by a linearizable read: it has all that was committed before the call. The error wraps ErrNobody
-// if no quorum answers.
+// Read returns the state by a linearizable read: it has all that was committed before the call. The error wraps
+// ErrNobody if no quorum answers.
 func (c *Client) Read(ctx context.Context) (*state.State, Response, error) {
 	for {
 		response, err := c.callAny(ctx, Request{Operation: OpRead})
