--- a/internal/coordination/client/golden_test.go
+++ b/internal/coordination/client/golden_test.go
@@ -20,8 +20,14 @@
 	t.Helper()
 	s := state.NewState()
 	for i, c := range []state.Command{
-		&state.SetOverride{Subject: state.Subject{Kind: state.OutOfService, Scope: state.ScopeUpstream, Target: "a"}, By: "eva", Reason: "disk", At: 1700000000000},
-		&state.SetOverride{Subject: state.Subject{Kind: state.TrafficShare, Scope: state.ScopeUpstream, Target: "b"}, Value: 250, By: "ann"},
+		&state.SetOverride{
+			Subject: state.Subject{Kind: state.OutOfService, Scope: state.ScopeUpstream, Target: "a"},
+			By:      "eva", Reason: "disk", At: 1700000000000,
+		},
+		&state.SetOverride{
+			Subject: state.Subject{Kind: state.TrafficShare, Scope: state.ScopeUpstream, Target: "b"},
+			Value:   250, By: "ann",
+		},
 		&state.SetOverride{Subject: state.Subject{Kind: state.OutOfService, Scope: state.ScopeZone, Target: "z1"}, By: "ann"},
 	} {
 		if result, err := s.Apply(uint64(i+1), uint64(i+1)*100, c); err != nil || !result.OK() {
@@ -31,14 +37,17 @@
 	return s
 }
 
-// TestGoldenMessages pins the bytes of each message between voters, callers and followers.
+// TestGoldenMessages pins the bytes of each message between servers, clients and followers.
 func TestGoldenMessages(t *testing.T) {
-	members := []state.Member{{ID: 11, Name: "k1", Address: "127.0.0.1:7101"}, {ID: 12, Name: "k2", Address: "127.0.0.1:7102", Learner: true}}
+	members := []state.Member{
+		{ID: 11, Name: "k1", Address: "127.0.0.1:7101"},
+		{ID: 12, Name: "k2", Address: "127.0.0.1:7102", Learner: true},
+	}
 	hello := Hello{Role: RolePeer, Cluster: 5, From: 11, Name: "k1", Level: 1, Applied: 40}
 	welcome := Welcome{Cluster: 5, ID: 12, Name: "k2", Level: 1, RejectReason: "no", Tick: 99}
 	request := Request{
-		Number: 3, Operation: OpJoin, Command: []byte("command"), Within: 1500 * time.Millisecond, Hops: 1, Cluster: 5, Members: members,
-		Name: "k2", Level: 1, Tick: 98,
+		Number: 3, Operation: OpJoin, Command: []byte("command"), Within: 1500 * time.Millisecond,
+		Hops: 1, Cluster: 5, Members: members, Name: "k2", Level: 1, Tick: 98,
 	}
 	answer := Response{
 		Number: 3, Outcome: OutcomeRejected, Message: "full", Result: state.Result{
@@ -48,8 +57,8 @@
 		Index: 41, Age: 250 * time.Millisecond, Cluster: 5, ID: 11, Name: "k1", Level: 1, Members: members, Tick: 97,
 	}
 	update := Update{
-		State: []byte("state"), Commands: [][]byte{[]byte("one"), []byte("two")}, Index: 42, Heartbeat: true, Ping: 6, Leader: "k1",
-		Cluster: 5, Voters: 3, ReachableVoters: 2,
+		State: []byte("state"), Commands: [][]byte{[]byte("one"), []byte("two")}, Index: 42, Heartbeat: true,
+		Ping: 6, Leader: "k1", Cluster: 5, Voters: 3, ReachableVoters: 2,
 	}
 
 	var text strings.Builder
@@ -72,7 +81,9 @@
 			t.Errorf("%s: read again as %+v, %v", message.name, got, err)
 		}
 	}
-	for i, verb := range []Operation{OpPropose, OpRead, OpReadLocal, OpIdentify, OpBootstrap, OpJoin, OpDeclareLost, OpStatus} {
+	for i, verb := range []Operation{
+		OpPropose, OpRead, OpReadLocal, OpIdentify, OpBootstrap, OpJoin, OpDeclareLost, OpStatus,
+	} {
 		fmt.Fprintln(&text, "verb", i+1, uint8(verb))
 	}
 	for i, outcome := range []Outcome{OutcomeDone, OutcomeRejected, OutcomeNotAttempted, OutcomeUncertain} {
@@ -126,11 +137,12 @@
 	if err := os.WriteFile(path, whole, 0o600); err != nil {
 		t.Fatal(err)
 	}
-	var told []state.Override
-	follower := StartFollower("n1", map[string]string{}, path, func(words []state.Override) { told = words })
+	var notified []state.Override
+	follower := StartFollower("n1", map[string]string{}, path, func(overrides []state.Override) { notified = overrides })
 	defer follower.Close()
 	v := follower.View()
-	if !v.Known || v.Cluster != 5 || v.Index != 42 || len(v.Overrides) != 3 || len(told) != 3 || v.Overrides[0].Target != "a" || v.Overrides[0].Reason != "disk" {
-		t.Errorf("%+v, told %v", v, told)
+	if !v.Known || v.Cluster != 5 || v.Index != 42 || len(v.Overrides) != 3 || len(notified) != 3 ||
+		v.Overrides[0].Target != "a" || v.Overrides[0].Reason != "disk" {
+		t.Errorf("%+v, notified of %v", v, notified)
 	}
 }
--- a/internal/coordination/client/size_test.go
+++ b/internal/coordination/client/size_test.go
@@ -8,48 +8,60 @@
 	"olivearch/internal/coordination/state"
 )
 
-// What the ledger's messages take, in bytes with their frames: a beat and a ping pass each follower twice a second at rest, a word once
-// when it is said, and the whole state when a follower comes.
+// BenchmarkMessages measures what messages take, in bytes with their frames: a heartbeat and a ping are sent to and
+// by each follower twice a second at rest, a command once when an override is set, and the whole state when a
+// follower connects.
 func BenchmarkMessages(b *testing.B) {
-	framed := func(m []byte) float64 {
-		var out bytes.Buffer
-		if err := WriteFrame(&out, m); err != nil {
+	b.Run("beat", benchmarkHeartbeat)
+	for _, overrides := range []int{0, 1, 100, 4000} {
+		b.Run(fmt.Sprint("state of ", overrides), func(b *testing.B) { benchmarkState(b, overrides) })
+	}
+}
+
+func benchmarkHeartbeat(b *testing.B) {
+	heartbeat := Update{
+		Heartbeat: true, Index: 812_345, Leader: "k3", Cluster: 0x9e3779b97f4a7c15, Voters: 5, ReachableVoters: 5,
+		Ping: 172_800,
+	}
+	size := 0.0
+	for b.Loop() {
+		size = framedSize(b, heartbeat.Encode())
+		if _, err := DecodeUpdate(heartbeat.Encode()); err != nil {
 			b.Fatal(err)
 		}
-		return float64(out.Len())
 	}
-	beat := Update{Heartbeat: true, Index: 812_345, Leader: "k3", Cluster: 0x9e3779b97f4a7c15, Voters: 5, ReachableVoters: 5, Ping: 172_800}
-	b.Run("beat", func(b *testing.B) {
-		size := 0.0
-		for b.Loop() {
-			size = framed(beat.Encode())
-			if _, err := DecodeUpdate(beat.Encode()); err != nil {
-				b.Fatal(err)
-			}
+	b.ReportMetric(size, "bytes")
+	b.ReportMetric(framedSize(b, EncodePing(172_800)), "bytes/ping")
+}
+
+func benchmarkState(b *testing.B, overrides int) {
+	s, commandSize := state.NewState(), 0
+	for i := range overrides {
+		command := outOfService(fmt.Sprintf("s-%08x", i))
+		command.By, command.Reason = "eva", "disk swap, second try"
+		envelope := state.Envelope{Clock: uint64(i) * 1000, Command: command}
+		commandSize = len(envelope.Encode())
+		if _, err := s.Apply(uint64(i+1), uint64(i)*1000, command); err != nil {
+			b.Fatal(err)
 		}
-		b.ReportMetric(size, "bytes")
-		b.ReportMetric(framed(EncodePing(172_800)), "bytes/ping")
-	})
-	for _, words := range []int{0, 1, 100, 4000} {
-		b.Run(fmt.Sprint("state of ", words), func(b *testing.B) {
-			s, word := state.NewState(), 0
-			for i := range words {
-				c := &state.SetOverride{Subject: state.Subject{Kind: state.OutOfService, Scope: state.ScopeUpstream, Target: fmt.Sprintf("s-%08x", i)}, By: "eva", Reason: "disk swap, second try"}
-				envelope := state.Envelope{Clock: uint64(i) * 1000, Command: c}
-				word = len(envelope.Encode())
-				if _, err := s.Apply(uint64(i+1), uint64(i)*1000, c); err != nil {
-					b.Fatal(err)
-				}
-			}
-			text := s.Encode()
-			for b.Loop() {
-				if _, err := state.DecodeState(text); err != nil {
-					b.Fatal(err)
-				}
-			}
-			b.ReportMetric(float64(len(text)), "bytes")
-			b.ReportMetric(float64(s.UsedBytes()), "bytes-held")
-			b.ReportMetric(float64(word), "bytes/word")
-		})
 	}
+	encoded := s.Encode()
+	for b.Loop() {
+		if _, err := state.DecodeState(encoded); err != nil {
+			b.Fatal(err)
+		}
+	}
+	b.ReportMetric(float64(len(encoded)), "bytes")
+	b.ReportMetric(float64(s.UsedBytes()), "bytes-held")
+	b.ReportMetric(float64(commandSize), "bytes/word")
+}
+
+// framedSize is the size of a message with its frame, in bytes.
+func framedSize(b *testing.B, message []byte) float64 {
+	b.Helper()
+	var out bytes.Buffer
+	if err := WriteFrame(&out, message); err != nil {
+		b.Fatal(err)
+	}
+	return float64(out.Len())
 }
--- a/internal/coordination/client/status.go
+++ b/internal/coordination/client/status.go
@@ -1,44 +1,45 @@
 package client
 
-// VoterStatus is a voter's state at a moment, as "olivearch promises members" shows it. Times are in milliseconds.
+// VoterStatus is the state of a server at a moment, as "olivearch promises members" shows it. Times are in
+// milliseconds. It is sent as JSON; the keys are those of the first version.
 type VoterStatus struct {
 	Name          string         `json:"name"`
-	ID            string         `json:"id"`
-	Cluster       string         `json:"cluster,omitempty"` // none: it waits for the others, or to join
-	Role          string         `json:"role"`              // leader, follower, candidate, learner, waiting
+	ID            string         `json:"id"`                // the Raft ID, in hexadecimal
+	Cluster       string         `json:"cluster,omitempty"` // empty: it waits for the other servers, or to join
+	Role          string         `json:"role"`              // leader, follower, candidate, learner or waiting
 	Leader        string         `json:"leader,omitempty"`
 	Term          uint64         `json:"term"`
-	Applied       uint64         `json:"applied"`
-	Committed     uint64         `json:"committed"`
-	AgeMS         int64          `json:"age_ms"` // since a quorum confirmed that nothing newer was promised
-	ClockMS       uint64         `json:"clock_ms"`
-	Level         uint32         `json:"level"`  // of this version
-	FeatureLevel  uint32         `json:"raised"` // of the ledger
+	Applied       uint64         `json:"applied"`   // the last log index that was applied
+	Committed     uint64         `json:"committed"` // the last log index that was committed
+	AgeMS         int64          `json:"age_ms"`    // since a quorum confirmed that nothing newer was committed
+	ClockMS       uint64         `json:"clock_ms"`  // the cluster's clock
+	Level         uint32         `json:"level"`     // the newest feature level of the server's version
+	FeatureLevel  uint32         `json:"raised"`    // the cluster's feature level
 	UsedBytes     int64          `json:"used_bytes"`
 	MaxBytes      int64          `json:"max_bytes"`
-	Grants        map[string]int `json:"promises"` // by kind
+	Grants        map[string]int `json:"promises"` // the number of grants by kind
 	Members       []MemberStatus `json:"members"`
 	JoiningVoters []JoiningVoter `json:"newcomers,omitempty"`
-	Followers     int            `json:"followers"`
-	Rejected      uint64         `json:"refused"`
-	LastRejected  string         `json:"last_refused,omitempty"`
-	DiskMS        float64        `json:"disk_ms"` // the last write's
-	Fault         string         `json:"trouble,omitempty"`
+	Followers     int            `json:"followers"`              // connected followers
+	Rejected      uint64         `json:"refused"`                // commands that the state machine rejected
+	LastRejected  string         `json:"last_refused,omitempty"` // the reason of the latest
+	DiskMS        float64        `json:"disk_ms"`                // how long the last write took
+	Fault         string         `json:"trouble,omitempty"`      // empty: none
 }
 
-// MemberStatus is a member as one voter sees it.
+// MemberStatus is a member of the cluster as one server sees it.
 type MemberStatus struct {
 	Name          string `json:"name"`
 	ID            string `json:"id"`
 	Address       string `json:"address"`
 	Learner       bool   `json:"learner,omitempty"`
-	LastContactMS int64  `json:"heard_ms"`         // -1: never
-	EntriesBehind uint64 `json:"behind,omitempty"` // entries; the leader knows
+	LastContactMS int64  `json:"heard_ms"`         // ms since the server last had a message from it; -1: never
+	EntriesBehind uint64 `json:"behind,omitempty"` // log entries; only the leader knows
 }
 
-// JoiningVoter is a process with an empty folder that is not a member yet.
+// JoiningVoter is a process with an empty folder that is no member yet.
 type JoiningVoter struct {
 	Name   string `json:"name"`
 	ID     string `json:"id"`
-	Reason string `json:"why,omitempty"`
+	Reason string `json:"why,omitempty"` // why it has not been added yet
 }
