--- a/cmd/olivearch-coordinator/main.go
+++ b/cmd/olivearch-coordinator/main.go
@@ -1,9 +1,11 @@
-// Command olivearch-coordinator is a voter of the ledger of promises: a process on each of three, five or seven machines that keeps, with the
-// others, what balancers hold for each other. It is a command of its own, so that balancers do not carry its libraries.
+// Command olivearch-coordinator is a server of the coordination cluster: a process on each of three, five or seven
+// machines that together store what balancers grant each other (overrides, leases and reservations). It is a program
+// of its own, so that balancers do not carry its libraries.
 package main
 
 import (
 	"context"
+	_ "embed" // for usage.txt
 	"errors"
 	"fmt"
 	"io"
@@ -19,35 +21,43 @@
 	"olivearch/internal/coordination/server"
 )
 
-const usage = `olivearch-coordinator is a voter of the ledger of promises (docs/operate/promises.md).
-
-Usage:
-  olivearch-coordinator run FILE                       take part, until SIGTERM
-  olivearch-coordinator check FILE...                  tell everything that is wrong with voters' files, alone and with each other
-  olivearch-coordinator recover --accept-loss FILE     after a majority has been lost: go on from this voter's folder alone
-  olivearch-coordinator show FILE                      tell what the folder of a voter that does not run holds
-
-Exit status: 0 done, 1 it failed or a file is wrong, 2 wrong usage, 3 the folder or the disk can't be trusted.
-`
+//go:embed usage.txt
+var usage string
 
+// errUsage ends the program with the usage text and exitUsage.
 var errUsage = errors.New("wrong usage")
 
+// The exit statuses, as the usage text lists them.
+const (
+	exitFailed    = 1
+	exitUsage     = 2
+	exitUntrusted = 3 // the folder or the disk can't be trusted: a restart alone does not help
+)
+
 func main() {
 	err := dispatch(os.Args[1:], os.Stdout)
 	if err == nil {
 		return
 	}
 	fmt.Fprintln(os.Stderr, "olivearch-coordinator:", err)
+	status := exitStatus(err)
+	if status == exitUsage {
+		fmt.Fprint(os.Stderr, usage)
+	}
+	os.Exit(status)
+}
+
+func exitStatus(err error) int {
 	switch {
 	case errors.Is(err, errUsage):
-		fmt.Fprint(os.Stderr, usage)
-		os.Exit(2)
+		return exitUsage
 	case errors.Is(err, server.ErrDamaged), errors.Is(err, server.ErrForeignFolder), errors.Is(err, server.ErrDisk):
-		os.Exit(3)
+		return exitUntrusted
 	}
-	os.Exit(1)
+	return exitFailed
 }
 
+// dispatch runs the subcommand that the arguments begin with.
 func dispatch(args []string, out io.Writer) error {
 	if len(args) == 0 {
 		return fmt.Errorf("%w: a command is wanted", errUsage)
@@ -57,79 +67,93 @@
 		_, err := fmt.Fprint(out, usage)
 		return err
 	case "run":
-		return one(rest, run)
+		return withSettings(rest, run)
 	case "check":
 		return check(rest, out)
 	case "recover":
-		if len(rest) != 2 || rest[0] != "--accept-loss" {
-			return fmt.Errorf("%w: recover wants --accept-loss and a FILE: what the lost majority held and this folder does not is lost for good", errUsage)
-		}
-		return one(rest[1:], func(v *config.Voter) error {
-			text, err := server.Recover(v.Folder, v.Name, v.Voters[v.Name])
-			fmt.Fprint(out, text)
-			return err
-		})
+		return recoverFolder(rest, out)
 	case "show":
-		return one(rest, func(v *config.Voter) error {
-			text, err := server.Inspect(v.Folder, v.Name)
-			fmt.Fprint(out, text)
+		return withSettings(rest, func(settings *config.Voter) error {
+			report, err := server.Inspect(settings.Folder, settings.Name)
+			fmt.Fprint(out, report)
 			return err
 		})
 	}
 	return fmt.Errorf("%w: there is no command %q", errUsage, args[0])
 }
 
-func one(files []string, do func(*config.Voter) error) error {
+// withSettings calls do with the settings of the one file that the arguments name.
+func withSettings(files []string, do func(*config.Voter) error) error {
 	if len(files) != 1 {
 		return fmt.Errorf("%w: one FILE is wanted", errUsage)
 	}
-	v, err := config.LoadVoter(files[0])
+	settings, err := config.LoadVoter(files[0])
 	if err != nil {
 		return err
 	}
-	return do(v)
+	return do(settings)
 }
 
+// check reports everything that is wrong with servers' files, alone and with each other.
 func check(files []string, out io.Writer) error {
 	if len(files) == 0 {
 		return fmt.Errorf("%w: check wants a FILE", errUsage)
 	}
-	all := map[string]*config.Voter{}
+	valid := map[string]*config.Voter{} // by path
 	var errs []error
 	for _, path := range files {
-		v, err := config.LoadVoter(path)
+		settings, err := config.LoadVoter(path)
 		if err == nil {
-			all[path] = v
-			_, err = os.Stat(v.Folder)
+			valid[path] = settings
+			_, err = os.Stat(settings.Folder)
 		}
 		if err != nil {
 			errs = append(errs, err)
 			continue
 		}
-		fmt.Fprintf(out, "%s: well: voter %s of %d, at %s\n", path, v.Name, len(v.Voters), v.Listen)
+		fmt.Fprintf(out, "%s: well: voter %s of %d, at %s\n",
+			path, settings.Name, len(settings.Voters), settings.Listen)
 	}
-	return errors.Join(append(errs, config.AgreeVoters(all))...)
+	return errors.Join(append(errs, config.AgreeVoters(valid))...)
+}
+
+// recoverFolder makes one server's folder that of a new cluster, after a majority has been lost for good.
+func recoverFolder(args []string, out io.Writer) error {
+	if len(args) != 2 || args[0] != "--accept-loss" {
+		return fmt.Errorf("%w: recover wants --accept-loss and a FILE: "+
+			"what the lost majority held and this folder does not is lost for good", errUsage)
+	}
+	return withSettings(args[1:], func(settings *config.Voter) error {
+		report, err := server.Recover(settings.Folder, settings.Name, settings.Voters[settings.Name])
+		fmt.Fprint(out, report)
+		return err
+	})
 }
 
-// run takes part until SIGTERM.
-func run(v *config.Voter) error {
+// run serves until SIGTERM or an interrupt, or until the server fails.
+func run(settings *config.Voter) error {
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGTERM, os.Interrupt)
 	defer stop()
-	l, err := net.Listen("tcp", v.Listen)
+	listener, err := net.Listen("tcp", settings.Listen)
 	if err != nil {
 		return fmt.Errorf("listening: %w", err)
 	}
-	runtime.GOMAXPROCS(1) // it is beside a balancer; on several it uses twice as much when idle, for waking them
-	x, err := server.New(server.Config{
-		Name: v.Name, Address: v.Voters[v.Name], Voters: v.Voters, Folder: v.Folder, WriteQuorum: v.Copies,
-		ReplaceAfter: time.Duration(v.ReplaceAfter),
-	}, l)
+	// The process runs beside a balancer. With several threads it uses twice as much when idle, for waking them.
+	runtime.GOMAXPROCS(1)
+	coordinator, err := server.New(server.Config{
+		Name:         settings.Name,
+		Address:      settings.Voters[settings.Name],
+		Voters:       settings.Voters,
+		Folder:       settings.Folder,
+		WriteQuorum:  settings.Copies,
+		ReplaceAfter: time.Duration(settings.ReplaceAfter),
+	}, listener)
 	if err != nil {
-		l.Close()
+		listener.Close()
 		return err
 	}
-	slog.Info("voting", "name", v.Name, "listen", v.Listen, "voters", len(v.Voters))
-	err = x.Run(ctx)
-	slog.Info("stopped", "name", v.Name, "err", err)
+	slog.Info("start server", "name", settings.Name, "listen", settings.Listen, "voters", len(settings.Voters))
+	err = coordinator.Run(ctx)
+	slog.Info("stop server", "name", settings.Name, "err", err)
 	return err
 }
--- a/internal/coordination/client/conn.go
+++ b/internal/coordination/client/conn.go
@@ -63,7 +63,7 @@
 	return DecodeResponse(body)
 }
 
-// deliver hands a response to the call that waits for it. A server's keep-alive has a number that no call has.
+// deliver hands a response to the call that waits for it. A server's keep-alive has number 0, which no call has.
 func (c *requestConn) deliver(response Response) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/coordination/client/lease.go
+++ b/internal/coordination/client/lease.go
@@ -7,10 +7,10 @@
 	"olivearch/internal/coordination/state"
 )
 
-// Drift is by how much two monotonic clocks may differ, as a part of the time that they measure: a lease ends for its
-// holder earlier than for the cluster by that part. (Oscillators are good to 0.0001; a clock that is being slewed
-// runs up to 0.0005 off.)
-const Drift = 0.01
+// maxClockDrift is by how much two monotonic clocks may differ, as a part of the time that they measure: a lease ends
+// for its holder earlier than for the cluster by that part. (Oscillators are good to 0.0001; a clock that is being
+// slewed runs up to 0.0005 off.)
+const maxClockDrift = 0.01
 
 // Lease is a part of a resource that this process holds. It ends by this process's own monotonic clock, counted from
 // before the lease was requested: the cluster's clock, which began to count later and never runs ahead, reaches the end
@@ -48,6 +48,6 @@
 		Holder:       holder,
 		Units:        units,
 		FencingToken: response.Result.FencingToken,
-		Until:        sentAt.Add(time.Duration(float64(duration) * (1 - Drift))),
+		Until:        sentAt.Add(time.Duration(float64(duration) * (1 - maxClockDrift))),
 	}, nil
 }
