--- /dev/null
+++ b/cmd/olivearch/promises_snapshot.go
@@ -0,0 +1,88 @@
+package main
+
+import (
+	"context"
+	"fmt"
+	"time"
+
+	"olivearch/internal/coordination/state"
+	"olivearch/internal/disk"
+)
+
+// maxSnapshot bounds a snapshot's file, in bytes.
+const maxSnapshot = 64 << 20
+
+// snapshot writes the state to a file.
+func (c *promisesCall) snapshot(ctx context.Context, args []string) error {
+	path := args[0]
+	current, note, err := c.readState(ctx)
+	if err != nil {
+		return err
+	}
+	if err := disk.Replace(path, current.Encode()); err != nil {
+		return err
+	}
+	_, err = fmt.Fprintf(c.out, "%s: %d words, %d bounds (%s). Leases and slots are not in it: they end by themselves\n",
+		path, len(current.Overrides()), len(current.Resources()), note)
+	return err
+}
+
+// restore proposes the overrides and resources of a snapshot to a cluster without overrides: where there are some
+// already, it can't be told which of two overrides of a subject is the later.
+func (c *promisesCall) restore(ctx context.Context, args []string) error {
+	path := args[0]
+	encoded, err := disk.Read(path, maxSnapshot)
+	if err != nil {
+		return err
+	}
+	stored, err := state.DecodeState(encoded)
+	if err != nil {
+		return fmt.Errorf("%s: %w", path, err)
+	}
+	current, _, err := c.client.Read(ctx)
+	if err != nil {
+		return err
+	}
+	if present := len(current.Overrides()); present > 0 {
+		return fmt.Errorf("the ledger holds %d words already: a snapshot is restored to an empty one", present)
+	}
+	commands := restoreCommands(stored)
+	for i, command := range commands {
+		if err := c.proposeWithin(command); err != nil {
+			return fmt.Errorf("%d of %d are held, then: %w", i, len(commands), err)
+		}
+	}
+	_, err = fmt.Fprintf(c.out, "%d words and %d bounds are held again\n",
+		len(stored.Overrides()), len(stored.Resources()))
+	return err
+}
+
+// restoreCommands returns the commands that set a snapshot's resources and overrides. An override that ends does so
+// after the time that was left when the snapshot was written.
+func restoreCommands(stored *state.State) []state.Command {
+	var commands []state.Command
+	for _, resource := range stored.Resources() {
+		commands = append(commands, &state.SetResource{
+			Name: resource.Name, Slots: resource.Slots, Limit: resource.Limit,
+		})
+	}
+	for _, override := range stored.Overrides() {
+		left := time.Duration(0)
+		if override.Until > 0 {
+			left = time.Duration(max(1, override.Until-min(override.Until, stored.Clock()))) * time.Millisecond
+		}
+		commands = append(commands, &state.SetOverride{
+			Subject: override.Subject, Value: override.Value, By: override.By, Reason: override.Reason,
+			At: override.At, Duration: left,
+		})
+	}
+	return commands
+}
+
+// proposeWithin proposes a command with a time limit of its own.
+func (c *promisesCall) proposeWithin(command state.Command) error {
+	ctx, cancel := context.WithTimeout(context.Background(), c.within)
+	defer cancel()
+	_, err := c.client.Propose(ctx, command)
+	return err
+}
--- a/cmd/olivearch/promises_test.go
+++ b/cmd/olivearch/promises_test.go
@@ -3,6 +3,7 @@
 import (
 	"bytes"
 	"context"
+	"errors"
 	"fmt"
 	"io"
 	"net/http"
@@ -17,154 +18,273 @@
 	"olivearch/internal/coordination/client"
 )
 
-// TestStaffsWordIsShared starts three voters and two balancers. What staff say to one holds at the other, survives the death of the one, and an
-// answer says when it could not be copied; requests are served throughout.
-func TestStaffsWordIsShared(t *testing.T) {
+// TestOverrideIsShared starts three coordination servers and two balancers. An override that is set at one balancer
+// holds at the other, survives the death of the first, and an answer says when it could not be stored by the cluster;
+// requests are served throughout.
+func TestOverrideIsShared(t *testing.T) {
 	var hits [2]atomic.Int64
-	discovery := discover(t, len(hits), func(node int, w http.ResponseWriter, r *http.Request) {
+	discovery := discover(t, len(hits), func(node int, w http.ResponseWriter, _ *http.Request) {
 		hits[node].Add(1)
-		io.WriteString(w, "done")
+		if _, err := io.WriteString(w, "done"); err != nil {
+			t.Log(err)
+		}
 	})
 	folder := t.TempDir()
-	voter := filepath.Join(folder, "olivearch-coordinator")
-	if out, err := exec.Command("go", "build", "-o", voter, "olivearch/cmd/olivearch-coordinator").CombinedOutput(); err != nil {
+	cluster := startCoordinationCluster(t, folder)
+	cluster.awaitLeader(t)
+	starter := balancerStarter{
+		program:   program(t),
+		folder:    folder,
+		discovery: discovery.Listener.Addr().String(),
+		voters:    cluster.voters,
+	}
+	first, _ := starter.start(t, "one")
+	_, secondAddress := starter.start(t, "two")
+	requireServed(t, secondAddress)
+
+	got := first.call(t, "maint-on s-00000001")
+	if !strings.HasPrefix(got, "+OK held by ") || !strings.HasSuffix(got, " of 3") {
+		t.Fatalf("maint-on: %s", got)
+	}
+	if !isSpared(t, secondAddress, &hits[0]) {
+		t.Error("the other balancer was not notified")
+	}
+	if got := first.call(t, "maint-on s-00000009"); !strings.HasPrefix(got, "-ERR there is no upstream") {
+		t.Errorf("an unknown one: %s", got)
+	}
+	awaitStoredOverride(t, filepath.Join(folder, "one", "copy"), "s-00000001")
+	killAndWait(first.cmd)
+	cluster.kill()
+
+	restarted, address := starter.start(t, "one")
+	if !isSpared(t, address, &hits[0]) {
+		t.Error("a restart has put it back")
+	}
+	checkAnswersWithoutQuorum(t, restarted)
+	// An upstream that is back in service warms up first.
+	for deadline := time.Now().Add(10 * time.Second); post(t, address) != http.StatusOK; {
+		if time.Now().After(deadline) {
+			t.Fatal("nothing is served by the one that is back")
+		}
+	}
+}
+
+// checkAnswersWithoutQuorum sets and clears overrides at a balancer for which s-00000001 is out by the cluster's
+// override.
+func checkAnswersWithoutQuorum(t *testing.T, balancer *running) {
+	t.Helper()
+	began := time.Now()
+	if got := balancer.call(t, "maint-off s-00000001"); !strings.HasPrefix(got, "-ERR still out, here and at the others") {
+		t.Errorf("maint-off without a quorum: %s", got)
+	}
+	if got := balancer.call(t, "maint-on s-00000002"); !strings.HasPrefix(got, "-ERR only here, not copied") {
+		t.Errorf("maint-on without a quorum: %s", got)
+	}
+	if got := balancer.call(t, "maint-off s-00000002"); !strings.HasPrefix(got, "-ERR back here") {
+		t.Errorf("maint-off of what was only here: %s", got)
+	}
+	if took := time.Since(began); took > 8*time.Second {
+		t.Errorf("three answers took %v", took)
+	}
+}
+
+// coordinationCluster is three coordination servers that run until the test ends.
+type coordinationCluster struct {
+	addresses map[string]string // by name
+	voters    string            // the value of voters in a configuration file
+	servers   []*exec.Cmd
+}
+
+func startCoordinationCluster(t *testing.T, folder string) *coordinationCluster {
+	t.Helper()
+	program := filepath.Join(folder, "olivearch-coordinator")
+	build := exec.Command("go", "build", "-o", program, "olivearch/cmd/olivearch-coordinator")
+	if out, err := build.CombinedOutput(); err != nil {
 		t.Fatalf("%v\n%s", err, out)
 	}
-	addresses, names := map[string]string{}, ""
+	cluster := &coordinationCluster{addresses: map[string]string{}}
+	var voters []string
 	for _, name := range []string{"k1", "k2", "k3"} {
-		addresses[name] = free(t)
-		names += fmt.Sprintf("%s: '%s', ", name, addresses[name])
+		cluster.addresses[name] = free(t)
+		voters = append(voters, fmt.Sprintf("%s: '%s'", name, cluster.addresses[name]))
 	}
-	var voters []*exec.Cmd
-	for name := range addresses {
+	cluster.voters = "{" + strings.Join(voters, ", ") + "}"
+	for name := range cluster.addresses {
 		disk := filepath.Join(folder, name)
-		text := fmt.Sprintf("name: %s\nfolder: %s\nvoters: {%s}\n", name, disk, names)
 		if err := os.Mkdir(disk, 0o700); err != nil {
 			t.Fatal(err)
 		}
-		if err := os.WriteFile(disk+".yaml", []byte(text), 0o600); err != nil {
+		settings := fmt.Sprintf("name: %s\nfolder: %s\nvoters: %s\n", name, disk, cluster.voters)
+		if err := os.WriteFile(disk+".yaml", []byte(settings), 0o600); err != nil {
 			t.Fatal(err)
 		}
-		x := exec.Command(voter, "run", disk+".yaml")
-		if err := x.Start(); err != nil {
+		server := exec.Command(program, "run", disk+".yaml")
+		if err := server.Start(); err != nil {
 			t.Fatal(err)
 		}
-		voters = append(voters, x)
-		t.Cleanup(func() { x.Process.Kill(); x.Wait() })
+		cluster.servers = append(cluster.servers, server)
+		t.Cleanup(func() { killAndWait(server) })
 	}
-	c := client.New("test", addresses)
-	defer c.Close()
+	return cluster
+}
+
+// awaitLeader waits until a quorum answers.
+func (c *coordinationCluster) awaitLeader(t *testing.T) {
+	t.Helper()
+	caller := client.New("test", c.addresses)
+	defer caller.Close()
 	ctx, cancel := context.WithTimeout(t.Context(), 30*time.Second)
 	defer cancel()
-	if _, _, err := c.Read(ctx); err != nil {
+	if _, _, err := caller.Read(ctx); err != nil {
 		t.Fatal(err)
 	}
-	first := program(t)
-	start := func(name string) (*running, string) {
-		listen := free(t)
-		own := filepath.Join(folder, name)
-		if err := os.MkdirAll(own, 0o700); err != nil {
-			t.Fatal(err)
-		}
-		config, promises := filepath.Join(own, "config.json"), filepath.Join(own, "promises.yaml")
-		text := fmt.Sprintf("copy: %s\nvoters: {%s}\n", filepath.Join(own, "copy"), names)
-		for path, text := range map[string]string{config: fmt.Sprintf(platformConfig, listen, discovery.Listener.Addr()), promises: text} {
-			if err := os.WriteFile(path, []byte(text), 0o600); err != nil {
-				t.Fatal(err)
-			}
-		}
-		r := &running{cmd: &exec.Cmd{Path: first.Path, Args: first.Args, Dir: first.Dir}, calls: free(t), log: &bytes.Buffer{}}
-		r.cmd.Env = append(os.Environ(), "RELAY_CONFIG="+config, "RELAY_MANAGEMENT="+r.calls, "RELAY_PROMISES="+promises, "TMPDIR="+own)
-		r.cmd.Stderr = r.log
-		if err := r.cmd.Start(); err != nil {
-			t.Fatal(err)
-		}
-		t.Cleanup(func() { r.cmd.Process.Kill(); r.cmd.Wait() })
-		r.await(t, "status")
-		return r, listen
-	}
-	try := func(address string) int {
-		t.Helper()
-		q, err := http.NewRequest(http.MethodPost, "http://"+address+"/c/x", nil)
-		if err != nil {
-			t.Fatal(err)
-		}
-		q.Header.Set("X-Request-Id", fmt.Sprintf("%016x", time.Now().UnixNano()))
-		q.Header.Set("X-Class", "c")
-		a, err := http.DefaultClient.Do(q)
-		if err != nil {
+}
+
+// kill ends all servers.
+func (c *coordinationCluster) kill() {
+	for _, server := range c.servers {
+		killAndWait(server)
+	}
+}
+
+// killAndWait ends a process, which may have ended already: Wait returns that it was killed.
+func killAndWait(cmd *exec.Cmd) {
+	_ = cmd.Process.Kill()
+	_ = cmd.Wait()
+}
+
+// balancerStarter starts balancers that use one discovery service and one coordination cluster.
+type balancerStarter struct {
+	program   *exec.Cmd
+	folder    string
+	discovery string
+	voters    string
+}
+
+// start starts a balancer of that name, with a folder of its own, and returns it and the address that it listens at.
+func (s balancerStarter) start(t *testing.T, name string) (*running, string) {
+	t.Helper()
+	own := filepath.Join(s.folder, name)
+	if err := os.MkdirAll(own, 0o700); err != nil {
+		t.Fatal(err)
+	}
+	listen := free(t)
+	config, promises := filepath.Join(own, "config.json"), filepath.Join(own, "promises.yaml")
+	files := map[string]string{
+		config:   fmt.Sprintf(platformConfig, listen, s.discovery),
+		promises: fmt.Sprintf("copy: %s\nvoters: %s\n", filepath.Join(own, "copy"), s.voters),
+	}
+	for path, text := range files {
+		if err := os.WriteFile(path, []byte(text), 0o600); err != nil {
 			t.Fatal(err)
 		}
-		io.Copy(io.Discard, a.Body)
-		a.Body.Close()
-		return a.StatusCode
-	}
-	ask := func(address string) {
-		t.Helper()
-		if status := try(address); status != http.StatusOK {
-			t.Errorf("status %d", status)
-		}
 	}
-	// spared tells whether a balancer soon sends nothing more to the first node.
-	spared := func(address string) bool {
-		for end := time.Now().Add(10 * time.Second); time.Now().Before(end); {
-			before := hits[0].Load()
-			for range 20 {
-				ask(address)
-			}
-			if hits[0].Load() == before {
-				return true
-			}
-		}
-		return false
+	cmd := &exec.Cmd{Path: s.program.Path, Args: s.program.Args, Dir: s.program.Dir}
+	balancer := &running{cmd: cmd, calls: free(t), log: &bytes.Buffer{}}
+	cmd.Env = append(os.Environ(),
+		"RELAY_CONFIG="+config, "RELAY_MANAGEMENT="+balancer.calls, "RELAY_PROMISES="+promises, "TMPDIR="+own)
+	cmd.Stderr = balancer.log
+	if err := cmd.Start(); err != nil {
+		t.Fatal(err)
 	}
-	one, _ := start("one")
-	_, other := start("two")
-	ask(other)
-	if got := one.call(t, "maint-on s-00000001"); !strings.HasPrefix(got, "+OK held by ") || !strings.HasSuffix(got, " of 3") {
-		t.Fatalf("maint-on: %s", got)
+	t.Cleanup(func() { killAndWait(cmd) })
+	balancer.await(t, "status")
+	return balancer, listen
+}
+
+// post sends a request to a balancer and returns the status.
+func post(t *testing.T, address string) int {
+	t.Helper()
+	request, err := http.NewRequest(http.MethodPost, "http://"+address+"/c/x", nil)
+	if err != nil {
+		t.Fatal(err)
 	}
-	if !spared(other) {
-		t.Error("the other balancer was not told")
+	request.Header.Set("X-Request-Id", fmt.Sprintf("%016x", time.Now().UnixNano()))
+	request.Header.Set("X-Class", "c")
+	response, err := http.DefaultClient.Do(request)
+	if err != nil {
+		t.Fatal(err)
 	}
-	if got := one.call(t, "maint-on s-00000009"); !strings.HasPrefix(got, "-ERR there is no upstream") {
-		t.Errorf("an unknown one: %s", got)
+	defer response.Body.Close()
+	if _, err := io.Copy(io.Discard, response.Body); err != nil {
+		t.Error(err)
 	}
-	for end := time.Now().Add(10 * time.Second); ; time.Sleep(5 * time.Millisecond) { // its copy is on its disk within moments of the yes
-		text, err := os.ReadFile(filepath.Join(folder, "one", "copy"))
-		if err == nil && bytes.Contains(text, []byte("s-00000001")) {
-			break
+	return response.StatusCode
+}
+
+func requireServed(t *testing.T, address string) {
+	t.Helper()
+	if status := post(t, address); status != http.StatusOK {
+		t.Errorf("status %d", status)
+	}
+}
+
+// isSpared tells whether a balancer soon sends nothing more to the node whose requests are counted.
+func isSpared(t *testing.T, address string, hits *atomic.Int64) bool {
+	t.Helper()
+	for deadline := time.Now().Add(10 * time.Second); time.Now().Before(deadline); {
+		before := hits.Load()
+		for range 20 {
+			requireServed(t, address)
 		}
-		if time.Now().After(end) {
-			t.Fatalf("the copy does not have it: %v", err)
+		if hits.Load() == before {
+			return true
 		}
 	}
-	one.cmd.Process.Kill()
-	one.cmd.Wait()
-	for _, x := range voters { // no quorum from here on
-		x.Process.Kill()
-		x.Wait()
-	}
-	again, address := start("one")
-	if !spared(address) {
-		t.Error("a restart has put it back")
-	}
-	began := time.Now()
-	if got := again.call(t, "maint-off s-00000001"); !strings.HasPrefix(got, "-ERR still out, here and at the others") {
-		t.Errorf("maint-off without a quorum: %s", got)
-	}
-	if got := again.call(t, "maint-on s-00000002"); !strings.HasPrefix(got, "-ERR only here, not copied") {
-		t.Errorf("maint-on without a quorum: %s", got)
+	return false
+}
+
+// awaitStoredOverride waits until a balancer's copy names the target: it is on the disk moments after the answer.
+func awaitStoredOverride(t *testing.T, path, target string) {
+	t.Helper()
+	for deadline := time.Now().Add(10 * time.Second); ; time.Sleep(5 * time.Millisecond) {
+		stored, err := os.ReadFile(path)
+		if err == nil && bytes.Contains(stored, []byte(target)) {
+			return
+		}
+		if time.Now().After(deadline) {
+			t.Fatalf("the copy does not have it: %v", err)
+		}
 	}
-	if got := again.call(t, "maint-off s-00000002"); !strings.HasPrefix(got, "-ERR back here") {
-		t.Errorf("maint-off of what was only here: %s", got)
+}
+
+// TestFormatCounts checks how members prints the number of grants.
+func TestFormatCounts(t *testing.T) {
+	for _, test := range []struct {
+		counts map[string]int
+		want   string
+	}{
+		{nil, "none"},
+		{map[string]int{"out": 1}, "1 out"},
+		{map[string]int{"share": 1, "out": 2, "lease": 0, "bound": 10}, "10 bound, 0 lease, 2 out, 1 share"},
+	} {
+		if got := formatCounts(test.counts); got != test.want {
+			t.Errorf("%v: %q, wanted %q", test.counts, got, test.want)
+		}
 	}
-	if took := time.Since(began); took > 8*time.Second {
-		t.Errorf("three answers took %v", took)
+}
+
+// TestPromisesArguments checks which subcommands are found, with how many arguments.
+func TestPromisesArguments(t *testing.T) {
+	for _, known := range []string{
+		"list", "show s-1", "set out s-1", "set cap s-1 7", "clear out s-1", "bound b 4", "members",
+		"members add k4=127.0.0.1:7104", "members remove k4", "replace k2", "snapshot FILE", "restore FILE",
+	} {
+		words := strings.Fields(known)
+		if command, err := findPromisesCommand(words); err != nil || command.name != words[0] {
+			t.Errorf("%s: %v", known, err)
+		}
 	}
-	for end := time.Now().Add(10 * time.Second); try(address) != http.StatusOK; { // what has come back begins cold
-		if time.Now().After(end) {
-			t.Fatal("nothing is served by the one that is back")
+	for _, unknown := range []string{
+		"nothing", "list x", "show", "show a b", "set out", "set cap s-1 7 8", "clear out", "bound b", "members a b c",
+		"replace", "snapshot", "restore a b",
+	} {
+		if _, err := findPromisesCommand(strings.Fields(unknown)); !errors.Is(err, errUsage) {
+			t.Errorf("%s: %v", unknown, err)
 		}
 	}
+	want := "list, show, set, clear, bound, members, replace, snapshot or restore"
+	if got := promisesCommandNames(); got != want {
+		t.Errorf("%q, wanted %q", got, want)
+	}
 }
