--- a/internal/coordination/state/codec.go
+++ b/internal/coordination/state/codec.go
@@ -140,11 +140,11 @@
 	return e, err
 }
 
-// millis writes a duration in ms.
-func millis(w writer, n protomsg.Number, d time.Duration) { w.Int(n, d.Milliseconds()) }
+// encodeMillis writes a duration in ms.
+func encodeMillis(w writer, n protomsg.Number, d time.Duration) { w.Int(n, d.Milliseconds()) }
 
-// asMillis reads one; what no duration can hold is the longest.
-func asMillis(f field) time.Duration {
+// decodeMillis reads one; what no duration can hold is the longest.
+func decodeMillis(f field) time.Duration {
 	const most = int64(MaxOverrideDuration/time.Millisecond) + 1 // Check refuses it
 	return time.Duration(min(max(f.Int(), -1), most)) * time.Millisecond
 }
@@ -174,7 +174,7 @@
 	w.String(5, c.By)
 	w.String(6, c.Reason)
 	w.Int(7, c.At)
-	millis(w, 8, c.Duration)
+	encodeMillis(w, 8, c.Duration)
 }
 
 func (c *SetOverride) decode(f field) error {
@@ -188,7 +188,7 @@
 	case 7:
 		c.At = f.Int()
 	case 8:
-		c.Duration = asMillis(f)
+		c.Duration = decodeMillis(f)
 	default:
 		return c.Subject.read(f)
 	}
@@ -229,7 +229,7 @@
 	w.String(1, c.Resource)
 	w.String(2, c.Holder)
 	w.Int(3, c.Units)
-	millis(w, 4, c.Duration)
+	encodeMillis(w, 4, c.Duration)
 	w.Uint(5, c.FencingToken)
 }
 
@@ -242,7 +242,7 @@
 	case 3:
 		c.Units = f.Int()
 	case 4:
-		c.Duration = asMillis(f)
+		c.Duration = decodeMillis(f)
 	case 5:
 		c.FencingToken = f.Uint
 	}
@@ -371,7 +371,7 @@
 	w.Uint(1, Version)
 	w.Uint(2, s.clock)
 	w.Uint(3, s.revision)
-	w.Uint(4, uint64(s.raised))
+	w.Uint(4, uint64(s.featureLevel))
 	for _, x := range s.Overrides() {
 		w.Message(5, func(w writer) {
 			x.Subject.write(w)
@@ -399,18 +399,18 @@
 			WriteReserved(w, 5, b.Reserved())
 		})
 	}
-	for _, key := range slices.Sorted(maps.Keys(s.bookings)) {
-		x := s.bookings[key]
+	for _, key := range slices.Sorted(maps.Keys(s.reservations)) {
+		x := s.reservations[key]
 		w.Message(7, func(w writer) {
-			w.String(1, x.bound)
+			w.String(1, x.resource)
 			w.String(2, x.holder)
 			w.Uint(3, x.sequence)
 			w.Uint(4, x.until)
-			WriteReserved(w, 5, x.answer)
+			WriteReserved(w, 5, x.slots)
 		})
 	}
-	for _, name := range slices.Sorted(maps.Keys(s.admitted)) {
-		w.Message(8, func(w writer) { (&AddVoter{name, s.admitted[name]}).encode(w) })
+	for _, name := range slices.Sorted(maps.Keys(s.admittedVoters)) {
+		w.Message(8, func(w writer) { (&AddVoter{name, s.admittedVoters[name]}).encode(w) })
 	}
 	for _, m := range s.Members() {
 		w.Message(9, func(w writer) { m.Write(w) })
@@ -455,19 +455,19 @@
 		case 3:
 			s.revision = f.Uint
 		case 4:
-			s.raised = uint32(min(f.Uint, 1<<31))
+			s.featureLevel = uint32(min(f.Uint, 1<<31))
 		case 5:
-			return s.readWord(f.Raw)
+			return s.decodeOverride(f.Raw)
 		case 6:
-			return s.readBound(f.Raw)
+			return s.decodeResource(f.Raw)
 		case 7:
-			return s.readBooking(f.Raw)
+			return s.decodeReservation(f.Raw)
 		case 8:
 			var c AddVoter
 			if err := protomsg.Each(f.Raw, c.decode); err != nil {
 				return err
 			}
-			s.admitted[c.Name] = c.Address
+			s.admittedVoters[c.Name] = c.Address
 		case 9:
 			var m Member
 			if err := protomsg.Each(f.Raw, m.Read); err != nil {
@@ -483,11 +483,11 @@
 	case version != Version:
 		return nil, fmt.Errorf("the ledger's state is of version %d, and %d is known", version, Version)
 	}
-	s.due = 0 // what ends when is found at the next command
+	s.nextExpiry = 0 // what ends when is found at the next command
 	return s, nil
 }
 
-func (s *State) readWord(b []byte) error {
+func (s *State) decodeOverride(b []byte) error {
 	var c SetOverride // whose fields a word has too, but for the last two
 	var x Override
 	err := protomsg.Each(b, func(f field) error {
@@ -505,16 +505,16 @@
 		return err
 	}
 	x.Subject, x.Value, x.By, x.Reason, x.At = c.Subject, c.Value, c.By, c.Reason, c.At
-	if _, twice := s.words[x.Subject]; twice {
+	if _, twice := s.overrides[x.Subject]; twice {
 		return fmt.Errorf("%w: two words on %v", protomsg.ErrMalformed, x.Subject)
 	}
-	s.words[x.Subject] = x
-	s.used += x.cost()
+	s.overrides[x.Subject] = x
+	s.usedBytes += x.size()
 	return nil
 }
 
-func (s *State) readBound(raw []byte) error {
-	b := &Resource{leases: map[string]Lease{}, booked: map[uint64]int64{}}
+func (s *State) decodeResource(raw []byte) error {
+	b := &Resource{leases: map[string]Lease{}, reserved: map[uint64]int64{}}
 	err := protomsg.Each(raw, func(f field) error {
 		switch f.Number {
 		case 1:
@@ -542,35 +542,35 @@
 				err = fmt.Errorf("%w: two leases of %s", protomsg.ErrMalformed, l.Holder)
 			}
 			b.leases[l.Holder] = l
-			s.used += l.cost()
+			s.usedBytes += l.size()
 			return err
 		case 5:
 			x, err := ReadReserved(f.Raw)
-			if b.booked[x.Second] == 0 {
-				s.used += costBooked
+			if b.reserved[x.Second] == 0 {
+				s.usedBytes += slotOverhead
 			}
-			b.booked[x.Second] = max(1, x.Places)
+			b.reserved[x.Second] = max(1, x.Places)
 			return err
 		}
 		return nil
 	})
-	if err = cmp.Or(err, named("bound", b.Name)); err != nil {
+	if err = cmp.Or(err, checkName("bound", b.Name)); err != nil {
 		return err
 	}
-	if s.bounds[b.Name] != nil {
+	if s.resources[b.Name] != nil {
 		return fmt.Errorf("%w: two bounds %s", protomsg.ErrMalformed, b.Name)
 	}
-	s.bounds[b.Name] = b
-	s.used += b.cost()
+	s.resources[b.Name] = b
+	s.usedBytes += b.size()
 	return nil
 }
 
-func (s *State) readBooking(raw []byte) error {
-	var x booking
+func (s *State) decodeReservation(raw []byte) error {
+	var x reservation
 	err := protomsg.Each(raw, func(f field) error {
 		switch f.Number {
 		case 1:
-			return f.Text(&x.bound, MaxName)
+			return f.Text(&x.resource, MaxName)
 		case 2:
 			return f.Text(&x.holder, MaxName)
 		case 3:
@@ -579,19 +579,19 @@
 			x.until = f.Uint
 		case 5:
 			one, err := ReadReserved(f.Raw)
-			x.answer = append(x.answer, one)
+			x.slots = append(x.slots, one)
 			return err
 		}
 		return nil
 	})
-	if err = cmp.Or(err, named("bound", x.bound), named("holder", x.holder)); err != nil {
+	if err = cmp.Or(err, checkName("bound", x.resource), checkName("holder", x.holder)); err != nil {
 		return err
 	}
-	key := x.bound + " " + x.holder
-	if _, twice := s.bookings[key]; twice {
+	key := x.resource + " " + x.holder
+	if _, twice := s.reservations[key]; twice {
 		return fmt.Errorf("%w: two bookings of %s", protomsg.ErrMalformed, x.holder)
 	}
-	s.bookings[key] = x
-	s.used += x.cost()
+	s.reservations[key] = x
+	s.usedBytes += x.size()
 	return nil
 }
--- a/internal/coordination/state/command.go
+++ b/internal/coordination/state/command.go
@@ -80,7 +80,7 @@
 // UnregisterMember see Enrol.
 type UnregisterMember struct{ ID uint64 }
 
-func named(what, text string) error {
+func checkName(what, text string) error {
 	switch {
 	case text == "" || len(text) > MaxName:
 		return fmt.Errorf("%s: 1 to %d bytes are wanted", what, MaxName)
@@ -108,7 +108,7 @@
 
 func (s Subject) check() error {
 	return first(failIf(kinds[s.Kind] == "", "there is no kind of word %d", s.Kind), failIf(scopes[s.Scope] == "", "there is no scope %d", s.Scope),
-		failIf(s.Kind != OutOfService && s.Scope != ScopeUpstream, "a %s is of an upstream, not of a %s", s.Kind, s.Scope), named("target", s.Target))
+		failIf(s.Kind != OutOfService && s.Scope != ScopeUpstream, "a %s is of an upstream, not of a %s", s.Kind, s.Scope), checkName("target", s.Target))
 }
 
 // Check implements Command.
@@ -117,41 +117,43 @@
 		failIf(c.Kind == OutOfService && c.Value != 0, "out has no value"),
 		failIf(c.Kind == ConcurrencyCap && (c.Value < 1 || c.Value > 1e6), "a cap is from 1 to 1,000,000"),
 		failIf(c.Kind == TrafficShare && (c.Value < 1 || c.Value > 1000), "a share is from 1 to 1,000 thousandths: it is cut, never nothing"),
-		named("by", c.By), failIf(len(c.Reason) > MaxReason, "why: at most %d bytes", MaxReason),
+		checkName("by", c.By), failIf(len(c.Reason) > MaxReason, "why: at most %d bytes", MaxReason),
 		failIf(c.Duration < 0 || c.Duration > MaxOverrideDuration, "for: from 0 (until it is cleared) to %v", MaxOverrideDuration))
 }
 
 // Check implements Command.
-func (c *ClearOverride) Check() error { return first(c.Subject.check(), named("by", c.By)) }
+func (c *ClearOverride) Check() error { return first(c.Subject.check(), checkName("by", c.By)) }
 
 // Check implements Command.
 func (c *SetResource) Check() error {
-	return first(named("bound", c.Name), failIf(c.Limit < 0 || c.Limit > MaxResourceLimit, "limit: from 0 to %d", int64(MaxResourceLimit)))
+	return first(checkName("bound", c.Name), failIf(c.Limit < 0 || c.Limit > MaxResourceLimit, "limit: from 0 to %d", int64(MaxResourceLimit)))
 }
 
 // Check implements Command.
 func (c *AcquireLease) Check() error {
-	return first(named("bound", c.Resource), named("holder", c.Holder), failIf(c.Units < 1 || c.Units > MaxResourceLimit, "parts: from 1 to %d", int64(MaxResourceLimit)),
+	return first(checkName("bound", c.Resource), checkName("holder", c.Holder), failIf(c.Units < 1 || c.Units > MaxResourceLimit, "parts: from 1 to %d", int64(MaxResourceLimit)),
 		failIf(c.Duration < MinLeaseDuration || c.Duration > MaxLeaseDuration, "for: from %v to %v", MinLeaseDuration, MaxLeaseDuration))
 }
 
 // Check implements Command.
 func (c *ReleaseLease) Check() error {
-	return first(named("bound", c.Resource), named("holder", c.Holder), failIf(c.FencingToken == 0, "fence: the number of the lease is wanted"))
+	return first(checkName("bound", c.Resource), checkName("holder", c.Holder), failIf(c.FencingToken == 0, "fence: the number of the lease is wanted"))
 }
 
 // Check implements Command.
 func (c *Reserve) Check() error {
-	return first(named("bound", c.Resource), named("holder", c.Holder), failIf(c.Sequence == 0, "sequence: over 0"),
+	return first(checkName("bound", c.Resource), checkName("holder", c.Holder), failIf(c.Sequence == 0, "sequence: over 0"),
 		failIf(c.Places < 1 || c.Places > MaxResourceLimit, "places: from 1 to %d", int64(MaxResourceLimit)),
 		failIf(c.Within > MaxReservationHorizon || c.After > c.Within, "after and within: at most %d s ahead, and after no later than within", MaxReservationHorizon))
 }
 
 // Check implements Command.
-func (c *AddVoter) Check() error { return first(named("name", c.Name), named("address", c.Address)) }
+func (c *AddVoter) Check() error {
+	return first(checkName("name", c.Name), checkName("address", c.Address))
+}
 
 // Check implements Command.
-func (c *RemoveVoter) Check() error { return named("name", c.Name) }
+func (c *RemoveVoter) Check() error { return checkName("name", c.Name) }
 
 // Check implements Command.
 func (c *RaiseFeatureLevel) Check() error { return failIf(c.To == 0, "level: over 0") }
@@ -161,7 +163,7 @@
 
 // Check implements Command.
 func (c *RegisterMember) Check() error {
-	return first(named("name", c.Name), named("address", c.Address), failIf(c.ID == 0, "a member's id is over 0"))
+	return first(checkName("name", c.Name), checkName("address", c.Address), failIf(c.ID == 0, "a member's id is over 0"))
 }
 
 // Check implements Command.
--- a/internal/coordination/state/level_next.go
+++ b/internal/coordination/state/level_next.go
@@ -12,7 +12,7 @@
 func init() { known[1000] = func() Command { return new(Trial) } }
 
 // Check implements Command.
-func (c *Trial) Check() error { return named("text", c.Text) }
+func (c *Trial) Check() error { return checkName("text", c.Text) }
 
 func (*Trial) apply(*State) Result { return Result{} }
 func (*Trial) number() uint32      { return 1000 }
--- a/internal/coordination/state/promise_test.go
+++ b/internal/coordination/state/promise_test.go
@@ -264,8 +264,8 @@
 				lowered[c.Name] = true // what is held over it stays
 			}
 			for _, b := range s.Resources() {
-				if b.held() > b.Limit && !lowered[b.Name] {
-					t.Fatalf("%s is overdrawn: %d of %d", b.Name, b.held(), b.Limit)
+				if b.leasedUnits() > b.Limit && !lowered[b.Name] {
+					t.Fatalf("%s is overdrawn: %d of %d", b.Name, b.leasedUnits(), b.Limit)
 				}
 				for _, x := range b.Reserved() {
 					if x.Places > b.Limit && !lowered[b.Name] {
--- a/internal/coordination/state/state.go
+++ b/internal/coordination/state/state.go
@@ -11,33 +11,33 @@
 
 // State is what the ledger holds. Its owner calls it from one goroutine.
 type State struct {
-	clock    uint64 // ms
-	revision uint64
-	raised   uint32 // commands up to this level may be given
-	words    map[Subject]Override
-	bounds   map[string]*Resource
-	bookings map[string]booking // by bound and holder
-	admitted map[string]string  // name -> address of those that may vote
-	members  map[uint64]Member
-	used     int64  // bytes, estimated
-	due      uint64 // nothing ends before it
-	spoken   uint64 // how often words have changed since this copy was made
-}
-
-// booking is a holder's last, kept so that it can be asked again.
-type booking struct {
-	bound, holder string
-	sequence      uint64
-	answer        []ReservedSlot
-	until         uint64 // ms: later nobody asks again
-}
-
-// askedAgain is for how long a booking's answer is kept.
-const askedAgain = 10 * time.Minute
+	clock             uint64 // ms
+	revision          uint64
+	featureLevel      uint32 // commands up to this level may be given
+	overrides         map[Subject]Override
+	resources         map[string]*Resource
+	reservations      map[string]reservation // by bound and holder
+	admittedVoters    map[string]string      // name -> address of those that may vote
+	members           map[uint64]Member
+	usedBytes         int64  // bytes, estimated
+	nextExpiry        uint64 // nothing ends before it
+	overridesRevision uint64 // how often words have changed since this copy was made
+}
+
+// reservation is a holder's last, kept so that it can be asked again.
+type reservation struct {
+	resource, holder string
+	sequence         uint64
+	slots            []ReservedSlot
+	until            uint64 // ms: later nobody asks again
+}
+
+// reservationRetention is for how long a booking's answer is kept.
+const reservationRetention = 10 * time.Minute
 
 // NewState returns an empty ledger.
 func NewState() *State {
-	return &State{raised: 1, words: map[Subject]Override{}, bounds: map[string]*Resource{}, bookings: map[string]booking{}, admitted: map[string]string{}, members: map[uint64]Member{}, due: never}
+	return &State{featureLevel: 1, overrides: map[Subject]Override{}, resources: map[string]*Resource{}, reservations: map[string]reservation{}, admittedVoters: map[string]string{}, members: map[uint64]Member{}, nextExpiry: never}
 }
 
 // Clock is the ledger's, in ms.
@@ -47,30 +47,30 @@
 func (s *State) Revision() uint64 { return s.revision }
 
 // FeatureLevel is the level up to which commands may be given.
-func (s *State) FeatureLevel() uint32 { return s.raised }
+func (s *State) FeatureLevel() uint32 { return s.featureLevel }
 
 // UsedBytes is how much is held, in bytes by a fixed estimate, of MaxBytes.
-func (s *State) UsedBytes() int64 { return s.used }
+func (s *State) UsedBytes() int64 { return s.usedBytes }
 
 // OverridesRevision grows whenever words change. It is of this copy of the state alone.
-func (s *State) OverridesRevision() uint64 { return s.spoken }
+func (s *State) OverridesRevision() uint64 { return s.overridesRevision }
 
 // Overrides are all that hold, by subject.
 func (s *State) Overrides() []Override {
-	return slices.SortedFunc(maps.Values(s.words), func(a, b Override) int {
+	return slices.SortedFunc(maps.Values(s.overrides), func(a, b Override) int {
 		return cmp.Or(cmp.Compare(a.Scope, b.Scope), cmp.Compare(a.Target, b.Target), cmp.Compare(a.Kind, b.Kind))
 	})
 }
 
 // Override is the one that holds of a subject.
 func (s *State) Override(of Subject) (Override, bool) {
-	w, ok := s.words[of]
+	w, ok := s.overrides[of]
 	return w, ok
 }
 
 // Resources are all that there are, by name.
 func (s *State) Resources() []*Resource {
-	return slices.SortedFunc(maps.Values(s.bounds), func(a, b *Resource) int { return cmp.Compare(a.Name, b.Name) })
+	return slices.SortedFunc(maps.Values(s.resources), func(a, b *Resource) int { return cmp.Compare(a.Name, b.Name) })
 }
 
 // Leases are those of a bound, by holder.
@@ -81,14 +81,14 @@
 // Reserved are the places of a bound by second.
 func (b *Resource) Reserved() []ReservedSlot {
 	var all []ReservedSlot
-	for _, second := range slices.Sorted(maps.Keys(b.booked)) {
-		all = append(all, ReservedSlot{second, b.booked[second]})
+	for _, second := range slices.Sorted(maps.Keys(b.reserved)) {
+		all = append(all, ReservedSlot{second, b.reserved[second]})
 	}
 	return all
 }
 
-// held is the sum of a bound's leases.
-func (b *Resource) held() (sum int64) {
+// leasedUnits is the sum of a bound's leases.
+func (b *Resource) leasedUnits() (sum int64) {
 	for _, l := range b.leases {
 		sum += l.Units
 	}
@@ -96,7 +96,7 @@
 }
 
 // AdmittedVoters are the names that may vote, with their addresses.
-func (s *State) AdmittedVoters() map[string]string { return maps.Clone(s.admitted) }
+func (s *State) AdmittedVoters() map[string]string { return maps.Clone(s.admittedVoters) }
 
 // Members are all, by name; of one name the voter first.
 func (s *State) Members() []Member {
@@ -124,51 +124,51 @@
 	s.expire()
 	var r Result
 	if err := c.Check(); err != nil {
-		r = refuse(RejectedInvalid, "%v", err)
-	} else if c.level() > s.raised {
-		r = refuse(RejectedFeatureLevel, "this kind of promise wants level %d, and the ledger is at %d: not all voters are of that version yet", c.level(), s.raised)
+		r = reject(RejectedInvalid, "%v", err)
+	} else if c.level() > s.featureLevel {
+		r = reject(RejectedFeatureLevel, "this kind of promise wants level %d, and the ledger is at %d: not all voters are of that version yet", c.level(), s.featureLevel)
 	} else {
 		r = c.apply(s)
 	}
 	r.Revision, r.Clock = s.revision, s.clock
-	if s.raised > NewestFeatureLevel {
-		return r, fmt.Errorf("the ledger is at level %d, and this version knows %d: a newer one is wanted", s.raised, NewestFeatureLevel)
+	if s.featureLevel > NewestFeatureLevel {
+		return r, fmt.Errorf("the ledger is at level %d, and this version knows %d: a newer one is wanted", s.featureLevel, NewestFeatureLevel)
 	}
 	return r, nil
 }
 
-func refuse(why Rejection, format string, values ...any) Result {
+func reject(why Rejection, format string, values ...any) Result {
 	return Result{Rejection: why, Message: fmt.Sprintf(format, values...)}
 }
 
 // expire drops what has ended by the ledger's clock.
 func (s *State) expire() {
-	if s.clock < s.due {
+	if s.clock < s.nextExpiry {
 		return
 	}
-	s.due = never
-	for subject, w := range s.words {
-		if w.Until != 0 && !s.lasts(w.Until) {
-			s.dropWord(subject)
+	s.nextExpiry = never
+	for subject, w := range s.overrides {
+		if w.Until != 0 && !s.trackExpiry(w.Until) {
+			s.removeOverride(subject)
 		}
 	}
-	for _, b := range s.bounds {
+	for _, b := range s.resources {
 		for holder, l := range b.leases {
-			if !s.lasts(l.Until) {
-				s.dropLease(b, holder)
+			if !s.trackExpiry(l.Until) {
+				s.removeLease(b, holder)
 			}
 		}
-		for second := range b.booked {
-			if !s.lasts(pastSecond(second)) {
-				delete(b.booked, second)
-				s.used -= costBooked
+		for second := range b.reserved {
+			if !s.trackExpiry(endOfSecond(second)) {
+				delete(b.reserved, second)
+				s.usedBytes -= slotOverhead
 			}
 		}
 	}
-	for key, x := range s.bookings {
-		if !s.lasts(x.until) {
-			s.used -= x.cost()
-			delete(s.bookings, key)
+	for key, x := range s.reservations {
+		if !s.trackExpiry(x.until) {
+			s.usedBytes -= x.size()
+			delete(s.reservations, key)
 		}
 	}
 }
@@ -176,239 +176,240 @@
 // never is a moment that does not come.
 const never = math.MaxUint64
 
-// lasts tells whether something that ends at a moment has not ended yet, and sees to it that it will.
-func (s *State) lasts(until uint64) bool {
+// trackExpiry tells whether something that ends at a moment has not ended yet, and sees to it that it will.
+func (s *State) trackExpiry(until uint64) bool {
 	if until <= s.clock {
 		return false
 	}
-	s.due = min(s.due, until)
+	s.nextExpiry = min(s.nextExpiry, until)
 	return true
 }
 
-// pastSecond is when a second of the ledger's clock is over, in ms.
-func pastSecond(second uint64) uint64 { return (min(second, never/1000-1) + 1) * 1000 }
+// endOfSecond is when a second of the ledger's clock is over, in ms.
+func endOfSecond(second uint64) uint64 { return (min(second, never/1000-1) + 1) * 1000 }
 
 // NextExpiry is when the next thing that is held ends by the ledger's clock, in ms; the greatest number: nothing does.
-func (s *State) NextExpiry() uint64 { return s.due }
+func (s *State) NextExpiry() uint64 { return s.nextExpiry }
 
 // What each entry counts for, beside its texts: maps, log and snapshots have it more than once.
 const (
-	costEntry  = 160
-	costBooked = 48
+	entryOverhead = 160
+	slotOverhead  = 48
 )
 
-func (w *Override) cost() int64 { return costEntry + int64(len(w.Target)+len(w.By)+len(w.Reason)) }
-func (l *Lease) cost() int64 {
-	return costEntry + int64(len(l.Holder))
+func (w *Override) size() int64 { return entryOverhead + int64(len(w.Target)+len(w.By)+len(w.Reason)) }
+
+func (l *Lease) size() int64 {
+	return entryOverhead + int64(len(l.Holder))
 }
-func (b *Resource) cost() int64 { return costEntry + int64(len(b.Name)) }
-func (b *booking) cost() int64 {
-	return costEntry + int64(len(b.bound)+len(b.holder)) + costBooked*int64(len(b.answer))
+func (b *Resource) size() int64 { return entryOverhead + int64(len(b.Name)) }
+func (b *reservation) size() int64 {
+	return entryOverhead + int64(len(b.resource)+len(b.holder)) + slotOverhead*int64(len(b.slots))
 }
 
-// full tells whether so much more would be too much.
-func (s *State) full(more int64) bool { return more > 0 && s.used+more > MaxBytes }
+// exceedsCapacity tells whether so much more would be too much.
+func (s *State) exceedsCapacity(more int64) bool { return more > 0 && s.usedBytes+more > MaxBytes }
 
-func (s *State) refuseFull() Result {
-	return refuse(RejectedStateFull, "the ledger is full: %d of %d bytes are held, and what is held is never dropped for what is new", s.used, int64(MaxBytes))
+func (s *State) rejectFull() Result {
+	return reject(RejectedStateFull, "the ledger is full: %d of %d bytes are held, and what is held is never dropped for what is new", s.usedBytes, int64(MaxBytes))
 }
 
-func (s *State) dropWord(of Subject) {
-	if w, ok := s.words[of]; ok {
-		s.used -= w.cost()
-		s.spoken++
-		delete(s.words, of)
+func (s *State) removeOverride(of Subject) {
+	if w, ok := s.overrides[of]; ok {
+		s.usedBytes -= w.size()
+		s.overridesRevision++
+		delete(s.overrides, of)
 	}
 }
 
-func (s *State) dropLease(b *Resource, holder string) {
+func (s *State) removeLease(b *Resource, holder string) {
 	if l, ok := b.leases[holder]; ok {
-		s.used -= l.cost()
+		s.usedBytes -= l.size()
 		delete(b.leases, holder)
 	}
 }
 
-// later is a moment of the ledger's clock from now, in ms; an odd part of one counts whole.
-func (s *State) later(d time.Duration) uint64 {
+// deadline is a moment of the ledger's clock from now, in ms; an odd part of one counts whole.
+func (s *State) deadline(d time.Duration) uint64 {
 	return s.clock + uint64((d+time.Millisecond-1)/time.Millisecond)
 }
 
 func (c *SetOverride) apply(s *State) Result {
 	w := Override{Subject: c.Subject, Value: c.Value, By: c.By, Reason: c.Reason, At: c.At, Revision: s.revision}
 	if c.Duration > 0 {
-		w.Until = s.later(c.Duration)
+		w.Until = s.deadline(c.Duration)
 	}
-	before, had := s.words[c.Subject]
-	more := w.cost()
+	before, had := s.overrides[c.Subject]
+	more := w.size()
 	if had {
-		more -= before.cost()
+		more -= before.size()
 	}
-	if s.full(more) {
-		return s.refuseFull()
+	if s.exceedsCapacity(more) {
+		return s.rejectFull()
 	}
-	s.words[c.Subject] = w
-	s.used += more
-	s.spoken++
+	s.overrides[c.Subject] = w
+	s.usedBytes += more
+	s.overridesRevision++
 	if w.Until > 0 {
-		s.due = min(s.due, w.Until)
+		s.nextExpiry = min(s.nextExpiry, w.Until)
 	}
 	return Result{}
 }
 
 func (c *ClearOverride) apply(s *State) Result {
-	s.dropWord(c.Subject)
+	s.removeOverride(c.Subject)
 	return Result{}
 }
 
 func (c *SetResource) apply(s *State) Result {
-	b, ok := s.bounds[c.Name]
+	b, ok := s.resources[c.Name]
 	switch {
 	case ok && b.Slots != c.Slots:
-		return refuse(RejectedInvalid, "the bound %s is of the other kind: slots and leases do not mix", c.Name)
-	case ok && c.Limit == 0 && len(b.leases)+len(b.booked) > 0:
-		return refuse(RejectedNoCapacity, "of the bound %s something is still held", c.Name)
+		return reject(RejectedInvalid, "the bound %s is of the other kind: slots and leases do not mix", c.Name)
+	case ok && c.Limit == 0 && len(b.leases)+len(b.reserved) > 0:
+		return reject(RejectedNoCapacity, "of the bound %s something is still held", c.Name)
 	case ok && c.Limit == 0:
-		s.used -= b.cost()
-		delete(s.bounds, c.Name)
+		s.usedBytes -= b.size()
+		delete(s.resources, c.Name)
 	case ok: // what is held over a lower limit stays until it ends; nothing new is given before
 		b.Limit = c.Limit
 	case c.Limit > 0:
-		b = &Resource{Name: c.Name, Slots: c.Slots, Limit: c.Limit, leases: map[string]Lease{}, booked: map[uint64]int64{}}
-		if s.full(b.cost()) {
-			return s.refuseFull()
+		b = &Resource{Name: c.Name, Slots: c.Slots, Limit: c.Limit, leases: map[string]Lease{}, reserved: map[uint64]int64{}}
+		if s.exceedsCapacity(b.size()) {
+			return s.rejectFull()
 		}
-		s.bounds[c.Name] = b
-		s.used += b.cost()
+		s.resources[c.Name] = b
+		s.usedBytes += b.size()
 	}
 	return Result{}
 }
 
-// bound finds one of a kind.
-func (s *State) bound(name string, slots bool) (*Resource, Result) {
-	b, ok := s.bounds[name]
+// findResource finds one of a kind.
+func (s *State) findResource(name string, slots bool) (*Resource, Result) {
+	b, ok := s.resources[name]
 	switch {
 	case !ok:
-		return nil, refuse(RejectedNotFound, "there is no bound %s", name)
+		return nil, reject(RejectedNotFound, "there is no bound %s", name)
 	case b.Slots != slots:
-		return nil, refuse(RejectedInvalid, "the bound %s is of the other kind: slots and leases do not mix", name)
+		return nil, reject(RejectedInvalid, "the bound %s is of the other kind: slots and leases do not mix", name)
 	}
 	return b, Result{}
 }
 
 func (c *AcquireLease) apply(s *State) Result {
-	b, r := s.bound(c.Resource, false)
+	b, r := s.findResource(c.Resource, false)
 	if b == nil {
 		return r
 	}
 	mine, held := b.leases[c.Holder]
-	free := b.Limit - b.held() + mine.Units
+	free := b.Limit - b.leasedUnits() + mine.Units
 	switch {
 	case held && c.FencingToken != mine.FencingToken: // a new life of the holder: the old one may still act on it
-		r = refuse(RejectedFenced, "%s holds it under fence %d until %d ms from now", c.Holder, mine.FencingToken, mine.Until-s.clock)
+		r = reject(RejectedFenced, "%s holds it under fence %d until %d ms from now", c.Holder, mine.FencingToken, mine.Until-s.clock)
 		return r
 	case !held && c.FencingToken != 0:
-		return refuse(RejectedFenced, "the lease under fence %d has ended", c.FencingToken)
+		return reject(RejectedFenced, "the lease under fence %d has ended", c.FencingToken)
 	case c.Units > free:
-		r = refuse(RejectedNoCapacity, "of %d parts of %s %d are free, and %d are asked", b.Limit, c.Resource, max(0, free), c.Units)
+		r = reject(RejectedNoCapacity, "of %d parts of %s %d are free, and %d are asked", b.Limit, c.Resource, max(0, free), c.Units)
 		r.Free = max(0, free)
 		return r
 	}
-	l := Lease{Holder: c.Holder, Units: c.Units, Until: s.later(c.Duration), FencingToken: cmp.Or(mine.FencingToken, s.revision)}
+	l := Lease{Holder: c.Holder, Units: c.Units, Until: s.deadline(c.Duration), FencingToken: cmp.Or(mine.FencingToken, s.revision)}
 	if !held {
-		if s.full(l.cost()) {
-			return s.refuseFull()
+		if s.exceedsCapacity(l.size()) {
+			return s.rejectFull()
 		}
-		s.used += l.cost()
+		s.usedBytes += l.size()
 	}
 	b.leases[c.Holder] = l
-	s.due = min(s.due, l.Until)
+	s.nextExpiry = min(s.nextExpiry, l.Until)
 	return Result{FencingToken: l.FencingToken, Free: free - c.Units}
 }
 
 func (c *ReleaseLease) apply(s *State) Result {
-	b, r := s.bound(c.Resource, false)
+	b, r := s.findResource(c.Resource, false)
 	if b == nil {
 		return r
 	}
 	if mine, held := b.leases[c.Holder]; held && mine.FencingToken != c.FencingToken {
-		return refuse(RejectedFenced, "%s holds it under fence %d, not %d", c.Holder, mine.FencingToken, c.FencingToken)
+		return reject(RejectedFenced, "%s holds it under fence %d, not %d", c.Holder, mine.FencingToken, c.FencingToken)
 	}
-	s.dropLease(b, c.Holder)
-	return Result{Free: b.Limit - b.held()}
+	s.removeLease(b, c.Holder)
+	return Result{Free: b.Limit - b.leasedUnits()}
 }
 
 func (c *Reserve) apply(s *State) Result {
-	b, r := s.bound(c.Resource, true)
+	b, r := s.findResource(c.Resource, true)
 	if b == nil {
 		return r
 	}
 	key := c.Resource + " " + c.Holder // neither has a space
-	last, asked := s.bookings[key]
+	last, asked := s.reservations[key]
 	switch {
 	case asked && c.Sequence == last.sequence:
-		return Result{Reserved: slices.Clone(last.answer)}
+		return Result{Reserved: slices.Clone(last.slots)}
 	case asked && c.Sequence < last.sequence:
-		return refuse(RejectedFenced, "%s has booked number %d already", c.Holder, last.sequence)
+		return reject(RejectedFenced, "%s has booked number %d already", c.Holder, last.sequence)
 	}
 	now := s.clock / 1000
 	var got []ReservedSlot
 	left := c.Places
 	for second := now + uint64(c.After); second <= now+uint64(c.Within) && left > 0; second++ {
-		if n := min(left, b.Limit-b.booked[second]); n > 0 {
+		if n := min(left, b.Limit-b.reserved[second]); n > 0 {
 			got = append(got, ReservedSlot{second, n})
 			left -= n
 		}
 	}
 	if len(got) == 0 {
-		return refuse(RejectedNoCapacity, "no second from %d to %d s ahead has a place left", c.After, c.Within)
+		return reject(RejectedNoCapacity, "no second from %d to %d s ahead has a place left", c.After, c.Within)
 	}
-	next := booking{c.Resource, c.Holder, c.Sequence, got, s.later(askedAgain)}
-	more := next.cost() + costBooked*int64(len(got))
+	next := reservation{c.Resource, c.Holder, c.Sequence, got, s.deadline(reservationRetention)}
+	more := next.size() + slotOverhead*int64(len(got))
 	if asked {
-		more -= last.cost()
+		more -= last.size()
 	}
-	if s.full(more) {
-		return s.refuseFull()
+	if s.exceedsCapacity(more) {
+		return s.rejectFull()
 	}
 	for _, x := range got {
-		if b.booked[x.Second] == 0 {
-			s.used += costBooked
+		if b.reserved[x.Second] == 0 {
+			s.usedBytes += slotOverhead
 		}
-		b.booked[x.Second] += x.Places
-		s.due = min(s.due, pastSecond(x.Second))
+		b.reserved[x.Second] += x.Places
+		s.nextExpiry = min(s.nextExpiry, endOfSecond(x.Second))
 	}
-	s.used += next.cost()
+	s.usedBytes += next.size()
 	if asked {
-		s.used -= last.cost()
+		s.usedBytes -= last.size()
 	}
-	s.bookings[key] = next
-	s.due = min(s.due, next.until)
+	s.reservations[key] = next
+	s.nextExpiry = min(s.nextExpiry, next.until)
 	return Result{Reserved: slices.Clone(got)}
 }
 
 func (c *AddVoter) apply(s *State) Result {
-	for name, address := range s.admitted {
+	for name, address := range s.admittedVoters {
 		if address == c.Address && name != c.Name {
-			return refuse(RejectedInvalid, "%s has the address %s already", name, address)
+			return reject(RejectedInvalid, "%s has the address %s already", name, address)
 		}
 	}
-	s.admitted[c.Name] = c.Address
+	s.admittedVoters[c.Name] = c.Address
 	return Result{}
 }
 
 func (c *RemoveVoter) apply(s *State) Result {
-	if _, ok := s.admitted[c.Name]; !ok {
-		return refuse(RejectedNotFound, "there is no voter %s", c.Name)
+	if _, ok := s.admittedVoters[c.Name]; !ok {
+		return reject(RejectedNotFound, "there is no voter %s", c.Name)
 	}
-	if len(s.admitted) == 1 {
-		return refuse(RejectedInvalid, "%s is the last one", c.Name)
+	if len(s.admittedVoters) == 1 {
+		return reject(RejectedInvalid, "%s is the last one", c.Name)
 	}
-	delete(s.admitted, c.Name)
+	delete(s.admittedVoters, c.Name)
 	return Result{}
 }
 
 func (c *RaiseFeatureLevel) apply(s *State) Result {
-	s.raised = max(s.raised, c.To)
+	s.featureLevel = max(s.featureLevel, c.To)
 	return Result{}
 }
 
--- a/internal/coordination/state/types.go
+++ b/internal/coordination/state/types.go
@@ -93,11 +93,11 @@
 
 // Resource is something of which balancers may use so much together: as leases at a time, or as places in each second.
 type Resource struct {
-	Name   string
-	Slots  bool  // places in each second; else leases
-	Limit  int64 // over all
-	leases map[string]Lease
-	booked map[uint64]int64 // second of the ledger's clock -> places
+	Name     string
+	Slots    bool  // places in each second; else leases
+	Limit    int64 // over all
+	leases   map[string]Lease
+	reserved map[uint64]int64 // second of the ledger's clock -> places
 }
 
 // ReservedSlot is a number of places in a second of the ledger's clock.
