--- /dev/null
+++ b/internal/coordination/state/codec_reservations.go
@@ -0,0 +1,134 @@
+package state
+
+import (
+	"cmp"
+	"fmt"
+
+	"olivearch/internal/protomsg"
+)
+
+// Fields of Reserve.
+const (
+	fieldReserveResource = 1
+	fieldReserveHolder   = 2
+	fieldReserveSequence = 3
+	fieldReservePlaces   = 4
+	fieldReserveAfter    = 5
+	fieldReserveWithin   = 6
+)
+
+func (c *Reserve) encode(w *protomsg.Writer) {
+	w.String(fieldReserveResource, c.Resource)
+	w.String(fieldReserveHolder, c.Holder)
+	w.Uint(fieldReserveSequence, c.Sequence)
+	w.Int(fieldReservePlaces, c.Places)
+	w.Uint(fieldReserveAfter, uint64(c.After))
+	w.Uint(fieldReserveWithin, uint64(c.Within))
+}
+
+func (c *Reserve) decode(field protomsg.Field) error {
+	switch field.Number {
+	case fieldReserveResource:
+		return field.Text(&c.Resource, MaxName)
+	case fieldReserveHolder:
+		return field.Text(&c.Holder, MaxName)
+	case fieldReserveSequence:
+		c.Sequence = field.Uint
+	case fieldReservePlaces:
+		c.Places = field.Int()
+	case fieldReserveAfter:
+		c.After = decodeSecondsAhead(field)
+	case fieldReserveWithin:
+		c.Within = decodeSecondsAhead(field)
+	}
+	return nil
+}
+
+// decodeSecondsAhead reads a number of seconds. What no command may have is limited to a number that Check rejects.
+func decodeSecondsAhead(field protomsg.Field) uint32 {
+	const tooFar = 1 << 20
+	return uint32(min(field.Uint, tooFar))
+}
+
+// Fields of a reserved slot.
+const (
+	fieldReservedSlotSecond = 1
+	fieldReservedSlotPlaces = 2
+)
+
+// WriteReserved appends reserved slots to a message, each as a nested message under the number of a field.
+func WriteReserved(w *protomsg.Writer, field protomsg.Number, slots []ReservedSlot) {
+	for _, slot := range slots {
+		w.Message(field, func(nested *protomsg.Writer) {
+			nested.Uint(fieldReservedSlotSecond, slot.Second)
+			nested.Int(fieldReservedSlotPlaces, slot.Places)
+		})
+	}
+}
+
+// ReadReserved reads one nested message of WriteReserved. The error wraps protomsg.ErrMalformed.
+func ReadReserved(encoded []byte) (ReservedSlot, error) {
+	var slot ReservedSlot
+	err := protomsg.Each(encoded, func(field protomsg.Field) error {
+		switch field.Number {
+		case fieldReservedSlotSecond:
+			slot.Second = field.Uint
+		case fieldReservedSlotPlaces:
+			slot.Places = field.Int()
+		}
+		return nil
+	})
+	return slot, err
+}
+
+// Fields of a stored reservation.
+const (
+	fieldReservationResource = 1
+	fieldReservationHolder   = 2
+	fieldReservationSequence = 3
+	fieldReservationUntil    = 4
+	fieldReservationSlot     = 5 // repeated
+)
+
+func (r *reservation) encode(w *protomsg.Writer) {
+	w.String(fieldReservationResource, r.resource)
+	w.String(fieldReservationHolder, r.holder)
+	w.Uint(fieldReservationSequence, r.sequence)
+	w.Uint(fieldReservationUntil, r.until)
+	WriteReserved(w, fieldReservationSlot, r.slots)
+}
+
+func (r *reservation) decode(field protomsg.Field) error {
+	switch field.Number {
+	case fieldReservationResource:
+		return field.Text(&r.resource, MaxName)
+	case fieldReservationHolder:
+		return field.Text(&r.holder, MaxName)
+	case fieldReservationSequence:
+		r.sequence = field.Uint
+	case fieldReservationUntil:
+		r.until = field.Uint
+	case fieldReservationSlot:
+		slot, err := ReadReserved(field.Raw)
+		r.slots = append(r.slots, slot)
+		return err
+	}
+	return nil
+}
+
+// decodeReservation reads a stored reservation and adds it to the state.
+func (s *State) decodeReservation(encoded []byte) error {
+	var stored reservation
+	err := protomsg.Each(encoded, stored.decode)
+	err = cmp.Or(err, checkName("bound", stored.resource), checkName("holder", stored.holder))
+	if err != nil {
+		return err
+	}
+	key := reservationKey(stored.resource, stored.holder)
+	if _, exists := s.reservations[key]; exists {
+		return fmt.Errorf("%w: two bookings of %s", protomsg.ErrMalformed, stored.holder)
+	}
+	s.reservations[key] = stored
+	s.usedBytes += stored.size()
+	return nil
+}
--- /dev/null
+++ b/internal/coordination/state/codec_state.go
@@ -0,0 +1,117 @@
+package state
+
+import (
+	"fmt"
+	"maps"
+	"slices"
+
+	"olivearch/internal/protomsg"
+)
+
+// Version of the form of snapshots. A reader rejects a newer one.
+const Version = 1
+
+// Fields of a snapshot.
+const (
+	fieldStateVersion       = 1
+	fieldStateClock         = 2
+	fieldStateRevision      = 3
+	fieldStateFeatureLevel  = 4
+	fieldStateOverride      = 5 // repeated
+	fieldStateResource      = 6 // repeated
+	fieldStateReservation   = 7 // repeated
+	fieldStateAdmittedVoter = 8 // repeated
+	fieldStateMember        = 9 // repeated
+)
+
+// Encode writes a snapshot of the state. Equal states have the same bytes: entries stand in a fixed order.
+func (s *State) Encode() []byte {
+	var w protomsg.Writer
+	w.Uint(fieldStateVersion, Version)
+	w.Uint(fieldStateClock, s.clock)
+	w.Uint(fieldStateRevision, s.revision)
+	w.Uint(fieldStateFeatureLevel, uint64(s.featureLevel))
+	s.encodeEntries(&w)
+	return w.Bytes()
+}
+
+func (s *State) encodeEntries(message *protomsg.Writer) {
+	for _, override := range s.Overrides() {
+		message.Message(fieldStateOverride, override.encode)
+	}
+	for _, resource := range s.Resources() {
+		message.Message(fieldStateResource, resource.encode)
+	}
+	for _, key := range slices.Sorted(maps.Keys(s.reservations)) {
+		stored := s.reservations[key]
+		message.Message(fieldStateReservation, stored.encode)
+	}
+	for _, name := range slices.Sorted(maps.Keys(s.admittedVoters)) {
+		voter := AddVoter{Name: name, Address: s.admittedVoters[name]}
+		message.Message(fieldStateAdmittedVoter, voter.encode)
+	}
+	for _, member := range s.Members() {
+		message.Message(fieldStateMember, member.Write)
+	}
+}
+
+// DecodeState reads a snapshot.
+func DecodeState(encoded []byte) (*State, error) {
+	state := NewState()
+	version := uint64(0)
+	err := protomsg.Each(encoded, func(field protomsg.Field) error {
+		if field.Number == fieldStateVersion {
+			version = field.Uint
+			return nil
+		}
+		return state.decodeField(field)
+	})
+	switch {
+	case err != nil:
+		return nil, fmt.Errorf("the ledger's state: %w", err)
+	case version != Version:
+		return nil, fmt.Errorf("the ledger's state is of version %d, and %d is known", version, Version)
+	}
+	state.nextExpiry = 0 // the next command determines it
+	return state, nil
+}
+
+func (s *State) decodeField(field protomsg.Field) error {
+	switch field.Number {
+	case fieldStateClock:
+		s.clock = field.Uint
+	case fieldStateRevision:
+		s.revision = field.Uint
+	case fieldStateFeatureLevel:
+		s.featureLevel = decodeLevel(field)
+	case fieldStateOverride:
+		return s.decodeOverride(field.Raw)
+	case fieldStateResource:
+		return s.decodeResource(field.Raw)
+	case fieldStateReservation:
+		return s.decodeReservation(field.Raw)
+	case fieldStateAdmittedVoter:
+		return s.decodeAdmittedVoter(field.Raw)
+	case fieldStateMember:
+		return s.decodeMember(field.Raw)
+	}
+	return nil
+}
+
+func (s *State) decodeAdmittedVoter(encoded []byte) error {
+	var voter AddVoter
+	if err := protomsg.Each(encoded, voter.decode); err != nil {
+		return err
+	}
+	s.admittedVoters[voter.Name] = voter.Address
+	return nil
+}
+
+func (s *State) decodeMember(encoded []byte) error {
+	var member Member
+	if err := protomsg.Each(encoded, member.Read); err != nil {
+		return err
+	}
+	s.members[member.ID] = member
+	return nil
+}
--- /dev/null
+++ b/internal/coordination/state/commands.go
@@ -0,0 +1,107 @@
+package state
+
+import "errors"
+
+// Command is a change of the state. Its kinds are the types of this package that implement it.
+type Command interface {
+	// Check returns an error if the command is invalid, whatever the state is.
+	Check() error
+	// apply changes the state, or returns a rejection and leaves it unchanged. The command has passed Check.
+	apply(state *State) Result
+	// number identifies the kind in messages and logs. It is never used again for another kind.
+	number() uint32
+	// level is the feature level of the first version that knew the kind.
+	level() uint32
+	commandCodec
+}
+
+// The numbers of the kinds of command. 13 to 19 are reserved for the outcomes of requests with an idempotency key.
+const (
+	numberSetOverride       = 1
+	numberClearOverride     = 2
+	numberSetResource       = 3
+	numberAcquireLease      = 4
+	numberReleaseLease      = 5
+	numberReserve           = 6
+	numberRaiseFeatureLevel = 7
+	numberAddVoter          = 8
+	numberRemoveVoter       = 9
+	numberAdvanceClock      = 10
+	numberRegisterMember    = 11
+	numberUnregisterMember  = 12
+)
+
+func (*SetOverride) number() uint32       { return numberSetOverride }
+func (*ClearOverride) number() uint32     { return numberClearOverride }
+func (*SetResource) number() uint32       { return numberSetResource }
+func (*AcquireLease) number() uint32      { return numberAcquireLease }
+func (*ReleaseLease) number() uint32      { return numberReleaseLease }
+func (*Reserve) number() uint32           { return numberReserve }
+func (*RaiseFeatureLevel) number() uint32 { return numberRaiseFeatureLevel }
+func (*AddVoter) number() uint32          { return numberAddVoter }
+func (*RemoveVoter) number() uint32       { return numberRemoveVoter }
+func (*AdvanceClock) number() uint32      { return numberAdvanceClock }
+func (*RegisterMember) number() uint32    { return numberRegisterMember }
+func (*UnregisterMember) number() uint32  { return numberUnregisterMember }
+
+func (*SetOverride) level() uint32       { return 1 }
+func (*ClearOverride) level() uint32     { return 1 }
+func (*SetResource) level() uint32       { return 1 }
+func (*AcquireLease) level() uint32      { return 1 }
+func (*ReleaseLease) level() uint32      { return 1 }
+func (*Reserve) level() uint32           { return 1 }
+func (*RaiseFeatureLevel) level() uint32 { return 1 }
+func (*AddVoter) level() uint32          { return 1 }
+func (*RemoveVoter) level() uint32       { return 1 }
+func (*AdvanceClock) level() uint32      { return 1 }
+func (*RegisterMember) level() uint32    { return 1 }
+func (*UnregisterMember) level() uint32  { return 1 }
+
+// known has a constructor for each kind of command that this version knows, by number.
+var known = map[uint32]func() Command{
+	numberSetOverride:       func() Command { return new(SetOverride) },
+	numberClearOverride:     func() Command { return new(ClearOverride) },
+	numberSetResource:       func() Command { return new(SetResource) },
+	numberAcquireLease:      func() Command { return new(AcquireLease) },
+	numberReleaseLease:      func() Command { return new(ReleaseLease) },
+	numberReserve:           func() Command { return new(Reserve) },
+	numberRaiseFeatureLevel: func() Command { return new(RaiseFeatureLevel) },
+	numberAddVoter:          func() Command { return new(AddVoter) },
+	numberRemoveVoter:       func() Command { return new(RemoveVoter) },
+	numberAdvanceClock:      func() Command { return new(AdvanceClock) },
+	numberRegisterMember:    func() Command { return new(RegisterMember) },
+	numberUnregisterMember:  func() Command { return new(UnregisterMember) },
+}
+
+// IsInternal reports whether a command is proposed by the coordination servers only, and never accepted from clients.
+func IsInternal(command Command) bool {
+	switch command.(type) {
+	case *RaiseFeatureLevel, *AdvanceClock, *RegisterMember, *UnregisterMember:
+		return true
+	}
+	return false
+}
+
+// RaiseFeatureLevel allows commands up to a level, now that all voters know them. The level never falls.
+type RaiseFeatureLevel struct{ To uint32 }
+
+// Check implements Command.
+func (c *RaiseFeatureLevel) Check() error {
+	if c.To == 0 {
+		return errors.New("level: over 0")
+	}
+	return nil
+}
+
+func (c *RaiseFeatureLevel) apply(state *State) Result {
+	state.featureLevel = max(state.featureLevel, c.To)
+	return Result{}
+}
+
+// AdvanceClock changes nothing but the clock, so that entries end while no other command is proposed.
+type AdvanceClock struct{}
+
+// Check implements Command.
+func (*AdvanceClock) Check() error { return nil }
+
+func (*AdvanceClock) apply(*State) Result { return Result{} }
--- /dev/null
+++ b/internal/coordination/state/leases.go
@@ -0,0 +1,143 @@
+package state
+
+import (
+	"cmp"
+	"errors"
+	"fmt"
+	"maps"
+	"slices"
+	"time"
+)
+
+// Lease is a holder's part of a resource for a time.
+type Lease struct {
+	Holder       string
+	Units        int64
+	Until        uint64 // end in ms of the cluster's clock; by its own clock the holder ends it earlier
+	FencingToken uint64 // revision at which the lease began: a holder that acts under a lower one is out of date
+}
+
+func (l *Lease) size() int64 { return entryOverhead + textSize(l.Holder) }
+
+// Leases returns the leases of a resource, by holder.
+func (r *Resource) Leases() []Lease {
+	return slices.SortedFunc(maps.Values(r.leases), func(a, b Lease) int { return cmp.Compare(a.Holder, b.Holder) })
+}
+
+// leasedUnits is the sum of the resource's leases.
+func (r *Resource) leasedUnits() int64 {
+	sum := int64(0)
+	for _, lease := range r.leases {
+		sum += lease.Units
+	}
+	return sum
+}
+
+func (s *State) removeLease(resource *Resource, holder string) {
+	if lease, ok := resource.leases[holder]; ok {
+		s.usedBytes -= lease.size()
+		delete(resource.leases, holder)
+	}
+}
+
+// AcquireLease asks for a lease, or renews the one that the holder has under this fencing token.
+type AcquireLease struct {
+	Resource, Holder string
+	Units            int64
+	Duration         time.Duration
+	FencingToken     uint64 // 0: a new lease
+}
+
+// Check implements Command.
+func (c *AcquireLease) Check() error {
+	return cmp.Or(
+		checkName("bound", c.Resource),
+		checkName("holder", c.Holder),
+		checkCount("parts", c.Units),
+		c.checkDuration(),
+	)
+}
+
+func (c *AcquireLease) checkDuration() error {
+	if c.Duration < MinLeaseDuration || c.Duration > MaxLeaseDuration {
+		return fmt.Errorf("for: from %v to %v", MinLeaseDuration, MaxLeaseDuration)
+	}
+	return nil
+}
+
+func (c *AcquireLease) apply(state *State) Result {
+	resource, result := state.leasableResource(c.Resource)
+	if !result.OK() {
+		return result
+	}
+	current, renewal := resource.leases[c.Holder]
+	if result := c.checkFencing(state, current, renewal); !result.OK() {
+		return result
+	}
+	free := resource.Limit - resource.leasedUnits() + current.Units
+	if c.Units > free {
+		const format = "of %d parts of %s %d are free, and %d are asked"
+		result := reject(RejectedNoCapacity, format, resource.Limit, c.Resource, max(0, free), c.Units)
+		result.Free = max(0, free)
+		return result
+	}
+	lease := Lease{
+		Holder:       c.Holder,
+		Units:        c.Units,
+		Until:        state.deadline(c.Duration),
+		FencingToken: cmp.Or(current.FencingToken, state.revision),
+	}
+	if !renewal {
+		if state.exceedsCapacity(lease.size()) {
+			return state.rejectFull()
+		}
+		state.usedBytes += lease.size()
+	}
+	resource.leases[c.Holder] = lease
+	state.scheduleExpiry(lease.Until)
+	return Result{FencingToken: lease.FencingToken, Free: free - c.Units}
+}
+
+// checkFencing rejects a command whose token is not that of the holder's current lease. Another token means another
+// incarnation of the holder: the earlier one may still act under the lease until it ends.
+func (c *AcquireLease) checkFencing(state *State, current Lease, exists bool) Result {
+	switch {
+	case exists && c.FencingToken != current.FencingToken:
+		const format = "%s holds it under fence %d until %d ms from now"
+		return reject(RejectedFenced, format, c.Holder, current.FencingToken, current.Until-state.clock)
+	case !exists && c.FencingToken != 0:
+		return reject(RejectedFenced, "the lease under fence %d has ended", c.FencingToken)
+	}
+	return Result{}
+}
+
+// ReleaseLease ends a lease before its time. It is applied also if the holder has no lease, so it may be sent twice.
+type ReleaseLease struct {
+	Resource, Holder string
+	FencingToken     uint64
+}
+
+// Check implements Command.
+func (c *ReleaseLease) Check() error {
+	return cmp.Or(checkName("bound", c.Resource), checkName("holder", c.Holder), c.checkFencingToken())
+}
+
+func (c *ReleaseLease) checkFencingToken() error {
+	if c.FencingToken == 0 {
+		return errors.New("fence: the number of the lease is wanted")
+	}
+	return nil
+}
+
+func (c *ReleaseLease) apply(state *State) Result {
+	resource, result := state.leasableResource(c.Resource)
+	if !result.OK() {
+		return result
+	}
+	if current, exists := resource.leases[c.Holder]; exists && current.FencingToken != c.FencingToken {
+		const format = "%s holds it under fence %d, not %d"
+		return reject(RejectedFenced, format, c.Holder, current.FencingToken, c.FencingToken)
+	}
+	state.removeLease(resource, c.Holder)
+	return Result{Free: resource.Limit - resource.leasedUnits()}
+}
--- a/internal/coordination/state/level.go
+++ b/internal/coordination/state/level.go
@@ -2,5 +2,5 @@
 
 package state
 
-// NewestFeatureLevel is the highest level of commands that this version knows.
+// NewestFeatureLevel is the highest feature level of which this version knows the commands.
 const NewestFeatureLevel = 1
