--- a/internal/coordination/state/promise_test.go
+++ b/internal/coordination/state/promise_test.go
@@ -12,44 +12,34 @@
 	"olivearch/internal/protomsg"
 )
 
-// do applies a command a second after the last.
-func do(t *testing.T, s *State, c Command) Result {
-	t.Helper()
-	r, err := s.Apply(s.Revision()+1, s.Clock()+1000, c)
-	if err != nil {
-		t.Fatal(err)
-	}
-	return r
-}
-
 var outA = Subject{OutOfService, ScopeUpstream, "a"}
 
 func TestWords(t *testing.T) {
 	s := NewState()
-	do(t, s, &SetOverride{Subject: outA, By: "eva", Reason: "disk", Duration: 3 * time.Second})
-	do(t, s, &SetOverride{Subject: Subject{TrafficShare, ScopeUpstream, "a"}, By: "eva", Value: 250})
+	apply(t, s, &SetOverride{Subject: outA, By: "eva", Reason: "disk", Duration: 3 * time.Second})
+	apply(t, s, &SetOverride{Subject: Subject{TrafficShare, ScopeUpstream, "a"}, By: "eva", Value: 250})
 	if w, ok := s.Override(outA); !ok || w.By != "eva" || w.Until != 4000 || w.Revision != 1 || len(s.Overrides()) != 2 {
 		t.Errorf("%+v %v", w, s.Overrides())
 	}
-	do(t, s, &SetOverride{Subject: outA, By: "ann"}) // the later one counts, here without an end
-	do(t, s, &AdvanceClock{})
-	do(t, s, &AdvanceClock{})
+	apply(t, s, &SetOverride{Subject: outA, By: "ann"}) // the later one counts, here without an end
+	apply(t, s, &AdvanceClock{})
+	apply(t, s, &AdvanceClock{})
 	if w, ok := s.Override(outA); !ok || w.By != "ann" || w.Until != 0 {
 		t.Errorf("it ended with the one before: %+v", w)
 	}
-	do(t, s, &SetOverride{Subject: outA, By: "ann", Duration: 1500 * time.Millisecond})
-	do(t, s, &AdvanceClock{})
+	apply(t, s, &SetOverride{Subject: outA, By: "ann", Duration: 1500 * time.Millisecond})
+	apply(t, s, &AdvanceClock{})
 	if _, ok := s.Override(outA); !ok {
 		t.Error("it ended early")
 	}
-	do(t, s, &AdvanceClock{})
+	apply(t, s, &AdvanceClock{})
 	if _, ok := s.Override(outA); ok {
 		t.Error("it did not end")
 	}
-	if r := do(t, s, &ClearOverride{Subject: outA, By: "ann"}); !r.OK() {
+	if r := apply(t, s, &ClearOverride{Subject: outA, By: "ann"}); !r.OK() {
 		t.Errorf("clearing twice: %+v", r)
 	}
-	do(t, s, &ClearOverride{Subject: Subject{TrafficShare, ScopeUpstream, "a"}, By: "ann"})
+	apply(t, s, &ClearOverride{Subject: Subject{TrafficShare, ScopeUpstream, "a"}, By: "ann"})
 	if s.UsedBytes() != 0 || s.NextExpiry() != never {
 		t.Errorf("%d bytes are left, due %d", s.UsedBytes(), s.NextExpiry())
 	}
@@ -58,12 +48,12 @@
 func TestLeases(t *testing.T) {
 	s := NewState()
 	take := func(holder string, parts int64, fence uint64) Result {
-		return do(t, s, &AcquireLease{Resource: "b", Holder: holder, Units: parts, Duration: 10 * time.Second, FencingToken: fence})
+		return apply(t, s, &AcquireLease{Resource: "b", Holder: holder, Units: parts, Duration: 10 * time.Second, FencingToken: fence})
 	}
 	if r := take("x", 1, 0); r.Rejection != RejectedNotFound {
 		t.Errorf("no bound: %+v", r)
 	}
-	do(t, s, &SetResource{Name: "b", Limit: 10})
+	apply(t, s, &SetResource{Name: "b", Limit: 10})
 	x := take("x", 6, 0)
 	if r := take("y", 5, 0); r.Rejection != RejectedNoCapacity || r.Free != 4 {
 		t.Errorf("over the limit: %+v", r)
@@ -74,11 +64,11 @@
 	if r := take("x", 7, x.FencingToken); !r.OK() || r.FencingToken != x.FencingToken || r.Free != 3 {
 		t.Errorf("renewing: %+v", r)
 	}
-	if r := do(t, s, &ReleaseLease{Resource: "b", Holder: "x", FencingToken: x.FencingToken + 1}); r.Rejection != RejectedFenced {
+	if r := apply(t, s, &ReleaseLease{Resource: "b", Holder: "x", FencingToken: x.FencingToken + 1}); r.Rejection != RejectedFenced {
 		t.Errorf("given back under another fence: %+v", r)
 	}
 	for range 10 {
-		do(t, s, &AdvanceClock{})
+		apply(t, s, &AdvanceClock{})
 	}
 	if r := take("x", 7, x.FencingToken); r.Rejection != RejectedFenced {
 		t.Errorf("renewed after its end: %+v", r)
@@ -86,10 +76,10 @@
 	if y := take("y", 10, 0); !y.OK() || y.FencingToken <= x.FencingToken {
 		t.Errorf("the next lease: %+v after %+v", y, x)
 	}
-	if r := do(t, s, &SetResource{Name: "b", Limit: 0}); r.Rejection != RejectedNoCapacity {
+	if r := apply(t, s, &SetResource{Name: "b", Limit: 0}); r.Rejection != RejectedNoCapacity {
 		t.Errorf("removed while held: %+v", r)
 	}
-	do(t, s, &SetResource{Name: "b", Limit: 3})
+	apply(t, s, &SetResource{Name: "b", Limit: 3})
 	if r := take("z", 1, 0); r.Rejection != RejectedNoCapacity {
 		t.Errorf("given over a limit that was lowered: %+v", r)
 	}
@@ -97,9 +87,9 @@
 
 func TestSlots(t *testing.T) {
 	s := NewState()
-	do(t, s, &SetResource{Name: "p", Slots: true, Limit: 5})
+	apply(t, s, &SetResource{Name: "p", Slots: true, Limit: 5})
 	book := func(holder string, sequence uint64, places int64) Result {
-		return do(t, s, &Reserve{Resource: "p", Holder: holder, Sequence: sequence, Places: places, After: 10, Within: 20})
+		return apply(t, s, &Reserve{Resource: "p", Holder: holder, Sequence: sequence, Places: places, After: 10, Within: 20})
 	}
 	first := book("x", 1, 7)
 	if fmt.Sprint(first.Reserved) != "[{12 5} {13 2}]" {
@@ -126,7 +116,7 @@
 	s := NewState()
 	n := 0
 	for ; ; n++ {
-		if r := do(t, s, &SetOverride{Subject: Subject{OutOfService, ScopeUpstream, fmt.Sprint("u", n)}, By: "x", Reason: string(bytes.Repeat([]byte("y"), MaxReason))}); !r.OK() {
+		if r := apply(t, s, &SetOverride{Subject: Subject{OutOfService, ScopeUpstream, fmt.Sprint("u", n)}, By: "x", Reason: string(bytes.Repeat([]byte("y"), MaxReason))}); !r.OK() {
 			if r.Rejection != RejectedStateFull {
 				t.Fatalf("%+v", r)
 			}
@@ -136,21 +126,21 @@
 	if n < 4000 || len(s.Overrides()) != n || s.UsedBytes() > MaxBytes {
 		t.Errorf("%d words of %d, %d bytes", len(s.Overrides()), n, s.UsedBytes())
 	}
-	if r := do(t, s, &SetOverride{Subject: Subject{OutOfService, ScopeUpstream, "u0"}, By: "x"}); !r.OK() {
+	if r := apply(t, s, &SetOverride{Subject: Subject{OutOfService, ScopeUpstream, "u0"}, By: "x"}); !r.OK() {
 		t.Errorf("a shorter one in the place of another: %+v", r)
 	}
-	if r := do(t, s, &ClearOverride{Subject: Subject{OutOfService, ScopeUpstream, "u1"}, By: "x"}); !r.OK() {
+	if r := apply(t, s, &ClearOverride{Subject: Subject{OutOfService, ScopeUpstream, "u1"}, By: "x"}); !r.OK() {
 		t.Errorf("%+v", r)
 	}
-	if r := do(t, s, &SetOverride{Subject: Subject{OutOfService, ScopeUpstream, "new"}, By: "x"}); !r.OK() {
+	if r := apply(t, s, &SetOverride{Subject: Subject{OutOfService, ScopeUpstream, "new"}, By: "x"}); !r.OK() {
 		t.Errorf("there is room again: %+v", r)
 	}
 }
 
 func TestWrongCommandsChangeNothing(t *testing.T) {
 	s := NewState()
-	do(t, s, &SetResource{Name: "b", Limit: 10})
-	do(t, s, &SetResource{Name: "p", Slots: true, Limit: 10})
+	apply(t, s, &SetResource{Name: "b", Limit: 10})
+	apply(t, s, &SetResource{Name: "p", Slots: true, Limit: 10})
 	before := s.Encode()
 	for _, c := range []Command{
 		&SetOverride{Subject: outA}, &SetOverride{Subject: outA, By: "x", Value: 1}, &SetOverride{Subject: Subject{ConcurrencyCap, ScopeUpstream, "a"}, By: "x"},
--- a/internal/coordination/state/result.go
+++ b/internal/coordination/state/result.go
@@ -1,6 +1,9 @@
 package state
 
-import "fmt"
+import (
+	"errors"
+	"fmt"
+)
 
 // Rejection is the reason why a command was rejected. The numbers are sent to clients and never change.
 type Rejection uint8
@@ -16,6 +19,47 @@
 	RejectedFeatureLevel           // not all voters know this kind of command yet
 )
 
+// The errors that a RejectionError matches by errors.Is, one for each reason.
+var (
+	ErrInvalid      = errors.New("the command is invalid")
+	ErrNotFound     = errors.New("not found")
+	ErrNoCapacity   = errors.New("too little capacity is free")
+	ErrFenced       = errors.New("fenced by another lease or reservation of the holder")
+	ErrStateFull    = errors.New("the state is full")
+	ErrFeatureLevel = errors.New("not all voters know this kind of command")
+)
+
+// sentinel returns the error that stands for a reason; nil for NotRejected and for a reason of a newer version.
+func (r Rejection) sentinel() error {
+	switch r {
+	case RejectedInvalid:
+		return ErrInvalid
+	case RejectedNotFound:
+		return ErrNotFound
+	case RejectedNoCapacity:
+		return ErrNoCapacity
+	case RejectedFenced:
+		return ErrFenced
+	case RejectedStateFull:
+		return ErrStateFull
+	case RejectedFeatureLevel:
+		return ErrFeatureLevel
+	}
+	return nil
+}
+
+// RejectionError says that a command was rejected: it is certain that it changed nothing. By errors.Is it matches the
+// error of its reason, such as ErrNoCapacity.
+type RejectionError struct {
+	Rejection Rejection
+	Message   string // for people
+}
+
+func (e *RejectionError) Error() string { return "refused: " + e.Message }
+
+// Unwrap returns the error of the reason.
+func (e *RejectionError) Unwrap() error { return e.Rejection.sentinel() }
+
 // Result is the answer to a command.
 type Result struct {
 	Rejection    Rejection      // NotRejected: the command was applied
@@ -30,12 +74,12 @@
 // OK reports whether the command was applied.
 func (r Result) OK() bool { return r.Rejection == NotRejected }
 
-// Err returns an error with the message if the command was rejected, else nil.
+// Err returns a *RejectionError if the command was rejected, else nil.
 func (r Result) Err() error {
 	if r.OK() {
 		return nil
 	}
-	return fmt.Errorf("refused: %s", r.Message)
+	return &RejectionError{Rejection: r.Rejection, Message: r.Message}
 }
 
 // reject returns the result of a command that was rejected, with a message for people.
