--- /dev/null
+++ b/internal/coordination/state/model_test.go
@@ -0,0 +1,209 @@
+package state
+
+import (
+	"bytes"
+	"fmt"
+	"testing"
+	"time"
+
+	"pgregory.net/rapid"
+)
+
+// anyCommand draws a command, often about the same few things.
+func anyCommand() *rapid.Generator[Command] {
+	name := rapid.SampledFrom([]string{"a", "b", "c"})
+	subject := rapid.Custom(func(t *rapid.T) Subject {
+		return Subject{OutOfService, Scope(rapid.IntRange(0, 3).Draw(t, "scope")), name.Draw(t, "target")}
+	})
+	duration := rapid.Custom(func(t *rapid.T) time.Duration {
+		return time.Duration(rapid.IntRange(0, 5000).Draw(t, "ms")) * time.Millisecond
+	})
+	number := rapid.Uint64Range(0, 40)
+	count := rapid.Int64Range(0, 9)
+	return rapid.Custom(func(t *rapid.T) Command {
+		switch rapid.IntRange(0, 7).Draw(t, "kind") {
+		case 0:
+			return &SetOverride{
+				Subject:  subject.Draw(t, "of"),
+				By:       "x",
+				Reason:   name.Draw(t, "reason"),
+				Duration: duration.Draw(t, "duration"),
+			}
+		case 1:
+			return &ClearOverride{Subject: subject.Draw(t, "of"), By: "x"}
+		case 2:
+			return &SetResource{
+				Name:  name.Draw(t, "resource"),
+				Slots: rapid.Bool().Draw(t, "slots"),
+				Limit: count.Draw(t, "limit"),
+			}
+		case 3:
+			return &ReleaseLease{
+				Resource:     name.Draw(t, "resource"),
+				Holder:       name.Draw(t, "holder"),
+				FencingToken: number.Draw(t, "fencing token"),
+			}
+		case 4:
+			return &Reserve{
+				Resource: name.Draw(t, "resource"),
+				Holder:   name.Draw(t, "holder"),
+				Sequence: number.Draw(t, "sequence"),
+				Places:   count.Draw(t, "slots"),
+				After:    uint32(rapid.IntRange(0, 3).Draw(t, "after")),
+				Within:   uint32(rapid.IntRange(0, 6).Draw(t, "within")),
+			}
+		default:
+			return &AcquireLease{
+				Resource:     name.Draw(t, "resource"),
+				Holder:       name.Draw(t, "holder"),
+				Units:        count.Draw(t, "units"),
+				Duration:     duration.Draw(t, "duration"),
+				FencingToken: number.Draw(t, "fencing token"),
+			}
+		}
+	})
+}
+
+// leaseKey says whose lease on what it is.
+type leaseKey struct{ resource, holder string }
+
+// model is a state, a copy of it, and what the test knows of both by the answers.
+type model struct {
+	state            *State
+	replica          *State          // made anew from a snapshot now and then
+	clock            uint64          // of the cluster, in ms
+	limitChanged     map[string]bool // resources whose limit may be lower than what is granted
+	granted          map[leaseKey]Lease
+	lastFencingToken uint64
+}
+
+// TestModel: whatever commands come in whatever order, no resource is granted over its limit while that stands, no
+// lease ends before its time, fencing tokens only grow, the estimate of the size is right, and a copy by snapshot
+// comes to the same from there on.
+func TestModel(t *testing.T) {
+	rapid.Check(t, func(t *rapid.T) {
+		m := &model{
+			state:        NewState(),
+			replica:      NewState(),
+			limitChanged: map[string]bool{},
+			granted:      map[leaseKey]Lease{},
+		}
+		count := rapid.IntRange(1, 60).Draw(t, "commands")
+		for revision := uint64(1); revision <= uint64(count); revision++ {
+			m.clock += uint64(rapid.IntRange(0, 2500).Draw(t, "ms passed"))
+			command := anyCommand().Draw(t, "command")
+			if rapid.IntRange(0, 5).Draw(t, "snapshot") == 0 {
+				m.restoreReplica(t)
+			}
+			result := m.apply(t, revision, command)
+			m.recordAnswer(t, command, result)
+			m.checkLimits(t)
+			m.checkGrantedLeases(t)
+			m.checkUsedBytes(t)
+		}
+	})
+}
+
+func (m *model) restoreReplica(t *rapid.T) {
+	replica, err := DecodeState(m.state.Encode())
+	if err != nil {
+		t.Fatal(err)
+	}
+	m.replica = replica
+}
+
+// apply applies a command to the state, and to the replica as it is read from its bytes.
+func (m *model) apply(t *rapid.T, revision uint64, command Command) Result {
+	decoded, err := Decode(Encode(command))
+	if err != nil || fmt.Sprintf("%+v", decoded) != fmt.Sprintf("%+v", command) {
+		t.Fatalf("%+v came back as %+v: %v", command, decoded, err)
+	}
+	result, err := m.state.Apply(revision, m.clock, command)
+	if err != nil {
+		t.Fatalf("%+v: %v", command, err)
+	}
+	replicaResult, err := m.replica.Apply(revision, m.clock, decoded)
+	if err != nil {
+		t.Fatalf("replica: %+v: %v", command, err)
+	}
+	if fmt.Sprint(result) != fmt.Sprint(replicaResult) || !bytes.Equal(m.state.Encode(), m.replica.Encode()) {
+		t.Fatalf("the replica differs after %+v: %+v, %+v", command, result, replicaResult)
+	}
+	return result
+}
+
+// recordAnswer notes what a command has granted or taken back, and checks the fencing token of a lease.
+func (m *model) recordAnswer(t *rapid.T, command Command, result Result) {
+	switch command := command.(type) {
+	case *AcquireLease:
+		if result.OK() {
+			m.recordLease(t, command, result.FencingToken)
+		}
+	case *ReleaseLease:
+		if result.OK() {
+			delete(m.granted, leaseKey{command.Resource, command.Holder})
+		}
+	case *SetResource:
+		m.limitChanged[command.Name] = true // what was granted above a lowered limit stays
+	}
+}
+
+func (m *model) recordLease(t *rapid.T, command *AcquireLease, fencingToken uint64) {
+	key := leaseKey{command.Resource, command.Holder}
+	previous, exists := m.granted[key]
+	switch renewal := exists && previous.Until > m.clock; {
+	case renewal && fencingToken != previous.FencingToken:
+		t.Fatalf("%v has a new fencing token while its lease lasts", key)
+	case !renewal && fencingToken <= m.lastFencingToken:
+		t.Fatalf("fencing token %d after %d", fencingToken, m.lastFencingToken)
+	}
+	m.lastFencingToken = max(m.lastFencingToken, fencingToken)
+	m.granted[key] = Lease{
+		Holder:       command.Holder,
+		Units:        command.Units,
+		Until:        m.clock + uint64(command.Duration.Milliseconds()),
+		FencingToken: fencingToken,
+	}
+}
+
+func (m *model) checkLimits(t *rapid.T) {
+	for _, resource := range m.state.Resources() {
+		if m.limitChanged[resource.Name] {
+			continue
+		}
+		if leased := resource.leasedUnits(); leased > resource.Limit {
+			t.Fatalf("%d units of %s are leased of %d", leased, resource.Name, resource.Limit)
+		}
+		for _, slot := range resource.Reserved() {
+			if slot.Places > resource.Limit {
+				t.Fatalf("%s has %+v reserved of %d", resource.Name, slot, resource.Limit)
+			}
+		}
+	}
+}
+
+func (m *model) checkGrantedLeases(t *rapid.T) {
+	for key, granted := range m.granted {
+		if granted.Until <= m.clock {
+			continue
+		}
+		resource := m.state.resources[key.resource]
+		if resource == nil {
+			t.Fatalf("the resource of the lease %v is gone at %d", key, m.clock)
+		}
+		stored, exists := resource.leases[key.holder]
+		if !exists || stored.FencingToken != granted.FencingToken || stored.Units != granted.Units {
+			t.Fatalf("the lease %v of %+v is %+v at %d", key, granted, stored, m.clock)
+		}
+	}
+}
+
+func (m *model) checkUsedBytes(t *rapid.T) {
+	restored, err := DecodeState(m.state.Encode())
+	if err != nil {
+		t.Fatal(err)
+	}
+	if restored.UsedBytes() != m.state.UsedBytes() || m.state.UsedBytes() < 0 {
+		t.Fatalf("%d bytes are counted, %d are stored", m.state.UsedBytes(), restored.UsedBytes())
+	}
+}
--- a/internal/coordination/state/result_test.go
+++ b/internal/coordination/state/result_test.go
@@ -7,65 +7,68 @@
 	"time"
 )
 
+// rejections has a command for each reason of a rejection. It is applied to a state in which n1 has a lease of 6 of 10
+// connections.
+var rejections = []struct {
+	name      string
+	prepare   func(*State)
+	command   Command
+	rejection Rejection
+	want      error
+	text      string
+}{
+	{
+		name:      "invalid command",
+		command:   &RaiseFeatureLevel{To: 0},
+		rejection: RejectedInvalid,
+		want:      ErrInvalid,
+		text:      "refused: level: over 0",
+	},
+	{
+		name:      "resource that does not exist",
+		command:   &ReleaseLease{Resource: "files", Holder: "n1", FencingToken: 1},
+		rejection: RejectedNotFound,
+		want:      ErrNotFound,
+		text:      "refused: there is no bound files",
+	},
+	{
+		name:      "too few units",
+		command:   &AcquireLease{Resource: "connections", Holder: "n2", Units: 5, Duration: time.Second},
+		rejection: RejectedNoCapacity,
+		want:      ErrNoCapacity,
+		text:      "refused: of 10 parts of connections 4 are free, and 5 are asked",
+	},
+	{
+		name:      "lease of another incarnation",
+		command:   &AcquireLease{Resource: "connections", Holder: "n1", Units: 6, Duration: time.Second},
+		rejection: RejectedFenced,
+		want:      ErrFenced,
+		text:      "refused: n1 holds it under fence 2 until 9000 ms from now",
+	},
+	{
+		name:      "full state",
+		prepare:   func(s *State) { s.usedBytes = MaxBytes },
+		command:   &SetResource{Name: "files", Limit: 1},
+		rejection: RejectedStateFull,
+		want:      ErrStateFull,
+		text: "refused: the ledger is full: 4194304 of 4194304 bytes are held, " +
+			"and what is held is never dropped for what is new",
+	},
+	{
+		name:      "kind that not all voters know",
+		prepare:   func(s *State) { s.featureLevel = 0 },
+		command:   &SetResource{Name: "files", Limit: 1},
+		rejection: RejectedFeatureLevel,
+		want:      ErrFeatureLevel,
+		text: "refused: this kind of promise wants level 1, and the ledger is at 0: " +
+			"not all voters are of that version yet",
+	},
+}
+
 // TestRejectionError states the error and the text that each reason of a rejection comes with.
 func TestRejectionError(t *testing.T) {
 	sentinels := []error{ErrInvalid, ErrNotFound, ErrNoCapacity, ErrFenced, ErrStateFull, ErrFeatureLevel}
-	cases := []struct {
-		name      string
-		prepare   func(*State)
-		command   Command
-		rejection Rejection
-		want      error
-		text      string
-	}{
-		{
-			name:      "invalid command",
-			command:   &RaiseFeatureLevel{To: 0},
-			rejection: RejectedInvalid,
-			want:      ErrInvalid,
-			text:      "refused: level: over 0",
-		},
-		{
-			name:      "resource that does not exist",
-			command:   &ReleaseLease{Resource: "files", Holder: "n1", FencingToken: 1},
-			rejection: RejectedNotFound,
-			want:      ErrNotFound,
-			text:      "refused: there is no bound files",
-		},
-		{
-			name:      "too few units",
-			command:   &AcquireLease{Resource: "connections", Holder: "n2", Units: 5, Duration: time.Second},
-			rejection: RejectedNoCapacity,
-			want:      ErrNoCapacity,
-			text:      "refused: of 10 parts of connections 4 are free, and 5 are asked",
-		},
-		{
-			name:      "lease of another incarnation",
-			command:   &AcquireLease{Resource: "connections", Holder: "n1", Units: 6, Duration: time.Second},
-			rejection: RejectedFenced,
-			want:      ErrFenced,
-			text:      "refused: n1 holds it under fence 2 until 9000 ms from now",
-		},
-		{
-			name:      "full state",
-			prepare:   func(s *State) { s.usedBytes = MaxBytes },
-			command:   &SetResource{Name: "files", Limit: 1},
-			rejection: RejectedStateFull,
-			want:      ErrStateFull,
-			text: "refused: the ledger is full: 4194304 of 4194304 bytes are held, " +
-				"and what is held is never dropped for what is new",
-		},
-		{
-			name:      "kind that not all voters know",
-			prepare:   func(s *State) { s.featureLevel = 0 },
-			command:   &SetResource{Name: "files", Limit: 1},
-			rejection: RejectedFeatureLevel,
-			want:      ErrFeatureLevel,
-			text: "refused: this kind of promise wants level 1, and the ledger is at 0: " +
-				"not all voters are of that version yet",
-		},
-	}
-	for _, test := range cases {
+	for _, test := range rejections {
 		t.Run(test.name, func(t *testing.T) {
 			s := NewState()
 			mustApply(t, s, &SetResource{Name: "connections", Limit: 10})
--- a/internal/coordination/state/state_test.go
+++ b/internal/coordination/state/state_test.go
@@ -16,13 +16,11 @@
 }
 
 // mustApply is apply for a command that must not be rejected.
-func mustApply(t *testing.T, s *State, command Command) Result {
+func mustApply(t *testing.T, s *State, command Command) {
 	t.Helper()
-	result := apply(t, s, command)
-	if err := result.Err(); err != nil {
+	if err := apply(t, s, command).Err(); err != nil {
 		t.Fatalf("%T %+v: %v", command, command, err)
 	}
-	return result
 }
 
 // wantRejection fails the test unless a result was rejected for the reason that a sentinel error stands for.
