--- a/internal/coordination/membership/cluster_test.go
+++ b/internal/coordination/membership/cluster_test.go
@@ -156,13 +156,13 @@
 		names, voters := map[string]int{}, 0
 		for _, p := range v.Members {
 			votes := (!p.Learner && p.ID != step.Replaced) || ((step.Kind == ReplaceVoter || step.Kind == PromoteLearner) && p.ID == step.Member.ID)
-			if !p.Learner && p.SinceContact <= alive {
+			if !p.Learner && p.SinceContact <= aliveTimeout {
 				before++
 			}
 			if votes {
 				voters++
 				names[p.Name]++
-				if p.SinceContact <= alive {
+				if p.SinceContact <= aliveTimeout {
 					after++
 				}
 			}
