--- /dev/null
+++ b/internal/coordination/membership/change_test.go
@@ -0,0 +1,256 @@
+package membership
+
+import (
+	"slices"
+	"strings"
+	"testing"
+	"time"
+
+	"olivearch/internal/coordination/state"
+)
+
+var testTimeouts = Timeouts{ReplaceAfter: 10 * time.Second, LearnerIdle: time.Minute}
+
+// viewOfFive is the view of the leader a of five voters, a to e with the ids 1 to 5, that are all alive. A peer with
+// the id of one of them takes its place; the others are members beside them.
+func viewOfFive(peers ...Peer) View {
+	view := View{Self: 1, Admitted: map[string]string{}, Committed: 1000, FeatureLevel: 1}
+	for i, name := range []string{"a", "b", "c", "d", "e"} {
+		view.Members = append(view.Members, voter(uint64(i+1), name))
+		view.Admitted[name] = name
+	}
+	for _, peer := range peers {
+		i := slices.IndexFunc(view.Members, func(member Peer) bool { return member.ID == peer.ID })
+		if i < 0 {
+			view.Members = append(view.Members, peer)
+		} else {
+			view.Members[i] = peer
+		}
+	}
+	return view
+}
+
+// voter is a voter that is alive and has the whole log.
+func voter(id uint64, name string) Peer {
+	member := state.Member{ID: id, Name: name}
+	return Peer{Member: member, SinceAdded: time.Hour, MatchIndex: 1000, Level: 1}
+}
+
+func silentVoter(id uint64, name string) Peer {
+	peer := voter(id, name)
+	peer.SinceContact = time.Hour
+	return peer
+}
+
+// newerVoter is a voter whose version knows level 2.
+func newerVoter(id uint64, name string) Peer {
+	peer := voter(id, name)
+	peer.Level = 2
+	return peer
+}
+
+// The member 22 is another incarnation of the voter b: first a process that wants to join, then a learner.
+var (
+	joiningB = JoiningVoter{VoterReport: VoterReport{Name: "b", ID: 22, Level: 1}, Address: "addr"}
+	memberB  = state.Member{ID: 22, Name: "b", Learner: true}
+	learnerB = Peer{Member: memberB, SinceAdded: time.Hour, MatchIndex: 1000, Level: 1}
+
+	addLearnerB = Change{
+		Kind:   AddLearner,
+		Member: state.Member{ID: 22, Name: "b", Address: "addr", Learner: true},
+	}
+)
+
+type changeCase struct {
+	name         string
+	peers        []Peer // see viewOfFive
+	joining      []JoiningVoter
+	admitted     string // a name that may vote beside a to e
+	dismissed    string // one of a to e that may not vote any more
+	changing     bool
+	featureLevel uint32 // 0: 1
+	want         Change
+	wantReason   string // a part of why the joining member 22 has to wait; empty: it does not
+}
+
+var replacementCases = []changeCase{
+	{
+		name: "nothing to do",
+	},
+	{
+		name:       "the voter of the name is alive: a second process of the name",
+		joining:    []JoiningVoter{joiningB},
+		wantReason: "has been silent for",
+	},
+	{
+		name:    "the voter of the name has been silent for long",
+		peers:   []Peer{silentVoter(2, "b")},
+		joining: []JoiningVoter{joiningB},
+		want:    addLearnerB,
+	},
+	{
+		name: "a new leader has not heard anybody yet",
+		peers: []Peer{{
+			Member:       state.Member{ID: 2, Name: "b"},
+			SinceContact: time.Hour,
+			SinceAdded:   time.Second,
+			MatchIndex:   1000,
+			Level:        1,
+		}},
+		joining:    []JoiningVoter{joiningB},
+		wantReason: "has been silent for 1s",
+	},
+	{
+		name: "declared lost",
+		peers: []Peer{{
+			Member:       state.Member{ID: 2, Name: "b"},
+			SinceContact: 3 * time.Second,
+			SinceAdded:   time.Hour,
+			MatchIndex:   1000,
+			Level:        1,
+			DeclaredLost: true,
+		}},
+		joining: []JoiningVoter{joiningB},
+		want:    addLearnerB,
+	},
+	{
+		name: "declared lost, and alive",
+		peers: []Peer{{
+			Member:       state.Member{ID: 2, Name: "b"},
+			SinceAdded:   time.Hour,
+			MatchIndex:   1000,
+			Level:        1,
+			DeclaredLost: true,
+		}},
+		joining:    []JoiningVoter{joiningB},
+		wantReason: "has been silent",
+	},
+	{
+		name:       "a name that is not admitted",
+		joining:    []JoiningVoter{{VoterReport: VoterReport{Name: "x", ID: 22, Level: 1}, Address: "addr"}},
+		wantReason: "no voter x is wanted",
+	},
+	{
+		name:         "a version below the feature level",
+		peers:        []Peer{silentVoter(2, "b")},
+		joining:      []JoiningVoter{joiningB},
+		featureLevel: 2,
+		wantReason:   "knows level 1",
+	},
+	{
+		name: "another is joining",
+		peers: []Peer{
+			silentVoter(2, "b"),
+			{Member: state.Member{ID: 33, Name: "c", Learner: true}, SinceAdded: time.Hour},
+		},
+		joining:    []JoiningVoter{joiningB},
+		wantReason: "one joins at a time",
+	},
+}
+
+var learnerCases = []changeCase{
+	{
+		name:  "it has caught up",
+		peers: []Peer{silentVoter(2, "b"), learnerB},
+		want:  Change{Kind: ReplaceVoter, Member: memberB, Replaced: 2},
+	},
+	{
+		name:  "it has not caught up",
+		peers: []Peer{silentVoter(2, "b"), {Member: memberB, SinceAdded: time.Hour, MatchIndex: 500, Level: 1}},
+	},
+	{
+		name:     "another change is in progress",
+		peers:    []Peer{silentVoter(2, "b"), learnerB},
+		changing: true,
+	},
+	{
+		name:  "no quorum is alive to agree",
+		peers: []Peer{silentVoter(2, "b"), silentVoter(3, "c"), silentVoter(4, "d"), learnerB},
+	},
+	{
+		name: "its disk is lost again",
+		peers: []Peer{{
+			Member:       memberB,
+			SinceContact: 5 * time.Second,
+			SinceAdded:   time.Hour,
+			MatchIndex:   1000,
+			Level:        1,
+		}},
+		joining: []JoiningVoter{{VoterReport: VoterReport{Name: "b", ID: 23, Level: 1}, Address: "addr"}},
+		want:    Change{Kind: RemoveMember, Replaced: 22},
+	},
+	{
+		name:  "it has just been added and has not been heard yet",
+		peers: []Peer{{Member: memberB, SinceContact: time.Hour, SinceAdded: time.Second, Level: 1}},
+	},
+}
+
+var admissionCases = []changeCase{
+	{
+		name:      "dismissed",
+		dismissed: "c",
+		want:      Change{Kind: RemoveMember, Replaced: 3},
+	},
+	{
+		name:      "the leader is dismissed",
+		dismissed: "a",
+		want:      Change{Kind: TransferLeadership, Member: state.Member{ID: 2, Name: "b"}},
+	},
+	{
+		name:      "dismissed, and no quorum of the others is alive",
+		peers:     []Peer{silentVoter(2, "b"), silentVoter(4, "d"), silentVoter(5, "e")},
+		dismissed: "c",
+	},
+	{
+		name:     "a sixth is admitted",
+		joining:  []JoiningVoter{{VoterReport: VoterReport{Name: "f", ID: 22, Level: 1}, Address: "addr"}},
+		admitted: "f",
+		want: Change{
+			Kind:   AddLearner,
+			Member: state.Member{ID: 22, Name: "f", Address: "addr", Learner: true},
+		},
+	},
+	{
+		name: "all know a higher level",
+		peers: []Peer{
+			newerVoter(1, "a"),
+			newerVoter(2, "b"),
+			newerVoter(3, "c"),
+			newerVoter(4, "d"),
+			newerVoter(5, "e"),
+		},
+		want: Change{Kind: RaiseFeatureLevel, Level: 2},
+	},
+	{
+		name: "one does not know the higher level",
+		peers: []Peer{
+			newerVoter(1, "a"),
+			newerVoter(2, "b"),
+			newerVoter(3, "c"),
+			newerVoter(4, "d"),
+		},
+	},
+}
+
+func TestNextChange(t *testing.T) {
+	for _, test := range slices.Concat(replacementCases, learnerCases, admissionCases) {
+		t.Run(test.name, func(t *testing.T) {
+			view := viewOfFive(test.peers...)
+			view.JoiningVoters = test.joining
+			view.Changing = test.changing
+			view.FeatureLevel = max(1, test.featureLevel)
+			delete(view.Admitted, test.dismissed)
+			if test.admitted != "" {
+				view.Admitted[test.admitted] = test.admitted
+			}
+			change, waitReasons := NextChange(view, testTimeouts)
+			if change != test.want {
+				t.Errorf("got %+v, want %+v", change, test.want)
+			}
+			reason := waitReasons[22]
+			if !strings.Contains(reason, test.wantReason) || (reason == "") != (test.wantReason == "") {
+				t.Errorf("got reason %q, want %q", reason, test.wantReason)
+			}
+		})
+	}
+}
