--- a/internal/coordination/membership/change_test.go
+++ b/internal/coordination/membership/change_test.go
@@ -30,7 +30,7 @@
 	return view
 }
 
-// voter is a voter that is alive and has the whole log.
+// voter is a voter that is alive and has the full log.
 func voter(id uint64, name string) Peer {
 	member := state.Member{ID: id, Name: name}
 	return Peer{Member: member, SinceAdded: time.Hour, MatchIndex: 1000, Level: 1}
@@ -66,7 +66,7 @@
 	peers        []Peer // see viewOfFive
 	joining      []JoiningVoter
 	admitted     string // a name that may vote beside a to e
-	dismissed    string // one of a to e that may not vote any more
+	notAdmitted  string // one of a to e that may not vote any more
 	changing     bool
 	featureLevel uint32 // 0: 1
 	want         Change
@@ -187,19 +187,19 @@
 
 var admissionCases = []changeCase{
 	{
-		name:      "dismissed",
-		dismissed: "c",
-		want:      Change{Kind: RemoveMember, Replaced: 3},
+		name:        "not admitted any more",
+		notAdmitted: "c",
+		want:        Change{Kind: RemoveMember, Replaced: 3},
 	},
 	{
-		name:      "the leader is dismissed",
-		dismissed: "a",
-		want:      Change{Kind: TransferLeadership, Member: state.Member{ID: 2, Name: "b"}},
+		name:        "the leader is not admitted any more",
+		notAdmitted: "a",
+		want:        Change{Kind: TransferLeadership, Member: state.Member{ID: 2, Name: "b"}},
 	},
 	{
-		name:      "dismissed, and no quorum of the others is alive",
-		peers:     []Peer{silentVoter(2, "b"), silentVoter(4, "d"), silentVoter(5, "e")},
-		dismissed: "c",
+		name:        "not admitted any more, and no quorum of the others is alive",
+		peers:       []Peer{silentVoter(2, "b"), silentVoter(4, "d"), silentVoter(5, "e")},
+		notAdmitted: "c",
 	},
 	{
 		name:     "a sixth is admitted",
@@ -239,7 +239,7 @@
 			view.JoiningVoters = test.joining
 			view.Changing = test.changing
 			view.FeatureLevel = max(1, test.featureLevel)
-			delete(view.Admitted, test.dismissed)
+			delete(view.Admitted, test.notAdmitted)
 			if test.admitted != "" {
 				view.Admitted[test.admitted] = test.admitted
 			}
--- a/internal/coordination/state/resources.go
+++ b/internal/coordination/state/resources.go
@@ -11,7 +11,7 @@
 // or as reserved slots in each second.
 type Resource struct {
 	Name     string
-	Slots    bool             // the limit holds of the slots in each second; else of the units leased at a time
+	Slots    bool             // Limit is of the slots in each second, else of the units leased at any moment
 	Limit    int64            // units, or slots in each second
 	leases   map[string]Lease // by holder
 	reserved map[uint64]int64 // second of the cluster's clock -> reserved slots
--- a/internal/coordination/state/result.go
+++ b/internal/coordination/state/result.go
@@ -82,7 +82,9 @@
 	return &RejectionError{Rejection: r.Rejection, Message: r.Message}
 }
 
-// reject returns the result of a command that was rejected, with a message for people.
+// reject returns the result of a command that was rejected, with a message for people. Callers and operators see the
+// messages, so their words stay as they are: a bound is a resource, a part a unit, a place a slot, a fence a fencing
+// token, a word an override, a promise a grant, the ledger the coordination cluster.
 func reject(reason Rejection, format string, values ...any) Result {
 	return Result{Rejection: reason, Message: fmt.Sprintf(format, values...)}
 }
--- a/internal/coordination/state/state.go
+++ b/internal/coordination/state/state.go
@@ -163,7 +163,7 @@
 func (s *State) scheduleExpiry(at uint64) { s.nextExpiry = min(s.nextExpiry, at) }
 
 // deadline returns the moment of the cluster's clock, in ms, that is a duration from now. A part of a millisecond
-// counts as a whole one.
+// counts as a full one.
 func (s *State) deadline(duration time.Duration) uint64 {
 	return s.clock + uint64((duration+time.Millisecond-1)/time.Millisecond)
 }
