--- a/internal/coordination/state/codec_commands.go
+++ b/internal/coordination/state/codec_commands.go
@@ -54,10 +54,10 @@
 	if err != nil {
 		return nil, err
 	}
-	if number > math.MaxUint32 || known[uint32(number)] == nil {
+	if number > math.MaxUint32 || commandKinds[uint32(number)] == nil {
 		return nil, fmt.Errorf("%w: number %d", ErrUnknownKind, number)
 	}
-	command := known[uint32(number)]()
+	command := commandKinds[uint32(number)]()
 	if err := protomsg.Each(body, command.decode); err != nil {
 		return nil, fmt.Errorf("command %d: %w", number, err)
 	}
--- a/internal/coordination/state/commands.go
+++ b/internal/coordination/state/commands.go
@@ -60,8 +60,8 @@
 func (*RegisterMember) level() uint32    { return initialFeatureLevel }
 func (*UnregisterMember) level() uint32  { return initialFeatureLevel }
 
-// known has a constructor for each kind of command that this version knows, by number.
-var known = map[uint32]func() Command{
+// commandKinds has a constructor for each kind of command that this version knows, by number.
+var commandKinds = map[uint32]func() Command{
 	numberSetOverride:       func() Command { return new(SetOverride) },
 	numberClearOverride:     func() Command { return new(ClearOverride) },
 	numberSetResource:       func() Command { return new(SetResource) },
--- a/internal/coordination/state/level_next.go
+++ b/internal/coordination/state/level_next.go
@@ -13,7 +13,7 @@
 // Trial is a kind of command that only such a version knows. It changes nothing but the clock and the revision.
 type Trial struct{ Text string }
 
-func init() { known[numberTrial] = func() Command { return new(Trial) } }
+func init() { commandKinds[numberTrial] = func() Command { return new(Trial) } }
 
 // Check implements Command.
 func (c *Trial) Check() error { return checkName("text", c.Text) }
