--- a/cmd/olivearch-coordinator/main.go
+++ b/cmd/olivearch-coordinator/main.go
@@ -152,8 +152,8 @@
 		listener.Close()
 		return err
 	}
-	slog.Info("start server", "name", settings.Name, "listen", settings.Listen, "voters", len(settings.Voters))
+	slog.Info("server started", "name", settings.Name, "listen", settings.Listen, "voters", len(settings.Voters))
 	err = coordinator.Run(ctx)
-	slog.Info("stop server", "name", settings.Name, "err", err)
+	slog.Info("server stopped", "name", settings.Name, "err", err)
 	return err
 }
--- a/internal/coordination/client/follower.go
+++ b/internal/coordination/client/follower.go
@@ -89,7 +89,7 @@
 		return true
 	}
 	if !errors.Is(err, os.ErrNotExist) {
-		slog.Warn("ignore stored copy", "file", f.path, "err", err)
+		slog.Warn("stored copy ignored", "path", f.path, "err", err)
 	}
 	return false
 }
--- a/internal/coordination/client/follower_store.go
+++ b/internal/coordination/client/follower_store.go
@@ -81,7 +81,7 @@
 	}
 	f.stored.index = f.index
 	if f.stored.fault != "" {
-		slog.Info("resume storing copy", "file", f.path)
+		slog.Info("copy stored again", "path", f.path)
 		f.stored.fault = ""
 	}
 }
@@ -93,5 +93,5 @@
 		return
 	}
 	f.stored.fault = err.Error()
-	slog.Warn("failed to store copy", "file", f.path, "err", err)
+	slog.Warn("copy not stored", "path", f.path, "err", err)
 }
