--- a/internal/pool/clock_ground_test.go
+++ b/internal/pool/clock_step_test.go
@@ -26,19 +26,19 @@
 	for _, by := range []string{"1h", "-1h"} {
 		t.Run(by, func(t *testing.T) {
 			set("0s")
-			a, drains, fresh := taking(t), taking(t), taking(t)
-			p := newRest(t, restSpec(), 10*time.Millisecond, nil)
-			p.UpdateEndpoints([]endpointlist.Node{node("a", a)})
-			want(t, "status", p.ask("1").Status, http.StatusOK)
-			p.await("given back", func() bool { return !p.made() })
-			p.parked()
+			a, drains, fresh := startServer(t), startServer(t), startServer(t)
+			p := startPool(t, suspendableSpec(), 10*time.Millisecond, nil)
+			p.UpdateEndpoints([]endpointlist.Node{listEntry("a", a)})
+			want(t, "status", p.request("1").Status, http.StatusOK)
+			p.await("given back", func() bool { return !p.hasBalancer() })
+			p.awaitParked()
 			before := p.Now()
 			set(by)
-			d, f := node("d", drains), node("f", fresh)
+			d, f := listEntry("d", drains), listEntry("f", fresh)
 			d.Phase, f.Started = "draining", time.Now()
-			p.UpdateEndpoints([]endpointlist.Node{node("a", a), d, f})
+			p.UpdateEndpoints([]endpointlist.Node{listEntry("a", a), d, f})
 			for _, name := range []string{"2", "3", "4"} {
-				want(t, "status", p.ask(name).Status, http.StatusOK)
+				want(t, "status", p.request(name).Status, http.StatusOK)
 			}
 			if passed := p.Now() - before; passed < 0 || passed > time.Minute {
 				t.Errorf("%v have passed", passed)
--- a/internal/pool/configure.go
+++ b/internal/pool/configure.go
@@ -2,33 +2,33 @@
 
 import "fmt"
 
-// configured is a new Spec, all of which holds from now on.
-type configured struct {
+// specReceived is a new Spec, all of which holds from now on.
+type specReceived struct {
 	Spec
 	done chan<- error
 }
 
-func (e configured) apply(l *loop) {
-	if err := l.adopt(e.Spec); err != nil {
+func (e specReceived) apply(l *loop) {
+	if err := l.applySpec(e.Spec); err != nil {
 		e.done <- err
 		return
 	}
-	if l.followed() != e.Discovery {
-		l.follow(e.Discovery)
+	if l.discoveryAddress() != e.Discovery {
+		l.followDiscovery(e.Discovery)
 		l.WatchEndpoints(true)
 	}
-	l.shares.reweigh(e.SharedWeight)
-	if l.shares.own != e.OwnDrains {
-		l.shares.own = e.OwnDrains
-		l.reshare(nil)
+	l.registration.setWeight(e.SharedWeight)
+	if l.registration.ownDrainsOnly != e.OwnDrains {
+		l.registration.ownDrainsOnly = e.OwnDrains
+		l.refreshAllotments(nil)
 	}
-	l.settle()
+	l.reportPendingOutcomes()
 	e.done <- nil
 }
 
-// adopt takes the settings and limits of a Spec, or changes nothing.
-func (l *loop) adopt(c Spec) error {
-	if l.made() {
+// applySpec takes the settings and limits of a Spec, or changes nothing.
+func (l *loop) applySpec(c Spec) error {
+	if l.hasBalancer() {
 		if err := l.balancer.Configure(l.now(), c.Settings); err != nil {
 			return err
 		}
@@ -36,9 +36,9 @@
 		return err
 	}
 	asked := l.settings.PollDiscovery
-	l.limit(c)
-	if !l.mayRest() {
-		if err := l.make(); err != nil {
+	l.applyLimits(c)
+	if !l.canSuspend() {
+		if err := l.createBalancer(); err != nil {
 			return err
 		}
 	}
@@ -50,26 +50,28 @@
 
 // Reload takes the settings of a new Spec and what it says of discovery, all of it or nothing, and does not wait until that holds.
 // Requests under way keep the class that they came with. adopted is called, from the pool's goroutine, once new settings hold.
-func (p *Pool) Reload(spec Spec, adopted func()) { p.loop.post(reloaded{spec, adopted}) }
+func (p *Pool) Reload(spec Spec, adopted func()) {
+	p.loop.enqueue(configurationReloaded{spec, adopted})
+}
 
-// reloaded is a new configuration of a platform's pool.
-type reloaded struct {
+// configurationReloaded is a new configuration of a platform's pool.
+type configurationReloaded struct {
 	Spec
 	adopted func()
 }
 
-func (e reloaded) apply(l *loop) {
+func (e configurationReloaded) apply(l *loop) {
 	if !e.Settings.Equal(l.settings) {
-		if err := l.adopt(e.Spec); err != nil {
+		if err := l.applySpec(e.Spec); err != nil {
 			l.Log(fmt.Sprintf("configuration: the old settings stay: %v", err))
 			return
 		}
 		e.adopted()
 		l.Log(fmt.Sprintf("configuration: new settings hold, with %d classes", len(e.Settings.Classes)))
 	}
-	if before := l.followed(); e.Discovery != before {
+	if before := l.discoveryAddress(); e.Discovery != before {
 		l.Log(fmt.Sprintf("configuration read again: discovery is at %s, no longer at %s", e.Discovery, before))
-		l.follow(e.Discovery)
+		l.followDiscovery(e.Discovery)
 		if l.stopWatch != nil {
 			l.WatchEndpoints(true)
 		}
--- a/internal/pool/host.go
+++ b/internal/pool/host.go
@@ -18,7 +18,7 @@
 		if !l.settings.Limits.RetryAfter {
 			retryAfter = 0
 		}
-		l.answer(r, Response{Status: http.StatusServiceUnavailable, RetryAfter: min(retryAfter, l.settings.Limits.MaxRetryAfter)})
+		l.respond(r, Response{Status: http.StatusServiceUnavailable, RetryAfter: min(retryAfter, l.settings.Limits.MaxRetryAfter)})
 	}
 }
 
@@ -29,38 +29,38 @@
 		if l.now() >= r.deadline {
 			status = http.StatusGatewayTimeout
 		}
-		l.answer(r, Response{Status: status})
+		l.respond(r, Response{Status: status})
 	}
 }
 
 // Cancel stops waiting for an attempt.
 func (l *loop) Cancel(id balancer.RequestID, n int) {
 	if r := l.requests[id]; r != nil && n >= 0 && n < len(r.attempts) {
-		l.due = append(l.due, owing{r.attempts[n], balancer.Cancelled})
+		l.pendingOutcomes = append(l.pendingOutcomes, pendingOutcome{r.attempts[n], balancer.Cancelled})
 	}
 }
 
 // SetTimer asks for a Timer event.
 func (l *loop) SetTimer(after time.Duration, token uint64) {
-	l.alarms.set(&alarm{at: l.now() + max(after, 0), token: token})
+	l.timers.schedule(&timer{at: l.now() + max(after, 0), token: token})
 }
 
 // Log writes a line to the log, or drops it rather than wait.
 func (l *loop) Log(text string) {
-	l.logs.add(text)
+	l.logWriter.add(text)
 }
 
-// logLines are lines on their way to the log. A goroutine writes them, while there are any.
-type logLines struct {
+// logWriter are lines on their way to the log. A goroutine writes them, while there are any.
+type logWriter struct {
 	mu      sync.Mutex
 	lines   []string
 	writing bool
 }
 
-func (g *logLines) add(text string) {
+func (g *logWriter) add(text string) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	if len(g.lines) >= logQueue {
+	if len(g.lines) >= maxQueuedLogLines {
 		return
 	}
 	g.lines = append(g.lines, text)
@@ -70,7 +70,7 @@
 	}
 }
 
-func (g *logLines) write() {
+func (g *logWriter) write() {
 	for {
 		g.mu.Lock()
 		lines := g.lines
--- a/internal/pool/loop_test.go
+++ b/internal/pool/loop_test.go
@@ -15,8 +15,8 @@
 	"olivearch/internal/wire"
 )
 
-// hand is a loop that a test turns by hand.
-type hand struct {
+// manualLoop is a loop that a test turns by hand.
+type manualLoop struct {
 	*loop
 	t *testing.T
 }
@@ -38,21 +38,21 @@
 	}
 }
 
-func newHand(t *testing.T, spec Spec) *hand {
+func newManualLoop(t *testing.T, spec Spec) *manualLoop {
 	t.Helper()
 	l := newLoop(t.Context(), spec)
 	if err := l.start(1, spec.InitialEndpoints); err != nil {
 		t.Fatal(err)
 	}
 	l.WatchEndpoints(false) // nothing listens there
-	return &hand{l, t}
+	return &manualLoop{l, t}
 }
 
-func up(id string, s *scripted.Node) discovery.Member {
+func upMember(id string, s *scripted.Node) discovery.Member {
 	return discovery.Member{ID: id, HostPort: s.Addr, Locality: "z1", Phase: "up", Size: 1}
 }
 
-func draining(m discovery.Member) discovery.Member { m.Phase = "draining"; return m }
+func drainingMember(m discovery.Member) discovery.Member { m.Phase = "draining"; return m }
 
 func want(t *testing.T, what string, got, want any) {
 	t.Helper()
@@ -61,41 +61,41 @@
 	}
 }
 
-func (h *hand) list(revision uint64, members ...discovery.Member) {
-	listed{From: h.discovery, Listing: discovery.Listing{Revision: revision, Complete: true, Members: members}}.apply(h.loop)
+func (h *manualLoop) updateEndpoints(revision uint64, members ...discovery.Member) {
+	endpointsUpdated{From: h.discovery, Listing: discovery.Listing{Revision: revision, Complete: true, Members: members}}.apply(h.loop)
 }
 
-// ask sends a request and turns the loop until it is answered and its attempts are over.
-func (h *hand) ask(name string, budget time.Duration) Response {
+// request sends a request and turns the loop until it is answered and its attempts are over.
+func (h *manualLoop) request(name string, budget time.Duration) Response {
 	h.t.Helper()
 	r := &Request{loop: h.loop, Name: name, At: h.now(), Reply: make(chan Response, 1)}
 	r.Class, r.Budget = "checkin", budget
 	r.Message = upstream.Message{Line: "POST /checkin", Host: "x", Header: http1.Fields{{Name: "X-Request-Id", Value: name}}}
-	arrived{r}.apply(h.loop)
-	h.settle()
-	for len(h.requests) > 0 || h.busy() {
-		h.turn()
+	requestArrived{r}.apply(h.loop)
+	h.reportPendingOutcomes()
+	for len(h.requests) > 0 || h.hasOpenAttempts() {
+		h.handleEvents()
 	}
 	return <-r.Reply
 }
 
-// turn waits for events and handles them.
-func (h *hand) turn() {
+// handleEvents waits for events and handles them.
+func (h *manualLoop) handleEvents() {
 	h.t.Helper()
 	select {
-	case <-h.mail.ready:
+	case <-h.mailbox.ready:
 	case <-time.After(10 * time.Second):
 		h.t.Fatal("nothing happens")
 	}
-	for _, e := range h.mail.take(nil) {
+	for _, e := range h.mailbox.takeNormal(nil) {
 		e.apply(h.loop)
-		h.settle()
+		h.reportPendingOutcomes()
 	}
 }
 
-func (h *hand) busy() bool {
-	for _, p := range h.peers {
-		if len(p.out) > 0 {
+func (h *manualLoop) hasOpenAttempts() bool {
+	for _, p := range h.endpoints {
+		if len(p.openAttempts) > 0 {
 			return true
 		}
 	}
@@ -110,31 +110,31 @@
 		for range s.Arrivals {
 		}
 	}()
-	h := newHand(t, testSpec())
+	h := newManualLoop(t, testSpec())
 	const ids = 2000
 	for i := range ids {
-		h.list(uint64(i+100), up(fmt.Sprintf("s-%08x", i), s))
+		h.updateEndpoints(uint64(i+100), upMember(fmt.Sprintf("s-%08x", i), s))
 		name := fmt.Sprintf("%016x", i)
-		a := h.ask(name, 50*time.Millisecond)
+		a := h.request(name, 50*time.Millisecond)
 		if a.Status != 200 || string(a.Body) != name {
 			t.Fatalf("request %d: got %d, %q", i, a.Status, a.Body)
 		}
 	}
 	want(t, "connections opened", s.Opened(), ids)
-	want(t, "upstreams", len(h.peers), 1)
+	want(t, "upstreams", len(h.endpoints), 1)
 	want(t, "numbers", h.names.Len(), 1)
 	want(t, "requests", len(h.requests), 0)
-	want(t, "their ids", len(h.open), 0)
-	want(t, "connections", h.conns, 1)
+	want(t, "their ids", len(h.clientRequestIDs), 0)
+	want(t, "connections", h.connections, 1)
 	for deadline := h.now() + 50*time.Millisecond; h.now() < deadline; {
 		time.Sleep(time.Millisecond)
 	}
-	h.ring()
-	if n := len(h.alarms.heap); n > 5 { // the module's own timers
+	h.fireTimers()
+	if n := len(h.timers.heap); n > 5 { // the module's own timers
 		t.Errorf("alarms: %d are left", n)
 	}
-	h.list(90000, draining(up("s-0fffffff", s)))
-	listed{From: h.discovery, Listing: discovery.Listing{Revision: 90001, Members: []discovery.Member{{ID: "s-0ffffffe", Phase: "removed"}}}}.apply(h.loop)
+	h.updateEndpoints(90000, drainingMember(upMember("s-0fffffff", s)))
+	endpointsUpdated{From: h.discovery, Listing: discovery.Listing{Revision: 90001, Members: []discovery.Member{{ID: "s-0ffffffe", Phase: "removed"}}}}.apply(h.loop)
 	want(t, "numbers after the removal of what was never listed", h.names.Len(), 1)
 }
 
@@ -142,17 +142,17 @@
 // to blame.
 func TestIdleConnectionMakesRoom(t *testing.T) {
 	one, two := scripted.Start(t, scripted.Done), scripted.Start(t, scripted.Done)
-	h := newHand(t, testSpec())
-	h.maxConns = 1
-	h.list(20, up("s-00000001", one))
-	want(t, "first", h.ask("1", time.Second).Status, 200)
-	h.list(21, up("s-00000001", one), up("s-00000002", two))
+	h := newManualLoop(t, testSpec())
+	h.maxConnections = 1
+	h.updateEndpoints(20, upMember("s-00000001", one))
+	want(t, "first", h.request("1", time.Second).Status, 200)
+	h.updateEndpoints(21, upMember("s-00000001", one), upMember("s-00000002", two))
 	for i := 0; len(two.Arrivals) == 0; i++ {
 		if i > 20 {
 			t.Fatal("the second upstream is never asked")
 		}
-		want(t, "next", h.ask(fmt.Sprint("a", i), time.Second).Status, 200)
-		want(t, "connections", h.conns, 1)
+		want(t, "next", h.request(fmt.Sprint("a", i), time.Second).Status, 200)
+		want(t, "connections", h.connections, 1)
 	}
 }
 
@@ -162,17 +162,17 @@
 	s := scripted.Start(t, func(c net.Conn, r *http.Request) bool {
 		scripted.OK(c, r.Header.Get("X-Request-Id"))
 		if r.Header.Get("X-Request-Id") == "1" {
-			time.Sleep(restFor / 2) // later than the answer, sooner than the connection has rested
+			time.Sleep(unsolicitedWatchTime / 2) // later than the answer, sooner than the connection has rested
 			scripted.OK(c, "1")
 			copied <- struct{}{}
 		}
 		return true
 	})
-	h := newHand(t, testSpec())
-	h.list(20, up("s-00000001", s))
-	want(t, "first", string(h.ask("1", time.Second).Body), "1")
+	h := newManualLoop(t, testSpec())
+	h.updateEndpoints(20, upMember("s-00000001", s))
+	want(t, "first", string(h.request("1", time.Second).Body), "1")
 	<-copied
-	want(t, "second", string(h.ask("2", time.Second).Body), "2")
+	want(t, "second", string(h.request("2", time.Second).Body), "2")
 	want(t, "connections opened", s.Opened(), 2)
 }
 
@@ -188,27 +188,27 @@
 			copied <- struct{}{}
 		}
 		if id == "3" {
-			time.Sleep(restFor / 2)
+			time.Sleep(unsolicitedWatchTime / 2)
 			scripted.OK(c, id)
 			copied <- struct{}{}
 		}
 		return true
 	})
-	h := newHand(t, testSpec())
-	h.trust = true
-	h.list(20, up("s-00000001", s))
-	var p *peer
-	for _, p = range h.peers {
+	h := newManualLoop(t, testSpec())
+	h.delayOnlyAfterUnsolicited = true
+	h.updateEndpoints(20, upMember("s-00000001", s))
+	var p *endpoint
+	for _, p = range h.endpoints {
 	}
-	want(t, "rest at first", h.rest(p), time.Duration(0))
+	want(t, "rest at first", h.reuseDelay(p), time.Duration(0))
 	for i := 1; i <= 4; i++ {
-		want(t, "answer", string(h.ask(fmt.Sprint(i), time.Second).Body), fmt.Sprint(i))
+		want(t, "answer", string(h.request(fmt.Sprint(i), time.Second).Body), fmt.Sprint(i))
 		if i == 2 || i == 3 {
 			<-copied
 		}
 	}
-	if h.rest(p) != restFor || p.strays == 0 {
-		t.Errorf("after %d strays connections rest for %v", p.strays, h.rest(p))
+	if h.reuseDelay(p) != unsolicitedWatchTime || p.unsolicited == 0 {
+		t.Errorf("after %d strays connections rest for %v", p.unsolicited, h.reuseDelay(p))
 	}
 }
 
@@ -216,50 +216,50 @@
 func TestGoneUpstreamEndsWithItsAttempt(t *testing.T) {
 	release := make(chan struct{})
 	s := scripted.Start(t, func(c net.Conn, r *http.Request) bool { <-release; return scripted.Done(c, r) })
-	h := newHand(t, testSpec())
-	h.list(20, up("s-00000001", s))
+	h := newManualLoop(t, testSpec())
+	h.updateEndpoints(20, upMember("s-00000001", s))
 	r := &Request{loop: h.loop, Name: "1", At: h.now(), Reply: make(chan Response, 1)}
 	r.Class, r.Budget = "checkin", 4*time.Second
 	r.Message = upstream.Message{Line: "POST /checkin", Host: "x", Header: nil}
-	arrived{r}.apply(h.loop)
-	h.settle()
+	requestArrived{r}.apply(h.loop)
+	h.reportPendingOutcomes()
 	<-s.Arrivals
-	h.list(21, up("s-00000002", s))
-	want(t, "upstreams while it is out", len(h.peers), 2)
+	h.updateEndpoints(21, upMember("s-00000002", s))
+	want(t, "upstreams while it is out", len(h.endpoints), 2)
 	close(release)
-	h.turn()
+	h.handleEvents()
 	want(t, "answer", (<-r.Reply).Status, 200)
-	want(t, "upstreams", len(h.peers), 1)
-	want(t, "connections", h.conns, 0)
+	want(t, "upstreams", len(h.endpoints), 1)
+	want(t, "connections", h.connections, 0)
 }
 
 // An attempt for which there is no connection was never sent, through no fault of the upstream's.
 func TestNoRoomIsMoot(t *testing.T) {
-	h := newHand(t, testSpec())
-	h.maxConns = 0
+	h := newManualLoop(t, testSpec())
+	h.maxConnections = 0
 	s := scripted.Start(t, scripted.Done)
-	h.list(20, up("s-00000001", s))
-	want(t, "status", h.ask("1", time.Second).Status, http.StatusServiceUnavailable)
-	want(t, "connections", h.conns, 0)
+	h.updateEndpoints(20, upMember("s-00000001", s))
+	want(t, "status", h.request("1", time.Second).Status, http.StatusServiceUnavailable)
+	want(t, "connections", h.connections, 0)
 	want(t, "upstreams asked", s.Opened(), 0)
 }
 
 // One that is called back counts as started at that moment: its cold start is not known from discovery yet.
 func TestBackIsCold(t *testing.T) {
-	h := newHand(t, testSpec())
-	h.list(1, discovery.Member{ID: "s-00000001", HostPort: "127.0.0.1:1", Phase: "up", Size: 1})
+	h := newManualLoop(t, testSpec())
+	h.updateEndpoints(1, discovery.Member{ID: "s-00000001", HostPort: "127.0.0.1:1", Phase: "up", Size: 1})
 	cold := func() bool {
 		views, _ := h.balancer.View(h.now())
 		return views[0].WarmingUp
 	}
 	want(t, "before", cold(), false)
 	done := make(chan error, 2)
-	maintained{"s-00000001", true, done}.apply(h.loop)
-	h.list(2) // gone from the list, and the call holds
-	h.list(3, discovery.Member{ID: "s-00000001", HostPort: "127.0.0.1:1", Phase: "up", Size: 1})
-	want(t, "state while out", h.peers[1].state, balancer.Draining)
-	maintained{"s-00000001", false, done}.apply(h.loop)
-	want(t, "state", h.peers[1].state, balancer.Active)
+	outOfServiceRequested{"s-00000001", true, done}.apply(h.loop)
+	h.updateEndpoints(2) // gone from the list, and the call holds
+	h.updateEndpoints(3, discovery.Member{ID: "s-00000001", HostPort: "127.0.0.1:1", Phase: "up", Size: 1})
+	want(t, "state while out", h.endpoints[1].state, balancer.Draining)
+	outOfServiceRequested{"s-00000001", false, done}.apply(h.loop)
+	want(t, "state", h.endpoints[1].state, balancer.Active)
 	want(t, "after", cold(), true)
 }
 
@@ -268,32 +268,32 @@
 	spec := testSpec()
 	spec.Connections = 0
 	spec.InitialEndpoints.Members = []discovery.Member{{ID: "s-00000001", HostPort: "127.0.0.1:9", Phase: "up", Size: 1}}
-	l := newHand(t, spec).loop
+	l := newManualLoop(t, spec).loop
 	r := &Request{loop: l, At: l.now(), Reply: make(chan Response, 1)}
 	r.Class, r.Budget = "checkin", time.Second
-	arrived{r}.apply(l)
-	l.settle()
+	requestArrived{r}.apply(l)
+	l.reportPendingOutcomes()
 	if len(r.attempts) == 0 {
 		t.Fatal("no attempt was made")
 	}
-	want(t, "attempts owed", r.out, 0)
+	want(t, "attempts owed", r.unreported, 0)
 	want(t, "written", r.attempts[0].GiveUp(time.Now()), false)
-	want(t, "connections", l.conns, 0)
+	want(t, "connections", l.connections, 0)
 }
 
 // An answer that was on its way from the old discovery when the configuration changed is dropped.
 func TestAnswerOfTheOldDiscoveryIsDropped(t *testing.T) {
 	spec := testSpec()
 	spec.InitialEndpoints.Members = []discovery.Member{{ID: "s-00000001", HostPort: "127.0.0.1:9", Phase: "up", Size: 1}}
-	l := newHand(t, spec).loop
+	l := newManualLoop(t, spec).loop
 	old := l.discovery
 	next := spec
 	next.Discovery = "127.0.0.1:10"
-	reloaded{next, func() { t.Error("the settings are the same") }}.apply(l)
-	listed{From: old, Listing: discovery.Listing{Revision: 90, Complete: true}}.apply(l)
-	want(t, "upstreams after a late answer", len(l.peers), 1)
+	configurationReloaded{next, func() { t.Error("the settings are the same") }}.apply(l)
+	endpointsUpdated{From: old, Listing: discovery.Listing{Revision: 90, Complete: true}}.apply(l)
+	want(t, "upstreams after a late answer", len(l.endpoints), 1)
 	want(t, "revision after it", l.revision, uint64(0))
-	listed{From: l.discovery, Listing: discovery.Listing{Revision: 2, Complete: true}}.apply(l)
-	want(t, "upstreams after the new list", len(l.peers), 0)
+	endpointsUpdated{From: l.discovery, Listing: discovery.Listing{Revision: 2, Complete: true}}.apply(l)
+	want(t, "upstreams after the new list", len(l.endpoints), 0)
 	want(t, "revision after it", l.revision, uint64(2))
 }
--- a/internal/pool/mailbox.go
+++ b/internal/pool/mailbox.go
@@ -8,41 +8,41 @@
 // mailbox brings events to the loop, which takes them in batches: under load a channel would cost a turn of the scheduler for
 // each. Who posts never waits. What can be in it is bounded by the requests, attempts and probes that there are.
 type mailbox struct {
-	mu     sync.Mutex
-	usual  []event
-	urgent []event
-	hurry  atomic.Bool   // there is something urgent
-	taker  func()        // takes what comes, from a goroutine that is started when something has come; nil: somebody always does
-	taking bool          // it has been started and has not left
-	ready  chan struct{} // holds a word while there is something in an empty mailbox
+	mu        sync.Mutex
+	normal    []event
+	urgent    []event
+	hasUrgent atomic.Bool   // there is something urgent
+	consume   func()        // takes what comes, from a goroutine that is started when something has come; nil: somebody always does
+	consuming bool          // it has been started and has not left
+	ready     chan struct{} // holds a word while there is something in an empty mailbox
 }
 
 func newMailbox() *mailbox { return &mailbox{ready: make(chan struct{}, 1)} }
 
-// post adds an event.
-func (m *mailbox) post(e event) {
+// enqueue adds an event.
+func (m *mailbox) enqueue(e event) {
 	m.mu.Lock()
-	m.usual = append(m.usual, e)
-	m.wake()
+	m.normal = append(m.normal, e)
+	m.signalAndUnlock()
 }
 
-// hand adds an event that goes before all that is not urgent.
-func (m *mailbox) hand(e event) {
+// enqueueUrgent adds an event that goes before all that is not urgent.
+func (m *mailbox) enqueueUrgent(e event) {
 	m.mu.Lock()
 	m.urgent = append(m.urgent, e)
-	m.hurry.Store(true)
-	m.wake()
+	m.hasUrgent.Store(true)
+	m.signalAndUnlock()
 }
 
-// wake tells the taker that there is something, or starts it. It gives the lock back, which its caller has taken.
-func (m *mailbox) wake() {
-	start := m.taker != nil && !m.taking
+// signalAndUnlock tells the taker that there is something, or starts it. It gives the lock back, which its caller has taken.
+func (m *mailbox) signalAndUnlock() {
+	start := m.consume != nil && !m.consuming
 	if start {
-		m.taking = true
+		m.consuming = true
 	}
 	m.mu.Unlock()
 	if start {
-		go m.taker()
+		go m.consume()
 		return
 	}
 	select {
@@ -51,46 +51,46 @@
 	}
 }
 
-// open begins to start the taker, also for what has come before.
-func (m *mailbox) open(taker func()) {
+// start begins to start the taker, also for what has come before.
+func (m *mailbox) start(taker func()) {
 	m.mu.Lock()
-	m.taker = taker
-	m.wake()
+	m.consume = taker
+	m.signalAndUnlock()
 }
 
-// rouse lets the taker look at its clock.
-func (m *mailbox) rouse() {
+// wake lets the taker look at its clock.
+func (m *mailbox) wake() {
 	m.mu.Lock()
-	m.wake()
+	m.signalAndUnlock()
 }
 
-// leave ends the taker's turn. It must touch nothing then: the next may have been started already. false: something has come, and
+// stopConsuming ends the taker's turn. It must touch nothing then: the next may have been started already. false: something has come, and
 // the turn goes on.
-func (m *mailbox) leave() bool {
+func (m *mailbox) stopConsuming() bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	m.taking = len(m.usual) > 0 || len(m.urgent) > 0
-	return !m.taking
+	m.consuming = len(m.normal) > 0 || len(m.urgent) > 0
+	return !m.consuming
 }
 
-// take returns what has come, and leaves spare in its place.
-func (m *mailbox) take(spare []event) []event {
+// takeNormal returns what has come, and leaves spare in its place.
+func (m *mailbox) takeNormal(spare []event) []event {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	batch := m.usual
-	m.usual = spare[:0]
+	batch := m.normal
+	m.normal = spare[:0]
 	return batch
 }
 
-// rush returns what is urgent.
-func (m *mailbox) rush() []event {
-	if !m.hurry.Load() {
+// takeUrgent returns what is urgent.
+func (m *mailbox) takeUrgent() []event {
+	if !m.hasUrgent.Load() {
 		return nil
 	}
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	batch := m.urgent
 	m.urgent = nil
-	m.hurry.Store(false)
+	m.hasUrgent.Store(false)
 	return batch
 }
--- a/internal/pool/pool.go
+++ b/internal/pool/pool.go
@@ -53,30 +53,30 @@
 // Pool is a group of upstreams with a module, a goroutine and limits of its own. Its methods may be called from any
 // goroutine.
 type Pool struct {
-	loop   *loop
-	name   string
-	end    context.CancelFunc
-	users  atomic.Int64 // requests in it; below zero: retired
-	queue  atomic.Int64
-	away   atomic.Uint64 // turned away since the queue was full
-	ended  chan struct{} // closed once it is retired and no request is left
-	source atomic.Uint64 // revision of the list last told
+	loop         *loop
+	name         string
+	stop         context.CancelFunc
+	admitted     atomic.Int64 // requests in it; below zero: retired
+	queueLimit   atomic.Int64
+	queueFull    atomic.Uint64 // turned away since the queue was full
+	ended        chan struct{} // closed once it is retired and no request is left
+	listRevision atomic.Uint64 // revision of the list last told
 }
 
 // New starts a pool. A nil Directory is for one whose nodes no other pool of the process uses; held is what is out by hand from
 // the start.
 func New(ctx context.Context, spec Spec, d *EndpointRegistry, held map[string]override.Entry) (*Pool, error) {
 	ctx, end := context.WithCancel(ctx)
-	p := &Pool{loop: newLoop(ctx, spec), name: spec.Name, end: end, ended: make(chan struct{})}
-	p.queue.Store(int64(spec.Queue))
-	p.loop.shares = d.join(spec.SharedWeight, spec.OwnDrains, p.loop.hand)
-	p.loop.maint.Merge(held)
+	p := &Pool{loop: newLoop(ctx, spec), name: spec.Name, stop: end, ended: make(chan struct{})}
+	p.queueLimit.Store(int64(spec.Queue))
+	p.loop.registration = d.join(spec.SharedWeight, spec.OwnDrains, p.loop.enqueueUrgent)
+	p.loop.overrides.Merge(held)
 	if err := p.loop.start(spec.Seed, spec.InitialEndpoints); err != nil {
-		p.loop.shares.leave()
+		p.loop.registration.remove()
 		end()
 		return nil, err
 	}
-	p.loop.mail.open(p.loop.run)
+	p.loop.mailbox.start(p.loop.run)
 	return p, nil
 }
 
@@ -87,7 +87,7 @@
 // the pool has a queue.
 func (p *Pool) Submit(q *Request) {
 	q.loop = p.loop
-	p.loop.post(arrived{q})
+	p.loop.enqueue(requestArrived{q})
 }
 
 // Now is the time on the pool's clock: Unix time at its start, going on by the monotonic clock.
@@ -95,29 +95,29 @@
 
 // Ping returns once the pool's goroutine has had a turn, or has ended.
 func (p *Pool) Ping() {
-	turned := make(turn)
-	p.loop.post(turned)
+	turned := make(pingReceived)
+	p.loop.enqueue(turned)
 	select {
 	case <-turned:
 	case <-p.loop.ctx.Done():
 	}
 }
 
-// turn is closed when the loop comes to it: it is alive.
-type turn chan struct{}
+// pingReceived is closed when the loop comes to it: it is alive.
+type pingReceived chan struct{}
 
-func (t turn) apply(*loop) { close(t) }
+func (t pingReceived) apply(*loop) { close(t) }
 
 // Acquire counts a request in. It fails if the pool is retired or full.
 func (p *Pool) Acquire() (ok, full bool) {
-	n := p.users.Add(1)
+	n := p.admitted.Add(1)
 	switch {
 	case n < 0:
 		p.Release()
 		return false, false
-	case n > p.queue.Load():
+	case n > p.queueLimit.Load():
 		p.Release()
-		p.away.Add(1)
+		p.queueFull.Add(1)
 		return false, true
 	}
 	return true, false
@@ -125,20 +125,20 @@
 
 // Release counts a request out.
 func (p *Pool) Release() {
-	if p.users.Add(-1) == retired {
-		p.finish()
+	if p.admitted.Add(-1) == retired {
+		p.end()
 	}
 }
 
-// finish ends a pool that is retired and empty. An entry that fails at that moment comes here once more.
-func (p *Pool) finish() {
-	p.loop.post(ending{p})
+// end ends a pool that is retired and empty. An entry that fails at that moment comes here once more.
+func (p *Pool) end() {
+	p.loop.enqueue(poolEmptied{p})
 }
 
-// ending is the end of a pool. What is still out belongs to requests that have their answer.
-type ending struct{ *Pool }
+// poolEmptied is the end of a pool. What is still out belongs to requests that have their answer.
+type poolEmptied struct{ *Pool }
 
-func (e ending) apply(l *loop) {
+func (e poolEmptied) apply(l *loop) {
 	select {
 	case <-e.ended:
 		return
@@ -148,35 +148,35 @@
 	if l.discovery != nil {
 		l.discovery.End()
 	}
-	for _, p := range l.peers {
+	for _, p := range l.endpoints {
 		l.CloseIdle(p.id)
 	}
-	l.shares.leave()
-	if l.keeper != nil {
-		go l.keeper.Close() // a disk may be slow
+	l.registration.remove()
+	if l.endpointStore != nil {
+		go l.endpointStore.Close() // a disk may be slow
 	}
-	e.end()
+	e.stop()
 }
 
 // Shutdown takes no more requests, and ends the pool when those that it has are answered.
 func (p *Pool) Shutdown() {
-	p.loop.post(withdrawn{})
-	if p.users.Add(retired) == retired {
-		p.finish()
+	p.loop.enqueue(shutdownRequested{})
+	if p.admitted.Add(retired) == retired {
+		p.end()
 	}
 }
 
-// withdrawn lets tunnels end: the pool takes no more requests.
-type withdrawn struct{}
+// shutdownRequested lets tunnels end: the pool takes no more requests.
+type shutdownRequested struct{}
 
-func (withdrawn) apply(l *loop) { l.endTunnels(nil) }
+func (shutdownRequested) apply(l *loop) { l.endTunnels(nil) }
 
 // Done is closed when a retired pool has ended.
 func (p *Pool) Done() <-chan struct{} { return p.ended }
 
 // UpdateEndpoints gives the pool its list, complete.
 func (p *Pool) UpdateEndpoints(nodes []endpointlist.Node) {
-	x := discovery.Listing{Revision: p.source.Add(1), Complete: true}
+	x := discovery.Listing{Revision: p.listRevision.Add(1), Complete: true}
 	for _, n := range nodes {
 		m := discovery.Member{ID: n.ID, HostPort: n.Address, Locality: n.Zone, Cell: n.Cell, Phase: string(n.Phase), Size: n.Weight}
 		if !n.Started.IsZero() {
@@ -184,25 +184,25 @@
 		}
 		x.Members = append(x.Members, m)
 	}
-	p.loop.hand(listed{Listing: x})
+	p.loop.enqueueUrgent(endpointsUpdated{Listing: x})
 }
 
 // SourceFailed tells the pool why there is no good word from its list's source. The last list holds.
-func (p *Pool) SourceFailed(why error) { p.loop.hand(listed{Err: why}) }
+func (p *Pool) SourceFailed(why error) { p.loop.enqueueUrgent(endpointsUpdated{Err: why}) }
 
 // ConfirmEndpoints notes that the list's source was asked, and says that the list stays as it was. It wakes nobody.
-func (p *Pool) ConfirmEndpoints() { p.loop.confirmed.Store(int64(p.loop.now())) }
+func (p *Pool) ConfirmEndpoints() { p.loop.listConfirmedAt.Store(int64(p.loop.now())) }
 
 // Configure changes the pool while it serves. What its module has learnt stays. An error changes nothing.
 func (p *Pool) Configure(spec Spec) error {
 	done := make(chan error, 1)
-	p.loop.post(configured{spec, done})
-	err, ended := told(p.loop, done)
+	p.loop.enqueue(specReceived{spec, done})
+	err, ended := awaitReply(p.loop, done)
 	if ended != nil {
 		return errors.New("pool " + p.name + " has ended")
 	}
 	if err == nil {
-		p.queue.Store(int64(spec.Queue))
+		p.queueLimit.Store(int64(spec.Queue))
 	}
 	return err
 }
--- a/internal/pool/request.go
+++ b/internal/pool/request.go
@@ -21,14 +21,14 @@
 	Reply   chan Response // holds the one answer, and an interim one (status 103) where its message wants these
 	Client  Client        // nil: nobody knows whether it is still there
 
-	loop     *loop // of the pool that it was asked of
-	deadline time.Duration
-	attempts []*attempt
-	out      int // attempts whose outcome the module has not had
-	closed   bool
-	gone     atomic.Bool // its client has been seen to have left, which the loop may not know yet
-	hinted   bool        // its client has had an interim answer
-	end      alarm       // at the deadline
+	loop          *loop // of the pool that it was asked of
+	deadline      time.Duration
+	attempts      []*attempt
+	unreported    int // attempts whose outcome the module has not had
+	closed        bool
+	clientGone    atomic.Bool // its client has been seen to have left, which the loop may not know yet
+	hintSent      bool        // its client has had an interim answer
+	deadlineTimer timer       // at the deadline
 }
 
 // Client is who waits for a request's answer.
@@ -37,19 +37,19 @@
 	Connected() bool
 }
 
-// presentFor is how long a client is taken to be there after its request's last byte, in which no look at its connection is worth
+// clientCheckDelay is how long a client is taken to be there after its request's last byte, in which no look at its connection is worth
 // its cost: nothing of a request may go out later than 100 ms after its client has left.
-const presentFor = 50 * time.Millisecond
+const clientCheckDelay = 50 * time.Millisecond
 
-// waits tells whether the client is still there. It may be called from any goroutine.
-func (q *Request) waits() bool {
-	if q.gone.Load() {
+// clientPresent tells whether the client is still there. It may be called from any goroutine.
+func (q *Request) clientPresent() bool {
+	if q.clientGone.Load() {
 		return false
 	}
-	if q.Client != nil && q.loop.now()-q.At > presentFor && !q.Client.Connected() {
-		q.gone.Store(true)
+	if q.Client != nil && q.loop.now()-q.At > clientCheckDelay && !q.Client.Connected() {
+		q.clientGone.Store(true)
 	}
-	return !q.gone.Load()
+	return !q.clientGone.Load()
 }
 
 // Response is what a client gets, once.
@@ -67,59 +67,59 @@
 
 // ClientLeft tells that the client of a request that was asked has gone. Nothing of it is sent from then on, also while the loop is busy.
 func (q *Request) ClientLeft() {
-	q.gone.Store(true)
-	q.loop.post(left{q})
+	q.clientGone.Store(true)
+	q.loop.enqueue(clientLeft{q})
 }
 
-// arrived is a client's request.
-type arrived struct{ *Request }
+// requestArrived is a client's request.
+type requestArrived struct{ *Request }
 
-func (e arrived) apply(l *loop) {
+func (e requestArrived) apply(l *loop) {
 	r := e.Request
-	if r.gone.Load() { // while the loop was busy: nobody waits for an answer
+	if r.clientGone.Load() { // while the loop was busy: nobody waits for an answer
 		r.closed = true
 		return
 	}
-	if l.open[r.Name] { // an upstream could not tell the two apart: the newcomer goes, the first is spared
+	if l.clientRequestIDs[r.Name] { // an upstream could not tell the two apart: the newcomer goes, the first is spared
 		r.closed = true
 		r.Reply <- Response{Status: http.StatusConflict}
 		return
 	}
-	if err := l.make(); err != nil {
-		l.refuseUnmade(r, err)
+	if err := l.createBalancer(); err != nil {
+		l.failCreation(r, err)
 		return
 	}
-	l.open[r.Name] = true
-	l.emptyAt = 0
-	l.serial++
-	r.ID = balancer.RequestID(l.serial) // the module's own: what clients send need not be unique
+	l.clientRequestIDs[r.Name] = true
+	l.emptySince = 0
+	l.lastRequestID++
+	r.ID = balancer.RequestID(l.lastRequestID) // the module's own: what clients send need not be unique
 	r.deadline = r.At + r.Budget
 	now := l.now()
 	r.Budget = max(0, r.deadline-now)
 	if r.Message.Rest.Live() { // it counts from its last byte, and that is still with the client
 		r.deadline, r.BodyStreaming = now+r.Message.Most().Within, true
 	}
-	if l.expired(now) { // what the list says is too old to go by
-		l.answer(r, Response{Status: http.StatusServiceUnavailable, RetryAfter: min(time.Second, l.settings.Limits.MaxRetryAfter)})
+	if l.listExpired(now) { // what the list says is too old to go by
+		l.respond(r, Response{Status: http.StatusServiceUnavailable, RetryAfter: min(time.Second, l.settings.Limits.MaxRetryAfter)})
 		return
 	}
-	if r.Message.Upgrade != "" && len(l.tunnels) >= l.caps.Total {
-		l.answer(r, Response{Status: http.StatusServiceUnavailable, RetryAfter: l.settings.Limits.MaxRetryAfter})
+	if r.Message.Upgrade != "" && len(l.tunnels) >= l.tunnelLimits.Total {
+		l.respond(r, Response{Status: http.StatusServiceUnavailable, RetryAfter: l.settings.Limits.MaxRetryAfter})
 		return
 	}
 	l.requests[r.ID] = r
-	r.end = alarm{at: r.deadline, request: r}
-	l.alarms.set(&r.end)
+	r.deadlineTimer = timer{at: r.deadline, request: r}
+	l.timers.schedule(&r.deadlineTimer)
 	l.balancer.RequestArrived(now, r.Request)
 }
 
-// left tells that a client has closed its connection.
-type left struct{ *Request }
+// clientLeft tells that a client has closed its connection.
+type clientLeft struct{ *Request }
 
-func (e left) apply(l *loop) {
+func (e clientLeft) apply(l *loop) {
 	r := e.Request
 	if !r.closed {
-		l.leave(r)
+		l.abandonRequest(r)
 		return
 	}
 	for { // the answer came as the client left: nobody else reads it
@@ -133,48 +133,48 @@
 	}
 }
 
-// leave drops a request whose client has gone.
-func (l *loop) leave(r *Request) {
-	l.close(r)
+// abandonRequest drops a request whose client has gone.
+func (l *loop) abandonRequest(r *Request) {
+	l.closeRequest(r)
 	l.balancer.ClientLeft(l.now(), r.ID)
 }
 
-// answer gives a client the one answer.
-func (l *loop) answer(r *Request, a Response) {
+// respond gives a client the one answer.
+func (l *loop) respond(r *Request, a Response) {
 	if r.closed {
 		return
 	}
 	switch a.Status {
 	case http.StatusServiceUnavailable:
-		l.counts.refused.Add(1)
+		l.counters.refused.Add(1)
 	case http.StatusBadGateway, http.StatusGatewayTimeout:
-		l.counts.failed.Add(1)
+		l.counters.failed.Add(1)
 	default:
-		l.counts.served.Add(1)
-		l.counts.servedFor.Add(int64(max(0, l.now()-r.At)))
+		l.counters.served.Add(1)
+		l.counters.servedFor.Add(int64(max(0, l.now()-r.At)))
 	}
-	a.RetryAfterInSeconds = l.whole
+	a.RetryAfterInSeconds = l.fullResponses
 	r.Reply <- a
-	l.close(r)
+	l.closeRequest(r)
 }
 
-// close notes that nothing more is owed for r. What has not been written of it never is, whether or not the site lets attempts be
+// closeRequest notes that nothing more is owed for r. What has not been written of it never is, whether or not the site lets attempts be
 // cancelled: nothing of those has reached anybody.
-func (l *loop) close(r *Request) {
+func (l *loop) closeRequest(r *Request) {
 	r.closed = true
 	for _, a := range r.attempts {
-		if !a.told && a.Drop() {
-			l.due = append(l.due, owing{a, balancer.NotSent})
+		if !a.reported && a.Drop() {
+			l.pendingOutcomes = append(l.pendingOutcomes, pendingOutcome{a, balancer.NotSent})
 		}
 	}
-	l.release(r)
+	l.releaseRequest(r)
 }
 
-// release forgets a request that is closed and has nothing out.
-func (l *loop) release(r *Request) {
-	if r.closed && r.out == 0 {
+// releaseRequest forgets a request that is closed and has nothing out.
+func (l *loop) releaseRequest(r *Request) {
+	if r.closed && r.unreported == 0 {
 		delete(l.requests, r.ID)
-		delete(l.open, r.Name)
-		l.alarms.unset(&r.end)
+		delete(l.clientRequestIDs, r.Name)
+		l.timers.cancel(&r.deadlineTimer)
 	}
 }
--- a/internal/pool/stats.go
+++ b/internal/pool/stats.go
@@ -26,27 +26,27 @@
 // Asked tells whether a request has ever come to it.
 func (s *Stats) Asked() bool { return s.Served+s.Refused+s.Failed+s.QueueFull > 0 || s.Open > 0 }
 
-// counts are what others read of a pool without its goroutine. Counters are exact; levels are as it left them when it parked, or a second ago
+// counters are what others read of a pool without its goroutine. Counters are exact; levels are as it left them when it parked, or a second ago
 // at most while it runs.
-type counts struct {
-	served, refused, failed                   atomic.Uint64
-	servedFor                                 atomic.Int64 // ns
-	held, conns, limit, tunnels, up, draining atomic.Int64
-	made                                      atomic.Bool
-	heardAt, hold                             atomic.Int64 // time.Durations
-	recount                                   bool         // nodes have changed; the goroutine's own
+type counters struct {
+	served, refused, failed                                     atomic.Uint64
+	servedFor                                                   atomic.Int64 // ns
+	queued, connections, connectionLimit, tunnels, up, draining atomic.Int64
+	created                                                     atomic.Bool
+	listReceivedAt, maxListAge                                  atomic.Int64 // time.Durations
+	endpointsChanged                                            bool         // nodes have changed; the goroutine's own
 }
 
 // Stats returns the pool's counters and levels. It wakes nobody and waits for nobody.
 func (p *Pool) Stats() Stats {
-	c := &p.loop.counts
+	c := &p.loop.counters
 	s := Stats{
-		Served: c.served.Load(), Refused: c.refused.Load(), Failed: c.failed.Load(), QueueFull: p.away.Load(), ServedFor: time.Duration(c.servedFor.Load()),
-		Open: int(max(0, p.users.Load())), Queue: int(p.queue.Load()), Queued: int(c.held.Load()), Connections: int(c.conns.Load()), Limit: int(c.limit.Load()),
-		Tunnels: int(c.tunnels.Load()), Up: int(c.up.Load()), Draining: int(c.draining.Load()), Created: c.made.Load(),
+		Served: c.served.Load(), Refused: c.refused.Load(), Failed: c.failed.Load(), QueueFull: p.queueFull.Load(), ServedFor: time.Duration(c.servedFor.Load()),
+		Open: int(max(0, p.admitted.Load())), Queue: int(p.queueLimit.Load()), Queued: int(c.queued.Load()), Connections: int(c.connections.Load()), Limit: int(c.connectionLimit.Load()),
+		Tunnels: int(c.tunnels.Load()), Up: int(c.up.Load()), Draining: int(c.draining.Load()), Created: c.created.Load(),
 	}
-	s.ListAge = max(0, p.loop.now()-max(time.Duration(c.heardAt.Load()), time.Duration(p.loop.confirmed.Load())))
-	if hold := time.Duration(c.hold.Load()); hold > 0 {
+	s.ListAge = max(0, p.loop.now()-max(time.Duration(c.listReceivedAt.Load()), time.Duration(p.loop.listConfirmedAt.Load())))
+	if hold := time.Duration(c.maxListAge.Load()); hold > 0 {
 		s.Expired = s.ListAge > hold
 	}
 	return s
@@ -54,39 +54,39 @@
 
 // publish leaves the levels for Stats.
 func (l *loop) publish() {
-	c := &l.counts
+	c := &l.counters
 	held := 0
-	if l.made() {
+	if l.hasBalancer() {
 		held = l.balancer.QueueLength()
 	}
-	c.held.Store(int64(held))
-	c.conns.Store(int64(l.conns))
-	c.limit.Store(int64(l.maxConns))
+	c.queued.Store(int64(held))
+	c.connections.Store(int64(l.connections))
+	c.connectionLimit.Store(int64(l.maxConnections))
 	c.tunnels.Store(int64(len(l.tunnels)))
-	c.made.Store(l.made())
-	c.heardAt.Store(int64(l.heardAt))
-	c.hold.Store(int64(l.hold))
-	if !c.recount {
+	c.created.Store(l.hasBalancer())
+	c.listReceivedAt.Store(int64(l.listReceivedAt))
+	c.maxListAge.Store(int64(l.maxListAge))
+	if !c.endpointsChanged {
 		return
 	}
-	c.recount = false
+	c.endpointsChanged = false
 	by := map[balancer.State]int64{}
-	for _, p := range l.peers {
+	for _, p := range l.endpoints {
 		by[p.state]++
 	}
-	for i := range l.unmade.members {
-		p := l.placed(&l.unmade.members[i])
+	for i := range l.dormant.members {
+		p := l.placed(&l.dormant.members[i])
 		by[p.state]++
 	}
 	c.up.Store(by[balancer.Active])
 	c.draining.Store(by[balancer.Draining])
-	c.recount = false // placing has set it
+	c.endpointsChanged = false // placing has set it
 }
 
 // placed is a node of a pool that is not made, as it would stand.
-func (l *loop) placed(m *discovery.Member) *peer {
+func (l *loop) placed(m *discovery.Member) *endpoint {
 	u := m.Upstream(0)
-	p := &peer{name: m.ID, address: m.HostPort, listed: u.State, entry: u, weight: u.Weight}
-	l.place(p)
+	p := &endpoint{name: m.ID, address: m.HostPort, listedState: u.State, upstream: u, listedWeight: u.Weight}
+	l.refreshEndpoint(p)
 	return p
 }
--- a/internal/pool/stats_test.go
+++ b/internal/pool/stats_test.go
@@ -14,10 +14,10 @@
 	"olivearch/internal/standin/scripted"
 )
 
-// same fails unless what others read of a parked pool is what its goroutine tells.
-func (p *restPool) same(what string) {
+// checkStatsMatchView fails unless what others read of a parked pool is what its goroutine tells.
+func (p *runningPool) checkStatsMatchView(what string) {
 	p.t.Helper()
-	p.parked()
+	p.awaitParked()
 	s, v := p.Stats(), p.View()
 	up, draining := 0, 0
 	for _, n := range v.Nodes {
@@ -32,13 +32,13 @@
 	if want := fmt.Sprint(v.Served, v.Refused, v.Failed, v.TurnedAway, v.Open, v.Queue, v.Held, v.Connections, v.Limit, v.Tunnels, up, draining, v.Expired); got != want {
 		p.t.Fatalf("%s: read from outside %s, told by the goroutine %s", what, got, want)
 	}
-	p.parked()
+	p.awaitParked()
 }
 
 // TestStatsAreTheView: over random lists, drains, words of operators and of the ledger, requests and pauses in which the pool is given back, what is
 // read without its goroutine is what that tells.
 func TestStatsAreTheView(t *testing.T) {
-	s := taking(t)
+	s := startServer(t)
 	var made, unmade atomic.Int64
 	t.Run("seeds", func(t *testing.T) {
 		for seed := range uint64(4) {
@@ -54,12 +54,12 @@
 }
 
 func statsAreTheView(t *testing.T, s *scripted.Node, rng *rand.Rand, made, unmade *atomic.Int64) {
-	spec := restSpec()
+	spec := suspendableSpec()
 	spec.MaxEndpointAge, spec.Links.KeepAlive, spec.Settings.Rules.SlowStartDuration = time.Hour, time.Hour, 50*time.Millisecond
-	p := newRest(t, spec, time.Hour, nil)
+	p := startPool(t, spec, time.Hour, nil)
 	list := func() (nodes []endpointlist.Node) {
 		for i := range 1 + rng.IntN(6) {
-			n := node(fmt.Sprintf("n%d", i), s)
+			n := listEntry(fmt.Sprintf("n%d", i), s)
 			if i > 0 && rng.IntN(3) == 0 {
 				n.Phase = "draining"
 			}
@@ -81,26 +81,26 @@
 			p.ApplyOverrides(override.Shared{Out: map[string]bool{fmt.Sprintf("n%d", 1+rng.IntN(5)): true}})
 			what += "by the ledger"
 		case 4:
-			if status := p.ask(fmt.Sprint(step)).Status; status != http.StatusOK {
+			if status := p.request(fmt.Sprint(step)).Status; status != http.StatusOK {
 				t.Fatalf("%s: answered %d", what, status)
 			}
 			what += "a request"
 		case 5:
-			p.look(func(l *loop) { // as if all had rested for their time
+			p.inspect(func(l *loop) { // as if all had rested for their time
 				l.sweepAt = l.now()
-				for _, x := range l.peers {
-					for _, link := range x.idle {
-						link.idleAt = l.now() - l.idleFor
+				for _, x := range l.endpoints {
+					for _, link := range x.idleConnections {
+						link.idleSince = l.now() - l.idleTimeout
 					}
 				}
 			})
 			p.await("closed", func() bool { return p.Stats().Connections == 0 })
-			p.parked()
-			p.look(func(l *loop) { l.emptyAt = l.now() - l.madeFor })
+			p.awaitParked()
+			p.inspect(func(l *loop) { l.emptySince = l.now() - l.balancerIdleTimeout })
 			p.await("given back", func() bool { return !p.Stats().Created })
 			what += "given back"
 		}
-		p.same(what)
+		p.checkStatsMatchView(what)
 		if p.Stats().Created {
 			made.Add(1)
 		} else {
@@ -111,11 +111,11 @@
 
 // TestStatsWakeNobody: reading a pool's figures starts no goroutine; its view does.
 func TestStatsWakeNobody(t *testing.T) {
-	s := taking(t)
+	s := startServer(t)
 	var turns atomic.Int64
-	p := newRest(t, restSpec(), time.Minute, func(l *loop) { l.parking = func() { turns.Add(1) } })
-	p.UpdateEndpoints([]endpointlist.Node{node("a", s)})
-	p.parked()
+	p := startPool(t, suspendableSpec(), time.Minute, func(l *loop) { l.beforePark = func() { turns.Add(1) } })
+	p.UpdateEndpoints([]endpointlist.Node{listEntry("a", s)})
+	p.awaitParked()
 	before := turns.Load()
 	for range 100 {
 		if x := p.Stats(); x.Up != 1 || x.Created || x.Asked() {
@@ -126,24 +126,24 @@
 	if v := p.ViewOf(live.Part{Nodes: live.NoNodes}); len(v.Nodes) != 0 {
 		t.Errorf("%d nodes", len(v.Nodes))
 	}
-	p.parked()
+	p.awaitParked()
 	want(t, "after a view", turns.Load(), before+1)
 }
 
 // TestServedTime: what served requests took is summed, and what is refused is not.
 func TestServedTime(t *testing.T) {
-	s := taking(t)
-	p := newRest(t, restSpec(), time.Minute, nil)
-	p.UpdateEndpoints([]endpointlist.Node{node("a", s)})
+	s := startServer(t)
+	p := startPool(t, suspendableSpec(), time.Minute, nil)
+	p.UpdateEndpoints([]endpointlist.Node{listEntry("a", s)})
 	began := time.Now()
-	want(t, "status", p.ask("1").Status, http.StatusOK)
+	want(t, "status", p.request("1").Status, http.StatusOK)
 	took := time.Since(began)
 	if x := p.Stats(); x.ServedFor <= 0 || x.ServedFor > took || !x.Asked() {
 		t.Errorf("%v of at most %v", x.ServedFor, took)
 	}
 	sum := p.Stats().ServedFor
-	p.UpdateEndpoints([]endpointlist.Node{node("b", s)}[:0])
-	if a := p.ask("2"); a.Status != http.StatusServiceUnavailable {
+	p.UpdateEndpoints([]endpointlist.Node{listEntry("b", s)}[:0])
+	if a := p.request("2"); a.Status != http.StatusServiceUnavailable {
 		t.Fatalf("with no node: %d", a.Status)
 	}
 	want(t, "time of the served", p.Stats().ServedFor, sum)
@@ -153,23 +153,23 @@
 // TestShortWaitEnds: a pool whose next look is so near that its goroutine stays for it has that look, though no event comes. The last event
 // comes 5 ms before a connection has rested for its time, and 5 ms before the pool is to be given back.
 func TestShortWaitEnds(t *testing.T) {
-	s := taking(t)
-	spec := restSpec()
+	s := startServer(t)
+	spec := suspendableSpec()
 	spec.Links.KeepAlive = time.Hour
-	p := newRest(t, spec, time.Hour, nil)
-	p.UpdateEndpoints([]endpointlist.Node{node("a", s)})
-	want(t, "status", p.ask("1").Status, http.StatusOK)
-	p.parked()
+	p := startPool(t, spec, time.Hour, nil)
+	p.UpdateEndpoints([]endpointlist.Node{listEntry("a", s)})
+	want(t, "status", p.request("1").Status, http.StatusOK)
+	p.awaitParked()
 	want(t, "connections", p.Stats().Connections, 1)
-	p.look(func(l *loop) {
+	p.inspect(func(l *loop) {
 		l.sweepAt = l.now()
-		for _, x := range l.peers {
-			x.idle[0].idleAt = l.now() + 5*time.Millisecond - l.idleFor
+		for _, x := range l.endpoints {
+			x.idleConnections[0].idleSince = l.now() + 5*time.Millisecond - l.idleTimeout
 		}
 	})
 	p.await("closed", func() bool { return p.Stats().Connections == 0 }) // it posts no event
-	p.parked()
+	p.awaitParked()
 	want(t, "made", p.Stats().Created, true)
-	p.look(func(l *loop) { l.emptyAt = l.now() + 5*time.Millisecond - l.madeFor })
+	p.inspect(func(l *loop) { l.emptySince = l.now() + 5*time.Millisecond - l.balancerIdleTimeout })
 	p.await("given back", func() bool { return !p.Stats().Created })
 }
--- a/internal/pool/rest_test.go
+++ b/internal/pool/suspend_test.go
@@ -23,8 +23,8 @@
 	"olivearch/internal/wire"
 )
 
-// restSpec is a pool that is parked and given back.
-func restSpec() Spec {
+// suspendableSpec is a pool that is parked and given back.
+func suspendableSpec() Spec {
 	s := testSpec()
 	s.Discovery, s.InitialEndpoints = "", nil
 	s.Settings.PollDiscovery, s.Settings.SuspendWhenIdle, s.Queue = false, true, 1000
@@ -32,33 +32,33 @@
 	return s
 }
 
-// restPool is a pool that runs, with hooks for a test.
-type restPool struct {
+// runningPool is a pool that runs, with hooks for a test.
+type runningPool struct {
 	*Pool
 	t testing.TB
 }
 
-// newRest starts one that is given back after so long. change is called before it runs.
-func newRest(t testing.TB, spec Spec, madeFor time.Duration, change func(l *loop)) *restPool {
+// startPool starts one that is given back after so long. change is called before it runs.
+func startPool(t testing.TB, spec Spec, madeFor time.Duration, change func(l *loop)) *runningPool {
 	t.Helper()
 	ctx, cancel := context.WithCancel(context.Background())
 	t.Cleanup(cancel)
 	l := newLoop(ctx, spec)
-	l.madeFor = madeFor
+	l.balancerIdleTimeout = madeFor
 	if change != nil {
 		change(l)
 	}
 	if err := l.start(1, spec.InitialEndpoints); err != nil {
 		t.Fatal(err)
 	}
-	p := &Pool{loop: l, name: spec.Name, end: cancel, ended: make(chan struct{})}
-	p.queue.Store(int64(spec.Queue))
-	l.mail.open(l.run)
-	return &restPool{p, t}
+	p := &Pool{loop: l, name: spec.Name, stop: cancel, ended: make(chan struct{})}
+	p.queueLimit.Store(int64(spec.Queue))
+	l.mailbox.start(l.run)
+	return &runningPool{p, t}
 }
 
-// taking is a node that answers everything.
-func taking(t testing.TB) *scripted.Node {
+// startServer is a node that answers everything.
+func startServer(t testing.TB) *scripted.Node {
 	s := scripted.Start(t, scripted.Done)
 	go func() {
 		for range s.Arrivals {
@@ -67,12 +67,12 @@
 	return s
 }
 
-func node(id string, s *scripted.Node) endpointlist.Node {
+func listEntry(id string, s *scripted.Node) endpointlist.Node {
 	return endpointlist.Node{ID: id, Address: s.Addr, Zone: "z1", Phase: "up", Weight: 1}
 }
 
-// begin asks a request.
-func (p *restPool) begin(name string) *Request {
+// submit asks a request.
+func (p *runningPool) submit(name string) *Request {
 	r := &Request{Name: name, At: p.Now(), Reply: make(chan Response, 2)}
 	r.Class, r.Budget = "checkin", 3*time.Second
 	r.Message = upstream.Message{Line: "POST /checkin", Host: "x"}
@@ -80,10 +80,10 @@
 	return r
 }
 
-func (p *restPool) ask(name string) Response {
+func (p *runningPool) request(name string) Response {
 	p.t.Helper()
 	select {
-	case a := <-p.begin(name).Reply:
+	case a := <-p.submit(name).Reply:
 		return a
 	case <-time.After(10 * time.Second):
 		p.t.Fatal("no answer")
@@ -91,36 +91,36 @@
 	}
 }
 
-// look runs f on the loop's goroutine.
-type look struct {
-	f    func(l *loop)
-	done chan struct{}
+// inspection runs f on the loop's goroutine.
+type inspection struct {
+	inspect func(l *loop)
+	done    chan struct{}
 }
 
-func (e look) apply(l *loop) { e.f(l); close(e.done) }
+func (e inspection) apply(l *loop) { e.inspect(l); close(e.done) }
 
-func (p *restPool) look(f func(l *loop)) {
-	e := look{f, make(chan struct{})}
-	p.loop.post(e)
+func (p *runningPool) inspect(f func(l *loop)) {
+	e := inspection{f, make(chan struct{})}
+	p.loop.enqueue(e)
 	<-e.done
 }
 
-func (p *restPool) made() (made bool) {
-	p.look(func(l *loop) { made = l.made() })
+func (p *runningPool) hasBalancer() (made bool) {
+	p.inspect(func(l *loop) { made = l.hasBalancer() })
 	return made
 }
 
-// parked waits until the goroutine has ended.
-func (p *restPool) parked() {
+// awaitParked waits until the goroutine has ended.
+func (p *runningPool) awaitParked() {
 	p.t.Helper()
 	p.await("parked", func() bool {
-		p.loop.mail.mu.Lock()
-		defer p.loop.mail.mu.Unlock()
-		return !p.loop.mail.taking
+		p.loop.mailbox.mu.Lock()
+		defer p.loop.mailbox.mu.Unlock()
+		return !p.loop.mailbox.consuming
 	})
 }
 
-func (p *restPool) await(what string, ok func() bool) {
+func (p *runningPool) await(what string, ok func() bool) {
 	p.t.Helper()
 	for end := time.Now().Add(10 * time.Second); !ok(); time.Sleep(time.Millisecond) {
 		if time.Now().After(end) {
@@ -132,39 +132,39 @@
 // A pool is made by its first request, parks, closes its connections in time and is given back; it keeps its list, its counters and
 // what it learnt over that, and has no goroutine meanwhile.
 func TestMadeParkedGivenBack(t *testing.T) {
-	s := taking(t)
-	p := newRest(t, restSpec(), 50*time.Millisecond, nil)
-	p.UpdateEndpoints([]endpointlist.Node{node("a", s), node("b", s)})
-	p.parked()
-	want(t, "made before a request", p.made(), false)
+	s := startServer(t)
+	p := startPool(t, suspendableSpec(), 50*time.Millisecond, nil)
+	p.UpdateEndpoints([]endpointlist.Node{listEntry("a", s), listEntry("b", s)})
+	p.awaitParked()
+	want(t, "made before a request", p.hasBalancer(), false)
 	v := p.View()
 	want(t, "nodes in view", len(v.Nodes), 2)
 	want(t, "phase", v.Nodes[0].Phase, "up")
 	before := runtime.NumGoroutine()
 	for i := range 3 {
-		want(t, "status", p.ask(fmt.Sprint(i)).Status, http.StatusOK)
-		want(t, "made", p.made(), true)
-		p.await("given back", func() bool { return !p.made() })
-		p.parked()
+		want(t, "status", p.request(fmt.Sprint(i)).Status, http.StatusOK)
+		want(t, "made", p.hasBalancer(), true)
+		p.await("given back", func() bool { return !p.hasBalancer() })
+		p.awaitParked()
 		want(t, "connections", p.View().Connections, 0)
 	}
 	want(t, "served", p.View().Served, uint64(3))
 	want(t, "learnt of upstreams", len(p.Snapshot().Upstreams) > 0, true)
-	p.parked()
+	p.awaitParked()
 	p.await("without goroutines", func() bool { return runtime.NumGoroutine() <= before })
 }
 
 // What comes while the goroutine is about to end is not lost, and there is never a second one.
 func TestWokenWhileParking(t *testing.T) {
-	s := taking(t)
+	s := startServer(t)
 	at, let := make(chan struct{}), make(chan struct{})
 	var once sync.Once
-	p := newRest(t, restSpec(), time.Minute, func(l *loop) {
-		l.parking = func() { once.Do(func() { close(at); <-let }) }
+	p := startPool(t, suspendableSpec(), time.Minute, func(l *loop) {
+		l.beforePark = func() { once.Do(func() { close(at); <-let }) }
 	})
 	<-at // it has looked a last time, and its mailbox was empty
-	p.UpdateEndpoints([]endpointlist.Node{node("a", s)})
-	r := p.begin("1")
+	p.UpdateEndpoints([]endpointlist.Node{listEntry("a", s)})
+	r := p.submit("1")
 	close(let)
 	select {
 	case a := <-r.Reply:
@@ -176,22 +176,22 @@
 
 // Events from many goroutines, with the loop parking in between: under the race detector two goroutines of one loop would be seen.
 func TestOneGoroutineAtATime(t *testing.T) {
-	s := taking(t)
-	p := newRest(t, restSpec(), time.Millisecond, func(l *loop) { l.parking = runtime.Gosched })
-	p.UpdateEndpoints([]endpointlist.Node{node("a", s)})
+	s := startServer(t)
+	p := startPool(t, suspendableSpec(), time.Millisecond, func(l *loop) { l.beforePark = runtime.Gosched })
+	p.UpdateEndpoints([]endpointlist.Node{listEntry("a", s)})
 	var g sync.WaitGroup
 	for w := range 8 {
 		g.Go(func() {
 			for i := range 50 {
 				switch (w + i) % 4 {
 				case 0:
-					if a := p.ask(fmt.Sprint(w, "-", i)); a.Status != http.StatusOK {
+					if a := p.request(fmt.Sprint(w, "-", i)); a.Status != http.StatusOK {
 						t.Errorf("status %d", a.Status)
 					}
 				case 1:
 					p.View()
 				case 2:
-					p.UpdateEndpoints([]endpointlist.Node{node("a", s)})
+					p.UpdateEndpoints([]endpointlist.Node{listEntry("a", s)})
 				default:
 					p.Ping()
 				}
@@ -203,36 +203,36 @@
 
 // A drain told while the pool rests holds for its first request, whichever way it came.
 func TestDrainWhileUnmade(t *testing.T) {
-	a, b := taking(t), taking(t)
-	drained := node("a", a)
+	a, b := startServer(t), startServer(t)
+	drained := listEntry("a", a)
 	drained.Phase = "draining"
-	for what, drain := range map[string]func(p *restPool){
-		"list":    func(p *restPool) { p.UpdateEndpoints([]endpointlist.Node{drained, node("b", b)}) },
-		"by hand": func(p *restPool) { want(t, "out by hand", p.SetOutOfService("a", true), nil) },
-		"ledger":  func(p *restPool) { p.ApplyOverrides(override.Shared{Out: map[string]bool{"a": true}}) },
-		"merged":  func(p *restPool) { p.MergeOverrides(map[string]override.Entry{"a": {Out: true, At: 1}}) },
-		"delta": func(p *restPool) {
-			p.loop.hand(listed{Listing: discovery.Listing{Revision: 9, Members: []discovery.Member{{ID: "a", HostPort: a.Addr, Phase: "draining", Size: 1}}}})
+	for what, drain := range map[string]func(p *runningPool){
+		"list":    func(p *runningPool) { p.UpdateEndpoints([]endpointlist.Node{drained, listEntry("b", b)}) },
+		"by hand": func(p *runningPool) { want(t, "out by hand", p.SetOutOfService("a", true), nil) },
+		"ledger":  func(p *runningPool) { p.ApplyOverrides(override.Shared{Out: map[string]bool{"a": true}}) },
+		"merged":  func(p *runningPool) { p.MergeOverrides(map[string]override.Entry{"a": {Out: true, At: 1}}) },
+		"delta": func(p *runningPool) {
+			p.loop.enqueueUrgent(endpointsUpdated{Listing: discovery.Listing{Revision: 9, Members: []discovery.Member{{ID: "a", HostPort: a.Addr, Phase: "draining", Size: 1}}}})
 		},
-		"gone": func(p *restPool) {
-			p.loop.hand(listed{Listing: discovery.Listing{Revision: 9, Members: []discovery.Member{{ID: "a", Phase: "removed"}}}})
+		"gone": func(p *runningPool) {
+			p.loop.enqueueUrgent(endpointsUpdated{Listing: discovery.Listing{Revision: 9, Members: []discovery.Member{{ID: "a", Phase: "removed"}}}})
 		},
 	} {
 		for _, after := range []time.Duration{0, 900 * time.Millisecond, 1100 * time.Millisecond} {
 			t.Run(fmt.Sprint(what, after), func(t *testing.T) {
 				t.Parallel()
-				p := newRest(t, restSpec(), time.Minute, nil)
-				p.UpdateEndpoints([]endpointlist.Node{node("a", a), node("b", b)})
-				p.parked()
+				p := startPool(t, suspendableSpec(), time.Minute, nil)
+				p.UpdateEndpoints([]endpointlist.Node{listEntry("a", a), listEntry("b", b)})
+				p.awaitParked()
 				drain(p)
-				p.parked()
-				want(t, "made", p.made(), false)
+				p.awaitParked()
+				want(t, "made", p.hasBalancer(), false)
 				for _, n := range p.View().Nodes {
 					want(t, "phase of "+n.ID, n.Phase, map[string]string{"a": "draining", "b": "up"}[n.ID])
 				}
 				time.Sleep(after)
 				for i := range 6 {
-					want(t, "status", p.ask(fmt.Sprint(i)).Status, http.StatusOK)
+					want(t, "status", p.request(fmt.Sprint(i)).Status, http.StatusOK)
 				}
 			})
 		}
@@ -242,54 +242,54 @@
 
 // A drain that another pool was told of holds for one that is not made, and its own drain for others.
 func TestDrainOfOthersWhileUnmade(t *testing.T) {
-	a, b := taking(t), taking(t)
+	a, b := startServer(t), startServer(t)
 	ctx, cancel := context.WithCancel(t.Context())
 	defer cancel()
 	d := NewEndpointRegistry(ctx, 10)
-	start := func(name string) *restPool {
-		spec := restSpec()
+	start := func(name string) *runningPool {
+		spec := suspendableSpec()
 		spec.Name, spec.SharedWeight = name, 1
 		p, err := New(ctx, spec, d, nil)
 		if err != nil {
 			t.Fatal(err)
 		}
-		return &restPool{p, t}
+		return &runningPool{p, t}
 	}
 	x, y := start("x"), start("y")
-	for _, p := range []*restPool{x, y} {
-		p.UpdateEndpoints([]endpointlist.Node{node("a", a), node("b", b)})
+	for _, p := range []*runningPool{x, y} {
+		p.UpdateEndpoints([]endpointlist.Node{listEntry("a", a), listEntry("b", b)})
 	}
-	drained := node("a", a)
+	drained := listEntry("a", a)
 	drained.Phase = "draining"
-	x.UpdateEndpoints([]endpointlist.Node{drained, node("b", b)})
+	x.UpdateEndpoints([]endpointlist.Node{drained, listEntry("b", b)})
 	y.await("told", func() bool {
 		v := y.View().Nodes
 		return len(v) == 2 && v[0].Phase == "draining" && v[1].Phase == "up"
 	})
-	want(t, "made", x.made() || y.made(), false)
+	want(t, "made", x.hasBalancer() || y.hasBalancer(), false)
 	for i := range 4 {
-		want(t, "status", y.ask(fmt.Sprint(i)).Status, http.StatusOK)
+		want(t, "status", y.request(fmt.Sprint(i)).Status, http.StatusOK)
 	}
 	want(t, "sent to the drained one", a.Opened(), 0)
 }
 
 // The first request to 300 resting pools at once: all are served, each in a bounded time.
 func TestManyFirstRequests(t *testing.T) {
-	s := taking(t)
-	var pools []*restPool
+	s := startServer(t)
+	var pools []*runningPool
 	for range 300 {
-		p := newRest(t, restSpec(), time.Minute, nil)
-		p.UpdateEndpoints([]endpointlist.Node{node("a", s), node("b", s), node("c", s)})
+		p := startPool(t, suspendableSpec(), time.Minute, nil)
+		p.UpdateEndpoints([]endpointlist.Node{listEntry("a", s), listEntry("b", s), listEntry("c", s)})
 		pools = append(pools, p)
 	}
 	for _, p := range pools {
-		p.parked()
+		p.awaitParked()
 	}
 	var g sync.WaitGroup
 	for _, p := range pools {
 		g.Go(func() {
 			begun := time.Now()
-			if a := p.ask("1"); a.Status != http.StatusOK {
+			if a := p.request("1"); a.Status != http.StatusOK {
 				t.Errorf("status %d", a.Status)
 			}
 			if took := time.Since(begun); took > time.Second {
@@ -309,10 +309,10 @@
 		close(closed)
 		return false
 	})
-	p := newRest(t, restSpec(), time.Minute, nil)
-	p.UpdateEndpoints([]endpointlist.Node{node("a", s)})
-	want(t, "status", p.ask("1").Status, http.StatusOK)
-	p.parked()
+	p := startPool(t, suspendableSpec(), time.Minute, nil)
+	p.UpdateEndpoints([]endpointlist.Node{listEntry("a", s)})
+	want(t, "status", p.request("1").Status, http.StatusOK)
+	p.awaitParked()
 	select {
 	case <-closed:
 	case <-time.After(5 * time.Second):
@@ -324,38 +324,38 @@
 func TestNotGivenBackWhile(t *testing.T) {
 	release := make(chan struct{})
 	slow := scripted.Start(t, func(c net.Conn, r *http.Request) bool { <-release; return scripted.Done(c, r) })
-	fast := taking(t)
+	fast := startServer(t)
 	const madeFor, short = 10 * time.Millisecond, 2 * time.Second // longer than to the next sweep
-	stays := func(t *testing.T, p *restPool, made bool) {
+	stays := func(t *testing.T, p *runningPool, made bool) {
 		t.Helper()
 		if made {
 			for range 5 {
 				time.Sleep(60 * time.Millisecond)
-				if !p.made() {
+				if !p.hasBalancer() {
 					t.Fatal("given back")
 				}
 			}
 		}
-		p.await("given back", func() bool { return !p.made() })
+		p.await("given back", func() bool { return !p.hasBalancer() })
 	}
 	t.Run("request", func(t *testing.T) {
-		p := newRest(t, restSpec(), madeFor, nil)
-		p.UpdateEndpoints([]endpointlist.Node{node("a", slow)})
-		r := p.begin("1")
+		p := startPool(t, suspendableSpec(), madeFor, nil)
+		p.UpdateEndpoints([]endpointlist.Node{listEntry("a", slow)})
+		r := p.submit("1")
 		<-slow.Arrivals
 		time.Sleep(300 * time.Millisecond)
-		want(t, "made", p.made(), true)
+		want(t, "made", p.hasBalancer(), true)
 		close(release)
 		want(t, "status", (<-r.Reply).Status, http.StatusOK)
 		stays(t, p, false)
 	})
 	t.Run("retry window", func(t *testing.T) {
 		t.Parallel()
-		spec := restSpec()
+		spec := suspendableSpec()
 		spec.Settings.Classes[1].Idempotency, spec.Settings.Classes[1].DeduplicationWindow = balancer.IdempotentWithKey, short
-		p := newRest(t, spec, madeFor, nil)
-		p.UpdateEndpoints([]endpointlist.Node{node("a", fast)})
-		want(t, "status", p.ask("1").Status, http.StatusOK)
+		p := startPool(t, spec, madeFor, nil)
+		p.UpdateEndpoints([]endpointlist.Node{listEntry("a", fast)})
+		want(t, "status", p.request("1").Status, http.StatusOK)
 		ended := time.Now()
 		stays(t, p, true)
 		if kept := time.Since(ended); kept < short-50*time.Millisecond {
@@ -364,14 +364,14 @@
 	})
 	t.Run("cold ramp", func(t *testing.T) {
 		t.Parallel()
-		spec := restSpec()
+		spec := suspendableSpec()
 		spec.Settings.Rules.SlowStartDuration = short
-		p := newRest(t, spec, madeFor, nil)
-		fresh := node("a", fast)
-		p.UpdateEndpoints([]endpointlist.Node{node("b", fast)})
-		want(t, "status", p.ask("1").Status, http.StatusOK)
+		p := startPool(t, spec, madeFor, nil)
+		fresh := listEntry("a", fast)
+		p.UpdateEndpoints([]endpointlist.Node{listEntry("b", fast)})
+		want(t, "status", p.request("1").Status, http.StatusOK)
 		fresh.Started = time.Now()
-		p.UpdateEndpoints([]endpointlist.Node{node("b", fast), fresh})
+		p.UpdateEndpoints([]endpointlist.Node{listEntry("b", fast), fresh})
 		begun := time.Now()
 		stays(t, p, true)
 		if kept := time.Since(begun); kept < short-50*time.Millisecond {
@@ -380,10 +380,10 @@
 	})
 	t.Run("tenant", func(t *testing.T) {
 		t.Parallel()
-		spec := restSpec()
+		spec := suspendableSpec()
 		spec.Settings.Tenants = balancer.NewTenants([]balancer.Tenant{{Name: "t", Quota: 0.5}})
-		p := newRest(t, spec, madeFor, nil)
-		p.UpdateEndpoints([]endpointlist.Node{node("a", fast)})
+		p := startPool(t, spec, madeFor, nil)
+		p.UpdateEndpoints([]endpointlist.Node{listEntry("a", fast)})
 		r := &Request{Name: "1", At: p.Now(), Reply: make(chan Response, 2)}
 		r.Class, r.Budget, r.Tenant = "checkin", time.Second, "t"
 		r.Message = upstream.Message{Line: "POST /checkin", Host: "x"}
@@ -402,11 +402,11 @@
 			io.Copy(c, c)
 			return false
 		})
-		spec := restSpec()
+		spec := suspendableSpec()
 		spec.Tunnels = TunnelLimits{Total: 1, PerNode: 1}
 		spec.Links.KeepAlive = 2 * madeFor // it is no resting connection: it holds the pool by itself
-		p := newRest(t, spec, madeFor, nil)
-		p.UpdateEndpoints([]endpointlist.Node{node("a", s)})
+		p := startPool(t, spec, madeFor, nil)
+		p.UpdateEndpoints([]endpointlist.Node{listEntry("a", s)})
 		r := &Request{Name: "1", At: p.Now(), Reply: make(chan Response, 2)}
 		r.Class, r.Budget = "checkin", time.Second
 		r.Message = upstream.Message{Line: "GET /", Host: "x", Upgrade: "echo", Tunnel: &body.TunnelLimits{Idle: time.Minute, Grace: time.Minute}}
@@ -417,7 +417,7 @@
 		}
 		for range 5 { // over many times madeFor, and some sweeps
 			time.Sleep(300 * time.Millisecond)
-			want(t, "made", p.made(), true)
+			want(t, "made", p.hasBalancer(), true)
 			want(t, "tunnels", p.View().Tunnels, 1)
 		}
 		a.Tunnel.Close()
@@ -425,11 +425,11 @@
 	})
 	t.Run("connection", func(t *testing.T) {
 		t.Parallel()
-		spec := restSpec()
+		spec := suspendableSpec()
 		spec.Links.KeepAlive = 1200 * time.Millisecond
-		p := newRest(t, spec, madeFor, nil)
-		p.UpdateEndpoints([]endpointlist.Node{node("a", fast)})
-		want(t, "status", p.ask("1").Status, http.StatusOK)
+		p := startPool(t, spec, madeFor, nil)
+		p.UpdateEndpoints([]endpointlist.Node{listEntry("a", fast)})
+		want(t, "status", p.request("1").Status, http.StatusOK)
 		want(t, "connections", p.View().Connections, 1)
 		stays(t, p, true)
 	})
@@ -438,44 +438,44 @@
 // A pool of many nodes is made when its list is told, so that no first request waits for it; it parks, and stays made as long as its
 // list is long.
 func TestLargePoolIsMadeAhead(t *testing.T) {
-	s := taking(t)
-	p := newRest(t, restSpec(), 10*time.Millisecond, nil)
-	list := make([]endpointlist.Node, firstMost+1)
+	s := startServer(t)
+	p := startPool(t, suspendableSpec(), 10*time.Millisecond, nil)
+	list := make([]endpointlist.Node, defaultMaxLazyEndpoints+1)
 	for i := range list {
-		list[i] = node(fmt.Sprintf("n%d", i), s)
+		list[i] = listEntry(fmt.Sprintf("n%d", i), s)
 	}
-	p.UpdateEndpoints(list[:firstMost])
-	p.parked()
-	want(t, "made with few", p.made(), false)
+	p.UpdateEndpoints(list[:defaultMaxLazyEndpoints])
+	p.awaitParked()
+	want(t, "made with few", p.hasBalancer(), false)
 	p.UpdateEndpoints(list)
-	p.parked()
-	want(t, "made with many", p.made(), true)
+	p.awaitParked()
+	want(t, "made with many", p.hasBalancer(), true)
 	list[0].Phase = "draining"
 	p.UpdateEndpoints(list)
-	want(t, "status", p.ask("1").Status, http.StatusOK)
+	want(t, "status", p.request("1").Status, http.StatusOK)
 	want(t, "state of the first", p.View().Nodes[0].Phase, "draining")
 	began := time.Now()
-	small := newRest(t, restSpec(), 10*time.Millisecond, nil)
-	small.UpdateEndpoints(list[:firstMost])
-	want(t, "status", small.ask("1").Status, http.StatusOK)
-	small.await("given back", func() bool { return !small.made() })
+	small := startPool(t, suspendableSpec(), 10*time.Millisecond, nil)
+	small.UpdateEndpoints(list[:defaultMaxLazyEndpoints])
+	want(t, "status", small.request("1").Status, http.StatusOK)
+	small.await("given back", func() bool { return !small.hasBalancer() })
 	time.Sleep(time.Since(began)) // as long again
 	want(t, "connections", p.View().Connections, 0)
-	want(t, "made when a smaller one is not", p.made(), true)
+	want(t, "made when a smaller one is not", p.hasBalancer(), true)
 	p.UpdateEndpoints(list[:2])
-	p.await("given back", func() bool { return !p.made() })
+	p.await("given back", func() bool { return !p.hasBalancer() })
 	want(t, "nodes", len(p.View().Nodes), 2)
 }
 
 // An unmade pool ends, takes another configuration, and outlives nothing that ends it.
 func TestEndsWhileUnmade(t *testing.T) {
-	s := taking(t)
-	kept := &kept{closed: make(chan struct{})}
-	spec := restSpec()
+	s := startServer(t)
+	kept := &recordingStore{closed: make(chan struct{})}
+	spec := suspendableSpec()
 	spec.EndpointStore = kept
-	p := newRest(t, spec, time.Minute, func(l *loop) { l.shares = NewEndpointRegistry(t.Context(), 10).join(1, false, l.hand) })
-	p.UpdateEndpoints([]endpointlist.Node{node("a", s)})
-	p.parked()
+	p := startPool(t, spec, time.Minute, func(l *loop) { l.registration = NewEndpointRegistry(t.Context(), 10).join(1, false, l.enqueueUrgent) })
+	p.UpdateEndpoints([]endpointlist.Node{listEntry("a", s)})
+	p.awaitParked()
 	want(t, "lists kept", kept.count(), 1)
 	wrong := spec
 	wrong.Settings.Classes = nil
@@ -485,40 +485,40 @@
 	next := spec
 	next.Connections = 7
 	want(t, "configure", p.Configure(next), nil)
-	want(t, "made", p.made(), false)
+	want(t, "made", p.hasBalancer(), false)
 	want(t, "limit", p.View().Limit, 7)
-	p.parked()
+	p.awaitParked()
 	p.Shutdown()
 	<-p.Done()
 	<-kept.closed
 	want(t, "enter", func() bool { ok, _ := p.Acquire(); return ok }(), false)
 
-	q := newRest(t, restSpec(), time.Minute, nil)
-	q.UpdateEndpoints([]endpointlist.Node{node("a", s)})
-	q.parked()
-	q.end() // its context
+	q := startPool(t, suspendableSpec(), time.Minute, nil)
+	q.UpdateEndpoints([]endpointlist.Node{listEntry("a", s)})
+	q.awaitParked()
+	q.stop() // its context
 	want(t, "nodes in view", len(q.View().Nodes), 0)
 	want(t, "held", len(q.LocalOverrides()), 0)
 }
 
-type kept struct {
+type recordingStore struct {
 	mu     sync.Mutex
-	told   int
+	saved  int
 	closed chan struct{}
 }
 
-func (k *kept) Save(discovery.Listing) { k.mu.Lock(); k.told++; k.mu.Unlock() }
-func (k *kept) Close()                 { close(k.closed) }
-func (k *kept) count() int             { k.mu.Lock(); defer k.mu.Unlock(); return k.told }
+func (k *recordingStore) Save(discovery.Listing) { k.mu.Lock(); k.saved++; k.mu.Unlock() }
+func (k *recordingStore) Close()                 { close(k.closed) }
+func (k *recordingStore) count() int             { k.mu.Lock(); defer k.mu.Unlock(); return k.saved }
 
 // A restart that a list tells while the pool is unmade makes the upstream cold in the module that its first request makes.
 func TestColdWhenMade(t *testing.T) {
-	s := taking(t)
-	p := newRest(t, restSpec(), time.Minute, nil)
-	fresh := node("b", s)
+	s := startServer(t)
+	p := startPool(t, suspendableSpec(), time.Minute, nil)
+	fresh := listEntry("b", s)
 	fresh.Started = time.Now()
-	p.UpdateEndpoints([]endpointlist.Node{node("a", s), fresh})
-	want(t, "status", p.ask("1").Status, http.StatusOK)
+	p.UpdateEndpoints([]endpointlist.Node{listEntry("a", s), fresh})
+	want(t, "status", p.request("1").Status, http.StatusOK)
 	for _, n := range p.View().Nodes {
 		want(t, "cold: "+n.ID, n.Cold, n.ID == "b")
 	}
@@ -528,7 +528,7 @@
 func BenchmarkMake(b *testing.B) {
 	for _, c := range []struct{ nodes, balancers int }{{40, 1}, {2000, 1}, {2000, 1500}} {
 		b.Run(fmt.Sprintf("%d of %d", c.nodes, c.balancers), func(b *testing.B) {
-			spec := restSpec()
+			spec := suspendableSpec()
 			spec.Settings.Balancers = c.balancers
 			spec.Links = wire.Links{KeepAlive: time.Minute, ConnectTimeout: time.Second}
 			l := newLoop(b.Context(), spec)
@@ -539,13 +539,13 @@
 			for i := range c.nodes {
 				x.Members = append(x.Members, discovery.Member{ID: fmt.Sprintf("node-%05d", i), HostPort: fmt.Sprintf("10.0.%d.%d:80", i/250, i%250), Locality: "z1", Phase: "up", Size: 1})
 			}
-			listed{Listing: x}.apply(l)
+			endpointsUpdated{Listing: x}.apply(l)
 			for b.Loop() {
-				if err := l.make(); err != nil {
+				if err := l.createBalancer(); err != nil {
 					b.Fatal(err)
 				}
 				b.StopTimer()
-				l.giveBack(l.now())
+				l.releaseBalancer(l.now())
 				b.StartTimer()
 			}
 		})
--- a/internal/pool/moments_test.go
+++ b/internal/pool/unsent_attempt_test.go
@@ -13,50 +13,50 @@
 	"olivearch/internal/upstream"
 )
 
-// slow is a transport whose connections come up when the test says so: each Do is told, and waits for a word; its end is told too.
-type slow struct {
+// delayedTransport is a transport whose connections come up when the test says so: each Do is told, and waits for a word; its end is told too.
+type delayedTransport struct {
 	upstream.Transport
-	begun chan *upstream.Attempt
-	up    chan struct{}
-	ended chan struct{}
+	began   chan *upstream.Attempt
+	connect chan struct{}
+	ended   chan struct{}
 }
 
-func (s slow) Do(a *upstream.Attempt) upstream.Result {
-	s.begun <- a
-	<-s.up
+func (s delayedTransport) Do(a *upstream.Attempt) upstream.Result {
+	s.began <- a
+	<-s.connect
 	defer func() { s.ended <- struct{}{} }()
 	return s.Transport.Do(a)
 }
 
-// slowly lets the hand's connections come up by a test's word.
-func (h *hand) slowly() slow {
-	s := slow{h.transport, make(chan *upstream.Attempt, 10), make(chan struct{}), make(chan struct{}, 10)}
+// delayConnections lets the hand's connections come up by a test's word.
+func (h *manualLoop) delayConnections() delayedTransport {
+	s := delayedTransport{h.transport, make(chan *upstream.Attempt, 10), make(chan struct{}), make(chan struct{}, 10)}
 	h.transport = s
 	return s
 }
 
-// begin hands a request of a class to the loop.
-func (h *hand) begin(name, class string, client Client) *Request {
+// submit hands a request of a class to the loop.
+func (h *manualLoop) submit(name, class string, client Client) *Request {
 	r := &Request{loop: h.loop, Name: name, At: h.now(), Reply: make(chan Response, 1), Client: client}
 	r.Class, r.Budget = class, 4*time.Second
 	r.Message = upstream.Message{Line: "POST /" + class, Host: "x", Bodied: true, Header: http1.Fields{{Name: "X-Request-Id", Value: name}}}
-	arrived{r}.apply(h.loop)
-	h.settle()
+	requestArrived{r}.apply(h.loop)
+	h.reportPendingOutcomes()
 	return r
 }
 
-// finish turns the loop until nothing is out.
-func (h *hand) finish() {
+// finishAttempts turns the loop until nothing is out.
+func (h *manualLoop) finishAttempts() {
 	h.t.Helper()
-	for h.busy() {
-		h.turn()
+	for h.hasOpenAttempts() {
+		h.handleEvents()
 	}
 }
 
-// presence is a client that has left, or not.
-type presence bool
+// fixedPresence is a client that has left, or not.
+type fixedPresence bool
 
-func (p presence) Connected() bool { return bool(p) }
+func (p fixedPresence) Connected() bool { return bool(p) }
 
 // Between the choice of a node and the first byte lies a connection that may come up late. What has changed by then holds: each
 // change here is made while the connection comes up, and nothing may be written.
@@ -65,19 +65,27 @@
 		name   string
 		spec   func(*Spec)
 		client Client
-		change func(h *hand, r *Request, s *scripted.Node)
+		change func(h *manualLoop, r *Request, s *scripted.Node)
 	}{
-		{name: "the node drains", change: func(h *hand, _ *Request, s *scripted.Node) { h.list(21, draining(up("s-00000001", s))) }},
-		{name: "the node is gone", change: func(h *hand, _ *Request, _ *scripted.Node) { h.list(21) }},
-		{name: "the client leaves", change: func(h *hand, r *Request, _ *scripted.Node) { left{r}.apply(h.loop); h.settle() }},
+		{name: "the node drains", change: func(h *manualLoop, _ *Request, s *scripted.Node) {
+			h.updateEndpoints(21, drainingMember(upMember("s-00000001", s)))
+		}},
+		{name: "the node is gone", change: func(h *manualLoop, _ *Request, _ *scripted.Node) { h.updateEndpoints(21) }},
+		{name: "the client leaves", change: func(h *manualLoop, r *Request, _ *scripted.Node) {
+			clientLeft{r}.apply(h.loop)
+			h.reportPendingOutcomes()
+		}},
 		{
 			name: "the client leaves, and attempts can't be cancelled", spec: func(s *Spec) { s.Settings.Limits.Cancel = false },
-			change: func(h *hand, r *Request, _ *scripted.Node) { left{r}.apply(h.loop); h.settle() },
+			change: func(h *manualLoop, r *Request, _ *scripted.Node) {
+				clientLeft{r}.apply(h.loop)
+				h.reportPendingOutcomes()
+			},
 		},
-		{name: "the client leaves while the loop is busy", change: func(_ *hand, r *Request, _ *scripted.Node) { r.ClientLeft() }},
+		{name: "the client leaves while the loop is busy", change: func(_ *manualLoop, r *Request, _ *scripted.Node) { r.ClientLeft() }},
 		{
-			name: "the client leaves, and its reader has had no turn", client: presence(false),
-			change: func(h *hand, r *Request, _ *scripted.Node) { r.At -= 2 * presentFor },
+			name: "the client leaves, and its reader has had no turn", client: fixedPresence(false),
+			change: func(h *manualLoop, r *Request, _ *scripted.Node) { r.At -= 2 * clientCheckDelay },
 		},
 	}
 	for _, c := range cases {
@@ -87,17 +95,17 @@
 			if c.spec != nil {
 				c.spec(&spec)
 			}
-			h := newHand(t, spec)
-			h.list(20, up("s-00000001", s))
-			slow := h.slowly()
-			r := h.begin("1", "checkin", c.client)
-			<-slow.begun
+			h := newManualLoop(t, spec)
+			h.updateEndpoints(20, upMember("s-00000001", s))
+			slow := h.delayConnections()
+			r := h.submit("1", "checkin", c.client)
+			<-slow.began
 			c.change(h, r, s)
-			close(slow.up)
+			close(slow.connect)
 			<-slow.ended // all that is written is written before the loop has its next turn
-			h.finish()
+			h.finishAttempts()
 			want(t, "requests at the node", len(s.Arrivals), 0)
-			want(t, "requests that are still out", r.out, 0)
+			want(t, "requests that are still out", r.unreported, 0)
 		})
 	}
 }
@@ -105,16 +113,16 @@
 // A request whose client leaves before its pool has had a turn costs no node anything.
 func TestGoneBeforeItArrives(t *testing.T) {
 	s := scripted.Start(t, scripted.Done)
-	h := newHand(t, testSpec())
-	h.list(20, up("s-00000001", s))
+	h := newManualLoop(t, testSpec())
+	h.updateEndpoints(20, upMember("s-00000001", s))
 	r := &Request{loop: h.loop, Name: "1", At: h.now(), Reply: make(chan Response, 1)}
 	r.Class, r.Budget = "checkin", time.Second
-	h.post(arrived{r})
+	h.enqueue(requestArrived{r})
 	r.ClientLeft()
-	h.turn()
+	h.handleEvents()
 	want(t, "connections to the node", s.Opened(), 0)
 	want(t, "requests", len(h.requests), 0)
-	want(t, "their ids", len(h.open), 0)
+	want(t, "their ids", len(h.clientRequestIDs), 0)
 }
 
 // A keyed request that may have run is not written again once its nodes may have forgotten it, though it was chosen for another
@@ -129,20 +137,20 @@
 	})
 	for _, late := range []bool{false, true} {
 		t.Run(fmt.Sprint("late: ", late), func(t *testing.T) {
-			h := newHand(t, spec)
-			h.list(20, up("s-00000001", breaks), up("s-00000002", breaks))
-			slow := h.slowly()
-			r := h.begin("1", "pay", nil)
-			<-slow.begun
-			slow.up <- struct{}{}
+			h := newManualLoop(t, spec)
+			h.updateEndpoints(20, upMember("s-00000001", breaks), upMember("s-00000002", breaks))
+			slow := h.delayConnections()
+			r := h.submit("1", "pay", nil)
+			<-slow.began
+			slow.connect <- struct{}{}
 			<-breaks.Arrivals
-			h.turn() // it may have run, and there is time for another attempt
-			<-slow.begun
+			h.handleEvents() // it may have run, and there is time for another attempt
+			<-slow.began
 			if late {
 				time.Sleep(window)
 			}
-			close(slow.up)
-			h.finish()
+			close(slow.connect)
+			h.finishAttempts()
 			want(t, "attempts written after the first", len(breaks.Arrivals) > 0, !late)
 			for len(breaks.Arrivals) > 0 {
 				<-breaks.Arrivals
