--- a/internal/pool/mailbox.go
+++ b/internal/pool/mailbox.go
@@ -5,16 +5,19 @@
 	"sync/atomic"
 )
 
-// mailbox brings events to the loop, which takes them in batches: under load a channel would cost a turn of the scheduler for
-// each. Who posts never waits. What can be in it is bounded by the requests, attempts and probes that there are.
+// mailbox brings events to the loop, which takes them in batches: under load a channel would cost a switch of goroutines for each
+// event. Enqueueing never waits. The number of queued events is bounded by the requests, attempts and health checks that there are.
+//
+// Any goroutine may enqueue; one consumer goroutine at a time takes. A mailbox with a consume function starts that goroutine when
+// an event comes and none runs.
 type mailbox struct {
 	mu        sync.Mutex
 	normal    []event
 	urgent    []event
-	hasUrgent atomic.Bool   // there is something urgent
-	consume   func()        // takes what comes, from a goroutine that is started when something has come; nil: somebody always does
-	consuming bool          // it has been started and has not left
-	ready     chan struct{} // holds a word while there is something in an empty mailbox
+	hasUrgent atomic.Bool   // spares takeUrgent the lock
+	consume   func()        // runs in a goroutine that the mailbox starts; nil: somebody always consumes
+	consuming bool          // that goroutine has been started and has not stopped
+	ready     chan struct{} // has one entry once something was enqueued
 }
 
 func newMailbox() *mailbox { return &mailbox{ready: make(chan struct{}, 1)} }
@@ -26,7 +29,7 @@
 	m.signalAndUnlock()
 }
 
-// enqueueUrgent adds an event that goes before all that is not urgent.
+// enqueueUrgent adds an event that is handled before all that are not urgent.
 func (m *mailbox) enqueueUrgent(e event) {
 	m.mu.Lock()
 	m.urgent = append(m.urgent, e)
@@ -34,7 +37,7 @@
 	m.signalAndUnlock()
 }
 
-// signalAndUnlock tells the taker that there is something, or starts it. It gives the lock back, which its caller has taken.
+// signalAndUnlock starts the consumer or signals the one that runs, and releases the lock, which the caller holds.
 func (m *mailbox) signalAndUnlock() {
 	start := m.consume != nil && !m.consuming
 	if start {
@@ -51,21 +54,21 @@
 	}
 }
 
-// start begins to start the taker, also for what has come before.
-func (m *mailbox) start(taker func()) {
+// start makes the mailbox start its consumer from now on, also for the events that it holds already.
+func (m *mailbox) start(consume func()) {
 	m.mu.Lock()
-	m.consume = taker
+	m.consume = consume
 	m.signalAndUnlock()
 }
 
-// wake lets the taker look at its clock.
+// wake runs the consumer although no event has come: a timer of its own is due.
 func (m *mailbox) wake() {
 	m.mu.Lock()
 	m.signalAndUnlock()
 }
 
-// stopConsuming ends the taker's turn. It must touch nothing then: the next may have been started already. false: something has come, and
-// the turn goes on.
+// stopConsuming ends the consumer's turn; false: an event has come, and the consumer has to go on. After true the caller must
+// touch nothing that it shares with the consumer, since the next one may run already.
 func (m *mailbox) stopConsuming() bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -73,7 +76,7 @@
 	return !m.consuming
 }
 
-// takeNormal returns what has come, and leaves spare in its place.
+// takeNormal returns the events that are not urgent. The mailbox goes on with spare's memory.
 func (m *mailbox) takeNormal(spare []event) []event {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -82,7 +85,7 @@
 	return batch
 }
 
-// takeUrgent returns what is urgent.
+// takeUrgent returns the urgent events.
 func (m *mailbox) takeUrgent() []event {
 	if !m.hasUrgent.Load() {
 		return nil
--- a/internal/pool/timers.go
+++ b/internal/pool/timers.go
@@ -5,74 +5,86 @@
 	"time"
 )
 
-// timer is a timer of the module's, a request's deadline, or an attempt's time-out.
+// timer is a timer of the balancer's, a request's deadline or an attempt's time-out. Exactly one of token, request and attempt says
+// which.
 type timer struct {
-	at        time.Duration
-	serial    uint64 // alarms of one moment go off in the order they were set
-	token     uint64
-	request   *Request
-	attempt   *attempt
-	heapIndex int // in the heap; -1: it is not there
+	at       time.Duration // on the loop's clock
+	sequence uint64        // timers of one moment expire in the order in which they were scheduled
+	token    uint64        // the balancer's, if request and attempt are nil
+	request  *Request
+	attempt  *attempt
+
+	heapIndex int // -1: it is not scheduled
 }
 
-// timerQueue are those that are set. Those of requests are taken out as soon as they are closed: left until they go off, they would
-// keep the memory of all that came within the longest deadline.
+// timerQueue holds the scheduled timers by time. A request's timers are cancelled as soon as it is closed: left until they expire,
+// they would keep the memory of all requests that came within the longest deadline.
 type timerQueue struct {
-	heap   timerHeap
-	serial uint64
+	heap         timerHeap
+	lastSequence uint64
 }
 
-// schedule adds an alarm.
-func (a *timerQueue) schedule(x *timer) {
-	a.serial++
-	x.serial = a.serial
-	heap.Push(&a.heap, x)
+// schedule adds a timer.
+func (q *timerQueue) schedule(t *timer) {
+	q.lastSequence++
+	t.sequence = q.lastSequence
+	heap.Push(&q.heap, t)
 }
 
-// cancel takes an alarm out, if it is set.
-func (a *timerQueue) cancel(x *timer) {
-	if x.at > 0 && x.heapIndex >= 0 {
-		heap.Remove(&a.heap, x.heapIndex)
+// cancel removes a timer, if it is scheduled.
+func (q *timerQueue) cancel(t *timer) {
+	wasScheduled := t.at > 0
+	if wasScheduled && t.heapIndex >= 0 {
+		heap.Remove(&q.heap, t.heapIndex)
 	}
 }
 
-// popExpired takes out the next alarm that has gone off by now; nil if none has.
-func (a *timerQueue) popExpired(now time.Duration) *timer {
-	if len(a.heap) == 0 || a.heap[0].at > now {
+// popExpired removes and returns the next timer that has expired by now; nil if none has.
+func (q *timerQueue) popExpired(now time.Duration) *timer {
+	if len(q.heap) == 0 || q.heap[0].at > now {
 		return nil
 	}
-	return heap.Pop(&a.heap).(*timer)
+	return heap.Pop(&q.heap).(*timer)
 }
 
-// nextAt is when the next alarm goes off, if any is set.
-func (a *timerQueue) nextAt() (at time.Duration, some bool) {
-	if len(a.heap) == 0 {
+// nextAt is when the next timer expires; false: none is scheduled.
+func (q *timerQueue) nextAt() (at time.Duration, scheduled bool) {
+	if len(q.heap) == 0 {
 		return 0, false
 	}
-	return a.heap[0].at, true
+	return q.heap[0].at, true
 }
 
+// timerHeap implements heap.Interface.
 type timerHeap []*timer
 
-func (a timerHeap) Len() int { return len(a) }
-func (a timerHeap) Less(i, j int) bool {
-	return a[i].at < a[j].at || (a[i].at == a[j].at && a[i].serial < a[j].serial)
+func (h timerHeap) Len() int { return len(h) }
+
+func (h timerHeap) Less(i, j int) bool {
+	if h[i].at != h[j].at {
+		return h[i].at < h[j].at
+	}
+	return h[i].sequence < h[j].sequence
 }
 
-func (a timerHeap) Swap(i, j int) {
-	a[i], a[j] = a[j], a[i]
-	a[i].heapIndex, a[j].heapIndex = i, j
+func (h timerHeap) Swap(i, j int) {
+	h[i], h[j] = h[j], h[i]
+	h[i].heapIndex = i
+	h[j].heapIndex = j
 }
 
-func (a *timerHeap) Push(x any) {
-	x.(*timer).heapIndex = len(*a)
-	*a = append(*a, x.(*timer))
+func (h *timerHeap) Push(x any) {
+	added := x.(*timer)
+	added.heapIndex = len(*h)
+	*h = append(*h, added)
 }
 
-func (a *timerHeap) Pop() any {
-	old := *a
-	x := old[len(old)-1]
-	old[len(old)-1], x.heapIndex = nil, -1
-	*a = old[:len(old)-1]
-	return x
+func (h *timerHeap) Pop() any {
+	old := *h
+	last := len(old) - 1
+	removed := old[last]
+	removed.heapIndex = -1
+	old[last] = nil
+	*h = old[:last]
+	return removed
 }
