--- a/internal/pool/attempt.go
+++ b/internal/pool/attempt.go
@@ -1,7 +1,6 @@
 package pool
 
 import (
-	"fmt"
 	"net/http"
 	"time"
 
@@ -11,28 +10,29 @@
 	"olivearch/internal/upstream"
 )
 
-// lingerTimeout and lingerMost bound the connections of attempts whose client has gone. The upstream works on
-// regardless, and a connection kept for the late answer saves the next handshake; but hung upstreams never
-// answer.
+// lingerTimeout and maxLingeringAttempts bound the connections that wait for late responses to clients that have gone.
+// The endpoint works on regardless, and a connection kept for its response saves the next handshake; but an endpoint
+// that hangs never answers.
 const (
 	lingerTimeout        = 3 * time.Second
-	maxLingeringAttempts = 4
+	maxLingeringAttempts = 4 // of one endpoint
 )
 
-// attempt is one send of a request to an upstream, as the loop keeps it.
+// attempt is one try of a request at an endpoint. The loop owns it, but for what the embedded Attempt lets the
+// goroutine of the connection do.
 type attempt struct {
 	upstream.Attempt
 	loop       *loop
 	request    *Request
-	number     int // order of the request's sends, from 0
+	number     int // order of the request's attempts, from 0
 	endpoint   *endpoint
-	connection *connection // that carries it; its connection is in the attempt
+	connection *connection // that carries it; nil: there was none
 	transport  upstream.Transport
+	state      attemptState
 	sentAt     time.Duration
-	reported   bool         // the module has had its outcome
-	tunnel     *body.Tunnel // that it has become; nil: none
-	lingering  bool         // it is left to its connection for the late answer
-	timer      timer        // of its own, before the request's deadline
+	timer      timer        // its time-out, where that ends before the request's deadline
+	tunnel     *body.Tunnel // that the connection has become; nil: none
+	lingering  bool         // its connection was left to wait for the late response
 }
 
 var _ interface {
@@ -40,212 +40,276 @@
 	upstream.Gate
 } = (*attempt)(nil)
 
-// Written, Hint and Began are called from the link's goroutine.
-func (a *attempt) Written()                { a.loop.enqueue(bodyWritten{a}) }
-func (a *attempt) Hint(h http1.Fields)     { a.loop.enqueue(earlyHintsReceived{a, h}) }
-func (a *attempt) Began(r upstream.Result) { a.loop.enqueue(responseStarted{a, r}) }
+// Written, Hint and Began are upstream.Observer's, called from the connection's goroutine.
+func (a *attempt) Written()                       { a.loop.enqueue(bodyWritten{a}) }
+func (a *attempt) Hint(fields http1.Fields)       { a.loop.enqueue(earlyHintsReceived{a, fields}) }
+func (a *attempt) Began(response upstream.Result) { a.loop.enqueue(responseStarted{a, response}) }
 
-// Open looks once more, from the link's goroutine, whether anybody still waits for the answer.
+// Open is upstream.Gate's, called from the connection's goroutine: whether the client still waits.
 func (a *attempt) Open() bool { return a.request.clientPresent() }
 
-// Send makes an attempt.
-func (l *loop) Send(id balancer.RequestID, up balancer.UpstreamID, timeout time.Duration) {
-	r, p := l.requests[id], l.endpoints[up]
-	if r == nil || p == nil { // the module sends what it was told of, where it was told
-		l.Log(fmt.Sprintf("send of unknown request %d or upstream %d", id, up))
+// Send makes an attempt. Part of balancer.Host.
+func (l *loop) Send(id balancer.RequestID, upstreamID balancer.UpstreamID, timeout time.Duration) {
+	request := l.requests[id]
+	endpoint := l.endpoints[upstreamID]
+	if request == nil || endpoint == nil { // the balancer sends requests and to endpoints that it was told of
+		l.logInfo("attempt not sent", "err", "unknown request or endpoint", "request", id, "upstream", upstreamID)
 		return
 	}
 	now := l.now()
-	a := &attempt{loop: l, request: r, number: len(r.attempts), endpoint: p, transport: l.transport, sentAt: now}
-	a.Message, a.Address, a.Told, a.Gate = &r.Message, p.address, a, a
-	if until := l.balancer.SendDeadline(id); until > 0 {
-		a.Until = time.Now().Add(until - now)
+	attempt := l.newAttempt(request, endpoint, timeout, now)
+	if l.mayConnect(attempt) {
+		attempt.connection = l.acquireConnection(endpoint, now)
 	}
-	r.attempts, r.unreported = append(r.attempts, a), r.unreported+1
-	wait := r.deadline - now
-	if timeout > 0 && timeout < wait {
-		wait = timeout
-		a.timer = timer{at: now + timeout, attempt: a}
-		l.timers.schedule(&a.timer)
+	if request.Message.Rest.Live() {
+		attempt.Wait = min(attempt.Wait, request.Budget) // from its last byte
+	}
+	if attempt.connection == nil { // no fault of the endpoint's
+		attempt.Drop()
+		l.deferOutcome(attempt, balancer.NotSent)
+		return
 	}
-	a.Wait = wait
-	if r.Message.Rest.Live() {
-		a.Wait = min(wait, r.Budget) // from its last byte
+	endpoint.addOpenAttempt(attempt)
+	attempt.Conn = attempt.connection.transportConn
+	if attempt.Conn != nil {
+		idleFor := now - attempt.connection.idleSince
+		attempt.Rest = l.connections.reuseDelay(endpoint) - idleFor
 	}
-	var room bool
-	crowded := r.Message.Upgrade != "" && p.tunnelCount >= l.tunnelLimits.PerNode
-	if !r.closed && wait > 0 && p.state == balancer.Active && !crowded {
-		a.connection, room = l.acquireConnection(p, now)
+	attempt.connection.start(l, attempt)
+}
+
+// newAttempt makes an attempt with its time-out. timeout is the balancer's; 0: only the request's deadline ends it.
+func (l *loop) newAttempt(request *Request, endpoint *endpoint, timeout, now time.Duration) *attempt {
+	a := &attempt{
+		loop:      l,
+		request:   request,
+		number:    len(request.attempts),
+		endpoint:  endpoint,
+		transport: l.connections.transport,
+		sentAt:    now,
 	}
-	if !room { // no fault of the upstream's
-		a.Drop()
-		l.pendingOutcomes = append(l.pendingOutcomes, pendingOutcome{a, balancer.NotSent})
-		return
+	a.Message = &request.Message
+	a.Address = endpoint.address
+	a.Told = a
+	a.Gate = a
+	if until := l.balancer.SendDeadline(request.ID); until > 0 {
+		a.Until = time.Now().Add(until - now)
 	}
-	if p.openAttempts == nil {
-		p.openAttempts = map[*attempt]struct{}{}
+	request.attempts = append(request.attempts, a)
+	request.unreported++
+	a.Wait = request.deadline - now
+	if timeout > 0 && timeout < a.Wait {
+		a.Wait = timeout
+		a.timer = timer{at: now + timeout, attempt: a}
+		l.timers.schedule(&a.timer)
 	}
-	p.openAttempts[a] = struct{}{}
-	if a.Conn = a.connection.transportConn; a.Conn != nil {
-		a.Rest = l.reuseDelay(p) - (now - a.connection.idleSince)
+	return a
+}
+
+// mayConnect tells whether an attempt may have a connection.
+func (l *loop) mayConnect(a *attempt) bool {
+	isTunnel := a.request.Message.Upgrade != ""
+	if isTunnel && a.endpoint.tunnelCount >= l.tunnelLimits.PerNode {
+		return false
 	}
-	a.connection.start(l, a)
+	return a.request.isOpen() && a.Wait > 0 && a.endpoint.state == balancer.Active
 }
 
-// bodyWritten tells that an attempt of a request whose body went on as it came has written its last byte. From then on its time
-// counts.
-type bodyWritten struct{ *attempt }
+// bodyWritten is an attempt that has written the last byte of a body that went on as it came. Its time counts from then
+// on.
+type bodyWritten struct{ attempt *attempt }
 
 func (e bodyWritten) apply(l *loop) {
-	a, q := e.attempt, e.attempt.request
-	if a.reported || q.closed {
+	request := e.attempt.request
+	if e.attempt.state.reported() || !request.isOpen() {
 		return
 	}
-	a.sentAt = l.now()
-	q.deadline = a.sentAt + q.Budget
-	l.timers.cancel(&q.deadlineTimer)
-	q.deadlineTimer.at = q.deadline
-	l.timers.schedule(&q.deadlineTimer)
-	l.balancer.BodySent(a.sentAt, q.ID, a.number)
+	e.attempt.sentAt = l.now()
+	l.restartDeadline(request, e.attempt.sentAt)
+	l.balancer.BodySent(e.attempt.sentAt, request.ID, e.attempt.number)
 }
 
-// responseStarted is an answer of which the first bytes have come.
+// responseStarted is a response of which the first bytes have come, and which goes on as it comes.
 type responseStarted struct {
-	*attempt
-	upstream.Result
+	attempt  *attempt
+	response upstream.Result
 }
 
 func (e responseStarted) apply(l *loop) {
-	a := e.attempt
-	if a.reported || a.request.closed {
-		e.More.Abandon()
-		e.Tunnel.Close()
+	attempt := e.attempt
+	if attempt.state.reported() || !attempt.request.isOpen() {
+		e.response.More.Abandon()
+		e.response.Tunnel.Close()
 		return
 	}
-	if e.Tunnel != nil {
-		a.tunnel = e.Tunnel
-		l.tunnels[a] = struct{}{}
-		a.endpoint.tunnelCount++
+	if e.response.Tunnel != nil {
+		attempt.tunnel = e.response.Tunnel
+		l.tunnels[attempt] = struct{}{}
+		attempt.endpoint.tunnelCount++
 	}
-	a.endpoint.noteUnreadableReport(e.Spoilt)
-	l.reportOutcome(a, e.Result)
-	l.addAbandoned(a.endpoint, 1) // its connection is held until the last byte
+	attempt.endpoint.noteLoadReport(e.response.Spoilt)
+	l.reportOutcome(attempt, responseHeadReceived, e.response)
+	l.addAbandoned(attempt.endpoint, 1) // its connection is held until the last byte
 }
 
-// earlyHintsReceived is an interim answer. A client gets those of one attempt.
+// earlyHintsReceived is an interim response with status 103. A client gets those of one attempt.
 type earlyHintsReceived struct {
-	*attempt
-	fields http1.Fields
+	attempt *attempt
+	fields  http1.Fields
 }
 
-func (e earlyHintsReceived) apply(l *loop) {
-	if q := e.attempt.request; !e.reported && !q.closed && !q.hintSent {
-		q.hintSent = true
-		q.Reply <- Response{Status: http.StatusEarlyHints, Header: e.fields} // has room, and the last answer too
+func (e earlyHintsReceived) apply(*loop) {
+	request := e.attempt.request
+	if e.attempt.state.reported() || !request.isOpen() || request.hintSent {
+		return
 	}
+	request.hintSent = true
+	request.Reply <- Response{Status: http.StatusEarlyHints, Header: e.fields} // has room for it and for the final response
 }
 
-// attemptFinished is the end of an attempt on its connection.
+// attemptFinished is an attempt that has ended on its connection.
 type attemptFinished struct {
-	*attempt
-	upstream.Result
+	attempt *attempt
+	result  upstream.Result
 }
 
 func (e attemptFinished) apply(l *loop) {
-	a := e.attempt
-	delete(a.endpoint.openAttempts, a)
-	if a.tunnel != nil {
-		delete(l.tunnels, a)
-		a.endpoint.tunnelCount--
+	attempt := e.attempt
+	endpoint := attempt.endpoint
+	delete(endpoint.openAttempts, attempt)
+	if attempt.tunnel != nil {
+		delete(l.tunnels, attempt)
+		endpoint.tunnelCount--
 	}
-	if a.lingering {
-		a.endpoint.lingeringAttempts--
+	if attempt.lingering {
+		endpoint.lingeringAttempts--
 	}
-	l.returnConnection(a.endpoint, a.connection, e.Result.Conn)
-	a.endpoint.noteUnreadableReport(e.Spoilt)
-	if e.Stray {
-		a.endpoint.unsolicited++
+	l.returnConnection(endpoint, attempt.connection, e.result.Conn)
+	endpoint.noteLoadReport(e.result.Spoilt)
+	if e.result.Stray {
+		endpoint.notes.unsolicited++
 	}
-	if a.reported {
-		l.addAbandoned(a.endpoint, -1)
+	if attempt.state.reported() {
+		l.addAbandoned(endpoint, -1)
 	}
-	if a.request.clientGone.Load() && !a.request.closed && e.Status != balancer.OK { // seen as it was to be written, or meanwhile
-		l.abandonRequest(a.request)
+	// The client was seen to have left as the attempt was to be written, or meanwhile.
+	leftUnserved := attempt.request.clientGone.Load() && e.result.Status != balancer.OK
+	if leftUnserved && attempt.request.isOpen() {
+		l.abandonRequest(attempt.request)
 	}
-	l.reportOutcome(a, e.Result)
-	l.forgetEndpoint(a.endpoint)
+	l.reportOutcome(attempt, connectionReturned, e.result)
+	l.forgetIfUnused(endpoint)
 }
 
-// reportOutcome gives the module an attempt's one outcome, and the client the answer if it is served.
-func (l *loop) reportOutcome(a *attempt, r upstream.Result) {
-	if a.reported {
+// reportOutcome changes an attempt's state. The first change is the attempt's one outcome: the balancer is told, and
+// the client is answered if it is served or the request can't be sent again.
+func (l *loop) reportOutcome(attempt *attempt, change attemptChange, result upstream.Result) {
+	before := attempt.state
+	attempt.state = before.after(change)
+	if before.reported() {
 		return
 	}
-	a.reported = true
-	l.timers.cancel(&a.timer)
-	q, now := a.request, l.now()
-	if r.Status == balancer.OK && !q.closed {
-		l.respond(q, Response{Status: r.Code, Body: r.Body, ContentType: r.Kind, Header: r.Header, Trailer: r.Trailer, Stream: r.More, Tunnel: r.Tunnel})
-	}
-	if r.Status != balancer.OK && !q.closed && q.Message.Rest.Spent() { // the module can't send it anew
-		if r.Status == balancer.Rejected || r.Status == balancer.ConnectFailed || r.Status == balancer.NotSent {
-			l.respond(q, Response{Status: http.StatusServiceUnavailable})
-		} else {
-			l.respond(q, Response{Status: http.StatusBadGateway})
-		}
-	}
-	q.unreported--
-	closed := q.closed
-	l.releaseRequest(q)
+	l.timers.cancel(&attempt.timer)
+	request := attempt.request
+	now := l.now()
+	if request.isOpen() {
+		l.respondByOutcome(request, result)
+	}
+	request.unreported--
+	closed := !request.isOpen()
+	l.releaseIfSettled(request)
 	l.balancer.AttemptFinished(now, balancer.AttemptResult{
-		ID: q.ID, Upstream: a.endpoint.id, Attempt: a.number, Latency: now - a.sentAt,
-		Status: r.Status, Closed: closed, Load: r.Load,
+		ID:       request.ID,
+		Upstream: attempt.endpoint.id,
+		Attempt:  attempt.number,
+		Latency:  now - attempt.sentAt,
+		Status:   result.Status,
+		Closed:   closed,
+		Load:     result.Load,
 	})
 }
 
-// pendingOutcome is an outcome to tell as soon as the module has returned.
+// respondByOutcome answers a client that is served, or whose request can't be sent again since its body is spent. What
+// becomes of others is the balancer's to decide.
+func (l *loop) respondByOutcome(request *Request, result upstream.Result) {
+	if result.Status == balancer.OK {
+		l.respond(request, Response{
+			Status:      result.Code,
+			Body:        result.Body,
+			ContentType: result.Kind,
+			Header:      result.Header,
+			Trailer:     result.Trailer,
+			Stream:      result.More,
+			Tunnel:      result.Tunnel,
+		})
+		return
+	}
+	if !request.Message.Rest.Spent() {
+		return
+	}
+	switch result.Status {
+	case balancer.Rejected, balancer.ConnectFailed, balancer.NotSent: // it has not run
+		l.respond(request, Response{Status: http.StatusServiceUnavailable})
+	default:
+		l.respond(request, Response{Status: http.StatusBadGateway})
+	}
+}
+
+// pendingOutcome is the outcome of an attempt that is reported as soon as the balancer has returned from its call.
 type pendingOutcome struct {
 	attempt *attempt
 	status  balancer.Status
 }
 
-// reportPendingOutcomes tells the outcomes that came up while the module was calling.
+// deferOutcome notes an outcome that came up while the balancer may be calling.
+func (l *loop) deferOutcome(a *attempt, status balancer.Status) {
+	l.pendingOutcomes = append(l.pendingOutcomes, pendingOutcome{a, status})
+}
+
+// reportPendingOutcomes reports the outcomes that came up while the balancer was calling, and those that come up
+// meanwhile.
 func (l *loop) reportPendingOutcomes() {
 	for len(l.pendingOutcomes) > 0 {
-		o := l.pendingOutcomes[0]
+		next := l.pendingOutcomes[0]
 		l.pendingOutcomes = l.pendingOutcomes[1:]
-		l.stopWaiting(o.attempt, o.status)
+		l.stopWaiting(next.attempt, next.status)
 	}
 	l.pendingOutcomes = nil
 }
 
-// stopWaiting stops waiting for an attempt. One that was never written is moot.
-func (l *loop) stopWaiting(a *attempt, status balancer.Status) {
-	if a.reported {
+// stopWaiting ends the wait for an attempt of which no outcome was reported. One that was never written counts as not
+// sent.
+func (l *loop) stopWaiting(attempt *attempt, status balancer.Status) {
+	if attempt.state.reported() {
 		return
 	}
-	if a.Drop() {
+	if attempt.Drop() {
 		status = balancer.NotSent
 	} else {
-		// An attempt of a request that may be sent again gives up its connection, or it would count as a second copy.
-		until, linger := time.Unix(0, 1), (a.request.closed || l.now() >= a.request.deadline) && a.endpoint.lingeringAttempts < a.endpoint.maxLingering() && a.endpoint.state == balancer.Active
-		if linger {
-			until = time.Now().Add(lingerTimeout)
-		}
-		if a.GiveUp(until) && linger {
-			a.lingering = true
-			a.endpoint.lingeringAttempts++
-		}
-	}
-	if _, out := a.endpoint.openAttempts[a]; out {
-		l.addAbandoned(a.endpoint, 1)
-	}
-	l.reportOutcome(a, upstream.Result{Status: status})
-}
-
-// timeOut ends an attempt whose time is up.
-func (l *loop) timeOut(a *attempt) {
-	if !a.reported {
-		l.stopWaiting(a, balancer.Timeout)
+		l.giveUp(attempt)
+	}
+	change := connectionMissed
+	if _, open := attempt.endpoint.openAttempts[attempt]; open {
+		change = waitStopped
+		l.addAbandoned(attempt.endpoint, 1)
+	}
+	l.reportOutcome(attempt, change, upstream.Result{Status: status})
+}
+
+// giveUp bounds the wait for an attempt that was written. Its connection lingers for the late response if the request
+// is over, and if few others do; that of a request that may be sent again is closed, or the attempt would count as a
+// hedged request.
+func (l *loop) giveUp(attempt *attempt) {
+	endpoint := attempt.endpoint
+	requestOver := !attempt.request.isOpen() || l.now() >= attempt.request.deadline
+	hasRoom := endpoint.lingeringAttempts < endpoint.maxLingering()
+	linger := requestOver && hasRoom && endpoint.state == balancer.Active
+	until := time.Unix(0, 1) // at once
+	if linger {
+		until = time.Now().Add(lingerTimeout)
+	}
+	if attempt.GiveUp(until) && linger {
+		attempt.lingering = true
+		endpoint.lingeringAttempts++
 	}
 }
--- a/internal/pool/clock_step_test.go
+++ b/internal/pool/clock_step_test.go
@@ -13,8 +13,9 @@
 	"olivearch/internal/endpointlist"
 )
 
-// The machine's clock is set by an hour, either way, while a pool rests: its time goes on by the monotonic clock, so what started just
-// now is cold, what drains gets nothing, and the first request is served. TestClockStepsWhileItRests runs it.
+// The machine's clock is set by an hour, either way, while a pool rests: its time goes on by the monotonic clock, so
+// what started just now is cold, what drains gets nothing, and the first request is served. TestClockStepsWhileItRests
+// runs it.
 func TestClockSteps(t *testing.T) {
 	file := filepath.Join(t.TempDir(), "clock")
 	t.Setenv(clock.Variable, file)
--- a/internal/pool/configure.go
+++ b/internal/pool/configure.go
@@ -1,81 +1,90 @@
 package pool
 
-import "fmt"
-
-// specReceived is a new Spec, all of which holds from now on.
-type specReceived struct {
-	Spec
+// specChanged is a new Spec, all of which holds from now on.
+type specChanged struct {
+	spec Spec
 	done chan<- error
 }
 
-func (e specReceived) apply(l *loop) {
-	if err := l.applySpec(e.Spec); err != nil {
+func (e specChanged) apply(l *loop) {
+	if err := l.applySpec(e.spec); err != nil {
 		e.done <- err
 		return
 	}
-	if l.discoveryAddress() != e.Discovery {
-		l.followDiscovery(e.Discovery)
+	if l.source.address() != e.spec.Discovery {
+		l.followDiscovery(e.spec.Discovery)
 		l.WatchEndpoints(true)
 	}
-	l.registration.setWeight(e.SharedWeight)
-	if l.registration.ownDrainsOnly != e.OwnDrains {
-		l.registration.ownDrainsOnly = e.OwnDrains
-		l.refreshAllotments(nil)
-	}
+	l.updateRegistration(e.spec)
 	l.reportPendingOutcomes()
 	e.done <- nil
 }
 
-// applySpec takes the settings and limits of a Spec, or changes nothing.
-func (l *loop) applySpec(c Spec) error {
-	if l.hasBalancer() {
-		if err := l.balancer.Configure(l.now(), c.Settings); err != nil {
-			return err
-		}
-	} else if err := c.Settings.Validate(); err != nil {
+// updateRegistration applies what a Spec says of endpoints that other pools list too.
+func (l *loop) updateRegistration(spec Spec) {
+	l.registration.setWeight(spec.SharedWeight)
+	if l.registration.ownDrainsOnly != spec.OwnDrains {
+		l.registration.ownDrainsOnly = spec.OwnDrains
+		l.refreshAllotments(func(string) bool { return true })
+	}
+}
+
+// applySpec applies the settings and limits of a Spec, or changes nothing.
+func (l *loop) applySpec(spec Spec) error {
+	if err := l.applySettings(spec); err != nil {
 		return err
 	}
-	asked := l.settings.PollDiscovery
-	l.applyLimits(c)
+	polledBefore := l.settings.PollDiscovery
+	l.applyLimits(spec)
 	if !l.canSuspend() {
 		if err := l.createBalancer(); err != nil {
 			return err
 		}
 	}
-	if asked != c.Settings.PollDiscovery { // the module has asked by what held before
+	if polledBefore != spec.Settings.PollDiscovery { // the balancer has asked by the settings before
 		l.WatchEndpoints(true)
 	}
 	return nil
 }
 
-// Reload takes the settings of a new Spec and what it says of discovery, all of it or nothing, and does not wait until that holds.
-// Requests under way keep the class that they came with. adopted is called, from the pool's goroutine, once new settings hold.
+// applySettings configures the balancer, or checks the settings where there is none.
+func (l *loop) applySettings(spec Spec) error {
+	if !l.hasBalancer() {
+		return spec.Settings.Validate()
+	}
+	return l.balancer.Configure(l.now(), spec.Settings)
+}
+
+// Reload applies a new Spec's settings and its address of discovery, all of it or nothing, and does not wait until that
+// holds. Requests under way keep the class that they came with. adopted is called, from the pool's goroutine, once
+// settings that differ hold.
 func (p *Pool) Reload(spec Spec, adopted func()) {
-	p.loop.enqueue(configurationReloaded{spec, adopted})
+	p.loop.enqueue(configurationReloaded{spec: spec, adopted: adopted})
 }
 
-// configurationReloaded is a new configuration of a platform's pool.
+// configurationReloaded is a Spec by a configuration that was read again.
 type configurationReloaded struct {
-	Spec
+	spec    Spec
 	adopted func()
 }
 
 func (e configurationReloaded) apply(l *loop) {
-	if !e.Settings.Equal(l.settings) {
-		if err := l.applySpec(e.Spec); err != nil {
-			l.Log(fmt.Sprintf("configuration: the old settings stay: %v", err))
+	if !e.spec.Settings.Equal(l.settings) {
+		if err := l.applySpec(e.spec); err != nil {
+			l.logInfo("settings not applied", "err", err)
 			return
 		}
 		e.adopted()
-		l.Log(fmt.Sprintf("configuration: new settings hold, with %d classes", len(e.Settings.Classes)))
+		l.logInfo("settings applied", "classes", len(e.spec.Settings.Classes))
 	}
-	if before := l.discoveryAddress(); e.Discovery != before {
-		l.Log(fmt.Sprintf("configuration read again: discovery is at %s, no longer at %s", e.Discovery, before))
-		l.followDiscovery(e.Discovery)
-		if l.stopWatch != nil {
-			l.WatchEndpoints(true)
-		}
+	before := l.source.address()
+	if e.spec.Discovery == before {
+		l.logInfo("discovery address kept", "address", before)
 		return
 	}
-	l.Log("configuration read again: discovery is where it was")
+	l.logInfo("discovery address changed", "address", e.spec.Discovery, "previous", before)
+	l.followDiscovery(e.spec.Discovery)
+	if l.source.stopWatch != nil {
+		l.WatchEndpoints(true)
+	}
 }
--- a/internal/pool/endpoint.go
+++ b/internal/pool/endpoint.go
@@ -1,222 +1,181 @@
 package pool
 
 import (
-	"fmt"
-	"time"
-
 	"olivearch/balancer"
 	"olivearch/internal/discovery"
 	"olivearch/internal/sharedlimit"
 )
 
-// endpoint is what the loop knows of an upstream's address and connections.
+// endpoint is what the loop knows of an endpoint of the list: where it is, its connections, and what the pool may use
+// of it. The loop owns it.
 type endpoint struct {
-	id                balancer.UpstreamID
-	name              string // discovery's id
-	address           string
-	member            discovery.Member // as it was listed last
-	listedState       balancer.State   // by this pool's own list
-	state             balancer.State   // with what the other pools of the process were told, and what is out by hand
-	idleConnections   []*connection    // the most recently used last
-	openAttempts      map[*attempt]struct{}
-	listGeneration    uint64 // the last that named it
+	id          balancer.UpstreamID
+	name        string // discovery's id of it
+	address     string // host:port
+	member      discovery.Member
+	listedState balancer.State // by this pool's own list
+	state       balancer.State // that counts: endpointFacts says why it may differ
+	upstream    balancer.Upstream
+	allotment   sharedlimit.Allotment // the zero value where no other pool of the process may use the endpoint
+
+	listedWeight   float64 // of which operators may leave it a part
+	listGeneration uint64  // of the list that named it last
+
+	connections       int // open or being opened
+	idle              idleConnections
+	openAttempts      map[*attempt]struct{} // that have not ended on their connection
+	abandoned         int                   // open attempts of which the balancer has had the outcome
 	lingeringAttempts int
 	tunnelCount       int
-	abandoned         int                   // attempts among those out that the module takes for ended
-	connections       int                   // to it, open or opening
-	allotment         sharedlimit.Allotment // where other pools of the process may use it too
-	upstream          balancer.Upstream
-	listedWeight      float64 // by its list; staff's word may leave it a part of that
-	unsolicited       uint64  // connections on which it sent what nobody had asked for
-	unreadableReports uint64  // load reports that could not be read
-	unreadableReason  string  // the last of them could not
+	notes             endpointNotes
 }
 
-// noteUnreadableReport notes a load report that could not be read.
-func (p *endpoint) noteUnreadableReport(why string) {
-	if why != "" {
-		p.unreadableReports, p.unreadableReason = p.unreadableReports+1, why
+// noteLoadReport notes why a load report could not be read; empty: it could, or there was none.
+func (e *endpoint) noteLoadReport(unreadable string) {
+	if unreadable != "" {
+		e.notes.unreadableReports++
+		e.notes.unreadableReason = unreadable
 	}
 }
 
-// endpointsUpdated is an answer of discovery, or a list that was told from elsewhere.
-type endpointsUpdated discovery.Heard
+// addOpenAttempt notes an attempt that has a connection.
+func (e *endpoint) addOpenAttempt(a *attempt) {
+	if e.openAttempts == nil {
+		e.openAttempts = map[*attempt]struct{}{}
+	}
+	e.openAttempts[a] = struct{}{}
+}
 
-func (x endpointsUpdated) apply(l *loop) {
-	switch {
-	case x.From != l.discovery: // asked before discovery moved
-		return
-	case x.Err != nil:
-		l.sourceError = x.Err.Error()
-		l.Log(l.sourceError)
-		if l.settings.PollDiscovery { // else the agent is asked until it answers
-			l.balancer.EndpointsUpdated(l.now(), balancer.ListFailed, nil)
-		}
-	case x.Revision < l.revision: // overtaken by a newer one: it must not undo that
-		l.Log(fmt.Sprintf("discovery: revision %d after %d passed over", x.Revision, l.revision))
-	default:
-		l.listReceivedAt, l.sourceError = l.now(), ""
-		l.listReceived.Store(true)
-		mode := balancer.ListDelta
-		if x.Complete {
-			mode = balancer.ListFull
-		}
-		l.applyListing(mode, x.Listing)
-		if l.endpointStore != nil {
-			l.endpointStore.Save(x.Listing)
-		}
+// maxInFlight is how many attempts the balancer may have in flight: as many as the connections that are allotted to the
+// pool, less those that are held by attempts of which the balancer has had the outcome.
+func (e *endpoint) maxInFlight() int { return max(1, e.allotment.Connections-e.abandoned) }
+
+// maxLingering is how many connections may wait for late responses: of those that are allotted, up to a quarter.
+func (e *endpoint) maxLingering() int {
+	if e.allotment.Connections == 0 {
+		return maxLingeringAttempts
 	}
-	l.reportPendingOutcomes()
+	return min(maxLingeringAttempts, e.allotment.Connections/4)
 }
 
-// followDiscovery begins to ask discovery at an address; empty: nowhere. What was asked before is ended.
-func (l *loop) followDiscovery(address string) {
-	if l.discovery != nil {
-		l.discovery.End()
-		l.discovery = nil
+// endpointByName is the endpoint that is listed under a name; nil: none is.
+func (l *loop) endpointByName(name string) *endpoint {
+	id, known := l.names.Known(name)
+	if !known {
+		return nil
 	}
-	l.revision = 0 // of another source: it means nothing to the next
-	if address != "" {
-		l.discovery = discovery.New(l.ctx, address, func(x discovery.Heard) { l.enqueueUrgent(endpointsUpdated(x)) })
+	found := l.endpoints[id]
+	if found == nil || found.name != name || found.listedState == balancer.Removed {
+		return nil
 	}
+	return found
 }
 
-// discoveryAddress is the address of discovery; empty: none is followed.
-func (l *loop) discoveryAddress() string {
-	if l.discovery == nil {
-		return ""
+// refreshEndpoint works out what the balancer is to see of an endpoint: from the list, the allotment, and what
+// operators have set.
+func (l *loop) refreshEndpoint(endpoint *endpoint) {
+	l.counters.endpointsChanged = true
+	facts := endpointFacts{listed: endpoint.listedState}
+	endpoint.upstream.MaxInFlight = 0
+	if l.registration != nil {
+		allotment, known := l.registration.allotment(endpoint.address)
+		endpoint.allotment = allotment
+		endpoint.upstream.WarmUpShare = allotment.Fraction
+		endpoint.upstream.MaxInFlight = endpoint.maxInFlight()
+		facts.allotmentUnknown = !known
+		facts.drainsElsewhere = allotment.Draining && !l.registration.ownDrainsOnly
+	}
+	l.overrideUpstream(endpoint)
+	facts.outOfService = l.overrides.OutOfService(endpoint.name, endpoint.upstream.Zone)
+	endpoint.state = facts.state()
+	endpoint.upstream.State = endpoint.state
+	if endpoint.state != balancer.Active {
+		l.CloseIdle(endpoint.id)
+		l.endTunnels(endpoint)
 	}
-	return l.discovery.Address
 }
 
-// listExpired tells whether the list has been without a word from its source for longer than it holds.
-func (l *loop) listExpired(now time.Duration) bool {
-	return l.maxListAge > 0 && l.listAge(now) > l.maxListAge
+// overrideUpstream applies what operators have set to what the balancer sees of an endpoint, but for its state.
+func (l *loop) overrideUpstream(endpoint *endpoint) {
+	seen := &endpoint.upstream
+	returnedAt := l.overrides.ReturnedAt(endpoint.name, seen.Zone)
+	if returnedAt > 0 { // it was restarted while out of service, of which lists tell late
+		seen.StartedAt = max(seen.StartedAt, returnedAt)
+	}
+	seen.Weight = endpoint.listedWeight * l.overrides.WeightFactor(endpoint.name)
+	limit := l.overrides.ConcurrencyCap(endpoint.name)
+	if limit > 0 && (seen.MaxInFlight == 0 || limit < seen.MaxInFlight) {
+		seen.MaxInFlight = limit
+	}
 }
 
-// listAge is the time since the last good word from the list's source.
-func (l *loop) listAge(now time.Duration) time.Duration {
-	return now - max(l.listReceivedAt, time.Duration(l.listConfirmedAt.Load()))
+// refreshChanged refreshes an endpoint and tells whether the balancer has to be notified. If it takes no more requests,
+// attempts that wait for a connection to it are dropped.
+func (l *loop) refreshChanged(endpoint *endpoint) bool {
+	before := endpoint.upstream
+	l.refreshEndpoint(endpoint)
+	if endpoint.upstream == before {
+		return false
+	}
+	l.dropUnsent(endpoint)
+	return true
 }
 
-// applyListing applies a list: first to the peers, so that nothing goes to one that drains, then to the module, which
-// may send at once.
-func (l *loop) applyListing(mode balancer.ListMode, x discovery.Listing) {
-	if l.hasList = true; !l.hasBalancer() {
-		l.updateDormantList(mode, x)
-		return
+// notifyChanged notifies the balancer of endpoints that have changed.
+func (l *loop) notifyChanged(changed []balancer.Upstream) {
+	if len(changed) > 0 {
+		l.balancer.EndpointsUpdated(l.now(), balancer.ListDelta, changed)
+		l.reportPendingOutcomes()
 	}
-	l.revision = x.Revision
-	list := make([]balancer.Upstream, 0, len(x.Members))
-	l.listGeneration++
-	for i := range x.Members {
-		m := &x.Members[i]
-		u := m.Upstream(l.names.ID(m.ID))
-		if p := l.applyMember(u, m); p != nil {
-			p.listGeneration, u = l.listGeneration, p.upstream
-		}
-		list = append(list, u)
-	}
-	for id, p := range l.endpoints {
-		if mode != balancer.ListDelta && p.listGeneration != l.listGeneration {
-			p.state, p.listedState = balancer.Removed, balancer.Removed
-			l.CloseIdle(id)
-			l.endTunnels(p)
+}
+
+// evictSurplus closes idle connections to an endpoint beyond its allotment.
+func (l *loop) evictSurplus(endpoint *endpoint) {
+	allowed := endpoint.allotment.Connections
+	for allowed > 0 && endpoint.connections > allowed {
+		if !l.evictIdle(endpoint) {
+			return
 		}
-		l.dropUnsent(p)
-	}
-	l.claimEndpoints()
-	l.balancer.EndpointsUpdated(l.now(), mode, list)
-	l.reportPendingOutcomes()
-	for _, p := range l.endpoints {
-		l.forgetEndpoint(p)
 	}
 }
 
-// dropUnsent drops what waits for a connection to an upstream that has left.
-func (l *loop) dropUnsent(p *endpoint) {
-	if p.state == balancer.Active {
+// dropUnsent drops the attempts that wait for a connection to an endpoint that takes no more requests.
+func (l *loop) dropUnsent(endpoint *endpoint) {
+	if endpoint.state == balancer.Active {
 		return
 	}
-	for a := range p.openAttempts {
-		if a.Drop() {
-			l.pendingOutcomes = append(l.pendingOutcomes, pendingOutcome{a, balancer.NotSent})
+	for attempt := range endpoint.openAttempts {
+		if attempt.Drop() {
+			l.deferOutcome(attempt, balancer.NotSent)
 		}
 	}
 }
 
-// endTunnels lets the tunnels to p end within their grace; nil: all.
-func (l *loop) endTunnels(p *endpoint) {
-	for a := range l.tunnels {
-		if p == nil || a.endpoint == p {
-			a.tunnel.EndSoon()
+// endTunnels lets the tunnels to an endpoint end within their grace; nil: all tunnels.
+func (l *loop) endTunnels(endpoint *endpoint) {
+	for attempt := range l.tunnels {
+		if endpoint == nil || attempt.endpoint == endpoint {
+			attempt.tunnel.EndSoon()
 		}
 	}
 }
 
-// forgetEndpoint drops an upstream that is gone and has nothing out.
-func (l *loop) forgetEndpoint(p *endpoint) {
-	if p.state == balancer.Removed && len(p.openAttempts) == 0 && l.endpoints[p.id] == p {
-		l.counters.endpointsChanged = true
-		delete(l.endpoints, p.id)
-		l.names.Forget(p.name)
-	}
-}
-
-// applyMember applies a list's entry; nil if it is of no concern.
-func (l *loop) applyMember(u balancer.Upstream, m *discovery.Member) *endpoint {
-	p, address := l.endpoints[u.ID], m.HostPort
-	if p == nil {
-		if u.State == balancer.Removed {
-			l.names.Forget(m.ID)
-			return nil
-		}
-		if len(l.preallocated) > 0 {
-			p, l.preallocated = &l.preallocated[0], l.preallocated[1:]
-		} else {
-			p = new(endpoint)
-		}
-		p.id, p.name = u.ID, m.ID
-		l.endpoints[u.ID] = p
-	}
-	if u.State != balancer.Removed {
-		if address != p.address && p.address != "" {
-			l.CloseIdle(u.ID)
-		}
-		p.address = address
+// addAbandoned notes that an attempt at an endpoint has ended for the balancer and still holds its connection, or, by
+// -1, that it returns it.
+func (l *loop) addAbandoned(endpoint *endpoint, by int) {
+	endpoint.abandoned += by
+	if l.registration != nil {
+		endpoint.upstream.MaxInFlight = endpoint.maxInFlight()
+		l.balancer.MaxInFlightChanged(l.now(), endpoint.id, endpoint.upstream.MaxInFlight)
 	}
-	p.listedState, p.member = u.State, *m
-	p.upstream, p.listedWeight = u, u.Weight
-	l.refreshEndpoint(p)
-	return p
 }
 
-// refreshEndpoint works out an upstream's state from its list, what the directory told, and what is out by hand. Until the directory has
-// answered for a node it gets nothing: other pools must have been told first that they share it.
-func (l *loop) refreshEndpoint(p *endpoint) {
-	l.counters.endpointsChanged = true
-	p.state, p.upstream.MaxInFlight = p.listedState, 0
-	if l.registration != nil {
-		share, known := l.registration.allotment(p.address)
-		p.allotment = share
-		p.upstream.WarmUpShare, p.upstream.MaxInFlight = share.Fraction, p.maxInFlight()
-		if p.listedState == balancer.Active && (!known || (share.Draining && !l.registration.ownDrainsOnly)) {
-			p.state = balancer.Draining
-		}
-	}
-	if back := l.overrides.ReturnedAt(p.name, p.upstream.Zone); back > 0 { // it was restarted while out, and lists tell of that late
-		p.upstream.StartedAt = max(p.upstream.StartedAt, back)
-	}
-	p.upstream.Weight = p.listedWeight * l.overrides.WeightFactor(p.name)
-	if most := l.overrides.ConcurrencyCap(p.name); most > 0 && (p.upstream.MaxInFlight == 0 || most < p.upstream.MaxInFlight) {
-		p.upstream.MaxInFlight = most
-	}
-	if l.overrides.OutOfService(p.name, p.upstream.Zone) && p.state == balancer.Active {
-		p.state = balancer.Draining
-	}
-	p.upstream.State = p.state
-	if p.state != balancer.Active {
-		l.CloseIdle(p.id)
-		l.endTunnels(p)
+// forgetIfUnused forgets an endpoint that was removed and has no open attempts.
+func (l *loop) forgetIfUnused(endpoint *endpoint) {
+	isUnused := endpoint.state == balancer.Removed && len(endpoint.openAttempts) == 0
+	if isUnused && l.endpoints[endpoint.id] == endpoint {
+		l.counters.endpointsChanged = true
+		delete(l.endpoints, endpoint.id)
+		l.names.Forget(endpoint.name)
 	}
 }
--- a/internal/pool/endpoint_registry_test.go
+++ b/internal/pool/endpoint_registry_test.go
@@ -36,14 +36,14 @@
 
 // updatePhases gives a pool a list of one node after another: the phase of each.
 func (h *manualLoop) updatePhases(phases ...string) {
-	h.revision++
+	h.source.revision++
 	var members []discovery.Member
 	for i, phase := range phases {
 		if phase != "" {
 			members = append(members, discovery.Member{ID: fmt.Sprint("n", i), HostPort: fmt.Sprint("127.0.0.1:", i+1), Phase: phase, Size: 1})
 		}
 	}
-	h.updateEndpoints(h.revision, members...)
+	h.updateEndpoints(h.source.revision, members...)
 }
 
 // endpointAt is what the loop knows of a node by its place in the lists.
@@ -54,8 +54,8 @@
 	return &endpoint{state: balancer.Removed}
 }
 
-// TestNothingBeforeTheDirectoryAnswers: a pool uses a node once the directory has its claim, and the pools that list the
-// node too have their smaller shares before that.
+// TestNothingBeforeTheDirectoryAnswers: a pool uses a node once the directory has its claim, and the pools that list
+// the node too have their smaller shares before that.
 func TestNothingBeforeTheDirectoryAnswers(t *testing.T) {
 	d := newManualRegistry(t, 40)
 	a, b := d.newLoop(t, "a", 3, false), d.newLoop(t, "b", 1, false)
@@ -86,8 +86,8 @@
 	}
 }
 
-// TestDrainOfOneOfTwo: a drain by the list of one pool counts at the other, whether it was there first or comes after it,
-// unless it goes by its own list; its end does too.
+// TestDrainOfOneOfTwo: a drain by the list of one pool counts at the other, whether it was there first or comes after
+// it, unless it goes by its own list; its end does too.
 func TestDrainOfOneOfTwo(t *testing.T) {
 	for _, late := range []bool{false, true} {
 		d := newManualRegistry(t, 40)
@@ -255,8 +255,8 @@
 	}
 }
 
-// TestStartIsNotQuadratic: pools with nodes of their own get one word each, that their claim is in, and a drain in one of
-// their lists costs one word to that pool and none to the others.
+// TestStartIsNotQuadratic: pools with nodes of their own get one word each, that their claim is in, and a drain in one
+// of their lists costs one word to that pool and none to the others.
 func TestStartIsNotQuadratic(t *testing.T) {
 	d := newManualRegistry(t, 40)
 	var ties []*registration
@@ -275,8 +275,8 @@
 	want(t, "words at a drain", words, 1)
 }
 
-// BenchmarkDirectory claims 18,000 nodes in 490 pools, each listed by one, and then drains one of them. It shows what the
-// directory and the pools' ties keep for a node.
+// BenchmarkDirectory claims 18,000 nodes in 490 pools, each listed by one, and then drains one of them. It shows what
+// the directory and the pools' ties keep for a node.
 func BenchmarkDirectory(b *testing.B) {
 	const pools, nodes = 490, 18000
 	addresses := make([][]string, pools)
--- /dev/null
+++ b/internal/pool/health_check.go
@@ -0,0 +1,55 @@
+package pool
+
+import (
+	"time"
+
+	"olivearch/balancer"
+	"olivearch/internal/upstream"
+)
+
+// HealthCheck asks an endpoint for its load, or only whether it runs if its reports are not used. Part of
+// balancer.Host.
+func (l *loop) HealthCheck(id balancer.UpstreamID) {
+	endpoint := l.endpoints[id]
+	if endpoint == nil || endpoint.state != balancer.Active {
+		return
+	}
+	sentAt := l.now()
+	acquired := l.acquireConnection(endpoint, sentAt)
+	if acquired == nil {
+		return
+	}
+	probe := upstream.Probe{
+		Address: endpoint.address,
+		Load:    l.settings.Reports != balancer.ReportNone,
+		Conn:    acquired.transportConn,
+	}
+	transport := l.connections.transport
+	go func() {
+		result := transport.Probe(probe)
+		l.enqueue(healthCheckFinished{endpoint: endpoint, connection: acquired, sentAt: sentAt, result: result})
+	}()
+}
+
+// healthCheckFinished is a health check that has ended on its connection.
+type healthCheckFinished struct {
+	endpoint   *endpoint
+	connection *connection
+	sentAt     time.Duration
+	result     upstream.Result
+}
+
+func (e healthCheckFinished) apply(l *loop) {
+	l.returnConnection(e.endpoint, e.connection, e.result.Conn)
+	e.endpoint.noteLoadReport(e.result.Spoilt)
+	if e.result.Stray {
+		e.endpoint.notes.unsolicited++
+	}
+	now := l.now()
+	l.balancer.HealthCheckFinished(now, balancer.HealthCheckResult{
+		Upstream: e.endpoint.id,
+		Latency:  now - e.sentAt,
+		Status:   e.result.Status,
+		Load:     e.result.Load,
+	})
+}
--- /dev/null
+++ b/internal/pool/idle_connections.go
@@ -0,0 +1,69 @@
+package pool
+
+import (
+	"slices"
+	"time"
+)
+
+// idleConnections are an endpoint's open connections that carry no attempt, in the order in which they became idle. The
+// zero value has none. They only hold connections: the connectionPool counts and closes them.
+type idleConnections struct {
+	list []*connection // the one that was used last stands last
+}
+
+// oldest is the connection that has been idle longest; nil: there is none.
+func (i *idleConnections) oldest() *connection {
+	if len(i.list) == 0 {
+		return nil
+	}
+	return i.list[0]
+}
+
+// add adds a connection that becomes idle now.
+func (i *idleConnections) add(c *connection, now time.Duration) {
+	c.idleSince = now
+	i.list = append(i.list, c)
+}
+
+// takeOldest removes and returns the connection that has been idle longest; nil: there is none.
+func (i *idleConnections) takeOldest() *connection {
+	oldest := i.oldest()
+	if oldest != nil {
+		i.list = slices.Delete(i.list, 0, 1)
+	}
+	return oldest
+}
+
+// takeReady removes and returns the connection that was used last of those that have been idle for a delay; nil: there
+// is none.
+func (i *idleConnections) takeReady(now, delay time.Duration) *connection {
+	for index := len(i.list) - 1; index >= 0; index-- {
+		candidate := i.list[index]
+		if now-candidate.idleSince >= delay {
+			i.list = slices.Delete(i.list, index, index+1)
+			return candidate
+		}
+	}
+	return nil
+}
+
+// takeExpired removes and returns the connections that have been idle for a time-out.
+func (i *idleConnections) takeExpired(now, timeout time.Duration) []*connection {
+	count := 0
+	for count < len(i.list) && now-i.list[count].idleSince >= timeout {
+		count++
+	}
+	if count == 0 {
+		return nil
+	}
+	expired := i.list[:count]
+	i.list = append([]*connection(nil), i.list[count:]...) // lets go of the memory of those that go
+	return expired
+}
+
+// takeAll removes and returns all connections.
+func (i *idleConnections) takeAll() []*connection {
+	all := i.list
+	i.list = nil
+	return all
+}
--- a/internal/pool/loop.go
+++ b/internal/pool/loop.go
@@ -2,7 +2,6 @@
 
 import (
 	"context"
-	"sync/atomic"
 	"time"
 
 	"olivearch/balancer"
@@ -12,150 +11,142 @@
 	"olivearch/internal/upstream"
 )
 
-const maxQueuedLogLines = 256
+const (
+	// maxBatch bounds the events that are handled before timers are looked at.
+	maxBatch = 64
+	// sweepInterval is how often connections that have been idle for too long are looked for, and levels are published.
+	sweepInterval = time.Second
+)
 
-// event is something that happened outside, told to the loop.
+// event is something that has happened outside the loop. apply changes the loop's state; it runs on the loop's
+// goroutine and must not block.
 type event interface{ apply(l *loop) }
 
-// loop owns the Balancer, from one goroutine. Everything here runs on that goroutine but for post, now and what is
-// started with go. It never waits for anything but its channels.
+// loop is a pool's event loop: one goroutine that owns the balancer and everything in this struct, and handles one
+// event at a time. The goroutine never blocks but for the next event or timer. What may block runs in goroutines of its
+// own, which send an event when they are done. Other goroutines may only call enqueue, enqueueUrgent, now and the
+// writer of log lines, and read the context and the atomics.
+//
+// The goroutine ends while there is nothing to do (suspend.go); the mailbox starts the next one, never two at a time.
 type loop struct {
-	balancer                  *balancer.Balancer // nil: it is not made
-	dormant                   dormantState       // what there is in its place
-	seed                      uint64
-	creations                 uint64        // how often it was made
-	hasList                   bool          // a list has been told
-	balancerIdleTimeout       time.Duration // with no request and no connection
-	maxLazyEndpoints          int           // with more nodes it is made before it is asked
-	nextCheckAt               time.Duration // the goroutine stays for what is due then, soon; 0: for nothing
-	emptySince                time.Duration // since when there is neither; 0: there is, or nobody has looked
-	wakeTimer                 *time.Timer   // starts the goroutine of a parked pool; nil: none yet
-	beforePark                func()        // a test's, called between the last look and the end of the goroutine; else nil
-	ctx                       context.Context
-	mailbox                   *mailbox
-	logWriter                 logWriter
-	origin                    time.Time
-	epoch                     time.Duration
-	discovery                 *discovery.Client  // nil: lists come by Tell
-	stopWatch                 context.CancelFunc // nil: the module does not follow discovery
-	transport                 upstream.Transport
-	fullResponses             bool // clients are told in HTTP's usual terms
-	settings                  balancer.Settings
-	idleTimeout               time.Duration
-	maxConnections            int
-	delayOnlyAfterUnsolicited bool          // connections rest only where strays were seen
-	maxListAge                time.Duration // how long a list holds with no word from its source; 0: for ever
-	listReceivedAt            time.Duration // last good word from it that came by the mailbox
-	listConfirmedAt           atomic.Int64  // a time.Duration: when it last said that the list stays as it was
-	sourceError               string        // why there is none since, if that is known
-	endpointStore             EndpointStore // nil: lists are not kept
-	registration              *registration // nil: no other pool of the process may use the same upstreams
-
-	overrides        override.Table // which upstreams are out by hand
-	listReceived     atomic.Bool    // discovery has told a list
-	names            *discovery.Names
-	revision         uint64
-	listGeneration   uint64 // lists applied to the peers
-	lastRequestID    uint64
-	timers           timerQueue
+	ctx     context.Context // ends the loop
+	mailbox *mailbox
+	log     logWriter
+	origin  time.Time     // when the loop was made
+	epoch   time.Duration // Unix time at origin
+
+	balancer        *balancer.Balancer // nil: the pool is dormant
+	settings        balancer.Settings
+	timers          timerQueue
+	pendingOutcomes []pendingOutcome // known, and not reported yet: the balancer is not called while it calls
+	suspension      suspension
+	counters        counters
+
+	source         listSource
+	endpointStore  EndpointStore // nil: lists are not stored
+	names          *discovery.Names
+	endpoints      map[balancer.UpstreamID]*endpoint
+	preallocated   []endpoint     // memory for the endpoints of the list with which a balancer is created
+	listGeneration uint64         // counts the lists that were applied to endpoints
+	overrides      override.Table // what operators have set by hand
+	registration   *registration  // nil: no other pool of the process may use the same endpoints
+
 	requests         map[balancer.RequestID]*Request
-	clientRequestIDs map[string]bool // the clients' ids of these
-	endpoints        map[balancer.UpstreamID]*endpoint
-	preallocated     []endpoint // for those of the list with which the module is made
-	tunnels          map[*attempt]struct{}
-	tunnelLimits     TunnelLimits
-	connections      int              // connections to upstreams, open or opening
-	pendingOutcomes  []pendingOutcome // outcomes that are known but not told: the module is not called while it calls
-	sweepAt          time.Duration
+	lastRequestID    uint64
+	clientRequestIDs map[string]bool // the clients' own ids of requests
+	fullResponses    bool            // Spec.FullResponses
 
-	counters counters
+	connections  connectionPool
+	tunnels      map[*attempt]struct{}
+	tunnelLimits TunnelLimits
 }
 
-var _ balancer.Host = (*loop)(nil)
-
-func newLoop(ctx context.Context, c Spec) *loop {
+func newLoop(ctx context.Context, spec Spec) *loop {
 	l := &loop{
-		ctx: ctx, mailbox: newMailbox(), balancerIdleTimeout: defaultBalancerIdleTimeout, maxLazyEndpoints: defaultMaxLazyEndpoints,
-		origin: time.Now(), names: discovery.NewNames(), requests: map[balancer.RequestID]*Request{}, clientRequestIDs: map[string]bool{},
-		endpoints: map[balancer.UpstreamID]*endpoint{}, tunnels: map[*attempt]struct{}{},
-	}
-	l.applyLimits(c)
-	l.endpointStore = c.EndpointStore
-	// The clock is Unix time at the start, going on by the monotonic clock: what discovery dates stands on it as it
-	// is, also from before this process, and a clock that is set does not move it.
+		ctx:              ctx,
+		mailbox:          newMailbox(),
+		origin:           time.Now(),
+		suspension:       newSuspension(spec.Seed),
+		names:            discovery.NewNames(),
+		requests:         map[balancer.RequestID]*Request{},
+		clientRequestIDs: map[string]bool{},
+		endpoints:        map[balancer.UpstreamID]*endpoint{},
+		tunnels:          map[*attempt]struct{}{},
+	}
+	l.applyLimits(spec)
+	l.endpointStore = spec.EndpointStore
+	// The clock is Unix time at the start, going on by the monotonic clock: times that discovery sends are on it as they
+	// are, also those from before this process, and setting the machine's clock does not move it.
 	l.epoch = time.Duration(clock.Now().UnixNano())
-	l.listReceivedAt = l.now()
-	l.followDiscovery(c.Discovery)
+	l.source.receivedAt = l.now()
+	l.followDiscovery(spec.Discovery)
 	return l
 }
 
-// applyLimits takes what may change while the loop runs, but for the module's settings.
-func (l *loop) applyLimits(c Spec) {
-	l.transport, l.fullResponses = upstream.HTTP1{Timeout: c.Links.ConnectTimeout, Whole: c.FullResponses}, c.FullResponses
-	l.settings, l.maxConnections, l.maxListAge, l.delayOnlyAfterUnsolicited = c.Settings, c.Connections, c.MaxEndpointAge, c.KeepUntilUnsolicited
-	l.tunnelLimits = c.Tunnels
-	l.idleTimeout = max(c.Links.KeepAlive-idleMargin, c.Links.KeepAlive/2)
+// applyLimits takes what of a Spec may change while the loop runs.
+func (l *loop) applyLimits(spec Spec) {
+	l.settings = spec.Settings
+	l.source.maxAge = spec.MaxEndpointAge
+	l.fullResponses = spec.FullResponses
+	l.tunnelLimits = spec.Tunnels
+	l.connections.transport = upstream.HTTP1{Timeout: spec.Links.ConnectTimeout, Whole: spec.FullResponses}
+	l.connections.max = spec.Connections
+	l.connections.idleTimeout = max(spec.Links.KeepAlive-idleMargin, spec.Links.KeepAlive/2)
+	l.connections.delayOnlyAfterUnsolicited = spec.KeepUntilUnsolicited
 }
 
+// now is the time on the loop's clock. Any goroutine may call it.
 func (l *loop) now() time.Duration { return l.epoch + time.Since(l.origin) }
 
-// enqueue tells the loop of an event.
+// enqueue hands the loop an event. Any goroutine may call it.
 func (l *loop) enqueue(e event) { l.mailbox.enqueue(e) }
 
-// enqueueUrgent tells the loop of what goes before all else: an answer of discovery, a list from elsewhere, a call of the staff. So nothing
-// is sent after a drain that has been told, and staff have their answer under any load.
-func (l *loop) enqueueUrgent(x event) { l.mailbox.enqueueUrgent(x) }
-
-// start makes the Balancer and tells it the upstreams that were known before; nil if nothing was.
-func (l *loop) start(seed uint64, known *discovery.Listing) error {
-	// Before the module begins to follow discovery: a first call for the whole list costs it hundreds of lines a balancer, and where
-	// all start together the watches behind those are refused. Revision 0 is one like others.
-	if known != nil && l.discovery != nil && (known.Revision > 0 || len(known.Members) > 0) {
-		l.discovery.Hold(known.Revision)
-	}
-	l.seed = seed
-	if l.canSuspend() { // it is made for its first request
-		if err := l.settings.Validate(); err != nil {
-			return err
-		}
-	} else if err := l.createBalancer(); err != nil {
+// enqueueUrgent hands the loop an event that goes before all others: a list, an allotment or an operator's call. So
+// nothing is sent to an endpoint after the pool has got its drain, and operators have their answer under any load. Any
+// goroutine may call it.
+func (l *loop) enqueueUrgent(e event) { l.mailbox.enqueueUrgent(e) }
+
+// start creates the balancer, unless it is created for its first request, and applies the list that was known before
+// the start; nil: none was.
+func (l *loop) start(known *discovery.Listing) error {
+	// Before the balancer begins to watch: a first call for the complete list costs discovery hundreds of lines a
+	// balancer, and where all balancers start together the watches behind those calls are refused. Revision 0 is one like
+	// others.
+	hasRevision := known != nil && (known.Revision > 0 || len(known.Members) > 0)
+	if hasRevision && l.source.client != nil {
+		l.source.client.Hold(known.Revision)
+	}
+	if err := l.createOrValidate(); err != nil {
 		return err
 	}
 	if known != nil {
 		l.applyListing(balancer.ListCached, *known)
 	}
-	if !l.settings.PollDiscovery { // lists that are pushed come without the module's asking
+	if !l.settings.PollDiscovery { // a list that is pushed comes without the balancer's asking
 		l.WatchEndpoints(true)
 	}
 	return nil
 }
 
-// maxBatch bounds how many events are taken before alarms are looked at.
-const maxBatch = 64
+// createOrValidate creates the balancer, or checks the settings of one that is created for its first request.
+func (l *loop) createOrValidate() error {
+	if l.canSuspend() {
+		return l.settings.Validate()
+	}
+	return l.createBalancer()
+}
 
-// run handles events until the context ends, or the pool is parked.
+// run handles events and timers until the context ends or the loop is parked. It is the loop's goroutine.
 func (l *loop) run() {
-	l.unpark()
-	clock := time.NewTimer(0)
-	defer clock.Stop()
-	armed := l.now() // when the clock goes off
-	var batch, spare []event
+	l.stopWakeTimer()
+	idleWait := wakeup{timer: time.NewTimer(0), at: l.now()}
+	defer idleWait.timer.Stop()
+	var batch eventBatch
 	for {
 		l.applyUrgent()
 		l.fireTimers()
-		if len(batch) == 0 {
-			clear(spare) // what has been handled must not be held
-			batch = l.mailbox.takeNormal(spare)
-			spare = batch
-		}
-		if len(batch) > 0 {
-			n := min(len(batch), maxBatch)
-			for _, e := range batch[:n] {
-				l.applyUrgent()
-				e.apply(l)
-				l.reportPendingOutcomes()
-			}
-			batch = batch[n:]
+		if batch.refill(l.mailbox) {
+			l.applyEvents(batch.next(maxBatch))
 			if l.ctx.Err() != nil {
 				return
 			}
@@ -164,49 +155,112 @@
 		if l.ctx.Err() != nil || l.park() {
 			return
 		}
-		at, some := l.timers.nextAt()
-		if l.nextCheckAt > 0 && (!some || l.nextCheckAt < at) {
-			at, some = l.nextCheckAt, true
-		}
-		if some && (at < armed || armed <= l.now()) {
-			armed = at
-			clock.Reset(max(0, at-l.now()))
-		}
+		l.schedule(&idleWait)
 		select {
 		case <-l.mailbox.ready:
-		case <-clock.C:
-			armed = 0
+		case <-idleWait.timer.C:
+			idleWait.at = 0
 		case <-l.ctx.Done():
 			return
 		}
 	}
 }
 
-// applyUrgent handles what is urgent.
+// wakeup is the timer that ends the goroutine's wait for events.
+type wakeup struct {
+	timer *time.Timer
+	at    time.Duration // on the loop's clock
+}
+
+// schedule sets the wakeup to the next timer, or to the check for which the goroutine stays. One that is due earlier
+// stays as it is.
+func (l *loop) schedule(w *wakeup) {
+	at, scheduled := l.timers.nextAt()
+	check := l.suspension.nextCheckAt
+	if check > 0 && (!scheduled || check < at) {
+		at = check
+		scheduled = true
+	}
+	if scheduled && (at < w.at || w.at <= l.now()) {
+		w.at = at
+		w.timer.Reset(max(0, at-l.now()))
+	}
+}
+
+// eventBatch holds events that were taken from the mailbox.
+type eventBatch struct {
+	pending []event
+	memory  []event // of the last batch, for the mailbox to use again
+}
+
+// refill takes a batch from the mailbox if none is pending. It tells whether events are pending.
+func (b *eventBatch) refill(m *mailbox) bool {
+	if len(b.pending) == 0 {
+		clear(b.memory) // events that were handled must not be kept alive
+		b.pending = m.takeNormal(b.memory)
+		b.memory = b.pending
+	}
+	return len(b.pending) > 0
+}
+
+// next removes and returns up to most pending events.
+func (b *eventBatch) next(most int) []event {
+	count := min(len(b.pending), most)
+	events := b.pending[:count]
+	b.pending = b.pending[count:]
+	return events
+}
+
+// applyEvents handles events, and before each of them those that are urgent.
+func (l *loop) applyEvents(events []event) {
+	for _, e := range events {
+		l.applyUrgent()
+		e.apply(l)
+		l.reportPendingOutcomes()
+	}
+}
+
+// applyUrgent handles the urgent events.
 func (l *loop) applyUrgent() {
-	for _, x := range l.mailbox.takeUrgent() {
-		x.apply(l)
+	for _, e := range l.mailbox.takeUrgent() {
+		e.apply(l)
 	}
 }
 
-// fireTimers lets the alarms go off that are due.
+// fireTimers handles the timers that have expired, and sweeps idle connections when that is due.
 func (l *loop) fireTimers() {
-	for a := l.timers.popExpired(l.now()); a != nil; a = l.timers.popExpired(l.now()) {
-		switch {
-		case a.attempt != nil:
-			l.timeOut(a.attempt)
-		case a.request != nil:
-			for _, at := range a.request.attempts {
-				l.timeOut(at)
-			}
-		default:
-			l.balancer.TimerFired(l.now(), a.token)
-		}
+	for t := l.timers.popExpired(l.now()); t != nil; t = l.timers.popExpired(l.now()) {
+		l.fire(t)
 		l.reportPendingOutcomes()
 	}
-	if now := l.now(); now >= l.sweepAt {
-		l.sweepAt = now + sweepInterval
-		l.closeExpiredIdle(now)
-		l.publish()
+	now := l.now()
+	if now >= l.connections.nextSweepAt {
+		l.connections.nextSweepAt = now + sweepInterval
+		l.closeExpiredConnections(now)
+		l.publishLevels()
+	}
+}
+
+// fire handles a timer that has expired.
+func (l *loop) fire(t *timer) {
+	switch {
+	case t.attempt != nil:
+		l.stopWaiting(t.attempt, balancer.Timeout)
+	case t.request != nil:
+		for _, attempt := range t.request.attempts {
+			l.stopWaiting(attempt, balancer.Timeout)
+		}
+	default:
+		l.balancer.TimerFired(l.now(), t.token)
+	}
+}
+
+// awaitReply waits for the loop's reply to an event that was handed to it. It fails if the loop has ended.
+func awaitReply[T any](l *loop, reply <-chan T) (answer T, err error) {
+	select {
+	case answer = <-reply:
+		return answer, nil
+	case <-l.ctx.Done():
+		return answer, errLoopStopped
 	}
 }
--- a/internal/pool/loop_test.go
+++ b/internal/pool/loop_test.go
@@ -27,7 +27,7 @@
 		return balancer.Class{Name: name, LatencyObjective: 2 * time.Second, Deadline: 4 * time.Second, Idempotency: repeat, PriorityWeight: 1}
 	}
 	return Spec{
-		Name: "n0", Discovery: "127.0.0.1:9", Connections: 400, InitialEndpoints: &discovery.Listing{},
+		Name: "n0", Seed: 1, Discovery: "127.0.0.1:9", Connections: 400, InitialEndpoints: &discovery.Listing{},
 		Links: wire.Links{KeepAlive: time.Minute, ConnectTimeout: 500 * time.Millisecond},
 		Settings: balancer.Settings{
 			Zone: "z1", Balancers: 1, PollDiscovery: true, Reports: balancer.ReportAnswers,
@@ -41,7 +41,7 @@
 func newManualLoop(t *testing.T, spec Spec) *manualLoop {
 	t.Helper()
 	l := newLoop(t.Context(), spec)
-	if err := l.start(1, spec.InitialEndpoints); err != nil {
+	if err := l.start(spec.InitialEndpoints); err != nil {
 		t.Fatal(err)
 	}
 	l.WatchEndpoints(false) // nothing listens there
@@ -62,7 +62,7 @@
 }
 
 func (h *manualLoop) updateEndpoints(revision uint64, members ...discovery.Member) {
-	endpointsUpdated{From: h.discovery, Listing: discovery.Listing{Revision: revision, Complete: true, Members: members}}.apply(h.loop)
+	endpointsUpdated{From: h.source.client, Listing: discovery.Listing{Revision: revision, Complete: true, Members: members}}.apply(h.loop)
 }
 
 // request sends a request and turns the loop until it is answered and its attempts are over.
@@ -125,7 +125,7 @@
 	want(t, "numbers", h.names.Len(), 1)
 	want(t, "requests", len(h.requests), 0)
 	want(t, "their ids", len(h.clientRequestIDs), 0)
-	want(t, "connections", h.connections, 1)
+	want(t, "connections", h.connections.open, 1)
 	for deadline := h.now() + 50*time.Millisecond; h.now() < deadline; {
 		time.Sleep(time.Millisecond)
 	}
@@ -134,7 +134,7 @@
 		t.Errorf("alarms: %d are left", n)
 	}
 	h.updateEndpoints(90000, drainingMember(upMember("s-0fffffff", s)))
-	endpointsUpdated{From: h.discovery, Listing: discovery.Listing{Revision: 90001, Members: []discovery.Member{{ID: "s-0ffffffe", Phase: "removed"}}}}.apply(h.loop)
+	endpointsUpdated{From: h.source.client, Listing: discovery.Listing{Revision: 90001, Members: []discovery.Member{{ID: "s-0ffffffe", Phase: "removed"}}}}.apply(h.loop)
 	want(t, "numbers after the removal of what was never listed", h.names.Len(), 1)
 }
 
@@ -143,7 +143,7 @@
 func TestIdleConnectionMakesRoom(t *testing.T) {
 	one, two := scripted.Start(t, scripted.Done), scripted.Start(t, scripted.Done)
 	h := newManualLoop(t, testSpec())
-	h.maxConnections = 1
+	h.connections.max = 1
 	h.updateEndpoints(20, upMember("s-00000001", one))
 	want(t, "first", h.request("1", time.Second).Status, 200)
 	h.updateEndpoints(21, upMember("s-00000001", one), upMember("s-00000002", two))
@@ -152,7 +152,7 @@
 			t.Fatal("the second upstream is never asked")
 		}
 		want(t, "next", h.request(fmt.Sprint("a", i), time.Second).Status, 200)
-		want(t, "connections", h.connections, 1)
+		want(t, "connections", h.connections.open, 1)
 	}
 }
 
@@ -176,8 +176,8 @@
 	want(t, "connections opened", s.Opened(), 2)
 }
 
-// Where connections rest only after strays, one does not rest at first; once a second copy was seen, they rest, and the next
-// late copy is no answer.
+// Where connections rest only after strays, one does not rest at first; once a second copy was seen, they rest, and the
+// next late copy is no answer.
 func TestRestsAfterAStray(t *testing.T) {
 	copied := make(chan struct{}, 2)
 	s := scripted.Start(t, func(c net.Conn, r *http.Request) bool {
@@ -195,20 +195,20 @@
 		return true
 	})
 	h := newManualLoop(t, testSpec())
-	h.delayOnlyAfterUnsolicited = true
+	h.connections.delayOnlyAfterUnsolicited = true
 	h.updateEndpoints(20, upMember("s-00000001", s))
 	var p *endpoint
 	for _, p = range h.endpoints {
 	}
-	want(t, "rest at first", h.reuseDelay(p), time.Duration(0))
+	want(t, "rest at first", h.connections.reuseDelay(p), time.Duration(0))
 	for i := 1; i <= 4; i++ {
 		want(t, "answer", string(h.request(fmt.Sprint(i), time.Second).Body), fmt.Sprint(i))
 		if i == 2 || i == 3 {
 			<-copied
 		}
 	}
-	if h.reuseDelay(p) != unsolicitedWatchTime || p.unsolicited == 0 {
-		t.Errorf("after %d strays connections rest for %v", p.unsolicited, h.reuseDelay(p))
+	if h.connections.reuseDelay(p) != unsolicitedWatchTime || p.notes.unsolicited == 0 {
+		t.Errorf("after %d strays connections rest for %v", p.notes.unsolicited, h.connections.reuseDelay(p))
 	}
 }
 
@@ -230,17 +230,17 @@
 	h.handleEvents()
 	want(t, "answer", (<-r.Reply).Status, 200)
 	want(t, "upstreams", len(h.endpoints), 1)
-	want(t, "connections", h.connections, 0)
+	want(t, "connections", h.connections.open, 0)
 }
 
 // An attempt for which there is no connection was never sent, through no fault of the upstream's.
 func TestNoRoomIsMoot(t *testing.T) {
 	h := newManualLoop(t, testSpec())
-	h.maxConnections = 0
+	h.connections.max = 0
 	s := scripted.Start(t, scripted.Done)
 	h.updateEndpoints(20, upMember("s-00000001", s))
 	want(t, "status", h.request("1", time.Second).Status, http.StatusServiceUnavailable)
-	want(t, "connections", h.connections, 0)
+	want(t, "connections", h.connections.open, 0)
 	want(t, "upstreams asked", s.Opened(), 0)
 }
 
@@ -278,7 +278,7 @@
 	}
 	want(t, "attempts owed", r.unreported, 0)
 	want(t, "written", r.attempts[0].GiveUp(time.Now()), false)
-	want(t, "connections", l.connections, 0)
+	want(t, "connections", l.connections.open, 0)
 }
 
 // An answer that was on its way from the old discovery when the configuration changed is dropped.
@@ -286,14 +286,14 @@
 	spec := testSpec()
 	spec.InitialEndpoints.Members = []discovery.Member{{ID: "s-00000001", HostPort: "127.0.0.1:9", Phase: "up", Size: 1}}
 	l := newManualLoop(t, spec).loop
-	old := l.discovery
+	old := l.source.client
 	next := spec
 	next.Discovery = "127.0.0.1:10"
 	configurationReloaded{next, func() { t.Error("the settings are the same") }}.apply(l)
 	endpointsUpdated{From: old, Listing: discovery.Listing{Revision: 90, Complete: true}}.apply(l)
 	want(t, "upstreams after a late answer", len(l.endpoints), 1)
-	want(t, "revision after it", l.revision, uint64(0))
-	endpointsUpdated{From: l.discovery, Listing: discovery.Listing{Revision: 2, Complete: true}}.apply(l)
+	want(t, "revision after it", l.source.revision, uint64(0))
+	endpointsUpdated{From: l.source.client, Listing: discovery.Listing{Revision: 2, Complete: true}}.apply(l)
 	want(t, "upstreams after the new list", len(l.endpoints), 0)
-	want(t, "revision after it", l.revision, uint64(2))
+	want(t, "revision after it", l.source.revision, uint64(2))
 }
--- a/internal/pool/mailbox.go
+++ b/internal/pool/mailbox.go
@@ -5,11 +5,12 @@
 	"sync/atomic"
 )
 
-// mailbox brings events to the loop, which takes them in batches: under load a channel would cost a switch of goroutines for each
-// event. Enqueueing never waits. The number of queued events is bounded by the requests, attempts and health checks that there are.
+// mailbox brings events to the loop, which takes them in batches: under load a channel would cost a switch of
+// goroutines for each event. Enqueueing never waits. The number of queued events is bounded by the requests, attempts
+// and health checks that there are.
 //
-// Any goroutine may enqueue; one consumer goroutine at a time takes. A mailbox with a consume function starts that goroutine when
-// an event comes and none runs.
+// Any goroutine may enqueue; one consumer goroutine at a time takes. A mailbox with a consume function starts that
+// goroutine when an event comes and none runs.
 type mailbox struct {
 	mu        sync.Mutex
 	normal    []event
@@ -67,8 +68,8 @@
 	m.signalAndUnlock()
 }
 
-// stopConsuming ends the consumer's turn; false: an event has come, and the consumer has to go on. After true the caller must
-// touch nothing that it shares with the consumer, since the next one may run already.
+// stopConsuming ends the consumer's turn; false: an event has come, and the consumer has to go on. After true the
+// caller must touch nothing that it shares with the consumer, since the next one may run already.
 func (m *mailbox) stopConsuming() bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
--- a/internal/pool/request.go
+++ b/internal/pool/request.go
@@ -11,170 +11,224 @@
 	"olivearch/internal/upstream"
 )
 
-// Request is a client's request. Who takes it from the client fills in what is exported; from the moment that it is asked it is
-// the pool's.
+// clientCheckDelay is how long after a request's last byte its client is taken to be connected, since checking the
+// connection would cost more than it is worth: nothing of a request may be sent later than 100 ms after its client has
+// left.
+const clientCheckDelay = 50 * time.Millisecond
+
+// expiredListRetryAfter is the most that a client is told to wait before it tries again while the list is too old to be
+// used.
+const expiredListRetryAfter = time.Second
+
+// Request is a client's request. Its exported fields are set before it is submitted; from then on it belongs to the
+// pool.
 type Request struct {
 	balancer.Request
 	Name    string // the client's id of it
 	Message upstream.Message
 	At      time.Duration // when its last byte had come, on the pool's clock
-	Reply   chan Response // holds the one answer, and an interim one (status 103) where its message wants these
-	Client  Client        // nil: nobody knows whether it is still there
+	Reply   chan Response // has room for the final response, and for an interim one (status 103) where Message asks for these
+	Client  Client        // nil: it is not known whether the client is still connected
 
-	loop          *loop // of the pool that it was asked of
+	loop          *loop // of the pool to which it was submitted
+	state         requestState
 	deadline      time.Duration
+	deadlineTimer timer
 	attempts      []*attempt
-	unreported    int // attempts whose outcome the module has not had
-	closed        bool
-	clientGone    atomic.Bool // its client has been seen to have left, which the loop may not know yet
-	hintSent      bool        // its client has had an interim answer
-	deadlineTimer timer       // at the deadline
+	unreported    int         // attempts of which the balancer has had no outcome
+	hintSent      bool        // the client has had an interim response
+	clientGone    atomic.Bool // the client has been seen to have left, which the loop may not know yet
 }
 
-// Client is who waits for a request's answer.
+// Client is who waits for a request's response.
 type Client interface {
 	// Connected tells, without waiting and from any goroutine, whether the client is still connected.
 	Connected() bool
 }
 
-// clientCheckDelay is how long a client is taken to be there after its request's last byte, in which no look at its connection is worth
-// its cost: nothing of a request may go out later than 100 ms after its client has left.
-const clientCheckDelay = 50 * time.Millisecond
-
-// clientPresent tells whether the client is still there. It may be called from any goroutine.
-func (q *Request) clientPresent() bool {
-	if q.clientGone.Load() {
-		return false
-	}
-	if q.Client != nil && q.loop.now()-q.At > clientCheckDelay && !q.Client.Connected() {
-		q.clientGone.Store(true)
-	}
-	return !q.clientGone.Load()
-}
-
-// Response is what a client gets, once.
+// Response is what a client gets for a request.
 type Response struct {
-	Status              int // 0: none, the client has gone
+	Status              int // 0: none, since the client has left
 	Body                []byte
 	ContentType         string         // the body's Content-Type
-	Header              http1.Fields   // an upstream's, where all of it is passed on
-	RetryAfter          time.Duration  // 0: nothing is said of it
-	Trailer             http1.Fields   // of a whole answer
-	Tunnel              *body.Tunnel   // the client's connection changes its protocol
-	Stream              *body.Download // what of the body goes on as it comes; nil: it is whole
-	RetryAfterInSeconds bool           // RetryAfter goes out in whole seconds, as RFC 9110 (section 10.2.3) has it
+	Header              http1.Fields   // the endpoint's, where all of its response is passed on
+	RetryAfter          time.Duration  // 0: the client is not told when to try again
+	Trailer             http1.Fields   // of a response that is complete
+	Tunnel              *body.Tunnel   // the client's connection changes its protocol; nil: it does not
+	Stream              *body.Download // the part of the body that goes on as it comes; nil: the response is complete
+	RetryAfterInSeconds bool           // RetryAfter is sent in whole seconds (RFC 9110, section 10.2.3)
+}
+
+// ClientLeft tells the pool that the client of a submitted request has left. Nothing of the request is sent from then
+// on, also while the loop is busy.
+func (r *Request) ClientLeft() {
+	r.clientGone.Store(true)
+	r.loop.enqueue(clientLeft{r})
 }
 
-// ClientLeft tells that the client of a request that was asked has gone. Nothing of it is sent from then on, also while the loop is busy.
-func (q *Request) ClientLeft() {
-	q.clientGone.Store(true)
-	q.loop.enqueue(clientLeft{q})
+// clientPresent tells whether the client is still connected. Any goroutine may call it.
+func (r *Request) clientPresent() bool {
+	if r.clientGone.Load() {
+		return false
+	}
+	mayBeChecked := r.Client != nil && r.loop.now()-r.At > clientCheckDelay
+	if mayBeChecked && !r.Client.Connected() {
+		r.clientGone.Store(true)
+	}
+	return !r.clientGone.Load()
 }
 
-// requestArrived is a client's request.
-type requestArrived struct{ *Request }
+// isOpen tells whether the client waits for the final response.
+func (r *Request) isOpen() bool { return r.state == requestOpen }
+
+// requestArrived is a request that was submitted.
+type requestArrived struct{ request *Request }
 
 func (e requestArrived) apply(l *loop) {
-	r := e.Request
-	if r.clientGone.Load() { // while the loop was busy: nobody waits for an answer
-		r.closed = true
+	request := e.request
+	if request.clientGone.Load() { // it left while the loop was busy
+		request.state = request.state.after(clientDeparted)
 		return
 	}
-	if l.clientRequestIDs[r.Name] { // an upstream could not tell the two apart: the newcomer goes, the first is spared
-		r.closed = true
-		r.Reply <- Response{Status: http.StatusConflict}
+	if l.clientRequestIDs[request.Name] {
+		// An upstream could not tell the two requests apart. The later one is refused, the earlier one goes on.
+		request.state = request.state.after(finalResponseSent)
+		request.Reply <- Response{Status: http.StatusConflict}
 		return
 	}
 	if err := l.createBalancer(); err != nil {
-		l.failCreation(r, err)
+		l.failCreation(request, err)
 		return
 	}
-	l.clientRequestIDs[r.Name] = true
-	l.emptySince = 0
-	l.lastRequestID++
-	r.ID = balancer.RequestID(l.lastRequestID) // the module's own: what clients send need not be unique
-	r.deadline = r.At + r.Budget
 	now := l.now()
-	r.Budget = max(0, r.deadline-now)
-	if r.Message.Rest.Live() { // it counts from its last byte, and that is still with the client
-		r.deadline, r.BodyStreaming = now+r.Message.Most().Within, true
+	l.register(request, now)
+	if !l.rejectOnArrival(request, now) {
+		l.begin(request, now)
 	}
-	if l.listExpired(now) { // what the list says is too old to go by
-		l.respond(r, Response{Status: http.StatusServiceUnavailable, RetryAfter: min(time.Second, l.settings.Limits.MaxRetryAfter)})
-		return
+}
+
+// register gives a request its id and deadline.
+func (l *loop) register(request *Request, now time.Duration) {
+	l.suspension.emptySince = 0
+	l.clientRequestIDs[request.Name] = true
+	l.lastRequestID++
+	request.ID = balancer.RequestID(l.lastRequestID) // of the pool's own: clients' ids need not be unique
+	request.deadline = request.At + request.Budget
+	request.Budget = max(0, request.deadline-now)
+	if request.Message.Rest.Live() { // the budget counts from the last byte, which the client has not sent yet
+		request.deadline = now + request.Message.Most().Within
+		request.BodyStreaming = true
 	}
-	if r.Message.Upgrade != "" && len(l.tunnels) >= l.tunnelLimits.Total {
-		l.respond(r, Response{Status: http.StatusServiceUnavailable, RetryAfter: l.settings.Limits.MaxRetryAfter})
-		return
+}
+
+// rejectOnArrival answers a request that the pool can't run now, and tells whether it did.
+func (l *loop) rejectOnArrival(request *Request, now time.Duration) bool {
+	limits := &l.settings.Limits
+	if l.source.expired(now) {
+		l.respond(request, Response{
+			Status:     http.StatusServiceUnavailable,
+			RetryAfter: min(expiredListRetryAfter, limits.MaxRetryAfter),
+		})
+		return true
 	}
-	l.requests[r.ID] = r
-	r.deadlineTimer = timer{at: r.deadline, request: r}
-	l.timers.schedule(&r.deadlineTimer)
-	l.balancer.RequestArrived(now, r.Request)
+	isTunnel := request.Message.Upgrade != ""
+	if isTunnel && len(l.tunnels) >= l.tunnelLimits.Total {
+		l.respond(request, Response{
+			Status:     http.StatusServiceUnavailable,
+			RetryAfter: limits.MaxRetryAfter,
+		})
+		return true
+	}
+	return false
 }
 
-// clientLeft tells that a client has closed its connection.
-type clientLeft struct{ *Request }
+// begin starts a request's deadline and hands it to the balancer.
+func (l *loop) begin(request *Request, now time.Duration) {
+	l.requests[request.ID] = request
+	request.deadlineTimer = timer{at: request.deadline, request: request}
+	l.timers.schedule(&request.deadlineTimer)
+	l.balancer.RequestArrived(now, request.Request)
+}
+
+// restartDeadline counts a request's budget from a time.
+func (l *loop) restartDeadline(request *Request, from time.Duration) {
+	request.deadline = from + request.Budget
+	l.timers.cancel(&request.deadlineTimer)
+	request.deadlineTimer.at = request.deadline
+	l.timers.schedule(&request.deadlineTimer)
+}
+
+// clientLeft is a client that has closed its connection.
+type clientLeft struct{ request *Request }
 
 func (e clientLeft) apply(l *loop) {
-	r := e.Request
-	if !r.closed {
-		l.abandonRequest(r)
+	if e.request.isOpen() {
+		l.abandonRequest(e.request)
 		return
 	}
-	for { // the answer came as the client left: nobody else reads it
+	e.request.discardResponses()
+}
+
+// discardResponses ends the streams of responses that came as the client left: nobody else reads them.
+func (r *Request) discardResponses() {
+	for {
 		select {
-		case a := <-r.Reply:
-			a.Stream.Abandon()
-			a.Tunnel.Close()
+		case response := <-r.Reply:
+			response.Stream.Abandon()
+			response.Tunnel.Close()
 		default:
 			return
 		}
 	}
 }
 
-// abandonRequest drops a request whose client has gone.
-func (l *loop) abandonRequest(r *Request) {
-	l.closeRequest(r)
-	l.balancer.ClientLeft(l.now(), r.ID)
+// abandonRequest closes a request whose client has left.
+func (l *loop) abandonRequest(request *Request) {
+	l.closeRequest(request, clientDeparted)
+	l.balancer.ClientLeft(l.now(), request.ID)
 }
 
-// respond gives a client the one answer.
-func (l *loop) respond(r *Request, a Response) {
-	if r.closed {
+// respond gives a client its final response, unless the request is closed.
+func (l *loop) respond(request *Request, response Response) {
+	if !request.isOpen() {
 		return
 	}
-	switch a.Status {
+	switch response.Status {
 	case http.StatusServiceUnavailable:
 		l.counters.refused.Add(1)
 	case http.StatusBadGateway, http.StatusGatewayTimeout:
 		l.counters.failed.Add(1)
 	default:
 		l.counters.served.Add(1)
-		l.counters.servedFor.Add(int64(max(0, l.now()-r.At)))
+		l.counters.servedFor.Add(int64(max(0, l.now()-request.At)))
 	}
-	a.RetryAfterInSeconds = l.fullResponses
-	r.Reply <- a
-	l.closeRequest(r)
+	response.RetryAfterInSeconds = l.fullResponses
+	request.Reply <- response // has room
+	l.closeRequest(request, finalResponseSent)
 }
 
-// closeRequest notes that nothing more is owed for r. What has not been written of it never is, whether or not the site lets attempts be
-// cancelled: nothing of those has reached anybody.
-func (l *loop) closeRequest(r *Request) {
-	r.closed = true
-	for _, a := range r.attempts {
-		if !a.reported && a.Drop() {
-			l.pendingOutcomes = append(l.pendingOutcomes, pendingOutcome{a, balancer.NotSent})
+// closeRequest closes a request by a change. What of it has not been written is never written, also where attempts
+// can't be cancelled: nothing of those has reached anybody.
+func (l *loop) closeRequest(request *Request, change requestChange) {
+	request.state = request.state.after(change)
+	for _, attempt := range request.attempts {
+		if !attempt.state.reported() && attempt.Drop() {
+			l.deferOutcome(attempt, balancer.NotSent)
 		}
 	}
-	l.releaseRequest(r)
+	l.releaseIfSettled(request)
 }
 
-// releaseRequest forgets a request that is closed and has nothing out.
-func (l *loop) releaseRequest(r *Request) {
-	if r.closed && r.unreported == 0 {
-		delete(l.requests, r.ID)
-		delete(l.clientRequestIDs, r.Name)
-		l.timers.cancel(&r.deadlineTimer)
+// releaseIfSettled forgets a request that is closed and of which the balancer has had all outcomes.
+func (l *loop) releaseIfSettled(request *Request) {
+	if request.unreported > 0 {
+		return
+	}
+	request.state = request.state.after(outcomesReported)
+	if request.state != requestReleased {
+		return
 	}
+	delete(l.requests, request.ID)
+	delete(l.clientRequestIDs, request.Name)
+	l.timers.cancel(&request.deadlineTimer)
 }
--- a/internal/pool/stats.go
+++ b/internal/pool/stats.go
@@ -10,83 +10,121 @@
 
 // Stats are a pool's counters and levels.
 type Stats struct {
-	Served, Refused, Failed uint64        // requests, by their final answer
-	QueueFull               uint64        // since the queue was full; not among the refused
-	ServedFor               time.Duration // the sum of what the served took, from their coming to the answer's head
-	Open, Queue             int           // requests in it, and at most
-	Queued                  int           // of these, waiting for a turn
-	Connections, Limit      int           // to its nodes, and at most
-	Tunnels                 int
-	Up, Draining            int           // nodes listed, by what holds here
-	Created                 bool          // it has a module: it was asked, or is large
-	ListAge                 time.Duration // since the last good word from the list's source
-	Expired                 bool          // it is older than it may become: all is refused
+	// Served, Refused and Failed count requests by their final response.
+	Served, Refused, Failed uint64
+	// QueueFull counts requests that were not admitted since the queue was full. They are not among the refused.
+	QueueFull uint64
+	// ServedFor is the sum of the times that served requests took, from their arrival to the response's head.
+	ServedFor time.Duration
+	// Open is how many requests are in the pool, Queue how many may be.
+	Open, Queue int
+	// Queued is how many of the open requests wait to be sent.
+	Queued int
+	// Connections is how many connections to endpoints are open, Limit how many may be.
+	Connections, Limit int
+	Tunnels            int
+	// Up and Draining count the listed endpoints by the state that counts for this pool.
+	Up, Draining int
+	// Created: the pool has a balancer, since it has had requests or is large.
+	Created bool
+	// ListAge is the time since the list's source gave its last good answer.
+	ListAge time.Duration
+	// Expired: the list is too old to be used, and all requests are refused.
+	Expired bool
 }
 
-// Asked tells whether a request has ever come to it.
+// Asked tells whether the pool has ever had a request.
 func (s *Stats) Asked() bool { return s.Served+s.Refused+s.Failed+s.QueueFull > 0 || s.Open > 0 }
 
-// counters are what others read of a pool without its goroutine. Counters are exact; levels are as it left them when it parked, or a second ago
-// at most while it runs.
+// counters are what other goroutines read of a pool. Counters are exact; levels are as the loop left them when it was
+// parked, or up to sweepInterval ago while it runs.
 type counters struct {
-	served, refused, failed                                     atomic.Uint64
-	servedFor                                                   atomic.Int64 // ns
-	queued, connections, connectionLimit, tunnels, up, draining atomic.Int64
-	created                                                     atomic.Bool
-	listReceivedAt, maxListAge                                  atomic.Int64 // time.Durations
-	endpointsChanged                                            bool         // nodes have changed; the goroutine's own
+	served, refused, failed atomic.Uint64
+	servedFor               atomic.Int64 // nanoseconds
+
+	queued, connections, connectionLimit, tunnels atomic.Int64
+	active, draining                              atomic.Int64
+	created                                       atomic.Bool
+	listReceivedAt, maxListAge                    atomic.Int64 // time.Durations
+
+	endpointsChanged bool // since the endpoints were counted last; the loop's own
 }
 
-// Stats returns the pool's counters and levels. It wakes nobody and waits for nobody.
+// Stats returns the pool's counters and levels. It wakes no goroutine and waits for none.
 func (p *Pool) Stats() Stats {
 	c := &p.loop.counters
-	s := Stats{
-		Served: c.served.Load(), Refused: c.refused.Load(), Failed: c.failed.Load(), QueueFull: p.queueFull.Load(), ServedFor: time.Duration(c.servedFor.Load()),
-		Open: int(max(0, p.admitted.Load())), Queue: int(p.queueLimit.Load()), Queued: int(c.queued.Load()), Connections: int(c.connections.Load()), Limit: int(c.connectionLimit.Load()),
-		Tunnels: int(c.tunnels.Load()), Up: int(c.up.Load()), Draining: int(c.draining.Load()), Created: c.created.Load(),
-	}
-	s.ListAge = max(0, p.loop.now()-max(time.Duration(c.listReceivedAt.Load()), time.Duration(p.loop.listConfirmedAt.Load())))
-	if hold := time.Duration(c.maxListAge.Load()); hold > 0 {
-		s.Expired = s.ListAge > hold
+	stats := Stats{
+		Served:      c.served.Load(),
+		Refused:     c.refused.Load(),
+		Failed:      c.failed.Load(),
+		QueueFull:   p.queueFull.Load(),
+		ServedFor:   time.Duration(c.servedFor.Load()),
+		Open:        int(max(0, p.admitted.Load())),
+		Queue:       int(p.queueLimit.Load()),
+		Queued:      int(c.queued.Load()),
+		Connections: int(c.connections.Load()),
+		Limit:       int(c.connectionLimit.Load()),
+		Tunnels:     int(c.tunnels.Load()),
+		Up:          int(c.active.Load()),
+		Draining:    int(c.draining.Load()),
+		Created:     c.created.Load(),
 	}
-	return s
+	receivedAt := time.Duration(c.listReceivedAt.Load())
+	confirmedAt := time.Duration(p.loop.source.confirmedAt.Load())
+	stats.ListAge = max(0, p.loop.now()-max(receivedAt, confirmedAt))
+	maxAge := time.Duration(c.maxListAge.Load())
+	stats.Expired = maxAge > 0 && stats.ListAge > maxAge
+	return stats
 }
 
-// publish leaves the levels for Stats.
-func (l *loop) publish() {
+// publishLevels leaves the levels for Stats.
+func (l *loop) publishLevels() {
 	c := &l.counters
-	held := 0
-	if l.hasBalancer() {
-		held = l.balancer.QueueLength()
-	}
-	c.queued.Store(int64(held))
-	c.connections.Store(int64(l.connections))
-	c.connectionLimit.Store(int64(l.maxConnections))
+	c.queued.Store(int64(l.queueLength()))
+	c.connections.Store(int64(l.connections.open))
+	c.connectionLimit.Store(int64(l.connections.max))
 	c.tunnels.Store(int64(len(l.tunnels)))
 	c.created.Store(l.hasBalancer())
-	c.listReceivedAt.Store(int64(l.listReceivedAt))
-	c.maxListAge.Store(int64(l.maxListAge))
-	if !c.endpointsChanged {
-		return
+	c.listReceivedAt.Store(int64(l.source.receivedAt))
+	c.maxListAge.Store(int64(l.source.maxAge))
+	if c.endpointsChanged {
+		l.countEndpoints()
+		c.endpointsChanged = false
+	}
+}
+
+// queueLength is how many requests wait to be sent.
+func (l *loop) queueLength() int {
+	if !l.hasBalancer() {
+		return 0
 	}
-	c.endpointsChanged = false
-	by := map[balancer.State]int64{}
-	for _, p := range l.endpoints {
-		by[p.state]++
+	return l.balancer.QueueLength()
+}
+
+// countEndpoints publishes how many endpoints there are by state.
+func (l *loop) countEndpoints() {
+	byState := map[balancer.State]int64{}
+	for _, endpoint := range l.endpoints {
+		byState[endpoint.state]++
 	}
-	for i := range l.dormant.members {
-		p := l.placed(&l.dormant.members[i])
-		by[p.state]++
+	for i := range l.suspension.dormant.members {
+		endpoint := l.dormantEndpoint(&l.suspension.dormant.members[i])
+		byState[endpoint.state]++
 	}
-	c.up.Store(by[balancer.Active])
-	c.draining.Store(by[balancer.Draining])
-	c.endpointsChanged = false // placing has set it
+	l.counters.active.Store(byState[balancer.Active])
+	l.counters.draining.Store(byState[balancer.Draining])
 }
 
-// placed is a node of a pool that is not made, as it would stand.
-func (l *loop) placed(m *discovery.Member) *endpoint {
-	u := m.Upstream(0)
-	p := &endpoint{name: m.ID, address: m.HostPort, listedState: u.State, upstream: u, listedWeight: u.Weight}
-	l.refreshEndpoint(p)
-	return p
+// dormantEndpoint is an endpoint of a dormant pool, as it would be if the pool had a balancer.
+func (l *loop) dormantEndpoint(member *discovery.Member) *endpoint {
+	listed := member.Upstream(0)
+	result := &endpoint{
+		name:         member.ID,
+		address:      member.HostPort,
+		listedState:  listed.State,
+		listedWeight: listed.Weight,
+		upstream:     listed,
+	}
+	l.refreshEndpoint(result)
+	return result
 }
--- a/internal/pool/stats_test.go
+++ b/internal/pool/stats_test.go
@@ -35,8 +35,8 @@
 	p.awaitParked()
 }
 
-// TestStatsAreTheView: over random lists, drains, words of operators and of the ledger, requests and pauses in which the pool is given back, what is
-// read without its goroutine is what that tells.
+// TestStatsAreTheView: over random lists, drains, words of operators and of the ledger, requests and pauses in which
+// the pool is given back, what is read without its goroutine is what that tells.
 func TestStatsAreTheView(t *testing.T) {
 	s := startServer(t)
 	var made, unmade atomic.Int64
@@ -87,16 +87,16 @@
 			what += "a request"
 		case 5:
 			p.inspect(func(l *loop) { // as if all had rested for their time
-				l.sweepAt = l.now()
+				l.connections.nextSweepAt = l.now()
 				for _, x := range l.endpoints {
-					for _, link := range x.idleConnections {
-						link.idleSince = l.now() - l.idleTimeout
+					for _, link := range x.idle.list {
+						link.idleSince = l.now() - l.connections.idleTimeout
 					}
 				}
 			})
 			p.await("closed", func() bool { return p.Stats().Connections == 0 })
 			p.awaitParked()
-			p.inspect(func(l *loop) { l.emptySince = l.now() - l.balancerIdleTimeout })
+			p.inspect(func(l *loop) { l.suspension.emptySince = l.now() - l.suspension.balancerIdleTimeout })
 			p.await("given back", func() bool { return !p.Stats().Created })
 			what += "given back"
 		}
@@ -113,7 +113,7 @@
 func TestStatsWakeNobody(t *testing.T) {
 	s := startServer(t)
 	var turns atomic.Int64
-	p := startPool(t, suspendableSpec(), time.Minute, func(l *loop) { l.beforePark = func() { turns.Add(1) } })
+	p := startPool(t, suspendableSpec(), time.Minute, func(l *loop) { l.suspension.beforePark = func() { turns.Add(1) } })
 	p.UpdateEndpoints([]endpointlist.Node{listEntry("a", s)})
 	p.awaitParked()
 	before := turns.Load()
@@ -150,8 +150,9 @@
 	want(t, "refused", p.Stats().Refused, uint64(1))
 }
 
-// TestShortWaitEnds: a pool whose next look is so near that its goroutine stays for it has that look, though no event comes. The last event
-// comes 5 ms before a connection has rested for its time, and 5 ms before the pool is to be given back.
+// TestShortWaitEnds: a pool whose next look is so near that its goroutine stays for it has that look, though no event
+// comes. The last event comes 5 ms before a connection has rested for its time, and 5 ms before the pool is to be given
+// back.
 func TestShortWaitEnds(t *testing.T) {
 	s := startServer(t)
 	spec := suspendableSpec()
@@ -162,14 +163,16 @@
 	p.awaitParked()
 	want(t, "connections", p.Stats().Connections, 1)
 	p.inspect(func(l *loop) {
-		l.sweepAt = l.now()
+		l.connections.nextSweepAt = l.now()
 		for _, x := range l.endpoints {
-			x.idleConnections[0].idleSince = l.now() + 5*time.Millisecond - l.idleTimeout
+			x.idle.oldest().idleSince = l.now() + 5*time.Millisecond - l.connections.idleTimeout
 		}
 	})
 	p.await("closed", func() bool { return p.Stats().Connections == 0 }) // it posts no event
 	p.awaitParked()
 	want(t, "made", p.Stats().Created, true)
-	p.inspect(func(l *loop) { l.emptySince = l.now() + 5*time.Millisecond - l.balancerIdleTimeout })
+	p.inspect(func(l *loop) {
+		l.suspension.emptySince = l.now() + 5*time.Millisecond - l.suspension.balancerIdleTimeout
+	})
 	p.await("given back", func() bool { return !p.Stats().Created })
 }
--- a/internal/pool/suspend.go
+++ b/internal/pool/suspend.go
@@ -1,8 +1,8 @@
 package pool
 
 import (
-	"fmt"
 	"iter"
+	"net/http"
 	"slices"
 	"time"
 
@@ -10,64 +10,96 @@
 	"olivearch/internal/discovery"
 )
 
-// This file is about pools to which no request comes. Such a pool has no goroutine and no timer that has nothing to do: it is
-// parked, and its mailbox starts the goroutine again. One that no request has come to, or none for a while, is not even made: it
-// holds its list as it was told, and what must not be forgotten. One with so many nodes that its first request would wait for
-// it to be made is made when its list is told, and stays.
+// A pool without requests costs next to nothing. It is parked: it has no goroutine and no timer that has nothing to do,
+// and its mailbox starts the goroutine when an event comes. A pool that has had no request, or none for a while, is
+// dormant: it has no balancer either, only its list as it came and what must not be forgotten. A pool of so many
+// endpoints that its first request would wait for the balancer gets one with its list, and keeps it.
 
 const (
-	// defaultBalancerIdleTimeout is how long a pool stays made with no request and no connection. To make one takes about a microsecond a node: for one
-	// that is asked more often than this the time to answer would show it, and what is held longer is held for less.
+	// defaultBalancerIdleTimeout is how long a pool without requests and connections keeps its balancer. To create one
+	// takes about a microsecond an endpoint: in a pool that is used more often than this the response times would show it.
 	defaultBalancerIdleTimeout = time.Minute
-	// defaultMaxLazyEndpoints is how many nodes a pool may have that is made for its first request, which may wait 1.1 ms in all: half of it.
+	// defaultMaxLazyEndpoints is how many endpoints a pool may have whose balancer is created for its first request, which
+	// may wait 1.1 ms in all: half of it.
 	defaultMaxLazyEndpoints = 512
-	// minParkTime is the time to the next alarm from which it is worth to end the goroutine until then.
+	// minParkTime is the time to the next timer from which on it pays to end the goroutine until then.
 	minParkTime = 10 * time.Millisecond
 )
 
-// dormantState is what a pool holds that is not made: the list as it was told, less what is gone, and what was learnt of it.
+// suspension is the state of parking the loop and releasing its balancer. The loop owns it.
+type suspension struct {
+	balancerIdleTimeout time.Duration
+	maxLazyEndpoints    int
+	emptySince          time.Duration // since when there is no request and no connection; 0: there is, or it is not known yet
+	nextCheckAt         time.Duration // the goroutine stays for what is due then, soon; 0: for nothing
+	wakeTimer           *time.Timer   // starts the goroutine of a parked loop; nil: none yet
+	beforePark          func()        // a test's, called between the last look for events and the goroutine's end; else nil
+
+	dormant   dormantState // counts while there is no balancer
+	seed      uint64       // of the first balancer
+	creations uint64       // balancers so far
+}
+
+func newSuspension(seed uint64) suspension {
+	return suspension{
+		balancerIdleTimeout: defaultBalancerIdleTimeout,
+		maxLazyEndpoints:    defaultMaxLazyEndpoints,
+		seed:                seed,
+	}
+}
+
+// dormantState is what a dormant pool holds in place of a balancer and endpoints.
 type dormantState struct {
-	members    []discovery.Member       // never changed in place: the keeper may have them too
-	snapshot   balancer.Snapshot        // only of upstreams that have answered or are silent
-	unexpected map[string]endpointNotes // by name, where there is one
+	members  []discovery.Member       // the list without removed members; never changed in place: the store may have it too
+	snapshot balancer.Snapshot        // only of endpoints that have answered or are unresponsive
+	notes    map[string]endpointNotes // by the endpoint's name, where there are any
 }
 
-// endpointNotes is what a pool notes of an upstream beside the module.
+// endpointNotes are what a pool notes of an endpoint's wrong answers.
 type endpointNotes struct {
-	unsolicited, unreadableReports uint64
-	unreadableReason               string
+	unsolicited       uint64 // connections on which it sent unsolicited bytes
+	unreadableReports uint64 // load reports that could not be read
+	unreadableReason  string // why the last of them could not
 }
 
-// canSuspend tells whether the pool may be parked and given back. Where the module asks discovery or probes its upstreams, it has to
-// go on.
+// canSuspend tells whether the loop may be parked and its balancer released. A balancer that polls discovery or checks
+// the health of its endpoints has to go on.
 func (l *loop) canSuspend() bool {
-	return l.settings.SuspendWhenIdle && !l.settings.PollDiscovery && l.settings.Reports != balancer.ReportHealthChecks
+	polls := l.settings.PollDiscovery || l.settings.Reports == balancer.ReportHealthChecks
+	return l.settings.SuspendWhenIdle && !polls
 }
 
-// hasBalancer tells whether the pool has a module, with its upstreams.
+// hasBalancer tells whether the pool has a balancer, and endpoints with it.
 func (l *loop) hasBalancer() bool { return l.balancer != nil }
 
-// createBalancer makes the module and the peers, of what the pool holds without them.
+// createBalancer creates the balancer and the endpoints from what a dormant pool holds, unless there is one. It fails
+// only if the settings are not valid.
 func (l *loop) createBalancer() error {
 	if l.hasBalancer() {
 		return nil
 	}
-	l.creations++
-	b, err := balancer.New(l.settings, l.seed+l.creations-1, l.now(), l)
+	l.suspension.creations++
+	seed := l.suspension.seed + l.suspension.creations - 1
+	created, err := balancer.New(l.settings, seed, l.now(), l)
 	if err != nil {
 		return err
 	}
-	held := l.dormant
-	n := len(held.members)
-	l.endpoints, l.names, l.preallocated = make(map[balancer.UpstreamID]*endpoint, n), discovery.NewNamesFor(n), make([]endpoint, n)
-	l.balancer, l.dormant, l.emptySince = b, dormantState{}, 0
-	if l.hasList {
-		l.applyListing(balancer.ListCached, discovery.Listing{Revision: l.revision, Members: held.members})
+	l.balancer = created
+	l.suspension.emptySince = 0
+	held := l.suspension.dormant
+	l.suspension.dormant = dormantState{}
+
+	count := len(held.members)
+	l.endpoints = make(map[balancer.UpstreamID]*endpoint, count)
+	l.names = discovery.NewNamesFor(count)
+	l.preallocated = make([]endpoint, count)
+	if l.source.hasList {
+		l.applyListing(balancer.ListCached, discovery.Listing{Revision: l.source.revision, Members: held.members})
 	}
 	l.preallocated = nil
-	for name, m := range held.unexpected {
-		if p := l.endpointByName(name); p != nil {
-			p.unsolicited, p.unreadableReports, p.unreadableReason = m.unsolicited, m.unreadableReports, m.unreadableReason
+	for name, notes := range held.notes {
+		if endpoint := l.endpointByName(name); endpoint != nil {
+			endpoint.notes = notes
 		}
 	}
 	if len(held.snapshot.Figures) > 0 {
@@ -76,162 +108,189 @@
 	return nil
 }
 
-// releaseBalancer lets go of the module and the peers, where nothing is open and nothing must be kept as it is.
-func (l *loop) releaseBalancer(now time.Duration) {
+// dropBalancer makes the pool dormant. The caller has made sure that nothing is open and nothing has to be kept as it
+// is.
+func (l *loop) dropBalancer(now time.Duration) {
 	held := dormantState{members: make([]discovery.Member, 0, len(l.endpoints))}
 	views, _ := l.balancer.View(now)
-	for _, v := range views { // in the order in which they came
-		p := l.endpoints[v.ID]
-		if p == nil || p.listedState == balancer.Removed {
+	for _, view := range views { // in the order in which they came
+		endpoint := l.endpoints[view.ID]
+		if endpoint == nil || endpoint.listedState == balancer.Removed {
 			continue
 		}
-		held.members = append(held.members, p.member)
-		if p.unsolicited > 0 || p.unreadableReports > 0 {
-			if held.unexpected == nil {
-				held.unexpected = map[string]endpointNotes{}
+		held.members = append(held.members, endpoint.member)
+		if endpoint.notes != (endpointNotes{}) {
+			if held.notes == nil {
+				held.notes = map[string]endpointNotes{}
 			}
-			held.unexpected[p.name] = endpointNotes{p.unsolicited, p.unreadableReports, p.unreadableReason}
+			held.notes[endpoint.name] = endpoint.notes
 		}
 	}
 	held.snapshot = l.snapshot(now)
-	held.snapshot.Upstreams = slices.Clip(slices.DeleteFunc(held.snapshot.Upstreams, func(u balancer.UpstreamSnapshot) bool {
-		return u.Answers == 0 && u.Readings == 0 && !u.Unresponsive
-	}))
-	l.balancer, l.dormant = nil, held
-	l.endpoints, l.names = map[balancer.UpstreamID]*endpoint{}, discovery.NewNames()
-	l.requests, l.clientRequestIDs, l.tunnels = map[balancer.RequestID]*Request{}, map[string]bool{}, map[*attempt]struct{}{}
+	held.snapshot.Upstreams = slices.Clip(slices.DeleteFunc(held.snapshot.Upstreams, isUnused))
+
+	l.balancer = nil
+	l.suspension.dormant = held
+	l.endpoints = map[balancer.UpstreamID]*endpoint{}
+	l.names = discovery.NewNames()
+	l.requests = map[balancer.RequestID]*Request{}
+	l.clientRequestIDs = map[string]bool{}
+	l.tunnels = map[*attempt]struct{}{}
 }
 
-// snapshot is what the module has learnt, or had when there was one.
+// isUnused tells whether a balancer has learnt nothing of an endpoint.
+func isUnused(u balancer.UpstreamSnapshot) bool {
+	return u.Answers == 0 && u.Readings == 0 && !u.Unresponsive
+}
+
+// snapshot is what the balancer has learnt, or had when there was one.
 func (l *loop) snapshot(now time.Duration) balancer.Snapshot {
 	if !l.hasBalancer() {
-		return l.dormant.snapshot
+		return l.suspension.dormant.snapshot
 	}
-	l.balancer.NextDue(now) // makes up for a rest
+	l.balancer.NextDue(now) // makes up for a suspension
 	return l.balancer.Snapshot()
 }
 
-// updateDormantList applies a list to what is held of it.
-func (l *loop) updateDormantList(mode balancer.ListMode, x discovery.Listing) {
-	l.revision = x.Revision
-	gone := func(m discovery.Member) bool { return m.Upstream(0).State == balancer.Removed }
-	var list []discovery.Member
+// updateDormantList applies a list to the one that a dormant pool holds, and creates the balancer if the list is long.
+func (l *loop) updateDormantList(mode balancer.ListMode, update discovery.Listing) {
+	l.source.revision = update.Revision
+	var members []discovery.Member
 	if mode == balancer.ListDelta {
-		list = slices.Clone(l.dormant.members)
-		for _, m := range x.Members {
-			at := slices.IndexFunc(list, func(o discovery.Member) bool { return o.ID == m.ID })
-			switch {
-			case at >= 0 && gone(m):
-				list = slices.Delete(list, at, at+1)
-			case at >= 0:
-				list[at] = m
-			case !gone(m):
-				list = append(list, m)
-			}
-		}
+		members = mergeMembers(l.suspension.dormant.members, update.Members)
 	} else {
-		list = slices.DeleteFunc(slices.Clone(x.Members), gone)
+		members = slices.DeleteFunc(slices.Clone(update.Members), isRemoved)
 	}
-	l.dormant.members, l.counters.endpointsChanged = slices.Clip(list), true
+	l.suspension.dormant.members = slices.Clip(members)
+	l.counters.endpointsChanged = true
 	l.claimEndpoints()
-	if len(list) > l.maxLazyEndpoints {
+	if len(members) > l.suspension.maxLazyEndpoints {
 		if err := l.createBalancer(); err != nil {
-			l.Log(fmt.Sprintf("pool can't be made: %v", err))
+			l.logInfo("balancer not created", "err", err)
+		}
+	}
+}
+
+// mergeMembers returns a copy of a list with changes to it.
+func mergeMembers(members, changes []discovery.Member) []discovery.Member {
+	merged := slices.Clone(members)
+	for _, change := range changes {
+		at := slices.IndexFunc(merged, func(m discovery.Member) bool { return m.ID == change.ID })
+		switch {
+		case at >= 0 && isRemoved(change):
+			merged = slices.Delete(merged, at, at+1)
+		case at >= 0:
+			merged[at] = change
+		case !isRemoved(change):
+			merged = append(merged, change)
 		}
 	}
+	return merged
 }
 
-// listedAddresses are the addresses that are listed, and whether they drain by this pool's list.
+// isRemoved tells whether a member of a list says that an endpoint is removed.
+func isRemoved(m discovery.Member) bool { return m.Upstream(0).State == balancer.Removed }
+
+// listedAddresses are the addresses of the listed endpoints, and whether they drain by this pool's list.
 func (l *loop) listedAddresses() iter.Seq2[string, bool] {
 	return func(yield func(string, bool) bool) {
-		for i := range l.dormant.members {
-			m := &l.dormant.members[i]
-			if !yield(m.HostPort, m.Upstream(0).State == balancer.Draining) {
+		for i := range l.suspension.dormant.members {
+			member := &l.suspension.dormant.members[i]
+			drains := member.Upstream(0).State == balancer.Draining
+			if !yield(member.HostPort, drains) {
 				return
 			}
 		}
-		for _, p := range l.endpoints {
-			if p.listedState != balancer.Removed && !yield(p.address, p.listedState == balancer.Draining) {
+		for _, endpoint := range l.endpoints {
+			if endpoint.listedState == balancer.Removed {
+				continue
+			}
+			drains := endpoint.listedState == balancer.Draining
+			if !yield(endpoint.address, drains) {
 				return
 			}
 		}
 	}
 }
 
-// isListed tells whether an upstream is listed.
+// isListed tells whether an endpoint is listed under a name.
 func (l *loop) isListed(name string) bool {
 	if l.hasBalancer() {
 		return l.endpointByName(name) != nil
 	}
-	return slices.ContainsFunc(l.dormant.members, func(m discovery.Member) bool { return m.ID == name })
+	return slices.ContainsFunc(l.suspension.dormant.members, func(m discovery.Member) bool { return m.ID == name })
 }
 
-// nextWake is when the loop has to have its next turn, if no event comes: 0: never, or by an alarm. false: it has to go on until then.
-func (l *loop) nextWake(now time.Duration) (at time.Duration, still bool) {
-	if !l.canSuspend() || len(l.pendingOutcomes) > 0 || (l.hasBalancer() && !l.balancer.Suspended()) {
-		return 0, false
+// decideIdle returns what the loop does while no event comes, and when it has to go on by itself; 0: it has not to.
+func (l *loop) decideIdle(now time.Duration) (decision idleDecision, at time.Duration) {
+	hasWork := len(l.pendingOutcomes) > 0 || (l.hasBalancer() && !l.balancer.Suspended())
+	facts := idleFacts{suspendable: l.canSuspend() && !hasWork}
+	if !facts.suspendable {
+		return facts.decide(now, nil)
 	}
-	at, _ = l.timers.nextAt()
-	sooner := func(x time.Duration) {
-		if at == 0 || x < at {
-			at = x
-		}
+	facts.nextTimerAt, _ = l.timers.nextAt()
+	facts.hasConnections = l.connections.open > 0
+	if facts.hasConnections {
+		facts.nextIdleCloseAt = l.nextIdleCloseAt()
+	} else {
+		facts.unused = l.balancerUnused()
 	}
-	switch {
-	case l.connections > 0:
-		for _, p := range l.endpoints {
-			if len(p.idleConnections) > 0 {
-				sooner(max(p.idleConnections[0].idleSince+l.idleTimeout, l.sweepAt))
-			}
-		}
-	case l.hasBalancer() && len(l.requests) == 0 && len(l.timers.heap) == 0 && len(l.endpoints) <= l.maxLazyEndpoints:
-		if l.emptySince == 0 {
-			l.emptySince = now
-		}
-		until := l.emptySince + l.balancerIdleTimeout
-		if now >= until {
-			until = l.balancer.NextDue(now)
+	if facts.unused {
+		if l.suspension.emptySince == 0 {
+			l.suspension.emptySince = now
 		}
-		if now >= until {
-			l.releaseBalancer(now)
-			return 0, true
-		}
-		sooner(until)
+		facts.releaseAt = l.suspension.emptySince + l.suspension.balancerIdleTimeout
 	}
-	return at, at == 0 || at-now >= minParkTime
+	return facts.decide(now, func() time.Duration { return l.balancer.NextDue(now) })
+}
+
+// balancerUnused tells whether no request or timer needs the balancer, and a request's arrival may create it anew.
+func (l *loop) balancerUnused() bool {
+	isEmpty := len(l.requests) == 0 && len(l.timers.heap) == 0
+	return l.hasBalancer() && isEmpty && len(l.endpoints) <= l.suspension.maxLazyEndpoints
 }
 
-// park ends the goroutine's turn until an event comes or an alarm goes off; false: something has come meanwhile.
+// park ends the goroutine's turn until an event comes or a timer is due, if nothing is to be done before; false: the
+// goroutine goes on.
 func (l *loop) park() bool {
 	now := l.now()
-	at, still := l.nextWake(now)
-	if l.nextCheckAt = 0; !still {
-		l.nextCheckAt = at
+	decision, at := l.decideIdle(now)
+	l.suspension.nextCheckAt = 0
+	switch decision {
+	case stayAwake:
+		l.suspension.nextCheckAt = at
 		return false
+	case releaseBalancer:
+		l.dropBalancer(now)
 	}
-	l.publish()
+	l.publishLevels()
 	if at > 0 {
-		if l.wakeTimer == nil {
-			l.wakeTimer = time.AfterFunc(at-now, l.mailbox.wake)
-		} else {
-			l.wakeTimer.Reset(at - now)
-		}
+		l.startWakeTimer(at - now)
 	}
-	if l.beforePark != nil {
-		l.beforePark()
+	if l.suspension.beforePark != nil {
+		l.suspension.beforePark()
 	}
 	return l.mailbox.stopConsuming()
 }
 
-// unpark is the begin of a goroutine's turn.
-func (l *loop) unpark() {
-	if l.wakeTimer != nil {
-		l.wakeTimer.Stop()
+// startWakeTimer makes the mailbox start the goroutine after a time.
+func (l *loop) startWakeTimer(after time.Duration) {
+	if l.suspension.wakeTimer == nil {
+		l.suspension.wakeTimer = time.AfterFunc(after, l.mailbox.wake)
+		return
+	}
+	l.suspension.wakeTimer.Reset(after)
+}
+
+// stopWakeTimer stops the timer of a loop that was parked.
+func (l *loop) stopWakeTimer() {
+	if l.suspension.wakeTimer != nil {
+		l.suspension.wakeTimer.Stop()
 	}
 }
 
-// failCreation answers a request for which the module can't be made, which its settings' check rules out.
-func (l *loop) failCreation(r *Request, err error) {
-	l.Log(fmt.Sprintf("pool can't be made: %v", err))
-	l.respond(r, Response{Status: 503})
+// failCreation answers a request for which the balancer can't be created. The check of the settings rules it out.
+func (l *loop) failCreation(request *Request, err error) {
+	l.logInfo("balancer not created", "err", err)
+	l.respond(request, Response{Status: http.StatusServiceUnavailable})
 }
--- a/internal/pool/suspend_test.go
+++ b/internal/pool/suspend_test.go
@@ -44,11 +44,11 @@
 	ctx, cancel := context.WithCancel(context.Background())
 	t.Cleanup(cancel)
 	l := newLoop(ctx, spec)
-	l.balancerIdleTimeout = madeFor
+	l.suspension.balancerIdleTimeout = madeFor
 	if change != nil {
 		change(l)
 	}
-	if err := l.start(1, spec.InitialEndpoints); err != nil {
+	if err := l.start(spec.InitialEndpoints); err != nil {
 		t.Fatal(err)
 	}
 	p := &Pool{loop: l, name: spec.Name, stop: cancel, ended: make(chan struct{})}
@@ -129,8 +129,8 @@
 	}
 }
 
-// A pool is made by its first request, parks, closes its connections in time and is given back; it keeps its list, its counters and
-// what it learnt over that, and has no goroutine meanwhile.
+// A pool is made by its first request, parks, closes its connections in time and is given back; it keeps its list, its
+// counters and what it learnt over that, and has no goroutine meanwhile.
 func TestMadeParkedGivenBack(t *testing.T) {
 	s := startServer(t)
 	p := startPool(t, suspendableSpec(), 50*time.Millisecond, nil)
@@ -160,7 +160,7 @@
 	at, let := make(chan struct{}), make(chan struct{})
 	var once sync.Once
 	p := startPool(t, suspendableSpec(), time.Minute, func(l *loop) {
-		l.beforePark = func() { once.Do(func() { close(at); <-let }) }
+		l.suspension.beforePark = func() { once.Do(func() { close(at); <-let }) }
 	})
 	<-at // it has looked a last time, and its mailbox was empty
 	p.UpdateEndpoints([]endpointlist.Node{listEntry("a", s)})
@@ -174,10 +174,11 @@
 	}
 }
 
-// Events from many goroutines, with the loop parking in between: under the race detector two goroutines of one loop would be seen.
+// Events from many goroutines, with the loop parking in between: under the race detector two goroutines of one loop
+// would be seen.
 func TestOneGoroutineAtATime(t *testing.T) {
 	s := startServer(t)
-	p := startPool(t, suspendableSpec(), time.Millisecond, func(l *loop) { l.beforePark = runtime.Gosched })
+	p := startPool(t, suspendableSpec(), time.Millisecond, func(l *loop) { l.suspension.beforePark = runtime.Gosched })
 	p.UpdateEndpoints([]endpointlist.Node{listEntry("a", s)})
 	var g sync.WaitGroup
 	for w := range 8 {
@@ -435,8 +436,8 @@
 	})
 }
 
-// A pool of many nodes is made when its list is told, so that no first request waits for it; it parks, and stays made as long as its
-// list is long.
+// A pool of many nodes is made when its list is told, so that no first request waits for it; it parks, and stays made
+// as long as its list is long.
 func TestLargePoolIsMadeAhead(t *testing.T) {
 	s := startServer(t)
 	p := startPool(t, suspendableSpec(), 10*time.Millisecond, nil)
@@ -511,7 +512,8 @@
 func (k *recordingStore) Close()                 { close(k.closed) }
 func (k *recordingStore) count() int             { k.mu.Lock(); defer k.mu.Unlock(); return k.saved }
 
-// A restart that a list tells while the pool is unmade makes the upstream cold in the module that its first request makes.
+// A restart that a list tells while the pool is unmade makes the upstream cold in the module that its first request
+// makes.
 func TestColdWhenMade(t *testing.T) {
 	s := startServer(t)
 	p := startPool(t, suspendableSpec(), time.Minute, nil)
@@ -532,7 +534,7 @@
 			spec.Settings.Balancers = c.balancers
 			spec.Links = wire.Links{KeepAlive: time.Minute, ConnectTimeout: time.Second}
 			l := newLoop(b.Context(), spec)
-			if err := l.start(1, nil); err != nil {
+			if err := l.start(nil); err != nil {
 				b.Fatal(err)
 			}
 			x := discovery.Listing{Complete: true}
@@ -545,7 +547,7 @@
 					b.Fatal(err)
 				}
 				b.StopTimer()
-				l.releaseBalancer(l.now())
+				l.dropBalancer(l.now())
 				b.StartTimer()
 			}
 		})
--- a/internal/pool/timers.go
+++ b/internal/pool/timers.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// timer is a timer of the balancer's, a request's deadline or an attempt's time-out. Exactly one of token, request and attempt says
-// which.
+// timer is a timer of the balancer's, a request's deadline or an attempt's time-out. Exactly one of token, request and
+// attempt says which.
 type timer struct {
 	at       time.Duration // on the loop's clock
 	sequence uint64        // timers of one moment expire in the order in which they were scheduled
@@ -17,8 +17,8 @@
 	heapIndex int // -1: it is not scheduled
 }
 
-// timerQueue holds the scheduled timers by time. A request's timers are cancelled as soon as it is closed: left until they expire,
-// they would keep the memory of all requests that came within the longest deadline.
+// timerQueue holds the scheduled timers by time. A request's timers are cancelled as soon as it is closed: left until
+// they expire, they would keep the memory of all requests that came within the longest deadline.
 type timerQueue struct {
 	heap         timerHeap
 	lastSequence uint64
--- a/internal/pool/unsent_attempt_test.go
+++ b/internal/pool/unsent_attempt_test.go
@@ -13,7 +13,8 @@
 	"olivearch/internal/upstream"
 )
 
-// delayedTransport is a transport whose connections come up when the test says so: each Do is told, and waits for a word; its end is told too.
+// delayedTransport is a transport whose connections come up when the test says so: each Do is told, and waits for a
+// word; its end is told too.
 type delayedTransport struct {
 	upstream.Transport
 	began   chan *upstream.Attempt
@@ -30,8 +31,8 @@
 
 // delayConnections lets the hand's connections come up by a test's word.
 func (h *manualLoop) delayConnections() delayedTransport {
-	s := delayedTransport{h.transport, make(chan *upstream.Attempt, 10), make(chan struct{}), make(chan struct{}, 10)}
-	h.transport = s
+	s := delayedTransport{h.connections.transport, make(chan *upstream.Attempt, 10), make(chan struct{}), make(chan struct{}, 10)}
+	h.connections.transport = s
 	return s
 }
 
@@ -58,8 +59,8 @@
 
 func (p fixedPresence) Connected() bool { return bool(p) }
 
-// Between the choice of a node and the first byte lies a connection that may come up late. What has changed by then holds: each
-// change here is made while the connection comes up, and nothing may be written.
+// Between the choice of a node and the first byte lies a connection that may come up late. What has changed by then
+// holds: each change here is made while the connection comes up, and nothing may be written.
 func TestNothingIsWrittenAfterAChange(t *testing.T) {
 	cases := []struct {
 		name   string
@@ -125,8 +126,8 @@
 	want(t, "their ids", len(h.clientRequestIDs), 0)
 }
 
-// A keyed request that may have run is not written again once its nodes may have forgotten it, though it was chosen for another
-// attempt while they still knew it.
+// A keyed request that may have run is not written again once its nodes may have forgotten it, though it was chosen for
+// another attempt while they still knew it.
 func TestWindowEndsWhileConnecting(t *testing.T) {
 	const window = 200 * time.Millisecond
 	breaks := scripted.Start(t, func(net.Conn, *http.Request) bool { return false }) // reads it, and closes
--- a/internal/pool/view.go
+++ b/internal/pool/view.go
@@ -2,83 +2,133 @@
 
 import (
 	"cmp"
+	"time"
 
 	"olivearch/balancer"
+	"olivearch/internal/discovery"
 	"olivearch/internal/live"
 )
 
 // View returns the pool's state at this moment.
 func (p *Pool) View() live.Pool { return p.ViewOf(live.Part{}) }
 
-// ViewOf returns a part of it.
+// ViewOf returns a part of it. That of a pool that has ended has a name only.
 func (p *Pool) ViewOf(part live.Part) live.Pool {
-	got := make(chan live.Pool, 1)
-	p.loop.enqueue(viewRequested{part, got})
+	reply := make(chan live.Pool, 1)
+	p.loop.enqueue(viewRequested{part, reply})
 	select {
-	case v := <-got:
-		v.Name, v.TurnedAway, v.Queue = p.name, p.queueFull.Load(), int(p.queueLimit.Load())
-		return v
+	case view := <-reply:
+		view.Name = p.name
+		view.TurnedAway = p.queueFull.Load()
+		view.Queue = int(p.queueLimit.Load())
+		return view
 	case <-p.loop.ctx.Done():
 		return live.Pool{Name: p.name}
 	}
 }
 
-// viewRequested asks for the state.
+// viewRequested is a call of ViewOf.
 type viewRequested struct {
 	part  live.Part
 	reply chan<- live.Pool
 }
 
-var phaseNames = map[balancer.State]string{balancer.Active: "up", balancer.Draining: "draining", balancer.Removed: "gone"}
+// phaseNames are the states in the live view.
+var phaseNames = map[balancer.State]string{
+	balancer.Active:   "up",
+	balancer.Draining: "draining",
+	balancer.Removed:  "gone",
+}
 
 func (e viewRequested) apply(l *loop) {
 	now := l.now()
-	var views []balancer.UpstreamView
-	held := 0
-	if l.hasBalancer() {
-		held = l.balancer.QueueLength()
-	}
-	if l.hasBalancer() && e.part.Nodes != live.NoNodes {
-		views, _ = l.balancer.View(now)
+	view := live.Pool{
+		Open:        len(l.requests),
+		Held:        l.queueLength(),
+		Connections: l.connections.open,
+		Limit:       l.connections.max,
+		Tunnels:     len(l.tunnels),
+		Served:      l.counters.served.Load(),
+		Refused:     l.counters.refused.Load(),
+		Failed:      l.counters.failed.Load(),
+		ListAgeMS:   l.source.age(now).Milliseconds(),
+		HoldMS:      l.source.maxAge.Milliseconds(),
+		Expired:     l.source.expired(now),
+		Trouble:     l.source.lastError,
+		Nodes:       []live.Node{},
 	}
-	v := live.Pool{
-		Open: len(l.requests), Held: held, Connections: l.connections, Limit: l.maxConnections, Tunnels: len(l.tunnels), Served: l.counters.served.Load(), Refused: l.counters.refused.Load(), Failed: l.counters.failed.Load(),
-		ListAgeMS: l.listAge(now).Milliseconds(), HoldMS: l.maxListAge.Milliseconds(), Expired: l.listExpired(now), Trouble: l.sourceError,
-		Nodes: []live.Node{},
+	if e.part.Nodes != live.NoNodes {
+		view.Nodes = l.appendNodes(view.Nodes, now)
 	}
-	for _, u := range views {
-		p := l.endpoints[u.ID]
-		if p == nil {
-			continue
+	e.reply <- e.part.Of(view)
+}
+
+// appendNodes appends the endpoints' state.
+func (l *loop) appendNodes(nodes []live.Node, now time.Duration) []live.Node {
+	if l.hasBalancer() {
+		views, _ := l.balancer.View(now)
+		for i := range views {
+			if endpoint := l.endpoints[views[i].ID]; endpoint != nil {
+				nodes = append(nodes, endpoint.node(&views[i]))
+			}
 		}
-		v.Nodes = append(v.Nodes, live.Node{
-			ID: p.name, Address: p.address, Phase: phaseNames[p.state], Member: u.InSubset, Share: u.Share, Cut: u.ShareFactor,
-			Mean: u.Mean, Upper: u.Upper, Lower: u.Lower, Area: u.Area, Readings: u.Readings, Load: loadKind(u), Unreadable: p.unreadableReports, UnreadableWhy: p.unreadableReason, Strays: p.unsolicited, Cold: u.WarmingUp, Silent: u.Unresponsive, Out: u.InFlight, Bound: u.ConcurrencyLimit,
-			LatencyMS: float64(u.Latency.Microseconds()) / 1000, Connections: p.connections, Part: cmp.Or(p.allotment.Fraction, 1), Limit: p.allotment.Connections,
-		})
 	}
-	members := l.dormant.members
-	if e.part.Nodes == live.NoNodes {
-		members = nil
+	for i := range l.suspension.dormant.members {
+		nodes = append(nodes, l.dormantNode(&l.suspension.dormant.members[i]))
 	}
-	for i := range members { // nobody has asked for it
-		m := &members[i]
-		p := l.placed(m)
-		mark := l.dormant.unexpected[m.ID]
-		v.Nodes = append(v.Nodes, live.Node{
-			ID: p.name, Address: p.address, Phase: phaseNames[p.state], Cut: 1, Load: live.Unknown,
-			Unreadable: mark.unreadableReports, UnreadableWhy: mark.unreadableReason, Strays: mark.unsolicited, Part: cmp.Or(p.allotment.Fraction, 1), Limit: p.allotment.Connections,
-		})
+	return nodes
+}
+
+// node is an endpoint's state with what the balancer says of it.
+func (e *endpoint) node(view *balancer.UpstreamView) live.Node {
+	node := e.notes.node(e)
+	node.Member = view.InSubset
+	node.Share = view.Share
+	node.Cut = view.ShareFactor
+	node.Mean = view.Mean
+	node.Upper = view.Upper
+	node.Lower = view.Lower
+	node.Area = view.Area
+	node.Readings = view.Readings
+	node.Load = loadKind(view)
+	node.Cold = view.WarmingUp
+	node.Silent = view.Unresponsive
+	node.Out = view.InFlight
+	node.Bound = view.ConcurrencyLimit
+	node.LatencyMS = float64(view.Latency.Microseconds()) / 1000
+	node.Connections = e.connections
+	return node
+}
+
+// dormantNode is the state of an endpoint of a dormant pool.
+func (l *loop) dormantNode(member *discovery.Member) live.Node {
+	notes := l.suspension.dormant.notes[member.ID]
+	node := notes.node(l.dormantEndpoint(member))
+	node.Cut = 1
+	node.Load = live.Unknown
+	return node
+}
+
+// node is what the live view has of an endpoint, with these notes, whether or not there is a balancer.
+func (n endpointNotes) node(e *endpoint) live.Node {
+	return live.Node{
+		ID:            e.name,
+		Address:       e.address,
+		Phase:         phaseNames[e.state],
+		Unreadable:    n.unreadableReports,
+		UnreadableWhy: n.unreadableReason,
+		Strays:        n.unsolicited,
+		Part:          cmp.Or(e.allotment.Fraction, 1),
+		Limit:         e.allotment.Connections,
 	}
-	e.reply <- e.part.Of(v)
 }
 
-// loadKind tells where a node's readings come from.
-func loadKind(u balancer.UpstreamView) string {
+// loadKind tells where an endpoint's readings come from.
+func loadKind(view *balancer.UpstreamView) string {
 	switch {
-	case u.Estimated:
+	case view.Estimated:
 		return live.Estimated
-	case u.Readings > 0:
+	case view.Readings > 0:
 		return live.Reported
 	}
 	return live.Unknown
