--- a/internal/pool/attempt.go
+++ b/internal/pool/attempt.go
@@ -80,7 +80,7 @@
 
 // newAttempt makes an attempt with its time-out. timeout is the balancer's; 0: only the request's deadline ends it.
 func (l *loop) newAttempt(request *Request, endpoint *endpoint, timeout, now time.Duration) *attempt {
-	a := &attempt{
+	made := &attempt{
 		loop:      l,
 		request:   request,
 		number:    len(request.attempts),
@@ -88,22 +88,22 @@
 		transport: l.connections.transport,
 		sentAt:    now,
 	}
-	a.Message = &request.Message
-	a.Address = endpoint.address
-	a.Told = a
-	a.Gate = a
+	made.Message = &request.Message
+	made.Address = endpoint.address
+	made.Told = made
+	made.Gate = made
 	if until := l.balancer.SendDeadline(request.ID); until > 0 {
-		a.Until = time.Now().Add(until - now)
+		made.Until = time.Now().Add(until - now)
 	}
-	request.attempts = append(request.attempts, a)
+	request.attempts = append(request.attempts, made)
 	request.unreported++
-	a.Wait = request.deadline - now
-	if timeout > 0 && timeout < a.Wait {
-		a.Wait = timeout
-		a.timer = timer{at: now + timeout, attempt: a}
-		l.timers.schedule(&a.timer)
+	made.Wait = request.deadline - now
+	if timeout > 0 && timeout < made.Wait {
+		made.Wait = timeout
+		made.timer = timer{at: now + timeout, attempt: made}
+		l.timers.schedule(&made.timer)
 	}
-	return a
+	return made
 }
 
 // mayConnect tells whether an attempt may have a connection.
@@ -136,20 +136,25 @@
 }
 
 func (e responseStarted) apply(l *loop) {
-	attempt := e.attempt
-	if attempt.state.reported() || !attempt.request.isOpen() {
+	if e.attempt.state.reported() || !e.attempt.request.isOpen() {
 		e.response.More.Abandon()
 		e.response.Tunnel.Close()
 		return
 	}
-	if e.response.Tunnel != nil {
-		attempt.tunnel = e.response.Tunnel
+	l.startResponse(e.attempt, e.response)
+}
+
+// startResponse passes on the first bytes of an attempt's response.
+func (l *loop) startResponse(attempt *attempt, response upstream.Result) {
+	endpoint := attempt.endpoint
+	if response.Tunnel != nil {
+		attempt.tunnel = response.Tunnel
 		l.tunnels[attempt] = struct{}{}
-		attempt.endpoint.tunnelCount++
+		endpoint.tunnelCount++
 	}
-	attempt.endpoint.noteLoadReport(e.response.Spoilt)
-	l.reportOutcome(attempt, responseHeadReceived, e.response)
-	l.addAbandoned(attempt.endpoint, 1) // its connection is held until the last byte
+	endpoint.noteLoadReport(response.Spoilt)
+	l.reportOutcome(attempt, responseHeadReceived, response)
+	l.addAbandoned(endpoint, 1) // its connection is held until the last byte
 }
 
 // earlyHintsReceived is an interim response with status 103. A client gets those of one attempt.
@@ -164,7 +169,8 @@
 		return
 	}
 	request.hintSent = true
-	request.Reply <- Response{Status: http.StatusEarlyHints, Header: e.fields} // has room for it and for the final response
+	// Reply has room for it and for the final response.
+	request.Reply <- Response{Status: http.StatusEarlyHints, Header: e.fields}
 }
 
 // attemptFinished is an attempt that has ended on its connection.
@@ -173,8 +179,10 @@
 	result  upstream.Result
 }
 
-func (e attemptFinished) apply(l *loop) {
-	attempt := e.attempt
+func (e attemptFinished) apply(l *loop) { l.finishAttempt(e.attempt, e.result) }
+
+// finishAttempt takes back an attempt's connection, and reports its outcome unless that was done before.
+func (l *loop) finishAttempt(attempt *attempt, result upstream.Result) {
 	endpoint := attempt.endpoint
 	delete(endpoint.openAttempts, attempt)
 	if attempt.tunnel != nil {
@@ -184,20 +192,20 @@
 	if attempt.lingering {
 		endpoint.lingeringAttempts--
 	}
-	l.returnConnection(endpoint, attempt.connection, e.result.Conn)
-	endpoint.noteLoadReport(e.result.Spoilt)
-	if e.result.Stray {
+	l.returnConnection(endpoint, attempt.connection, result.Conn)
+	endpoint.noteLoadReport(result.Spoilt)
+	if result.Stray {
 		endpoint.notes.unsolicited++
 	}
 	if attempt.state.reported() {
 		l.addAbandoned(endpoint, -1)
 	}
 	// The client was seen to have left as the attempt was to be written, or meanwhile.
-	leftUnserved := attempt.request.clientGone.Load() && e.result.Status != balancer.OK
+	leftUnserved := attempt.request.clientGone.Load() && result.Status != balancer.OK
 	if leftUnserved && attempt.request.isOpen() {
 		l.abandonRequest(attempt.request)
 	}
-	l.reportOutcome(attempt, connectionReturned, e.result)
+	l.reportOutcome(attempt, connectionReturned, result)
 	l.forgetIfUnused(endpoint)
 }
 
--- a/internal/pool/configure.go
+++ b/internal/pool/configure.go
@@ -77,13 +77,18 @@
 		e.adopted()
 		l.logInfo("settings applied", "classes", len(e.spec.Settings.Classes))
 	}
-	before := l.source.address()
-	if e.spec.Discovery == before {
-		l.logInfo("discovery address kept", "address", before)
+	l.moveDiscovery(e.spec.Discovery)
+}
+
+// moveDiscovery makes discovery at another address the list's source, and goes on watching if the last one was watched.
+func (l *loop) moveDiscovery(address string) {
+	previous := l.source.address()
+	if address == previous {
+		l.logInfo("discovery address kept", "address", address)
 		return
 	}
-	l.logInfo("discovery address changed", "address", e.spec.Discovery, "previous", before)
-	l.followDiscovery(e.spec.Discovery)
+	l.logInfo("discovery address changed", "address", address, "previous", previous)
+	l.followDiscovery(address)
 	if l.source.stopWatch != nil {
 		l.WatchEndpoints(true)
 	}
--- a/internal/pool/loop.go
+++ b/internal/pool/loop.go
@@ -62,7 +62,7 @@
 }
 
 func newLoop(ctx context.Context, spec Spec) *loop {
-	l := &loop{
+	made := &loop{
 		ctx:              ctx,
 		mailbox:          newMailbox(),
 		origin:           time.Now(),
@@ -73,14 +73,14 @@
 		endpoints:        map[balancer.UpstreamID]*endpoint{},
 		tunnels:          map[*attempt]struct{}{},
 	}
-	l.applyLimits(spec)
-	l.endpointStore = spec.EndpointStore
+	made.applyLimits(spec)
+	made.endpointStore = spec.EndpointStore
 	// The clock is Unix time at the start, going on by the monotonic clock: times that discovery sends are on it as they
 	// are, also those from before this process, and setting the machine's clock does not move it.
-	l.epoch = time.Duration(clock.Now().UnixNano())
-	l.source.receivedAt = l.now()
-	l.followDiscovery(spec.Discovery)
-	return l
+	made.epoch = time.Duration(clock.Now().UnixNano())
+	made.source.receivedAt = made.now()
+	made.followDiscovery(spec.Discovery)
+	return made
 }
 
 // applyLimits takes what of a Spec may change while the loop runs.
@@ -255,6 +255,18 @@
 	}
 }
 
+// close ends what the loop has outside its goroutine, but for attempts in flight.
+func (l *loop) close() {
+	l.source.endClient()
+	for _, endpoint := range l.endpoints {
+		l.CloseIdle(endpoint.id)
+	}
+	l.registration.remove()
+	if l.endpointStore != nil {
+		go l.endpointStore.Close() // a disk may be slow
+	}
+}
+
 // awaitReply waits for the loop's reply to an event that was handed to it. It fails if the loop has ended.
 func awaitReply[T any](l *loop, reply <-chan T) (answer T, err error) {
 	select {
--- a/internal/pool/pool.go
+++ b/internal/pool/pool.go
@@ -113,14 +113,7 @@
 	default:
 		close(e.pool.ended)
 	}
-	l.source.endClient()
-	for _, endpoint := range l.endpoints {
-		l.CloseIdle(endpoint.id)
-	}
-	l.registration.remove()
-	if l.endpointStore != nil {
-		go l.endpointStore.Close() // a disk may be slow
-	}
+	l.close()
 	e.pool.stop()
 }
 
--- a/internal/pool/registration.go
+++ b/internal/pool/registration.go
@@ -17,8 +17,9 @@
 	// claimed are the listed endpoints by address; true: they drain by the pool's list. The registry reads it too: it is
 	// never changed in place.
 	claimed     map[string]bool
-	claimSerial uint64                           // of that claim
-	unconfirmed map[string]uint64                // endpoints for which the registry has not answered, by the claim that first had them
+	claimSerial uint64 // of that claim
+	// unconfirmed are the endpoints for which the registry has not answered, by the claim that first had them.
+	unconfirmed map[string]uint64
 	allotments  map[string]sharedlimit.Allotment // of endpoints that other pools list too
 }
 
@@ -90,10 +91,11 @@
 
 // allotmentsChanged is a notification of the registry.
 type allotmentsChanged struct {
-	changes         []sharedlimit.Change
-	claimSerial     uint64 // the pool's claim that the registry has: it knows nothing of endpoints that a later one has first
-	claimAccepted   bool   // the endpoints up to that claim may be used
-	connectionLimit int    // connections to an endpoint that no other pool lists, if claimAccepted
+	changes []sharedlimit.Change
+	// claimSerial is of the pool's claim that the registry has. It knows nothing of endpoints that a later one has first.
+	claimSerial     uint64
+	claimAccepted   bool // the endpoints up to that claim may be used
+	connectionLimit int  // connections to an endpoint that no other pool lists, if claimAccepted
 }
 
 // applyChanges notes a notification, and calls changed for each address of which the allotment may differ. all tells
--- a/internal/pool/request.go
+++ b/internal/pool/request.go
@@ -26,9 +26,10 @@
 	balancer.Request
 	Name    string // the client's id of it
 	Message upstream.Message
-	At      time.Duration // when its last byte had come, on the pool's clock
-	Reply   chan Response // has room for the final response, and for an interim one (status 103) where Message asks for these
-	Client  Client        // nil: it is not known whether the client is still connected
+	At      time.Duration // when the last byte had come, on the pool's clock
+	// Reply has room for the final response, and for an interim one (status 103) where Message asks for these.
+	Reply  chan Response
+	Client Client // nil: it is not known whether the client is still connected
 
 	loop          *loop // of the pool to which it was submitted
 	state         requestState
@@ -84,8 +85,10 @@
 // requestArrived is a request that was submitted.
 type requestArrived struct{ request *Request }
 
-func (e requestArrived) apply(l *loop) {
-	request := e.request
+func (e requestArrived) apply(l *loop) { l.acceptRequest(e.request) }
+
+// acceptRequest begins a request, or answers it where it can't be run.
+func (l *loop) acceptRequest(request *Request) {
 	if request.clientGone.Load() { // it left while the loop was busy
 		request.state = request.state.after(clientDeparted)
 		return
--- a/internal/pool/stats.go
+++ b/internal/pool/stats.go
@@ -52,27 +52,27 @@
 
 // Stats returns the pool's counters and levels. It wakes no goroutine and waits for none.
 func (p *Pool) Stats() Stats {
-	c := &p.loop.counters
+	levels := &p.loop.counters
 	stats := Stats{
-		Served:      c.served.Load(),
-		Refused:     c.refused.Load(),
-		Failed:      c.failed.Load(),
+		Served:      levels.served.Load(),
+		Refused:     levels.refused.Load(),
+		Failed:      levels.failed.Load(),
 		QueueFull:   p.queueFull.Load(),
-		ServedFor:   time.Duration(c.servedFor.Load()),
+		ServedFor:   time.Duration(levels.servedFor.Load()),
 		Open:        int(max(0, p.admitted.Load())),
 		Queue:       int(p.queueLimit.Load()),
-		Queued:      int(c.queued.Load()),
-		Connections: int(c.connections.Load()),
-		Limit:       int(c.connectionLimit.Load()),
-		Tunnels:     int(c.tunnels.Load()),
-		Up:          int(c.active.Load()),
-		Draining:    int(c.draining.Load()),
-		Created:     c.created.Load(),
+		Queued:      int(levels.queued.Load()),
+		Connections: int(levels.connections.Load()),
+		Limit:       int(levels.connectionLimit.Load()),
+		Tunnels:     int(levels.tunnels.Load()),
+		Up:          int(levels.active.Load()),
+		Draining:    int(levels.draining.Load()),
+		Created:     levels.created.Load(),
 	}
-	receivedAt := time.Duration(c.listReceivedAt.Load())
+	receivedAt := time.Duration(levels.listReceivedAt.Load())
 	confirmedAt := time.Duration(p.loop.source.confirmedAt.Load())
 	stats.ListAge = max(0, p.loop.now()-max(receivedAt, confirmedAt))
-	maxAge := time.Duration(c.maxListAge.Load())
+	maxAge := time.Duration(levels.maxListAge.Load())
 	stats.Expired = maxAge > 0 && stats.ListAge > maxAge
 	return stats
 }
--- a/internal/pool/suspend.go
+++ b/internal/pool/suspend.go
@@ -30,10 +30,10 @@
 type suspension struct {
 	balancerIdleTimeout time.Duration
 	maxLazyEndpoints    int
-	emptySince          time.Duration // since when there is no request and no connection; 0: there is, or it is not known yet
+	emptySince          time.Duration // since when there is no request and no connection; 0: there is, or not known
 	nextCheckAt         time.Duration // the goroutine stays for what is due then, soon; 0: for nothing
 	wakeTimer           *time.Timer   // starts the goroutine of a parked loop; nil: none yet
-	beforePark          func()        // a test's, called between the last look for events and the goroutine's end; else nil
+	beforePark          func()        // a test's, called between the last look for events and the goroutine's end
 
 	dormant   dormantState // counts while there is no balancer
 	seed      uint64       // of the first balancer
@@ -50,7 +50,8 @@
 
 // dormantState is what a dormant pool holds in place of a balancer and endpoints.
 type dormantState struct {
-	members  []discovery.Member       // the list without removed members; never changed in place: the store may have it too
+	// members are the list without removed ones. It is never changed in place: the store may have it too.
+	members  []discovery.Member
 	snapshot balancer.Snapshot        // only of endpoints that have answered or are unresponsive
 	notes    map[string]endpointNotes // by the endpoint's name, where there are any
 }
--- a/internal/pool/view.go
+++ b/internal/pool/view.go
@@ -40,7 +40,10 @@
 	balancer.Removed:  "gone",
 }
 
-func (e viewRequested) apply(l *loop) {
+func (e viewRequested) apply(l *loop) { e.reply <- e.part.Of(l.view(e.part)) }
+
+// view is the loop's state. part only tells which endpoints are left out.
+func (l *loop) view(part live.Part) live.Pool {
 	now := l.now()
 	view := live.Pool{
 		Open:        len(l.requests),
@@ -57,10 +60,10 @@
 		Trouble:     l.source.lastError,
 		Nodes:       []live.Node{},
 	}
-	if e.part.Nodes != live.NoNodes {
+	if part.Nodes != live.NoNodes {
 		view.Nodes = l.appendNodes(view.Nodes, now)
 	}
-	e.reply <- e.part.Of(view)
+	return view
 }
 
 // appendNodes appends the endpoints' state.
