--- a/internal/pool/clock_step_test.go
+++ b/internal/pool/clock_step_test.go
@@ -14,7 +14,7 @@
 )
 
 // The machine's clock is set by an hour, either way, while a pool rests: its time goes on by the monotonic clock, so
-// what started just now is cold, what drains gets nothing, and the first request is served. TestClockStepsWhileItRests
+// what started just now is cold, what drains gets nothing, and the first request is served. TestClockStepsWhileDormant
 // runs it.
 func TestClockSteps(t *testing.T) {
 	file := filepath.Join(t.TempDir(), "clock")
--- a/internal/pool/loop_test.go
+++ b/internal/pool/loop_test.go
@@ -157,7 +157,7 @@
 }
 
 // A second copy that comes behind an answer, in a segment of its own, is not taken for the next request's answer.
-func TestLateSecondCopyIsNotAnAnswer(t *testing.T) {
+func TestLateSecondResponseIsNotForNextRequest(t *testing.T) {
 	copied := make(chan struct{}, 2)
 	s := scripted.Start(t, func(c net.Conn, r *http.Request) bool {
 		scripted.OK(c, r.Header.Get("X-Request-Id"))
@@ -178,7 +178,7 @@
 
 // Where connections rest only after strays, one does not rest at first; once a second copy was seen, they rest, and the
 // next late copy is no answer.
-func TestRestsAfterAStray(t *testing.T) {
+func TestReuseDelayAfterUnsolicitedBytes(t *testing.T) {
 	copied := make(chan struct{}, 2)
 	s := scripted.Start(t, func(c net.Conn, r *http.Request) bool {
 		id := r.Header.Get("X-Request-Id")
@@ -213,7 +213,7 @@
 }
 
 // An upstream that is gone with an attempt out is forgotten once that ends, and its connection is not kept.
-func TestGoneUpstreamEndsWithItsAttempt(t *testing.T) {
+func TestRemovedEndpointEndsWithItsAttempt(t *testing.T) {
 	release := make(chan struct{})
 	s := scripted.Start(t, func(c net.Conn, r *http.Request) bool { <-release; return scripted.Done(c, r) })
 	h := newManualLoop(t, testSpec())
@@ -234,7 +234,7 @@
 }
 
 // An attempt for which there is no connection was never sent, through no fault of the upstream's.
-func TestNoRoomIsMoot(t *testing.T) {
+func TestNoConnectionIsNotSent(t *testing.T) {
 	h := newManualLoop(t, testSpec())
 	h.connections.max = 0
 	s := scripted.Start(t, scripted.Done)
@@ -245,7 +245,7 @@
 }
 
 // One that is called back counts as started at that moment: its cold start is not known from discovery yet.
-func TestBackIsCold(t *testing.T) {
+func TestReturnedEndpointWarmsUp(t *testing.T) {
 	h := newManualLoop(t, testSpec())
 	h.updateEndpoints(1, discovery.Member{ID: "s-00000001", HostPort: "127.0.0.1:1", Phase: "up", Size: 1})
 	cold := func() bool {
--- a/internal/pool/stats_test.go
+++ b/internal/pool/stats_test.go
@@ -35,16 +35,16 @@
 	p.awaitParked()
 }
 
-// TestStatsAreTheView: over random lists, drains, words of operators and of the ledger, requests and pauses in which
+// TestStatsMatchView: over random lists, drains, words of operators and of the ledger, requests and pauses in which
 // the pool is given back, what is read without its goroutine is what that tells.
-func TestStatsAreTheView(t *testing.T) {
+func TestStatsMatchView(t *testing.T) {
 	s := startServer(t)
 	var made, unmade atomic.Int64
 	t.Run("seeds", func(t *testing.T) {
 		for seed := range uint64(4) {
 			t.Run(fmt.Sprint(seed), func(t *testing.T) {
 				t.Parallel()
-				statsAreTheView(t, s, rand.New(rand.NewPCG(36, seed)), &made, &unmade)
+				checkRandomSteps(t, s, rand.New(rand.NewPCG(36, seed)), &made, &unmade)
 			})
 		}
 	})
@@ -53,7 +53,7 @@
 	}
 }
 
-func statsAreTheView(t *testing.T, s *scripted.Node, rng *rand.Rand, made, unmade *atomic.Int64) {
+func checkRandomSteps(t *testing.T, s *scripted.Node, rng *rand.Rand, made, unmade *atomic.Int64) {
 	spec := suspendableSpec()
 	spec.MaxEndpointAge, spec.Links.KeepAlive, spec.Settings.Rules.SlowStartDuration = time.Hour, time.Hour, 50*time.Millisecond
 	p := startPool(t, spec, time.Hour, nil)
--- a/internal/pool/suspend_test.go
+++ b/internal/pool/suspend_test.go
@@ -131,7 +131,7 @@
 
 // A pool is made by its first request, parks, closes its connections in time and is given back; it keeps its list, its
 // counters and what it learnt over that, and has no goroutine meanwhile.
-func TestMadeParkedGivenBack(t *testing.T) {
+func TestBalancerCreatedParkedReleased(t *testing.T) {
 	s := startServer(t)
 	p := startPool(t, suspendableSpec(), 50*time.Millisecond, nil)
 	p.UpdateEndpoints([]endpointlist.Node{listEntry("a", s), listEntry("b", s)})
@@ -203,7 +203,7 @@
 }
 
 // A drain told while the pool rests holds for its first request, whichever way it came.
-func TestDrainWhileUnmade(t *testing.T) {
+func TestDrainWhileDormant(t *testing.T) {
 	a, b := startServer(t), startServer(t)
 	drained := listEntry("a", a)
 	drained.Phase = "draining"
@@ -242,7 +242,7 @@
 }
 
 // A drain that another pool was told of holds for one that is not made, and its own drain for others.
-func TestDrainOfOthersWhileUnmade(t *testing.T) {
+func TestDrainOfOthersWhileDormant(t *testing.T) {
 	a, b := startServer(t), startServer(t)
 	ctx, cancel := context.WithCancel(t.Context())
 	defer cancel()
@@ -322,7 +322,7 @@
 }
 
 // A pool is not given back while something is open, or must not be forgotten.
-func TestNotGivenBackWhile(t *testing.T) {
+func TestBalancerNotReleasedWhile(t *testing.T) {
 	release := make(chan struct{})
 	slow := scripted.Start(t, func(c net.Conn, r *http.Request) bool { <-release; return scripted.Done(c, r) })
 	fast := startServer(t)
@@ -438,7 +438,7 @@
 
 // A pool of many nodes is made when its list is told, so that no first request waits for it; it parks, and stays made
 // as long as its list is long.
-func TestLargePoolIsMadeAhead(t *testing.T) {
+func TestLargePoolGetsBalancerWithList(t *testing.T) {
 	s := startServer(t)
 	p := startPool(t, suspendableSpec(), 10*time.Millisecond, nil)
 	list := make([]endpointlist.Node, defaultMaxLazyEndpoints+1)
@@ -469,7 +469,7 @@
 }
 
 // An unmade pool ends, takes another configuration, and outlives nothing that ends it.
-func TestEndsWhileUnmade(t *testing.T) {
+func TestEndsWhileDormant(t *testing.T) {
 	s := startServer(t)
 	kept := &recordingStore{closed: make(chan struct{})}
 	spec := suspendableSpec()
@@ -514,7 +514,7 @@
 
 // A restart that a list tells while the pool is unmade makes the upstream cold in the module that its first request
 // makes.
-func TestColdWhenMade(t *testing.T) {
+func TestSlowStartWhenCreated(t *testing.T) {
 	s := startServer(t)
 	p := startPool(t, suspendableSpec(), time.Minute, nil)
 	fresh := listEntry("b", s)
@@ -526,8 +526,8 @@
 	}
 }
 
-// BenchmarkMake is what the first request of a pool pays.
-func BenchmarkMake(b *testing.B) {
+// BenchmarkCreateBalancer is what the first request of a pool pays.
+func BenchmarkCreateBalancer(b *testing.B) {
 	for _, c := range []struct{ nodes, balancers int }{{40, 1}, {2000, 1}, {2000, 1500}} {
 		b.Run(fmt.Sprintf("%d of %d", c.nodes, c.balancers), func(b *testing.B) {
 			spec := suspendableSpec()
@@ -555,7 +555,7 @@
 }
 
 // Clocks can be set in a build for the proving ground alone, so the test itself is in one.
-func TestClockStepsWhileItRests(t *testing.T) {
+func TestClockStepsWhileDormant(t *testing.T) {
 	out, err := exec.CommandContext(t.Context(), "go", "test", "-count=1", "-v", "-tags", "faultinject", "-run", "^TestClockSteps$", ".").CombinedOutput()
 	if err != nil || strings.Count(string(out), "--- PASS: TestClockSteps/") != 2 {
 		t.Errorf("%v\n%s", err, out)
--- a/internal/pool/unsent_attempt_test.go
+++ b/internal/pool/unsent_attempt_test.go
@@ -112,7 +112,7 @@
 }
 
 // A request whose client leaves before its pool has had a turn costs no node anything.
-func TestGoneBeforeItArrives(t *testing.T) {
+func TestClientLeftBeforeArrival(t *testing.T) {
 	s := scripted.Start(t, scripted.Done)
 	h := newManualLoop(t, testSpec())
 	h.updateEndpoints(20, upMember("s-00000001", s))
