--- a/internal/pool/clock_step_test.go
+++ b/internal/pool/clock_step_test.go
@@ -10,12 +10,11 @@
 	"time"
 
 	"olivearch/internal/clock"
-	"olivearch/internal/endpointlist"
 )
 
-// The machine's clock is set by an hour, either way, while a pool rests: its time goes on by the monotonic clock, so
-// what started just now is cold, what drains gets nothing, and the first request is served. TestClockStepsWhileDormant
-// runs it.
+// TestClockSteps: the machine's clock is set by an hour, either way, while a pool is dormant. The pool's time goes on by
+// the monotonic clock, so what started just now warms up, what drains gets nothing, and the first request is served.
+// TestClockStepsWhileDormant runs it.
 func TestClockSteps(t *testing.T) {
 	file := filepath.Join(t.TempDir(), "clock")
 	t.Setenv(clock.Variable, file)
@@ -27,27 +26,27 @@
 	for _, by := range []string{"1h", "-1h"} {
 		t.Run(by, func(t *testing.T) {
 			set("0s")
-			a, drains, fresh := startServer(t), startServer(t), startServer(t)
+			settled, draining, fresh := startServer(t), startServer(t), startServer(t)
 			p := startPool(t, suspendableSpec(), 10*time.Millisecond, nil)
-			p.UpdateEndpoints([]endpointlist.Node{listEntry("a", a)})
+			p.setEndpoints(listEntry("a", settled))
 			want(t, "status", p.request("1").Status, http.StatusOK)
-			p.await("given back", func() bool { return !p.hasBalancer() })
+			p.awaitReleased()
 			p.awaitParked()
 			before := p.Now()
 			set(by)
-			d, f := listEntry("d", drains), listEntry("f", fresh)
-			d.Phase, f.Started = "draining", time.Now()
-			p.UpdateEndpoints([]endpointlist.Node{listEntry("a", a), d, f})
+			started := listEntry("f", fresh)
+			started.Started = time.Now()
+			p.setEndpoints(listEntry("a", settled), drainingEntry("d", draining), started)
 			for _, name := range []string{"2", "3", "4"} {
 				want(t, "status", p.request(name).Status, http.StatusOK)
 			}
 			if passed := p.Now() - before; passed < 0 || passed > time.Minute {
 				t.Errorf("%v have passed", passed)
 			}
-			for _, n := range p.View().Nodes {
-				want(t, n.ID+" is cold", n.Cold, n.ID == "f")
+			for _, node := range p.View().Nodes {
+				want(t, "warms up: "+node.ID, node.Cold, node.ID == "f")
 			}
-			want(t, "sent to the one that drains", drains.Opened(), 0)
+			want(t, "connections at the one that drains", draining.Opened(), 0)
 		})
 	}
 }
--- a/internal/pool/endpoint_registry_test.go
+++ b/internal/pool/endpoint_registry_test.go
@@ -108,7 +108,8 @@
 func TestDrainOfOnePoolCountsAtOthers(t *testing.T) {
 	for _, late := range []bool{false, true} {
 		registry := newManualRegistry(t)
-		a, b, own := registry.newLoop(t, "a", 1, false), registry.newLoop(t, "b", 1, false), registry.newLoop(t, "own", 1, true)
+		a, b := registry.newLoop(t, "a", 1, false), registry.newLoop(t, "b", 1, false)
+		own := registry.newLoop(t, "own", 1, true)
 		all := func() {
 			registry.processCommands()
 			a.applyUrgent()
--- a/internal/pool/loop_test.go
+++ b/internal/pool/loop_test.go
@@ -12,12 +12,6 @@
 	"olivearch/internal/standin/scripted"
 )
 
-// drainArrivals lets a server go on that notes each request.
-func drainArrivals(server *scripted.Node) {
-	for range server.Arrivals {
-	}
-}
-
 // TestStateReturnsToItsSize: thousands of endpoints come and go under new ids, each at the address of the one before,
 // with ever new requests. What the loop holds returns to its size, and no connection crosses over from an old id to a
 // new one.
--- a/internal/pool/states_test.go
+++ b/internal/pool/states_test.go
@@ -115,9 +115,9 @@
 	}{
 		{"reusable", endpoint{address: address, connections: 9}, reusable, connectionIdle},
 		{"closed", endpoint{address: address}, nil, connectionLost},
-		{"within the allotment", endpoint{address: address, connections: 2, allotment: allotted}, reusable, connectionIdle},
-		{"beyond the allotment", endpoint{address: address, connections: 3, allotment: allotted}, reusable, connectionSurplus},
-		{"closed, beyond the allotment", endpoint{address: address, connections: 3, allotment: allotted}, nil, connectionLost},
+		{"in the allotment", endpoint{address: address, connections: 2, allotment: allotted}, reusable, connectionIdle},
+		{"beyond it", endpoint{address: address, connections: 3, allotment: allotted}, reusable, connectionSurplus},
+		{"closed, beyond it", endpoint{address: address, connections: 3, allotment: allotted}, nil, connectionLost},
 		{"to an endpoint that drains", endpoint{address: address, state: balancer.Draining}, reusable, connectionOutdated},
 		{"to a removed endpoint", endpoint{address: address, state: balancer.Removed}, reusable, connectionOutdated},
 		{"to an earlier address", endpoint{address: "127.0.0.1:2"}, reusable, connectionOutdated},
@@ -186,7 +186,7 @@
 		return idle, added
 	}
 	idle, added := connectionsSince(1*time.Millisecond, 3*time.Millisecond, 5*time.Millisecond)
-	want(t, "ready at 6 ms: the last that has been idle for the delay", idle.takeReady(6*time.Millisecond, delay), added[1])
+	want(t, "ready at 6 ms: the last that waited out the delay", idle.takeReady(6*time.Millisecond, delay), added[1])
 	want(t, "ready at 2 ms: none", idle.takeReady(2*time.Millisecond, delay), (*connection)(nil))
 	want(t, "ready with no delay: the last used", idle.takeReady(5*time.Millisecond, 0), added[2])
 	want(t, "oldest", idle.oldest(), added[0])
--- a/internal/pool/stats_test.go
+++ b/internal/pool/stats_test.go
@@ -14,165 +14,202 @@
 	"olivearch/internal/standin/scripted"
 )
 
-// checkStatsMatchView fails unless what others read of a parked pool is what its goroutine tells.
-func (p *runningPool) checkStatsMatchView(what string) {
-	p.t.Helper()
-	p.awaitParked()
-	s, v := p.Stats(), p.View()
-	up, draining := 0, 0
-	for _, n := range v.Nodes {
-		switch n.Phase {
+// comparableStats are the stats that a view has too.
+func comparableStats(s Stats) string {
+	return fmt.Sprint(
+		s.Served, s.Refused, s.Failed, s.QueueFull, s.Open, s.Queue, s.Queued,
+		s.Connections, s.Limit, s.Tunnels, s.Up, s.Draining, s.Expired,
+	)
+}
+
+// comparableView is a view in the form of comparableStats.
+func comparableView(v live.Pool) string {
+	active, draining := 0, 0
+	for _, node := range v.Nodes {
+		switch node.Phase {
 		case "up":
-			up++
+			active++
 		case "draining":
 			draining++
 		}
 	}
-	got := fmt.Sprint(s.Served, s.Refused, s.Failed, s.QueueFull, s.Open, s.Queue, s.Queued, s.Connections, s.Limit, s.Tunnels, s.Up, s.Draining, s.Expired)
-	if want := fmt.Sprint(v.Served, v.Refused, v.Failed, v.TurnedAway, v.Open, v.Queue, v.Held, v.Connections, v.Limit, v.Tunnels, up, draining, v.Expired); got != want {
-		p.t.Fatalf("%s: read from outside %s, told by the goroutine %s", what, got, want)
+	return fmt.Sprint(
+		v.Served, v.Refused, v.Failed, v.TurnedAway, v.Open, v.Queue, v.Held,
+		v.Connections, v.Limit, v.Tunnels, active, draining, v.Expired,
+	)
+}
+
+// checkStatsMatchView fails unless the stats of a parked pool are what its goroutine says.
+func (p *runningPool) checkStatsMatchView(what string) {
+	p.t.Helper()
+	p.awaitParked()
+	stats := comparableStats(p.Stats())
+	view := comparableView(p.View())
+	if stats != view {
+		p.t.Fatalf("%s: stats %s, view %s", what, stats, view)
 	}
 	p.awaitParked()
 }
 
-// TestStatsMatchView: over random lists, drains, words of operators and of the ledger, requests and pauses in which
-// the pool is given back, what is read without its goroutine is what that tells.
+// TestStatsMatchView: over random lists, drains, overrides, requests and pauses in which the balancer is released, what
+// is read without the pool's goroutine is what that says.
 func TestStatsMatchView(t *testing.T) {
-	s := startServer(t)
-	var made, unmade atomic.Int64
+	server := startServer(t)
+	var created, dormant atomic.Int64
 	t.Run("seeds", func(t *testing.T) {
 		for seed := range uint64(4) {
 			t.Run(fmt.Sprint(seed), func(t *testing.T) {
 				t.Parallel()
-				checkRandomSteps(t, s, rand.New(rand.NewPCG(36, seed)), &made, &unmade)
+				rng := rand.New(rand.NewPCG(36, seed))
+				checkRandomSteps(t, server, rng, &created, &dormant)
 			})
 		}
 	})
-	if made.Load() < 10 || unmade.Load() < 10 {
-		t.Errorf("%d looks at a made pool and %d at one that is not: they show little", made.Load(), unmade.Load())
+	if created.Load() < 10 || dormant.Load() < 10 {
+		t.Errorf("compared %d times with a balancer and %d times without: too few", created.Load(), dormant.Load())
 	}
 }
 
-func checkRandomSteps(t *testing.T, s *scripted.Node, rng *rand.Rand, made, unmade *atomic.Int64) {
+// checkRandomSteps compares after each of 40 random steps of a pool, and counts the comparisons with and without a
+// balancer.
+func checkRandomSteps(t *testing.T, server *scripted.Node, rng *rand.Rand, created, dormant *atomic.Int64) {
 	spec := suspendableSpec()
-	spec.MaxEndpointAge, spec.Links.KeepAlive, spec.Settings.Rules.SlowStartDuration = time.Hour, time.Hour, 50*time.Millisecond
+	spec.MaxEndpointAge = time.Hour
+	spec.Links.KeepAlive = time.Hour
+	spec.Settings.Rules.SlowStartDuration = 50 * time.Millisecond
 	p := startPool(t, spec, time.Hour, nil)
-	list := func() (nodes []endpointlist.Node) {
-		for i := range 1 + rng.IntN(6) {
-			n := listEntry(fmt.Sprintf("n%d", i), s)
-			if i > 0 && rng.IntN(3) == 0 {
-				n.Phase = "draining"
-			}
-			nodes = append(nodes, n)
-		}
-		return nodes
-	}
-	p.UpdateEndpoints(list())
+	p.setEndpoints(randomList(rng, server)...)
 	for step := range 40 {
-		what := fmt.Sprintf("step %d: ", step)
-		switch rng.IntN(6) {
-		case 0, 1:
-			p.UpdateEndpoints(list())
-			what += "a list"
-		case 2:
-			p.SetOutOfService(fmt.Sprintf("n%d", 1+rng.IntN(5)), rng.IntN(2) == 0)
-			what += "by hand"
-		case 3:
-			p.ApplyOverrides(override.Shared{Out: map[string]bool{fmt.Sprintf("n%d", 1+rng.IntN(5)): true}})
-			what += "by the ledger"
-		case 4:
-			if status := p.request(fmt.Sprint(step)).Status; status != http.StatusOK {
-				t.Fatalf("%s: answered %d", what, status)
-			}
-			what += "a request"
-		case 5:
-			p.inspect(func(l *loop) { // as if all had rested for their time
-				l.connections.nextSweepAt = l.now()
-				for _, x := range l.endpoints {
-					for _, link := range x.idle.list {
-						link.idleSince = l.now() - l.connections.idleTimeout
-					}
-				}
-			})
-			p.await("closed", func() bool { return p.Stats().Connections == 0 })
-			p.awaitParked()
-			p.inspect(func(l *loop) { l.suspension.emptySince = l.now() - l.suspension.balancerIdleTimeout })
-			p.await("given back", func() bool { return !p.Stats().Created })
-			what += "given back"
-		}
-		p.checkStatsMatchView(what)
+		what := p.randomStep(rng, server, step)
+		p.checkStatsMatchView(fmt.Sprintf("step %d: %s", step, what))
 		if p.Stats().Created {
-			made.Add(1)
+			created.Add(1)
 		} else {
-			unmade.Add(1)
+			dormant.Add(1)
 		}
 	}
 }
 
-// TestStatsWakeNobody: reading a pool's figures starts no goroutine; its view does.
+// randomList is a list of up to six endpoints, of which all but the first may drain.
+func randomList(rng *rand.Rand, server *scripted.Node) (list []endpointlist.Node) {
+	for i := range 1 + rng.IntN(6) {
+		entry := listEntry(fmt.Sprintf("n%d", i), server)
+		if i > 0 && rng.IntN(3) == 0 {
+			entry.Phase = "draining"
+		}
+		list = append(list, entry)
+	}
+	return list
+}
+
+// randomStep changes a pool and tells what it did.
+func (p *runningPool) randomStep(rng *rand.Rand, server *scripted.Node, step int) string {
+	p.t.Helper()
+	switch rng.IntN(6) {
+	case 0, 1:
+		p.setEndpoints(randomList(rng, server)...)
+		return "a list"
+	case 2:
+		id := fmt.Sprintf("n%d", 1+rng.IntN(5))
+		_ = p.SetOutOfService(id, rng.IntN(2) == 0) // fails if it is not listed
+		return "a local override"
+	case 3:
+		id := fmt.Sprintf("n%d", 1+rng.IntN(5))
+		p.ApplyOverrides(override.Shared{Out: map[string]bool{id: true}})
+		return "a shared override"
+	case 4:
+		if status := p.request(fmt.Sprint(step)).Status; status != http.StatusOK {
+			p.t.Fatalf("step %d: status %d", step, status)
+		}
+		return "a request"
+	default:
+		p.expireConnections()
+		p.await("closed", func() bool { return p.Stats().Connections == 0 })
+		p.awaitParked()
+		p.inspect(func(l *loop) { l.suspension.emptySince = l.now() - l.suspension.balancerIdleTimeout })
+		p.await("released", func() bool { return !p.Stats().Created })
+		return "released"
+	}
+}
+
+// expireConnections makes all idle connections have been idle for too long.
+func (p *runningPool) expireConnections() {
+	p.inspect(func(l *loop) {
+		l.connections.nextSweepAt = l.now()
+		for _, endpoint := range l.endpoints {
+			for _, idle := range endpoint.idle.list {
+				idle.idleSince = l.now() - l.connections.idleTimeout
+			}
+		}
+	})
+}
+
+// TestStatsWakeNobody: reading a pool's stats starts no goroutine; its view does.
 func TestStatsWakeNobody(t *testing.T) {
-	s := startServer(t)
-	var turns atomic.Int64
-	p := startPool(t, suspendableSpec(), time.Minute, func(l *loop) { l.suspension.beforePark = func() { turns.Add(1) } })
-	p.UpdateEndpoints([]endpointlist.Node{listEntry("a", s)})
+	server := startServer(t)
+	var parked atomic.Int64
+	p := startPool(t, suspendableSpec(), time.Minute, func(l *loop) {
+		l.suspension.beforePark = func() { parked.Add(1) }
+	})
+	p.setEndpoints(listEntry("a", server))
 	p.awaitParked()
-	before := turns.Load()
+	before := parked.Load()
 	for range 100 {
-		if x := p.Stats(); x.Up != 1 || x.Created || x.Asked() {
-			t.Fatalf("%+v", x)
+		if stats := p.Stats(); stats.Up != 1 || stats.Created || stats.Asked() {
+			t.Fatalf("%+v", stats)
 		}
 	}
-	want(t, "turns of its goroutine", turns.Load(), before)
-	if v := p.ViewOf(live.Part{Nodes: live.NoNodes}); len(v.Nodes) != 0 {
-		t.Errorf("%d nodes", len(v.Nodes))
+	want(t, "times that its goroutine ran", parked.Load(), before)
+	if view := p.ViewOf(live.Part{Nodes: live.NoNodes}); len(view.Nodes) != 0 {
+		t.Errorf("%d endpoints", len(view.Nodes))
 	}
 	p.awaitParked()
-	want(t, "after a view", turns.Load(), before+1)
+	want(t, "after a view", parked.Load(), before+1)
 }
 
-// TestServedTime: what served requests took is summed, and what is refused is not.
+// TestServedTime: what served requests took is summed, and what refused ones took is not.
 func TestServedTime(t *testing.T) {
-	s := startServer(t)
+	server := startServer(t)
 	p := startPool(t, suspendableSpec(), time.Minute, nil)
-	p.UpdateEndpoints([]endpointlist.Node{listEntry("a", s)})
+	p.setEndpoints(listEntry("a", server))
 	began := time.Now()
 	want(t, "status", p.request("1").Status, http.StatusOK)
 	took := time.Since(began)
-	if x := p.Stats(); x.ServedFor <= 0 || x.ServedFor > took || !x.Asked() {
-		t.Errorf("%v of at most %v", x.ServedFor, took)
+	if stats := p.Stats(); stats.ServedFor <= 0 || stats.ServedFor > took || !stats.Asked() {
+		t.Errorf("%v of at most %v", stats.ServedFor, took)
 	}
 	sum := p.Stats().ServedFor
-	p.UpdateEndpoints([]endpointlist.Node{listEntry("b", s)}[:0])
-	if a := p.request("2"); a.Status != http.StatusServiceUnavailable {
-		t.Fatalf("with no node: %d", a.Status)
+	p.setEndpoints()
+	if response := p.request("2"); response.Status != http.StatusServiceUnavailable {
+		t.Fatalf("with no endpoint: %d", response.Status)
 	}
 	want(t, "time of the served", p.Stats().ServedFor, sum)
 	want(t, "refused", p.Stats().Refused, uint64(1))
 }
 
-// TestShortWaitEnds: a pool whose next look is so near that its goroutine stays for it has that look, though no event
-// comes. The last event comes 5 ms before a connection has rested for its time, and 5 ms before the pool is to be given
-// back.
+// TestShortWaitEnds: a pool whose next check is so near that its goroutine stays for it makes that check, though no
+// event comes. The last event comes 5 ms before a connection has been idle for too long, and 5 ms before the balancer
+// is to be released.
 func TestShortWaitEnds(t *testing.T) {
-	s := startServer(t)
+	server := startServer(t)
 	spec := suspendableSpec()
 	spec.Links.KeepAlive = time.Hour
 	p := startPool(t, spec, time.Hour, nil)
-	p.UpdateEndpoints([]endpointlist.Node{listEntry("a", s)})
+	p.setEndpoints(listEntry("a", server))
 	want(t, "status", p.request("1").Status, http.StatusOK)
 	p.awaitParked()
 	want(t, "connections", p.Stats().Connections, 1)
 	p.inspect(func(l *loop) {
 		l.connections.nextSweepAt = l.now()
-		for _, x := range l.endpoints {
-			x.idle.oldest().idleSince = l.now() + 5*time.Millisecond - l.connections.idleTimeout
+		for _, endpoint := range l.endpoints {
+			endpoint.idle.oldest().idleSince = l.now() + 5*time.Millisecond - l.connections.idleTimeout
 		}
 	})
-	p.await("closed", func() bool { return p.Stats().Connections == 0 }) // it posts no event
+	p.await("closed", func() bool { return p.Stats().Connections == 0 }) // it enqueues no event
 	p.awaitParked()
-	want(t, "made", p.Stats().Created, true)
+	want(t, "balancer", p.Stats().Created, true)
 	p.inspect(func(l *loop) {
 		l.suspension.emptySince = l.now() + 5*time.Millisecond - l.suspension.balancerIdleTimeout
 	})
-	p.await("given back", func() bool { return !p.Stats().Created })
+	p.await("released", func() bool { return !p.Stats().Created })
 }
--- a/internal/pool/unsent_attempt_test.go
+++ b/internal/pool/unsent_attempt_test.go
@@ -29,7 +29,9 @@
 		{name: "the endpoint drains", change: func(h *manualLoop, _ *Request, s *scripted.Node) {
 			h.updateEndpoints(21, drainingMember(upMember("s-00000001", s)))
 		}},
-		{name: "the endpoint is removed", change: func(h *manualLoop, _ *Request, _ *scripted.Node) { h.updateEndpoints(21) }},
+		{name: "the endpoint is removed", change: func(h *manualLoop, _ *Request, _ *scripted.Node) {
+			h.updateEndpoints(21)
+		}},
 		{name: "the client leaves", change: func(h *manualLoop, r *Request, _ *scripted.Node) {
 			clientLeft{r}.apply(h.loop)
 			h.reportPendingOutcomes()
