--- a/internal/pool/attempt.go
+++ b/internal/pool/attempt.go
@@ -53,7 +53,7 @@
 	request := l.requests[id]
 	endpoint := l.endpoints[upstreamID]
 	if request == nil || endpoint == nil { // the balancer sends requests and to endpoints that it was told of
-		l.logInfo("attempt not sent", "err", "unknown request or endpoint", "request", id, "upstream", upstreamID)
+		l.logInfo("attempt not sent", "reason", "unknown request or endpoint", "request", id, "upstream", upstreamID)
 		return
 	}
 	now := l.now()
@@ -106,7 +106,7 @@
 	return made
 }
 
-// mayConnect tells whether an attempt may have a connection.
+// mayConnect reports whether an attempt may have a connection.
 func (l *loop) mayConnect(a *attempt) bool {
 	isTunnel := a.request.Message.Upgrade != ""
 	if isTunnel && a.endpoint.tunnelCount >= l.tunnelLimits.PerNode {
@@ -154,7 +154,7 @@
 	}
 	endpoint.noteLoadReport(response.Spoilt)
 	l.reportOutcome(attempt, responseHeadReceived, response)
-	l.addAbandoned(endpoint, 1) // its connection is held until the last byte
+	l.countAbandoned(endpoint, 1) // its connection is held until the last byte
 }
 
 // earlyHintsReceived is an interim response with status 103. A client gets those of one attempt.
@@ -198,7 +198,7 @@
 		endpoint.notes.unsolicited++
 	}
 	if attempt.state.reported() {
-		l.addAbandoned(endpoint, -1)
+		l.countAbandoned(endpoint, -1)
 	}
 	// The client was seen to have left as the attempt was to be written, or meanwhile.
 	leftUnserved := attempt.request.clientGone.Load() && result.Status != balancer.OK
@@ -296,10 +296,10 @@
 	} else {
 		l.giveUp(attempt)
 	}
-	change := connectionMissed
+	change := connectionDenied
 	if _, open := attempt.endpoint.openAttempts[attempt]; open {
 		change = waitStopped
-		l.addAbandoned(attempt.endpoint, 1)
+		l.countAbandoned(attempt.endpoint, 1)
 	}
 	l.reportOutcome(attempt, change, upstream.Result{Status: status})
 }
--- a/internal/pool/attempt_state.go
+++ b/internal/pool/attempt_state.go
@@ -23,13 +23,13 @@
 	responseHeadReceived attemptChange = iota
 	// waitStopped: the loop waits no longer for an attempt that holds a connection.
 	waitStopped
-	// connectionMissed: there was no connection for the attempt.
-	connectionMissed
+	// connectionDenied: there was no connection for the attempt.
+	connectionDenied
 	// connectionReturned: the attempt has ended on its connection.
 	connectionReturned
 )
 
-// reported tells whether the balancer has had the attempt's outcome.
+// reported reports whether the balancer has had the attempt's outcome.
 func (s attemptState) reported() bool { return s != attemptPending }
 
 // after is the state after a change. A change that the state does not know has no effect: the loop may stop waiting for
--- a/internal/pool/clock_step_test.go
+++ b/internal/pool/clock_step_test.go
@@ -12,8 +12,8 @@
 	"olivearch/internal/clock"
 )
 
-// TestClockSteps: the machine's clock is set by an hour, either way, while a pool is dormant. The pool's time goes on by
-// the monotonic clock, so what started just now warms up, what drains gets nothing, and the first request is served.
+// TestClockSteps: the machine's clock is set by an hour, either way, while a pool is dormant. The pool's time goes on
+// by the monotonic clock, so what started just now warms up, what drains gets nothing, and the first request is served.
 // TestClockStepsWhileDormant runs it.
 func TestClockSteps(t *testing.T) {
 	file := filepath.Join(t.TempDir(), "clock")
--- a/internal/pool/connection_pool.go
+++ b/internal/pool/connection_pool.go
@@ -11,10 +11,10 @@
 	// idleMargin is how much sooner than the endpoint the pool closes an idle connection: a request written to one that
 	// the endpoint has just closed ends as a reset.
 	idleMargin = 5 * time.Second
-	// unsolicitedWatchTime is how long a connection stays unused between two requests. Responses do not name their
+	// connectionReuseDelay is how long a connection stays unused between two requests. Responses do not name their
 	// request: a second response that comes late, after the next request is written, would pass for that one's. While the
 	// connection is unused it is seen for what it is.
-	unsolicitedWatchTime = time.Millisecond
+	connectionReuseDelay = time.Millisecond
 )
 
 // connectionPool counts the connections to all endpoints and holds their limits. Idle connections stand by endpoint
@@ -34,7 +34,7 @@
 	if p.delayOnlyAfterUnsolicited && endpoint.notes.unsolicited == 0 {
 		return 0
 	}
-	return unsolicitedWatchTime
+	return connectionReuseDelay
 }
 
 // acquireConnection takes an idle connection to an endpoint that has been unused for the reuse delay, or else counts
--- a/internal/pool/endpoint.go
+++ b/internal/pool/endpoint.go
@@ -1,6 +1,8 @@
 package pool
 
 import (
+	"slices"
+
 	"olivearch/balancer"
 	"olivearch/internal/discovery"
 	"olivearch/internal/sharedlimit"
@@ -30,6 +32,13 @@
 	notes             endpointNotes
 }
 
+// endpointNotes are what a pool notes of an endpoint's wrong answers.
+type endpointNotes struct {
+	unsolicited       uint64 // connections on which it sent unsolicited bytes
+	unreadableReports uint64 // load reports that could not be read
+	unreadableReason  string // why the last of them could not
+}
+
 // noteLoadReport notes why a load report could not be read; empty: it could, or there was none.
 func (e *endpoint) noteLoadReport(unreadable string) {
 	if unreadable != "" {
@@ -71,6 +80,14 @@
 	return found
 }
 
+// isListed reports whether an endpoint is listed under a name.
+func (l *loop) isListed(name string) bool {
+	if l.hasBalancer() {
+		return l.endpointByName(name) != nil
+	}
+	return slices.ContainsFunc(l.suspension.dormant.members, func(m discovery.Member) bool { return m.ID == name })
+}
+
 // refreshEndpoint works out what the balancer is to see of an endpoint: from the list, the allotment, and what
 // operators have set.
 func (l *loop) refreshEndpoint(endpoint *endpoint) {
@@ -109,8 +126,8 @@
 	}
 }
 
-// refreshChanged refreshes an endpoint and tells whether the balancer has to be notified. If it takes no more requests,
-// attempts that wait for a connection to it are dropped.
+// refreshChanged refreshes an endpoint and reports whether the balancer has to be notified. If it takes no more
+// requests, attempts that wait for a connection to it are dropped.
 func (l *loop) refreshChanged(endpoint *endpoint) bool {
 	before := endpoint.upstream
 	l.refreshEndpoint(endpoint)
@@ -160,9 +177,9 @@
 	}
 }
 
-// addAbandoned notes that an attempt at an endpoint has ended for the balancer and still holds its connection, or, by
+// countAbandoned notes that an attempt at an endpoint has ended for the balancer and still holds its connection, or, by
 // -1, that it returns it.
-func (l *loop) addAbandoned(endpoint *endpoint, by int) {
+func (l *loop) countAbandoned(endpoint *endpoint, by int) {
 	endpoint.abandoned += by
 	if l.registration != nil {
 		endpoint.upstream.MaxInFlight = endpoint.maxInFlight()
--- a/internal/pool/loop_state.go
+++ b/internal/pool/idle_decision.go
@@ -10,8 +10,8 @@
 	stayAwake idleDecision = iota
 	// parkLoop ends the goroutine until the next event or timer.
 	parkLoop
-	// releaseBalancer lets go of the balancer and its endpoints, and then ends the goroutine until the next event.
-	releaseBalancer
+	// releaseAndPark lets go of the balancer and its endpoints, and then ends the goroutine until the next event.
+	releaseAndPark
 )
 
 // idleFacts are what an idleDecision goes by. Times are on the loop's clock; 0: there is none.
@@ -46,7 +46,7 @@
 			releaseAt = nextDue()
 		}
 		if now >= releaseAt {
-			return releaseBalancer, 0
+			return releaseAndPark, 0
 		}
 		at = earlier(at, releaseAt)
 	}
--- a/internal/pool/list_source.go
+++ b/internal/pool/list_source.go
@@ -44,7 +44,7 @@
 	return now - max(s.receivedAt, time.Duration(s.confirmedAt.Load()))
 }
 
-// expired tells whether the list is too old to be used.
+// expired reports whether the list is too old to be used.
 func (s *listSource) expired(now time.Duration) bool {
 	return s.maxAge > 0 && s.age(now) > s.maxAge
 }
--- a/internal/pool/loop.go
+++ b/internal/pool/loop.go
@@ -193,7 +193,7 @@
 	memory  []event // of the last batch, for the mailbox to use again
 }
 
-// refill takes a batch from the mailbox if none is pending. It tells whether events are pending.
+// refill takes a batch from the mailbox if none is pending. It reports whether events are pending.
 func (b *eventBatch) refill(m *mailbox) bool {
 	if len(b.pending) == 0 {
 		clear(b.memory) // events that were handled must not be kept alive
--- a/internal/pool/loop_test.go
+++ b/internal/pool/loop_test.go
@@ -72,7 +72,7 @@
 	s := scripted.Start(t, func(c net.Conn, r *http.Request) bool {
 		scripted.OK(c, requestID(r))
 		if requestID(r) == "1" {
-			time.Sleep(unsolicitedWatchTime / 2) // later than the response, sooner than the connection is used again
+			time.Sleep(connectionReuseDelay / 2) // later than the response, sooner than the connection is used again
 			scripted.OK(c, "1")
 			copied <- struct{}{}
 		}
@@ -98,7 +98,7 @@
 			copied <- struct{}{}
 		}
 		if id == "3" {
-			time.Sleep(unsolicitedWatchTime / 2)
+			time.Sleep(connectionReuseDelay / 2)
 			scripted.OK(c, id)
 			copied <- struct{}{}
 		}
@@ -116,7 +116,7 @@
 			<-copied
 		}
 	}
-	want(t, "reuse delay at the end", h.connections.reuseDelay(target), unsolicitedWatchTime)
+	want(t, "reuse delay at the end", h.connections.reuseDelay(target), connectionReuseDelay)
 	want(t, "unsolicited bytes were noted", target.notes.unsolicited > 0, true)
 }
 
--- a/internal/pool/overrides.go
+++ b/internal/pool/overrides.go
@@ -111,7 +111,7 @@
 	l.overridesChanged(e.endpointName)
 }
 
-// HasEndpoint tells whether an endpoint is listed, or out of service; false for a pool that has ended.
+// HasEndpoint reports whether an endpoint is listed, or out of service; false for a pool that has ended.
 func (p *Pool) HasEndpoint(id string) bool {
 	reply := make(chan bool, 1)
 	p.loop.enqueueUrgent(endpointLookupRequested{id, reply})
--- a/internal/pool/pool.go
+++ b/internal/pool/pool.go
@@ -1,6 +1,3 @@
-// Package pool runs a balancer for the endpoints of one service: a goroutine (see loop) owns the balancer with its
-// requests, timers, connections and endpoint list, and carries out what the balancer decides. The package takes no
-// decision of its own.
 package pool
 
 import (
--- a/internal/pool/registration.go
+++ b/internal/pool/registration.go
@@ -1,6 +1,8 @@
 package pool
 
 import (
+	"iter"
+
 	"olivearch/balancer"
 	"olivearch/internal/sharedlimit"
 )
@@ -172,7 +174,7 @@
 	l.registration.claim(endpoints)
 }
 
-// isClaimUpToDate tells whether the listed endpoints are those of the last claim, without building a map of them.
+// isClaimUpToDate reports whether the listed endpoints are those of the last claim, without building a map of them.
 func (l *loop) isClaimUpToDate() bool {
 	count := 0
 	for address, drains := range l.listedAddresses() {
@@ -184,3 +186,25 @@
 	}
 	return count == len(l.registration.claimed)
 }
+
+// listedAddresses are the addresses of the listed endpoints, and whether they drain by this pool's list.
+func (l *loop) listedAddresses() iter.Seq2[string, bool] {
+	return func(yield func(string, bool) bool) {
+		for i := range l.suspension.dormant.members {
+			member := &l.suspension.dormant.members[i]
+			drains := member.Upstream(0).State == balancer.Draining
+			if !yield(member.HostPort, drains) {
+				return
+			}
+		}
+		for _, endpoint := range l.endpoints {
+			if endpoint.listedState == balancer.Removed {
+				continue
+			}
+			drains := endpoint.listedState == balancer.Draining
+			if !yield(endpoint.address, drains) {
+				return
+			}
+		}
+	}
+}
--- a/internal/pool/request.go
+++ b/internal/pool/request.go
@@ -67,7 +67,7 @@
 	r.loop.enqueue(clientLeft{r})
 }
 
-// clientPresent tells whether the client is still connected. Any goroutine may call it.
+// clientPresent reports whether the client is still connected. Any goroutine may call it.
 func (r *Request) clientPresent() bool {
 	if r.clientGone.Load() {
 		return false
@@ -79,7 +79,7 @@
 	return !r.clientGone.Load()
 }
 
-// isOpen tells whether the client waits for the final response.
+// isOpen reports whether the client waits for the final response.
 func (r *Request) isOpen() bool { return r.state == requestOpen }
 
 // requestArrived is a request that was submitted.
@@ -112,7 +112,7 @@
 
 // register gives a request its id and deadline.
 func (l *loop) register(request *Request, now time.Duration) {
-	l.suspension.emptySince = 0
+	l.suspension.unusedSince = 0
 	l.clientRequestIDs[request.Name] = true
 	l.lastRequestID++
 	request.ID = balancer.RequestID(l.lastRequestID) // of the pool's own: clients' ids need not be unique
@@ -124,7 +124,7 @@
 	}
 }
 
-// rejectOnArrival answers a request that the pool can't run now, and tells whether it did.
+// rejectOnArrival answers a request that the pool can't run now, and reports whether it did.
 func (l *loop) rejectOnArrival(request *Request, now time.Duration) bool {
 	limits := &l.settings.Limits
 	if l.source.expired(now) {
--- a/internal/pool/snapshot.go
+++ b/internal/pool/snapshot.go
@@ -42,7 +42,7 @@
 	e.done <- struct{}{}
 }
 
-// EndpointsKnown tells whether the list's source has given a list, or has not for so long that the list of the start
+// EndpointsKnown reports whether the list's source has given a list, or has not for so long that the list of the start
 // has to do.
 func (p *Pool) EndpointsKnown(patience time.Duration) bool {
 	return p.loop.source.received.Load() || time.Since(p.loop.origin) >= patience
--- a/internal/pool/spec.go
+++ b/internal/pool/spec.go
@@ -33,7 +33,7 @@
 	// OwnDrains leaves out of account which endpoints drain by other pools' lists.
 	OwnDrains bool
 	// KeepUntilUnsolicited lets a connection carry the next request at once, unless its endpoint has sent unsolicited
-	// bytes. Else each connection stays unused for unsolicitedWatchTime between two requests.
+	// bytes. Else each connection stays unused for connectionReuseDelay between two requests.
 	KeepUntilUnsolicited bool
 	Tunnels              TunnelLimits
 	// FullResponses passes on all that endpoints answer, not status 200 and the body only.
--- a/internal/pool/states_test.go
+++ b/internal/pool/states_test.go
@@ -43,19 +43,19 @@
 	}{
 		{attemptPending, responseHeadReceived, attemptStreaming},
 		{attemptPending, waitStopped, attemptAbandoned},
-		{attemptPending, connectionMissed, attemptEnded},
+		{attemptPending, connectionDenied, attemptEnded},
 		{attemptPending, connectionReturned, attemptEnded},
 		{attemptStreaming, responseHeadReceived, attemptStreaming},
 		{attemptStreaming, waitStopped, attemptStreaming},
-		{attemptStreaming, connectionMissed, attemptStreaming},
+		{attemptStreaming, connectionDenied, attemptStreaming},
 		{attemptStreaming, connectionReturned, attemptEnded},
 		{attemptAbandoned, responseHeadReceived, attemptAbandoned},
 		{attemptAbandoned, waitStopped, attemptAbandoned},
-		{attemptAbandoned, connectionMissed, attemptAbandoned},
+		{attemptAbandoned, connectionDenied, attemptAbandoned},
 		{attemptAbandoned, connectionReturned, attemptEnded},
 		{attemptEnded, responseHeadReceived, attemptEnded},
 		{attemptEnded, waitStopped, attemptEnded},
-		{attemptEnded, connectionMissed, attemptEnded},
+		{attemptEnded, connectionDenied, attemptEnded},
 		{attemptEnded, connectionReturned, attemptEnded},
 	}
 	for _, c := range cases {
@@ -160,7 +160,7 @@
 		},
 		{"unused for a moment", idleFacts{suspendable: true, unused: true, releaseAt: late}, 0, parkLoop, late},
 		{"unused, to be released soon", idleFacts{suspendable: true, unused: true, releaseAt: soon}, 0, stayAwake, soon},
-		{"unused for long enough", idleFacts{suspendable: true, unused: true, releaseAt: now}, now, releaseBalancer, 0},
+		{"unused for long enough", idleFacts{suspendable: true, unused: true, releaseAt: now}, now, releaseAndPark, 0},
 		{
 			"unused for long enough, but the balancer has to go on",
 			idleFacts{suspendable: true, unused: true, releaseAt: now},
--- a/internal/pool/stats.go
+++ b/internal/pool/stats.go
@@ -5,7 +5,6 @@
 	"time"
 
 	"olivearch/balancer"
-	"olivearch/internal/discovery"
 )
 
 // Stats are a pool's counters and levels.
@@ -33,7 +32,7 @@
 	Expired bool
 }
 
-// Asked tells whether the pool has ever had a request.
+// Asked reports whether the pool has ever had a request.
 func (s *Stats) Asked() bool { return s.Served+s.Refused+s.Failed+s.QueueFull > 0 || s.Open > 0 }
 
 // counters are what other goroutines read of a pool. Counters are exact; levels are as the loop left them when it was
@@ -114,17 +113,3 @@
 	l.counters.active.Store(byState[balancer.Active])
 	l.counters.draining.Store(byState[balancer.Draining])
 }
-
-// dormantEndpoint is an endpoint of a dormant pool, as it would be if the pool had a balancer.
-func (l *loop) dormantEndpoint(member *discovery.Member) *endpoint {
-	listed := member.Upstream(0)
-	result := &endpoint{
-		name:         member.ID,
-		address:      member.HostPort,
-		listedState:  listed.State,
-		listedWeight: listed.Weight,
-		upstream:     listed,
-	}
-	l.refreshEndpoint(result)
-	return result
-}
--- a/internal/pool/stats_test.go
+++ b/internal/pool/stats_test.go
@@ -126,7 +126,7 @@
 		p.expireConnections()
 		p.await("closed", func() bool { return p.Stats().Connections == 0 })
 		p.awaitParked()
-		p.inspect(func(l *loop) { l.suspension.emptySince = l.now() - l.suspension.balancerIdleTimeout })
+		p.inspect(func(l *loop) { l.suspension.unusedSince = l.now() - l.suspension.balancerIdleTimeout })
 		p.await("released", func() bool { return !p.Stats().Created })
 		return "released"
 	}
@@ -209,7 +209,7 @@
 	p.awaitParked()
 	want(t, "balancer", p.Stats().Created, true)
 	p.inspect(func(l *loop) {
-		l.suspension.emptySince = l.now() + 5*time.Millisecond - l.suspension.balancerIdleTimeout
+		l.suspension.unusedSince = l.now() + 5*time.Millisecond - l.suspension.balancerIdleTimeout
 	})
 	p.await("released", func() bool { return !p.Stats().Created })
 }
--- a/internal/pool/suspend_test.go
+++ b/internal/pool/suspend_test.go
@@ -489,7 +489,7 @@
 					b.Fatal(err)
 				}
 				b.StopTimer()
-				l.dropBalancer(l.now())
+				l.releaseBalancer(l.now())
 				b.StartTimer()
 			}
 		})
--- a/internal/pool/unsent_attempt_test.go
+++ b/internal/pool/unsent_attempt_test.go
@@ -11,10 +11,10 @@
 	"olivearch/internal/standin/scripted"
 )
 
-// fixedPresence is a client that has left, or not.
-type fixedPresence bool
+// fixedClient is a client that has left, or not.
+type fixedClient bool
 
-func (p fixedPresence) Connected() bool { return bool(p) }
+func (p fixedClient) Connected() bool { return bool(p) }
 
 // TestNothingIsWrittenAfterAChange: between the choice of an endpoint and the first byte lies a connection that may
 // come up late. What has changed by then holds: each change here is made while the connection comes up, and nothing may
@@ -48,7 +48,7 @@
 			r.ClientLeft()
 		}},
 		{
-			name: "the client leaves, and its reader has had no turn", client: fixedPresence(false),
+			name: "the client leaves, and its reader has had no turn", client: fixedClient(false),
 			change: func(h *manualLoop, r *Request, _ *scripted.Node) { r.At -= 2 * clientCheckDelay },
 		},
 	}
