--- a/internal/pool/attempt.go
+++ b/internal/pool/attempt.go
@@ -52,7 +52,7 @@
 func (l *loop) Send(id balancer.RequestID, upstreamID balancer.UpstreamID, timeout time.Duration) {
 	request := l.requests[id]
 	endpoint := l.endpoints[upstreamID]
-	if request == nil || endpoint == nil { // the balancer sends requests and to endpoints that it was told of
+	if request == nil || endpoint == nil { // the balancer only knows those that there are
 		l.logInfo("attempt not sent", "reason", "unknown request or endpoint", "request", id, "upstream", upstreamID)
 		return
 	}
--- a/internal/pool/suspend.go
+++ b/internal/pool/suspend.go
@@ -76,8 +76,8 @@
 
 // balancerUnused reports whether no request or timer needs the balancer, and a request's arrival may create it anew.
 func (l *loop) balancerUnused() bool {
-	isEmpty := len(l.requests) == 0 && len(l.timers.heap) == 0
-	return l.hasBalancer() && isEmpty && len(l.endpoints) <= l.suspension.maxLazyEndpoints
+	isNeeded := len(l.requests) > 0 || !l.timers.isEmpty()
+	return l.hasBalancer() && !isNeeded && len(l.endpoints) <= l.suspension.maxLazyEndpoints
 }
 
 // park ends the goroutine's turn until an event comes or a timer is due, if nothing is to be done before; false: the
--- a/internal/pool/timers.go
+++ b/internal/pool/timers.go
@@ -47,6 +47,9 @@
 	return heap.Pop(&q.heap).(*timer)
 }
 
+// isEmpty reports whether no timer is scheduled.
+func (q *timerQueue) isEmpty() bool { return len(q.heap) == 0 }
+
 // nextAt is when the next timer expires; false: none is scheduled.
 func (q *timerQueue) nextAt() (at time.Duration, scheduled bool) {
 	if len(q.heap) == 0 {
