--- a/internal/pool/attempt.go
+++ b/internal/pool/attempt.go
@@ -193,10 +193,7 @@
 		endpoint.lingeringAttempts--
 	}
 	l.returnConnection(endpoint, attempt.connection, result.Conn)
-	endpoint.noteLoadReport(result.Spoilt)
-	if result.Stray {
-		endpoint.notes.unsolicited++
-	}
+	endpoint.noteResult(&result)
 	if attempt.state.reported() {
 		l.countAbandoned(endpoint, -1)
 	}
--- a/internal/pool/endpoint.go
+++ b/internal/pool/endpoint.go
@@ -6,6 +6,7 @@
 	"olivearch/balancer"
 	"olivearch/internal/discovery"
 	"olivearch/internal/sharedlimit"
+	"olivearch/internal/upstream"
 )
 
 // endpoint is what the loop knows of an endpoint of the list: where it is, its connections, and what the pool may use
@@ -47,6 +48,14 @@
 	}
 }
 
+// noteResult notes what an attempt or health check has found wrong with the endpoint's answers.
+func (e *endpoint) noteResult(result *upstream.Result) {
+	e.noteLoadReport(result.Spoilt)
+	if result.Stray {
+		e.notes.unsolicited++
+	}
+}
+
 // addOpenAttempt notes an attempt that has a connection.
 func (e *endpoint) addOpenAttempt(a *attempt) {
 	if e.openAttempts == nil {
--- a/internal/pool/health_check.go
+++ b/internal/pool/health_check.go
@@ -41,10 +41,7 @@
 
 func (e healthCheckFinished) apply(l *loop) {
 	l.returnConnection(e.endpoint, e.connection, e.result.Conn)
-	e.endpoint.noteLoadReport(e.result.Spoilt)
-	if e.result.Stray {
-		e.endpoint.notes.unsolicited++
-	}
+	e.endpoint.noteResult(&e.result)
 	now := l.now()
 	l.balancer.HealthCheckFinished(now, balancer.HealthCheckResult{
 		Upstream: e.endpoint.id,
