--- a/internal/pool/attempt.go
+++ b/internal/pool/attempt.go
@@ -152,7 +152,7 @@
 		l.tunnels[attempt] = struct{}{}
 		endpoint.tunnelCount++
 	}
-	endpoint.noteLoadReport(response.Spoilt)
+	endpoint.countUnreadableReport(response.Spoilt)
 	l.reportOutcome(attempt, responseHeadReceived, response)
 	l.countAbandoned(endpoint, 1) // its connection is held until the last byte
 }
@@ -193,7 +193,7 @@
 		endpoint.lingeringAttempts--
 	}
 	l.returnConnection(endpoint, attempt.connection, result.Conn)
-	endpoint.noteResult(&result)
+	endpoint.countFaults(&result)
 	if attempt.state.reported() {
 		l.countAbandoned(endpoint, -1)
 	}
--- a/internal/pool/connection_pool.go
+++ b/internal/pool/connection_pool.go
@@ -31,7 +31,7 @@
 
 // reuseDelay is how long a connection to an endpoint stays unused between two requests.
 func (p *connectionPool) reuseDelay(endpoint *endpoint) time.Duration {
-	if p.delayOnlyAfterUnsolicited && endpoint.notes.unsolicited == 0 {
+	if p.delayOnlyAfterUnsolicited && endpoint.faults.unsolicited == 0 {
 		return 0
 	}
 	return connectionReuseDelay
--- a/internal/pool/dormant.go
+++ b/internal/pool/dormant.go
@@ -13,8 +13,8 @@
 type dormantState struct {
 	// members are the list without removed ones. It is never changed in place: the store may have it too.
 	members  []discovery.Member
-	snapshot balancer.Snapshot        // only of endpoints that have answered or are unresponsive
-	notes    map[string]endpointNotes // by the endpoint's name, where there are any
+	snapshot balancer.Snapshot         // only of endpoints that have answered or are unresponsive
+	faults   map[string]endpointFaults // by the endpoint's name, where there are any
 }
 
 // hasBalancer reports whether the pool has a balancer, and endpoints with it.
@@ -34,24 +34,24 @@
 	}
 	l.balancer = created
 	l.suspension.unusedSince = 0
-	held := l.suspension.dormant
+	dormant := l.suspension.dormant
 	l.suspension.dormant = dormantState{}
 
-	count := len(held.members)
+	count := len(dormant.members)
 	l.endpoints = make(map[balancer.UpstreamID]*endpoint, count)
 	l.names = discovery.NewNamesFor(count)
 	l.preallocated = make([]endpoint, count)
 	if l.source.hasList {
-		l.applyListing(balancer.ListCached, discovery.Listing{Revision: l.source.revision, Members: held.members})
+		l.applyListing(balancer.ListCached, discovery.Listing{Revision: l.source.revision, Members: dormant.members})
 	}
 	l.preallocated = nil
-	for name, notes := range held.notes {
+	for name, faults := range dormant.faults {
 		if endpoint := l.endpointByName(name); endpoint != nil {
-			endpoint.notes = notes
+			endpoint.faults = faults
 		}
 	}
-	if len(held.snapshot.Figures) > 0 {
-		l.balancer.Restore(l.now(), held.snapshot)
+	if len(dormant.snapshot.Figures) > 0 {
+		l.balancer.Restore(l.now(), dormant.snapshot)
 	}
 	return nil
 }
@@ -59,26 +59,26 @@
 // releaseBalancer makes the pool dormant. The caller has made sure that nothing is open and nothing has to be kept as
 // it is.
 func (l *loop) releaseBalancer(now time.Duration) {
-	held := dormantState{members: make([]discovery.Member, 0, len(l.endpoints))}
+	dormant := dormantState{members: make([]discovery.Member, 0, len(l.endpoints))}
 	views, _ := l.balancer.View(now)
 	for _, view := range views { // in the order in which they came
 		endpoint := l.endpoints[view.ID]
 		if endpoint == nil || endpoint.listedState == balancer.Removed {
 			continue
 		}
-		held.members = append(held.members, endpoint.member)
-		if endpoint.notes != (endpointNotes{}) {
-			if held.notes == nil {
-				held.notes = map[string]endpointNotes{}
+		dormant.members = append(dormant.members, endpoint.member)
+		if endpoint.faults != (endpointFaults{}) {
+			if dormant.faults == nil {
+				dormant.faults = map[string]endpointFaults{}
 			}
-			held.notes[endpoint.name] = endpoint.notes
+			dormant.faults[endpoint.name] = endpoint.faults
 		}
 	}
-	held.snapshot = l.snapshot(now)
-	held.snapshot.Upstreams = slices.Clip(slices.DeleteFunc(held.snapshot.Upstreams, isUnused))
+	dormant.snapshot = l.snapshot(now)
+	dormant.snapshot.Upstreams = slices.Clip(slices.DeleteFunc(dormant.snapshot.Upstreams, isUnused))
 
 	l.balancer = nil
-	l.suspension.dormant = held
+	l.suspension.dormant = dormant
 	l.endpoints = map[balancer.UpstreamID]*endpoint{}
 	l.names = discovery.NewNames()
 	l.requests = map[balancer.RequestID]*Request{}
--- a/internal/pool/endpoint.go
+++ b/internal/pool/endpoint.go
@@ -30,29 +30,29 @@
 	abandoned         int                   // open attempts of which the balancer has had the outcome
 	lingeringAttempts int
 	tunnelCount       int
-	notes             endpointNotes
+	faults            endpointFaults
 }
 
-// endpointNotes are what a pool notes of an endpoint's wrong answers.
-type endpointNotes struct {
+// endpointFaults count what was wrong with an endpoint's answers.
+type endpointFaults struct {
 	unsolicited       uint64 // connections on which it sent unsolicited bytes
 	unreadableReports uint64 // load reports that could not be read
 	unreadableReason  string // why the last of them could not
 }
 
-// noteLoadReport notes why a load report could not be read; empty: it could, or there was none.
-func (e *endpoint) noteLoadReport(unreadable string) {
-	if unreadable != "" {
-		e.notes.unreadableReports++
-		e.notes.unreadableReason = unreadable
+// countUnreadableReport counts a load report that could not be read, by the reason; empty: it could, or there was none.
+func (e *endpoint) countUnreadableReport(reason string) {
+	if reason != "" {
+		e.faults.unreadableReports++
+		e.faults.unreadableReason = reason
 	}
 }
 
-// noteResult notes what an attempt or health check has found wrong with the endpoint's answers.
-func (e *endpoint) noteResult(result *upstream.Result) {
-	e.noteLoadReport(result.Spoilt)
+// countFaults counts what was wrong with the answer to an attempt or health check.
+func (e *endpoint) countFaults(result *upstream.Result) {
+	e.countUnreadableReport(result.Spoilt)
 	if result.Stray {
-		e.notes.unsolicited++
+		e.faults.unsolicited++
 	}
 }
 
--- a/internal/pool/endpoint_list.go
+++ b/internal/pool/endpoint_list.go
@@ -13,7 +13,7 @@
 	case e.From != l.source.client: // it was asked before discovery's address changed
 		return
 	case e.Err != nil:
-		l.noteSourceError(e.Err)
+		l.recordSourceError(e.Err)
 	case e.Revision < l.source.revision: // a newer one has overtaken it
 		l.logInfo("endpoint list ignored", "revision", e.Revision, "newest", l.source.revision)
 	default:
@@ -22,9 +22,9 @@
 	l.reportPendingOutcomes()
 }
 
-// noteSourceError notes why the list's source has given no good answer. The balancer decides when to poll again; an
+// recordSourceError records why the list's source has given no good answer. The balancer decides when to poll again; an
 // agent that pushes its lists is asked by discovery's client until it answers.
-func (l *loop) noteSourceError(err error) {
+func (l *loop) recordSourceError(err error) {
 	l.source.lastError = err.Error()
 	l.logInfo("endpoint list not received", "err", err)
 	if l.settings.PollDiscovery {
--- a/internal/pool/health_check.go
+++ b/internal/pool/health_check.go
@@ -41,7 +41,7 @@
 
 func (e healthCheckFinished) apply(l *loop) {
 	l.returnConnection(e.endpoint, e.connection, e.result.Conn)
-	e.endpoint.noteResult(&e.result)
+	e.endpoint.countFaults(&e.result)
 	now := l.now()
 	l.balancer.HealthCheckFinished(now, balancer.HealthCheckResult{
 		Upstream: e.endpoint.id,
--- a/internal/pool/loop_test.go
+++ b/internal/pool/loop_test.go
@@ -117,7 +117,7 @@
 		}
 	}
 	want(t, "reuse delay at the end", h.connections.reuseDelay(target), connectionReuseDelay)
-	want(t, "unsolicited bytes were noted", target.notes.unsolicited > 0, true)
+	want(t, "unsolicited bytes were noted", target.faults.unsolicited > 0, true)
 }
 
 // TestRemovedEndpointEndsWithItsAttempt: an endpoint that was removed with an attempt in flight is forgotten once that
--- a/internal/pool/pool.go
+++ b/internal/pool/pool.go
@@ -75,7 +75,7 @@
 
 func (e pingReceived) apply(*loop) { close(e) }
 
-// Acquire counts a request in. It fails if the pool is retired or, which full tells, its queue is full.
+// Acquire counts a request in. It fails if the pool is retired or its queue is full; full reports the latter.
 func (p *Pool) Acquire() (ok, full bool) {
 	admitted := p.admitted.Add(1)
 	switch {
--- a/internal/pool/request.go
+++ b/internal/pool/request.go
@@ -94,7 +94,7 @@
 		return
 	}
 	if l.clientRequestIDs[request.Name] {
-		// An upstream could not tell the two requests apart. The later one is refused, the earlier one goes on.
+		// An endpoint could not tell the two requests apart. The later one is refused, the earlier one goes on.
 		request.state = request.state.after(finalResponseSent)
 		request.Reply <- Response{Status: http.StatusConflict}
 		return
--- a/internal/pool/unsent_attempt_test.go
+++ b/internal/pool/unsent_attempt_test.go
@@ -48,7 +48,7 @@
 			r.ClientLeft()
 		}},
 		{
-			name: "the client leaves, and its reader has had no turn", client: fixedClient(false),
+			name: "the client leaves, and its reader has not run", client: fixedClient(false),
 			change: func(h *manualLoop, r *Request, _ *scripted.Node) { r.At -= 2 * clientCheckDelay },
 		},
 	}
--- a/internal/pool/view.go
+++ b/internal/pool/view.go
@@ -84,7 +84,7 @@
 
 // node is an endpoint's state with what the balancer says of it.
 func (e *endpoint) node(view *balancer.UpstreamView) live.Node {
-	node := e.notes.node(e)
+	node := e.faults.node(e)
 	node.Member = view.InSubset
 	node.Share = view.Share
 	node.Cut = view.ShareFactor
@@ -105,22 +105,22 @@
 
 // dormantNode is the state of an endpoint of a dormant pool.
 func (l *loop) dormantNode(member *discovery.Member) live.Node {
-	notes := l.suspension.dormant.notes[member.ID]
-	node := notes.node(l.dormantEndpoint(member))
+	faults := l.suspension.dormant.faults[member.ID]
+	node := faults.node(l.dormantEndpoint(member))
 	node.Cut = 1
 	node.Load = live.Unknown
 	return node
 }
 
-// node is what the live view has of an endpoint, with these notes, whether or not there is a balancer.
-func (n endpointNotes) node(e *endpoint) live.Node {
+// node is what the live view has of an endpoint, with these faults, whether or not there is a balancer.
+func (f endpointFaults) node(e *endpoint) live.Node {
 	return live.Node{
 		ID:            e.name,
 		Address:       e.address,
 		Phase:         phaseNames[e.state],
-		Unreadable:    n.unreadableReports,
-		UnreadableWhy: n.unreadableReason,
-		Strays:        n.unsolicited,
+		Unreadable:    f.unreadableReports,
+		UnreadableWhy: f.unreadableReason,
+		Strays:        f.unsolicited,
 		Part:          cmp.Or(e.allotment.Fraction, 1),
 		Limit:         e.allotment.Connections,
 	}
