--- a/internal/pool/attempt.go
+++ b/internal/pool/attempt.go
@@ -1,7 +1,6 @@
 package pool
 
 import (
-	"fmt"
 	"net/http"
 	"time"
 
@@ -11,28 +10,29 @@
 	"olivearch/internal/upstream"
 )
 
-// lingerFor and lingerMost bound the connections of attempts whose client has gone. The upstream works on
-// regardless, and a connection kept for the late answer saves the next handshake; but hung upstreams never
-// answer.
+// lingerTimeout and maxLingeringAttempts bound the connections that wait for late responses to clients that have gone.
+// The endpoint works on regardless, and a connection kept for its response saves the next handshake; but an endpoint
+// that hangs never answers.
 const (
-	lingerFor  = 3 * time.Second
-	lingerMost = 4
+	lingerTimeout        = 3 * time.Second
+	maxLingeringAttempts = 4 // of one endpoint
 )
 
-// attempt is one send of a request to an upstream, as the loop keeps it.
+// attempt is one try of a request at an endpoint. The loop owns it, but for what the embedded Attempt lets the
+// goroutine of the connection do.
 type attempt struct {
 	upstream.Attempt
-	loop    *loop
-	req     *Request
-	n       int // order of the request's sends, from 0
-	peer    *peer
-	link    *link // that carries it; its connection is in the attempt
-	via     upstream.Transport
-	sentAt  time.Duration
-	told    bool         // the module has had its outcome
-	tunnel  *body.Tunnel // that it has become; nil: none
-	lingers bool         // it is left to its connection for the late answer
-	limit   alarm        // of its own, before the request's deadline
+	loop       *loop
+	request    *Request
+	number     int // order of the request's attempts, from 0
+	endpoint   *endpoint
+	connection *connection // that carries it; nil: there was none
+	transport  upstream.Transport
+	state      attemptState
+	sentAt     time.Duration
+	timer      timer        // its time-out, where that ends before the request's deadline
+	tunnel     *body.Tunnel // that the connection has become; nil: none
+	lingering  bool         // its connection was left to wait for the late response
 }
 
 var _ interface {
@@ -40,212 +40,281 @@
 	upstream.Gate
 } = (*attempt)(nil)
 
-// Written, Hint and Began are called from the link's goroutine.
-func (a *attempt) Written()                { a.loop.post(written{a}) }
-func (a *attempt) Hint(h http1.Fields)     { a.loop.post(hinted{a, h}) }
-func (a *attempt) Began(r upstream.Result) { a.loop.post(began{a, r}) }
+// Written, Hint and Began are upstream.Observer's, called from the connection's goroutine.
+func (a *attempt) Written()                       { a.loop.enqueue(bodyWritten{a}) }
+func (a *attempt) Hint(fields http1.Fields)       { a.loop.enqueue(earlyHintsReceived{a, fields}) }
+func (a *attempt) Began(response upstream.Result) { a.loop.enqueue(responseStarted{a, response}) }
 
-// Open looks once more, from the link's goroutine, whether anybody still waits for the answer.
-func (a *attempt) Open() bool { return a.req.waits() }
+// Open is upstream.Gate's, called from the connection's goroutine: whether the client still waits.
+func (a *attempt) Open() bool { return a.request.clientPresent() }
 
-// Send makes an attempt.
-func (l *loop) Send(id balancer.RequestID, up balancer.UpstreamID, timeout time.Duration) {
-	r, p := l.requests[id], l.peers[up]
-	if r == nil || p == nil { // the module sends what it was told of, where it was told
-		l.Log(fmt.Sprintf("send of unknown request %d or upstream %d", id, up))
+// Send makes an attempt. Part of balancer.Host.
+func (l *loop) Send(id balancer.RequestID, upstreamID balancer.UpstreamID, timeout time.Duration) {
+	request := l.requests[id]
+	endpoint := l.endpoints[upstreamID]
+	if request == nil || endpoint == nil { // the balancer only knows those that there are
+		l.logInfo("attempt not sent", "reason", "unknown request or endpoint", "request", id, "upstream", upstreamID)
 		return
 	}
 	now := l.now()
-	a := &attempt{loop: l, req: r, n: len(r.attempts), peer: p, via: l.transport, sentAt: now}
-	a.Message, a.Address, a.Told, a.Gate = &r.Message, p.address, a, a
-	if until := l.balancer.SendDeadline(id); until > 0 {
-		a.Until = time.Now().Add(until - now)
-	}
-	r.attempts, r.out = append(r.attempts, a), r.out+1
-	wait := r.deadline - now
-	if timeout > 0 && timeout < wait {
-		wait = timeout
-		a.limit = alarm{at: now + timeout, attempt: a}
-		l.alarms.set(&a.limit)
-	}
-	a.Wait = wait
-	if r.Message.Rest.Live() {
-		a.Wait = min(wait, r.Budget) // from its last byte
-	}
-	var room bool
-	crowded := r.Message.Upgrade != "" && p.tunnels >= l.caps.PerNode
-	if !r.closed && wait > 0 && p.state == balancer.Active && !crowded {
-		a.link, room = l.link(p, now)
-	}
-	if !room { // no fault of the upstream's
-		a.Drop()
-		l.due = append(l.due, owing{a, balancer.NotSent})
+	attempt := l.newAttempt(request, endpoint, timeout, now)
+	if l.mayConnect(attempt) {
+		attempt.connection = l.acquireConnection(endpoint, now)
+	}
+	if request.Message.Rest.Live() {
+		attempt.Wait = min(attempt.Wait, request.Budget) // from its last byte
+	}
+	if attempt.connection == nil { // no fault of the endpoint's
+		attempt.Drop()
+		l.deferOutcome(attempt, balancer.NotSent)
 		return
 	}
-	if p.out == nil {
-		p.out = map[*attempt]struct{}{}
+	endpoint.addOpenAttempt(attempt)
+	attempt.Conn = attempt.connection.transportConn
+	if attempt.Conn != nil {
+		idleFor := now - attempt.connection.idleSince
+		attempt.Rest = l.connections.reuseDelay(endpoint) - idleFor
+	}
+	attempt.connection.start(l, attempt)
+}
+
+// newAttempt makes an attempt with its time-out. timeout is the balancer's; 0: only the request's deadline ends it.
+func (l *loop) newAttempt(request *Request, endpoint *endpoint, timeout, now time.Duration) *attempt {
+	made := &attempt{
+		loop:      l,
+		request:   request,
+		number:    len(request.attempts),
+		endpoint:  endpoint,
+		transport: l.connections.transport,
+		sentAt:    now,
+	}
+	made.Message = &request.Message
+	made.Address = endpoint.address
+	made.Told = made
+	made.Gate = made
+	if until := l.balancer.SendDeadline(request.ID); until > 0 {
+		made.Until = time.Now().Add(until - now)
 	}
-	p.out[a] = struct{}{}
-	if a.Conn = a.link.conn; a.Conn != nil {
-		a.Rest = l.rest(p) - (now - a.link.idleAt)
+	request.attempts = append(request.attempts, made)
+	request.unreported++
+	made.Wait = request.deadline - now
+	if timeout > 0 && timeout < made.Wait {
+		made.Wait = timeout
+		made.timer = timer{at: now + timeout, attempt: made}
+		l.timers.schedule(&made.timer)
 	}
-	a.link.carry(l, a)
+	return made
 }
 
-// written tells that an attempt of a request whose body went on as it came has written its last byte. From then on its time
-// counts.
-type written struct{ *attempt }
+// mayConnect reports whether an attempt may have a connection.
+func (l *loop) mayConnect(a *attempt) bool {
+	isTunnel := a.request.Message.Upgrade != ""
+	if isTunnel && a.endpoint.tunnelCount >= l.tunnelLimits.PerNode {
+		return false
+	}
+	return a.request.isOpen() && a.Wait > 0 && a.endpoint.state == balancer.Active
+}
 
-func (e written) apply(l *loop) {
-	a, q := e.attempt, e.attempt.req
-	if a.told || q.closed {
+// bodyWritten is an attempt that has written the last byte of a body that went on as it came. Its time counts from then
+// on.
+type bodyWritten struct{ attempt *attempt }
+
+func (e bodyWritten) apply(l *loop) {
+	request := e.attempt.request
+	if e.attempt.state.reported() || !request.isOpen() {
 		return
 	}
-	a.sentAt = l.now()
-	q.deadline = a.sentAt + q.Budget
-	l.alarms.unset(&q.end)
-	q.end.at = q.deadline
-	l.alarms.set(&q.end)
-	l.balancer.BodySent(a.sentAt, q.ID, a.n)
+	e.attempt.sentAt = l.now()
+	l.restartDeadline(request, e.attempt.sentAt)
+	l.balancer.BodySent(e.attempt.sentAt, request.ID, e.attempt.number)
 }
 
-// began is an answer of which the first bytes have come.
-type began struct {
-	*attempt
-	upstream.Result
+// responseStarted is a response of which the first bytes have come, and which goes on as it comes.
+type responseStarted struct {
+	attempt  *attempt
+	response upstream.Result
 }
 
-func (e began) apply(l *loop) {
-	a := e.attempt
-	if a.told || a.req.closed {
-		e.More.Abandon()
-		e.Tunnel.Close()
+func (e responseStarted) apply(l *loop) {
+	if e.attempt.state.reported() || !e.attempt.request.isOpen() {
+		e.response.More.Abandon()
+		e.response.Tunnel.Close()
 		return
 	}
-	if e.Tunnel != nil {
-		a.tunnel = e.Tunnel
-		l.tunnels[a] = struct{}{}
-		a.peer.tunnels++
+	l.startResponse(e.attempt, e.response)
+}
+
+// startResponse passes on the first bytes of an attempt's response.
+func (l *loop) startResponse(attempt *attempt, response upstream.Result) {
+	endpoint := attempt.endpoint
+	if response.Tunnel != nil {
+		attempt.tunnel = response.Tunnel
+		l.tunnels[attempt] = struct{}{}
+		endpoint.tunnelCount++
 	}
-	a.peer.reported(e.Spoilt)
-	l.tell(a, e.Result)
-	l.ghost(a.peer, 1) // its connection is held until the last byte
+	endpoint.countUnreadableReport(response.Spoilt)
+	l.reportOutcome(attempt, responseHeadReceived, response)
+	l.countAbandoned(endpoint, 1) // its connection is held until the last byte
 }
 
-// hinted is an interim answer. A client gets those of one attempt.
-type hinted struct {
-	*attempt
-	fields http1.Fields
+// earlyHintsReceived is an interim response with status 103. A client gets those of one attempt.
+type earlyHintsReceived struct {
+	attempt *attempt
+	fields  http1.Fields
 }
 
-func (e hinted) apply(l *loop) {
-	if q := e.attempt.req; !e.told && !q.closed && !q.hinted {
-		q.hinted = true
-		q.Reply <- Response{Status: http.StatusEarlyHints, Header: e.fields} // has room, and the last answer too
+func (e earlyHintsReceived) apply(*loop) {
+	request := e.attempt.request
+	if e.attempt.state.reported() || !request.isOpen() || request.hintSent {
+		return
 	}
+	request.hintSent = true
+	// Reply has room for it and for the final response.
+	request.Reply <- Response{Status: http.StatusEarlyHints, Header: e.fields}
 }
 
-// finished is the end of an attempt on its connection.
-type finished struct {
-	*attempt
-	upstream.Result
+// attemptFinished is an attempt that has ended on its connection.
+type attemptFinished struct {
+	attempt *attempt
+	result  upstream.Result
 }
 
-func (e finished) apply(l *loop) {
-	a := e.attempt
-	delete(a.peer.out, a)
-	if a.tunnel != nil {
-		delete(l.tunnels, a)
-		a.peer.tunnels--
-	}
-	if a.lingers {
-		a.peer.lingering--
+func (e attemptFinished) apply(l *loop) { l.finishAttempt(e.attempt, e.result) }
+
+// finishAttempt takes back an attempt's connection, and reports its outcome unless that was done before.
+func (l *loop) finishAttempt(attempt *attempt, result upstream.Result) {
+	endpoint := attempt.endpoint
+	delete(endpoint.openAttempts, attempt)
+	if attempt.tunnel != nil {
+		delete(l.tunnels, attempt)
+		endpoint.tunnelCount--
 	}
-	l.keep(a.peer, a.link, e.Result.Conn)
-	a.peer.reported(e.Spoilt)
-	if e.Stray {
-		a.peer.strays++
+	if attempt.lingering {
+		endpoint.lingeringAttempts--
 	}
-	if a.told {
-		l.ghost(a.peer, -1)
+	l.returnConnection(endpoint, attempt.connection, result.Conn)
+	endpoint.countFaults(&result)
+	if attempt.state.reported() {
+		l.countAbandoned(endpoint, -1)
 	}
-	if a.req.gone.Load() && !a.req.closed && e.Status != balancer.OK { // seen as it was to be written, or meanwhile
-		l.leave(a.req)
+	// The client was seen to have left as the attempt was to be written, or meanwhile.
+	leftUnserved := attempt.request.clientGone.Load() && result.Status != balancer.OK
+	if leftUnserved && attempt.request.isOpen() {
+		l.abandonRequest(attempt.request)
 	}
-	l.tell(a, e.Result)
-	l.forget(a.peer)
+	l.reportOutcome(attempt, connectionReturned, result)
+	l.forgetIfUnused(endpoint)
 }
 
-// tell gives the module an attempt's one outcome, and the client the answer if it is served.
-func (l *loop) tell(a *attempt, r upstream.Result) {
-	if a.told {
+// reportOutcome changes an attempt's state. The first change is the attempt's one outcome: the balancer is told, and
+// the client is answered if it is served or the request can't be sent again.
+func (l *loop) reportOutcome(attempt *attempt, change attemptChange, result upstream.Result) {
+	before := attempt.state
+	attempt.state = before.after(change)
+	if before.reported() {
 		return
 	}
-	a.told = true
-	l.alarms.unset(&a.limit)
-	q, now := a.req, l.now()
-	if r.Status == balancer.OK && !q.closed {
-		l.answer(q, Response{Status: r.Code, Body: r.Body, ContentType: r.Kind, Header: r.Header, Trailer: r.Trailer, Stream: r.More, Tunnel: r.Tunnel})
-	}
-	if r.Status != balancer.OK && !q.closed && q.Message.Rest.Spent() { // the module can't send it anew
-		if r.Status == balancer.Rejected || r.Status == balancer.ConnectFailed || r.Status == balancer.NotSent {
-			l.answer(q, Response{Status: http.StatusServiceUnavailable})
-		} else {
-			l.answer(q, Response{Status: http.StatusBadGateway})
-		}
-	}
-	q.out--
-	closed := q.closed
-	l.release(q)
+	l.timers.cancel(&attempt.timer)
+	request := attempt.request
+	now := l.now()
+	if request.isOpen() {
+		l.respondByOutcome(request, result)
+	}
+	request.unreported--
+	closed := !request.isOpen()
+	l.releaseIfSettled(request)
 	l.balancer.AttemptFinished(now, balancer.AttemptResult{
-		ID: q.ID, Upstream: a.peer.id, Attempt: a.n, Latency: now - a.sentAt,
-		Status: r.Status, Closed: closed, Load: r.Load,
+		ID:       request.ID,
+		Upstream: attempt.endpoint.id,
+		Attempt:  attempt.number,
+		Latency:  now - attempt.sentAt,
+		Status:   result.Status,
+		Closed:   closed,
+		Load:     result.Load,
 	})
 }
 
-// owing is an outcome to tell as soon as the module has returned.
-type owing struct {
-	a      *attempt
-	status balancer.Status
+// respondByOutcome answers a client that is served, or whose request can't be sent again since its body is spent. What
+// becomes of others is the balancer's to decide.
+func (l *loop) respondByOutcome(request *Request, result upstream.Result) {
+	if result.Status == balancer.OK {
+		l.respond(request, Response{
+			Status:      result.Code,
+			Body:        result.Body,
+			ContentType: result.Kind,
+			Header:      result.Header,
+			Trailer:     result.Trailer,
+			Stream:      result.More,
+			Tunnel:      result.Tunnel,
+		})
+		return
+	}
+	if !request.Message.Rest.Spent() {
+		return
+	}
+	switch result.Status {
+	case balancer.Rejected, balancer.ConnectFailed, balancer.NotSent: // it has not run
+		l.respond(request, Response{Status: http.StatusServiceUnavailable})
+	default:
+		l.respond(request, Response{Status: http.StatusBadGateway})
+	}
+}
+
+// pendingOutcome is the outcome of an attempt that is reported as soon as the balancer has returned from its call.
+type pendingOutcome struct {
+	attempt *attempt
+	status  balancer.Status
 }
 
-// settle tells the outcomes that came up while the module was calling.
-func (l *loop) settle() {
-	for len(l.due) > 0 {
-		o := l.due[0]
-		l.due = l.due[1:]
-		l.end(o.a, o.status)
+// deferOutcome notes an outcome that came up while the balancer may be calling.
+func (l *loop) deferOutcome(a *attempt, status balancer.Status) {
+	l.pendingOutcomes = append(l.pendingOutcomes, pendingOutcome{a, status})
+}
+
+// reportPendingOutcomes reports the outcomes that came up while the balancer was calling, and those that come up
+// meanwhile.
+func (l *loop) reportPendingOutcomes() {
+	for len(l.pendingOutcomes) > 0 {
+		next := l.pendingOutcomes[0]
+		l.pendingOutcomes = l.pendingOutcomes[1:]
+		l.stopWaiting(next.attempt, next.status)
 	}
-	l.due = nil
+	l.pendingOutcomes = nil
 }
 
-// end stops waiting for an attempt. One that was never written is moot.
-func (l *loop) end(a *attempt, status balancer.Status) {
-	if a.told {
+// stopWaiting ends the wait for an attempt of which no outcome was reported. One that was never written counts as not
+// sent.
+func (l *loop) stopWaiting(attempt *attempt, status balancer.Status) {
+	if attempt.state.reported() {
 		return
 	}
-	if a.Drop() {
+	if attempt.Drop() {
 		status = balancer.NotSent
 	} else {
-		// An attempt of a request that may be sent again gives up its connection, or it would count as a second copy.
-		until, linger := time.Unix(0, 1), (a.req.closed || l.now() >= a.req.deadline) && a.peer.lingering < a.peer.lingerMost() && a.peer.state == balancer.Active
-		if linger {
-			until = time.Now().Add(lingerFor)
-		}
-		if a.GiveUp(until) && linger {
-			a.lingers = true
-			a.peer.lingering++
-		}
-	}
-	if _, out := a.peer.out[a]; out {
-		l.ghost(a.peer, 1)
-	}
-	l.tell(a, upstream.Result{Status: status})
-}
-
-// expire ends an attempt whose time is up.
-func (l *loop) expire(a *attempt) {
-	if !a.told {
-		l.end(a, balancer.Timeout)
+		l.giveUp(attempt)
+	}
+	change := connectionDenied
+	if _, open := attempt.endpoint.openAttempts[attempt]; open {
+		change = waitStopped
+		l.countAbandoned(attempt.endpoint, 1)
+	}
+	l.reportOutcome(attempt, change, upstream.Result{Status: status})
+}
+
+// giveUp bounds the wait for an attempt that was written. Its connection lingers for the late response if the request
+// is over, and if few others do; that of a request that may be sent again is closed, or the attempt would count as a
+// hedged request.
+func (l *loop) giveUp(attempt *attempt) {
+	endpoint := attempt.endpoint
+	requestOver := !attempt.request.isOpen() || l.now() >= attempt.request.deadline
+	hasRoom := endpoint.lingeringAttempts < endpoint.maxLingering()
+	linger := requestOver && hasRoom && endpoint.state == balancer.Active
+	until := time.Unix(0, 1) // at once
+	if linger {
+		until = time.Now().Add(lingerTimeout)
+	}
+	if attempt.GiveUp(until) && linger {
+		attempt.lingering = true
+		endpoint.lingeringAttempts++
 	}
 }
--- a/internal/pool/configure.go
+++ b/internal/pool/configure.go
@@ -1,79 +1,95 @@
 package pool
 
-import "fmt"
-
-// configured is a new Spec, all of which holds from now on.
-type configured struct {
-	Spec
+// specChanged is a new Spec, all of which holds from now on.
+type specChanged struct {
+	spec Spec
 	done chan<- error
 }
 
-func (e configured) apply(l *loop) {
-	if err := l.adopt(e.Spec); err != nil {
+func (e specChanged) apply(l *loop) {
+	if err := l.applySpec(e.spec); err != nil {
 		e.done <- err
 		return
 	}
-	if l.followed() != e.Discovery {
-		l.follow(e.Discovery)
+	if l.source.address() != e.spec.Discovery {
+		l.followDiscovery(e.spec.Discovery)
 		l.WatchEndpoints(true)
 	}
-	l.shares.reweigh(e.SharedWeight)
-	if l.shares.own != e.OwnDrains {
-		l.shares.own = e.OwnDrains
-		l.reshare(nil)
-	}
-	l.settle()
+	l.updateRegistration(e.spec)
+	l.reportPendingOutcomes()
 	e.done <- nil
 }
 
-// adopt takes the settings and limits of a Spec, or changes nothing.
-func (l *loop) adopt(c Spec) error {
-	if l.made() {
-		if err := l.balancer.Configure(l.now(), c.Settings); err != nil {
-			return err
-		}
-	} else if err := c.Settings.Validate(); err != nil {
+// updateRegistration applies what a Spec says of endpoints that other pools list too.
+func (l *loop) updateRegistration(spec Spec) {
+	l.registration.setWeight(spec.SharedWeight)
+	if l.registration.ownDrainsOnly != spec.OwnDrains {
+		l.registration.ownDrainsOnly = spec.OwnDrains
+		l.refreshAllotments(func(string) bool { return true })
+	}
+}
+
+// applySpec applies the settings and limits of a Spec, or changes nothing.
+func (l *loop) applySpec(spec Spec) error {
+	if err := l.applySettings(spec); err != nil {
 		return err
 	}
-	asked := l.settings.PollDiscovery
-	l.limit(c)
-	if !l.mayRest() {
-		if err := l.make(); err != nil {
+	polledBefore := l.settings.PollDiscovery
+	l.applyLimits(spec)
+	if !l.canSuspend() {
+		if err := l.createBalancer(); err != nil {
 			return err
 		}
 	}
-	if asked != c.Settings.PollDiscovery { // the module has asked by what held before
+	if polledBefore != spec.Settings.PollDiscovery { // the balancer has asked by the settings before
 		l.WatchEndpoints(true)
 	}
 	return nil
 }
 
-// Reload takes the settings of a new Spec and what it says of discovery, all of it or nothing, and does not wait until that holds.
-// Requests under way keep the class that they came with. adopted is called, from the pool's goroutine, once new settings hold.
-func (p *Pool) Reload(spec Spec, adopted func()) { p.loop.post(reloaded{spec, adopted}) }
+// applySettings configures the balancer, or checks the settings where there is none.
+func (l *loop) applySettings(spec Spec) error {
+	if !l.hasBalancer() {
+		return spec.Settings.Validate()
+	}
+	return l.balancer.Configure(l.now(), spec.Settings)
+}
+
+// Reload applies a new Spec's settings and its address of discovery, all of it or nothing, and does not wait until that
+// holds. Requests under way keep the class that they came with. adopted is called, from the pool's goroutine, once
+// settings that differ hold.
+func (p *Pool) Reload(spec Spec, adopted func()) {
+	p.loop.enqueue(configurationReloaded{spec: spec, adopted: adopted})
+}
 
-// reloaded is a new configuration of a platform's pool.
-type reloaded struct {
-	Spec
+// configurationReloaded is a Spec by a configuration that was read again.
+type configurationReloaded struct {
+	spec    Spec
 	adopted func()
 }
 
-func (e reloaded) apply(l *loop) {
-	if !e.Settings.Equal(l.settings) {
-		if err := l.adopt(e.Spec); err != nil {
-			l.Log(fmt.Sprintf("configuration: the old settings stay: %v", err))
+func (e configurationReloaded) apply(l *loop) {
+	if !e.spec.Settings.Equal(l.settings) {
+		if err := l.applySpec(e.spec); err != nil {
+			l.logInfo("settings not applied", "err", err)
 			return
 		}
 		e.adopted()
-		l.Log(fmt.Sprintf("configuration: new settings hold, with %d classes", len(e.Settings.Classes)))
+		l.logInfo("settings applied", "classes", len(e.spec.Settings.Classes))
 	}
-	if before := l.followed(); e.Discovery != before {
-		l.Log(fmt.Sprintf("configuration read again: discovery is at %s, no longer at %s", e.Discovery, before))
-		l.follow(e.Discovery)
-		if l.stopWatch != nil {
-			l.WatchEndpoints(true)
-		}
+	l.moveDiscovery(e.spec.Discovery)
+}
+
+// moveDiscovery makes discovery at another address the list's source, and goes on watching if the last one was watched.
+func (l *loop) moveDiscovery(address string) {
+	previous := l.source.address()
+	if address == previous {
+		l.logInfo("discovery address kept", "address", address)
 		return
 	}
-	l.Log("configuration read again: discovery is where it was")
+	l.logInfo("discovery address changed", "address", address, "previous", previous)
+	l.followDiscovery(address)
+	if l.source.stopWatch != nil {
+		l.WatchEndpoints(true)
+	}
 }
--- a/internal/pool/stats.go
+++ b/internal/pool/stats.go
@@ -5,88 +5,111 @@
 	"time"
 
 	"olivearch/balancer"
-	"olivearch/internal/discovery"
 )
 
 // Stats are a pool's counters and levels.
 type Stats struct {
-	Served, Refused, Failed uint64        // requests, by their final answer
-	QueueFull               uint64        // since the queue was full; not among the refused
-	ServedFor               time.Duration // the sum of what the served took, from their coming to the answer's head
-	Open, Queue             int           // requests in it, and at most
-	Queued                  int           // of these, waiting for a turn
-	Connections, Limit      int           // to its nodes, and at most
-	Tunnels                 int
-	Up, Draining            int           // nodes listed, by what holds here
-	Created                 bool          // it has a module: it was asked, or is large
-	ListAge                 time.Duration // since the last good word from the list's source
-	Expired                 bool          // it is older than it may become: all is refused
+	// Served, Refused and Failed count requests by their final response.
+	Served, Refused, Failed uint64
+	// QueueFull counts requests that were not admitted since the queue was full. They are not among the refused.
+	QueueFull uint64
+	// ServedFor is the sum of the times that served requests took, from their arrival to the response's head.
+	ServedFor time.Duration
+	// Open is how many requests are in the pool, Queue how many may be.
+	Open, Queue int
+	// Queued is how many of the open requests wait to be sent.
+	Queued int
+	// Connections is how many connections to endpoints are open, Limit how many may be.
+	Connections, Limit int
+	Tunnels            int
+	// Up and Draining count the listed endpoints by the state that counts for this pool.
+	Up, Draining int
+	// Created: the pool has a balancer, since it has had requests or is large.
+	Created bool
+	// ListAge is the time since the list's source gave its last good answer.
+	ListAge time.Duration
+	// Expired: the list is too old to be used, and all requests are refused.
+	Expired bool
 }
 
-// Asked tells whether a request has ever come to it.
+// Asked reports whether the pool has ever had a request.
 func (s *Stats) Asked() bool { return s.Served+s.Refused+s.Failed+s.QueueFull > 0 || s.Open > 0 }
 
-// counts are what others read of a pool without its goroutine. Counters are exact; levels are as it left them when it parked, or a second ago
-// at most while it runs.
-type counts struct {
-	served, refused, failed                   atomic.Uint64
-	servedFor                                 atomic.Int64 // ns
-	held, conns, limit, tunnels, up, draining atomic.Int64
-	made                                      atomic.Bool
-	heardAt, hold                             atomic.Int64 // time.Durations
-	recount                                   bool         // nodes have changed; the goroutine's own
+// counters are what other goroutines read of a pool. Counters are exact; levels are as the loop left them when it was
+// parked, or up to sweepInterval ago while it runs.
+type counters struct {
+	served, refused, failed atomic.Uint64
+	servedFor               atomic.Int64 // nanoseconds
+
+	queued, connections, connectionLimit, tunnels atomic.Int64
+	active, draining                              atomic.Int64
+	created                                       atomic.Bool
+	listReceivedAt, maxListAge                    atomic.Int64 // time.Durations
+
+	endpointsChanged bool // since the endpoints were counted last; the loop's own
 }
 
-// Stats returns the pool's counters and levels. It wakes nobody and waits for nobody.
+// Stats returns the pool's counters and levels. It wakes no goroutine and waits for none.
 func (p *Pool) Stats() Stats {
-	c := &p.loop.counts
-	s := Stats{
-		Served: c.served.Load(), Refused: c.refused.Load(), Failed: c.failed.Load(), QueueFull: p.away.Load(), ServedFor: time.Duration(c.servedFor.Load()),
-		Open: int(max(0, p.users.Load())), Queue: int(p.queue.Load()), Queued: int(c.held.Load()), Connections: int(c.conns.Load()), Limit: int(c.limit.Load()),
-		Tunnels: int(c.tunnels.Load()), Up: int(c.up.Load()), Draining: int(c.draining.Load()), Created: c.made.Load(),
-	}
-	s.ListAge = max(0, p.loop.now()-max(time.Duration(c.heardAt.Load()), time.Duration(p.loop.confirmed.Load())))
-	if hold := time.Duration(c.hold.Load()); hold > 0 {
-		s.Expired = s.ListAge > hold
+	levels := &p.loop.counters
+	stats := Stats{
+		Served:      levels.served.Load(),
+		Refused:     levels.refused.Load(),
+		Failed:      levels.failed.Load(),
+		QueueFull:   p.queueFull.Load(),
+		ServedFor:   time.Duration(levels.servedFor.Load()),
+		Open:        int(max(0, p.admitted.Load())),
+		Queue:       int(p.queueLimit.Load()),
+		Queued:      int(levels.queued.Load()),
+		Connections: int(levels.connections.Load()),
+		Limit:       int(levels.connectionLimit.Load()),
+		Tunnels:     int(levels.tunnels.Load()),
+		Up:          int(levels.active.Load()),
+		Draining:    int(levels.draining.Load()),
+		Created:     levels.created.Load(),
 	}
-	return s
+	receivedAt := time.Duration(levels.listReceivedAt.Load())
+	confirmedAt := time.Duration(p.loop.source.confirmedAt.Load())
+	stats.ListAge = max(0, p.loop.now()-max(receivedAt, confirmedAt))
+	maxAge := time.Duration(levels.maxListAge.Load())
+	stats.Expired = maxAge > 0 && stats.ListAge > maxAge
+	return stats
 }
 
-// publish leaves the levels for Stats.
-func (l *loop) publish() {
-	c := &l.counts
-	held := 0
-	if l.made() {
-		held = l.balancer.QueueLength()
-	}
-	c.held.Store(int64(held))
-	c.conns.Store(int64(l.conns))
-	c.limit.Store(int64(l.maxConns))
+// publishLevels leaves the levels for Stats.
+func (l *loop) publishLevels() {
+	c := &l.counters
+	c.queued.Store(int64(l.queueLength()))
+	c.connections.Store(int64(l.connections.open))
+	c.connectionLimit.Store(int64(l.connections.max))
 	c.tunnels.Store(int64(len(l.tunnels)))
-	c.made.Store(l.made())
-	c.heardAt.Store(int64(l.heardAt))
-	c.hold.Store(int64(l.hold))
-	if !c.recount {
-		return
-	}
-	c.recount = false
-	by := map[balancer.State]int64{}
-	for _, p := range l.peers {
-		by[p.state]++
+	c.created.Store(l.hasBalancer())
+	c.listReceivedAt.Store(int64(l.source.receivedAt))
+	c.maxListAge.Store(int64(l.source.maxAge))
+	if c.endpointsChanged {
+		l.countEndpoints()
+		c.endpointsChanged = false
 	}
-	for i := range l.unmade.members {
-		p := l.placed(&l.unmade.members[i])
-		by[p.state]++
+}
+
+// queueLength is how many requests wait to be sent.
+func (l *loop) queueLength() int {
+	if !l.hasBalancer() {
+		return 0
 	}
-	c.up.Store(by[balancer.Active])
-	c.draining.Store(by[balancer.Draining])
-	c.recount = false // placing has set it
+	return l.balancer.QueueLength()
 }
 
-// placed is a node of a pool that is not made, as it would stand.
-func (l *loop) placed(m *discovery.Member) *peer {
-	u := m.Upstream(0)
-	p := &peer{name: m.ID, address: m.HostPort, listed: u.State, entry: u, weight: u.Weight}
-	l.place(p)
-	return p
+// countEndpoints publishes how many endpoints there are by state.
+func (l *loop) countEndpoints() {
+	byState := map[balancer.State]int64{}
+	for _, endpoint := range l.endpoints {
+		byState[endpoint.state]++
+	}
+	for i := range l.suspension.dormant.members {
+		endpoint := l.dormantEndpoint(&l.suspension.dormant.members[i])
+		byState[endpoint.state]++
+	}
+	l.counters.active.Store(byState[balancer.Active])
+	l.counters.draining.Store(byState[balancer.Draining])
 }
