--- a/internal/proxy/proxy_test.go
+++ b/internal/proxy/balancer_test.go
@@ -81,7 +81,7 @@
 func newBalancer(t *testing.T, members ...discovery.Member) *testBalancer {
 	t.Helper()
 	g := newRegistry(t)
-	f := file{
+	f := configFile{
 		Name: "n0", Listen: "127.0.0.1:0", Discovery: g.addr, Seed: "8c1f30d27a5be964",
 		Known: discovery.Listing{Revision: 10, Complete: true, Members: members}, Settings: json.RawMessage(settingsText),
 	}
--- a/internal/proxy/config.go
+++ b/internal/proxy/config.go
@@ -39,8 +39,8 @@
 	keys       map[string]bool // that the file had, each with its path
 }
 
-// file is the configuration file's form.
-type file struct {
+// configFile is the configuration file's form.
+type configFile struct {
 	Name       string `json:"name"`
 	Listen     string `json:"listen"`
 	Discovery  string `json:"discovery"`
@@ -64,7 +64,7 @@
 	if err != nil {
 		return Config{}, fmt.Errorf("RELAY_CONFIG: %w", err)
 	}
-	var f file
+	var f configFile
 	if err := json.Unmarshal(text, &f); err != nil {
 		return Config{}, fmt.Errorf("%s: %w", path, err)
 	}
@@ -159,7 +159,7 @@
 }
 
 // config checks what was read.
-func (f *file) config() (Config, error) {
+func (f *configFile) config() (Config, error) {
 	c := Config{
 		Name: f.Name, Listen: f.Listen, Discovery: f.Discovery, Management: f.Management, Known: f.Known,
 		MemoryMB: f.Limits.MemoryMB, Sockets: f.Limits.Sockets,
--- /dev/null
+++ b/internal/proxy/hotrestart.go
@@ -0,0 +1,250 @@
+package proxy
+
+import (
+	"context"
+	"errors"
+	"fmt"
+	"log/slog"
+	"net"
+	"os"
+	"time"
+
+	"olivearch/internal/hotrestart"
+)
+
+// Hot restart: a new process takes over from an old one while both run. For clients, upstreams and operators the two
+// are one balancer.
+//
+//	new process                                  old process
+//	TakeOver        -- KindTakeOver -->          handOver
+//	                <-- KindState, listener --
+//	(endpoint list known)
+//	takeOver        -- KindSnapshotRequest -->   handlePeerMessage
+//	                <-- KindSnapshot --
+//	(serves)        -- KindReady -->             peerServing
+//	                <-- KindClientConnection --  (once it is told to stop)
+//
+// In between, either process sends a KindState after each operators' command, and the other answers with a KindAck.
+
+const (
+	// takeoverTimeout bounds the wait for the first message of a takeover, on either side.
+	takeoverTimeout = time.Second
+	// peerAnswerTimeout bounds the wait for the peer process to apply a state, or to send its snapshot.
+	peerAnswerTimeout = 300 * time.Millisecond
+	// endpointsPollInterval is the time between two looks at whether the endpoint list is known.
+	endpointsPollInterval = 5 * time.Millisecond
+)
+
+// errNoListener is returned where the answer to a takeover request came without the listening socket.
+var errNoListener = errors.New("the old process has handed over no listener")
+
+// PreviousProcess is an old process that still serves, and what it has handed over.
+type PreviousProcess struct {
+	Listener net.Listener
+	state    hotrestart.Message // of kind KindState
+	link     *hotrestart.Link
+}
+
+// TakeOver asks the process that listens at a path for what a new one needs to serve the address listen (host:port).
+// If no process listens there, the error is an os.ErrNotExist.
+func TakeOver(path, listen string) (*PreviousProcess, error) {
+	link, err := hotrestart.Dial(path)
+	if err != nil {
+		return nil, err
+	}
+	previous := &PreviousProcess{link: link}
+	if err := previous.requestListener(listen); err != nil {
+		link.Close()
+		return nil, err
+	}
+	return previous, nil
+}
+
+// requestListener fills in the state and the listener of the old process.
+func (p *PreviousProcess) requestListener(listen string) error {
+	request := hotrestart.Message{Kind: hotrestart.KindTakeOver, Listen: listen}
+	if err := p.link.Send(request, nil); err != nil {
+		return err
+	}
+	_ = p.link.SetReadDeadline(time.Now().Add(takeoverTimeout)) // fails on a closed link only, and so does Receive
+	state, listenerFile, err := p.link.Receive()
+	if err != nil {
+		return err
+	}
+	if listenerFile == nil {
+		return errNoListener
+	}
+	defer listenerFile.Close()
+	if state.Kind != hotrestart.KindState || state.Listen != listen {
+		return fmt.Errorf("the old process serves %q", state.Listen)
+	}
+	p.state = state
+	_ = p.link.SetReadDeadline(time.Time{})
+	p.Listener, err = net.FileListener(listenerFile)
+	return err
+}
+
+// listenForTakeover hands over to each new process that asks for it at a path. It returns at once; the listening ends
+// with the context.
+func (b *Balancer) listenForTakeover(ctx context.Context, path string) error {
+	listener, err := hotrestart.Listen(path)
+	if err != nil {
+		return err
+	}
+	context.AfterFunc(ctx, func() { listener.Close() })
+	go func() {
+		for {
+			link, err := listener.Accept()
+			if err != nil {
+				return
+			}
+			go b.handOver(link)
+		}
+	}()
+	return nil
+}
+
+// handOver gives the listener and the operators' state to a new process, and then follows it until its link ends.
+func (b *Balancer) handOver(link *hotrestart.Link) {
+	_ = link.SetReadDeadline(time.Now().Add(takeoverTimeout)) // fails on a closed link only, and so does Receive
+	request, file, err := link.Receive()
+	if file != nil {
+		file.Close()
+	}
+	listener, isTCP := b.server.Listener().(*net.TCPListener)
+	valid := request.Kind == hotrestart.KindTakeOver && request.Listen == b.config.Listen
+	if err != nil || !valid || !isTCP {
+		slog.Warn("rejected takeover request", "err", err, "listen", request.Listen)
+		link.Close()
+		return
+	}
+	_ = link.SetReadDeadline(time.Time{})
+	peer := newPeerProcess(link, peerStarting)
+	if err := link.Send(b.hotRestartState(), listener); err != nil {
+		slog.Warn("failed to hand over listener", "err", err)
+	}
+	// The peer is notified of operators' commands from here on, and not before: it would take a state without the
+	// listener for the answer to its request. Commands that came meanwhile are covered by the notification below.
+	b.peer.Store(peer)
+	go b.notifyPeer()
+	b.followPeer(peer)
+}
+
+// takeOver makes this process ready to serve beside the old one, and then announces that it does.
+func (b *Balancer) takeOver(ctx context.Context, previous *PreviousProcess) {
+	peer := newPeerProcess(previous.link, peerServing)
+	b.peer.Store(peer)
+	go b.followPeer(peer)
+	if !b.waitForEndpoints(ctx) {
+		return
+	}
+	peer.requestSnapshot()
+	b.serving.Store(true)
+	if err := peer.link.Send(hotrestart.Message{Kind: hotrestart.KindReady}, nil); err != nil {
+		slog.Warn("failed to announce readiness to old process", "err", err)
+	}
+}
+
+// waitForEndpoints returns true once the endpoint list is known, or false once the context has ended.
+func (b *Balancer) waitForEndpoints(ctx context.Context) bool {
+	for !b.endpointsKnown() {
+		if ctx.Err() != nil {
+			return false
+		}
+		time.Sleep(endpointsPollInterval)
+	}
+	return true
+}
+
+// followPeer applies the messages of the peer process until its link ends.
+func (b *Balancer) followPeer(peer *peerProcess) {
+	defer func() {
+		peer.linkEnded()
+		b.peer.CompareAndSwap(peer, nil)
+		peer.link.Close()
+	}()
+	for {
+		message, file, err := peer.link.Receive()
+		if err != nil {
+			slog.Info("ended link to peer process", "err", err)
+			return
+		}
+		b.handlePeerMessage(peer, message, file)
+		if file != nil {
+			file.Close()
+		}
+	}
+}
+
+// handlePeerMessage applies a message. The caller closes the file that came with it, if there is one.
+func (b *Balancer) handlePeerMessage(peer *peerProcess, message hotrestart.Message, file *os.File) {
+	switch message.Kind {
+	case hotrestart.KindReady:
+		peer.becameReady()
+	case hotrestart.KindAck:
+		peer.acknowledged(message.Serial)
+	case hotrestart.KindState:
+		b.applyPeerState(message)
+		ack := hotrestart.Message{Kind: hotrestart.KindAck, Serial: message.Serial}
+		_ = peer.link.Send(ack, nil) // if it fails, so does the next Receive
+	case hotrestart.KindClientConnection:
+		b.takeClientConnection(file)
+	case hotrestart.KindSnapshotRequest:
+		b.sendSnapshot(peer)
+	case hotrestart.KindSnapshot:
+		if message.Snapshot != nil {
+			b.pool.Restore(*message.Snapshot)
+		}
+		peer.snapshotArrived()
+	}
+}
+
+// sendSnapshot fails if the fleet is too large for one message: the peer then serves without the snapshot.
+func (b *Balancer) sendSnapshot(peer *peerProcess) {
+	snapshot := b.pool.Snapshot()
+	message := hotrestart.Message{Kind: hotrestart.KindSnapshot, Snapshot: &snapshot}
+	if err := peer.link.Send(message, nil); err != nil {
+		slog.Warn("failed to send snapshot to peer process", "err", err)
+	}
+}
+
+// takeClientConnection serves a client connection that the old process has handed over. A nil file is ignored.
+func (b *Balancer) takeClientConnection(file *os.File) {
+	if file == nil {
+		return
+	}
+	conn, err := net.FileConn(file)
+	if err != nil {
+		slog.Warn("failed to take over client connection", "err", err)
+		return
+	}
+	b.server.Take(conn)
+}
+
+// hotRestartState is the message with what operators have set in this process so far.
+func (b *Balancer) hotRestartState() hotrestart.Message {
+	return hotrestart.Message{
+		Kind:      hotrestart.KindState,
+		Listen:    b.config.Listen,
+		Standby:   b.server.Drained(),
+		Overrides: b.pool.LocalOverrides(),
+	}
+}
+
+// applyPeerState merges what operators have set in the peer process.
+func (b *Balancer) applyPeerState(state hotrestart.Message) {
+	b.pool.MergeOverrides(state.Overrides)
+	b.server.Drain(state.Standby)
+}
+
+// notifyPeer sends the peer process, if there is one, what operators have set, and waits until it is applied there: a
+// command that has succeeded holds in both processes. A failure is logged only.
+func (b *Balancer) notifyPeer() {
+	peer := b.peer.Load()
+	if peer == nil {
+		return
+	}
+	if err := peer.notify(b.hotRestartState()); err != nil {
+		slog.Warn("failed to notify peer process", "err", err)
+	}
+}
--- a/internal/proxy/operator.go
+++ b/internal/proxy/operator_commands.go
@@ -9,32 +9,32 @@
 
 // This file carries out the calls of the staff on a platform's balancer.
 
-// listPatience is how long a new process waits for a list of its own before it serves with the one that it was started with.
-const listPatience = 2 * time.Second
+// endpointsTimeout is how long a new process waits for a list of its own before it serves with the one that it was started with.
+const endpointsTimeout = 2 * time.Second
 
 var _ admincmd.Handler = (*Balancer)(nil)
 
 // Status tells whether this process is ready: it serves, and goes by a list that it has heard itself.
 func (b *Balancer) Status() error {
-	if !b.listed() {
+	if !b.endpointsKnown() {
 		return errors.New("no list of upstreams has been told yet")
 	}
-	if !b.began.Load() {
+	if !b.serving.Load() {
 		return errors.New("taking the place of the process before")
 	}
 	return nil
 }
 
-// listed tells whether a list has been heard, or discovery has been silent for so long that the list of the start has to do.
-func (b *Balancer) listed() bool {
-	return b.pool.EndpointsKnown(listPatience)
+// endpointsKnown tells whether a list has been heard, or discovery has been silent for so long that the list of the start has to do.
+func (b *Balancer) endpointsKnown() bool {
+	return b.pool.EndpointsKnown(endpointsTimeout)
 }
 
 // TakeOutOfService takes an upstream out. Once it has returned nothing new is sent there.
-func (b *Balancer) TakeOutOfService(id string) (string, error) { return b.out(id) }
+func (b *Balancer) TakeOutOfService(id string) (string, error) { return b.takeOutEverywhere(id) }
 
 // ReturnToService puts it back, as one that has just been started.
-func (b *Balancer) ReturnToService(id string) (string, error) { return b.back(id) }
+func (b *Balancer) ReturnToService(id string) (string, error) { return b.returnEverywhere(id) }
 
 // Standby drains the balancer: /healthz says no, and clients' connections are closed.
 func (b *Balancer) Standby() error { return b.drain(true) }
@@ -43,7 +43,7 @@
 func (b *Balancer) Active() error { return b.drain(false) }
 
 func (b *Balancer) drain(on bool) error {
-	b.front.Drain(on)
-	b.inform()
+	b.server.Drain(on)
+	b.notifyPeer()
 	return nil
 }
--- a/internal/proxy/desk.go
+++ b/internal/proxy/platform_router.go
@@ -20,22 +20,22 @@
 // a turn of the pool's goroutine.
 const answerMargin = 4 * time.Millisecond
 
-// platform is the desk of a platform's balancer: one pool, and the request forms of its protocol.
-type platform struct {
+// platformRouter is the desk of a platform's balancer: one pool, and the request forms of its protocol.
+type platformRouter struct {
 	classes atomic.Pointer[map[string]balancer.Class]
 	pool    *pool.Pool
 }
 
-var _ frontend.Router = (*platform)(nil)
+var _ frontend.Router = (*platformRouter)(nil)
 
-func newPlatform(classes []balancer.Class, p *pool.Pool) *platform {
-	d := &platform{pool: p}
+func newPlatformRouter(classes []balancer.Class, p *pool.Pool) *platformRouter {
+	d := &platformRouter{pool: p}
 	d.adopt(classes)
 	return d
 }
 
 // adopt puts other classes in the place of those that clients may ask for.
-func (d *platform) adopt(classes []balancer.Class) {
+func (d *platformRouter) adopt(classes []balancer.Class) {
 	m := make(map[string]balancer.Class, len(classes))
 	for _, class := range classes {
 		m[class.Name] = class
@@ -43,22 +43,22 @@
 	d.classes.Store(&m)
 }
 
-func (d *platform) Now() time.Duration { return d.pool.Now() }
-func (d *platform) Ping()              { d.pool.Ping() }
+func (d *platformRouter) Now() time.Duration { return d.pool.Now() }
+func (d *platformRouter) Ping()              { d.pool.Ping() }
 
-// platformCall is a request for the one pool that there is.
-type platformCall struct {
-	asked
+// platformExchange is a request for the one pool that there is.
+type platformExchange struct {
+	parsedRequest
 	pool *pool.Pool
 }
 
-func (c *platformCall) Admit() (pool.Response, error) {
+func (c *platformExchange) Admit() (pool.Response, error) {
 	c.pool.Submit(&c.Request)
 	return pool.Response{}, nil
 }
-func (c *platformCall) Done() {}
+func (c *platformExchange) Done() {}
 
-func (d *platform) MaxDeadline() (most time.Duration) {
+func (d *platformRouter) MaxDeadline() (most time.Duration) {
 	for _, class := range *d.classes.Load() {
 		most = max(most, class.Deadline)
 	}
@@ -67,7 +67,7 @@
 
 // Check reads what a request says of itself. A field that is there must be right: a guess at what was meant would be
 // served in its place.
-func (d *platform) Check(method, target string, h *http1.Fields) (frontend.Exchange, error) {
+func (d *platformRouter) Check(method, target string, h *http1.Fields) (frontend.Exchange, error) {
 	if absolute, err := route.ParseTarget(target); err == nil && !strings.HasPrefix(target, "/") { // RFC 9112, section 3.2.2
 		target = absolute.String()
 	}
@@ -92,7 +92,7 @@
 	case (class.Idempotency == balancer.IdempotentWithKey) != (key != ""), key == "" && h.Has("Idempotency-Key"):
 		return nil, frontend.BadRequest("Idempotency-Key does not fit the class")
 	}
-	q := &platformCall{pool: d.pool, asked: asked{Request: pool.Request{Name: id}}}
+	q := &platformExchange{pool: d.pool, parsedRequest: parsedRequest{Request: pool.Request{Name: id}}}
 	if err := q.describe(h); err != nil {
 		return nil, err
 	}
@@ -102,17 +102,17 @@
 	return q, nil
 }
 
-// asked is a request with what its client says of it.
-type asked struct {
+// parsedRequest is a request with what its client says of it.
+type parsedRequest struct {
 	pool.Request
 	patience time.Duration // that the client claims; 0: none
 }
 
 // PoolRequest is what goes to the pool.
-func (q *asked) PoolRequest() *pool.Request { return &q.Request }
+func (q *parsedRequest) PoolRequest() *pool.Request { return &q.Request }
 
 // describe reads the fields that say what a request is like, whatever its class.
-func (q *asked) describe(h *http1.Fields) error {
+func (q *parsedRequest) describe(h *http1.Fields) error {
 	q.Tenant, q.Retry = h.Get("X-Tenant"), h.Get("X-Retry") == "1"
 	if h.Has("X-Deadline-Ms") {
 		ms, ok := http1.Digits(h.Get("X-Deadline-Ms"))
@@ -136,7 +136,7 @@
 const maxPatience = 1 << 40
 
 // about takes a cookie's value for what the request is about.
-func (q *asked) about(h http1.Fields, cookie string) {
+func (q *parsedRequest) about(h http1.Fields, cookie string) {
 	q.Key, q.HasKey = 0, false
 	cookies := h.Values("Cookie")
 	if len(cookies) == 0 {
@@ -154,7 +154,7 @@
 
 // assign gives a request its class and the shortest of the times that it may take: the client's, the class's, and the
 // limit of where it goes.
-func (q *asked) assign(class balancer.Class, limit time.Duration) {
+func (q *parsedRequest) assign(class balancer.Class, limit time.Duration) {
 	q.Class, q.Budget = class.Name, min(class.Deadline, limit)
 	if q.patience > 0 {
 		q.Budget = min(q.Budget, q.patience)
--- a/internal/proxy/message_test.go
+++ b/internal/proxy/platform_router_test.go
@@ -38,7 +38,7 @@
 	if err != nil {
 		f.Fatal(err)
 	}
-	desk := newPlatform([]balancer.Class{
+	desk := newPlatformRouter([]balancer.Class{
 		{Name: "checkin", Deadline: time.Second, Idempotency: balancer.NonIdempotent},
 		{Name: "read", Deadline: time.Second, Idempotency: balancer.Idempotent},
 	}, p)
--- a/internal/proxy/routing.go
+++ b/internal/proxy/route_table.go
@@ -38,7 +38,7 @@
 }
 
 // lets tells whether a route of this name lets a connection change to a protocol.
-func (r *Routing) lets(by opened) bool {
+func (r *Routing) lets(by upgradedBy) bool {
 	rule := r.Table.Rule(by.route)
 	return rule != nil && slices.Contains(r.To[rule.To].Upgrades, by.protocol)
 }
@@ -51,15 +51,15 @@
 	seed    maphash.Seed
 
 	mu      sync.Mutex
-	tunnels map[*body.Tunnel]opened
+	tunnels map[*body.Tunnel]upgradedBy
 }
 
-// opened is what a tunnel was let through by.
-type opened struct{ route, protocol string }
+// upgradedBy is what a tunnel was let through by.
+type upgradedBy struct{ route, protocol string }
 
 // NewRouteTable returns a Desk for the first set of routes.
 func NewRouteTable(r *Routing) *RouteTable {
-	d := &RouteTable{origin: time.Now(), seed: maphash.MakeSeed(), tunnels: map[*body.Tunnel]opened{}}
+	d := &RouteTable{origin: time.Now(), seed: maphash.MakeSeed(), tunnels: map[*body.Tunnel]upgradedBy{}}
 	d.epoch = time.Duration(d.origin.UnixNano())
 	d.Route(r)
 	return d
@@ -79,8 +79,8 @@
 }
 
 // Tunnel notes that the connection of a request has changed its protocol.
-func (q *routed) Tunnel(t *body.Tunnel) {
-	d, by := q.desk, opened{q.route, q.Message.Upgrade}
+func (q *routedExchange) Tunnel(t *body.Tunnel) {
+	d, by := q.desk, upgradedBy{q.route, q.Message.Upgrade}
 	d.mu.Lock()
 	d.tunnels[t] = by
 	d.mu.Unlock()
@@ -94,9 +94,9 @@
 	}
 }
 
-// routed is a request with what it is matched by, kept until a pool has taken it: routes may change while its body comes.
-type routed struct {
-	asked
+// routedExchange is a request with what it is matched by, kept until a pool has taken it: routes may change while its body comes.
+type routedExchange struct {
+	parsedRequest
 	route  string // that it goes by
 	to     *Destination
 	desk   *RouteTable
@@ -151,7 +151,7 @@
 	if method == http.MethodGet && h.Lists("Connection", "upgrade") { // before what Connection names is dropped
 		upgrade = strings.ToLower(h.Get("Upgrade"))
 	}
-	q := &routed{desk: d, asked: asked{Request: pool.Request{Name: h.Get("X-Request-Id")}}}
+	q := &routedExchange{desk: d, parsedRequest: parsedRequest{Request: pool.Request{Name: h.Get("X-Request-Id")}}}
 	if !h.Has("X-Request-Id") {
 		q.Name = newID()
 		h.Add("X-Request-Id", q.Name)
@@ -187,7 +187,7 @@
 }
 
 // find gives a request its route, class and pool by the routes that hold now.
-func (d *RouteTable) find(q *routed) error {
+func (d *RouteTable) find(q *routedExchange) error {
 	r := d.routing.Load()
 	rule := r.Table.Lookup(&q.query)
 	if rule == nil {
@@ -213,7 +213,7 @@
 }
 
 // Admit hands the request to its pool. One that was retired since the request was read is not asked: the routes of now are.
-func (q *routed) Admit() (pool.Response, error) {
+func (q *routedExchange) Admit() (pool.Response, error) {
 	for {
 		p := q.pool
 		ok, crowded := p.Acquire()
@@ -235,7 +235,7 @@
 }
 
 // Done counts the request out of its pool.
-func (q *routed) Done() { q.pool.Release() }
+func (q *routedExchange) Done() { q.pool.Release() }
 
 // full is what a request is told that a pool does not take.
 func full(after time.Duration) pool.Response {
--- a/internal/proxy/routing_test.go
+++ b/internal/proxy/route_table_test.go
@@ -73,7 +73,7 @@
 		if err != nil || call == nil {
 			return
 		}
-		q := call.(*routed)
+		q := call.(*routedExchange)
 		sent := q.Message.Bytes(time.Second)
 		in := bufio.NewReader(bytes.NewReader(sent))
 		got, err := http.ReadRequest(in)
@@ -101,7 +101,7 @@
 func TestRetiredWhileRead(t *testing.T) {
 	old, next := routedPool(t, "x", 100), routedPool(t, "y", 100)
 	d := NewRouteTable(routing(t, old))
-	heads := func(n int) (all []*routed) {
+	heads := func(n int) (all []*routedExchange) {
 		for i := range n {
 			h := http1.Fields{{Name: "Host", Value: "x.example.org"}, {Name: "X-Request-Id", Value: fmt.Sprint(i)}}
 			q, err := d.Check("POST", "/a", &h)
@@ -109,7 +109,7 @@
 				t.Fatal(err)
 			}
 			q.PoolRequest().Reply = make(chan pool.Response, 1)
-			all = append(all, q.(*routed))
+			all = append(all, q.(*routedExchange))
 		}
 		return all
 	}
--- a/internal/proxy/stream_test.go
+++ b/internal/proxy/streaming_test.go
@@ -85,7 +85,7 @@
 				t.Errorf("%d bytes, %s: the body is another, of %d bytes", size, framing, len(sent))
 			}
 		}
-		free := b.front.SpoolFree()
+		free := b.server.SpoolFree()
 		want(t, "memory for bodies, taken", int64(b.config.MemoryMB)<<20/8-free, int64(0))
 	}
 }
