--- a/internal/proxy/peer_process_test.go
+++ b/internal/proxy/peer_process_test.go
@@ -59,7 +59,7 @@
 	return newPeerProcess(near, peerStarting), far
 }
 
-// A notification succeeds by the ack of its serial, and fails by an end of the link or a peer that says nothing in time.
+// A notification succeeds by the ack of its serial. It fails by the end of the link, or without an ack in time.
 func TestNotifyPeerWaitsForTheAck(t *testing.T) {
 	for _, c := range []struct {
 		name   string
@@ -67,7 +67,7 @@
 		want   error
 	}{
 		{"acknowledged", func(p *peerProcess, serial uint64) { p.acknowledged(serial) }, nil},
-		{"another serial is acknowledged", func(p *peerProcess, serial uint64) { p.acknowledged(serial + 1) }, errPeerNotInTime},
+		{"another serial", func(p *peerProcess, serial uint64) { p.acknowledged(serial + 1) }, errPeerNotInTime},
 		{"no answer", func(*peerProcess, uint64) {}, errPeerNotInTime},
 		{"the link ends", func(p *peerProcess, _ uint64) { p.linkEnded() }, errPeerEnded},
 	} {
--- a/internal/proxy/shared_overrides.go
+++ b/internal/proxy/shared_overrides.go
@@ -5,6 +5,7 @@
 	"errors"
 	"fmt"
 	"log/slog"
+	"slices"
 	"sync"
 	"time"
 
@@ -14,141 +15,142 @@
 	"olivearch/internal/override"
 )
 
-// sharedOverrides is this balancer's part in the ledger: it serves by a copy of what is held there, and passes staff's word on. Requests do
-// not wait for it: the pool has the copy.
+// overrideReason is the reason that overrides from operators' commands have in the coordination cluster.
+const overrideReason = "maint-on"
+
+// overrideProposer proposes commands to the coordination cluster.
+type overrideProposer interface {
+	Propose(ctx context.Context, command state.Command) (client.Response, error)
+	Close()
+}
+
+// overrideFollower has this process's copy of the cluster's state.
+type overrideFollower interface {
+	View() *client.View
+	Close()
+}
+
+// sharedOverrides is this balancer's part in the coordination cluster: it applies the overrides that all balancers
+// share, and proposes those of its own operators. Requests do not wait for it, since the pool has its own copy. Its
+// methods may be called from any goroutine.
 type sharedOverrides struct {
-	name   string // the balancer's
-	within time.Duration
-	caller *client.Client
-	copy   *client.Follower
-
-	mu     sync.Mutex
-	words  []state.Override
-	govern func([]state.Override) // nil: the pool is not there yet
-	handed map[string]uint64      // upstreams out by this balancer's own word, until the copy has the ledger's of this revision
-	landed func(id string)
+	balancerName string
+	timeout      time.Duration // of a proposal
+	proposer     overrideProposer
+	follower     overrideFollower
+
+	mu        sync.Mutex // guards the fields below; held during calls of apply and release
+	overrides []state.Override
+	apply     func([]state.Override) // nil until attach
+	release   func(id string)        // as apply
+	// localUntil has the upstreams that are out by this balancer's local override, each until the follower's copy has
+	// the shared override of this revision.
+	localUntil map[string]uint64
 }
 
-func newSharedOverrides(name string, c *config.Promises) *sharedOverrides {
-	p := &sharedOverrides{name: name, within: time.Duration(c.Within), caller: client.New(name, c.Voters), handed: map[string]uint64{}}
-	p.copy = client.StartFollower(name, c.Voters, c.Copy, p.changed)
-	return p
+func newSharedOverrides(balancerName string, c *config.Promises) *sharedOverrides {
+	s := &sharedOverrides{
+		balancerName: balancerName,
+		timeout:      time.Duration(c.Within),
+		proposer:     client.New(balancerName, c.Voters),
+		localUntil:   map[string]uint64{},
+	}
+	s.follower = client.StartFollower(balancerName, c.Voters, c.Copy, s.overridesChanged)
+	return s
 }
 
-// attach gives a pool what is held, now and whenever it changes. landed is called for an upstream that is out by this balancer's own word,
-// once the ledger's says so too.
-func (p *sharedOverrides) attach(govern func([]state.Override), landed func(id string)) {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	p.govern, p.landed = govern, landed
-	govern(p.words)
+// attach calls apply with the shared overrides, now and after each change. release is called for an upstream that is
+// out by a local override, once the shared one is applied too.
+func (s *sharedOverrides) attach(apply func([]state.Override), release func(id string)) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	s.apply, s.release = apply, release
+	apply(s.overrides)
 }
 
-func (p *sharedOverrides) changed(words []state.Override) {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	p.words = words
-	if p.govern == nil {
+// overridesChanged is called by the follower, from its goroutine; while it starts, before attach.
+func (s *sharedOverrides) overridesChanged(overrides []state.Override) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	s.overrides = overrides
+	if s.apply == nil {
 		return
 	}
-	p.govern(words)
-	p.land()
+	s.apply(overrides)
+	s.releaseReplicated()
 }
 
-// land lets go of what the ledger holds by now. The caller holds the lock.
-func (p *sharedOverrides) land() {
-	index := p.copy.View().Index
-	for id, revision := range p.handed {
+// releaseReplicated releases the local overrides that this process's copy of the shared ones has by now. The caller
+// holds the lock.
+func (s *sharedOverrides) releaseReplicated() {
+	index := s.follower.View().Index
+	for id, revision := range s.localUntil {
 		if revision <= index {
-			p.landed(id)
-			delete(p.handed, id)
+			s.release(id)
+			delete(s.localUntil, id)
 		}
 	}
 }
 
-func (p *sharedOverrides) close() {
-	p.copy.Close()
-	p.caller.Close()
+func (s *sharedOverrides) close() {
+	s.follower.Close()
+	s.proposer.Close()
 }
 
-// set gives staff's word that an upstream is out to all balancers. The note says by how many voters it is held.
-func (p *sharedOverrides) set(id string, at time.Time) (note string, err error) {
-	ctx, cancel := context.WithTimeout(context.Background(), p.within)
+// set takes an upstream out of service at all balancers. The note says how many voters have stored that. After an error
+// the local override alone is certain.
+func (s *sharedOverrides) set(upstreamID string, at time.Time) (note string, err error) {
+	ctx, cancel := context.WithTimeout(context.Background(), s.timeout)
 	defer cancel()
-	a, err := p.caller.Propose(ctx, &state.SetOverride{Subject: outOf(id), By: p.name, Reason: "maint-on", At: at.UnixMilli()})
-	switch {
-	case errors.Is(err, client.ErrUnsure):
+	response, err := s.proposer.Propose(ctx, &state.SetOverride{
+		Subject: outOfServiceSubject(upstreamID),
+		By:      s.balancerName,
+		Reason:  overrideReason,
+		At:      at.UnixMilli(),
+	})
+	if errors.Is(err, client.ErrUnsure) {
 		return "", fmt.Errorf("only here for certain: the others may be told, or not (%w)", err)
-	case err != nil:
+	}
+	if err != nil {
 		return "", fmt.Errorf("only here, not copied: %w", err)
 	}
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	p.handed[id] = a.Result.Revision
-	p.land()
-	return held(a), nil
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	s.localUntil[upstreamID] = response.Result.Revision
+	s.releaseReplicated()
+	return storedNote(response), nil
 }
 
-// clear takes that word back. out tells whether the upstream is out by the ledger's word, as far as this balancer knows.
-func (p *sharedOverrides) clear(id string) (note string, out bool, err error) {
-	ctx, cancel := context.WithTimeout(context.Background(), p.within)
+// clear returns an upstream to service at all balancers. After an error, stillOut tells whether the shared override
+// holds as far as this process knows.
+func (s *sharedOverrides) clear(upstreamID string) (note string, stillOut bool, err error) {
+	ctx, cancel := context.WithTimeout(context.Background(), s.timeout)
 	defer cancel()
-	a, err := p.caller.Propose(ctx, &state.ClearOverride{Subject: outOf(id), By: p.name})
-	p.mu.Lock()
-	defer p.mu.Unlock()
+	subject := outOfServiceSubject(upstreamID)
+	response, err := s.proposer.Propose(ctx, &state.ClearOverride{Subject: subject, By: s.balancerName})
+	s.mu.Lock()
+	defer s.mu.Unlock()
 	if err != nil {
-		for _, w := range p.words {
-			out = out || w.Subject == outOf(id)
-		}
-		return "", out, err
+		return "", s.has(subject), err
 	}
-	delete(p.handed, id)
-	return held(a), false, nil
+	delete(s.localUntil, upstreamID)
+	return storedNote(response), false, nil
 }
 
-func outOf(id string) state.Subject {
-	return state.Subject{Kind: state.OutOfService, Scope: state.ScopeUpstream, Target: id}
+// has tells whether there is an override of a subject. The caller holds the lock.
+func (s *sharedOverrides) has(subject state.Subject) bool {
+	return slices.ContainsFunc(s.overrides, func(o state.Override) bool { return o.Subject == subject })
 }
 
-// held says by how many voters a promise is held.
-func held(a client.Response) string { return fmt.Sprintf("held by %d of %d", a.Stored, a.Voters) }
-
-// takeOutEverywhere takes an upstream out: here at once, and then by the ledger's word for all.
-func (b *Balancer) takeOutEverywhere(id string) (string, error) {
-	if err := b.pool.SetOutOfService(id, true); err != nil {
-		return "", err
-	}
-	b.notifyPeer()
-	if b.sharedOverrides == nil {
-		return "", nil
-	}
-	return b.sharedOverrides.set(id, time.Now())
+func outOfServiceSubject(upstreamID string) state.Subject {
+	return state.Subject{Kind: state.OutOfService, Scope: state.ScopeUpstream, Target: upstreamID}
 }
 
-// returnEverywhere puts an upstream back: by the ledger's word first, since one that is out stays out until that is taken back.
-func (b *Balancer) returnEverywhere(id string) (note string, err error) {
-	var failed error
-	if b.sharedOverrides != nil {
-		if !b.pool.HasEndpoint(id) {
-			return "", fmt.Errorf("there is no upstream %.40q", id)
-		}
-		out := false
-		if note, out, failed = b.sharedOverrides.clear(id); failed != nil && out {
-			return "", fmt.Errorf("still out, here and at the others: %w", failed)
-		}
-	}
-	if err := b.pool.SetOutOfService(id, false); err != nil {
-		return "", err
-	}
-	b.notifyPeer()
-	if failed != nil {
-		return "", fmt.Errorf("back here, where it was out by this balancer's word alone; the others could not be told: %w", failed)
-	}
-	return note, nil
-}
+// storedNote tells operators how many voters have stored a proposal.
+func storedNote(r client.Response) string { return fmt.Sprintf("held by %d of %d", r.Stored, r.Voters) }
 
-// applySharedOverrides gives the pool what the ledger says.
-func (b *Balancer) applySharedOverrides(words []state.Override) {
-	b.pool.ApplyOverrides(override.ForPool(words, b.config.Name))
-	slog.Info("applied shared overrides", "overrides", len(words))
+// applySharedOverrides gives the pool its part of the shared overrides.
+func (b *Balancer) applySharedOverrides(overrides []state.Override) {
+	b.pool.ApplyOverrides(override.ForPool(overrides, b.config.Name))
+	slog.Info("applied shared overrides", "overrides", len(overrides))
 }
--- /dev/null
+++ b/internal/proxy/shared_overrides_test.go
@@ -0,0 +1,134 @@
+package proxy
+
+import (
+	"context"
+	"errors"
+	"fmt"
+	"slices"
+	"testing"
+	"time"
+
+	"olivearch/internal/coordination/client"
+	"olivearch/internal/coordination/state"
+)
+
+// fakeCluster answers each proposal in the same way, and shows a copy of the state at an index.
+type fakeCluster struct {
+	response client.Response
+	err      error
+	index    uint64
+	proposed []state.Command
+}
+
+func (f *fakeCluster) Propose(_ context.Context, command state.Command) (client.Response, error) {
+	f.proposed = append(f.proposed, command)
+	return f.response, f.err
+}
+func (f *fakeCluster) View() *client.View { return &client.View{Index: f.index} }
+func (f *fakeCluster) Close()             {}
+
+// attachedOverrides returns sharedOverrides by a cluster, and the upstreams that it has released.
+func attachedOverrides(t *testing.T, cluster *fakeCluster) (shared *sharedOverrides, released *[]string) {
+	t.Helper()
+	shared = &sharedOverrides{
+		balancerName: "n0", timeout: time.Second, proposer: cluster, follower: cluster,
+		localUntil: map[string]uint64{},
+	}
+	released = new([]string)
+	shared.attach(func([]state.Override) {}, func(id string) { *released = append(*released, id) })
+	return shared, released
+}
+
+// What operators read of a shared override, and whether the local one is released at once.
+func TestSetSharedOverride(t *testing.T) {
+	unsure := fmt.Errorf("voter k1: %w", client.ErrUnsure)
+	for _, c := range []struct {
+		name     string
+		cluster  fakeCluster
+		note     string
+		err      string
+		cause    error
+		released []string
+	}{
+		{
+			name: "stored, and not in the copy yet", note: "held by 2 of 3",
+			cluster: fakeCluster{response: client.Response{Stored: 2, Voters: 3, Result: state.Result{Revision: 8}}, index: 7},
+		},
+		{
+			name: "stored, and in the copy already", note: "held by 3 of 3", released: []string{"s-1"},
+			cluster: fakeCluster{response: client.Response{Stored: 3, Voters: 3, Result: state.Result{Revision: 8}}, index: 8},
+		},
+		{
+			name: "no voter reached", cause: client.ErrNobody, cluster: fakeCluster{err: client.ErrNobody, index: 9},
+			err: "only here, not copied: no voter could take it",
+		},
+		{
+			name: "no certainty", cause: client.ErrUnsure, cluster: fakeCluster{err: unsure, index: 9},
+			err: "only here for certain: the others may be told, or not (voter k1: it may be held, or may yet be)",
+		},
+	} {
+		t.Run(c.name, func(t *testing.T) {
+			shared, released := attachedOverrides(t, &c.cluster)
+			note, err := shared.set("s-1", time.UnixMilli(17))
+			want(t, "note", note, c.note)
+			if !errors.Is(err, c.cause) || err != nil && err.Error() != c.err {
+				t.Errorf("got %v, want %q", err, c.err)
+			}
+			if !slices.Equal(*released, c.released) {
+				t.Errorf("released %v, want %v", *released, c.released)
+			}
+			command := c.cluster.proposed[0].(*state.SetOverride)
+			want(t, "command", *command, state.SetOverride{
+				Subject: state.Subject{Kind: state.OutOfService, Scope: state.ScopeUpstream, Target: "s-1"},
+				By:      "n0", Reason: "maint-on", At: 17,
+			})
+		})
+	}
+}
+
+// A local override is released by the first copy that has the shared one, once.
+func TestLocalOverrideIsReleasedByTheCopy(t *testing.T) {
+	cluster := &fakeCluster{response: client.Response{Result: state.Result{Revision: 8}}, index: 6}
+	shared, released := attachedOverrides(t, cluster)
+	if _, err := shared.set("s-1", time.Now()); err != nil {
+		t.Fatal(err)
+	}
+	for _, c := range []struct {
+		index    uint64
+		released int
+	}{{7, 0}, {8, 1}, {9, 1}} {
+		cluster.index = c.index
+		shared.overridesChanged(nil)
+		want(t, fmt.Sprint("released at index ", c.index), len(*released), c.released)
+	}
+}
+
+// An upstream stays out after a failed clear if the copy has the shared override.
+func TestClearSharedOverride(t *testing.T) {
+	out := []state.Override{{Subject: outOfServiceSubject("s-1")}}
+	capSubject := state.Subject{Kind: state.ConcurrencyCap, Scope: state.ScopeUpstream, Target: "s-1"}
+	capped := []state.Override{{Subject: capSubject, Value: 10}}
+	for _, c := range []struct {
+		name      string
+		overrides []state.Override
+		err       error
+		stillOut  bool
+		note      string
+	}{
+		{"cleared", out, nil, false, "held by 2 of 3"},
+		{"failed, and out", out, client.ErrNobody, true, ""},
+		{"failed, and not out", nil, client.ErrNobody, false, ""},
+		{"failed, and capped alone", capped, client.ErrUnsure, false, ""},
+	} {
+		t.Run(c.name, func(t *testing.T) {
+			shared, _ := attachedOverrides(t, &fakeCluster{response: client.Response{Stored: 2, Voters: 3}, err: c.err})
+			shared.overridesChanged(c.overrides)
+			note, stillOut, err := shared.clear("s-1")
+			want(t, "note", note, c.note)
+			want(t, "still out", stillOut, c.stillOut)
+			if !errors.Is(err, c.err) {
+				t.Errorf("got %v, want %v", err, c.err)
+			}
+		})
+	}
+}
