--- a/internal/proxy/balancer.go
+++ b/internal/proxy/balancer.go
@@ -11,48 +11,54 @@
 	"olivearch/internal/pool"
 )
 
-// Balancer is a platform's balancer: one front and one pool.
+// Balancer is a platform's balancer: one client server and one pool. Operators' commands may come from any goroutine.
 type Balancer struct {
-	config   Config
-	pool     *pool.Pool
-	router   *platformRouter
-	server   *frontend.Server
-	cancel   context.CancelFunc
-	previous *PreviousProcess // nil: no other process served before this one
-	peer     atomic.Pointer[peerProcess]
-	serving  atomic.Bool // to serve clients
-
-	sharedOverrides *sharedOverrides // nil: it takes no part in a ledger
+	config          Config // of the start
+	pool            *pool.Pool
+	router          *platformRouter
+	server          *frontend.Server
+	cancel          context.CancelFunc          // ends the pool and the shared overrides
+	previous        *PreviousProcess            // nil: this process takes over from none
+	peer            atomic.Pointer[peerProcess] // nil: there is no other process now
+	serving         atomic.Bool                 // clients are served, or will be at once
+	sharedOverrides *sharedOverrides            // nil: it takes no part in a coordination cluster
 }
 
-// Start makes a balancer for the clients of a listener. Its pool follows discovery at once, and clients are served by Run.
-// before is the process whose place it takes, and whose listener this is; nil: none.
-func Start(c Config, listener net.Listener, before *PreviousProcess) (*Balancer, error) {
-	life, end := context.WithCancel(context.Background())
-	var held map[string]override.Entry
-	if before != nil {
-		held = before.state.Overrides
+// Start makes a balancer for the clients of a listener. Its pool follows discovery at once; clients are served by Run.
+// previous is the process that it takes over from, and whose listener this is; nil: none.
+func Start(config Config, listener net.Listener, previous *PreviousProcess) (*Balancer, error) {
+	ctx, cancel := context.WithCancel(context.Background())
+	var overrides map[string]override.Entry
+	var standby bool
+	if previous != nil {
+		overrides, standby = previous.state.Overrides, previous.state.Standby
 	}
-	p, err := pool.New(life, c.spec(), nil, held)
+	upstreams, err := pool.New(ctx, config.poolSpec(), nil, overrides)
 	if err != nil {
-		end()
+		cancel()
 		return nil, err
 	}
-	b := &Balancer{config: c, pool: p, router: newPlatformRouter(c.Settings.Classes, p), cancel: end, previous: before}
-	if c.Promises != nil {
-		b.sharedOverrides = newSharedOverrides(c.Name, c.Promises)
-		b.sharedOverrides.attach(b.applySharedOverrides, p.ReleaseLocalOverride)
-		context.AfterFunc(life, b.sharedOverrides.close)
+	started := &Balancer{
+		config:   config,
+		pool:     upstreams,
+		router:   newPlatformRouter(config.Settings.Classes, upstreams),
+		cancel:   cancel,
+		previous: previous,
+	}
+	if config.Coordination != nil {
+		started.sharedOverrides = newSharedOverrides(config.Name, config.Coordination)
+		started.sharedOverrides.attach(started.applySharedOverrides, upstreams.ReleaseLocalOverride)
+		context.AfterFunc(ctx, started.sharedOverrides.close)
 	}
-	b.server = frontend.New(b.router, listener, frontend.Usual(c.clientConns()))
-	b.server.Spare(c.requestConns())
-	b.server.Spool(int64(c.MemoryMB) << 20 / 8)
-	b.server.Drain(before != nil && before.state.Standby)
-	return b, nil
+	started.server = frontend.New(started.router, listener, frontend.Usual(config.clientConns()))
+	started.server.Spare(config.requestConns())
+	started.server.Spool(config.bodyBufferBytes())
+	started.server.Drain(standby)
+	return started, nil
 }
 
-// Run serves clients until ctx ends, and then until all that was taken is answered. Each configuration from reloads takes
-// the place of the one before.
+// Run serves clients until ctx ends, and then until all requests that were accepted are answered. Each configuration
+// from reloads replaces the one before.
 func (b *Balancer) Run(ctx context.Context, reloads <-chan Config) error {
 	defer b.cancel()
 	if b.previous != nil {
@@ -68,17 +74,29 @@
 	go func() { served <- b.server.Serve() }()
 	for {
 		select {
-		case c := <-reloads:
-			b.pool.Reload(c.spec(), func() { b.router.adopt(c.Settings.Classes) }) // after the module: what a client may ask for it knows
+		case config := <-reloads:
+			b.reload(config)
 		case err := <-served:
 			return err
 		case <-ctx.Done():
-			if peer := b.peer.Load(); peer != nil && peer.hasServed() {
-				b.server.HandOver(peer.link)
-			} else {
-				b.server.Stop()
-			}
+			b.stopServing()
 			return nil
 		}
 	}
 }
+
+// reload gives the pool a new configuration, and then the router its classes: once clients may name a class, the
+// decision module knows it.
+func (b *Balancer) reload(config Config) {
+	b.pool.Reload(config.poolSpec(), func() { b.router.setClasses(config.Settings.Classes) })
+}
+
+// stopServing returns once all requests are answered. Other client connections go to the peer process if that has begun
+// to serve, and are closed if not.
+func (b *Balancer) stopServing() {
+	if peer := b.peer.Load(); peer != nil && peer.hasServed() {
+		b.server.HandOver(peer.link)
+	} else {
+		b.server.Stop()
+	}
+}
--- a/internal/proxy/route_table.go
+++ b/internal/proxy/route_table.go
@@ -1,13 +1,10 @@
 package proxy
 
 import (
-	"crypto/rand"
-	"encoding/hex"
 	"hash/maphash"
 	"net/http"
 	"slices"
 	"strings"
-	"sync"
 	"sync/atomic"
 	"time"
 
@@ -20,11 +17,18 @@
 	"olivearch/internal/upstream"
 )
 
+const (
+	// maxRequestID bounds a client's X-Request-Id, in bytes.
+	maxRequestID = 256
+	// fullPoolRetryAfter is when the client of a pool that is full may try again.
+	fullPoolRetryAfter = time.Second
+)
+
 // Destination is what a route does with its requests, beside naming pools.
 type Destination struct {
 	Class     balancer.Class
 	Limit     time.Duration // on the wait for an answer
-	KeyCookie string        // whose value decides among several pools
+	KeyCookie string        // whose value chooses among the route's pools
 	Bodies    *body.Limits  // nil: the usual ones
 	Upgrades  []string      // protocols that a connection may change to (RFC 9110, section 7.8), in small letters
 	Tunnels   *body.TunnelLimits
@@ -37,207 +41,256 @@
 	Pools map[string]*pool.Pool
 }
 
-// lets tells whether a route of this name lets a connection change to a protocol.
-func (r *Routing) lets(by upgradedBy) bool {
+// allows tells whether a route of this name still lets a connection change to the protocol.
+func (r *Routing) allows(by upgradedBy) bool {
 	rule := r.Table.Rule(by.route)
 	return rule != nil && slices.Contains(r.To[rule.To].Upgrades, by.protocol)
 }
 
-// RouteTable takes requests for several pools by their routes. Its Routing may be replaced while requests come.
+// RouteTable is a router that finds the pool of a request by its route. Its methods may be called from any goroutine;
+// its Routing may be replaced while requests come.
 type RouteTable struct {
-	routing atomic.Pointer[Routing]
-	origin  time.Time
-	epoch   time.Duration
-	seed    maphash.Seed
-
-	mu      sync.Mutex
-	tunnels map[*body.Tunnel]upgradedBy
+	routing   atomic.Pointer[Routing]
+	startedAt time.Time
+	epoch     time.Duration // Unix time of startedAt
+	seed      maphash.Seed  // for requests without a key
+	tunnels   tunnelSet
 }
 
-// upgradedBy is what a tunnel was let through by.
-type upgradedBy struct{ route, protocol string }
+var _ frontend.Router = (*RouteTable)(nil)
 
-// NewRouteTable returns a Desk for the first set of routes.
+// NewRouteTable returns a router with a first set of routes.
 func NewRouteTable(r *Routing) *RouteTable {
-	d := &RouteTable{origin: time.Now(), seed: maphash.MakeSeed(), tunnels: map[*body.Tunnel]upgradedBy{}}
-	d.epoch = time.Duration(d.origin.UnixNano())
-	d.Route(r)
-	return d
-}
-
-// Route puts other routes in the place of those that hold. Requests that are in a pool stay there; tunnels whose route has gone, or
-// lets them through no more, end within their grace.
-func (d *RouteTable) Route(r *Routing) {
-	d.routing.Store(r)
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	for t, by := range d.tunnels {
-		if !r.lets(by) {
-			t.EndSoon()
-		}
+	t := &RouteTable{
+		startedAt: time.Now(),
+		seed:      maphash.MakeSeed(),
+		tunnels:   tunnelSet{open: map[*body.Tunnel]upgradedBy{}},
 	}
+	t.epoch = time.Duration(t.startedAt.UnixNano())
+	t.Route(r)
+	return t
 }
 
-// Tunnel notes that the connection of a request has changed its protocol.
-func (q *routedExchange) Tunnel(t *body.Tunnel) {
-	d, by := q.desk, upgradedBy{q.route, q.Message.Upgrade}
-	d.mu.Lock()
-	d.tunnels[t] = by
-	d.mu.Unlock()
-	t.Ended(func() {
-		d.mu.Lock()
-		defer d.mu.Unlock()
-		delete(d.tunnels, t)
-	})
-	if !d.routing.Load().lets(by) { // a reload came meanwhile
-		t.EndSoon()
-	}
+// Route replaces the routes. Requests that are in a pool stay there; tunnels whose route has gone, or does not allow
+// them any more, end within their grace.
+func (t *RouteTable) Route(r *Routing) {
+	t.routing.Store(r)
+	t.tunnels.endUnless(r.allows)
 }
 
-// routedExchange is a request with what it is matched by, kept until a pool has taken it: routes may change while its body comes.
-type routedExchange struct {
-	parsedRequest
-	route  string // that it goes by
-	to     *Destination
-	desk   *RouteTable
-	query  route.Query
-	fields http1.Fields // as they came
-	hash   uint64
-	keyed  bool // it carries an Idempotency-Key
-	pool   *pool.Pool
-}
-
-var _ frontend.Router = (*RouteTable)(nil)
-
-// Now goes by the clocks that pools keep: Unix time at the start, then the monotonic clock. Pools start at other times;
-// what their clocks differ by is how far the machine's clock was set in between, so pools get the time on their own.
-func (d *RouteTable) Now() time.Duration { return d.epoch + time.Since(d.origin) }
+// Now is Unix time at the start plus what the monotonic clock has counted since, as on the pools' clocks. Pools start
+// at other times, so their clocks differ by how far the machine's clock was set in between: a pool gets times on its
+// own.
+func (t *RouteTable) Now() time.Duration { return t.epoch + time.Since(t.startedAt) }
 
 // MaxDeadline is the longest limit of a route.
-func (d *RouteTable) MaxDeadline() (most time.Duration) {
-	for _, to := range d.routing.Load().To {
-		most = max(most, to.Limit)
+func (t *RouteTable) MaxDeadline() (longest time.Duration) {
+	for _, destination := range t.routing.Load().To {
+		longest = max(longest, destination.Limit)
 	}
-	return most
+	return longest
 }
 
 // Ping returns once every pool has had a turn.
-func (d *RouteTable) Ping() {
-	for _, p := range d.routing.Load().Pools {
+func (t *RouteTable) Ping() {
+	for _, p := range t.routing.Load().Pools {
 		p.Ping()
 	}
 }
 
-// Check reads a request of any form that HTTP allows, gives its host and target their canonical reading, and finds its
-// route.
-func (d *RouteTable) Check(method, target string, h *http1.Fields) (frontend.Exchange, error) {
-	if method == "" || method == http.MethodConnect || method == http.MethodTrace || strings.ContainsFunc(method, func(r rune) bool { return r < 'A' || r > 'Z' }) {
+// routedExchange is a request with what it is matched by, until a pool has taken it: routes may change while its body
+// comes.
+type routedExchange struct {
+	parsedRequest
+	table             *RouteTable
+	query             route.Query
+	fields            http1.Fields // as they came, less those that end at the client's connection
+	hasIdempotencyKey bool
+
+	// Set by lookUp, maybe again by Admit.
+	routeName   string
+	destination *Destination
+	pool        *pool.Pool
+}
+
+// Check reads the head of a request of any form that HTTP allows, brings host and target to their canonical forms, and
+// finds the route.
+func (t *RouteTable) Check(method, target string, fields *http1.Fields) (frontend.Exchange, error) {
+	if !isServed(method) {
 		return nil, &frontend.Rejection{Status: http.StatusNotImplemented, Why: "the method is not served"}
 	}
-	t, err := route.ParseTarget(target)
+	parsedTarget, err := route.ParseTarget(target)
 	if err != nil {
 		return nil, frontend.BadRequest("%v", err)
 	}
-	if !h.Has("Host") { // RFC 9112, section 3.2: wanted also beside an absolute target
-		return nil, frontend.BadRequest("Host is wanted")
-	}
-	host := t.Host // of an absolute target it goes before the field
-	if host == "" {
-		if host, err = route.Host(h.Get("Host")); err != nil {
-			return nil, frontend.BadRequest("%v", err)
-		}
-	}
-	upgrade := ""
-	if method == http.MethodGet && h.Lists("Connection", "upgrade") { // before what Connection names is dropped
-		upgrade = strings.ToLower(h.Get("Upgrade"))
+	host, err := requestHost(parsedTarget, fields)
+	if err != nil {
+		return nil, err
 	}
-	q := &routedExchange{desk: d, parsedRequest: parsedRequest{Request: pool.Request{Name: h.Get("X-Request-Id")}}}
-	if !h.Has("X-Request-Id") {
-		q.Name = newID()
-		h.Add("X-Request-Id", q.Name)
-	} else if q.Name == "" || len(q.Name) > 256 {
-		return nil, frontend.BadRequest("X-Request-Id is empty or over 256 bytes")
+	upgrade := requestedUpgrade(method, fields) // before parseFields drops what Connection names
+	requestID, err := ensureRequestID(fields)
+	if err != nil {
+		return nil, err
 	}
-	if err := q.describe(h); err != nil {
+	exchange := &routedExchange{table: t, parsedRequest: parsedRequest{Request: pool.Request{Name: requestID}}}
+	if err := exchange.parseFields(fields); err != nil {
 		return nil, err
 	}
-	if h.Has("Idempotency-Key") && h.Get("Idempotency-Key") == "" {
+	exchange.hasIdempotencyKey = fields.Has(fieldIdempotencyKey)
+	if exchange.hasIdempotencyKey && fields.Get(fieldIdempotencyKey) == "" {
 		return nil, frontend.BadRequest("Idempotency-Key is empty")
 	}
-	q.fields = *h
-	q.query = route.Query{Host: host, Path: t.Path, Method: method, Class: h.Get("X-Class"), Fields: q.fields}
-	q.keyed = h.Has("Idempotency-Key")
-	if err := d.find(q); err != nil {
+	exchange.fields = *fields
+	exchange.query = route.Query{
+		Host: host, Path: parsedTarget.Path, Method: method, Class: fields.Get(fieldClass), Fields: exchange.fields,
+	}
+	if err := t.lookUp(exchange); err != nil {
 		return nil, err
 	}
-	bodied := method != http.MethodGet && method != http.MethodHead && method != http.MethodOptions && method != http.MethodDelete
-	to := q.to
-	q.Message = upstream.Message{Line: method + " " + t.String(), Header: *h, Host: host, Bodied: bodied, Limits: to.Bodies, Hints: true}
-	if slices.Contains(to.Upgrades, upgrade) && upgrade != "" { // else it is an ordinary request: who asks must expect that
-		q.Message.Upgrade, q.Message.Tunnel = upgrade, to.Tunnels
+	exchange.Message = upstream.Message{
+		Line:   method + " " + parsedTarget.String(),
+		Header: *fields,
+		Host:   host,
+		Bodied: mayHaveBody(method),
+		Limits: exchange.destination.Bodies,
+		Hints:  true,
 	}
-	return q, nil
+	exchange.allowUpgrade(upgrade)
+	return exchange, nil
 }
 
-// newID names a request whose client did not.
-func newID() string {
-	var b [8]byte
-	rand.Read(b[:]) // never fails
-	return hex.EncodeToString(b[:])
+// isServed tells whether a method is one of capital letters that is neither CONNECT nor TRACE.
+func isServed(method string) bool {
+	notCapital := func(r rune) bool { return r < 'A' || r > 'Z' }
+	switch method {
+	case "", http.MethodConnect, http.MethodTrace:
+		return false
+	}
+	return !strings.ContainsFunc(method, notCapital)
+}
+
+// mayHaveBody tells whether requests of a method go on with a length, also where that is 0.
+func mayHaveBody(method string) bool {
+	switch method {
+	case http.MethodGet, http.MethodHead, http.MethodOptions, http.MethodDelete:
+		return false
+	}
+	return true
+}
+
+// requestHost returns the canonical host. That of an absolute target goes before the Host field, which must be there
+// all the same (RFC 9112, section 3.2).
+func requestHost(target route.Target, fields *http1.Fields) (string, error) {
+	if !fields.Has(fieldHost) {
+		return "", frontend.BadRequest("Host is wanted")
+	}
+	if target.Host != "" {
+		return target.Host, nil
+	}
+	host, err := route.Host(fields.Get(fieldHost))
+	if err != nil {
+		return "", frontend.BadRequest("%v", err)
+	}
+	return host, nil
+}
+
+// requestedUpgrade returns the protocol that a client asks to change to, in small letters, or "".
+func requestedUpgrade(method string, fields *http1.Fields) string {
+	if method != http.MethodGet || !fields.Lists(fieldConnection, "upgrade") {
+		return ""
+	}
+	return strings.ToLower(fields.Get(fieldUpgrade))
 }
 
-// find gives a request its route, class and pool by the routes that hold now.
-func (d *RouteTable) find(q *routedExchange) error {
-	r := d.routing.Load()
-	rule := r.Table.Lookup(&q.query)
+// ensureRequestID returns the client's id of a request, or adds one.
+func ensureRequestID(fields *http1.Fields) (string, error) {
+	if !fields.Has(fieldRequestID) {
+		id := newRequestID()
+		fields.Add(fieldRequestID, id)
+		return id, nil
+	}
+	id := fields.Get(fieldRequestID)
+	if id == "" || len(id) > maxRequestID {
+		return "", frontend.BadRequest("X-Request-Id is empty or over 256 bytes")
+	}
+	return id, nil
+}
+
+// lookUp gives a request its route, class and pool by the current routes.
+func (t *RouteTable) lookUp(exchange *routedExchange) error {
+	routing := t.routing.Load()
+	rule := routing.Table.Lookup(&exchange.query)
 	if rule == nil {
 		return &frontend.Rejection{Status: http.StatusNotFound, Why: "no route leads there"}
 	}
-	q.route = rule.Name
-	to := &r.To[rule.To]
-	q.to = to
-	switch named := q.query.Class; {
-	case named != "" && named != to.Class.Name:
+	destination := &routing.To[rule.To]
+	exchange.routeName, exchange.destination = rule.Name, destination
+	class := destination.Class
+	if named := exchange.query.Class; named != "" && named != class.Name {
 		return frontend.BadRequest("X-Class names %q, and the route to this host and path is for another class", named)
-	case to.Class.Idempotency == balancer.IdempotentWithKey && !q.keyed:
+	}
+	if class.Idempotency == balancer.IdempotentWithKey && !exchange.hasIdempotencyKey {
 		return frontend.BadRequest("Idempotency-Key is wanted")
 	}
-	q.about(q.fields, to.KeyCookie)
-	q.hash = q.Key
-	if !q.HasKey {
-		q.hash = maphash.String(d.seed, q.Name)
+	exchange.setKeyFromCookie(exchange.fields, destination.KeyCookie)
+	poolHash := exchange.Key
+	if !exchange.HasKey {
+		poolHash = maphash.String(t.seed, exchange.Name)
 	}
-	q.pool = r.Pools[rule.Choose(q.hash)]
-	q.assign(to.Class, to.Limit)
+	exchange.pool = routing.Pools[rule.Choose(poolHash)]
+	exchange.setClass(class, destination.Limit)
 	return nil
 }
 
-// Admit hands the request to its pool. One that was retired since the request was read is not asked: the routes of now are.
-func (q *routedExchange) Admit() (pool.Response, error) {
+// allowUpgrade lets the connection change its protocol if the route names it. Else the request is an ordinary one,
+// which a client that asks for a change must expect.
+func (e *routedExchange) allowUpgrade(protocol string) {
+	if protocol == "" || !slices.Contains(e.destination.Upgrades, protocol) {
+		return
+	}
+	e.Message.Upgrade = protocol
+	e.Message.Tunnel = e.destination.Tunnels
+}
+
+// Admit hands the request to its pool. If that was retired since the head was read, the request is looked up again.
+func (e *routedExchange) Admit() (pool.Response, error) {
 	for {
-		p := q.pool
-		ok, crowded := p.Acquire()
-		if ok {
-			q.At += p.Now() - q.desk.Now() // on the pool's clock
-			p.Submit(&q.Request)
+		current := e.pool
+		acquired, full := current.Acquire()
+		if acquired {
+			e.At += current.Now() - e.table.Now() // on the pool's clock
+			current.Submit(&e.Request)
 			return pool.Response{}, nil
 		}
-		if crowded {
-			return full(time.Second), nil
+		if full {
+			return unavailableResponse(), nil
 		}
-		if err := q.desk.find(q); err != nil {
+		if err := e.table.lookUp(e); err != nil {
 			return pool.Response{}, err
 		}
-		if q.pool == p {
-			return full(time.Second), nil // the process is stopping
+		if e.pool == current { // the process is stopping
+			return unavailableResponse(), nil
 		}
 	}
 }
 
 // Done counts the request out of its pool.
-func (q *routedExchange) Done() { q.pool.Release() }
+func (e *routedExchange) Done() { e.pool.Release() }
+
+// Tunnel is called once the connection of the request has changed its protocol.
+func (e *routedExchange) Tunnel(tunnel *body.Tunnel) {
+	by := upgradedBy{e.routeName, e.Message.Upgrade}
+	e.table.tunnels.add(tunnel, by)
+	if !e.table.routing.Load().allows(by) { // the routes were replaced meanwhile
+		tunnel.EndSoon()
+	}
+}
 
-// full is what a request is told that a pool does not take.
-func full(after time.Duration) pool.Response {
-	return pool.Response{Status: http.StatusServiceUnavailable, RetryAfter: after, RetryAfterInSeconds: true}
+// unavailableResponse is the answer to a request that its pool does not take.
+func unavailableResponse() pool.Response {
+	return pool.Response{
+		Status:              http.StatusServiceUnavailable,
+		RetryAfter:          fullPoolRetryAfter,
+		RetryAfterInSeconds: true,
+	}
 }
