--- a/internal/proxy/config_test.go
+++ b/internal/proxy/config_test.go
@@ -10,10 +10,11 @@
 
 const configText = `{"name":"n3","listen":"127.0.0.1:7070","discovery":"127.0.0.1:8500","seed":"8c1f30d27a5be964",
 "limits":{"cores":1.0,"memory_mb":192,"sockets":1024},
-"known":{"revision":41,"complete":true,"members":[{"id":"s-5be2a07c","host_port":"127.0.0.1:7","phase":"up","size":1.0,"up_since_ms":0}]},
+"known":{"revision":41,"complete":true,"members":[
+{"id":"s-5be2a07c","host_port":"127.0.0.1:7","phase":"up","size":1.0,"up_since_ms":0}]},
 "settings":` + settingsText + `}`
 
-func load(t *testing.T, text string, env map[string]string) (Config, error) {
+func loadText(t *testing.T, text string, env map[string]string) (Config, error) {
 	t.Helper()
 	path := filepath.Join(t.TempDir(), "config.json")
 	if err := os.WriteFile(path, []byte(text), 0o600); err != nil {
@@ -28,7 +29,7 @@
 }
 
 func TestConfig(t *testing.T) {
-	c, err := load(t, configText, map[string]string{"RELAY_NAME": "n4"})
+	c, err := loadText(t, configText, map[string]string{"RELAY_NAME": "n4"})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -60,7 +61,8 @@
 }
 
 func TestConfigNamesWhatIsWrong(t *testing.T) {
-	if _, err := LoadConfig(func(string) string { return "" }); err == nil || !strings.Contains(err.Error(), "RELAY_CONFIG") {
+	_, err := LoadConfig(func(string) string { return "" })
+	if err == nil || !strings.Contains(err.Error(), "RELAY_CONFIG") {
 		t.Errorf("no file: got %v", err)
 	}
 	for _, c := range []struct{ old, new, wants string }{
@@ -76,7 +78,8 @@
 		{`"phase":"up"`, `"phase":"odd"`, "odd"},
 		{`"127.0.0.1:7"`, `"here"`, "s-5be2a07c"},
 	} {
-		if _, err := load(t, strings.Replace(configText, c.old, c.new, 1), nil); err == nil || !strings.Contains(err.Error(), c.wants) {
+		_, err := loadText(t, strings.Replace(configText, c.old, c.new, 1), nil)
+		if err == nil || !strings.Contains(err.Error(), c.wants) {
 			t.Errorf("%s: got %v, want it to name %s", c.new, err, c.wants)
 		}
 	}
--- a/internal/proxy/operator_commands_test.go
+++ b/internal/proxy/operator_commands_test.go
@@ -9,44 +9,26 @@
 	"testing"
 	"time"
 
-	"olivearch/internal/discovery"
 	"olivearch/internal/standin/scripted"
 
 	"olivearch/balancer"
 )
 
-// served sends so many requests and tells how many of them came to each upstream.
-func (b *testBalancer) served(t *testing.T, n int, at ...*scripted.Node) []int {
-	t.Helper()
-	counts := make([]int, len(at))
-	for range n {
-		status, _ := b.do(t, b.ask("checkin", ""))
-		want(t, "status", status, 200)
-		for i, s := range at {
-			for len(s.Arrivals) > 0 {
-				<-s.Arrivals
-				counts[i]++
-			}
-		}
-	}
-	return counts
-}
-
 // An upstream that was taken out by hand gets nothing, whatever discovery says of it, until it is called back.
 func TestOutByHand(t *testing.T) {
 	one, two := scripted.Start(t, scripted.Done), scripted.Start(t, scripted.Done)
-	b := newBalancer(t, up("s-00000001", one), up("s-00000002", two))
+	b := startBalancer(t, upMember("s-00000001", one), upMember("s-00000002", two))
 	<-b.registry.calls
 	for range 2 { // the call may come twice
 		if _, err := b.TakeOutOfService("s-00000001"); err != nil {
 			t.Fatal(err)
 		}
 	}
-	list := discovery.Listing{Revision: 11, Complete: true, Members: []discovery.Member{up("s-00000001", one), up("s-00000002", two)}}
+	list := listing(11, upMember("s-00000001", one), upMember("s-00000002", two))
 	list.Members[0].UpSinceMS = time.Now().UnixMilli() // discovery tells of its restart, and that it is up
 	b.registry.answers <- list
 	<-b.registry.calls
-	want(t, "at the one that is out", b.served(t, 10, one, two)[0], 0)
+	want(t, "at the one that is out", b.arrivalsOf(t, 10, one, two)[0], 0)
 	for _, id := range []string{"s-00000009", ""} {
 		_, out := b.TakeOutOfService(id)
 		_, back := b.ReturnToService(id)
@@ -58,7 +40,7 @@
 		t.Fatal(err)
 	}
 	deadline := time.Now().Add(5 * time.Second)
-	for b.served(t, 5, one, two)[0] == 0 {
+	for b.arrivalsOf(t, 5, one, two)[0] == 0 {
 		if time.Now().After(deadline) {
 			t.Fatal("not used after the call back")
 		}
@@ -67,7 +49,7 @@
 
 // While drained the balancer says no at /healthz, serves what comes and closes behind it, and lets idle connections go.
 func TestDrainOfTheBalancer(t *testing.T) {
-	b := newBalancer(t, up("s-00000001", scripted.Start(t, scripted.Done)))
+	b := startBalancer(t, upMember("s-00000001", scripted.Start(t, scripted.Done)))
 	health := func() int {
 		resp, err := http.Get(b.url + "/healthz")
 		if err != nil {
@@ -77,33 +59,36 @@
 		return resp.StatusCode
 	}
 	want(t, "health", health(), 200)
-	idle, err := net.Dial("tcp", strings.TrimPrefix(b.url, "http://"))
-	if err != nil {
-		t.Fatal(err)
-	}
-	defer idle.Close()
-	idle.Write([]byte("GET /healthz HTTP/1.1\r\nHost: x\r\n\r\n"))
+	idle := b.dial(t)
+	mustWrite(t, idle, "GET /healthz HTTP/1.1\r\nHost: x\r\n\r\n")
 	if _, err := idle.Read(make([]byte, 1<<10)); err != nil {
 		t.Fatal(err)
 	}
 	began := time.Now()
-	b.Standby()
-	b.Standby()
+	for range 2 { // the command may come twice
+		if err := b.Standby(); err != nil {
+			t.Fatal(err)
+		}
+	}
 	want(t, "health while drained", health(), 503)
-	resp, err := b.client.Do(b.ask("checkin", ""))
+	resp, err := b.client.Do(b.newRequest("checkin", ""))
 	if err != nil {
 		t.Fatal(err)
 	}
 	resp.Body.Close()
 	want(t, "status while drained", resp.StatusCode, 200)
 	want(t, "its connection is closed", resp.Close, true)
-	idle.SetReadDeadline(began.Add(4 * time.Second))
+	if err := idle.SetReadDeadline(began.Add(4 * time.Second)); err != nil {
+		t.Fatal(err)
+	}
 	if _, err := idle.Read(make([]byte, 1)); err == nil || os.IsTimeout(err) {
 		t.Errorf("an idle connection 4 s after the call: %v, want it closed", err)
 	}
-	b.Active()
+	if err := b.Active(); err != nil {
+		t.Fatal(err)
+	}
 	want(t, "health after", health(), 200)
-	resp, err = b.client.Do(b.ask("checkin", ""))
+	resp, err = b.client.Do(b.newRequest("checkin", ""))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -120,20 +105,10 @@
 		}
 		return scripted.Done(c, r)
 	})
-	b := newBalancer(t, up("s-00000001", s))
-	late := make(chan int, 1)
-	go func() {
-		resp, err := b.client.Do(b.ask("read", "", "X-Late", "1"))
-		if err != nil {
-			t.Error(err)
-			late <- 0
-			return
-		}
-		resp.Body.Close()
-		late <- resp.StatusCode
-	}()
+	b := startBalancer(t, upMember("s-00000001", s))
+	late := b.doInBackground(b.newRequest("read", "", "X-Late", "1"))
 	<-s.Arrivals
-	status, _ := b.do(t, b.ask("fresh", ""))
+	status, _ := b.do(t, b.newRequest("fresh", ""))
 	want(t, "a class that is not known yet", status, 400)
 	c := b.config
 	c.Settings.Classes = append([]balancer.Class(nil), c.Settings.Classes[1:]...)
@@ -145,15 +120,15 @@
 	b.reloads <- c
 	b.reloads <- c // the first is with the loop, and what is posted from now on comes after it
 	deadline := time.Now().Add(10 * time.Second)
-	for status, _ = b.do(t, b.ask("fresh", "")); status != 200; status, _ = b.do(t, b.ask("fresh", "")) {
+	for status, _ = b.do(t, b.newRequest("fresh", "")); status != 200; status, _ = b.do(t, b.newRequest("fresh", "")) {
 		if time.Now().After(deadline) {
 			t.Fatal("the new class is not served")
 		}
 	}
-	status, _ = b.do(t, b.ask("read", ""))
+	status, _ = b.do(t, b.newRequest("read", ""))
 	want(t, "a class that has gone", status, 400)
 	close(release)
-	want(t, "one under way in it", <-late, 200)
+	want(t, "one under way in it", <-late, outcome{status: 200})
 }
 
 // A broken file changes nothing, and the error names what is wrong.
@@ -174,11 +149,17 @@
 		{configText, "", "unexpected end"},
 		{configText[len(configText)/2:], "", "unexpected end"},
 		{`"worth_by":"work",`, ``, "settings.worth_by is missing"},
-		{`"group":"all","memory_span_us":9000000,"worth":1`, `"group":"all","memory_span_us":9000000`, "settings.profiles.each.worth is missing"},
+		{
+			`"group":"all","memory_span_us":9000000,"worth":1`, `"group":"all","memory_span_us":9000000`,
+			"settings.profiles.each.worth is missing",
+		},
 		{`"cancel":true,`, ``, "settings.limits.cancel is missing"},
 		{`"limits":{"cores":1.0,`, `"limits":{`, "limits.cores is missing"},
 		{`"max_attempts":3`, `"max_attempts":0`, "Limits.MaxAttempts"},
-		{`"target_us":2000000,"give_up_us":4000000,"repeat":"read_like"`, `"target_us":2000000,"give_up_us":-1,"repeat":"read_like"`, "Deadline"},
+		{
+			`"target_us":2000000,"give_up_us":4000000,"repeat":"read_like"`,
+			`"target_us":2000000,"give_up_us":-1,"repeat":"read_like"`, "Deadline",
+		},
 		{`"max_attempts":3`, `"max_attempts":"3"`, "max_attempts"},
 	} {
 		text := strings.Replace(configText, x.from, x.to, 1)
@@ -191,7 +172,7 @@
 			t.Errorf("%q for %q: %v, want %q", x.to, x.from, err, x.want)
 		}
 	}
-	write(strings.Replace(configText, `"members":[{`, `"members":[],"more":[{`, 1))
+	write(strings.Replace(configText, `"members":[`, `"members":[],"more":[`, 1))
 	if _, err := ReloadConfig(getenv, before); err != nil {
 		t.Errorf("other upstreams: %v", err)
 	}
--- a/internal/proxy/platform_router_test.go
+++ b/internal/proxy/platform_router_test.go
@@ -20,21 +20,18 @@
 func FuzzRequest(f *testing.F) {
 	const id = "X-Request-Id: 1\r\n"
 	for _, text := range []string{
-		checkin(id+"Content-Length: 2\r\n") + "ab",
-		checkin(id+"Content-Length: 2\r\nConnection: X-A, close\r\nX-A: 1\r\nCookie: obj=7f\r\n") + "ab",
-		checkin(id + "Content-Length: 0\r\nTransfer-Encoding: chunked\r\n"),
-		checkin(id+"Transfer-Encoding: chunked\r\n") + "2;x=y\r\nab\r\n0\r\nX-T: 1\r\n\r\n",
-		"\r\n" + checkin(id+"Content-Length: 0\r\n"),
-		checkin(id + "Content-Length: 0\r\nX-Deadline-Ms: 9\r\nX-Cost-Hint: 7\r\n folded\r\n"),
+		checkinHead(id+"Content-Length: 2\r\n") + "ab",
+		checkinHead(id+"Content-Length: 2\r\nConnection: X-A, close\r\nX-A: 1\r\nCookie: obj=7f\r\n") + "ab",
+		checkinHead(id + "Content-Length: 0\r\nTransfer-Encoding: chunked\r\n"),
+		checkinHead(id+"Transfer-Encoding: chunked\r\n") + "2;x=y\r\nab\r\n0\r\nX-T: 1\r\n\r\n",
+		"\r\n" + checkinHead(id+"Content-Length: 0\r\n"),
+		checkinHead(id + "Content-Length: 0\r\nX-Deadline-Ms: 9\r\nX-Cost-Hint: 7\r\n folded\r\n"),
 		"GET /read?q=1 HTTP/1.1\r\nHost: x\r\nX-Class: read\r\n" + id + "\r\n",
 		"GET /healthz HTTP/1.1\r\n\r\n", "",
 	} {
 		f.Add([]byte(text))
 	}
-	p, err := pool.New(f.Context(), pool.Spec{Settings: balancer.Settings{
-		Balancers: 1, Classes: []balancer.Class{{Name: "c", LatencyObjective: time.Second, Deadline: time.Second, Idempotency: balancer.NonIdempotent, PriorityWeight: 1}},
-		Limits: balancer.Limits{MaxAttempts: 1}, Rules: balancer.Rules{SlowStartFloor: 1, SlowStartDuration: time.Second, OverloadMultiple: 1, OverloadWindow: time.Second},
-	}}, nil, nil)
+	p, err := pool.New(f.Context(), pool.Spec{Settings: oneClassSettings()}, nil, nil)
 	if err != nil {
 		f.Fatal(err)
 	}
@@ -61,7 +58,8 @@
 			return // longer than the fuzzer's texts
 		}
 		if err != nil || !bytes.Equal(body, q.Message.Body) || in.Buffered() > 0 || len(r.TransferEncoding) > 0 {
-			t.Errorf("passed on %q, of which the upstream reads %q, %v, %d more", q.Message.Bytes(time.Second), body, err, in.Buffered())
+			t.Errorf("passed on %q, of which the upstream reads %q, %v, %d more",
+				q.Message.Bytes(time.Second), body, err, in.Buffered())
 		}
 		if r.Header.Get("X-Request-Id") != q.Name || !strings.HasPrefix(q.Message.Line, r.Method+" "+r.RequestURI) {
 			t.Errorf("passed on %q", q.Message.Bytes(time.Second))
--- a/internal/proxy/route_table_test.go
+++ b/internal/proxy/route_table_test.go
@@ -20,32 +20,33 @@
 	"olivearch/internal/wire"
 )
 
-// routedPool starts a pool that a test's routes can lead to.
-func routedPool(t testing.TB, name string, queue int) *pool.Pool {
+// startPool starts a pool that a test's routes can lead to.
+func startPool(t testing.TB, name string, queue int) *pool.Pool {
 	t.Helper()
 	ctx, cancel := context.WithCancel(context.Background())
 	t.Cleanup(cancel)
 	p, err := pool.New(ctx, pool.Spec{
-		Name: name, Queue: queue, SharedWeight: 1, Connections: 10, Links: wire.Links{KeepAlive: time.Minute, ConnectTimeout: time.Second},
-		Settings: balancer.Settings{
-			Balancers: 1, Classes: []balancer.Class{{Name: "c", LatencyObjective: time.Second, Deadline: time.Second, Idempotency: balancer.NonIdempotent, PriorityWeight: 1}},
-			Limits: balancer.Limits{MaxAttempts: 1}, Rules: balancer.Rules{SlowStartFloor: 1, SlowStartDuration: time.Second, OverloadMultiple: 1, OverloadWindow: time.Second},
-		},
-	},
-		pool.NewEndpointRegistry(ctx, 10), nil)
+		Name: name, Queue: queue, SharedWeight: 1, Connections: 10,
+		Links:    wire.Links{KeepAlive: time.Minute, ConnectTimeout: time.Second},
+		Settings: oneClassSettings(),
+	}, pool.NewEndpointRegistry(ctx, 10), nil)
 	if err != nil {
 		t.Fatal(err)
 	}
 	return p
 }
 
-func routing(t testing.TB, pools ...*pool.Pool) *Routing {
+func routesTo(t testing.TB, pools ...*pool.Pool) *Routing {
 	t.Helper()
-	r := &Routing{To: []Destination{{Class: balancer.Class{Name: "c", Deadline: time.Second, Idempotency: balancer.NonIdempotent}, Limit: time.Second, KeyCookie: "obj"}}, Pools: map[string]*pool.Pool{}}
+	class := balancer.Class{Name: "c", Deadline: time.Second, Idempotency: balancer.NonIdempotent}
+	r := &Routing{
+		To:    []Destination{{Class: class, Limit: time.Second, KeyCookie: "obj"}},
+		Pools: map[string]*pool.Pool{},
+	}
 	var rules []route.Rule
 	for _, p := range pools {
 		r.Pools[p.Name()] = p
-		rules = append(rules, route.Rule{Name: p.Name(), Hosts: []string{p.Name() + ".example.org"}, Kind: route.Prefix, Path: "/a", Pools: []route.WeightedPool{{Pool: p.Name(), Weight: 1}}})
+		rules = append(rules, ruleTo(p.Name(), p.Name()+".example.org"))
 	}
 	var errs []error
 	if r.Table, errs = route.Build(rules); errs != nil {
@@ -54,8 +55,16 @@
 	return r
 }
 
-// FuzzRouted reads what a client may send to routes. What goes on is one request, and a server that reads it comes to the
-// route that was taken here.
+// ruleTo leads from the paths under /a of a host to a pool.
+func ruleTo(poolName, host string) route.Rule {
+	return route.Rule{
+		Name: poolName, Hosts: []string{host}, Kind: route.Prefix, Path: "/a",
+		Pools: []route.WeightedPool{{Pool: poolName, Weight: 1}},
+	}
+}
+
+// FuzzRouted reads what a client may send to routes. What goes on is one request, and a server that reads it comes to
+// the route that was taken here.
 func FuzzRouted(f *testing.F) {
 	for _, text := range []string{
 		"POST /a/%2e%2e/a//b?x HTTP/1.1\r\nHost: X.example.org:80\r\nContent-Length: 2\r\n\r\nab",
@@ -66,7 +75,7 @@
 	} {
 		f.Add([]byte(text))
 	}
-	r := routing(f, routedPool(f, "x", 1))
+	r := routesTo(f, startPool(f, "x", 1))
 	desk := NewRouteTable(r)
 	f.Fuzz(func(t *testing.T, text []byte) {
 		call, err := frontend.ReadRequest(desk, scripted.Saying(text))
@@ -96,11 +105,11 @@
 	})
 }
 
-// TestRetiredWhileRead: a pool is retired between a request's head and its body. The request is looked up again and goes to
-// the pool that holds then; the retired one ends, and never takes a request after that.
+// TestRetiredWhileRead: a pool is retired between a request's head and its body. The request is looked up again and
+// goes to the current pool; the retired one ends, and never takes a request after that.
 func TestRetiredWhileRead(t *testing.T) {
-	old, next := routedPool(t, "x", 100), routedPool(t, "y", 100)
-	d := NewRouteTable(routing(t, old))
+	old, next := startPool(t, "x", 100), startPool(t, "y", 100)
+	d := NewRouteTable(routesTo(t, old))
 	heads := func(n int) (all []*routedExchange) {
 		for i := range n {
 			h := http1.Fields{{Name: "Host", Value: "x.example.org"}, {Name: "X-Request-Id", Value: fmt.Sprint(i)}}
@@ -114,8 +123,11 @@
 		return all
 	}
 	before := heads(50)
-	moved := routing(t, old, next)
-	moved.Table, _ = route.Build([]route.Rule{{Name: "y", Hosts: []string{"x.example.org"}, Kind: route.Prefix, Path: "/a", Pools: []route.WeightedPool{{Pool: "y", Weight: 1}}}})
+	moved := routesTo(t, old, next)
+	var errs []error
+	if moved.Table, errs = route.Build([]route.Rule{ruleTo("y", "x.example.org")}); errs != nil {
+		t.Fatal(errs)
+	}
 	var wg sync.WaitGroup
 	for i, q := range before {
 		if i == len(before)/2 {
--- a/internal/proxy/streaming_test.go
+++ b/internal/proxy/streaming_test.go
@@ -6,7 +6,6 @@
 	"errors"
 	"fmt"
 	"io"
-	"math/rand/v2"
 	"net"
 	"net/http"
 	"os"
@@ -15,63 +14,31 @@
 	"time"
 
 	"olivearch/internal/body"
-	"olivearch/internal/discovery"
 	"olivearch/internal/http1"
 	"olivearch/internal/standin/scripted"
 )
 
-// random returns so many bytes that a mixed-up stream would not repeat.
-func random(n int) []byte {
-	b := make([]byte, n)
-	rand.NewChaCha8([32]byte{7}).Read(b)
-	return b
-}
-
-// chunked writes a body in chunks of odd sizes.
-func chunked(c io.Writer, b []byte) {
-	for n := 1; len(b) > 0; n = n*3 + 1 {
-		size := min(n, len(b))
-		fmt.Fprintf(c, "%x;x=\"y\"\r\n%s\r\n", size, b[:size])
-		b = b[size:]
-	}
-	io.WriteString(c, "0\r\nX-Trailer: 1\r\n\r\n")
-}
-
-// opened sends a request's head and returns its connection.
-func (b *testBalancer) opened(t *testing.T, fields string) (net.Conn, *bufio.Reader) {
-	t.Helper()
-	c, err := net.Dial("tcp", strings.TrimPrefix(b.url, "http://"))
-	if err != nil {
-		t.Fatal(err)
-	}
-	t.Cleanup(func() { c.Close() })
-	c.SetDeadline(time.Now().Add(20 * time.Second))
-	lastID++
-	io.WriteString(c, checkin(fmt.Sprintf("X-Request-Id: %016x\r\n%s", lastID, fields)))
-	return c, bufio.NewReader(c)
-}
-
 // Bodies and answers of any size and framing come through unchanged, and the connections serve again.
 func TestAnySizeComesThrough(t *testing.T) {
-	for _, size := range []int{0, 1, body.Whole, body.Whole + 1, body.Whole + body.Usual.Ahead, body.Whole + body.Usual.Ahead + 1, 6 << 20} {
-		body := random(size)
+	readAhead := body.Whole + body.Usual.Ahead
+	for _, size := range []int{0, 1, body.Whole, body.Whole + 1, readAhead, readAhead + 1, 6 << 20} {
+		body := randomBytes(size)
 		s := scripted.Start(t, func(c net.Conn, r *http.Request) bool {
 			switch r.Header.Get("X-Framing") {
 			case "chunked":
-				io.WriteString(c, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n")
-				chunked(c, body)
+				writeIfOpen(c, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n")
+				writeChunked(c, body)
 			case "close":
-				io.WriteString(c, "HTTP/1.1 200 OK\r\n\r\n")
-				c.Write(body)
+				writeIfOpen(c, "HTTP/1.1 200 OK\r\n\r\n"+string(body))
 				return false
 			default:
 				return scripted.OK(c, string(body))
 			}
 			return true
 		})
-		b := newBalancer(t, up("s-00000001", s))
+		b := startBalancer(t, upMember("s-00000001", s))
 		for _, framing := range []string{"length", "chunked", "close"} {
-			q := b.ask("checkin", string(body), "X-Framing", framing)
+			q := b.newRequest("checkin", string(body), "X-Framing", framing)
 			if framing != "length" {
 				q.Body, q.ContentLength = io.NopCloser(bytes.NewReader(body)), -1
 			}
@@ -94,20 +61,21 @@
 func TestAnswerGoesOnAsItComes(t *testing.T) {
 	next := make(chan string)
 	s := scripted.Start(t, func(c net.Conn, _ *http.Request) bool {
-		io.WriteString(c, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n")
+		writeIfOpen(c, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n")
 		for text := range next {
 			fmt.Fprintf(c, "%x\r\n%s\r\n", len(text), text)
 		}
-		io.WriteString(c, http1.LastChunk)
+		writeIfOpen(c, http1.LastChunk)
 		return true
 	})
-	b := newBalancer(t, up("s-00000001", s))
-	_, in := b.opened(t, "Content-Length: 0\r\n")
+	b := startBalancer(t, upMember("s-00000001", s))
+	_, in := b.sendHead(t, "Content-Length: 0\r\n")
 	next <- "one"
 	resp, err := http.ReadResponse(in, nil)
 	if err != nil {
 		t.Fatal(err)
 	}
+	defer resp.Body.Close()
 	for _, text := range []string{"one", "two", "three"} {
 		if text != "one" {
 			next <- text
@@ -125,8 +93,9 @@
 
 // A node that fails in the middle of an answer leaves the client with one that is visibly cut, and nothing runs again.
 func TestCutAnswerLooksCut(t *testing.T) {
-	body := random(3 * body.Whole)
-	for _, head := range []string{fmt.Sprintf("Content-Length: %d", len(body)), "Transfer-Encoding: chunked", "X-To: close"} {
+	body := randomBytes(3 * body.Whole)
+	withLength := fmt.Sprintf("Content-Length: %d", len(body))
+	for _, head := range []string{withLength, "Transfer-Encoding: chunked", "X-To: close"} {
 		for _, share := range []int{0, 1, 2} {
 			s := scripted.Start(t, func(c net.Conn, _ *http.Request) bool {
 				fmt.Fprintf(c, "HTTP/1.1 200 OK\r\n%s\r\n\r\n", head)
@@ -134,17 +103,19 @@
 				if strings.HasPrefix(head, "Transfer") {
 					fmt.Fprintf(c, "%x\r\n", len(body)) // the chunk's end never comes
 				}
-				c.Write(part)
-				c.(*net.TCPConn).SetLinger(0) // a reset
+				writeIfOpen(c, string(part))
+				_ = c.(*net.TCPConn).SetLinger(0) // a reset; the balancer may have closed it already
 				return false
 			})
-			b := newBalancer(t, up("s-00000001", s))
-			_, in := b.opened(t, "Content-Length: 0\r\n")
+			b := startBalancer(t, upMember("s-00000001", s))
+			_, in := b.sendHead(t, "Content-Length: 0\r\n")
 			resp, err := http.ReadResponse(in, nil)
 			if err != nil {
 				t.Fatal(err)
 			}
-			if got, err := io.ReadAll(resp.Body); err == nil && resp.StatusCode == 200 {
+			got, err := io.ReadAll(resp.Body)
+			resp.Body.Close()
+			if err == nil && resp.StatusCode == 200 {
 				t.Errorf("%s, cut after %d of 3 parts: %d bytes look whole", head, share, len(got))
 			}
 			want(t, "executions", len(s.Arrivals), 1)
@@ -155,13 +126,13 @@
 // An answer that comes promptly is judged whole: a safe request whose answer is cut goes to another node.
 func TestPromptAnswerIsJudgedWhole(t *testing.T) {
 	bad := scripted.Start(t, func(c net.Conn, _ *http.Request) bool {
-		io.WriteString(c, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n5\r\nab")
+		writeIfOpen(c, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n5\r\nab")
 		return false
 	})
 	good := scripted.Start(t, scripted.Done)
-	b := newBalancer(t, up("s-00000001", bad), up("s-00000002", good))
+	b := startBalancer(t, upMember("s-00000001", bad), upMember("s-00000002", good))
 	for range 6 {
-		status, body := b.do(t, b.ask("read", ""))
+		status, body := b.do(t, b.newRequest("read", ""))
 		want(t, "status", status, 200)
 		want(t, "body", body, "done")
 	}
@@ -173,30 +144,26 @@
 // A client that sends a body slowly takes no attempt before it is in, as far as it is read ahead.
 func TestSlowBodyTakesNoNode(t *testing.T) {
 	s := scripted.Start(t, scripted.Done)
-	b := newBalancer(t, up("s-00000001", s))
-	body := random(body.Whole + body.Usual.Ahead/2)
-	c, in := b.opened(t, fmt.Sprintf("Content-Length: %d\r\n", len(body)))
-	c.Write(body[:len(body)-1])
-	status, _ := b.do(t, b.ask("checkin", "")) // it came later, and is served first
+	b := startBalancer(t, upMember("s-00000001", s))
+	body := randomBytes(body.Whole + body.Usual.Ahead/2)
+	c, in := b.sendHead(t, fmt.Sprintf("Content-Length: %d\r\n", len(body)))
+	mustWrite(t, c, string(body[:len(body)-1]))
+	status, _ := b.do(t, b.newRequest("checkin", "")) // it came later, and is served first
 	want(t, "status", status, 200)
 	want(t, "connections to the node", s.Opened(), 1)
 	want(t, "requests at the node", len(s.Arrivals), 1)
-	c.Write(body[len(body)-1:])
-	resp, err := http.ReadResponse(in, nil)
-	if err != nil {
-		t.Fatal(err)
-	}
-	want(t, "status", resp.StatusCode, 200)
+	mustWrite(t, c, string(body[len(body)-1:]))
+	want(t, "status", readStatus(t, in), 200)
 }
 
 // A long body goes on while it comes, and its time counts from its last byte.
 func TestTimeCountsFromTheLastByte(t *testing.T) {
 	begun := make(chan struct{})
 	s := scripted.Start(t, scripted.Done)
-	b := newBalancer(t, up("s-00000001", s))
-	body := random(body.Whole + body.Usual.Ahead + 3*body.Block)
-	c, in := b.opened(t, fmt.Sprintf("X-Deadline-Ms: 400\r\nContent-Length: %d\r\n", len(body)))
-	c.Write(body[:len(body)-4])
+	b := startBalancer(t, upMember("s-00000001", s))
+	body := randomBytes(body.Whole + body.Usual.Ahead + 3*body.Block)
+	c, in := b.sendHead(t, fmt.Sprintf("X-Deadline-Ms: 400\r\nContent-Length: %d\r\n", len(body)))
+	mustWrite(t, c, string(body[:len(body)-4]))
 	go func() { // another is served meanwhile: the slow one holds nobody up
 		defer close(begun)
 		for deadline := time.Now().Add(10 * time.Second); s.Opened() == 0 && time.Now().Before(deadline); {
@@ -206,41 +173,40 @@
 	<-begun
 	for i := len(body) - 4; i < len(body); i++ {
 		time.Sleep(150 * time.Millisecond) // a slow line is what is tried
-		c.Write(body[i : i+1])
-	}
-	resp, err := http.ReadResponse(in, nil)
-	if err != nil {
-		t.Fatal(err)
+		mustWrite(t, c, string(body[i:i+1]))
 	}
-	want(t, "status", resp.StatusCode, 200)
+	want(t, "status", readStatus(t, in), 200)
 	sent, _ := io.ReadAll((<-s.Arrivals).Body)
 	if !bytes.Equal(sent, body) {
 		t.Error("the body is another")
 	}
 }
 
-// A client that ends in the middle of a body that has begun to go on: the node gets no whole request, and all is given back.
+// A client that ends in the middle of a body that has begun to go on: the node gets no whole request, and all is given
+// back.
 func TestClientEndsInTheMiddle(t *testing.T) {
 	s := scripted.Start(t, scripted.Done)
-	b := newBalancer(t, up("s-00000001", s))
+	b := startBalancer(t, upMember("s-00000001", s))
 	for _, framing := range []string{"Content-Length: 4000000\r\n", "Transfer-Encoding: chunked\r\n"} {
-		c, _ := b.opened(t, framing)
+		c, _ := b.sendHead(t, framing)
 		if strings.HasPrefix(framing, "Transfer") {
-			io.WriteString(c, "3d0900\r\n")
+			mustWrite(t, c, "3d0900\r\n")
+		}
+		mustWrite(t, c, string(randomBytes(2*body.Usual.Ahead)))
+		if err := c.(*net.TCPConn).CloseWrite(); err != nil {
+			t.Fatal(err)
 		}
-		c.Write(random(2 * body.Usual.Ahead))
-		c.(*net.TCPConn).CloseWrite()
 		if text, err := io.ReadAll(c); len(text) > 0 || err != nil {
 			t.Errorf("%q, %v: want a close", text, err)
 		}
 	}
-	status, _ := b.do(t, b.ask("checkin", ""))
+	status, _ := b.do(t, b.newRequest("checkin", ""))
 	want(t, "status of the next", status, 200)
 	want(t, "whole requests at the node", len(s.Arrivals), 1)
 }
 
-// A node that dies before it has the last byte of a body has not run it: the client is told that trying again is harmless, although
-// the balancer can't. One that answers early is heard.
+// A node that dies before it has the last byte of a body has not run it: the client is told that a retry is harmless,
+// although the balancer can't retry. One that answers early is heard.
 func TestNodeEndsInTheMiddle(t *testing.T) {
 	for _, x := range []struct {
 		name, says string
@@ -262,18 +228,19 @@
 				if err != nil {
 					return
 				}
-				io.CopyN(io.Discard, c, body.Whole)
-				io.WriteString(c, x.says)
+				_, _ = io.CopyN(io.Discard, c, body.Whole) // fewer bytes come where the balancer gives up
+				writeIfOpen(c, x.says)
 				c.Close()
 			}
 		}()
-		b := newBalancer(t, discovery.Member{ID: "s-00000001", HostPort: l.Addr().String(), Locality: "z1", Phase: "up", Size: 1})
-		c, in := b.opened(t, "Content-Length: 30000000\r\n")
-		go c.Write(random(30000000))
+		b := startBalancer(t, upMember("s-00000001", &scripted.Node{Addr: l.Addr().String()}))
+		c, in := b.sendHead(t, "Content-Length: 30000000\r\n")
+		go writeIfOpen(c, string(randomBytes(30000000)))
 		resp, err := http.ReadResponse(in, nil)
 		if err != nil {
 			t.Fatal(x.name, err)
 		}
+		resp.Body.Close()
 		want(t, x.name, resp.StatusCode, x.status)
 		want(t, "its connection ends", resp.Close, true)
 	}
@@ -281,16 +248,12 @@
 
 // A long request that nobody can take is answered at once, also while its client still sends, who can read the answer.
 func TestLongRequestIsRefusedAtOnce(t *testing.T) {
-	b := newBalancer(t)
+	b := startBalancer(t)
 	<-b.registry.calls
-	c, in := b.opened(t, "Content-Length: 8000000\r\n")
-	c.Write(random(body.Whole + body.Usual.Ahead + body.Block))
-	resp, err := http.ReadResponse(in, nil)
-	if err != nil {
-		t.Fatal(err)
-	}
-	want(t, "status", resp.StatusCode, 503)
-	c.Write(random(1 << 20))
+	c, in := b.sendHead(t, "Content-Length: 8000000\r\n")
+	writeIfOpen(c, string(randomBytes(body.Whole+body.Usual.Ahead+body.Block)))
+	want(t, "status", readStatus(t, in), 503)
+	writeIfOpen(c, string(randomBytes(1<<20)))
 	if _, err := c.Read(make([]byte, 1)); !errors.Is(err, io.EOF) && !errors.Is(err, os.ErrDeadlineExceeded) {
 		t.Errorf("behind the answer: %v", err)
 	}
@@ -299,29 +262,23 @@
 // Forms that HTTP/1.1 allows and usual clients may use.
 func TestForms(t *testing.T) {
 	s := scripted.Start(t, func(c net.Conn, r *http.Request) bool {
-		io.WriteString(c, "HTTP/1.1 103 Early Hints\r\nLink: </x>\r\n\r\nHTTP/1.1 200 \r\ncontent-length:4\r\n\r\ndone")
+		writeIfOpen(c, "HTTP/1.1 103 Early Hints\r\nLink: </x>\r\n\r\nHTTP/1.1 200 \r\ncontent-length:4\r\n\r\ndone")
 		return true
 	})
-	b := newBalancer(t, up("s-00000001", s))
+	b := startBalancer(t, upMember("s-00000001", s))
+	const id = "X-Request-Id: f%d\r\n"
 	for i, text := range []string{
-		"\r\n" + checkin("X-Request-Id: f%d\r\ncontent-length:   2  \r\n") + "ab",
-		strings.Replace(checkin("X-Request-Id: f%d\r\nContent-Length: 2\r\n"), " /checkin", " http://x/checkin", 1) + "ab",
-		checkin("X-Request-Id: f%d\r\nTransfer-Encoding: Chunked\r\nTrailer: X-T\r\n") + "1;a=b\r\na\r\n01\r\nb\r\n000\r\nX-T: 1\r\n\r\n",
+		"\r\n" + checkinHead(id+"content-length:   2  \r\n") + "ab",
+		strings.Replace(checkinHead(id+"Content-Length: 2\r\n"), " /checkin", " http://x/checkin", 1) + "ab",
+		checkinHead(id+"Transfer-Encoding: Chunked\r\nTrailer: X-T\r\n") +
+			"1;a=b\r\na\r\n01\r\nb\r\n000\r\nX-T: 1\r\n\r\n",
 	} {
-		c, err := net.Dial("tcp", strings.TrimPrefix(b.url, "http://"))
-		if err != nil {
-			t.Fatal(err)
-		}
-		c.SetDeadline(time.Now().Add(20 * time.Second))
+		c := b.dial(t)
 		text = fmt.Sprintf(text, i)
 		for j := range text { // cut at every point
-			io.WriteString(c, text[j:j+1])
-		}
-		resp, err := http.ReadResponse(bufio.NewReader(c), nil)
-		if err != nil {
-			t.Fatal(err)
+			mustWrite(t, c, text[j:j+1])
 		}
-		want(t, "status", resp.StatusCode, 200)
+		want(t, "status", readStatus(t, bufio.NewReader(c)), 200)
 		r := <-s.Arrivals
 		body, _ := io.ReadAll(r.Body)
 		want(t, "body", string(body), "ab")
