--- a/internal/proxy/config_test.go
+++ b/internal/proxy/config_test.go
@@ -84,3 +84,50 @@
 		}
 	}
 }
+
+// A broken file changes nothing, and the error names what is wrong.
+func TestBrokenFilesAreRefused(t *testing.T) {
+	path := filepath.Join(t.TempDir(), "config.json")
+	getenv := func(name string) string { return map[string]string{"RELAY_CONFIG": path}[name] }
+	write := func(text string) {
+		if err := os.WriteFile(path, []byte(text), 0o600); err != nil {
+			t.Fatal(err)
+		}
+	}
+	write(configText)
+	before, err := LoadConfig(getenv)
+	if err != nil {
+		t.Fatal(err)
+	}
+	for _, x := range []struct{ from, to, want string }{
+		{configText, "", "unexpected end"},
+		{configText[len(configText)/2:], "", "unexpected end"},
+		{`"worth_by":"work",`, ``, "settings.worth_by is missing"},
+		{
+			`"group":"all","memory_span_us":9000000,"worth":1`, `"group":"all","memory_span_us":9000000`,
+			"settings.profiles.each.worth is missing",
+		},
+		{`"cancel":true,`, ``, "settings.limits.cancel is missing"},
+		{`"limits":{"cores":1.0,`, `"limits":{`, "limits.cores is missing"},
+		{`"max_attempts":3`, `"max_attempts":0`, "Limits.MaxAttempts"},
+		{
+			`"target_us":2000000,"give_up_us":4000000,"repeat":"read_like"`,
+			`"target_us":2000000,"give_up_us":-1,"repeat":"read_like"`, "Deadline",
+		},
+		{`"max_attempts":3`, `"max_attempts":"3"`, "max_attempts"},
+	} {
+		text := strings.Replace(configText, x.from, x.to, 1)
+		if text == configText {
+			t.Fatalf("%q is not in the sample", x.from)
+		}
+		write(text)
+		_, err := ReloadConfig(getenv, before)
+		if err == nil || !strings.Contains(err.Error(), x.want) {
+			t.Errorf("%q for %q: %v, want %q", x.to, x.from, err, x.want)
+		}
+	}
+	write(strings.Replace(configText, `"members":[`, `"members":[],"more":[`, 1))
+	if _, err := ReloadConfig(getenv, before); err != nil {
+		t.Errorf("other upstreams: %v", err)
+	}
+}
--- a/internal/proxy/operator_commands_test.go
+++ b/internal/proxy/operator_commands_test.go
@@ -1,17 +1,12 @@
 package proxy
 
 import (
-	"net"
 	"net/http"
 	"os"
-	"path/filepath"
-	"strings"
 	"testing"
 	"time"
 
 	"olivearch/internal/standin/scripted"
-
-	"olivearch/balancer"
 )
 
 // An upstream that was taken out by hand gets nothing, whatever discovery says of it, until it is called back.
@@ -95,85 +90,3 @@
 	resp.Body.Close()
 	want(t, "connections are kept again", resp.Close, false)
 }
-
-// New settings hold from the reload on, and a request under way keeps its class.
-func TestSettingsChange(t *testing.T) {
-	release := make(chan struct{})
-	s := scripted.Start(t, func(c net.Conn, r *http.Request) bool {
-		if r.Header.Get("X-Late") != "" {
-			<-release
-		}
-		return scripted.Done(c, r)
-	})
-	b := startBalancer(t, upMember("s-00000001", s))
-	late := b.doInBackground(b.newRequest("read", "", "X-Late", "1"))
-	<-s.Arrivals
-	status, _ := b.do(t, b.newRequest("fresh", ""))
-	want(t, "a class that is not known yet", status, 400)
-	c := b.config
-	c.Settings.Classes = append([]balancer.Class(nil), c.Settings.Classes[1:]...)
-	c.Settings.Classes = append(c.Settings.Classes, balancer.Class{
-		Name: "fresh", LatencyObjective: time.Second, Deadline: 2 * time.Second,
-		Idempotency: balancer.NonIdempotent, PriorityWeight: 1,
-	})
-	c.Settings.Limits.MaxAttempts = 1
-	b.reloads <- c
-	b.reloads <- c // the first is with the loop, and what is posted from now on comes after it
-	deadline := time.Now().Add(10 * time.Second)
-	for status, _ = b.do(t, b.newRequest("fresh", "")); status != 200; status, _ = b.do(t, b.newRequest("fresh", "")) {
-		if time.Now().After(deadline) {
-			t.Fatal("the new class is not served")
-		}
-	}
-	status, _ = b.do(t, b.newRequest("read", ""))
-	want(t, "a class that has gone", status, 400)
-	close(release)
-	want(t, "one under way in it", <-late, outcome{status: 200})
-}
-
-// A broken file changes nothing, and the error names what is wrong.
-func TestBrokenFilesAreRefused(t *testing.T) {
-	path := filepath.Join(t.TempDir(), "config.json")
-	getenv := func(name string) string { return map[string]string{"RELAY_CONFIG": path}[name] }
-	write := func(text string) {
-		if err := os.WriteFile(path, []byte(text), 0o600); err != nil {
-			t.Fatal(err)
-		}
-	}
-	write(configText)
-	before, err := LoadConfig(getenv)
-	if err != nil {
-		t.Fatal(err)
-	}
-	for _, x := range []struct{ from, to, want string }{
-		{configText, "", "unexpected end"},
-		{configText[len(configText)/2:], "", "unexpected end"},
-		{`"worth_by":"work",`, ``, "settings.worth_by is missing"},
-		{
-			`"group":"all","memory_span_us":9000000,"worth":1`, `"group":"all","memory_span_us":9000000`,
-			"settings.profiles.each.worth is missing",
-		},
-		{`"cancel":true,`, ``, "settings.limits.cancel is missing"},
-		{`"limits":{"cores":1.0,`, `"limits":{`, "limits.cores is missing"},
-		{`"max_attempts":3`, `"max_attempts":0`, "Limits.MaxAttempts"},
-		{
-			`"target_us":2000000,"give_up_us":4000000,"repeat":"read_like"`,
-			`"target_us":2000000,"give_up_us":-1,"repeat":"read_like"`, "Deadline",
-		},
-		{`"max_attempts":3`, `"max_attempts":"3"`, "max_attempts"},
-	} {
-		text := strings.Replace(configText, x.from, x.to, 1)
-		if text == configText {
-			t.Fatalf("%q is not in the sample", x.from)
-		}
-		write(text)
-		_, err := ReloadConfig(getenv, before)
-		if err == nil || !strings.Contains(err.Error(), x.want) {
-			t.Errorf("%q for %q: %v, want %q", x.to, x.from, err, x.want)
-		}
-	}
-	write(strings.Replace(configText, `"members":[`, `"members":[],"more":[`, 1))
-	if _, err := ReloadConfig(getenv, before); err != nil {
-		t.Errorf("other upstreams: %v", err)
-	}
-}
