--- a/internal/proxy/balancer_test.go
+++ b/internal/proxy/balancer_test.go
@@ -38,7 +38,7 @@
 	want(t, "connections", s.Opened(), 1)
 }
 
-// A refused connection proves that the request never ran: it goes elsewhere.
+// A refused connection proves that the request never ran: it is retried at another upstream.
 func TestRefusedConnectionGoesElsewhere(t *testing.T) {
 	dead, alive := scripted.Start(t, scripted.Done), scripted.Start(t, scripted.Done)
 	l, err := net.Listen("tcp", "127.0.0.1:0")
@@ -54,7 +54,7 @@
 	}
 }
 
-// A hung upstream: the client gets its one answer by its deadline, and the request is not sent again.
+// An upstream hangs: the client gets its one answer by its deadline, and the request is not retried.
 func TestFailsByTheDeadline(t *testing.T) {
 	release := make(chan struct{})
 	s := scripted.Start(t, func(c net.Conn, r *http.Request) bool { <-release; return scripted.Done(c, r) })
@@ -69,8 +69,8 @@
 	want(t, "requests at the upstream", len(s.Arrivals), 1)
 }
 
-// A client that leaves stops no work. Its connection waits for the late answer and serves again: closing it would
-// cost the upstream a handshake. All other connections are closed after their answers here.
+// A client that leaves stops no work. The upstream connection waits for the late answer and is used again: to close it
+// would cost the upstream a handshake. All other connections are closed after their answers here.
 func TestConnectionOutlivesItsClient(t *testing.T) {
 	release := make(chan struct{})
 	from := make(chan net.Conn, 1)
@@ -117,8 +117,8 @@
 	}
 }
 
-// A connection on which nothing was ever sent must not keep a stopping balancer from ending, nor take the
-// requests in hand with it.
+// A connection on which nothing was ever sent must not keep a stopping balancer from ending, nor end the requests in
+// flight.
 func TestStopClosesUnusedConnections(t *testing.T) {
 	release := make(chan struct{})
 	s := scripted.Start(t, func(c net.Conn, r *http.Request) bool { <-release; return scripted.Done(c, r) })
@@ -135,10 +135,10 @@
 		t.Error("bytes on an unused connection")
 	}
 	close(release)
-	want(t, "status of the request in hand", <-status, outcome{status: 200})
+	want(t, "status of the request in flight", <-status, outcome{status: 200})
 }
 
-// What was taken is answered after SIGTERM, and connections that are still on their way are served.
+// Requests that were accepted are answered after SIGTERM, and connections that are still on their way are served.
 func TestStopLosesNothing(t *testing.T) {
 	release := make(chan struct{})
 	s := scripted.Start(t, func(c net.Conn, r *http.Request) bool {
@@ -164,7 +164,7 @@
 		}
 	}
 	close(release)
-	want(t, "status of the request in hand", <-late, outcome{status: 200})
+	want(t, "status of the request in flight", <-late, outcome{status: 200})
 	if err := <-b.ended; err != nil {
 		t.Error(err)
 	}
@@ -174,7 +174,7 @@
 	}
 }
 
-// SIGTERM comes while discovery moves: what was taken is answered all the same.
+// SIGTERM comes while discovery moves: requests that were accepted are answered all the same.
 func TestStopDuringReloadLosesNothing(t *testing.T) {
 	release := make(chan struct{})
 	s := scripted.Start(t, func(c net.Conn, r *http.Request) bool { <-release; return scripted.Done(c, r) })
@@ -185,10 +185,10 @@
 	c := b.config
 	c.Discovery = next.addr
 	b.reloads <- c
-	<-next.calls // it has moved, and waits for the list
+	<-next.calls // the poll has moved, and waits for the list
 	b.cancel()
 	close(release)
-	want(t, "status of the request in hand", <-status, outcome{status: 200})
+	want(t, "status of the request in flight", <-status, outcome{status: 200})
 	if err := <-b.ended; err != nil {
 		t.Error(err)
 	}
@@ -205,7 +205,7 @@
 	want(t, "status", resp.StatusCode, 200)
 }
 
-// New settings hold from the reload on, and a request under way keeps its class.
+// New settings hold from the reload on, and a request in flight keeps its class.
 func TestSettingsChange(t *testing.T) {
 	release := make(chan struct{})
 	s := scripted.Start(t, func(c net.Conn, r *http.Request) bool {
@@ -227,7 +227,7 @@
 	})
 	c.Settings.Limits.MaxAttempts = 1
 	b.reloads <- c
-	b.reloads <- c // the first is with the loop, and what is posted from now on comes after it
+	b.reloads <- c // the first is with the pool's goroutine by now, ahead of all requests to come
 	deadline := time.Now().Add(10 * time.Second)
 	for status, _ = b.do(t, b.newRequest("fresh", "")); status != 200; status, _ = b.do(t, b.newRequest("fresh", "")) {
 		if time.Now().After(deadline) {
@@ -235,7 +235,7 @@
 		}
 	}
 	status, _ = b.do(t, b.newRequest("read", ""))
-	want(t, "a class that has gone", status, 400)
+	want(t, "a class that was removed", status, 400)
 	close(release)
-	want(t, "one under way in it", <-late, outcome{status: 200})
+	want(t, "a request in flight in it", <-late, outcome{status: 200})
 }
--- a/internal/proxy/client_connections_test.go
+++ b/internal/proxy/client_connections_test.go
@@ -18,7 +18,7 @@
 	"olivearch/internal/standin/scripted"
 )
 
-func TestMalformedRequestsStayOutside(t *testing.T) {
+func TestMalformedRequestsAreRejected(t *testing.T) {
 	s := scripted.Start(t, scripted.Done)
 	b := startBalancer(t, upMember("s-00000001", s))
 	get := b.newRequest("checkin", "")
@@ -48,7 +48,8 @@
 	want(t, "requests at the upstream", len(s.Arrivals), 0)
 }
 
-// What can't be read, or is not certain, never reaches an upstream: it gets its word and a close.
+// A request that can't be read, or has more than one reading, never reaches an upstream: it is rejected, and its
+// connection closed.
 func TestBadClients(t *testing.T) {
 	s := scripted.Start(t, scripted.Done)
 	b := startBalancer(t, upMember("s-00000001", s))
@@ -104,7 +105,7 @@
 	t.Cleanup(func() { want(t, "requests at the upstream", len(s.Arrivals), 0) })
 }
 
-// A client that is slow but goes on is a usual one on a bad line: it is served, later than a silent one is closed.
+// A client that is slow but goes on is a usual one on a bad line: it is served, later than an idle one is closed.
 func TestSlowClientIsServed(t *testing.T) {
 	t.Parallel()
 	s := scripted.Start(t, scripted.Done)
@@ -129,7 +130,7 @@
 	want(t, "status", readStatus(t, bufio.NewReader(c)), 200)
 }
 
-// A deadline beyond the class's is cut to that.
+// A deadline beyond that of the class is cut to it.
 func TestLongDeadlineIsServed(t *testing.T) {
 	s := scripted.Start(t, scripted.Done)
 	b := startBalancer(t, upMember("s-00000001", s))
@@ -137,8 +138,8 @@
 	want(t, "status", status, 200)
 }
 
-// The id of a request that is open: the newcomer is turned away, the first is served.
-func TestIDThatIsOpen(t *testing.T) {
+// Two requests with one id: while the first is in flight the second is rejected, and the first is served.
+func TestRequestIDInUse(t *testing.T) {
 	release := make(chan struct{})
 	s := scripted.Start(t, func(c net.Conn, r *http.Request) bool { <-release; return scripted.Done(c, r) })
 	b := startBalancer(t, upMember("s-00000001", s))
@@ -147,16 +148,16 @@
 	first := b.doInBackground(q)
 	<-s.Arrivals
 	status, _ := b.do(t, second)
-	want(t, "newcomer", status, 409)
+	want(t, "second", status, 409)
 	close(release)
 	want(t, "first", <-first, outcome{status: 200})
 	status, _ = b.do(t, second.Clone(t.Context()))
-	want(t, "once it is no longer open", status, 200)
+	want(t, "once the first has ended", status, 200)
 }
 
-// Hundreds of silent connections: those that say nothing make room, a request in hand is answered, and new clients are
-// served.
-func TestSilentConnectionsMakeRoom(t *testing.T) {
+// Hundreds of connections without a request: the oldest are closed, a request in flight is answered, and new clients
+// are served.
+func TestIdleConnectionsAreEvicted(t *testing.T) {
 	release := make(chan struct{})
 	s := scripted.Start(t, func(c net.Conn, r *http.Request) bool {
 		if r.Header.Get("X-Late") != "" {
@@ -177,17 +178,17 @@
 		all = append(all, c)
 	}
 	if _, err := all[0].Read(make([]byte, 1)); err == nil {
-		t.Error("bytes on the longest silent connection")
+		t.Error("bytes on the connection that has idled longest")
 	}
 	status, _ := b.do(t, b.newRequest("checkin", ""))
 	want(t, "a new client", status, 200)
 	close(release)
-	want(t, "the request in hand", <-late, outcome{status: 200})
+	want(t, "the request in flight", <-late, outcome{status: 200})
 }
 
-// Clients that send one request and keep their connection for good take up what clients may hold: the one that has
-// idled longest makes room with each answer, and one with a request in it never does.
-func TestConnectionsKeptForGoodMakeRoom(t *testing.T) {
+// Clients that send one request and keep their connection take up all connections that clients may have: with each
+// answer the one that has idled longest is closed, and never one with a request in flight.
+func TestKeptConnectionsAreEvicted(t *testing.T) {
 	const surplus = 20 // connections over those that may stay
 	release := make(chan struct{})
 	s := scripted.Start(t, func(c net.Conn, r *http.Request) bool {
@@ -209,19 +210,19 @@
 		<-s.Arrivals
 		kept = append(kept, in)
 	}
-	closed := notifyClosed(kept) // the held one counts too, and so do those that came last
+	closed := notifyClosed(kept) // the connection in flight counts too, and so do those that came last
 	for range surplus {
 		select {
 		case i := <-closed:
-			if i > len(kept)/2 { // they end in about the order in which they came
-				t.Errorf("connection %d of %d made room", i, len(kept))
+			if i > len(kept)/2 { // they are closed in about the order in which they came
+				t.Errorf("connection %d of %d was closed", i, len(kept))
 			}
 		case <-time.After(15 * time.Second):
-			t.Fatalf("fewer than %d of %d connections made room, %d may stay", surplus, len(kept), most)
+			t.Fatalf("fewer than %d of %d connections were closed, %d may stay", surplus, len(kept), most)
 		}
 	}
 	close(release)
-	want(t, "status of the request in hand", readStatus(t, held), http.StatusOK)
+	want(t, "status of the request in flight", readStatus(t, held), http.StatusOK)
 }
 
 // sendRead sends a request with an id on a new connection, and returns what reads that.
--- a/internal/proxy/config.go
+++ b/internal/proxy/config.go
@@ -36,7 +36,7 @@
 	MemoryMB     int               // MiB that the process may use
 	Sockets      int               // file descriptors that the process may use
 	Known        discovery.Listing // the endpoint list that was last known, maybe stale
-	Meeting      string            // path at which a new process of this balancer asks to take over; empty: none does
+	Meeting      string            // path at which a new process of this balancer requests a takeover; empty: none does
 	Management   string            // host:port for operators' commands; empty: none
 	Coordination *config.Promises  // of the coordination cluster; nil: no shared overrides
 	Settings     balancer.Settings
--- a/internal/proxy/config_test.go
+++ b/internal/proxy/config_test.go
@@ -40,7 +40,7 @@
 	want(t, "classes", len(c.Settings.Classes), 3)
 }
 
-// RELAY_DISCOVERY names the address of the start. After that the file's holds.
+// RELAY_DISCOVERY names the address of the start. A reload goes by the file.
 func TestReloadedDiscoveryIsTheFiles(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "config.json")
 	if err := os.WriteFile(path, []byte(configText), 0o600); err != nil {
@@ -60,7 +60,7 @@
 	want(t, "name", c.Name, "n4")
 }
 
-func TestConfigNamesWhatIsWrong(t *testing.T) {
+func TestConfigErrorsNameTheKey(t *testing.T) {
 	_, err := LoadConfig(func(string) string { return "" })
 	if err == nil || !strings.Contains(err.Error(), "RELAY_CONFIG") {
 		t.Errorf("no file: got %v", err)
@@ -85,8 +85,8 @@
 	}
 }
 
-// A broken file changes nothing, and the error names what is wrong.
-func TestBrokenFilesAreRefused(t *testing.T) {
+// A broken file is an error that names what is wrong; an endpoint list may lack keys that it had before.
+func TestReloadRejectsBrokenFiles(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "config.json")
 	getenv := func(name string) string { return map[string]string{"RELAY_CONFIG": path}[name] }
 	write := func(text string) {
--- a/internal/proxy/endpoints_test.go
+++ b/internal/proxy/endpoints_test.go
@@ -8,7 +8,8 @@
 	"olivearch/internal/standin/scripted"
 )
 
-// An agent on the balancer's own machine answers a watch at once, news or not. That must not keep the core busy.
+// An agent on the balancer's own machine answers a poll at once, with changes or without. That must not keep the core
+// busy.
 func TestPausesBetweenWatchCalls(t *testing.T) {
 	b := startBalancer(t)
 	<-b.registry.calls
@@ -22,7 +23,7 @@
 	}
 }
 
-// After a drain has been told nothing more goes there; an older answer does not bring it back.
+// An upstream that drains gets no new requests; an older answer of discovery does not bring it back.
 func TestDrainIsKept(t *testing.T) {
 	one, two := scripted.Start(t, scripted.Done), scripted.Start(t, scripted.Done)
 	m1, m2 := upMember("s-00000001", one), upMember("s-00000002", two)
@@ -40,8 +41,8 @@
 	want(t, "requests at the other", len(two.Arrivals), 10)
 }
 
-// A failed call is told to the module, which asks again in its own time.
-func TestAsksAgainAfterAFailure(t *testing.T) {
+// After a failed poll the decision module says when the next one is.
+func TestPollsAgainAfterAFailure(t *testing.T) {
 	s := scripted.Start(t, scripted.Done)
 	b := startBalancer(t)
 	<-b.registry.calls
@@ -53,8 +54,8 @@
 	want(t, "status", status, 200)
 }
 
-// A new configuration names another discovery, whose revisions are lower: its whole list is taken, a late answer of the
-// old one is not.
+// A new configuration names another discovery service, whose revisions are lower: its complete list is applied, a late
+// answer of the old one is not.
 func TestReloadMovesDiscovery(t *testing.T) {
 	one, two := scripted.Start(t, scripted.Done), scripted.Start(t, scripted.Done)
 	b := startBalancer(t, upMember("s-00000001", one))
@@ -64,7 +65,7 @@
 	c.Discovery = next.addr
 	b.reloads <- c
 	want(t, "call at the new discovery", <-next.calls, "")
-	select { // the call at the old one has been ended; its answer, should it still be written, is too late
+	select { // the poll of the old one has been cancelled: its answer, should it still be written, is too late
 	case b.registry.answers <- listing(30, upMember("s-00000001", one)):
 	default:
 	}
--- a/internal/proxy/operator_commands.go
+++ b/internal/proxy/operator_commands.go
@@ -32,7 +32,7 @@
 	return nil
 }
 
-// endpointsKnown tells whether discovery has answered, or has been silent for endpointsTimeout.
+// endpointsKnown tells whether discovery has answered, or has not for endpointsTimeout.
 func (b *Balancer) endpointsKnown() bool {
 	return b.pool.EndpointsKnown(endpointsTimeout)
 }
--- a/internal/proxy/operator_commands_test.go
+++ b/internal/proxy/operator_commands_test.go
@@ -9,18 +9,18 @@
 	"olivearch/internal/standin/scripted"
 )
 
-// An upstream that was taken out by hand gets nothing, whatever discovery says of it, until it is called back.
-func TestOutByHand(t *testing.T) {
+// An upstream that operators have taken out gets nothing, whatever discovery says of it, until they return it.
+func TestOutOfServiceByOperators(t *testing.T) {
 	one, two := scripted.Start(t, scripted.Done), scripted.Start(t, scripted.Done)
 	b := startBalancer(t, upMember("s-00000001", one), upMember("s-00000002", two))
 	<-b.registry.calls
-	for range 2 { // the call may come twice
+	for range 2 { // the command may come twice
 		if _, err := b.TakeOutOfService("s-00000001"); err != nil {
 			t.Fatal(err)
 		}
 	}
 	list := listing(11, upMember("s-00000001", one), upMember("s-00000002", two))
-	list.Members[0].UpSinceMS = time.Now().UnixMilli() // discovery tells of its restart, and that it is up
+	list.Members[0].UpSinceMS = time.Now().UnixMilli() // discovery says that it has restarted, and is up
 	b.registry.answers <- list
 	<-b.registry.calls
 	want(t, "at the one that is out", b.arrivalsOf(t, 10, one, two)[0], 0)
@@ -28,7 +28,7 @@
 		_, out := b.TakeOutOfService(id)
 		_, back := b.ReturnToService(id)
 		if out == nil || back == nil {
-			t.Errorf("%q: an unknown id is owed a no", id)
+			t.Errorf("%q: an unknown id must be an error", id)
 		}
 	}
 	if _, err := b.ReturnToService("s-00000001"); err != nil {
@@ -37,13 +37,13 @@
 	deadline := time.Now().Add(5 * time.Second)
 	for b.arrivalsOf(t, 5, one, two)[0] == 0 {
 		if time.Now().After(deadline) {
-			t.Fatal("not used after the call back")
+			t.Fatal("not used after its return to service")
 		}
 	}
 }
 
-// While drained the balancer says no at /healthz, serves what comes and closes behind it, and lets idle connections go.
-func TestDrainOfTheBalancer(t *testing.T) {
+// While drained the balancer answers 503 at /healthz, serves requests, and closes connections after them or once idle.
+func TestStandbyDrainsTheBalancer(t *testing.T) {
 	b := startBalancer(t, upMember("s-00000001", scripted.Start(t, scripted.Done)))
 	health := func() int {
 		resp, err := http.Get(b.url + "/healthz")
@@ -88,5 +88,5 @@
 		t.Fatal(err)
 	}
 	resp.Body.Close()
-	want(t, "connections are kept again", resp.Close, false)
+	want(t, "its connection is closed after the drain", resp.Close, false)
 }
--- a/internal/proxy/platform_router_test.go
+++ b/internal/proxy/platform_router_test.go
@@ -35,12 +35,12 @@
 	if err != nil {
 		f.Fatal(err)
 	}
-	desk := newPlatformRouter([]balancer.Class{
+	router := newPlatformRouter([]balancer.Class{
 		{Name: "checkin", Deadline: time.Second, Idempotency: balancer.NonIdempotent},
 		{Name: "read", Deadline: time.Second, Idempotency: balancer.Idempotent},
 	}, p)
 	f.Fuzz(func(t *testing.T, text []byte) {
-		call, err := frontend.ReadRequest(desk, scripted.Saying(text))
+		call, err := frontend.ReadRequest(router, scripted.Saying(text))
 		if err != nil || call == nil {
 			return
 		}
--- a/internal/proxy/route_table_test.go
+++ b/internal/proxy/route_table_test.go
@@ -76,9 +76,9 @@
 		f.Add([]byte(text))
 	}
 	r := routesTo(f, startPool(f, "x", 1))
-	desk := NewRouteTable(r)
+	router := NewRouteTable(r)
 	f.Fuzz(func(t *testing.T, text []byte) {
-		call, err := frontend.ReadRequest(desk, scripted.Saying(text))
+		call, err := frontend.ReadRequest(router, scripted.Saying(text))
 		if err != nil || call == nil {
 			return
 		}
@@ -105,9 +105,9 @@
 	})
 }
 
-// TestRetiredWhileRead: a pool is retired between a request's head and its body. The request is looked up again and
-// goes to the current pool; the retired one ends, and never takes a request after that.
-func TestRetiredWhileRead(t *testing.T) {
+// A pool is retired between a request's head and its body: the request is looked up again and goes to the current pool.
+// The retired one ends, and never takes a request after that.
+func TestPoolRetiredWhileRequestIsRead(t *testing.T) {
 	old, next := startPool(t, "x", 100), startPool(t, "y", 100)
 	d := NewRouteTable(routesTo(t, old))
 	heads := func(n int) (all []*routedExchange) {
@@ -139,7 +139,7 @@
 				t.Errorf("request %d: %v, %v", i, a, err)
 				return
 			}
-			<-q.Reply // refused: there is no node
+			<-q.Reply // rejected: there is no upstream
 			q.Done()
 		})
 	}
--- a/internal/proxy/shared_overrides_test.go
+++ b/internal/proxy/shared_overrides_test.go
@@ -60,11 +60,11 @@
 		},
 		{
 			name: "no voter reached", cause: client.ErrNobody, cluster: fakeCluster{err: client.ErrNobody, index: 9},
-			err: "only here, not copied: no voter could take it",
+			err: "only here, not copied: " + client.ErrNobody.Error(),
 		},
 		{
 			name: "no certainty", cause: client.ErrUnsure, cluster: fakeCluster{err: unsure, index: 9},
-			err: "only here for certain: the others may be told, or not (voter k1: it may be held, or may yet be)",
+			err: "only here for certain: the others may be told, or not (" + unsure.Error() + ")",
 		},
 	} {
 		t.Run(c.name, func(t *testing.T) {
--- a/internal/proxy/streaming_test.go
+++ b/internal/proxy/streaming_test.go
@@ -57,7 +57,7 @@
 	}
 }
 
-// What a node says goes on at once, not when the rest has come.
+// Each part of an answer is forwarded at once, not when the rest has come.
 func TestAnswerGoesOnAsItComes(t *testing.T) {
 	next := make(chan string)
 	s := scripted.Start(t, func(c net.Conn, _ *http.Request) bool {
@@ -91,7 +91,7 @@
 	}
 }
 
-// A node that fails in the middle of an answer leaves the client with one that is visibly cut, and nothing runs again.
+// An upstream fails in the middle of an answer: the client gets one that is visibly cut, and nothing is retried.
 func TestCutAnswerLooksCut(t *testing.T) {
 	body := randomBytes(3 * body.Whole)
 	withLength := fmt.Sprintf("Content-Length: %d", len(body))
@@ -116,15 +116,16 @@
 			got, err := io.ReadAll(resp.Body)
 			resp.Body.Close()
 			if err == nil && resp.StatusCode == 200 {
-				t.Errorf("%s, cut after %d of 3 parts: %d bytes look whole", head, share, len(got))
+				t.Errorf("%s, cut after %d of 3 parts: %d bytes look complete", head, share, len(got))
 			}
 			want(t, "executions", len(s.Arrivals), 1)
 		}
 	}
 }
 
-// An answer that comes promptly is judged whole: a safe request whose answer is cut goes to another node.
-func TestPromptAnswerIsJudgedWhole(t *testing.T) {
+// An answer that comes promptly is read to its end first: an idempotent request whose answer is cut is retried at
+// another upstream.
+func TestCutPromptAnswerIsRetried(t *testing.T) {
 	bad := scripted.Start(t, func(c net.Conn, _ *http.Request) bool {
 		writeIfOpen(c, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n5\r\nab")
 		return false
@@ -137,12 +138,12 @@
 		want(t, "body", body, "done")
 	}
 	if len(bad.Arrivals) == 0 {
-		t.Error("the bad node was never asked: nothing was tested")
+		t.Error("the bad upstream got no request: nothing was tested")
 	}
 }
 
-// A client that sends a body slowly takes no attempt before it is in, as far as it is read ahead.
-func TestSlowBodyTakesNoNode(t *testing.T) {
+// A body that comes slowly takes up no attempt before it has been read, as far as it is read ahead.
+func TestSlowBodyTakesNoUpstream(t *testing.T) {
 	s := scripted.Start(t, scripted.Done)
 	b := startBalancer(t, upMember("s-00000001", s))
 	body := randomBytes(body.Whole + body.Usual.Ahead/2)
@@ -150,13 +151,13 @@
 	mustWrite(t, c, string(body[:len(body)-1]))
 	status, _ := b.do(t, b.newRequest("checkin", "")) // it came later, and is served first
 	want(t, "status", status, 200)
-	want(t, "connections to the node", s.Opened(), 1)
-	want(t, "requests at the node", len(s.Arrivals), 1)
+	want(t, "connections to the upstream", s.Opened(), 1)
+	want(t, "requests at the upstream", len(s.Arrivals), 1)
 	mustWrite(t, c, string(body[len(body)-1:]))
 	want(t, "status", readStatus(t, in), 200)
 }
 
-// A long body goes on while it comes, and its time counts from its last byte.
+// A long body is forwarded while it comes, and its deadline counts from its last byte.
 func TestTimeCountsFromTheLastByte(t *testing.T) {
 	begun := make(chan struct{})
 	s := scripted.Start(t, scripted.Done)
@@ -164,7 +165,7 @@
 	body := randomBytes(body.Whole + body.Usual.Ahead + 3*body.Block)
 	c, in := b.sendHead(t, fmt.Sprintf("X-Deadline-Ms: 400\r\nContent-Length: %d\r\n", len(body)))
 	mustWrite(t, c, string(body[:len(body)-4]))
-	go func() { // another is served meanwhile: the slow one holds nobody up
+	go func() { // the attempt begins before the last byte has come
 		defer close(begun)
 		for deadline := time.Now().Add(10 * time.Second); s.Opened() == 0 && time.Now().Before(deadline); {
 			time.Sleep(time.Millisecond)
@@ -182,9 +183,9 @@
 	}
 }
 
-// A client that ends in the middle of a body that has begun to go on: the node gets no whole request, and all is given
-// back.
-func TestClientEndsInTheMiddle(t *testing.T) {
+// A client ends in the middle of a body that is being forwarded: the upstream gets no complete request, and the next
+// request is served.
+func TestClientEndsMidBody(t *testing.T) {
 	s := scripted.Start(t, scripted.Done)
 	b := startBalancer(t, upMember("s-00000001", s))
 	for _, framing := range []string{"Content-Length: 4000000\r\n", "Transfer-Encoding: chunked\r\n"} {
@@ -202,18 +203,18 @@
 	}
 	status, _ := b.do(t, b.newRequest("checkin", ""))
 	want(t, "status of the next", status, 200)
-	want(t, "whole requests at the node", len(s.Arrivals), 1)
+	want(t, "complete requests at the upstream", len(s.Arrivals), 1)
 }
 
-// A node that dies before it has the last byte of a body has not run it: the client is told that a retry is harmless,
-// although the balancer can't retry. One that answers early is heard.
-func TestNodeEndsInTheMiddle(t *testing.T) {
+// An upstream that ends before it has the last byte of a body has not run the request: the client's answer says that a
+// retry is harmless, although the balancer can't retry. An early answer is forwarded.
+func TestUpstreamEndsMidBody(t *testing.T) {
 	for _, x := range []struct {
 		name, says string
 		status     int
 	}{
 		{"dies", "", 503},
-		{"turns it away", "HTTP/1.1 503 Busy\r\nX-Not-Run: 1\r\nContent-Length: 0\r\nConnection: close\r\n\r\n", 503},
+		{"rejects it", "HTTP/1.1 503 Busy\r\nX-Not-Run: 1\r\nContent-Length: 0\r\nConnection: close\r\n\r\n", 503},
 		{"fails at it", "HTTP/1.1 500 Oops\r\nContent-Length: 0\r\nConnection: close\r\n\r\n", 502},
 		{"answers early", "HTTP/1.1 200 OK\r\nContent-Length: 2\r\nConnection: close\r\n\r\nok", 200},
 	} {
@@ -246,8 +247,8 @@
 	}
 }
 
-// A long request that nobody can take is answered at once, also while its client still sends, who can read the answer.
-func TestLongRequestIsRefusedAtOnce(t *testing.T) {
+// A long request for which there is no upstream is answered at once, and its client, which still sends, can read that.
+func TestLongRequestIsRejectedAtOnce(t *testing.T) {
 	b := startBalancer(t)
 	<-b.registry.calls
 	c, in := b.sendHead(t, "Content-Length: 8000000\r\n")
@@ -259,8 +260,8 @@
 	}
 }
 
-// Forms that HTTP/1.1 allows and usual clients may use.
-func TestForms(t *testing.T) {
+// Forms of requests that HTTP/1.1 allows and usual clients may send.
+func TestUnusualRequestForms(t *testing.T) {
 	s := scripted.Start(t, func(c net.Conn, r *http.Request) bool {
 		writeIfOpen(c, "HTTP/1.1 103 Early Hints\r\nLink: </x>\r\n\r\nHTTP/1.1 200 \r\ncontent-length:4\r\n\r\ndone")
 		return true
