--- a/internal/proxy/config.go
+++ b/internal/proxy/config.go
@@ -16,23 +16,25 @@
 	"olivearch/internal/wire"
 )
 
-// Environment variables. All but the last two go before what the configuration file says.
+// Environment variables.
 const (
-	envConfig       = "RELAY_CONFIG" // path of the configuration file
-	envName         = "RELAY_NAME"
-	envListen       = "RELAY_LISTEN"
-	envDiscovery    = "RELAY_DISCOVERY"
-	envManagement   = "RELAY_MANAGEMENT"
+	envConfig       = "RELAY_CONFIG"   // path of the configuration file
 	envCoordination = "RELAY_PROMISES" // path of a file that names the coordination servers
 	envFolder       = "TMPDIR"         // of the socket for hot restarts
+
+	// These go before the values of the configuration file.
+	envName       = "RELAY_NAME"
+	envListen     = "RELAY_LISTEN"
+	envDiscovery  = "RELAY_DISCOVERY"
+	envManagement = "RELAY_MANAGEMENT"
 )
 
 // Config is the configuration of a balancer. It never changes: a reload makes another.
 type Config struct {
 	Name         string
-	Listen       string // host:port for clients
-	Discovery    string // host:port of discovery
-	Seed         uint64
+	Listen       string            // host:port for clients
+	Discovery    string            // host:port of discovery
+	Seed         uint64            // of the decision module's random numbers
 	MemoryMB     int               // MiB that the process may use
 	Sockets      int               // file descriptors that the process may use
 	Known        discovery.Listing // the endpoint list that was last known, maybe stale
@@ -40,19 +42,19 @@
 	Management   string            // host:port for operators' commands; empty: none
 	Coordination *config.Promises  // of the coordination cluster; nil: no shared overrides
 	Settings     balancer.Settings
-	Links        wire.Links
-	keys         keySet // of the file, to find on a reload what is missing
+	Links        wire.Links // timeouts of upstream connections
+	keys         keySet     // of the file, to find on a reload what is missing
 }
 
 // LoadConfig reads the file that RELAY_CONFIG names. An error names the variable, or the file and the key.
 func LoadConfig(getenv func(string) string) (Config, error) {
 	path := getenv(envConfig)
 	if path == "" {
-		return Config{}, errors.New("RELAY_CONFIG is not set")
+		return Config{}, errors.New(envConfig + " is not set")
 	}
 	text, err := os.ReadFile(path)
 	if err != nil {
-		return Config{}, fmt.Errorf("RELAY_CONFIG: %w", err)
+		return Config{}, fmt.Errorf("%s: %w", envConfig, err)
 	}
 	file, keys, err := decodeConfigFile(text)
 	if err != nil {
@@ -67,7 +69,7 @@
 	loaded.keys = keys
 	if path := getenv(envCoordination); path != "" {
 		if loaded.Coordination, err = config.LoadPromises(path); err != nil {
-			return loaded, fmt.Errorf("RELAY_PROMISES: %w", err)
+			return loaded, fmt.Errorf("%s: %w", envCoordination, err)
 		}
 	}
 	if folder := getenv(envFolder); folder != "" {
--- a/internal/proxy/hotrestart.go
+++ b/internal/proxy/hotrestart.go
@@ -40,7 +40,7 @@
 
 // PreviousProcess is an old process that still serves, and what it has handed over.
 type PreviousProcess struct {
-	Listener net.Listener
+	Listener net.Listener       // for clients, shared with the old process
 	state    hotrestart.Message // of kind KindState
 	link     *hotrestart.Link
 }
