--- a/internal/proxy/config_test.go
+++ b/internal/proxy/config_test.go
@@ -10,10 +10,11 @@
 
 const configText = `{"name":"n3","listen":"127.0.0.1:7070","discovery":"127.0.0.1:8500","seed":"8c1f30d27a5be964",
 "limits":{"cores":1.0,"memory_mb":192,"sockets":1024},
-"known":{"revision":41,"complete":true,"members":[{"id":"s-5be2a07c","host_port":"127.0.0.1:7","phase":"up","size":1.0,"up_since_ms":0}]},
+"known":{"revision":41,"complete":true,"members":[
+{"id":"s-5be2a07c","host_port":"127.0.0.1:7","phase":"up","size":1.0,"up_since_ms":0}]},
 "settings":` + settingsText + `}`
 
-func load(t *testing.T, text string, env map[string]string) (Config, error) {
+func loadText(t *testing.T, text string, env map[string]string) (Config, error) {
 	t.Helper()
 	path := filepath.Join(t.TempDir(), "config.json")
 	if err := os.WriteFile(path, []byte(text), 0o600); err != nil {
@@ -28,7 +29,7 @@
 }
 
 func TestConfig(t *testing.T) {
-	c, err := load(t, configText, map[string]string{"RELAY_NAME": "n4"})
+	c, err := loadText(t, configText, map[string]string{"RELAY_NAME": "n4"})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -39,7 +40,7 @@
 	want(t, "classes", len(c.Settings.Classes), 3)
 }
 
-// RELAY_DISCOVERY names the address of the start. After that the file's holds.
+// RELAY_DISCOVERY names the address of the start. A reload goes by the file.
 func TestReloadedDiscoveryIsTheFiles(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "config.json")
 	if err := os.WriteFile(path, []byte(configText), 0o600); err != nil {
@@ -59,8 +60,9 @@
 	want(t, "name", c.Name, "n4")
 }
 
-func TestConfigNamesWhatIsWrong(t *testing.T) {
-	if _, err := LoadConfig(func(string) string { return "" }); err == nil || !strings.Contains(err.Error(), "RELAY_CONFIG") {
+func TestConfigErrorsNameTheKey(t *testing.T) {
+	_, err := LoadConfig(func(string) string { return "" })
+	if err == nil || !strings.Contains(err.Error(), "RELAY_CONFIG") {
 		t.Errorf("no file: got %v", err)
 	}
 	for _, c := range []struct{ old, new, wants string }{
@@ -76,8 +78,56 @@
 		{`"phase":"up"`, `"phase":"odd"`, "odd"},
 		{`"127.0.0.1:7"`, `"here"`, "s-5be2a07c"},
 	} {
-		if _, err := load(t, strings.Replace(configText, c.old, c.new, 1), nil); err == nil || !strings.Contains(err.Error(), c.wants) {
+		_, err := loadText(t, strings.Replace(configText, c.old, c.new, 1), nil)
+		if err == nil || !strings.Contains(err.Error(), c.wants) {
 			t.Errorf("%s: got %v, want it to name %s", c.new, err, c.wants)
 		}
 	}
 }
+
+// A broken file is an error that names what is wrong; an endpoint list may lack keys that it had before.
+func TestReloadRejectsBrokenFiles(t *testing.T) {
+	path := filepath.Join(t.TempDir(), "config.json")
+	getenv := func(name string) string { return map[string]string{"RELAY_CONFIG": path}[name] }
+	write := func(text string) {
+		if err := os.WriteFile(path, []byte(text), 0o600); err != nil {
+			t.Fatal(err)
+		}
+	}
+	write(configText)
+	before, err := LoadConfig(getenv)
+	if err != nil {
+		t.Fatal(err)
+	}
+	for _, x := range []struct{ from, to, want string }{
+		{configText, "", "unexpected end"},
+		{configText[len(configText)/2:], "", "unexpected end"},
+		{`"worth_by":"work",`, ``, "settings.worth_by is missing"},
+		{
+			`"group":"all","memory_span_us":9000000,"worth":1`, `"group":"all","memory_span_us":9000000`,
+			"settings.profiles.each.worth is missing",
+		},
+		{`"cancel":true,`, ``, "settings.limits.cancel is missing"},
+		{`"limits":{"cores":1.0,`, `"limits":{`, "limits.cores is missing"},
+		{`"max_attempts":3`, `"max_attempts":0`, "Limits.MaxAttempts"},
+		{
+			`"target_us":2000000,"give_up_us":4000000,"repeat":"read_like"`,
+			`"target_us":2000000,"give_up_us":-1,"repeat":"read_like"`, "Deadline",
+		},
+		{`"max_attempts":3`, `"max_attempts":"3"`, "max_attempts"},
+	} {
+		text := strings.Replace(configText, x.from, x.to, 1)
+		if text == configText {
+			t.Fatalf("%q is not in the sample", x.from)
+		}
+		write(text)
+		_, err := ReloadConfig(getenv, before)
+		if err == nil || !strings.Contains(err.Error(), x.want) {
+			t.Errorf("%q for %q: %v, want %q", x.to, x.from, err, x.want)
+		}
+	}
+	write(strings.Replace(configText, `"members":[`, `"members":[],"more":[`, 1))
+	if _, err := ReloadConfig(getenv, before); err != nil {
+		t.Errorf("other upstreams: %v", err)
+	}
+}
--- /dev/null
+++ b/internal/proxy/platform_router.go
@@ -0,0 +1,153 @@
+package proxy
+
+import (
+	"net/http"
+	"strings"
+	"sync/atomic"
+	"time"
+
+	"olivearch/balancer"
+	"olivearch/internal/frontend"
+	"olivearch/internal/http1"
+	"olivearch/internal/pool"
+	"olivearch/internal/route"
+	"olivearch/internal/upstream"
+)
+
+// platformKeyCookie is the cookie with a request's key for the decision module.
+const platformKeyCookie = "obj"
+
+// platformRouter is the router of a platform's balancer: it has one pool, and a request names its class. Its methods
+// may be called from any goroutine.
+type platformRouter struct {
+	classes atomic.Pointer[map[string]balancer.Class] // by name; the map never changes
+	pool    *pool.Pool
+}
+
+var _ frontend.Router = (*platformRouter)(nil)
+
+func newPlatformRouter(classes []balancer.Class, p *pool.Pool) *platformRouter {
+	r := &platformRouter{pool: p}
+	r.setClasses(classes)
+	return r
+}
+
+// setClasses replaces the classes that requests may name.
+func (r *platformRouter) setClasses(classes []balancer.Class) {
+	byName := make(map[string]balancer.Class, len(classes))
+	for _, class := range classes {
+		byName[class.Name] = class
+	}
+	r.classes.Store(&byName)
+}
+
+// Now is the time on the pool's clock.
+func (r *platformRouter) Now() time.Duration { return r.pool.Now() }
+
+// Ping returns once the pool has had a turn.
+func (r *platformRouter) Ping() { r.pool.Ping() }
+
+// MaxDeadline is the longest deadline of a class.
+func (r *platformRouter) MaxDeadline() (longest time.Duration) {
+	for _, class := range *r.classes.Load() {
+		longest = max(longest, class.Deadline)
+	}
+	return longest
+}
+
+// platformExchange is a request for the platform's one pool.
+type platformExchange struct {
+	parsedRequest
+	pool *pool.Pool
+}
+
+// Admit hands the request to the pool, which always takes it.
+func (e *platformExchange) Admit() (pool.Response, error) {
+	e.pool.Submit(&e.Request)
+	return pool.Response{}, nil
+}
+
+// Done has nothing to do: the one pool does not count its requests.
+func (e *platformExchange) Done() {}
+
+// Check reads the head of a request. A field that is there must be well formed: a default in its place would serve
+// something else than the client asked for.
+func (r *platformRouter) Check(method, target string, fields *http1.Fields) (frontend.Exchange, error) {
+	target = originForm(target)
+	if !isPath(target) {
+		return nil, frontend.BadRequest("the target is no path")
+	}
+	if fields.Get(fieldHost) == "" {
+		return nil, frontend.BadRequest("Host is wanted")
+	}
+	class, known := (*r.classes.Load())[fields.Get(fieldClass)]
+	if !known {
+		return nil, frontend.BadRequest("X-Class names no known class")
+	}
+	if firstSegment(target) != class.Name {
+		return nil, frontend.BadRequest("the path does not begin with the class")
+	}
+	requestID := fields.Get(fieldRequestID)
+	if requestID == "" {
+		return nil, frontend.BadRequest("X-Request-Id is wanted")
+	}
+	if err := checkFitsClass(class, method, fields); err != nil {
+		return nil, err
+	}
+	exchange := &platformExchange{pool: r.pool, parsedRequest: parsedRequest{Request: pool.Request{Name: requestID}}}
+	if err := exchange.parseFields(fields); err != nil {
+		return nil, err
+	}
+	exchange.setKeyFromCookie(*fields, platformKeyCookie)
+	exchange.setClass(class, class.Deadline)
+	exchange.Message = upstream.Message{
+		Line:   method + " " + target,
+		Header: *fields,
+		Host:   fields.Get(fieldHost),
+		Bodied: method == http.MethodPost,
+	}
+	return exchange, nil
+}
+
+// originForm takes scheme and host off a target in absolute form (RFC 9112, section 3.2.2).
+func originForm(target string) string {
+	if strings.HasPrefix(target, "/") {
+		return target
+	}
+	absolute, err := route.ParseTarget(target)
+	if err != nil {
+		return target
+	}
+	return absolute.String()
+}
+
+// isPath tells whether a target is an absolute path of printable ASCII characters.
+func isPath(target string) bool {
+	notPrintable := func(r rune) bool { return r <= ' ' || r >= 0x7f }
+	return strings.HasPrefix(target, "/") && !strings.ContainsFunc(target, notPrintable)
+}
+
+// firstSegment returns the first segment of a target's path.
+func firstSegment(target string) string {
+	path, _, _ := strings.Cut(strings.TrimPrefix(target, "/"), "?")
+	segment, _, _ := strings.Cut(path, "/")
+	return segment
+}
+
+// checkFitsClass checks that the method and the Idempotency-Key are those of requests of a class.
+func checkFitsClass(class balancer.Class, method string, fields *http1.Fields) error {
+	classMethod := http.MethodPost
+	if class.Idempotency == balancer.Idempotent {
+		classMethod = http.MethodGet
+	}
+	if method != classMethod {
+		return frontend.BadRequest("the method does not fit the class")
+	}
+	wantsKey := class.Idempotency == balancer.IdempotentWithKey
+	hasKey := fields.Get(fieldIdempotencyKey) != ""
+	emptyKey := !hasKey && fields.Has(fieldIdempotencyKey)
+	if wantsKey != hasKey || emptyKey {
+		return frontend.BadRequest("Idempotency-Key does not fit the class")
+	}
+	return nil
+}
--- /dev/null
+++ b/internal/proxy/shared_overrides.go
@@ -0,0 +1,156 @@
+package proxy
+
+import (
+	"context"
+	"errors"
+	"fmt"
+	"log/slog"
+	"slices"
+	"sync"
+	"time"
+
+	"olivearch/internal/config"
+	"olivearch/internal/coordination/client"
+	"olivearch/internal/coordination/state"
+	"olivearch/internal/override"
+)
+
+// overrideReason is the reason that overrides from operators' commands have in the coordination cluster.
+const overrideReason = "maint-on"
+
+// overrideProposer proposes commands to the coordination cluster.
+type overrideProposer interface {
+	Propose(ctx context.Context, command state.Command) (client.Response, error)
+	Close()
+}
+
+// overrideFollower has this process's copy of the cluster's state.
+type overrideFollower interface {
+	View() *client.View
+	Close()
+}
+
+// sharedOverrides is this balancer's part in the coordination cluster: it applies the overrides that all balancers
+// share, and proposes those of its own operators. Requests do not wait for it, since the pool has its own copy. Its
+// methods may be called from any goroutine.
+type sharedOverrides struct {
+	balancerName string
+	timeout      time.Duration // of a proposal
+	proposer     overrideProposer
+	follower     overrideFollower
+
+	mu        sync.Mutex // guards the fields below; held during calls of apply and release
+	overrides []state.Override
+	apply     func([]state.Override) // nil until attach
+	release   func(id string)        // as apply
+	// localUntil has the upstreams that are out by this balancer's local override, each until the follower's copy has
+	// the shared override of this revision.
+	localUntil map[string]uint64
+}
+
+func newSharedOverrides(balancerName string, c *config.Promises) *sharedOverrides {
+	s := &sharedOverrides{
+		balancerName: balancerName,
+		timeout:      time.Duration(c.Within),
+		proposer:     client.New(balancerName, c.Voters),
+		localUntil:   map[string]uint64{},
+	}
+	s.follower = client.StartFollower(balancerName, c.Voters, c.Copy, s.overridesChanged)
+	return s
+}
+
+// attach calls apply with the shared overrides, now and after each change. release is called for an upstream that is
+// out by a local override, once the shared one is applied too.
+func (s *sharedOverrides) attach(apply func([]state.Override), release func(id string)) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	s.apply, s.release = apply, release
+	apply(s.overrides)
+}
+
+// overridesChanged is called by the follower, from its goroutine; while it starts, before attach.
+func (s *sharedOverrides) overridesChanged(overrides []state.Override) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	s.overrides = overrides
+	if s.apply == nil {
+		return
+	}
+	s.apply(overrides)
+	s.releaseReplicated()
+}
+
+// releaseReplicated releases the local overrides that this process's copy of the shared ones has by now. The caller
+// holds the lock.
+func (s *sharedOverrides) releaseReplicated() {
+	index := s.follower.View().Index
+	for id, revision := range s.localUntil {
+		if revision <= index {
+			s.release(id)
+			delete(s.localUntil, id)
+		}
+	}
+}
+
+func (s *sharedOverrides) close() {
+	s.follower.Close()
+	s.proposer.Close()
+}
+
+// set takes an upstream out of service at all balancers. The note says how many voters have stored that. After an error
+// the local override alone is certain.
+func (s *sharedOverrides) set(upstreamID string, at time.Time) (note string, err error) {
+	ctx, cancel := context.WithTimeout(context.Background(), s.timeout)
+	defer cancel()
+	response, err := s.proposer.Propose(ctx, &state.SetOverride{
+		Subject: outOfServiceSubject(upstreamID),
+		By:      s.balancerName,
+		Reason:  overrideReason,
+		At:      at.UnixMilli(),
+	})
+	if errors.Is(err, client.ErrUnsure) {
+		return "", fmt.Errorf("only here for certain: the others may be told, or not (%w)", err)
+	}
+	if err != nil {
+		return "", fmt.Errorf("only here, not copied: %w", err)
+	}
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	s.localUntil[upstreamID] = response.Result.Revision
+	s.releaseReplicated()
+	return storedNote(response), nil
+}
+
+// clear returns an upstream to service at all balancers. After an error, stillOut tells whether the shared override
+// holds as far as this process knows.
+func (s *sharedOverrides) clear(upstreamID string) (note string, stillOut bool, err error) {
+	ctx, cancel := context.WithTimeout(context.Background(), s.timeout)
+	defer cancel()
+	subject := outOfServiceSubject(upstreamID)
+	response, err := s.proposer.Propose(ctx, &state.ClearOverride{Subject: subject, By: s.balancerName})
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	if err != nil {
+		return "", s.has(subject), err
+	}
+	delete(s.localUntil, upstreamID)
+	return storedNote(response), false, nil
+}
+
+// has tells whether there is an override of a subject. The caller holds the lock.
+func (s *sharedOverrides) has(subject state.Subject) bool {
+	return slices.ContainsFunc(s.overrides, func(o state.Override) bool { return o.Subject == subject })
+}
+
+func outOfServiceSubject(upstreamID string) state.Subject {
+	return state.Subject{Kind: state.OutOfService, Scope: state.ScopeUpstream, Target: upstreamID}
+}
+
+// storedNote tells operators how many voters have stored a proposal.
+func storedNote(r client.Response) string { return fmt.Sprintf("held by %d of %d", r.Stored, r.Voters) }
+
+// applySharedOverrides gives the pool its part of the shared overrides.
+func (b *Balancer) applySharedOverrides(overrides []state.Override) {
+	b.pool.ApplyOverrides(override.ForPool(overrides, b.config.Name))
+	slog.Info("shared overrides applied", "overrides", len(overrides))
+}
--- /dev/null
+++ b/internal/proxy/streaming_test.go
@@ -0,0 +1,289 @@
+package proxy
+
+import (
+	"bufio"
+	"bytes"
+	"errors"
+	"fmt"
+	"io"
+	"net"
+	"net/http"
+	"os"
+	"strings"
+	"testing"
+	"time"
+
+	"olivearch/internal/body"
+	"olivearch/internal/http1"
+	"olivearch/internal/standin/scripted"
+)
+
+// Bodies and answers of any size and framing come through unchanged, and the connections serve again.
+func TestAnySizeComesThrough(t *testing.T) {
+	readAhead := body.Whole + body.Usual.Ahead
+	for _, size := range []int{0, 1, body.Whole, body.Whole + 1, readAhead, readAhead + 1, 6 << 20} {
+		body := randomBytes(size)
+		s := scripted.Start(t, func(c net.Conn, r *http.Request) bool {
+			switch r.Header.Get("X-Framing") {
+			case "chunked":
+				writeIfOpen(c, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n")
+				writeChunked(c, body)
+			case "close":
+				writeIfOpen(c, "HTTP/1.1 200 OK\r\n\r\n"+string(body))
+				return false
+			default:
+				return scripted.OK(c, string(body))
+			}
+			return true
+		})
+		b := startBalancer(t, upMember("s-00000001", s))
+		for _, framing := range []string{"length", "chunked", "close"} {
+			q := b.newRequest("checkin", string(body), "X-Framing", framing)
+			if framing != "length" {
+				q.Body, q.ContentLength = io.NopCloser(bytes.NewReader(body)), -1
+			}
+			status, got := b.do(t, q)
+			want(t, "status", status, 200)
+			if got != string(body) {
+				t.Errorf("%d bytes, %s: the answer is another, of %d bytes", size, framing, len(got))
+			}
+			sent, _ := io.ReadAll((<-s.Arrivals).Body)
+			if !bytes.Equal(sent, body) {
+				t.Errorf("%d bytes, %s: the body is another, of %d bytes", size, framing, len(sent))
+			}
+		}
+		free := b.server.SpoolFree()
+		want(t, "memory for bodies, taken", int64(b.config.MemoryMB)<<20/8-free, int64(0))
+	}
+}
+
+// Each part of an answer is forwarded at once, not when the rest has come.
+func TestAnswerGoesOnAsItComes(t *testing.T) {
+	next := make(chan string)
+	s := scripted.Start(t, func(c net.Conn, _ *http.Request) bool {
+		writeIfOpen(c, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n")
+		for text := range next {
+			fmt.Fprintf(c, "%x\r\n%s\r\n", len(text), text)
+		}
+		writeIfOpen(c, http1.LastChunk)
+		return true
+	})
+	b := startBalancer(t, upMember("s-00000001", s))
+	_, in := b.sendHead(t, "Content-Length: 0\r\n")
+	next <- "one"
+	resp, err := http.ReadResponse(in, nil)
+	if err != nil {
+		t.Fatal(err)
+	}
+	defer resp.Body.Close()
+	for _, text := range []string{"one", "two", "three"} {
+		if text != "one" {
+			next <- text
+		}
+		got := make([]byte, len(text))
+		if _, err := io.ReadFull(resp.Body, got); string(got) != text || err != nil {
+			t.Fatalf("got %q, %v, want %q", got, err, text)
+		}
+	}
+	close(next)
+	if rest, err := io.ReadAll(resp.Body); len(rest) > 0 || err != nil {
+		t.Errorf("%q behind it, %v", rest, err)
+	}
+}
+
+// An upstream fails in the middle of an answer: the client gets one that is visibly cut, and nothing is retried.
+func TestCutAnswerLooksCut(t *testing.T) {
+	body := randomBytes(3 * body.Whole)
+	withLength := fmt.Sprintf("Content-Length: %d", len(body))
+	for _, head := range []string{withLength, "Transfer-Encoding: chunked", "X-To: close"} {
+		for _, share := range []int{0, 1, 2} {
+			s := scripted.Start(t, func(c net.Conn, _ *http.Request) bool {
+				fmt.Fprintf(c, "HTTP/1.1 200 OK\r\n%s\r\n\r\n", head)
+				part := body[:len(body)*share/3]
+				if strings.HasPrefix(head, "Transfer") {
+					fmt.Fprintf(c, "%x\r\n", len(body)) // the chunk's end never comes
+				}
+				writeIfOpen(c, string(part))
+				_ = c.(*net.TCPConn).SetLinger(0) // a reset; the balancer may have closed it already
+				return false
+			})
+			b := startBalancer(t, upMember("s-00000001", s))
+			_, in := b.sendHead(t, "Content-Length: 0\r\n")
+			resp, err := http.ReadResponse(in, nil)
+			if err != nil {
+				t.Fatal(err)
+			}
+			got, err := io.ReadAll(resp.Body)
+			resp.Body.Close()
+			if err == nil && resp.StatusCode == 200 {
+				t.Errorf("%s, cut after %d of 3 parts: %d bytes look complete", head, share, len(got))
+			}
+			want(t, "executions", len(s.Arrivals), 1)
+		}
+	}
+}
+
+// An answer that comes promptly is read to its end first: an idempotent request whose answer is cut is retried at
+// another upstream.
+func TestCutPromptAnswerIsRetried(t *testing.T) {
+	bad := scripted.Start(t, func(c net.Conn, _ *http.Request) bool {
+		writeIfOpen(c, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n5\r\nab")
+		return false
+	})
+	good := scripted.Start(t, scripted.Done)
+	b := startBalancer(t, upMember("s-00000001", bad), upMember("s-00000002", good))
+	for range 6 {
+		status, body := b.do(t, b.newRequest("read", ""))
+		want(t, "status", status, 200)
+		want(t, "body", body, "done")
+	}
+	if len(bad.Arrivals) == 0 {
+		t.Error("the bad upstream got no request: nothing was tested")
+	}
+}
+
+// A body that comes slowly takes up no attempt before it has been read, as far as it is read ahead.
+func TestSlowBodyTakesNoUpstream(t *testing.T) {
+	s := scripted.Start(t, scripted.Done)
+	b := startBalancer(t, upMember("s-00000001", s))
+	body := randomBytes(body.Whole + body.Usual.Ahead/2)
+	c, in := b.sendHead(t, fmt.Sprintf("Content-Length: %d\r\n", len(body)))
+	mustWrite(t, c, string(body[:len(body)-1]))
+	status, _ := b.do(t, b.newRequest("checkin", "")) // it came later, and is served first
+	want(t, "status", status, 200)
+	want(t, "connections to the upstream", s.Opened(), 1)
+	want(t, "requests at the upstream", len(s.Arrivals), 1)
+	mustWrite(t, c, string(body[len(body)-1:]))
+	want(t, "status", readStatus(t, in), 200)
+}
+
+// A long body is forwarded while it comes, and its deadline counts from its last byte.
+func TestTimeCountsFromTheLastByte(t *testing.T) {
+	begun := make(chan struct{})
+	s := scripted.Start(t, scripted.Done)
+	b := startBalancer(t, upMember("s-00000001", s))
+	body := randomBytes(body.Whole + body.Usual.Ahead + 3*body.Block)
+	c, in := b.sendHead(t, fmt.Sprintf("X-Deadline-Ms: 400\r\nContent-Length: %d\r\n", len(body)))
+	mustWrite(t, c, string(body[:len(body)-4]))
+	go func() { // the attempt begins before the last byte has come
+		defer close(begun)
+		for deadline := time.Now().Add(10 * time.Second); s.Opened() == 0 && time.Now().Before(deadline); {
+			time.Sleep(time.Millisecond)
+		}
+	}()
+	<-begun
+	for i := len(body) - 4; i < len(body); i++ {
+		time.Sleep(150 * time.Millisecond) // a slow line is what is tried
+		mustWrite(t, c, string(body[i:i+1]))
+	}
+	want(t, "status", readStatus(t, in), 200)
+	sent, _ := io.ReadAll((<-s.Arrivals).Body)
+	if !bytes.Equal(sent, body) {
+		t.Error("the body is another")
+	}
+}
+
+// A client ends in the middle of a body that is being forwarded: the upstream gets no complete request, and the next
+// request is served.
+func TestClientEndsMidBody(t *testing.T) {
+	s := scripted.Start(t, scripted.Done)
+	b := startBalancer(t, upMember("s-00000001", s))
+	for _, framing := range []string{"Content-Length: 4000000\r\n", "Transfer-Encoding: chunked\r\n"} {
+		c, _ := b.sendHead(t, framing)
+		if strings.HasPrefix(framing, "Transfer") {
+			mustWrite(t, c, "3d0900\r\n")
+		}
+		mustWrite(t, c, string(randomBytes(2*body.Usual.Ahead)))
+		if err := c.(*net.TCPConn).CloseWrite(); err != nil {
+			t.Fatal(err)
+		}
+		if text, err := io.ReadAll(c); len(text) > 0 || err != nil {
+			t.Errorf("%q, %v: want a close", text, err)
+		}
+	}
+	status, _ := b.do(t, b.newRequest("checkin", ""))
+	want(t, "status of the next", status, 200)
+	want(t, "complete requests at the upstream", len(s.Arrivals), 1)
+}
+
+// An upstream that ends before it has the last byte of a body has not run the request: the client's answer says that a
+// retry is harmless, although the balancer can't retry. An early answer is forwarded.
+func TestUpstreamEndsMidBody(t *testing.T) {
+	for _, x := range []struct {
+		name, says string
+		status     int
+	}{
+		{"dies", "", 503},
+		{"rejects it", "HTTP/1.1 503 Busy\r\nX-Not-Run: 1\r\nContent-Length: 0\r\nConnection: close\r\n\r\n", 503},
+		{"fails at it", "HTTP/1.1 500 Oops\r\nContent-Length: 0\r\nConnection: close\r\n\r\n", 502},
+		{"answers early", "HTTP/1.1 200 OK\r\nContent-Length: 2\r\nConnection: close\r\n\r\nok", 200},
+	} {
+		l, err := net.Listen("tcp", "127.0.0.1:0")
+		if err != nil {
+			t.Fatal(err)
+		}
+		defer l.Close()
+		go func() {
+			for {
+				c, err := l.Accept()
+				if err != nil {
+					return
+				}
+				_, _ = io.CopyN(io.Discard, c, body.Whole) // fewer bytes come where the balancer gives up
+				writeIfOpen(c, x.says)
+				c.Close()
+			}
+		}()
+		b := startBalancer(t, upMember("s-00000001", &scripted.Node{Addr: l.Addr().String()}))
+		c, in := b.sendHead(t, "Content-Length: 30000000\r\n")
+		go writeIfOpen(c, string(randomBytes(30000000)))
+		resp, err := http.ReadResponse(in, nil)
+		if err != nil {
+			t.Fatal(x.name, err)
+		}
+		resp.Body.Close()
+		want(t, x.name, resp.StatusCode, x.status)
+		want(t, "its connection ends", resp.Close, true)
+	}
+}
+
+// A long request for which there is no upstream is answered at once, and its client, which still sends, can read that.
+func TestLongRequestIsRejectedAtOnce(t *testing.T) {
+	b := startBalancer(t)
+	<-b.registry.calls
+	c, in := b.sendHead(t, "Content-Length: 8000000\r\n")
+	writeIfOpen(c, string(randomBytes(body.Whole+body.Usual.Ahead+body.Block)))
+	want(t, "status", readStatus(t, in), 503)
+	writeIfOpen(c, string(randomBytes(1<<20)))
+	if _, err := c.Read(make([]byte, 1)); !errors.Is(err, io.EOF) && !errors.Is(err, os.ErrDeadlineExceeded) {
+		t.Errorf("behind the answer: %v", err)
+	}
+}
+
+// Forms of requests that HTTP/1.1 allows and usual clients may send.
+func TestUnusualRequestForms(t *testing.T) {
+	s := scripted.Start(t, func(c net.Conn, r *http.Request) bool {
+		writeIfOpen(c, "HTTP/1.1 103 Early Hints\r\nLink: </x>\r\n\r\nHTTP/1.1 200 \r\ncontent-length:4\r\n\r\ndone")
+		return true
+	})
+	b := startBalancer(t, upMember("s-00000001", s))
+	const id = "X-Request-Id: f%d\r\n"
+	for i, text := range []string{
+		"\r\n" + checkinHead(id+"content-length:   2  \r\n") + "ab",
+		strings.Replace(checkinHead(id+"Content-Length: 2\r\n"), " /checkin", " http://x/checkin", 1) + "ab",
+		checkinHead(id+"Transfer-Encoding: Chunked\r\nTrailer: X-T\r\n") +
+			"1;a=b\r\na\r\n01\r\nb\r\n000\r\nX-T: 1\r\n\r\n",
+	} {
+		c := b.dial(t)
+		text = fmt.Sprintf(text, i)
+		for j := range text { // cut at every point
+			mustWrite(t, c, text[j:j+1])
+		}
+		want(t, "status", readStatus(t, bufio.NewReader(c)), 200)
+		r := <-s.Arrivals
+		body, _ := io.ReadAll(r.Body)
+		want(t, "body", string(body), "ab")
+		want(t, "target", r.RequestURI, "/checkin")
+		c.Close()
+	}
+}
