--- a/internal/coordination/server/asks.go
+++ b/internal/coordination/server/asks.go
@@ -107,7 +107,7 @@
 	case c.node == nil:
 		a.answer(client.Response{Outcome: client.OutcomeNotAttempted, Message: "it belongs to no cluster yet: " + c.waits})
 	case c.stalled(now):
-		a.answer(client.Response{Outcome: client.OutcomeNotAttempted, Message: fmt.Sprintf("the disk of %s has not answered for %v", c.Name, c.writer.owes(now).Round(time.Millisecond))})
+		a.answer(client.Response{Outcome: client.OutcomeNotAttempted, Message: fmt.Sprintf("the disk of %s has not answered for %v", c.Name, c.writer.pendingFor(now).Round(time.Millisecond))})
 	case c.leading && c.ready:
 		return false
 	case c.leading:
@@ -153,7 +153,7 @@
 		a.answer(client.Response{Outcome: client.OutcomeRejected, Message: err.Error(), Result: state.Result{Rejection: state.RejectedInvalid, Message: err.Error()}})
 		return
 	}
-	twist(command, c.state)
+	forgeFencingToken(command, c.state)
 	if len(c.pending) >= maxPending {
 		a.answer(client.Response{Outcome: client.OutcomeNotAttempted, Message: fmt.Sprintf("%d promises wait for a quorum already", maxPending)})
 		return
@@ -164,7 +164,7 @@
 		return
 	}
 	p := &proposal{answer: a.answer, until: time.Now().Add(a.Within)}
-	if early(p, c) {
+	if answerBeforeQuorum(p, c) {
 		return
 	}
 	c.pending[e.ID] = p
@@ -186,7 +186,7 @@
 		Rejected: c.refused, LastRejected: c.lastNo, DiskMS: float64(c.disk.Microseconds()) / 1000, Fault: c.waits,
 	}
 	if c.stalled(now) {
-		s.Fault = fmt.Sprintf("the disk has not answered for %v", c.writer.owes(now).Round(time.Millisecond))
+		s.Fault = fmt.Sprintf("the disk has not answered for %v", c.writer.pendingFor(now).Round(time.Millisecond))
 	}
 	match := map[uint64]uint64{}
 	if c.node != nil {
--- a/internal/coordination/server/core.go
+++ b/internal/coordination/server/core.go
@@ -25,10 +25,10 @@
 	fail     context.CancelCauseFunc
 	store    *store
 	identity identity // the folder's, as this goroutine knows it
-	writer   *writer
+	writer   *diskWriter
 	began    time.Time
 	events   chan event
-	written  chan written
+	written  chan writeResult
 	caller   *client.Client // to the other voters, for what is passed on
 
 	memory  *raft.MemoryStorage
@@ -106,7 +106,7 @@
 		}
 	}
 	c := &core{
-		Config: cfg, began: time.Now(), store: s, identity: s.identity, writer: newWriter(s), events: make(chan event, 4096), written: make(chan written), caller: client.New(cfg.Name, others),
+		Config: cfg, began: time.Now(), store: s, identity: s.identity, writer: newDiskWriter(s), events: make(chan event, 4096), written: make(chan writeResult), caller: client.New(cfg.Name, others),
 		memory: raft.NewMemoryStorage(), state: state.NewState(), pending: map[uint64]*proposal{}, reads: map[uint64]*reading{},
 		links: map[uint64]*link{}, outboxes: map[uint64]*outbox{}, followers: map[*follower]bool{}, heard: map[uint64]time.Time{}, known: map[uint64]time.Time{}, levels: map[uint64]uint32{},
 		number: rand.Uint64(), gone: map[string]bool{}, newcomers: map[uint64]*newcomer{}, reports: map[string]membership.VoterReport{}, waits: "it has just started",
@@ -125,8 +125,8 @@
 	if err := c.memory.Append(held.entries); err != nil {
 		return nil, err
 	}
-	if !raft.IsEmptyHardState(held.hard) {
-		if err := c.memory.SetHardState(held.hard); err != nil {
+	if !raft.IsEmptyHardState(held.hardState) {
+		if err := c.memory.SetHardState(held.hardState); err != nil {
 			return nil, err
 		}
 	}
@@ -219,7 +219,7 @@
 func (c *core) broken(err error) { c.fail(err) }
 
 // stalled tells whether the disk has not answered for too long: the voter is silent then, so that another leads.
-func (c *core) stalled(now time.Time) bool { return c.writer.owes(now) > stalledAfter }
+func (c *core) stalled(now time.Time) bool { return c.writer.pendingFor(now) > stalledAfter }
 
 func (c *core) tick() {
 	c.ticks++
@@ -274,7 +274,7 @@
 		for _, m := range rd.Messages {
 			switch m.GetTo() {
 			case raft.LocalAppendThread:
-				c.writer.put(job{message: m})
+				c.writer.enqueue(writeJob{message: m})
 			case raft.LocalApplyThread:
 				if !c.applyAll(m.GetEntries()) {
 					return
@@ -310,16 +310,16 @@
 }
 
 // onDisk goes on with what the disk has.
-func (c *core) onDisk(w written) {
+func (c *core) onDisk(w writeResult) {
 	if w.err != nil {
 		c.broken(fmt.Errorf("%w: %w: what it has is not known, so this process ends", ErrDisk, w.err))
 		return
 	}
-	c.disk = w.took
+	c.disk = w.duration
 	for _, j := range w.jobs {
 		switch {
-		case j.begin != nil:
-			c.begun(j.begin)
+		case j.bootstrap != nil:
+			c.begun(j.bootstrap)
 		case j.snapshot != nil:
 			c.saving = false
 			meta := j.snapshot.GetMetadata()
@@ -430,7 +430,7 @@
 	if c.applied > keepEntries {
 		keep = c.applied - keepEntries
 	}
-	c.writer.put(job{snapshot: x, keepFrom: keep})
+	c.writer.enqueue(writeJob{snapshot: x, keepFrom: keep})
 }
 
 // readingContext is a reading's number as the library carries it: the leader takes two of one context for one reading, so it
--- /dev/null
+++ b/internal/coordination/server/folder_lock.go
@@ -0,0 +1,36 @@
+package server
+
+import (
+	"fmt"
+	"os"
+	"path/filepath"
+	"time"
+
+	"golang.org/x/sys/unix"
+)
+
+// lockTimeout is how long the end of an earlier process that uses the folder is waited for.
+const lockTimeout = 2 * time.Second
+
+// lockRetryInterval is the pause between two attempts to lock a folder.
+const lockRetryInterval = 20 * time.Millisecond
+
+// lockFolder keeps a second process out of a folder. The lock ends with the process, or when the file is closed.
+func lockFolder(folder string) (*os.File, error) {
+	file, err := os.OpenFile(filepath.Join(folder, "lock"), os.O_CREATE|os.O_RDWR, 0o600)
+	if err != nil {
+		return nil, err
+	}
+	deadline := time.Now().Add(lockTimeout)
+	for {
+		err = unix.Flock(int(file.Fd()), unix.LOCK_EX|unix.LOCK_NB)
+		if err == nil {
+			return file, nil
+		}
+		if time.Now().After(deadline) {
+			file.Close()
+			return nil, fmt.Errorf("folder %s: another process uses it: %w", folder, err)
+		}
+		time.Sleep(lockRetryInterval)
+	}
+}
--- a/internal/coordination/server/golden_test.go
+++ b/internal/coordination/server/golden_test.go
@@ -39,7 +39,7 @@
 		Index: new(uint64(3)), Term: new(uint64(1)),
 		ConfState: &raftpb.ConfState{Voters: []uint64{7}},
 	}}
-	if err := s.begin(99, snapshot, firstHard()); err != nil {
+	if err := s.begin(99, snapshot, initialHardState()); err != nil {
 		t.Fatal(err)
 	}
 	var entries []*raftpb.Entry
@@ -52,7 +52,7 @@
 		entries = append(entries, &raftpb.Entry{Index: new(index), Term: new(uint64(2)), Data: data})
 	}
 	hard := &raftpb.HardState{Term: new(uint64(2)), Vote: new(uint64(7)), Commit: new(uint64(5))}
-	if err := s.append(batch{entries: entries, hard: hard}); err != nil {
+	if err := s.append(batch{entries: entries, hardState: hard}); err != nil {
 		t.Fatal(err)
 	}
 	if err := s.close(); err != nil {
@@ -80,7 +80,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	s, held, state, err := open(folder, "k1")
+	s, held, state, err := openStopped(folder, "k1")
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -88,7 +88,7 @@
 	var text strings.Builder
 	text.WriteString(shown)
 	fmt.Fprintln(&text, "identity", s.identity.Name, s.identity.ID, s.identity.Cluster)
-	fmt.Fprintln(&text, "hard state", held.hard.GetTerm(), held.hard.GetVote(), held.hard.GetCommit())
+	fmt.Fprintln(&text, "hard state", held.hardState.GetTerm(), held.hardState.GetVote(), held.hardState.GetCommit())
 	fmt.Fprintf(&text, "snapshot %d %x\n", held.snapshot.GetMetadata().GetIndex(), held.snapshot.GetData())
 	for _, e := range held.entries {
 		fmt.Fprintf(&text, "entry %d %d %x\n", e.GetIndex(), e.GetTerm(), e.GetData())
--- a/internal/coordination/server/identity.go
+++ b/internal/coordination/server/identity.go
@@ -1,18 +1,24 @@
 package server
 
 import (
-	"hash/fnv"
-	"os"
-
-	"golang.org/x/sys/unix"
-
 	"olivearch/internal/coordination/state"
 	"olivearch/internal/protomsg"
 )
 
+// folderFormat is the version of the folder's form.
+const folderFormat = 1
+
+// identity says whose folder it is. It is generated when an empty folder is opened: a server whose disk was lost comes
+// back as another member.
+type identity struct {
+	Name    string
+	ID      uint64
+	Cluster uint64 // 0: it belongs to none yet
+}
+
 func (i *identity) encode() []byte {
 	var w protomsg.Writer
-	w.Uint(1, formFormat)
+	w.Uint(1, folderFormat)
 	w.String(2, i.Name)
 	w.Uint(3, i.ID)
 	w.Uint(4, i.Cluster)
@@ -32,12 +38,3 @@
 		return nil
 	})
 }
-
-func flock(f *os.File) error { return unix.Flock(int(f.Fd()), unix.LOCK_EX|unix.LOCK_NB) }
-
-// fnv64 is FNV-1a, the checksum of bbolt's head pages.
-func fnv64(b []byte) uint64 {
-	h := fnv.New64a()
-	h.Write(b)
-	return h.Sum64()
-}
--- a/internal/coordination/server/members.go
+++ b/internal/coordination/server/members.go
@@ -4,7 +4,6 @@
 	"context"
 	"fmt"
 	"log/slog"
-	"math/rand/v2"
 	"slices"
 	"time"
 
@@ -164,7 +163,7 @@
 		}
 		return
 	}
-	id := rand.Uint64()>>1 + 1
+	id := generateClusterID()
 	slog.Info("beginning a cluster", "cluster", fmt.Sprintf("%x", id), "voters", len(members))
 	for _, m := range members {
 		if m.ID == c.id() {
@@ -251,7 +250,7 @@
 // adopt makes the folder one of a cluster that is there already; what it holds comes from the others.
 func (c *core) adopt(id uint64, members []state.Member) {
 	c.beginning = true
-	c.writer.put(job{begin: &beginning{cluster: id, done: func() { c.hearAll(members) }}})
+	c.writer.enqueue(writeJob{bootstrap: &clusterBootstrap{cluster: id, onDone: func() { c.hearAll(members) }}})
 }
 
 // begin makes the folder one of a new cluster.
@@ -262,7 +261,7 @@
 		c.broken(err)
 		return
 	}
-	c.writer.put(job{begin: &beginning{cluster: id, snapshot: x}})
+	c.writer.enqueue(writeJob{bootstrap: &clusterBootstrap{cluster: id, snapshot: x}})
 }
 
 // founding is the state that all voters of a new cluster begin with.
@@ -283,14 +282,14 @@
 }
 
 // begun starts to take part, now that the disk knows of the cluster.
-func (c *core) begun(b *beginning) {
+func (c *core) begun(b *clusterBootstrap) {
 	c.beginning, c.identity.Cluster = false, b.cluster
 	if b.snapshot != nil {
 		if err := c.memory.ApplySnapshot(b.snapshot); err != nil {
 			c.broken(err)
 			return
 		}
-		if err := c.memory.SetHardState(firstHard()); err != nil {
+		if err := c.memory.SetHardState(initialHardState()); err != nil {
 			c.broken(err)
 			return
 		}
@@ -304,8 +303,8 @@
 		return
 	}
 	c.rebase()
-	if b.done != nil {
-		b.done()
+	if b.onDone != nil {
+		b.onDone()
 	}
 }
 
--- a/internal/coordination/server/recover.go
+++ b/internal/coordination/server/recover.go
@@ -12,97 +12,123 @@
 	"olivearch/internal/coordination/state"
 )
 
-// ErrDisk is wrapped by errors of a disk that did not do what it was asked: nothing is known of what it has.
-var ErrDisk = errors.New("the disk can't be trusted")
+// errNoCluster says that a folder is no member's yet.
+var errNoCluster = errors.New("the folder belongs to no cluster yet")
 
-// errWait says that a folder is no member's yet.
-var errWait = errors.New("the folder belongs to no cluster yet")
-
-// open reads a folder that no process uses, with all that it has applied, held or not.
-func open(folder, name string) (*store, *content, *state.State, error) {
-	s, held, err := openStore(folder, name, rand.Uint64)
+// openStopped opens a folder that no process uses, and applies its whole log, committed or not. The caller closes the
+// store.
+func openStopped(folder, name string) (*store, *content, *state.State, error) {
+	opened, loaded, err := openStore(folder, name, rand.Uint64)
 	if err != nil {
 		return nil, nil, nil, err
 	}
-	if s.identity.Cluster == 0 {
-		return nil, nil, nil, errors.Join(fmt.Errorf("%s: %w", folder, errWait), s.close())
+	if opened.identity.Cluster == 0 {
+		return nil, nil, nil, errors.Join(fmt.Errorf("%s: %w", folder, errNoCluster), opened.close())
+	}
+	applied, err := loaded.applyAll()
+	if err != nil {
+		return nil, nil, nil, errors.Join(err, opened.close())
 	}
+	return opened, loaded, applied, nil
+}
+
+// applyAll applies the commands of the log to the state of the snapshot. Membership changes are left out.
+func (c *content) applyAll() (*state.State, error) {
 	applied := state.NewState()
-	if !raft.IsEmptySnap(held.snapshot) {
-		if applied, err = state.DecodeState(held.snapshot.GetData()); err != nil {
-			return nil, nil, nil, errors.Join(err, s.close())
+	if !raft.IsEmptySnap(c.snapshot) {
+		decoded, err := state.DecodeState(c.snapshot.GetData())
+		if err != nil {
+			return nil, err
 		}
+		applied = decoded
 	}
-	for _, e := range held.entries {
-		if e.GetIndex() <= held.snapshot.GetMetadata().GetIndex() || e.GetType() != raftpb.EntryNormal || len(e.GetData()) == 0 {
+	for _, entry := range c.entries {
+		inSnapshot := entry.GetIndex() <= c.snapshot.GetMetadata().GetIndex()
+		if inSnapshot || entry.GetType() != raftpb.EntryNormal || len(entry.GetData()) == 0 {
 			continue
 		}
-		x, err := state.DecodeEnvelope(e.GetData())
+		envelope, err := state.DecodeEnvelope(entry.GetData())
 		if err == nil {
-			_, err = applied.Apply(e.GetIndex(), x.Clock, x.Command)
+			_, err = applied.Apply(entry.GetIndex(), envelope.Clock, envelope.Command)
 		}
 		if err != nil {
-			return nil, nil, nil, errors.Join(fmt.Errorf("entry %d: %w", e.GetIndex(), err), s.close())
+			return nil, fmt.Errorf("entry %d: %w", entry.GetIndex(), err)
 		}
 	}
-	return s, held, applied, nil
+	return applied, nil
 }
 
-// Inspect tells what the folder of a voter holds that does not run.
+// Inspect describes what the folder of a server that does not run holds, as a text for operators. The error wraps
+// ErrDamaged, ErrForeignFolder or ErrDisk where these are the cause.
 func Inspect(folder, name string) (string, error) {
-	s, held, state, err := open(folder, name)
+	opened, loaded, applied, err := openStopped(folder, name)
 	if err != nil {
 		return "", err
 	}
-	defer s.close()
-	return told(s, held, state), nil
+	defer opened.close()
+	return describe(opened.identity, loaded, applied), nil
 }
 
-func told(s *store, held *content, applied *state.State) string {
-	var b strings.Builder
-	last := held.snapshot.GetMetadata().GetIndex()
-	if n := len(held.entries); n > 0 {
-		last = max(last, held.entries[n-1].GetIndex())
-	}
-	fmt.Fprintf(&b, "voter %s, member %x of cluster %x\n", s.identity.Name, s.identity.ID, s.identity.Cluster)
-	fmt.Fprintf(&b, "the log ends at %d (term %d), and all up to %d was known to be held by a majority\n", last, held.hard.GetTerm(), held.hard.GetCommit())
-	fmt.Fprintf(&b, "%d words, %d bounds, %d bytes of %d\n", len(applied.Overrides()), len(applied.Resources()), applied.UsedBytes(), int64(state.MaxBytes))
-	return b.String()
+// describe is the text of Inspect.
+func describe(who identity, loaded *content, applied *state.State) string {
+	var text strings.Builder
+	fmt.Fprintf(&text, "voter %s, member %x of cluster %x\n", who.Name, who.ID, who.Cluster)
+	fmt.Fprintf(&text, "the log ends at %d (term %d), and all up to %d was known to be held by a majority\n",
+		loaded.lastIndex(), loaded.hardState.GetTerm(), loaded.hardState.GetCommit())
+	fmt.Fprintf(&text, "%d words, %d bounds, %d bytes of %d\n",
+		len(applied.Overrides()), len(applied.Resources()), applied.UsedBytes(), int64(state.MaxBytes))
+	return text.String()
 }
 
-// Recover lets the ledger go on from one folder alone, after a majority of the voters has been lost for good: the folder becomes that of
-// a new cluster with this one voter. What the log holds counts as promised, also what no majority had; what it does not hold is lost. No
-// lease is carried over before its time, and fences go on growing.
+// Recover makes a folder that of a new cluster with this one voter, after a majority of the voters has been lost for
+// good, and returns a text for operators. All that the log holds counts as granted, also what no majority had; what it
+// does not hold is lost. Leases end no sooner than before, and fencing tokens go on growing. Errors are those of Inspect.
 func Recover(folder, name, address string) (string, error) {
-	s, held, applied, err := open(folder, name)
+	opened, loaded, applied, err := openStopped(folder, name)
 	if err != nil {
 		return "", err
 	}
-	defer s.close()
-	text := told(s, held, applied)
-	last := held.snapshot.GetMetadata().GetIndex()
-	if n := len(held.entries); n > 0 {
-		last = max(last, held.entries[n-1].GetIndex())
-	}
-	term := held.hard.GetTerm() + 1
-	self := state.Member{ID: rand.Uint64()>>2 + 1, Name: name, Address: address}
-	for _, m := range applied.Members() {
-		if _, err := applied.Apply(last+1, applied.Clock(), &state.UnregisterMember{ID: m.ID}); err != nil {
-			return text, err
-		}
-	}
-	if _, err := applied.Apply(last+1, applied.Clock(), &state.RegisterMember{Member: self}); err != nil {
+	defer opened.close()
+	text := describe(opened.identity, loaded, applied)
+	last := loaded.lastIndex()
+	self := state.Member{ID: generateMemberID(), Name: name, Address: address}
+	if err := replaceMembers(applied, last+1, self); err != nil {
 		return text, err
 	}
-	s.identity.ID = self.ID
-	x := &raftpb.Snapshot{Data: applied.Encode(), Metadata: &raftpb.SnapshotMetadata{Index: new(last + 1), Term: new(term), ConfState: &raftpb.ConfState{Voters: []uint64{self.ID}}}}
-	hard := &raftpb.HardState{Term: new(term), Vote: new(uint64(0)), Commit: new(last + 1)}
-	if err := s.append(batch{snapshot: x, reset: true}); err != nil {
+	opened.identity.ID = self.ID
+	term := loaded.hardState.GetTerm() + 1
+	snapshot := &raftpb.Snapshot{Data: applied.Encode(), Metadata: &raftpb.SnapshotMetadata{
+		Index: new(last + 1), Term: new(term),
+		ConfState: &raftpb.ConfState{Voters: []uint64{self.ID}},
+	}}
+	hardState := &raftpb.HardState{Term: new(term), Vote: new(uint64(0)), Commit: new(last + 1)}
+	if err := opened.append(batch{snapshot: snapshot, reset: true}); err != nil {
 		return text, err
 	}
-	if err := s.begin(rand.Uint64()>>1+1, x, hard); err != nil {
+	if err := opened.begin(generateClusterID(), snapshot, hardState); err != nil {
 		return text, err
 	}
-	return text + fmt.Sprintf("it goes on as member %x of cluster %x, alone. What a lost majority had promised beyond entry %d is LOST.\n"+
-		"Start it, and start the other voters with empty folders: each joins, one after the other.\n", s.identity.ID, s.identity.Cluster, last), nil
+	return text + fmt.Sprintf("it goes on as member %x of cluster %x, alone. "+
+		"What a lost majority had promised beyond entry %d is LOST.\n"+
+		"Start it, and start the other voters with empty folders: each joins, one after the other.\n",
+		opened.identity.ID, opened.identity.Cluster, last), nil
+}
+
+// replaceMembers makes one server the only member.
+func replaceMembers(applied *state.State, revision uint64, only state.Member) error {
+	for _, member := range applied.Members() {
+		_, err := applied.Apply(revision, applied.Clock(), &state.UnregisterMember{ID: member.ID})
+		if err != nil {
+			return err
+		}
+	}
+	_, err := applied.Apply(revision, applied.Clock(), &state.RegisterMember{Member: only})
+	return err
 }
+
+// generateMemberID is a new member's id: not 0, and none of the two highest numbers, by which the Raft library means its
+// threads for storage (raft.LocalAppendThread, raft.LocalApplyThread).
+func generateMemberID() uint64 { return rand.Uint64()>>2 + 1 }
+
+// generateClusterID is a new cluster's id, which is not 0.
+func generateClusterID() uint64 { return rand.Uint64()>>1 + 1 }
--- a/internal/coordination/server/replica.go
+++ b/internal/coordination/server/replica.go
@@ -8,7 +8,6 @@
 	"errors"
 	"fmt"
 	"log/slog"
-	"math/rand/v2"
 	"net"
 	"time"
 
@@ -51,8 +50,7 @@
 
 // New opens the folder. The listener is closed when Run ends.
 func New(c Config, listener net.Listener) (*Server, error) {
-	draw := func() uint64 { return rand.Uint64()>>2 + 1 } // the two highest numbers mean threads of the library's
-	s, held, err := openStore(c.Folder, c.Name, draw)
+	s, held, err := openStore(c.Folder, c.Name, generateMemberID)
 	if err != nil {
 		return nil, err
 	}
--- a/internal/coordination/server/store_test.go
+++ b/internal/coordination/server/store_test.go
@@ -22,14 +22,14 @@
 		t.Fatal(err)
 	}
 	snapshot := &raftpb.Snapshot{Data: bytes.Repeat([]byte("state "), 50), Metadata: &raftpb.SnapshotMetadata{Index: new(uint64(3)), Term: new(uint64(1)), ConfState: &raftpb.ConfState{Voters: []uint64{7}}}}
-	if err := s.begin(99, snapshot, firstHard()); err != nil {
+	if err := s.begin(99, snapshot, initialHardState()); err != nil {
 		t.Fatal(err)
 	}
 	var entries []*raftpb.Entry
 	for i := uint64(4); i < 20; i++ {
 		entries = append(entries, &raftpb.Entry{Index: new(i), Term: new(uint64(2)), Data: []byte(fmt.Sprint("entry ", i))})
 	}
-	if err := s.append(batch{entries: entries, hard: &raftpb.HardState{Term: new(uint64(2)), Vote: new(uint64(7)), Commit: new(uint64(19))}}); err != nil {
+	if err := s.append(batch{entries: entries, hardState: &raftpb.HardState{Term: new(uint64(2)), Vote: new(uint64(7)), Commit: new(uint64(19))}}); err != nil {
 		t.Fatal(err)
 	}
 	if err := s.close(); err != nil {
@@ -55,7 +55,7 @@
 	}
 	defer s.close()
 	var b strings.Builder
-	fmt.Fprintln(&b, s.identity, c.hard.GetTerm(), c.hard.GetVote(), c.hard.GetCommit(), string(c.snapshot.GetData()), c.snapshot.GetMetadata().GetIndex())
+	fmt.Fprintln(&b, s.identity, c.hardState.GetTerm(), c.hardState.GetVote(), c.hardState.GetCommit(), string(c.snapshot.GetData()), c.snapshot.GetMetadata().GetIndex())
 	for _, e := range c.entries {
 		fmt.Fprintln(&b, e.GetIndex(), e.GetTerm(), string(e.GetData()))
 	}
@@ -150,7 +150,7 @@
 	if err := s.close(); err != nil {
 		t.Fatal(err)
 	}
-	if _, err := Recover(folder, "k1", "127.0.0.1:1"); !errors.Is(err, errWait) {
+	if _, err := Recover(folder, "k1", "127.0.0.1:1"); !errors.Is(err, errNoCluster) {
 		t.Errorf("there is nothing to recover: %v", err)
 	}
 }
