--- a/internal/coordination/server/apply.go
+++ b/internal/coordination/server/apply.go
@@ -1,11 +1,9 @@
 package server
 
 import (
-	"encoding/binary"
 	"fmt"
 	"time"
 
-	"go.etcd.io/raft/v3"
 	"go.etcd.io/raft/v3/raftpb"
 	"google.golang.org/protobuf/proto"
 
@@ -14,184 +12,120 @@
 	"olivearch/internal/protomsg"
 )
 
-// applyAll applies entries that a quorum has; false: the voter can't go on.
-func (c *core) applyAll(entries []*raftpb.Entry) bool {
-	for _, e := range entries {
-		if e.GetIndex() <= c.applied { // a snapshot has come before
+// applyEntries applies committed entries. After an error the server can't go on.
+func (c *core) applyEntries(entries []*raftpb.Entry) error {
+	for _, entry := range entries {
+		if entry.GetIndex() <= c.applied { // it is in a snapshot that has come
 			continue
 		}
-		var commands [][]byte
-		var err error
-		switch e.GetType() {
-		case raftpb.EntryNormal:
-			if len(e.GetData()) > 0 {
-				commands = [][]byte{e.GetData()}
-			}
-		default:
-			commands, err = c.reconfigure(e)
-		}
-		for _, b := range commands {
-			if err == nil {
-				err = c.applyOne(e.GetIndex(), b)
-			}
-		}
-		if err != nil {
-			c.broken(fmt.Errorf("entry %d of the log: %w", e.GetIndex(), err))
-			return false
-		}
-		c.applied = e.GetIndex()
-		c.since += len(e.GetData())
-		if len(commands) > 0 {
-			c.tell(client.Update{Commands: commands, Index: e.GetIndex()})
-		}
-		if c.leading && !c.ready && e.GetTerm() == c.node.BasicStatus().GetTerm() {
-			c.ready, c.clockAt, c.clockOf = true, time.Now(), c.state.Clock()
+		if err := c.applyEntry(entry); err != nil {
+			return fmt.Errorf("entry %d of the log: %w", entry.GetIndex(), err)
 		}
 	}
-	c.answerReads()
-	return true
+	c.reads.finish(c.applied)
+	return nil
 }
 
-// applyOne applies a command and answers whoever waits for it.
-func (c *core) applyOne(index uint64, b []byte) error {
-	e, err := state.DecodeEnvelope(b)
+// applyEntry applies one entry, passes its commands on to the followers, and makes a new leader ready.
+func (c *core) applyEntry(entry *raftpb.Entry) error {
+	commands, err := c.entryCommands(entry)
 	if err != nil {
 		return err
 	}
-	r, err := c.state.Apply(index, e.Clock, e.Command)
-	if err != nil {
-		return err
+	for _, command := range commands {
+		if err := c.applyCommand(entry.GetIndex(), command); err != nil {
+			return err
+		}
+	}
+	c.applied = entry.GetIndex()
+	c.snapshots.entryApplied(len(entry.GetData()))
+	if len(commands) > 0 {
+		c.followers.broadcast(client.Update{
+			Commands: commands,
+			Index:    entry.GetIndex(),
+			Cluster:  c.identity.Cluster,
+		})
 	}
-	if p := c.pending[e.ID]; p != nil {
-		delete(c.pending, e.ID)
-		p.index, p.result = index, r
-		c.settling = append(c.settling, p)
-		c.settle(time.Now())
+	newLeader := c.leadership.leading && !c.leadership.ready
+	if newLeader && entry.GetTerm() == c.node.BasicStatus().GetTerm() {
+		c.leadership.becomeReady(time.Now(), c.state.Clock())
 	}
 	return nil
 }
 
-// settle answers what has been applied and stands on as many disks as are wanted.
-func (c *core) settle(now time.Time) {
-	if len(c.settling) == 0 {
-		return
+// entryCommands are the encoded commands of an entry. A membership change takes effect here.
+func (c *core) entryCommands(entry *raftpb.Entry) ([][]byte, error) {
+	if entry.GetType() != raftpb.EntryNormal {
+		return c.applyMembershipChange(entry)
 	}
-	var matches []uint64
-	c.node.WithProgress(func(_ uint64, kind raft.ProgressType, p progress) {
-		if kind == raft.ProgressTypePeer {
-			matches = append(matches, p.Match)
-		}
-	})
-	rest := c.settling[:0]
-	for _, p := range c.settling {
-		held := 0
-		for _, m := range matches {
-			if m >= p.index {
-				held++
-			}
-		}
-		switch {
-		case !p.result.OK():
-			c.no(p.result.Message)
-			p.answer(client.Response{Outcome: client.OutcomeRejected, Message: p.result.Message, Result: p.result, Stored: held, Voters: len(matches)})
-		case held >= min(c.WriteQuorum, len(matches)):
-			p.answer(client.Response{Outcome: client.OutcomeDone, Result: p.result, Stored: held, Voters: len(matches)})
-		case now.After(p.until):
-			p.answer(client.Response{Outcome: client.OutcomeUncertain, Message: fmt.Sprintf("%d voters have it, and %d are wanted", held, c.WriteQuorum), Stored: held, Voters: len(matches)})
-		default:
-			rest = append(rest, p)
-		}
+	if len(entry.GetData()) == 0 {
+		return nil, nil
 	}
-	c.settling = rest
+	return [][]byte{entry.GetData()}, nil
 }
 
-// no notes a refusal, for the view.
-func (c *core) no(why string) { c.refused, c.lastNo = c.refused+1, why }
-
-// reconfigure carries out a change of the voters. It returns the commands that it brings: who the members are.
-func (c *core) reconfigure(e *raftpb.Entry) ([][]byte, error) {
-	var change raftpb.ConfChangeI
-	var text []byte
-	if e.GetType() == raftpb.EntryConfChange {
-		var x raftpb.ConfChange
-		if err := proto.Unmarshal(e.GetData(), &x); err != nil {
-			return nil, err
-		}
-		change, text = &x, x.GetContext()
-	} else {
-		var x raftpb.ConfChangeV2
-		if err := proto.Unmarshal(e.GetData(), &x); err != nil {
-			return nil, err
-		}
-		change, text = &x, x.GetContext()
+// applyCommand applies an encoded command and answers the client that waits for it.
+func (c *core) applyCommand(index uint64, encoded []byte) error {
+	envelope, err := state.DecodeEnvelope(encoded)
+	if err != nil {
+		return err
 	}
-	c.conf = c.node.ApplyConfChange(change)
-	c.changing = len(c.conf.GetVotersOutgoing()) > 0
-	var commands [][]byte
-	err := protomsg.Each(text, func(f protomsg.Field) error {
-		if f.Number == 1 {
-			commands = append(commands, f.Raw)
-		}
-		return nil
-	})
-	// The links follow once the commands are applied.
-	c.relinkSoon()
-	return commands, err
+	result, err := c.state.Apply(index, envelope.Clock, envelope.Command)
+	if err != nil {
+		return err
+	}
+	if c.proposals.applied(envelope.ID, index, result) {
+		c.answerReplicated(time.Now())
+	}
+	return nil
 }
 
-// bringing is what a change of the voters brings: commands that say who the members are.
-func bringing(clock uint64, all ...state.Command) []byte {
-	var w protomsg.Writer
-	for _, x := range all {
-		w.Raw(1, state.Envelope{Clock: clock, Command: x}.Encode())
+// applyMembershipChange gives the Raft node its new configuration. It returns the commands that come with the change:
+// they say who the members are.
+func (c *core) applyMembershipChange(entry *raftpb.Entry) ([][]byte, error) {
+	change, encoded, err := decodeMembershipChange(entry)
+	if err != nil {
+		return nil, err
 	}
-	return w.Bytes()
+	c.confState = c.node.ApplyConfChange(change)
+	c.members.changePending = len(c.confState.GetVotersOutgoing()) > 0
+	commands, err := decodeChangeCommands(encoded)
+	c.updateLinksLater() // once the commands are applied
+	return commands, err
 }
 
-// confirmed goes on with a reading for which a quorum has said how far the log had come.
-func (c *core) confirmed(s raft.ReadState) {
-	if len(s.RequestCtx) != 16 {
-		return
+// decodeMembershipChange reads a change and the commands that are encoded in it.
+func decodeMembershipChange(entry *raftpb.Entry) (change raftpb.ConfChangeI, commands []byte, err error) {
+	if entry.GetType() == raftpb.EntryConfChange {
+		var single raftpb.ConfChange
+		err = proto.Unmarshal(entry.GetData(), &single)
+		return &single, single.GetContext(), err
 	}
-	number := binary.BigEndian.Uint64(s.RequestCtx[8:])
-	r := c.reads[number]
-	if r == nil {
-		return
-	}
-	delete(c.reads, number)
-	r.index = s.Index
-	c.awaiting = append(c.awaiting, r)
-	c.answerReads()
+	var joint raftpb.ConfChangeV2
+	err = proto.Unmarshal(entry.GetData(), &joint)
+	return &joint, joint.GetContext(), err
 }
 
-// answerReads answers readings of what is applied by now.
-func (c *core) answerReads() {
-	rest := c.awaiting[:0]
-	var due []*reading
-	for _, r := range c.awaiting {
-		if r.index <= c.applied {
-			due = append(due, r)
-		} else {
-			rest = append(rest, r)
-		}
-	}
-	c.awaiting = rest
-	for _, r := range due {
-		if r.from.After(c.fresh) {
-			c.fresh = r.from
-		}
-		r.answer(c, nil)
+// changeCommandField is the field number of a command in the context of a membership change.
+const changeCommandField = 1
+
+// encodeChangeCommands encodes the commands that come with a membership change, at a value of the cluster's clock.
+func encodeChangeCommands(clock uint64, commands []state.Command) []byte {
+	var w protomsg.Writer
+	for _, command := range commands {
+		w.Raw(changeCommandField, state.Envelope{Clock: clock, Command: command}.Encode())
 	}
+	return w.Bytes()
 }
 
-// read asks a quorum how far the log has come, and answers once all of that is applied here.
-func (c *core) read(within time.Duration, answer func(c *core, err error)) {
-	now := time.Now()
-	if c.node == nil || c.lead == raft.None || c.stalled(now) {
-		answer(c, errNoLeader)
-		return
-	}
-	c.number++
-	c.reads[c.number] = &reading{answer: answer, from: now, asked: now, until: now.Add(within)}
-	c.node.ReadIndex(readingContext(c.id(), c.number))
+// decodeChangeCommands returns encoded envelopes.
+func decodeChangeCommands(encoded []byte) ([][]byte, error) {
+	var commands [][]byte
+	err := protomsg.Each(encoded, func(f protomsg.Field) error {
+		if f.Number == changeCommandField {
+			commands = append(commands, f.Raw)
+		}
+		return nil
+	})
+	return commands, err
 }
--- a/internal/coordination/server/fault_injection.go
+++ b/internal/coordination/server/fault_injection.go
@@ -48,7 +48,7 @@
 		return false
 	}
 	next := c.applied + 1
-	p.answer(client.Response{
+	p.respond(client.Response{
 		Outcome: client.OutcomeDone,
 		Result:  state.Result{Revision: next, Clock: c.state.Clock(), FencingToken: next},
 		Stored:  1,
--- a/internal/coordination/server/golden_test.go
+++ b/internal/coordination/server/golden_test.go
@@ -33,7 +33,10 @@
 		}
 	}
 	apply(1, &state.RegisterMember{Member: state.Member{ID: 7, Name: "k1", Address: "127.0.0.1:7101"}})
-	apply(2, &state.SetOverride{Subject: state.Subject{Kind: state.OutOfService, Scope: state.ScopeUpstream, Target: "a"}, By: "eva", Reason: "disk"})
+	apply(2, &state.SetOverride{
+		Subject: state.Subject{Kind: state.OutOfService, Scope: state.ScopeUpstream, Target: "a"},
+		By:      "eva", Reason: "disk",
+	})
 	apply(3, &state.SetResource{Name: "connections", Limit: 10})
 	snapshot := &raftpb.Snapshot{Data: contents.Encode(), Metadata: &raftpb.SnapshotMetadata{
 		Index: new(uint64(3)), Term: new(uint64(1)),
@@ -44,7 +47,10 @@
 	}
 	var entries []*raftpb.Entry
 	for i, c := range []state.Command{
-		&state.SetOverride{Subject: state.Subject{Kind: state.ConcurrencyCap, Scope: state.ScopeUpstream, Target: "b"}, Value: 7, By: "ann"},
+		&state.SetOverride{
+			Subject: state.Subject{Kind: state.ConcurrencyCap, Scope: state.ScopeUpstream, Target: "b"},
+			Value:   7, By: "ann",
+		},
 		&state.AcquireLease{Resource: "connections", Holder: "n1", Units: 6, Duration: state.MaxLeaseDuration},
 	} {
 		index := uint64(4 + i)
@@ -63,7 +69,8 @@
 	}
 }
 
-// TestGoldenFolder opens a voter's folder that an earlier version wrote: identity, vote, log and all that was granted are there.
+// TestGoldenFolder opens a voter's folder that an earlier version wrote: identity, vote, log and all that was granted
+// are there.
 func TestGoldenFolder(t *testing.T) {
 	if golden.Updating() {
 		writeGoldenFolder(t)
@@ -80,7 +87,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	s, held, state, err := openStopped(folder, "k1")
+	s, loaded, state, err := openStopped(folder, "k1")
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -88,9 +95,9 @@
 	var text strings.Builder
 	text.WriteString(shown)
 	fmt.Fprintln(&text, "identity", s.identity.Name, s.identity.ID, s.identity.Cluster)
-	fmt.Fprintln(&text, "hard state", held.hardState.GetTerm(), held.hardState.GetVote(), held.hardState.GetCommit())
-	fmt.Fprintf(&text, "snapshot %d %x\n", held.snapshot.GetMetadata().GetIndex(), held.snapshot.GetData())
-	for _, e := range held.entries {
+	fmt.Fprintln(&text, "hard state", loaded.hardState.GetTerm(), loaded.hardState.GetVote(), loaded.hardState.GetCommit())
+	fmt.Fprintf(&text, "snapshot %d %x\n", loaded.snapshot.GetMetadata().GetIndex(), loaded.snapshot.GetData())
+	for _, e := range loaded.entries {
 		fmt.Fprintf(&text, "entry %d %d %x\n", e.GetIndex(), e.GetTerm(), e.GetData())
 	}
 	fmt.Fprintf(&text, "state %x\n", state.Encode())
--- /dev/null
+++ b/internal/coordination/server/leadership.go
@@ -0,0 +1,47 @@
+package server
+
+import (
+	"log/slog"
+	"time"
+
+	"go.etcd.io/raft/v3"
+)
+
+// leadership is who leads, as Raft has told. A leader is ready once it has applied an entry of its own term: all of
+// earlier terms is in its state then, and the cluster's clock is known. Only a ready leader proposes, and clock counts
+// only while this server is one.
+type leadership struct {
+	leader  uint64 // raft.None: not known
+	leading bool   // it is this server
+	ready   bool
+	clock   clusterClock
+}
+
+// canPropose tells whether this server may propose commands.
+func (l *leadership) canPropose() bool { return l.leading && l.ready }
+
+// becomeReady makes the leader ready, with the cluster's clock at a value in milliseconds.
+func (l *leadership) becomeReady(now time.Time, clock uint64) {
+	l.ready = true
+	l.clock.start(now, clock)
+}
+
+// leadershipChanged notes who leads.
+func (c *core) leadershipChanged(soft *raft.SoftState) {
+	leading := soft.RaftState == raft.StateLeader
+	if soft.Lead != c.leadership.leader {
+		member, _ := c.state.Member(soft.Lead)
+		slog.Info("follow leader", "name", member.Name, "term", c.node.BasicStatus().GetTerm())
+	}
+	gained := leading && !c.leadership.leading
+	lost := c.leadership.leading && !leading
+	if gained {
+		c.members.leadershipGained()
+	}
+	if lost {
+		c.proposals.abandon("another voter leads now, and may have it or not")
+		c.leadership.ready = false
+		c.members.changePending = false
+	}
+	c.leadership.leader, c.leadership.leading = soft.Lead, leading
+}
--- a/internal/coordination/server/recover.go
+++ b/internal/coordination/server/recover.go
@@ -82,7 +82,8 @@
 
 // Recover makes a folder that of a new cluster with this one voter, after a majority of the voters has been lost for
 // good, and returns a text for operators. All that the log holds counts as granted, also what no majority had; what it
-// does not hold is lost. Leases end no sooner than before, and fencing tokens go on growing. Errors are those of Inspect.
+// does not hold is lost. Leases end no sooner than before, and fencing tokens go on growing. Errors are those of
+// Inspect.
 func Recover(folder, name, address string) (string, error) {
 	opened, loaded, applied, err := openStopped(folder, name)
 	if err != nil {
@@ -126,8 +127,8 @@
 	return err
 }
 
-// generateMemberID is a new member's id: not 0, and none of the two highest numbers, by which the Raft library means its
-// threads for storage (raft.LocalAppendThread, raft.LocalApplyThread).
+// generateMemberID is a new member's id: not 0, and none of the two highest numbers, by which the Raft library means
+// its threads for storage (raft.LocalAppendThread, raft.LocalApplyThread).
 func generateMemberID() uint64 { return rand.Uint64()>>2 + 1 }
 
 // generateClusterID is a new cluster's id, which is not 0.
--- a/internal/coordination/server/replica.go
+++ b/internal/coordination/server/replica.go
@@ -1,111 +1,155 @@
-// Package replica is a voter of the ledger: the replicated log, by the Raft library of etcd (go.etcd.io/raft; Ongaro and Ousterhout, "In
-// Search of an Understandable Consensus Algorithm", 2014), its folder on a disk, its links to the other voters, and the service to
-// callers and followers. One goroutine owns the state and never waits: for the disk, a link or a caller others do.
 package server
 
 import (
-	"context"
-	"errors"
 	"fmt"
 	"log/slog"
-	"net"
-	"time"
 
-	"olivearch/internal/coordination/client"
+	"go.etcd.io/raft/v3"
+	"go.etcd.io/raft/v3/raftpb"
+	"go.etcd.io/raft/v3/tracker"
+
 	"olivearch/internal/coordination/state"
 )
 
-// Config is what a voter is told.
-type Config struct {
-	Name         string
-	Address      string            // under which the other voters reach it
-	Voters       map[string]string // name -> address at which this process reaches them, its own among them
-	Folder       string
-	WriteQuorum  int           // disks that have a promise before it is answered; 0: those of a majority
-	ReplaceAfter time.Duration // without a word for so long, a voter may be replaced by an empty one of its name
-}
-
+// Settings of the Raft library.
 const (
-	tick          = 50 * time.Millisecond
-	electionTicks = 12 // 0.6 to 1.2 s without a leader's word
-	beatTicks     = 3
-	decideEvery   = 5  // ticks
-	beatEvery     = 10 // ticks: followers hear how fresh their copies are
-	learnerIdle   = time.Minute
-	maxPending    = 8192 // proposals without an answer
-	maxUnsettled  = 8 << 20
-	maxMessage    = 1 << 20
-	maxInflight   = 256
-	snapshotAfter = 8192     // entries
-	snapshotBytes = 16 << 20 // or bytes of log
-	keepEntries   = 2048     // before a snapshot, for those who lag a little
-	stalledAfter  = time.Second
+	electionTicks  = 12 // 0.6 to 1.2 s without a heartbeat of the leader
+	heartbeatTicks = 3
+	// maxMessageBytes bounds the entries of one message, and those that are applied at once.
+	maxMessageBytes = 1 << 20
+	// maxUncommittedBytes bounds the log's entries that no quorum has yet.
+	maxUncommittedBytes = 8 << 20
+	maxInflightMessages = 256
 )
 
-// Server runs until its context ends or it can't go on.
-type Server struct {
-	core     *core
-	listener net.Listener
+// progress is what the leader knows of a member's log.
+type progress = tracker.Progress
+
+// replica is the Raft node with its log and the state machine. The state is that of the entry applied, and confState
+// that of the membership at it; both come from one snapshot and the entries after it.
+type replica struct {
+	log       *raft.MemoryStorage
+	node      *raft.RawNode // nil: the server belongs to no cluster yet
+	confState *raftpb.ConfState
+	state     *state.State
+	applied   uint64 // index of the last entry that is in the state
+	snapshots snapshotSchedule
 }
 
-// New opens the folder. The listener is closed when Run ends.
-func New(c Config, listener net.Listener) (*Server, error) {
-	s, held, err := openStore(c.Folder, c.Name, generateMemberID)
-	if err != nil {
-		return nil, err
+func newReplica() replica {
+	return replica{log: raft.NewMemoryStorage(), state: state.NewState()}
+}
+
+// load takes over what a folder holds. An error about its state wraps ErrDamaged.
+func (r *replica) load(loaded *content) error {
+	if !raft.IsEmptySnap(loaded.snapshot) {
+		if err := r.log.ApplySnapshot(loaded.snapshot); err != nil {
+			return err
+		}
+		if err := r.restore(loaded.snapshot); err != nil {
+			return fmt.Errorf("%w: %w", ErrDamaged, err)
+		}
 	}
-	x, err := newCore(c, s, held)
+	if err := r.log.Append(loaded.entries); err != nil {
+		return err
+	}
+	if raft.IsEmptyHardState(loaded.hardState) {
+		return nil
+	}
+	return r.log.SetHardState(loaded.hardState)
+}
+
+// start starts the Raft node of a member.
+func (r *replica) start(id uint64) error {
+	node, err := raft.NewRawNode(&raft.Config{
+		ID:                        id,
+		ElectionTick:              electionTicks,
+		HeartbeatTick:             heartbeatTicks,
+		Storage:                   logStorage{r.log, r},
+		Applied:                   r.applied,
+		AsyncStorageWrites:        true,
+		MaxSizePerMsg:             maxMessageBytes,
+		MaxCommittedSizePerReady:  maxMessageBytes,
+		MaxUncommittedEntriesSize: maxUncommittedBytes,
+		MaxInflightMsgs:           maxInflightMessages,
+		CheckQuorum:               true,
+		PreVote:                   true,
+		DisableProposalForwarding: true,
+		StepDownOnRemoval:         true,
+		Logger:                    raftLogger{slog.Default()},
+	})
+	r.node = node
+	return err
+}
+
+// restore replaces the state by a snapshot's.
+func (r *replica) restore(snapshot *raftpb.Snapshot) error {
+	decoded, err := state.DecodeState(snapshot.GetData())
 	if err != nil {
-		return nil, errors.Join(err, s.close())
+		return err
+	}
+	if decoded.FeatureLevel() > state.NewestFeatureLevel {
+		return fmt.Errorf("the ledger is at level %d, and this version knows %d: a newer one is wanted",
+			decoded.FeatureLevel(), state.NewestFeatureLevel)
 	}
-	return &Server{core: x, listener: listener}, nil
+	metadata := snapshot.GetMetadata()
+	r.state, r.applied, r.confState = decoded, metadata.GetIndex(), metadata.GetConfState()
+	r.snapshots.restored(metadata.GetIndex())
+	return nil
 }
 
-// Run serves. It returns nil once the context has ended; an error says why it could not go on, and that nothing is to be trusted that
-// it had not answered.
-func (v *Server) Run(ctx context.Context) error {
-	ctx, cancel := context.WithCancelCause(ctx)
-	defer cancel(nil)
-	x := v.core
-	x.ctx, x.fail = ctx, cancel
-	serving := make(chan struct{})
-	go func() { defer close(serving); x.serve(v.listener) }()
-	go x.writer.run(x.written)
-	x.run()
-	cancel(nil)
-	v.listener.Close()
-	<-serving
-	x.writer.stop()
-	err := x.store.close()
-	if cause := context.Cause(ctx); !errors.Is(cause, context.Canceled) {
-		return cause
+// currentSnapshot is a snapshot of the state as it is.
+func (r *replica) currentSnapshot() (*raftpb.Snapshot, error) {
+	term, err := r.log.Term(r.applied)
+	if err != nil {
+		return nil, raft.ErrSnapshotTemporarilyUnavailable
 	}
-	return err
+	return &raftpb.Snapshot{Data: r.state.Encode(), Metadata: &raftpb.SnapshotMetadata{
+		Index: new(r.applied), Term: new(term),
+		ConfState: r.confState,
+	}}, nil
 }
 
-// quietLogger hands the library's lines on: elections are of interest, the rest is detail.
-type quietLogger struct{ *slog.Logger }
-
-func (l quietLogger) Debug(...any)                {}
-func (l quietLogger) Debugf(string, ...any)       {}
-func (l quietLogger) Info(v ...any)               { l.Logger.Debug(fmt.Sprint(v...)) }
-func (l quietLogger) Infof(f string, v ...any)    { l.Logger.Debug(fmt.Sprintf(f, v...)) }
-func (l quietLogger) Warning(v ...any)            { l.Warn(fmt.Sprint(v...)) }
-func (l quietLogger) Warningf(f string, v ...any) { l.Warn(fmt.Sprintf(f, v...)) }
-func (l quietLogger) Error(v ...any)              { l.Logger.Error(fmt.Sprint(v...)) }
-func (l quietLogger) Errorf(f string, v ...any)   { l.Logger.Error(fmt.Sprintf(f, v...)) }
-func (l quietLogger) Fatal(v ...any)              { panic(fmt.Sprint(v...)) }
-func (l quietLogger) Fatalf(f string, v ...any)   { panic(fmt.Sprintf(f, v...)) }
-func (l quietLogger) Panic(v ...any)              { panic(fmt.Sprint(v...)) }
-func (l quietLogger) Panicf(f string, v ...any)   { panic(fmt.Sprintf(f, v...)) }
-
-// reachable is at which address a voter is reached from here.
-func (c *Config) reachable(m state.Member) string {
-	if a := c.Voters[m.Name]; a != "" {
-		return a
+// snapshotWritten drops from memory what a snapshot on the disk holds.
+func (r *replica) snapshotWritten(snapshot *raftpb.Snapshot, keepFrom uint64) {
+	r.snapshots.written()
+	metadata := snapshot.GetMetadata()
+	_, err := r.log.CreateSnapshot(metadata.GetIndex(), metadata.GetConfState(), snapshot.GetData())
+	if err != nil { // a newer one has come from the leader
+		return
 	}
-	return m.Address
+	_ = r.log.Compact(keepFrom) // it fails where a newer snapshot has dropped as much
+}
+
+// matchIndexes is up to which index each member's log is known to match the leader's; it is only known to the leader.
+func (r *replica) matchIndexes() map[uint64]uint64 {
+	matches := map[uint64]uint64{}
+	r.node.WithProgress(func(id uint64, _ raft.ProgressType, p progress) { matches[id] = p.Match })
+	return matches
 }
 
-// answerTo is where a request's answer goes; it does not wait.
-type answerTo func(client.Response)
+// voterMatchIndexes is matchIndexes of the members that vote.
+func (r *replica) voterMatchIndexes() []uint64 {
+	var matches []uint64
+	r.node.WithProgress(func(_ uint64, kind raft.ProgressType, p progress) {
+		if kind == raft.ProgressTypePeer {
+			matches = append(matches, p.Match)
+		}
+	})
+	return matches
+}
+
+// logStorage is the log as the Raft library reads it.
+type logStorage struct {
+	*raft.MemoryStorage
+	replica *replica
+}
+
+// Snapshot implements raft.Storage. The snapshot for a member that lags is of the state as it is, not the last one that
+// was written: it has to name that member, which would refuse one that was made before it joined for ever.
+func (l logStorage) Snapshot() (*raftpb.Snapshot, error) {
+	if l.replica.confState == nil {
+		return l.MemoryStorage.Snapshot()
+	}
+	return l.replica.currentSnapshot()
+}
--- /dev/null
+++ b/internal/coordination/server/requests.go
@@ -0,0 +1,228 @@
+package server
+
+import (
+	"context"
+	"encoding/json"
+	"errors"
+	"fmt"
+	"math/rand/v2"
+	"time"
+
+	"olivearch/internal/coordination/client"
+	"olivearch/internal/coordination/state"
+)
+
+// defaultRequestTimeout is how long a request without a time of its own is worked on.
+const defaultRequestTimeout = time.Second
+
+// maxForwardHops is how often a request is forwarded towards the leader.
+const maxForwardHops = 1
+
+// request is a client's, with where its response goes.
+type request struct {
+	client.Request
+	respond responder
+}
+
+// rejected responds that the request is refused for good.
+func (r request) rejected(reason string) {
+	r.respond(client.Response{Outcome: client.OutcomeRejected, Message: reason})
+}
+
+// notAttempted responds that nothing was done: another server, or this one later, may do it.
+func (r request) notAttempted(reason string) {
+	r.respond(client.Response{Outcome: client.OutcomeNotAttempted, Message: reason})
+}
+
+// done responds that it is done.
+func (r request) done() { r.respond(client.Response{Outcome: client.OutcomeDone}) }
+
+// apply implements event.
+func (r request) apply(c *core) {
+	if r.Within <= 0 {
+		r.Within = defaultRequestTimeout
+	}
+	r.respond = c.signed(r.respond)
+	if delay, stale := r.stale(c.uptime.now()); stale {
+		r.notAttempted(fmt.Sprintf("it has been on its way for up to %d ms", delay))
+		return
+	}
+	c.dispatch(r)
+}
+
+// dispatch serves a request by its operation.
+func (c *core) dispatch(req request) {
+	switch req.Operation {
+	case client.OpPropose:
+		c.propose(req)
+	case client.OpRead:
+		c.readState(req)
+	case client.OpReadLocal:
+		req.respond(c.localState())
+	case client.OpIdentify:
+		req.done()
+	case client.OpBootstrap:
+		c.joinBootstrap(req)
+	case client.OpJoin:
+		c.requestJoin(req)
+	case client.OpDeclareLost:
+		c.declareLost(req)
+	case client.OpStatus:
+		c.reportStatus(req)
+	default:
+		req.rejected(fmt.Sprintf("there is no verb %d", req.Operation))
+	}
+}
+
+// stale tells whether a request has waited for longer than its client does, in this process, stopped, or on a link that
+// was cut: the client has given up, and may have asked for something else since. Times are uptimes in milliseconds.
+func (r request) stale(now uint64) (delay uint64, stale bool) {
+	if r.Tick == 0 || now <= r.Tick+uint64((r.Within+client.Stale)/time.Millisecond) {
+		return 0, false
+	}
+	return now - r.Tick, true
+}
+
+// signed adds to each response which server gives it.
+func (c *core) signed(respond responder) responder {
+	return func(response client.Response) {
+		response.Name, response.ID = c.Name, c.id()
+		response.Cluster, response.Leader = c.identity.Cluster, c.leaderName()
+		response.Level = state.NewestFeatureLevel
+		respond(response)
+	}
+}
+
+// readState responds with the state as a quorum knows it.
+func (c *core) readState(r request) {
+	c.read(r.Within, func(err error) {
+		if err != nil {
+			r.notAttempted(err.Error())
+			return
+		}
+		r.respond(c.localState())
+	})
+}
+
+// localState is a response with the state that is stored here, however old.
+func (c *core) localState() client.Response {
+	return client.Response{
+		Outcome: client.OutcomeDone,
+		Body:    c.state.Encode(),
+		Index:   c.applied,
+		Age:     c.reads.age(),
+	}
+}
+
+// reportStatus responds with the status as JSON.
+func (c *core) reportStatus(r request) {
+	encoded, err := json.Marshal(c.status(time.Now()))
+	if err != nil {
+		r.rejected(err.Error())
+		return
+	}
+	r.respond(client.Response{Outcome: client.OutcomeDone, Body: encoded})
+}
+
+// redirect forwards a request to the leader or responds that none can be reached. It returns false where this server is
+// the leader and has to serve the request itself.
+func (c *core) redirect(req request) bool {
+	now := time.Now()
+	switch {
+	case c.node == nil:
+		req.notAttempted("it belongs to no cluster yet: " + c.bootstrap.waitReason)
+	case c.diskStalled(now):
+		req.notAttempted(fmt.Sprintf("the disk of %s has not answered for %v", c.Name, c.diskStall(now)))
+	case c.leadership.canPropose():
+		return false
+	case c.leadership.leading:
+		req.notAttempted("it has just been elected")
+	case !c.leaderKnown():
+		req.notAttempted(errNoLeader.Error())
+	case req.Hops >= maxForwardHops:
+		req.notAttempted("it does not lead")
+	default:
+		go c.forward(req, c.leaderName())
+	}
+	return true
+}
+
+// diskStall is for how long the disk has not answered, for people.
+func (c *core) diskStall(now time.Time) time.Duration {
+	return c.writer.pendingFor(now).Round(time.Millisecond)
+}
+
+// forward sends a request to the leader and responds with its answer, or with what is known without one. It is a
+// goroutine of its own.
+func (c *core) forward(req request, leader string) {
+	ctx, cancel := context.WithTimeout(c.ctx, req.Within)
+	defer cancel()
+	forwarded := req.Request
+	forwarded.Hops++
+	forwarded.Within = 0
+	response, err := c.caller.Call(ctx, leader, forwarded)
+	switch {
+	case errors.Is(err, client.ErrNobody):
+		response = client.Response{Outcome: client.OutcomeNotAttempted, Message: err.Error()}
+	case err != nil:
+		response = client.Response{Outcome: client.OutcomeUncertain, Message: err.Error()}
+	}
+	response.Number = req.Number
+	c.submit(eventFunc(func(*core) { req.respond(response) }))
+}
+
+// propose proposes a client's command, as the leader.
+func (c *core) propose(req request) {
+	if c.redirect(req) {
+		return
+	}
+	command, err := decodeProposable(req.Command)
+	if err != nil {
+		req.respond(client.Response{
+			Outcome: client.OutcomeRejected,
+			Message: err.Error(),
+			Result:  state.Result{Rejection: state.RejectedInvalid, Message: err.Error()},
+		})
+		return
+	}
+	forgeFencingToken(command, c.state)
+	if c.proposals.full() {
+		req.notAttempted(fmt.Sprintf("%d promises wait for a quorum already", maxUncommittedProposals))
+		return
+	}
+	envelope := c.envelope(command)
+	if err := c.node.Propose(envelope.Encode()); err != nil {
+		req.notAttempted(err.Error())
+		return
+	}
+	added := &proposal{respond: req.respond, deadline: time.Now().Add(req.Within)}
+	if answerBeforeQuorum(added, c) {
+		return
+	}
+	c.proposals.add(envelope.ID, added)
+}
+
+// decodeProposable decodes and checks a command that clients may propose.
+func decodeProposable(encoded []byte) (state.Command, error) {
+	command, err := state.Decode(encoded)
+	if err != nil {
+		return nil, err
+	}
+	if state.IsInternal(command) {
+		return nil, errors.New("such a command is not taken from outside")
+	}
+	if err := command.Check(); err != nil {
+		return nil, err
+	}
+	return command, nil
+}
+
+// proposeInternal proposes a command of the cluster's own, for which nobody waits.
+func (c *core) proposeInternal(command state.Command) {
+	_ = c.node.Propose(c.envelope(command).Encode()) // where it is dropped, the next review proposes it again
+}
+
+// envelope gives a command an id and the time at which it is proposed.
+func (c *core) envelope(command state.Command) state.Envelope {
+	return state.Envelope{ID: rand.Uint64(), Clock: c.leadership.clock.at(time.Now()), Command: command}
+}
--- a/internal/coordination/server/store.go
+++ b/internal/coordination/server/store.go
@@ -44,9 +44,9 @@
 // maxIndex is above all indices of the log.
 const maxIndex = 1 << 63
 
-// store is a server's folder: the log, its term and vote, and the last snapshot. Its methods belong to one goroutine and
-// return once the disk has what they were given. After a write error nothing is known of the disk any more: the process
-// has to end.
+// store is a server's folder: the log, its term and vote, and the last snapshot. Its methods belong to one goroutine
+// and return once the disk has what they were given. After a write error nothing is known of the disk any more: the
+// process has to end.
 type store struct {
 	db       *bbolt.DB
 	path     string
@@ -156,21 +156,21 @@
 }
 
 // append writes a batch.
-func (s *store) append(b batch) error {
+func (s *store) append(added batch) error {
 	return s.write(func(tx *bbolt.Tx) error {
 		meta, log := tx.Bucket(bucketMeta), tx.Bucket(bucketLog)
-		if b.snapshot != nil {
-			if err := putSnapshot(meta, log, b); err != nil {
+		if added.snapshot != nil {
+			if err := putSnapshot(meta, log, added); err != nil {
 				return err
 			}
 		}
-		if len(b.entries) > 0 {
-			if err := putEntries(log, b.entries); err != nil {
+		if len(added.entries) > 0 {
+			if err := putEntries(log, added.entries); err != nil {
 				return err
 			}
 		}
-		if b.hardState != nil {
-			return put(meta, keyHardState, b.hardState)
+		if added.hardState != nil {
+			return put(meta, keyHardState, added.hardState)
 		}
 		return nil
 	})
--- a/internal/coordination/server/store_load.go
+++ b/internal/coordination/server/store_load.go
@@ -110,8 +110,8 @@
 	})
 }
 
-// checkName fails unless a name is one of those that are used. Any other was one of them before a bit of it flipped: what
-// stood under it would seem never to have been written.
+// checkName fails unless a name is one of those that are used. Any other was one of them before a bit of it flipped:
+// what stood under it would seem never to have been written.
 func checkName(name []byte, used ...[]byte) error {
 	if slices.ContainsFunc(used, func(one []byte) bool { return bytes.Equal(one, name) }) {
 		return nil
--- a/internal/coordination/server/store_rewrite.go
+++ b/internal/coordination/server/store_rewrite.go
@@ -12,9 +12,9 @@
 	"go.etcd.io/bbolt"
 )
 
-// rewriteFile replaces the file, if there is one, by a copy that is synced as a whole: what an earlier process wrote may
-// be in the system's memory and not on the disk, if a sync of it failed. Only pages that can be reached are copied; what
-// they hold is checked when it is loaded.
+// rewriteFile replaces the file, if there is one, by a copy that is synced as a whole: what an earlier process wrote
+// may be in the system's memory and not on the disk, if a sync of it failed. Only pages that can be reached are copied;
+// what they hold is checked when it is loaded.
 func rewriteFile(path string) error {
 	if _, err := os.Stat(path); errors.Is(err, os.ErrNotExist) {
 		return nil
@@ -80,8 +80,8 @@
 	metaPageContent = 80
 )
 
-// checkMetaPages checks both meta pages. bbolt writes them in turn and takes the older one where the newer is damaged: a
-// vote or an entry would be forgotten in silence.
+// checkMetaPages checks both meta pages. bbolt writes them in turn and takes the older one where the newer is damaged:
+// a vote or an entry would be forgotten in silence.
 func checkMetaPages(path string) error {
 	file, err := os.Open(path)
 	if err != nil {
--- a/internal/coordination/server/store_test.go
+++ b/internal/coordination/server/store_test.go
@@ -13,15 +13,18 @@
 	"go.etcd.io/raft/v3/raftpb"
 )
 
-// filled is a folder with a snapshot and some entries, and what it holds.
-func filled(t *testing.T) (folder string, want string) {
+// filledFolder is a folder with a snapshot and some entries, and what it holds.
+func filledFolder(t *testing.T) (folder string, want string) {
 	t.Helper()
 	folder = t.TempDir()
 	s, _, err := openStore(folder, "k1", func() uint64 { return 7 })
 	if err != nil {
 		t.Fatal(err)
 	}
-	snapshot := &raftpb.Snapshot{Data: bytes.Repeat([]byte("state "), 50), Metadata: &raftpb.SnapshotMetadata{Index: new(uint64(3)), Term: new(uint64(1)), ConfState: &raftpb.ConfState{Voters: []uint64{7}}}}
+	snapshot := &raftpb.Snapshot{Data: bytes.Repeat([]byte("state "), 50), Metadata: &raftpb.SnapshotMetadata{
+		Index: new(uint64(3)), Term: new(uint64(1)),
+		ConfState: &raftpb.ConfState{Voters: []uint64{7}},
+	}}
 	if err := s.begin(99, snapshot, initialHardState()); err != nil {
 		t.Fatal(err)
 	}
@@ -29,42 +32,45 @@
 	for i := uint64(4); i < 20; i++ {
 		entries = append(entries, &raftpb.Entry{Index: new(i), Term: new(uint64(2)), Data: []byte(fmt.Sprint("entry ", i))})
 	}
-	if err := s.append(batch{entries: entries, hardState: &raftpb.HardState{Term: new(uint64(2)), Vote: new(uint64(7)), Commit: new(uint64(19))}}); err != nil {
+	hardState := &raftpb.HardState{Term: new(uint64(2)), Vote: new(uint64(7)), Commit: new(uint64(19))}
+	if err := s.append(batch{entries: entries, hardState: hardState}); err != nil {
 		t.Fatal(err)
 	}
 	if err := s.close(); err != nil {
 		t.Fatal(err)
 	}
-	return folder, holds(t, folder)
+	return folder, mustReadFolder(t, folder)
 }
 
-// holds is what a folder holds, as text.
-func holds(t *testing.T, folder string) string {
+// mustReadFolder is what a folder holds, as text.
+func mustReadFolder(t *testing.T, folder string) string {
 	t.Helper()
-	text, err := held(folder)
+	text, err := readFolder(folder)
 	if err != nil {
 		t.Fatal(err)
 	}
 	return text
 }
 
-func held(folder string) (string, error) {
+func readFolder(folder string) (string, error) {
 	s, c, err := openStore(folder, "k1", func() uint64 { return 8 })
 	if err != nil {
 		return "", err
 	}
 	defer s.close()
 	var b strings.Builder
-	fmt.Fprintln(&b, s.identity, c.hardState.GetTerm(), c.hardState.GetVote(), c.hardState.GetCommit(), string(c.snapshot.GetData()), c.snapshot.GetMetadata().GetIndex())
+	fmt.Fprintln(&b, s.identity, c.hardState.GetTerm(), c.hardState.GetVote(), c.hardState.GetCommit(),
+		string(c.snapshot.GetData()), c.snapshot.GetMetadata().GetIndex())
 	for _, e := range c.entries {
 		fmt.Fprintln(&b, e.GetIndex(), e.GetTerm(), string(e.GetData()))
 	}
 	return b.String(), nil
 }
 
-// A bit that flips anywhere in the file is found, or changes nothing that is held: no vote and no promise is forgotten in silence.
+// A bit that flips anywhere in the file is found, or changes nothing of what is stored: no vote and no promise is
+// forgotten in silence.
 func TestFlippedBits(t *testing.T) {
-	folder, want := filled(t)
+	folder, want := filledFolder(t)
 	path := filepath.Join(folder, fileName)
 	whole, err := os.ReadFile(path)
 	if err != nil {
@@ -78,7 +84,7 @@
 		if err := os.WriteFile(path, flipped, 0o600); err != nil {
 			t.Fatal(err)
 		}
-		got, err := held(folder)
+		got, err := readFolder(folder)
 		switch {
 		case err == nil && got != want:
 			t.Fatalf("byte %d: it holds %q", at, got)
@@ -95,15 +101,15 @@
 		if err := os.WriteFile(path, whole[:size], 0o600); err != nil {
 			t.Fatal(err)
 		}
-		if got, err := held(folder); !errors.Is(err, ErrDamaged) {
+		if got, err := readFolder(folder); !errors.Is(err, ErrDamaged) {
 			t.Errorf("%d bytes: %q %v", size, got, err)
 		}
 	}
 }
 
-// A folder is one voter's: not another's, and not two processes'.
+// A folder is one server's: not another's, and not two processes'.
 func TestWhoseFolder(t *testing.T) {
-	folder, want := filled(t)
+	folder, want := filledFolder(t)
 	if _, _, err := openStore(folder, "k2", func() uint64 { return 9 }); !errors.Is(err, ErrForeignFolder) {
 		t.Errorf("k1's folder opened by k2: %v", err)
 	}
@@ -111,13 +117,14 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if _, _, err := openStore(folder, "k1", func() uint64 { return 9 }); err == nil || !strings.Contains(err.Error(), "another process uses it") {
+	_, _, err = openStore(folder, "k1", func() uint64 { return 9 })
+	if err == nil || !strings.Contains(err.Error(), "another process uses it") {
 		t.Errorf("opened twice: %v", err)
 	}
 	if err := s.close(); err != nil {
 		t.Fatal(err)
 	}
-	if got := holds(t, folder); got != want {
+	if got := mustReadFolder(t, folder); got != want {
 		t.Errorf("it holds %q", got)
 	}
 	if _, _, err := openStore(filepath.Join(folder, "none"), "k1", nil); err == nil {
