--- /dev/null
+++ b/internal/coordination/server/snapshots_test.go
@@ -0,0 +1,45 @@
+package server
+
+import "testing"
+
+func TestSnapshotDue(t *testing.T) {
+	cases := []struct {
+		name     string
+		schedule snapshotSchedule
+		applied  uint64
+		want     bool
+	}{
+		{"nothing applied since the last one", snapshotSchedule{lastIndex: 7, bytesSince: snapshotBytes}, 7, false},
+		{"too few entries", snapshotSchedule{lastIndex: 7}, 7 + snapshotEntries - 1, false},
+		{"enough entries", snapshotSchedule{lastIndex: 7}, 7 + snapshotEntries, true},
+		{"few entries of many bytes", snapshotSchedule{lastIndex: 7, bytesSince: snapshotBytes}, 8, true},
+		{"one is being written", snapshotSchedule{lastIndex: 7, writing: true}, 7 + snapshotEntries, false},
+	}
+	for _, c := range cases {
+		if got := c.schedule.due(c.applied); got != c.want {
+			t.Errorf("%s: due(%d) is %v", c.name, c.applied, got)
+		}
+	}
+}
+
+func TestSnapshotKeepsEntriesForMembersThatLag(t *testing.T) {
+	cases := []struct{ index, want uint64 }{
+		{1, 1},
+		{keptEntries, 1},
+		{keptEntries + 1, 1},
+		{keptEntries + 100, 100},
+	}
+	for _, c := range cases {
+		schedule := snapshotSchedule{bytesSince: 9}
+		if got := schedule.begin(c.index); got != c.want {
+			t.Errorf("begin(%d) keeps from %d, want %d", c.index, got, c.want)
+		}
+		if want := (snapshotSchedule{lastIndex: c.index, writing: true}); schedule != want {
+			t.Errorf("begin(%d): %+v", c.index, schedule)
+		}
+		schedule.written()
+		if schedule.due(c.index) || schedule.writing {
+			t.Errorf("written at %d: %+v", c.index, schedule)
+		}
+	}
+}
