--- a/internal/coordination/server/apply.go
+++ b/internal/coordination/server/apply.go
@@ -22,7 +22,7 @@
 			return fmt.Errorf("entry %d of the log: %w", entry.GetIndex(), err)
 		}
 	}
-	c.reads.finish(c.applied)
+	c.reads.finishApplied(c.applied)
 	return nil
 }
 
--- a/internal/coordination/server/bootstrap.go
+++ b/internal/coordination/server/bootstrap.go
@@ -220,13 +220,13 @@
 	isSelf := func(member state.Member) bool { return member.ID == c.id() && member.Name == c.Name }
 	switch {
 	case c.node != nil && c.identity.Cluster == r.Cluster:
-		r.done()
+		r.respondDone()
 	case c.node != nil || c.bootstrap.inProgress:
-		r.rejected("it belongs to a cluster already")
+		r.reject("it belongs to a cluster already")
 	case !slices.ContainsFunc(r.Members, isSelf) || r.Cluster == 0:
-		r.rejected("it is not among the members of that cluster")
+		r.reject("it is not among the members of that cluster")
 	default:
 		c.formCluster(r.Cluster, r.Members)
-		r.done()
+		r.respondDone()
 	}
 }
--- a/internal/coordination/server/clocks.go
+++ b/internal/coordination/server/clocks.go
@@ -2,14 +2,15 @@
 
 import "time"
 
-// uptimeClock is a server's own clock. It never changes after the start, so that any goroutine may read it.
+// uptimeClock counts milliseconds since the server's start, on the monotonic clock. It is immutable, so any goroutine
+// may read it.
 type uptimeClock struct{ start time.Time }
 
-// now is how many milliseconds the server runs, plus one: 0 means that no time is known.
+// now is the uptime in milliseconds, plus one: in messages 0 means that no time is known.
 func (u uptimeClock) now() uint64 { return uint64(time.Since(u.start)/time.Millisecond) + 1 }
 
-// clusterClock counts the cluster's clock on, from what the log's last command has left it at, by the leader's
-// monotonic clock. So it never runs ahead of real time, and stands still while nobody leads.
+// clusterClock is the cluster's clock as its leader counts it: from the value of the last command in the log, by the
+// leader's monotonic clock. So it never runs ahead of real time, and stands still while there is no leader.
 type clusterClock struct {
 	startedAt  time.Time
 	startValue uint64 // ms
--- a/internal/coordination/server/core.go
+++ b/internal/coordination/server/core.go
@@ -2,14 +2,11 @@
 
 import (
 	"context"
-	"errors"
 	"fmt"
 	"log/slog"
 	"runtime/debug"
 	"time"
 
-	"go.etcd.io/raft/v3"
-
 	"olivearch/internal/coordination/client"
 )
 
@@ -26,9 +23,11 @@
 	eventBurst = 256
 )
 
-// core owns the state of a server. All of it belongs to the goroutine of run, except for ctx, writer, uptime, caller
-// and events, which any goroutine may use. That goroutine never blocks: it waits for nothing but its next event, a
-// write result or a tick. What takes time is done by other goroutines, which submit its outcome as an event.
+// core owns the state of a server. All of it belongs to the goroutine of run, except for what any goroutine may use:
+// Config, which never changes, ctx, writer, uptime, caller and events. The store belongs to the goroutine of writer.
+//
+// The goroutine of run never blocks: it waits for nothing but the next event, write result or tick. What takes time,
+// writes, calls and connections, is done by other goroutines, which submit its outcome as an event.
 //
 // Each part has a type with its own invariants:
 //
@@ -62,7 +61,7 @@
 
 	ticks         int
 	lastWrite     time.Duration // how long the last write took
-	rejections    uint64
+	rejections    uint64        // proposals that the state machine has rejected
 	lastRejection string
 }
 
@@ -223,18 +222,3 @@
 		f.push(c.fullUpdate())
 	}
 }
-
-// leaderName is the leader's name; empty: none is known.
-func (c *core) leaderName() string {
-	member, _ := c.state.Member(c.leadership.leader)
-	return member.Name
-}
-
-// leaderKnown tells whether Raft knows of a leader.
-func (c *core) leaderKnown() bool { return c.leadership.leader != raft.None }
-
-// The reasons for which a request can't be confirmed by a quorum. Clients and operators see these texts.
-var (
-	errNoLeader = errors.New("no voter leads: no quorum can be reached from here")
-	errNoQuorum = errors.New("no quorum has answered in time")
-)
--- a/internal/coordination/server/fault_injection.go
+++ b/internal/coordination/server/fault_injection.go
@@ -35,7 +35,7 @@
 // The faults of a disk, as the file named by disk.Variable gives them.
 const (
 	diskFull      = "full"  // a write fails
-	diskSlow      = "slow"  // a write begins after the duration that follows the word
+	diskSlow      = "slow"  // a write begins after the duration that follows
 	diskSyncError = "error" // a sync fails
 	diskTornWrite = "torn"  // the power goes while half of the pages are written
 )
--- a/internal/coordination/server/identity.go
+++ b/internal/coordination/server/identity.go
@@ -1,6 +1,8 @@
 package server
 
 import (
+	"math/rand/v2"
+
 	"olivearch/internal/coordination/state"
 	"olivearch/internal/protomsg"
 )
@@ -38,3 +40,10 @@
 		return nil
 	})
 }
+
+// generateMemberID is a new member's id: not 0, and none of the two highest numbers, by which the Raft library means
+// its threads for storage (raft.LocalAppendThread, raft.LocalApplyThread).
+func generateMemberID() uint64 { return rand.Uint64()>>2 + 1 }
+
+// generateClusterID is a new cluster's id, which is not 0.
+func generateClusterID() uint64 { return rand.Uint64()>>1 + 1 }
--- a/internal/coordination/server/leadership.go
+++ b/internal/coordination/server/leadership.go
@@ -7,12 +7,12 @@
 	"go.etcd.io/raft/v3"
 )
 
-// leadership is who leads, as Raft has told. A leader is ready once it has applied an entry of its own term: all of
-// earlier terms is in its state then, and the cluster's clock is known. Only a ready leader proposes, and clock counts
-// only while this server is one.
+// leadership is the current leader as Raft reports it. A leader is ready once it has applied an entry of its own term:
+// its state then holds everything that was committed in earlier terms, and the cluster's clock is known. Only a ready
+// leader proposes commands, and clock is valid only while this server is one.
 type leadership struct {
 	leader  uint64 // raft.None: not known
-	leading bool   // it is this server
+	leading bool   // this server is the leader
 	ready   bool
 	clock   clusterClock
 }
@@ -26,7 +26,7 @@
 	l.clock.start(now, clock)
 }
 
-// leadershipChanged notes who leads.
+// leadershipChanged handles the event that Raft reports another leader, or another role of this server.
 func (c *core) leadershipChanged(soft *raft.SoftState) {
 	leading := soft.RaftState == raft.StateLeader
 	if soft.Lead != c.leadership.leader {
@@ -45,3 +45,12 @@
 	}
 	c.leadership.leader, c.leadership.leading = soft.Lead, leading
 }
+
+// leaderName is the leader's name; empty: none is known.
+func (c *core) leaderName() string {
+	member, _ := c.state.Member(c.leadership.leader)
+	return member.Name
+}
+
+// leaderKnown tells whether Raft knows of a leader.
+func (c *core) leaderKnown() bool { return c.leadership.leader != raft.None }
--- a/internal/coordination/server/membership.go
+++ b/internal/coordination/server/membership.go
@@ -53,7 +53,8 @@
 	}
 }
 
-// leadershipGained counts anew since when members are known: a new leader could not hear them as one before.
+// leadershipGained restarts the count of how long members are known: followers of Raft hear the leader alone, so a new
+// leader could not have heard them before.
 func (t *membershipTracker) leadershipGained() { t.memberSince = map[uint64]time.Time{} }
 
 // sinceContact is how long ago a message of a member last came; false: none has.
@@ -231,7 +232,7 @@
 // requestJoin serves the request of a process with an empty folder to join. It is done once that is a member.
 func (c *core) requestJoin(req request) {
 	if len(req.Members) != 1 || req.Members[0].ID == 0 || req.Members[0].Name == "" {
-		req.rejected("one member with a name and an id is wanted")
+		req.reject("one member with a name and an id is wanted")
 		return
 	}
 	joining := req.Members[0]
@@ -249,10 +250,11 @@
 	if added {
 		slog.Info("register joining voter", "name", joining.Name, "id", formatID(joining.ID))
 	}
-	req.notAttempted(waitReason)
+	req.respondNotAttempted(waitReason)
 }
 
-// declareLost notes that, as operators say, the machine of a voter is lost for good: the voter may be replaced sooner.
+// declareLost records an operator's statement that a voter's machine is lost for good, so that the voter may be
+// replaced sooner.
 func (c *core) declareLost(r request) {
 	if c.redirect(r) {
 		return
@@ -260,9 +262,9 @@
 	for _, member := range c.state.Members() {
 		if member.Name == r.Name && !member.Learner {
 			c.members.declaredLost[r.Name] = true
-			r.done()
+			r.respondDone()
 			return
 		}
 	}
-	r.rejected(fmt.Sprintf("there is no voter %s", r.Name))
+	r.reject(fmt.Sprintf("there is no voter %s", r.Name))
 }
--- a/internal/coordination/server/peer_links.go
+++ b/internal/coordination/server/peer_links.go
@@ -107,7 +107,7 @@
 	c.links.keepOnly(others)
 }
 
-// linkToAll begins to hear members of which another server has told, until a snapshot says who they are.
+// linkToAll begins to hear the members that another server has named, until a snapshot says who they are.
 func (c *core) linkToAll(members []state.Member) {
 	for _, member := range members {
 		if member.ID != c.id() {
@@ -207,12 +207,12 @@
 	if err := proto.Unmarshal(frame, message); err != nil {
 		return nil, err
 	}
-	return message, p.check(message)
+	return message, p.checkMessage(message)
 }
 
-// check fails unless the message is one from this member to this server. A ReadIndex may be forwarded in the name of
-// the server that began the read.
-func (p *peerReceiver) check(message *raftpb.Message) error {
+// checkMessage fails unless the message is one from this member to this server. A ReadIndex may be forwarded in the
+// name of the server that began the read.
+func (p *peerReceiver) checkMessage(message *raftpb.Message) error {
 	fromMember := message.GetFrom() == p.member.ID || message.GetType() == raftpb.MsgReadIndex
 	if fromMember && message.GetTo() == p.self && !raft.IsLocalMsg(message.GetType()) {
 		return nil
@@ -235,8 +235,8 @@
 	c.step(e.message)
 }
 
-// send queues a message for a member that listens. Raft is told where none does. While the disk does not answer only
-// responses are sent.
+// send queues a message for a member that listens. Where none does, Raft is notified. While the disk does not
+// answer, only responses are sent.
 func (c *core) send(message *raftpb.Message) {
 	if c.diskStalled(time.Now()) && !raft.IsResponseMsg(message.GetType()) {
 		return
--- a/internal/coordination/server/peer_links_test.go
+++ b/internal/coordination/server/peer_links_test.go
@@ -27,7 +27,7 @@
 	}
 	for _, c := range cases {
 		message := &raftpb.Message{Type: c.kind.Enum(), From: new(c.from), To: new(c.to)}
-		if err := receiver.check(message); (err == nil) != c.accepted {
+		if err := receiver.checkMessage(message); (err == nil) != c.accepted {
 			t.Errorf("%s: %v", c.name, err)
 		}
 	}
--- a/internal/coordination/server/proposals.go
+++ b/internal/coordination/server/proposals.go
@@ -62,9 +62,9 @@
 	}
 }
 
-// replicated answers the applied proposals that enough voters have, that were rejected, or whose time is over.
+// respondToReplicated answers the applied proposals that enough voters have, that were rejected, or whose time is over.
 // matchIndexes are those of the voters. It returns why proposals were rejected, in their order.
-func (p *proposals) replicated(now time.Time, matchIndexes []uint64, writeQuorum int) (rejections []string) {
+func (p *proposals) respondToReplicated(now time.Time, matchIndexes []uint64, writeQuorum int) (rejections []string) {
 	waiting := p.replicating[:0]
 	for _, one := range p.replicating {
 		response, done := one.outcome(now, matchIndexes, writeQuorum)
@@ -125,7 +125,7 @@
 	if len(c.proposals.replicating) == 0 {
 		return
 	}
-	for _, reason := range c.proposals.replicated(now, c.voterMatchIndexes(), c.WriteQuorum) {
+	for _, reason := range c.proposals.respondToReplicated(now, c.voterMatchIndexes(), c.WriteQuorum) {
 		c.rejections++
 		c.lastRejection = reason
 	}
--- a/internal/coordination/server/proposals_test.go
+++ b/internal/coordination/server/proposals_test.go
@@ -65,7 +65,7 @@
 			t.Errorf("no answer is owed to %d", id)
 		}
 	}
-	rejections := all.replicated(now, []uint64{6, 6, 6}, 3) // 3 is at index 7
+	rejections := all.respondToReplicated(now, []uint64{6, 6, 6}, 3) // 3 is at index 7
 	if len(rejections) != 1 || rejections[0] != "no room" {
 		t.Errorf("rejections: %q", rejections)
 	}
--- a/internal/coordination/server/reads.go
+++ b/internal/coordination/server/reads.go
@@ -2,6 +2,7 @@
 
 import (
 	"encoding/binary"
+	"errors"
 	"math/rand/v2"
 	"time"
 
@@ -14,6 +15,12 @@
 // readContextSize is the size in bytes of the context by which the Raft library names a read.
 const readContextSize = 16
 
+// The reasons for which a request can't be confirmed by a quorum. Clients and operators see these texts.
+var (
+	errNoLeader = errors.New("no voter leads: no quorum can be reached from here")
+	errNoQuorum = errors.New("no quorum has answered in time")
+)
+
 // linearizableRead waits until a quorum has confirmed how far the log had come at its start, and until all of that is
 // applied here (ReadIndex; Ongaro's thesis, 6.4).
 type linearizableRead struct {
@@ -30,8 +37,8 @@
 	lastNumber  uint64
 	unconfirmed map[uint64]*linearizableRead // by number
 	unapplied   []*linearizableRead
-	// confirmedAt is the latest moment of which a quorum has confirmed that nothing newer was granted by then than what
-	// is applied here; zero: there is none.
+	// confirmedAt is the start of the newest read that has finished: all that was committed by then is applied here.
+	// Zero: no read has finished.
 	confirmedAt time.Time
 }
 
@@ -70,8 +77,8 @@
 	return true
 }
 
-// finish ends the reads of what is applied by now.
-func (r *reads) finish(applied uint64) {
+// finishApplied ends the reads whose index is applied by now.
+func (r *reads) finishApplied(applied uint64) {
 	waiting := r.unapplied[:0]
 	var finished []*linearizableRead
 	for _, read := range r.unapplied {
@@ -126,7 +133,7 @@
 	return contexts
 }
 
-// age is how long ago a quorum has confirmed what is applied here.
+// age is the time since confirmedAt; longAgo where that is zero.
 func (r *reads) age() time.Duration {
 	if r.confirmedAt.IsZero() {
 		return longAgo
@@ -150,7 +157,7 @@
 // readConfirmed goes on with a read that a quorum has answered.
 func (c *core) readConfirmed(confirmed raft.ReadState) {
 	if c.reads.confirmed(confirmed.RequestCtx, confirmed.Index) {
-		c.reads.finish(c.applied)
+		c.reads.finishApplied(c.applied)
 	}
 }
 
--- a/internal/coordination/server/reads_test.go
+++ b/internal/coordination/server/reads_test.go
@@ -24,13 +24,13 @@
 	if !all.confirmed(context, 5) {
 		t.Fatal("it is not known")
 	}
-	all.finish(4)
+	all.finishApplied(4)
 	if len(ended) != 0 || !all.confirmedAt.IsZero() {
 		t.Fatalf("it ended before entry 5 was applied: %v", ended)
 	}
-	all.finish(5)
+	all.finishApplied(5)
 	all.confirmed(context, 5)
-	all.finish(6)
+	all.finishApplied(6)
 	all.expire(start.Add(time.Hour))
 	if len(ended) != 1 || ended[0] != nil {
 		t.Errorf("it ended as %v", ended)
@@ -48,7 +48,7 @@
 		if all.confirmed(foreign, 1) {
 			t.Errorf("%x counts as confirmed", foreign)
 		}
-		all.finish(1)
+		all.finishApplied(1)
 	}
 	if len(ended) != 0 {
 		t.Errorf("it ended as %v", ended)
--- a/internal/coordination/server/recover.go
+++ b/internal/coordination/server/recover.go
@@ -126,10 +126,3 @@
 	_, err := applied.Apply(revision, applied.Clock(), &state.RegisterMember{Member: only})
 	return err
 }
-
-// generateMemberID is a new member's id: not 0, and none of the two highest numbers, by which the Raft library means
-// its threads for storage (raft.LocalAppendThread, raft.LocalApplyThread).
-func generateMemberID() uint64 { return rand.Uint64()>>2 + 1 }
-
-// generateClusterID is a new cluster's id, which is not 0.
-func generateClusterID() uint64 { return rand.Uint64()>>1 + 1 }
--- a/internal/coordination/server/requests.go
+++ b/internal/coordination/server/requests.go
@@ -24,27 +24,27 @@
 	respond responder
 }
 
-// rejected responds that the request is refused for good.
-func (r request) rejected(reason string) {
+// reject responds that the request is refused for good.
+func (r request) reject(reason string) {
 	r.respond(client.Response{Outcome: client.OutcomeRejected, Message: reason})
 }
 
-// notAttempted responds that nothing was done: another server, or this one later, may do it.
-func (r request) notAttempted(reason string) {
+// respondNotAttempted responds that nothing was done: another server, or this one later, may do it.
+func (r request) respondNotAttempted(reason string) {
 	r.respond(client.Response{Outcome: client.OutcomeNotAttempted, Message: reason})
 }
 
-// done responds that it is done.
-func (r request) done() { r.respond(client.Response{Outcome: client.OutcomeDone}) }
+// respondDone responds that it is done.
+func (r request) respondDone() { r.respond(client.Response{Outcome: client.OutcomeDone}) }
 
 // apply implements event.
 func (r request) apply(c *core) {
 	if r.Within <= 0 {
 		r.Within = defaultRequestTimeout
 	}
-	r.respond = c.signed(r.respond)
+	r.respond = c.withServerIdentity(r.respond)
 	if delay, stale := r.stale(c.uptime.now()); stale {
-		r.notAttempted(fmt.Sprintf("it has been on its way for up to %d ms", delay))
+		r.respondNotAttempted(fmt.Sprintf("it has been on its way for up to %d ms", delay))
 		return
 	}
 	c.dispatch(r)
@@ -60,7 +60,7 @@
 	case client.OpReadLocal:
 		req.respond(c.localState())
 	case client.OpIdentify:
-		req.done()
+		req.respondDone()
 	case client.OpBootstrap:
 		c.joinBootstrap(req)
 	case client.OpJoin:
@@ -70,7 +70,7 @@
 	case client.OpStatus:
 		c.reportStatus(req)
 	default:
-		req.rejected(fmt.Sprintf("there is no verb %d", req.Operation))
+		req.reject(fmt.Sprintf("there is no verb %d", req.Operation))
 	}
 }
 
@@ -83,8 +83,8 @@
 	return now - r.Tick, true
 }
 
-// signed adds to each response which server gives it.
-func (c *core) signed(respond responder) responder {
+// withServerIdentity adds to each response which server gives it.
+func (c *core) withServerIdentity(respond responder) responder {
 	return func(response client.Response) {
 		response.Name, response.ID = c.Name, c.id()
 		response.Cluster, response.Leader = c.identity.Cluster, c.leaderName()
@@ -97,7 +97,7 @@
 func (c *core) readState(r request) {
 	c.read(r.Within, func(err error) {
 		if err != nil {
-			r.notAttempted(err.Error())
+			r.respondNotAttempted(err.Error())
 			return
 		}
 		r.respond(c.localState())
@@ -118,7 +118,7 @@
 func (c *core) reportStatus(r request) {
 	encoded, err := json.Marshal(c.status(time.Now()))
 	if err != nil {
-		r.rejected(err.Error())
+		r.reject(err.Error())
 		return
 	}
 	r.respond(client.Response{Outcome: client.OutcomeDone, Body: encoded})
@@ -130,17 +130,17 @@
 	now := time.Now()
 	switch {
 	case c.node == nil:
-		req.notAttempted("it belongs to no cluster yet: " + c.bootstrap.waitReason)
+		req.respondNotAttempted("it belongs to no cluster yet: " + c.bootstrap.waitReason)
 	case c.diskStalled(now):
-		req.notAttempted(fmt.Sprintf("the disk of %s has not answered for %v", c.Name, c.diskStall(now)))
+		req.respondNotAttempted(fmt.Sprintf("the disk of %s has not answered for %v", c.Name, c.diskStall(now)))
 	case c.leadership.canPropose():
 		return false
 	case c.leadership.leading:
-		req.notAttempted("it has just been elected")
+		req.respondNotAttempted("it has just been elected")
 	case !c.leaderKnown():
-		req.notAttempted(errNoLeader.Error())
+		req.respondNotAttempted(errNoLeader.Error())
 	case req.Hops >= maxForwardHops:
-		req.notAttempted("it does not lead")
+		req.respondNotAttempted("it does not lead")
 	default:
 		go c.forward(req, c.leaderName())
 	}
@@ -187,12 +187,12 @@
 	}
 	forgeFencingToken(command, c.state)
 	if c.proposals.full() {
-		req.notAttempted(fmt.Sprintf("%d promises wait for a quorum already", maxUncommittedProposals))
+		req.respondNotAttempted(fmt.Sprintf("%d promises wait for a quorum already", maxUncommittedProposals))
 		return
 	}
 	envelope := c.envelope(command)
 	if err := c.node.Propose(envelope.Encode()); err != nil {
-		req.notAttempted(err.Error())
+		req.respondNotAttempted(err.Error())
 		return
 	}
 	added := &proposal{respond: req.respond, deadline: time.Now().Add(req.Within)}
--- a/internal/coordination/server/server.go
+++ b/internal/coordination/server/server.go
@@ -17,14 +17,14 @@
 	"olivearch/internal/coordination/state"
 )
 
-// Config is what a server is told at its start.
+// Config configures a server.
 type Config struct {
 	Name    string
-	Address string // under which the other servers reach it
+	Address string // at which the other servers reach it
 	// Voters maps the name of each server, this one among them, to the address at which this process reaches it.
 	Voters map[string]string
-	Folder string
-	// WriteQuorum is how many disks have a grant before it is confirmed; 0: those of a majority.
+	Folder string // must exist; it belongs to this server alone
+	// WriteQuorum is how many voters must have a command on their disks before its client gets an answer; 0: a majority.
 	WriteQuorum int
 	// ReplaceAfter is for how long a voter must have been silent before an empty one of its name may replace it.
 	ReplaceAfter time.Duration
@@ -69,8 +69,8 @@
 	return &Server{core: c, listener: listener}, nil
 }
 
-// Run serves. It returns nil once the context has ended. An error says why the server could not go on; nothing that it
-// had not confirmed by then counts. It is called once.
+// Run serves. It returns nil once the context has ended. An error says why the server had to stop;
+// requests that it had not answered by then may or may not have taken effect. Run is called once.
 func (s *Server) Run(ctx context.Context) error {
 	ctx, cancel := context.WithCancelCause(ctx)
 	defer cancel(nil)
--- a/internal/coordination/server/store_load.go
+++ b/internal/coordination/server/store_load.go
@@ -98,7 +98,7 @@
 		if err := proto.Unmarshal(value, entry); err != nil {
 			return fmt.Errorf("%w: %w", ErrDamaged, err)
 		}
-		if len(c.entries) == 0 && entry.GetIndex() < expected { // kept before the snapshot, for followers that lag
+		if len(c.entries) == 0 && entry.GetIndex() < expected { // kept before the snapshot, for members that lag
 			expected = entry.GetIndex()
 		}
 		if entry.GetIndex() != expected || binary.BigEndian.Uint64(key) != expected {
