--- a/internal/coordination/server/apply.go
+++ b/internal/coordination/server/apply.go
@@ -53,7 +53,7 @@
 	return nil
 }
 
-// entryCommands are the encoded commands of an entry. A membership change takes effect here.
+// entryCommands returns the encoded commands of an entry. A membership change takes effect here.
 func (c *core) entryCommands(entry *raftpb.Entry) ([][]byte, error) {
 	if entry.GetType() != raftpb.EntryNormal {
 		return c.applyMembershipChange(entry)
--- a/internal/coordination/server/bootstrap.go
+++ b/internal/coordination/server/bootstrap.go
@@ -29,11 +29,15 @@
 	waitReason string // why the server does not take part in a cluster yet; empty: it does
 }
 
+// noClusterReason is why a request or connection is not served while the server belongs to no cluster. Clients and
+// operators see it.
+const noClusterReason = "it belongs to no cluster yet"
+
 func newBootstrap() bootstrap {
 	return bootstrap{reports: map[string]membership.VoterReport{}, waitReason: "it has just started"}
 }
 
-// clusterExists tells whether some server belongs to a cluster already.
+// clusterExists reports whether some server belongs to a cluster already.
 func (b *bootstrap) clusterExists() bool {
 	for _, report := range b.reports {
 		if report.Cluster != 0 {
@@ -86,7 +90,7 @@
 	}
 }
 
-// joinRequest is the request to join.
+// joinRequest returns the request to join.
 func (c *core) joinRequest() client.Request {
 	return client.Request{
 		Operation: client.OpJoin,
@@ -167,7 +171,7 @@
 	c.writer.enqueue(writeJob{bootstrap: &clusterBootstrap{cluster: cluster, snapshot: snapshot}})
 }
 
-// firstSnapshot is the state that all voters of a new cluster begin with. It is the same on each of them.
+// firstSnapshot returns the state that all voters of a new cluster begin with. It is the same on each of them.
 func firstSnapshot(members []state.Member) (*raftpb.Snapshot, error) {
 	first := state.NewState()
 	confState := &raftpb.ConfState{}
@@ -216,17 +220,17 @@
 }
 
 // joinBootstrap forms the cluster that the first configured server has announced.
-func (c *core) joinBootstrap(r request) {
+func (c *core) joinBootstrap(req request) {
 	isSelf := func(member state.Member) bool { return member.ID == c.id() && member.Name == c.Name }
 	switch {
-	case c.node != nil && c.identity.Cluster == r.Cluster:
-		r.respondDone()
+	case c.node != nil && c.identity.Cluster == req.Cluster:
+		req.respondDone()
 	case c.node != nil || c.bootstrap.inProgress:
-		r.reject("it belongs to a cluster already")
-	case !slices.ContainsFunc(r.Members, isSelf) || r.Cluster == 0:
-		r.reject("it is not among the members of that cluster")
+		req.reject("it belongs to a cluster already")
+	case !slices.ContainsFunc(req.Members, isSelf) || req.Cluster == 0:
+		req.reject("it is not among the members of that cluster")
 	default:
-		c.formCluster(r.Cluster, r.Members)
-		r.respondDone()
+		c.formCluster(req.Cluster, req.Members)
+		req.respondDone()
 	}
 }
--- a/internal/coordination/server/clocks.go
+++ b/internal/coordination/server/clocks.go
@@ -6,7 +6,7 @@
 // may read it.
 type uptimeClock struct{ start time.Time }
 
-// now is the uptime in milliseconds, plus one: in messages 0 means that no time is known.
+// now returns the uptime in milliseconds, plus one: in messages 0 means that no time is known.
 func (u uptimeClock) now() uint64 { return uint64(time.Since(u.start)/time.Millisecond) + 1 }
 
 // clusterClock is the cluster's clock as its leader counts it: from the value of the last command in the log, by the
@@ -21,7 +21,7 @@
 	c.startedAt, c.startValue = now, value
 }
 
-// at is the clock's value in milliseconds.
+// at returns the clock's value in milliseconds.
 func (c *clusterClock) at(now time.Time) uint64 {
 	return c.startValue + uint64(now.Sub(c.startedAt)/time.Millisecond)
 }
--- a/internal/coordination/server/connections.go
+++ b/internal/coordination/server/connections.go
@@ -78,7 +78,7 @@
 	}
 }
 
-// session is what the core has decided on a connection.
+// session is the core's decision on a new connection.
 type session struct {
 	welcome client.Welcome
 	serve   func() // nil: the connection is rejected, for the reason in welcome
@@ -132,13 +132,13 @@
 	return opened
 }
 
-// peerRejection is why another server is not sent to; empty: it is.
+// peerRejection returns the reason for not serving a peer; empty: it is served.
 func (c *core) peerRejection(hello client.Hello) string {
 	member, known := c.state.Member(hello.From)
 	membersKnown := len(c.state.Members()) > 0
 	switch {
 	case c.node == nil:
-		return "it belongs to no cluster yet"
+		return noClusterReason
 	case hello.Cluster != c.identity.Cluster:
 		return c.otherCluster(hello)
 	case membersKnown && (!known || member.Name != hello.Name):
@@ -147,7 +147,7 @@
 	return ""
 }
 
-// otherCluster is the reason to reject a connection of another cluster.
+// otherCluster returns the reason to reject a connection of another cluster.
 func (c *core) otherCluster(hello client.Hello) string {
 	return fmt.Sprintf("this is cluster %x, not %x", c.identity.Cluster, hello.Cluster)
 }
--- a/internal/coordination/server/core.go
+++ b/internal/coordination/server/core.go
@@ -65,7 +65,7 @@
 	lastRejection string
 }
 
-// event is what other goroutines submit to the core.
+// event is submitted to the core by other goroutines and applied by the core's.
 type event interface{ apply(c *core) }
 
 type eventFunc func(c *core)
@@ -170,10 +170,10 @@
 // fail ends the server, which can't go on without breaking what it has granted.
 func (c *core) fail(err error) { c.cancel(err) }
 
-// diskStalled tells whether the disk has not answered for too long.
+// diskStalled reports whether the disk has not answered for too long.
 func (c *core) diskStalled(now time.Time) bool { return c.writer.pendingFor(now) > diskStallTimeout }
 
-// tick does what is due by time.
+// tick advances Raft's timers and does what is due: timeouts, retries, the review of the membership and heartbeats.
 func (c *core) tick(now time.Time) {
 	c.ticks++
 	if c.node != nil && !c.diskStalled(now) {
@@ -190,7 +190,7 @@
 	}
 }
 
-// handleWriteResult goes on with what the disk has.
+// handleWriteResult continues the jobs that the disk writer has finished.
 func (c *core) handleWriteResult(result writeResult) {
 	if result.err != nil {
 		c.fail(fmt.Errorf("%w: %w: what it has is not known, so this process ends", ErrDisk, result.err))
--- a/internal/coordination/server/disk_writer.go
+++ b/internal/coordination/server/disk_writer.go
@@ -23,7 +23,7 @@
 	onDone   func()           // called by the core once the disk has it and Raft runs; nil: nothing
 }
 
-// writeResult says that the disk has jobs, in the order in which they came, or what went wrong.
+// writeResult reports that jobs are on the disk, in the order of their arrival, or why not.
 type writeResult struct {
 	jobs     []writeJob
 	err      error
@@ -65,7 +65,7 @@
 	}
 }
 
-// pendingFor is for how long jobs have been unanswered; 0: there are none.
+// pendingFor returns for how long jobs have been unanswered; 0: there are none.
 func (w *diskWriter) pendingFor(now time.Time) time.Duration {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -219,7 +219,7 @@
 	return append(existing[:kept:kept], entries...)
 }
 
-// initialHardState is the hard state with which every voter of a new cluster begins.
+// initialHardState returns the hard state with which every voter of a new cluster begins.
 func initialHardState() *raftpb.HardState {
 	return &raftpb.HardState{Term: new(uint64(1)), Vote: new(uint64(0)), Commit: new(uint64(1))}
 }
--- a/internal/coordination/server/fault_injection.go
+++ b/internal/coordination/server/fault_injection.go
@@ -42,7 +42,7 @@
 
 func ruleBroken(rule string) bool { return os.Getenv(ruleVariable) == rule }
 
-// answerBeforeQuorum answers a proposal at once where that rule is to be broken; it tells whether it did.
+// answerBeforeQuorum answers a proposal at once where that rule is to be broken; it reports whether it did.
 func answerBeforeQuorum(p *proposal, c *core) bool {
 	if !ruleBroken(ruleAnswerBeforeQuorum) {
 		return false
@@ -72,8 +72,8 @@
 	}
 }
 
-// newMemberID is the id of a member whose folder is empty. Where that rule is to be broken it follows from the name
-// alone, so that an emptied folder counts as the member that was lost.
+// newMemberID returns the id of a member whose folder is empty. Where that rule is to be broken it follows from the
+// name alone, so that an emptied folder counts as the member that was lost.
 func newMemberID(name string, generateID func() uint64) uint64 {
 	if !ruleBroken(ruleReuseMemberID) {
 		return generateID()
@@ -96,7 +96,7 @@
 	return nil
 }
 
-// diskFault is the fault that the disk has now; an empty kind: none.
+// diskFault returns the fault that the disk has now; an empty kind: none.
 func diskFault() (kind, argument string) {
 	text, err := os.ReadFile(os.Getenv(disk.Variable))
 	if err != nil {
--- a/internal/coordination/server/fault_injection_none.go
+++ b/internal/coordination/server/fault_injection_none.go
@@ -13,7 +13,7 @@
 // forgeFencingToken leaves the command as it is.
 func forgeFencingToken(state.Command, *state.State) {}
 
-// newMemberID is the id of a member whose folder is empty.
+// newMemberID returns the id of a member whose folder is empty.
 func newMemberID(_ string, generateID func() uint64) uint64 { return generateID() }
 
 // injectWriteFault lets every write begin.
--- a/internal/coordination/server/folder_lock.go
+++ b/internal/coordination/server/folder_lock.go
@@ -9,7 +9,7 @@
 	"golang.org/x/sys/unix"
 )
 
-// lockTimeout is how long the end of an earlier process that uses the folder is waited for.
+// lockTimeout bounds the wait for an earlier process that still uses the folder.
 const lockTimeout = 2 * time.Second
 
 // lockRetryInterval is the pause between two attempts to lock a folder.
--- a/internal/coordination/server/followers.go
+++ b/internal/coordination/server/followers.go
@@ -61,7 +61,7 @@
 	}
 }
 
-// followerSet are the followers that are connected. It belongs to the core.
+// followerSet holds the connected followers. It belongs to the core.
 type followerSet map[*follower]bool
 
 // broadcast queues an update for all of them.
@@ -75,7 +75,7 @@
 	}
 }
 
-// pings are the last ones that the followers have sent.
+// pings returns the last ping of each follower.
 func (s followerSet) pings() map[*follower]uint64 {
 	pings := map[*follower]uint64{}
 	for f := range s {
@@ -90,11 +90,11 @@
 	}
 }
 
-// followerRejection is why a follower is not served; empty: it is.
+// followerRejection returns the reason for not serving a follower; empty: it is served.
 func (c *core) followerRejection(hello client.Hello) string {
 	switch {
 	case c.node == nil:
-		return "it belongs to no cluster yet: " + c.bootstrap.waitReason
+		return noClusterReason + ": " + c.bootstrap.waitReason
 	case hello.Cluster != 0 && hello.Cluster != c.identity.Cluster:
 		return c.otherCluster(hello)
 	case hello.Applied > c.applied:
@@ -135,7 +135,7 @@
 	}
 }
 
-// fullUpdate is an encoded update with the whole state.
+// fullUpdate returns an encoded update with the whole state.
 func (c *core) fullUpdate() []byte {
 	update := client.Update{
 		State:     c.state.Encode(),
--- a/internal/coordination/server/identity.go
+++ b/internal/coordination/server/identity.go
@@ -7,11 +7,11 @@
 	"olivearch/internal/protomsg"
 )
 
-// folderFormat is the version of the folder's form.
+// folderFormat is the version of the storage format.
 const folderFormat = 1
 
-// identity says whose folder it is. It is generated when an empty folder is opened: a server whose disk was lost comes
-// back as another member.
+// identity identifies the member that a folder belongs to. It is generated when an empty folder is opened: a server
+// whose disk was lost comes back as another member.
 type identity struct {
 	Name    string
 	ID      uint64
@@ -41,9 +41,9 @@
 	})
 }
 
-// generateMemberID is a new member's id: not 0, and none of the two highest numbers, by which the Raft library means
-// its threads for storage (raft.LocalAppendThread, raft.LocalApplyThread).
+// generateMemberID returns a new member's id: not 0, and none of the two highest numbers, by which the Raft library
+// means its threads for storage (raft.LocalAppendThread, raft.LocalApplyThread).
 func generateMemberID() uint64 { return rand.Uint64()>>2 + 1 }
 
-// generateClusterID is a new cluster's id, which is not 0.
+// generateClusterID returns a new cluster's id, which is not 0.
 func generateClusterID() uint64 { return rand.Uint64()>>1 + 1 }
--- a/internal/coordination/server/leadership.go
+++ b/internal/coordination/server/leadership.go
@@ -17,7 +17,7 @@
 	clock   clusterClock
 }
 
-// canPropose tells whether this server may propose commands.
+// canPropose reports whether this server may propose commands.
 func (l *leadership) canPropose() bool { return l.leading && l.ready }
 
 // becomeReady makes the leader ready, with the cluster's clock at a value in milliseconds.
@@ -46,11 +46,11 @@
 	c.leadership.leader, c.leadership.leading = soft.Lead, leading
 }
 
-// leaderName is the leader's name; empty: none is known.
+// leaderName returns the leader's name; empty: no leader is known.
 func (c *core) leaderName() string {
 	member, _ := c.state.Member(c.leadership.leader)
 	return member.Name
 }
 
-// leaderKnown tells whether Raft knows of a leader.
+// leaderKnown reports whether Raft knows of a leader.
 func (c *core) leaderKnown() bool { return c.leadership.leader != raft.None }
--- a/internal/coordination/server/membership.go
+++ b/internal/coordination/server/membership.go
@@ -19,7 +19,7 @@
 	membershipChangeTimeout = 5 * time.Second
 	// learnerIdleTimeout is after how long without contact a learner is removed.
 	learnerIdleTimeout = time.Minute
-	// reachableWithin is within what time a voter was heard that counts as reachable.
+	// reachableWithin is the time since the last contact within which a voter counts as reachable.
 	reachableWithin = time.Second
 )
 
@@ -57,13 +57,13 @@
 // leader could not have heard them before.
 func (t *membershipTracker) leadershipGained() { t.memberSince = map[uint64]time.Time{} }
 
-// sinceContact is how long ago a message of a member last came; false: none has.
+// sinceContact returns the time since the last message of a member; false: there was none.
 func (t *membershipTracker) sinceContact(id uint64, now time.Time) (time.Duration, bool) {
 	last, known := t.lastContact[id]
 	return now.Sub(last), known
 }
 
-// sinceAdded is for how long the member has been known; the first call begins to count.
+// sinceAdded returns for how long the member has been known. The first call for a member starts the count.
 func (t *membershipTracker) sinceAdded(id uint64, now time.Time) time.Duration {
 	if _, known := t.memberSince[id]; !known {
 		t.memberSince[id] = now
@@ -103,7 +103,7 @@
 	t.changePending, t.changeProposedAt = true, now
 }
 
-// peer is a member of which a log up to matchIndex is known to match the leader's.
+// peer returns the leader's view of a member whose log is known to match up to matchIndex.
 func (t *membershipTracker) peer(member state.Member, matchIndex uint64, now time.Time) membership.Peer {
 	peer := membership.Peer{
 		Member:       member,
@@ -160,7 +160,7 @@
 	c.carryOut(change, now)
 }
 
-// membershipView is what the leader knows.
+// membershipView returns the leader's view of members and joining voters.
 func (c *core) membershipView(now time.Time) membership.View {
 	view := membership.View{
 		Self:         c.id(),
@@ -255,16 +255,16 @@
 
 // declareLost records an operator's statement that a voter's machine is lost for good, so that the voter may be
 // replaced sooner.
-func (c *core) declareLost(r request) {
-	if c.redirect(r) {
+func (c *core) declareLost(req request) {
+	if c.redirect(req) {
 		return
 	}
 	for _, member := range c.state.Members() {
-		if member.Name == r.Name && !member.Learner {
-			c.members.declaredLost[r.Name] = true
-			r.respondDone()
+		if member.Name == req.Name && !member.Learner {
+			c.members.declaredLost[req.Name] = true
+			req.respondDone()
 			return
 		}
 	}
-	r.reject(fmt.Sprintf("there is no voter %s", r.Name))
+	req.reject(fmt.Sprintf("there is no voter %s", req.Name))
 }
--- a/internal/coordination/server/peer_links.go
+++ b/internal/coordination/server/peer_links.go
@@ -168,7 +168,7 @@
 	}
 }
 
-// receive submits what comes on one connection until it breaks. It tells whether the member was reached.
+// receive submits what comes on one connection until it breaks. It reports whether the member was reached.
 func (p *peerReceiver) receive(ctx context.Context) (connected bool, err error) {
 	conn, reader, welcome, err := client.Dial(ctx, p.address, p.hello)
 	if err != nil {
@@ -220,7 +220,7 @@
 	return fmt.Errorf("%s sends a message from %x to %x", p.member.Name, message.GetFrom(), message.GetTo())
 }
 
-// peerMessage is the event that a message of a member has come.
+// peerMessage is the event of a message received from a member.
 type peerMessage struct {
 	message *raftpb.Message
 	sender  uint64
@@ -289,7 +289,7 @@
 	c.submit(eventFunc(func(c *core) { c.node.ReportSnapshot(receiver, status) }))
 }
 
-// encodeMessages writes messages as frames; it tells whether a snapshot is among them. One that can't be written is
+// encodeMessages writes messages as frames; it reports whether a snapshot is among them. One that can't be written is
 // left out.
 func encodeMessages(frames *bytes.Buffer, messages []*raftpb.Message) (hasSnapshot bool) {
 	for _, message := range messages {
--- a/internal/coordination/server/proposals.go
+++ b/internal/coordination/server/proposals.go
@@ -23,8 +23,9 @@
 	result state.Result
 }
 
-// proposals are those without an answer, as the leader that proposed them has them. A proposal is first in uncommitted,
-// then, once applied, in replicating, until enough voters have it on their disks; it gets exactly one response.
+// proposals are the commands that this server has proposed as the leader and not answered yet. A proposal is first in
+// uncommitted, then, once applied, in replicating, until enough voters have it on their disks; it gets exactly one
+// response.
 type proposals struct {
 	uncommitted map[uint64]*proposal // by the id of the envelope in the log
 	replicating []*proposal
@@ -32,12 +33,12 @@
 
 func newProposals() proposals { return proposals{uncommitted: map[uint64]*proposal{}} }
 
-// full tells whether no further proposal is taken.
+// full reports whether no further proposal is taken.
 func (p *proposals) full() bool { return len(p.uncommitted) >= maxUncommittedProposals }
 
 func (p *proposals) add(id uint64, added *proposal) { p.uncommitted[id] = added }
 
-// applied notes a command's result; it tells whether this server has proposed the command and owes an answer.
+// applied notes a command's result; it reports whether this server has proposed the command and owes an answer.
 func (p *proposals) applied(id, index uint64, result state.Result) bool {
 	found := p.uncommitted[id]
 	if found == nil {
@@ -81,7 +82,7 @@
 	return rejections
 }
 
-// outcome is the response to an applied proposal; false: it has to wait for further voters.
+// outcome returns the response to an applied proposal; false: it has to wait for further voters.
 func (p *proposal) outcome(now time.Time, matchIndexes []uint64, writeQuorum int) (client.Response, bool) {
 	stored := 0
 	for _, match := range matchIndexes {
--- a/internal/coordination/server/reads.go
+++ b/internal/coordination/server/reads.go
@@ -61,7 +61,7 @@
 	return binary.BigEndian.AppendUint64(binary.BigEndian.AppendUint64(encoded, r.voter), number)
 }
 
-// confirmed notes the index that a quorum has confirmed for a read; it tells whether the context names one under way.
+// confirmed notes the index that a quorum has confirmed for a read; it reports whether the context names one under way.
 func (r *reads) confirmed(context []byte, index uint64) bool {
 	if len(context) != readContextSize {
 		return false
@@ -133,7 +133,7 @@
 	return contexts
 }
 
-// age is the time since confirmedAt; longAgo where that is zero.
+// age returns the time since confirmedAt; longAgo where that is zero.
 func (r *reads) age() time.Duration {
 	if r.confirmedAt.IsZero() {
 		return longAgo
--- a/internal/coordination/server/recover.go
+++ b/internal/coordination/server/recover.go
@@ -12,7 +12,7 @@
 	"olivearch/internal/coordination/state"
 )
 
-// errNoCluster says that a folder is no member's yet.
+// errNoCluster is wrapped by errors about a folder that no cluster has been written to yet.
 var errNoCluster = errors.New("the folder belongs to no cluster yet")
 
 // openStopped opens a folder that no process uses, and applies its whole log, committed or not. The caller closes the
@@ -69,7 +69,7 @@
 	return describe(opened.identity, loaded, applied), nil
 }
 
-// describe is the text of Inspect.
+// describe returns the text of Inspect.
 func describe(who identity, loaded *content, applied *state.State) string {
 	var text strings.Builder
 	fmt.Fprintf(&text, "voter %s, member %x of cluster %x\n", who.Name, who.ID, who.Cluster)
--- a/internal/coordination/server/replica.go
+++ b/internal/coordination/server/replica.go
@@ -98,7 +98,7 @@
 	return nil
 }
 
-// currentSnapshot is a snapshot of the state as it is.
+// currentSnapshot returns a snapshot of the state as it is.
 func (r *replica) currentSnapshot() (*raftpb.Snapshot, error) {
 	term, err := r.log.Term(r.applied)
 	if err != nil {
@@ -121,14 +121,15 @@
 	_ = r.log.Compact(keepFrom) // it fails where a newer snapshot has dropped as much
 }
 
-// matchIndexes is up to which index each member's log is known to match the leader's; it is only known to the leader.
+// matchIndexes returns, by member id, the index up to which the member's log is known to match the leader's. Only the
+// leader knows it.
 func (r *replica) matchIndexes() map[uint64]uint64 {
 	matches := map[uint64]uint64{}
 	r.node.WithProgress(func(id uint64, _ raft.ProgressType, p progress) { matches[id] = p.Match })
 	return matches
 }
 
-// voterMatchIndexes is matchIndexes of the members that vote.
+// voterMatchIndexes returns the match indexes of the members that vote.
 func (r *replica) voterMatchIndexes() []uint64 {
 	var matches []uint64
 	r.node.WithProgress(func(_ uint64, kind raft.ProgressType, p progress) {
--- a/internal/coordination/server/requests.go
+++ b/internal/coordination/server/requests.go
@@ -12,13 +12,13 @@
 	"olivearch/internal/coordination/state"
 )
 
-// defaultRequestTimeout is how long a request without a time of its own is worked on.
+// defaultRequestTimeout applies to requests that name no timeout.
 const defaultRequestTimeout = time.Second
 
-// maxForwardHops is how often a request is forwarded towards the leader.
+// maxForwardHops is how many times a request may be forwarded to the leader.
 const maxForwardHops = 1
 
-// request is a client's, with where its response goes.
+// request is the event of a request received from a client.
 type request struct {
 	client.Request
 	respond responder
@@ -74,8 +74,9 @@
 	}
 }
 
-// stale tells whether a request has waited for longer than its client does, in this process, stopped, or on a link that
-// was cut: the client has given up, and may have asked for something else since. Times are uptimes in milliseconds.
+// stale reports whether a request has waited for longer than its client does, in this process, stopped, or on a link
+// that was cut: the client has given up, and may have asked for something else since. Times are uptimes in
+// milliseconds.
 func (r request) stale(now uint64) (delay uint64, stale bool) {
 	if r.Tick == 0 || now <= r.Tick+uint64((r.Within+client.Stale)/time.Millisecond) {
 		return 0, false
@@ -94,17 +95,17 @@
 }
 
 // readState responds with the state as a quorum knows it.
-func (c *core) readState(r request) {
-	c.read(r.Within, func(err error) {
+func (c *core) readState(req request) {
+	c.read(req.Within, func(err error) {
 		if err != nil {
-			r.respondNotAttempted(err.Error())
+			req.respondNotAttempted(err.Error())
 			return
 		}
-		r.respond(c.localState())
+		req.respond(c.localState())
 	})
 }
 
-// localState is a response with the state that is stored here, however old.
+// localState returns a response with the state that is stored here, however old.
 func (c *core) localState() client.Response {
 	return client.Response{
 		Outcome: client.OutcomeDone,
@@ -115,13 +116,13 @@
 }
 
 // reportStatus responds with the status as JSON.
-func (c *core) reportStatus(r request) {
+func (c *core) reportStatus(req request) {
 	encoded, err := json.Marshal(c.status(time.Now()))
 	if err != nil {
-		r.reject(err.Error())
+		req.reject(err.Error())
 		return
 	}
-	r.respond(client.Response{Outcome: client.OutcomeDone, Body: encoded})
+	req.respond(client.Response{Outcome: client.OutcomeDone, Body: encoded})
 }
 
 // redirect forwards a request to the leader or responds that none can be reached. It returns false where this server is
@@ -130,7 +131,7 @@
 	now := time.Now()
 	switch {
 	case c.node == nil:
-		req.respondNotAttempted("it belongs to no cluster yet: " + c.bootstrap.waitReason)
+		req.respondNotAttempted(noClusterReason + ": " + c.bootstrap.waitReason)
 	case c.diskStalled(now):
 		req.respondNotAttempted(fmt.Sprintf("the disk of %s has not answered for %v", c.Name, c.diskStall(now)))
 	case c.leadership.canPropose():
@@ -147,7 +148,7 @@
 	return true
 }
 
-// diskStall is for how long the disk has not answered, for people.
+// diskStall returns for how long the disk has not answered, rounded for messages.
 func (c *core) diskStall(now time.Time) time.Duration {
 	return c.writer.pendingFor(now).Round(time.Millisecond)
 }
--- a/internal/coordination/server/server.go
+++ b/internal/coordination/server/server.go
@@ -30,7 +30,7 @@
 	ReplaceAfter time.Duration
 }
 
-// reachableAt is the address at which a member is reached from here.
+// reachableAt returns the address at which a member is reached from here.
 func (c *Config) reachableAt(member state.Member) string {
 	if address := c.Voters[member.Name]; address != "" {
 		return address
@@ -38,7 +38,7 @@
 	return member.Address
 }
 
-// peerAddresses are the addresses of the other servers, by name.
+// peerAddresses returns the addresses of the other servers, by name.
 func (c *Config) peerAddresses() map[string]string {
 	peers := map[string]string{}
 	for name, address := range c.Voters {
--- a/internal/coordination/server/snapshots.go
+++ b/internal/coordination/server/snapshots.go
@@ -17,7 +17,7 @@
 // entryApplied counts an entry of so many bytes.
 func (s *snapshotSchedule) entryApplied(size int) { s.bytesSince += size }
 
-// due tells whether a snapshot is to be written, now that the log is applied up to an index.
+// due reports whether a snapshot is to be written, now that the log is applied up to an index.
 func (s *snapshotSchedule) due(applied uint64) bool {
 	if s.writing || applied <= s.lastIndex {
 		return false
--- a/internal/coordination/server/status.go
+++ b/internal/coordination/server/status.go
@@ -36,7 +36,7 @@
 // noContact is the time in milliseconds since the last contact with a member of which nothing was heard yet.
 const noContact = -1
 
-// status is the server's view of itself and of the cluster.
+// status returns the server's view of itself and of the cluster.
 func (c *core) status(now time.Time) client.VoterStatus {
 	status := client.VoterStatus{
 		Name:         c.Name,
@@ -81,7 +81,7 @@
 	return status
 }
 
-// memberStatus is a member as this server sees it.
+// memberStatus returns this server's view of a member.
 func (c *core) memberStatus(now time.Time, member state.Member, committed, match uint64) client.MemberStatus {
 	status := client.MemberStatus{
 		Name:          member.Name,
@@ -117,5 +117,5 @@
 	return counts
 }
 
-// formatID is an id as people see it.
+// formatID formats an id for operators: in hexadecimal.
 func formatID(id uint64) string { return fmt.Sprintf("%x", id) }
--- a/internal/coordination/server/store.go
+++ b/internal/coordination/server/store.go
@@ -54,7 +54,7 @@
 	identity identity
 }
 
-// content is what a folder holds.
+// content is all that is loaded from a folder.
 type content struct {
 	hardState *raftpb.HardState
 	snapshot  *raftpb.Snapshot
@@ -65,7 +65,7 @@
 	return &content{hardState: &raftpb.HardState{}, snapshot: &raftpb.Snapshot{}}
 }
 
-// lastIndex is the index of the last entry, which may be in the snapshot alone.
+// lastIndex returns the index of the last entry, which may be in the snapshot alone.
 func (c *content) lastIndex() uint64 {
 	last := c.snapshot.GetMetadata().GetIndex()
 	if n := len(c.entries); n > 0 {
@@ -219,7 +219,7 @@
 	return nil
 }
 
-// logKey is the key of an entry: its index, so that keys are in the order of the log.
+// logKey returns the key of an entry: its index, so that keys are in the order of the log.
 func logKey(index uint64) []byte { return binary.BigEndian.AppendUint64(nil, index) }
 
 // checksumSize is the size in bytes of the checksum that a stored value begins with.
@@ -239,7 +239,7 @@
 	return append([]byte(nil), sealed[checksumSize:]...), nil
 }
 
-// checksum is the CRC-32C (RFC 9260, appendix A) of a key and its value.
+// checksum returns the CRC-32C (RFC 9260, appendix A) of a key and its value.
 func checksum(key, value []byte) uint32 {
 	return crc32.Update(crc32.Checksum(key, castagnoli), castagnoli, value)
 }
--- a/internal/coordination/server/store_load.go
+++ b/internal/coordination/server/store_load.go
@@ -35,7 +35,7 @@
 	return loaded, nil
 }
 
-// checkBuckets fails if there is a bucket of an unknown name, and tells whether there is none at all.
+// checkBuckets fails if there is a bucket of an unknown name, and reports whether there is none at all.
 func (s *store) checkBuckets() (empty bool, err error) {
 	empty = true
 	err = s.db.View(func(tx *bbolt.Tx) error {
--- a/internal/coordination/server/store_rewrite.go
+++ b/internal/coordination/server/store_rewrite.go
@@ -61,7 +61,7 @@
 	return errors.Join(err, target.Close())
 }
 
-// syncFolder makes a rename in the folder last.
+// syncFolder makes a rename in the folder durable.
 func syncFolder(path string) error {
 	folder, err := os.Open(path)
 	if err != nil {
@@ -102,7 +102,7 @@
 	return nil
 }
 
-// metaChecksum is bbolt's checksum of a meta page: FNV-1a, 64 bits.
+// metaChecksum returns bbolt's checksum of a meta page: FNV-1a, 64 bits.
 func metaChecksum(b []byte) uint64 {
 	hash := fnv.New64a()
 	hash.Write(b)
