--- a/internal/coordination/server/golden_test.go
+++ b/internal/coordination/server/golden_test.go
@@ -33,18 +33,24 @@
 		}
 	}
 	apply(1, &state.RegisterMember{Member: state.Member{ID: 7, Name: "k1", Address: "127.0.0.1:7101"}})
-	apply(2, &state.SetOverride{Subject: state.Subject{Kind: state.OutOfService, Scope: state.ScopeUpstream, Target: "a"}, By: "eva", Reason: "disk"})
+	apply(2, &state.SetOverride{
+		Subject: state.Subject{Kind: state.OutOfService, Scope: state.ScopeUpstream, Target: "a"},
+		By:      "eva", Reason: "disk",
+	})
 	apply(3, &state.SetResource{Name: "connections", Limit: 10})
 	snapshot := &raftpb.Snapshot{Data: contents.Encode(), Metadata: &raftpb.SnapshotMetadata{
 		Index: new(uint64(3)), Term: new(uint64(1)),
 		ConfState: &raftpb.ConfState{Voters: []uint64{7}},
 	}}
-	if err := s.begin(99, snapshot, firstHard()); err != nil {
+	if err := s.begin(99, snapshot, initialHardState()); err != nil {
 		t.Fatal(err)
 	}
 	var entries []*raftpb.Entry
 	for i, c := range []state.Command{
-		&state.SetOverride{Subject: state.Subject{Kind: state.ConcurrencyCap, Scope: state.ScopeUpstream, Target: "b"}, Value: 7, By: "ann"},
+		&state.SetOverride{
+			Subject: state.Subject{Kind: state.ConcurrencyCap, Scope: state.ScopeUpstream, Target: "b"},
+			Value:   7, By: "ann",
+		},
 		&state.AcquireLease{Resource: "connections", Holder: "n1", Units: 6, Duration: state.MaxLeaseDuration},
 	} {
 		index := uint64(4 + i)
@@ -52,7 +58,7 @@
 		entries = append(entries, &raftpb.Entry{Index: new(index), Term: new(uint64(2)), Data: data})
 	}
 	hard := &raftpb.HardState{Term: new(uint64(2)), Vote: new(uint64(7)), Commit: new(uint64(5))}
-	if err := s.append(batch{entries: entries, hard: hard}); err != nil {
+	if err := s.append(batch{entries: entries, hardState: hard}); err != nil {
 		t.Fatal(err)
 	}
 	if err := s.close(); err != nil {
@@ -63,7 +69,8 @@
 	}
 }
 
-// TestGoldenFolder opens a voter's folder that an earlier version wrote: identity, vote, log and all that was granted are there.
+// TestGoldenFolder opens a voter's folder that an earlier version wrote: identity, vote, log and all that was granted
+// are there.
 func TestGoldenFolder(t *testing.T) {
 	if golden.Updating() {
 		writeGoldenFolder(t)
@@ -80,7 +87,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	s, held, state, err := open(folder, "k1")
+	s, loaded, state, err := openStopped(folder, "k1")
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -88,9 +95,9 @@
 	var text strings.Builder
 	text.WriteString(shown)
 	fmt.Fprintln(&text, "identity", s.identity.Name, s.identity.ID, s.identity.Cluster)
-	fmt.Fprintln(&text, "hard state", held.hard.GetTerm(), held.hard.GetVote(), held.hard.GetCommit())
-	fmt.Fprintf(&text, "snapshot %d %x\n", held.snapshot.GetMetadata().GetIndex(), held.snapshot.GetData())
-	for _, e := range held.entries {
+	fmt.Fprintln(&text, "hard state", loaded.hardState.GetTerm(), loaded.hardState.GetVote(), loaded.hardState.GetCommit())
+	fmt.Fprintf(&text, "snapshot %d %x\n", loaded.snapshot.GetMetadata().GetIndex(), loaded.snapshot.GetData())
+	for _, e := range loaded.entries {
 		fmt.Fprintf(&text, "entry %d %d %x\n", e.GetIndex(), e.GetTerm(), e.GetData())
 	}
 	fmt.Fprintf(&text, "state %x\n", state.Encode())
--- a/internal/coordination/server/identity.go
+++ b/internal/coordination/server/identity.go
@@ -1,18 +1,26 @@
 package server
 
 import (
-	"hash/fnv"
-	"os"
-
-	"golang.org/x/sys/unix"
+	"math/rand/v2"
 
 	"olivearch/internal/coordination/state"
 	"olivearch/internal/protomsg"
 )
 
+// folderFormat is the version of the storage format.
+const folderFormat = 1
+
+// identity identifies the member that a folder belongs to. It is generated when an empty folder is opened: a server
+// whose disk was lost comes back as another member.
+type identity struct {
+	Name    string
+	ID      uint64
+	Cluster uint64 // 0: it belongs to none yet
+}
+
 func (i *identity) encode() []byte {
 	var w protomsg.Writer
-	w.Uint(1, formFormat)
+	w.Uint(1, folderFormat)
 	w.String(2, i.Name)
 	w.Uint(3, i.ID)
 	w.Uint(4, i.Cluster)
@@ -33,11 +41,9 @@
 	})
 }
 
-func flock(f *os.File) error { return unix.Flock(int(f.Fd()), unix.LOCK_EX|unix.LOCK_NB) }
+// generateMemberID returns a new member's id: not 0, and none of the two highest numbers, by which the Raft library
+// means its threads for storage (raft.LocalAppendThread, raft.LocalApplyThread).
+func generateMemberID() uint64 { return rand.Uint64()>>2 + 1 }
 
-// fnv64 is FNV-1a, the checksum of bbolt's head pages.
-func fnv64(b []byte) uint64 {
-	h := fnv.New64a()
-	h.Write(b)
-	return h.Sum64()
-}
+// generateClusterID returns a new cluster's id, which is not 0.
+func generateClusterID() uint64 { return rand.Uint64()>>1 + 1 }
