--- a/internal/coordination/server/bootstrap.go
+++ b/internal/coordination/server/bootstrap.go
@@ -71,7 +71,7 @@
 		return
 	}
 	cluster := generateClusterID()
-	slog.Info("form cluster", "cluster", formatID(cluster), "voters", len(members))
+	slog.Info("cluster formed", "cluster", formatID(cluster), "voters", len(members))
 	for _, member := range members {
 		if member.ID != c.id() {
 			go c.announceCluster(member.Name, cluster, members)
@@ -86,7 +86,7 @@
 	defer cancel()
 	announcement := client.Request{Operation: client.OpBootstrap, Cluster: cluster, Members: members}
 	if _, err := c.caller.Call(ctx, name, announcement); err != nil { // that server will ask to join
-		slog.Warn("announce cluster", "name", name, "err", err)
+		slog.Warn("cluster not announced", "name", name, "err", err)
 	}
 }
 
@@ -152,7 +152,7 @@
 
 // joinCluster makes the folder one of an existing cluster; what it is to hold comes from the members.
 func (c *core) joinCluster(cluster uint64, members []state.Member) {
-	slog.Info("join cluster", "cluster", formatID(cluster))
+	slog.Info("cluster joined", "cluster", formatID(cluster))
 	c.bootstrap.inProgress = true
 	c.writer.enqueue(writeJob{bootstrap: &clusterBootstrap{
 		cluster: cluster,
--- a/internal/coordination/server/connections.go
+++ b/internal/coordination/server/connections.go
@@ -36,7 +36,7 @@
 			return
 		}
 		if err != nil { // out of file descriptors, or a connection that broke in the queue
-			slog.Warn("accept connection", "err", err)
+			slog.Warn("connection not accepted", "err", err)
 			time.Sleep(acceptRetryPause)
 			continue
 		}
--- a/internal/coordination/server/core.go
+++ b/internal/coordination/server/core.go
@@ -145,7 +145,7 @@
 	if cause == nil {
 		return
 	}
-	slog.Error("stop after raft panic", "reason", cause, "stack", string(debug.Stack()))
+	slog.Error("server stopped by raft panic", "reason", cause, "stack", string(debug.Stack()))
 	c.fail(fmt.Errorf("%w, or another process is this member: %v", ErrDamaged, cause))
 }
 
--- a/internal/coordination/server/leadership.go
+++ b/internal/coordination/server/leadership.go
@@ -31,7 +31,7 @@
 	leading := soft.RaftState == raft.StateLeader
 	if soft.Lead != c.leadership.leader {
 		member, _ := c.state.Member(soft.Lead)
-		slog.Info("follow leader", "name", member.Name, "term", c.node.BasicStatus().GetTerm())
+		slog.Info("leader changed", "name", member.Name, "term", c.node.BasicStatus().GetTerm())
 	}
 	gained := leading && !c.leadership.leading
 	lost := c.leadership.leading && !leading
--- a/internal/coordination/server/membership.go
+++ b/internal/coordination/server/membership.go
@@ -225,7 +225,7 @@
 	if err == nil {
 		c.members.changeProposed(now)
 	}
-	slog.Info("propose membership change", "name", change.Member.Name, "id", formatID(change.Member.ID),
+	slog.Info("membership change proposed", "name", change.Member.Name, "id", formatID(change.Member.ID),
 		"replaced", formatID(change.Replaced), "kind", change.Kind, "err", err)
 }
 
@@ -248,7 +248,7 @@
 		Address:     joining.Address,
 	}, time.Now())
 	if added {
-		slog.Info("register joining voter", "name", joining.Name, "id", formatID(joining.ID))
+		slog.Info("joining voter registered", "name", joining.Name, "id", formatID(joining.ID))
 	}
 	req.respondNotAttempted(waitReason)
 }
--- a/internal/coordination/server/peer_links.go
+++ b/internal/coordination/server/peer_links.go
@@ -158,7 +158,7 @@
 		}
 		if reason := fmt.Sprint(err); ctx.Err() == nil && reason != lastReason {
 			lastReason = reason
-			slog.Info("retry peer link", "name", p.member.Name, "err", err)
+			slog.Info("peer link not connected", "name", p.member.Name, "err", err)
 		}
 		select {
 		case <-time.After(pause/2 + rand.N(pause/2+1)):
@@ -298,7 +298,7 @@
 			err = client.WriteFrame(frames, encoded)
 		}
 		if err != nil {
-			slog.Error("encode peer message", "err", err)
+			slog.Error("peer message not encoded", "err", err)
 		}
 		hasSnapshot = hasSnapshot || message.GetType() == raftpb.MsgSnap
 	}
--- a/internal/coordination/server/ready.go
+++ b/internal/coordination/server/ready.go
@@ -62,7 +62,7 @@
 // step hands the Raft node a message. What it refuses is out of date.
 func (c *core) step(message *raftpb.Message) {
 	if err := c.node.Step(message); err != nil && !errors.Is(err, raft.ErrProposalDropped) {
-		slog.Debug("ignore message", "type", message.GetType(), "err", err)
+		slog.Debug("message ignored", "type", message.GetType(), "err", err)
 	}
 	if message.GetType() == raftpb.MsgAppResp {
 		c.answerReplicated(time.Now())
