--- a/cmd/olivearch-coordinator/main.go
+++ b/cmd/olivearch-coordinator/main.go
@@ -143,7 +143,7 @@
 	coordinator, err := server.New(server.Config{
 		Name:         settings.Name,
 		Address:      settings.Voters[settings.Name],
-		Voters:       settings.Voters,
+		Addresses:    settings.Voters,
 		Folder:       settings.Folder,
 		WriteQuorum:  settings.Copies,
 		ReplaceAfter: time.Duration(settings.ReplaceAfter),
--- a/cmd/olivearch/platform.go
+++ b/cmd/olivearch/platform.go
@@ -33,12 +33,12 @@
 	runtime.GOMAXPROCS(1)
 	debug.SetGCPercent(400)
 	debug.SetMemoryLimit(int64(c.MemoryMB) << 20 * 6 / 10)
-	slog.Info("starting", "name", c.Name, "listen", c.Listen, "known", len(c.Known.Members))
+	slog.Info("starting", "name", c.Name, "listen", c.Listen, "known", len(c.InitialEndpoints.Members))
 	// An old process of this balancer may still serve: this one then takes its place.
 	var before *proxy.PreviousProcess
 	var listener net.Listener
-	if c.Meeting != "" {
-		if before, err = proxy.TakeOver(c.Meeting, c.Listen); err == nil {
+	if c.TakeoverPath != "" {
+		if before, err = proxy.TakeOver(c.TakeoverPath, c.Listen); err == nil {
 			slog.Info("taking the place of a process that serves")
 			listener = before.Listener
 		} else if !errors.Is(err, os.ErrNotExist) {
@@ -54,8 +54,8 @@
 	if err != nil {
 		return err
 	}
-	if c.Management != "" {
-		calls, err := net.Listen("tcp", c.Management)
+	if c.AdminAddress != "" {
+		calls, err := net.Listen("tcp", c.AdminAddress)
 		if err != nil {
 			return fmt.Errorf("listening for the staff's calls: %w", err)
 		}
--- a/cmd/olivearch/promises_change.go
+++ b/cmd/olivearch/promises_change.go
@@ -45,7 +45,7 @@
 	if err != nil {
 		return err
 	}
-	return c.propose(ctx, &state.SetResource{Name: args[0], Slots: c.slots, Limit: limit})
+	return c.propose(ctx, &state.SetResource{Name: args[0], PerSecond: c.slots, Limit: limit})
 }
 
 // propose proposes a command and prints by how many voters it is stored.
--- a/cmd/olivearch/promises_members.go
+++ b/cmd/olivearch/promises_members.go
@@ -55,7 +55,7 @@
 	table := tabwriter.NewWriter(c.out, 0, 0, 2, ' ', 0)
 	fmt.Fprintln(table, "voter\tmember\trole\tleader\tterm\tapplied\tconfirmed\tdisk ms\tfollowers\tnote")
 	reached := 0
-	var leader *client.VoterStatus
+	var leader *client.ServerStatus
 	for _, server := range c.client.Voters() {
 		status, err := c.status(server)
 		if err != nil {
@@ -72,7 +72,7 @@
 		return err
 	}
 	if reached == 0 {
-		return fmt.Errorf("%w: no voter was reached", client.ErrNobody)
+		return fmt.Errorf("%w: no voter was reached", client.ErrNotAttempted)
 	}
 	if leader == nil {
 		fmt.Fprintln(c.out, "NO VOTER LEADS: what is held stays, and no new promise is given")
@@ -83,18 +83,18 @@
 }
 
 // status reads one server's status.
-func (c *promisesCall) status(server string) (*client.VoterStatus, error) {
+func (c *promisesCall) status(server string) (*client.ServerStatus, error) {
 	ctx, cancel := context.WithTimeout(context.Background(), min(c.within, statusTimeout))
 	defer cancel()
 	response, err := c.client.Call(ctx, server, client.Request{Operation: client.OpStatus})
 	if err != nil {
 		return nil, err
 	}
-	status := &client.VoterStatus{}
+	status := &client.ServerStatus{}
 	return status, json.Unmarshal(response.Body, status)
 }
 
-func printStatusRow(table io.Writer, status *client.VoterStatus) {
+func printStatusRow(table io.Writer, status *client.ServerStatus) {
 	confirmed := "never"
 	if status.AgeMS < longestAge.Milliseconds() {
 		confirmed = fmt.Sprintf("%v ago", milliseconds(status.AgeMS))
@@ -105,7 +105,7 @@
 }
 
 // printLeaderView prints what the leader knows of the cluster, its members and those that want to join.
-func printLeaderView(out io.Writer, leader *client.VoterStatus) {
+func printLeaderView(out io.Writer, leader *client.ServerStatus) {
 	fmt.Fprintf(out, "cluster %s: %d of %d bytes, level %d; promises: %s\n",
 		leader.Cluster, leader.UsedBytes, leader.MaxBytes, leader.FeatureLevel, formatCounts(leader.Grants))
 	for _, member := range leader.Members {
--- a/cmd/olivearch/promises_read.go
+++ b/cmd/olivearch/promises_read.go
@@ -112,7 +112,7 @@
 func (t *grantTable) addResources(resources []*state.Resource) {
 	for _, resource := range resources {
 		kind := "leases"
-		if resource.Slots {
+		if resource.PerSecond {
 			kind = "slots"
 		}
 		fmt.Fprintf(t.writer, "%s\t%s\t%d\t\t\t\t\n", kind, resource.Name, resource.Limit)
--- a/cmd/olivearch/promises_snapshot.go
+++ b/cmd/olivearch/promises_snapshot.go
@@ -63,7 +63,7 @@
 	var commands []state.Command
 	for _, resource := range stored.Resources() {
 		commands = append(commands, &state.SetResource{
-			Name: resource.Name, Slots: resource.Slots, Limit: resource.Limit,
+			Name: resource.Name, PerSecond: resource.PerSecond, Limit: resource.Limit,
 		})
 	}
 	for _, override := range stored.Overrides() {
--- a/internal/coordination/client/client.go
+++ b/internal/coordination/client/client.go
@@ -54,13 +54,13 @@
 	}
 }
 
-// Call sends a request to one server. The error wraps ErrNobody if the server has certainly not received the request,
-// and ErrUnsure otherwise. A response whose outcome is not OutcomeDone is no error.
+// Call sends a request to one server. The error wraps ErrNotAttempted if the server has certainly not received the
+// request, and ErrUncertain otherwise. A response whose outcome is not OutcomeDone is no error.
 func (c *Client) Call(ctx context.Context, server string, request Request) (Response, error) {
 	conn, err := c.connection(ctx, server)
 	if err != nil {
 		c.recordFailure(server)
-		return Response{}, &callError{kind: ErrNobody, server: server, cause: err}
+		return Response{}, &callError{kind: ErrNotAttempted, server: server, cause: err}
 	}
 	if deadline, ok := ctx.Deadline(); ok && request.Within == 0 {
 		request.Within = time.Until(deadline)
@@ -68,10 +68,10 @@
 	response, err := conn.call(ctx, request)
 	switch {
 	case errors.Is(err, errNotSent):
-		return response, &callError{kind: ErrNobody, server: server, cause: err}
+		return response, &callError{kind: ErrNotAttempted, server: server, cause: err}
 	case err != nil:
 		c.recordFailure(server)
-		return response, &callError{kind: ErrUnsure, server: server, cause: err}
+		return response, &callError{kind: ErrUncertain, server: server, cause: err}
 	}
 	c.recordSuccess(server, response.Leader)
 	return response, nil
@@ -163,7 +163,7 @@
 }
 
 // callAny tries one server after the other until one carries the request out or rejects it, or the context ends. A
-// request whose outcome is uncertain is not tried again. The error wraps ErrNobody, ErrUnsure or ErrRefused.
+// request whose outcome is uncertain is not tried again. The error wraps ErrNotAttempted, ErrUncertain or ErrRejected.
 func (c *Client) callAny(ctx context.Context, request Request) (Response, error) {
 	reasons := map[string]string{} // by server: why it has not taken the request
 	for {
@@ -175,7 +175,7 @@
 				err = checkOutcome(server, &response)
 			}
 			var failure *callError
-			if !errors.Is(err, ErrNobody) || !errors.As(err, &failure) {
+			if !errors.Is(err, ErrNotAttempted) || !errors.As(err, &failure) {
 				return response, err
 			}
 			// That the time was over tells nothing about the server: then its earlier reason stays.
@@ -194,18 +194,18 @@
 	}
 }
 
-// checkOutcome returns nil if the request was done. The error wraps ErrNobody where another server may be tried, else
-// ErrRefused or ErrUnsure.
+// checkOutcome returns nil if the request was done. The error wraps ErrNotAttempted where another server may be
+// tried, else ErrRejected or ErrUncertain.
 func checkOutcome(server string, response *Response) error {
 	switch response.Outcome {
 	case OutcomeDone:
 		return nil
 	case OutcomeRejected:
-		return fmt.Errorf("%w: %s", ErrRefused, response.Message)
+		return fmt.Errorf("%w: %s", ErrRejected, response.Message)
 	case OutcomeNotAttempted:
-		return &callError{kind: ErrNobody, server: server, cause: errors.New(response.Message)}
+		return &callError{kind: ErrNotAttempted, server: server, cause: errors.New(response.Message)}
 	case OutcomeUncertain:
-		return &callError{kind: ErrUnsure, server: server, cause: errors.New(response.Message)}
+		return &callError{kind: ErrUncertain, server: server, cause: errors.New(response.Message)}
 	}
-	return fmt.Errorf("%w: voter %s gives an answer of a kind that this version does not know", ErrUnsure, server)
+	return fmt.Errorf("%w: voter %s gives an answer of a kind that this version does not know", ErrUncertain, server)
 }
--- a/internal/coordination/client/client_test.go
+++ b/internal/coordination/client/client_test.go
@@ -22,12 +22,12 @@
 	server.accept(Welcome{Cluster: 5, ID: 1, Name: "k1"})
 	server.answerPropose(OutcomeNotAttempted) // it comes again
 	server.answerPropose(OutcomeUncertain)
-	if err := <-results; !errors.Is(err, ErrUnsure) {
+	if err := <-results; !errors.Is(err, ErrUncertain) {
 		t.Error(err)
 	}
 	go propose()
 	server.answerPropose(OutcomeRejected)
-	if err := <-results; !errors.Is(err, ErrRefused) {
+	if err := <-results; !errors.Is(err, ErrRejected) {
 		t.Error(err)
 	}
 	go propose()
@@ -35,10 +35,10 @@
 		t.Fatal(err)
 	}
 	server.conn.Close() // with the request in flight
-	if err := <-results; !errors.Is(err, ErrUnsure) {
+	if err := <-results; !errors.Is(err, ErrUncertain) {
 		t.Error(err)
 	}
-	if _, err := c.Propose(t.Context(), &state.SetOverride{}); !errors.Is(err, ErrRefused) {
+	if _, err := c.Propose(t.Context(), &state.SetOverride{}); !errors.Is(err, ErrRejected) {
 		t.Errorf("an override without a subject: %v", err)
 	}
 }
--- a/internal/coordination/client/conn.go
+++ b/internal/coordination/client/conn.go
@@ -91,7 +91,7 @@
 func (c *requestConn) usable() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.err == nil && time.Since(c.lastContact) < Stale
+	return c.err == nil && time.Since(c.lastContact) < StaleAfter
 }
 
 // call sends a request and waits for its response. The error wraps errNotSent if the server has certainly not
--- a/internal/coordination/client/dial.go
+++ b/internal/coordination/client/dial.go
@@ -9,12 +9,12 @@
 )
 
 const (
-	// KeepAlive is how often a server sends something on a connection that is idle otherwise.
-	KeepAlive = 250 * time.Millisecond
-	// Stale is how long after the last message from a server requests may still be sent to it.
-	Stale = idleTimeout * 3 / 4
+	// KeepAliveInterval is how often a server sends something on a connection that is idle otherwise.
+	KeepAliveInterval = 250 * time.Millisecond
+	// StaleAfter is how long after the last message from a server requests may still be sent to it.
+	StaleAfter = idleTimeout * 3 / 4
 	// idleTimeout is how long after the last message from a server a connection counts as lost.
-	idleTimeout = 4 * KeepAlive
+	idleTimeout = 4 * KeepAliveInterval
 	// dialTimeout bounds connecting and the handshake together.
 	dialTimeout = time.Second
 
--- a/internal/coordination/client/errors.go
+++ b/internal/coordination/client/errors.go
@@ -10,14 +10,14 @@
 
 // The errors of calls say whether the command may have taken effect; a caller decides by them with errors.Is.
 var (
-	// ErrUnsure is wrapped by errors of calls that may have been carried out, or may yet be.
-	ErrUnsure = errors.New("it may be held, or may yet be")
+	// ErrUncertain is wrapped by errors of calls that may have been carried out, or may yet be.
+	ErrUncertain = errors.New("it may be held, or may yet be")
 
-	// ErrNobody is wrapped by errors of calls that were certainly not carried out: no server could.
-	ErrNobody = errors.New("no voter could take it")
+	// ErrNotAttempted is wrapped by errors of calls that were certainly not carried out: no server could.
+	ErrNotAttempted = errors.New("no voter could take it")
 
-	// ErrRefused is wrapped by errors of calls that the rules of the state machine reject.
-	ErrRefused = errors.New("refused")
+	// ErrRejected is wrapped by errors of calls that the rules of the state machine reject.
+	ErrRejected = errors.New("refused")
 )
 
 var (
@@ -36,7 +36,7 @@
 
 // callError is the error of a call at one server. It wraps its kind and its cause.
 type callError struct {
-	kind   error // ErrNobody or ErrUnsure
+	kind   error // ErrNotAttempted or ErrUncertain
 	server string
 	cause  error
 }
@@ -48,11 +48,11 @@
 
 func (e *callError) Unwrap() []error { return []error{e.kind, e.cause} }
 
-// unreachableError joins the reasons why no server took a request, by server. It wraps ErrNobody.
+// unreachableError joins the reasons why no server took a request, by server. It wraps ErrNotAttempted.
 func unreachableError(reasons map[string]string) error {
 	texts := make([]string, 0, len(reasons))
 	for _, server := range slices.Sorted(maps.Keys(reasons)) {
 		texts = append(texts, reasons[server])
 	}
-	return fmt.Errorf("%w: %s", ErrNobody, strings.Join(texts, "; "))
+	return fmt.Errorf("%w: %s", ErrNotAttempted, strings.Join(texts, "; "))
 }
--- a/internal/coordination/client/errors_test.go
+++ b/internal/coordination/client/errors_test.go
@@ -28,7 +28,8 @@
 	defer c.Close()
 	_, err := c.Call(t.Context(), "k1", Request{Operation: OpStatus})
 	wrapped := fmt.Errorf("reading the status: %w", err)
-	if !errors.Is(wrapped, ErrNobody) || errors.Is(wrapped, ErrUnsure) || !errors.Is(wrapped, syscall.ECONNREFUSED) {
+	ofKind := errors.Is(wrapped, ErrNotAttempted) && !errors.Is(wrapped, ErrUncertain)
+	if !ofKind || !errors.Is(wrapped, syscall.ECONNREFUSED) {
 		t.Errorf("a server that does not listen: %v", wrapped)
 	}
 	var operation *net.OpError
@@ -39,12 +40,12 @@
 	if !errors.As(wrapped, &failure) || failure.server != "k1" {
 		t.Errorf("the server is not found in %v", wrapped)
 	}
-	if want := ErrNobody.Error() + ": k1: " + operation.Error(); err.Error() != want {
+	if want := ErrNotAttempted.Error() + ": k1: " + operation.Error(); err.Error() != want {
 		t.Errorf("%q, wanted %q", err, want)
 	}
 
-	lost := fmt.Errorf("again: %w", &callError{kind: ErrUnsure, server: "k1", cause: errConnectionLost})
-	if !errors.Is(lost, ErrUnsure) || errors.Is(lost, ErrNobody) || !errors.Is(lost, errConnectionLost) {
+	lost := fmt.Errorf("again: %w", &callError{kind: ErrUncertain, server: "k1", cause: errConnectionLost})
+	if !errors.Is(lost, ErrUncertain) || errors.Is(lost, ErrNotAttempted) || !errors.Is(lost, errConnectionLost) {
 		t.Errorf("a connection that broke: %v", lost)
 	}
 }
@@ -56,16 +57,16 @@
 	ctx, cancel := context.WithTimeout(t.Context(), 200*time.Millisecond)
 	defer cancel()
 	_, _, err := c.Read(ctx)
-	if !errors.Is(err, ErrNobody) || errors.Is(err, ErrUnsure) {
+	if !errors.Is(err, ErrNotAttempted) || errors.Is(err, ErrUncertain) {
 		t.Fatal(err)
 	}
 	text := err.Error()
-	for _, part := range []string{ErrNobody.Error(), "k1: dial tcp", `k2: no address of a voter "k2" is known`} {
+	for _, part := range []string{ErrNotAttempted.Error(), "k1: dial tcp", `k2: no address of a voter "k2" is known`} {
 		if strings.Count(text, part) != 1 {
 			t.Errorf("%q has %q %d times", text, part, strings.Count(text, part))
 		}
 	}
-	if !strings.HasPrefix(text, ErrNobody.Error()+": k1: ") {
+	if !strings.HasPrefix(text, ErrNotAttempted.Error()+": k1: ") {
 		t.Errorf("%q does not begin with its kind and the first server", text)
 	}
 }
--- a/internal/coordination/client/fields.go
+++ b/internal/coordination/client/fields.go
@@ -29,7 +29,7 @@
 		return fmt.Errorf("%w: more than %d members", protomsg.ErrMalformed, maxMembers)
 	}
 	var member state.Member
-	err := protomsg.Each(field.Raw, member.Read)
+	err := protomsg.EachField(field.Raw, member.Read)
 	*members = append(*members, member)
 	return err
 }
--- a/internal/coordination/client/follower_store.go
+++ b/internal/coordination/client/follower_store.go
@@ -44,7 +44,7 @@
 		return err
 	}
 	var encodedState []byte
-	err = protomsg.Each(encoded, func(field protomsg.Field) error {
+	err = protomsg.EachField(encoded, func(field protomsg.Field) error {
 		switch field.Number {
 		case copyCluster:
 			f.cluster = field.Uint
--- a/internal/coordination/client/frame.go
+++ b/internal/coordination/client/frame.go
@@ -19,14 +19,15 @@
 
 var castagnoli = crc32.MakeTable(crc32.Castagnoli)
 
-// ErrFrame is wrapped by errors about bytes that are no frame: the sender is neither a server nor a client of one.
-var ErrFrame = errors.New("not a frame of the ledger's")
+// ErrMalformedFrame is wrapped by errors about bytes that are no frame: the sender is neither a server nor a client
+// of one.
+var ErrMalformedFrame = errors.New("not a frame of the ledger's")
 
 // WriteFrame writes a body behind its header: length and CRC-32C (RFC 9260, appendix A), both big-endian. It calls
 // Write once. The error wraps ErrFrame if the body exceeds MaxFrame, and is the writer's otherwise.
 func WriteFrame(w io.Writer, body []byte) error {
 	if len(body) > MaxFrame {
-		return fmt.Errorf("%w: %d bytes, at most %d", ErrFrame, len(body), MaxFrame)
+		return fmt.Errorf("%w: %d bytes, at most %d", ErrMalformedFrame, len(body), MaxFrame)
 	}
 	frame := make([]byte, headerSize, headerSize+len(body))
 	binary.BigEndian.PutUint32(frame, uint32(len(body)))
@@ -44,7 +45,7 @@
 	}
 	length := binary.BigEndian.Uint32(header[:])
 	if int64(length) > int64(limit) {
-		return nil, fmt.Errorf("%w: it says that %d bytes follow, at most %d may", ErrFrame, length, limit)
+		return nil, fmt.Errorf("%w: it says that %d bytes follow, at most %d may", ErrMalformedFrame, length, limit)
 	}
 	// ReadAll grows its buffer as bytes arrive: a header alone must not make this process allocate the length it names.
 	body, err := io.ReadAll(io.LimitReader(r, int64(length)))
@@ -55,7 +56,7 @@
 		return nil, err
 	}
 	if crc32.Checksum(body, castagnoli) != binary.BigEndian.Uint32(header[checksumOffset:]) {
-		return nil, fmt.Errorf("%w: its checksum differs", ErrFrame)
+		return nil, fmt.Errorf("%w: its checksum differs", ErrMalformedFrame)
 	}
 	return body, nil
 }
--- a/internal/coordination/client/fuzz_test.go
+++ b/internal/coordination/client/fuzz_test.go
@@ -13,7 +13,7 @@
 	response := Response{
 		Number:  1,
 		Outcome: OutcomeDone,
-		Result:  state.Result{FencingToken: 3, Reserved: []state.ReservedSlot{{Second: 1, Places: 2}}},
+		Result:  state.Result{FencingToken: 3, Reserved: []state.ReservedSlot{{Second: 1, Count: 2}}},
 		Members: []state.Member{{ID: 1, Name: "a"}},
 	}
 	f.Add(response.Encode())
--- a/internal/coordination/client/golden_test.go
+++ b/internal/coordination/client/golden_test.go
@@ -52,7 +52,7 @@
 	answer := Response{
 		Number: 3, Outcome: OutcomeRejected, Message: "full", Result: state.Result{
 			Rejection: state.RejectedNoCapacity, Message: "none is left", Revision: 41,
-			Clock: 4100, FencingToken: 9, Free: 4, Reserved: []state.ReservedSlot{{Second: 12, Places: 5}},
+			Clock: 4100, FencingToken: 9, Free: 4, Reserved: []state.ReservedSlot{{Second: 12, Count: 5}},
 		}, Stored: 2, Voters: 3, Leader: "k1", Body: []byte("state"),
 		Index: 41, Age: 250 * time.Millisecond, Cluster: 5, ID: 11, Name: "k1", Level: 1, Members: members, Tick: 97,
 	}
@@ -110,7 +110,7 @@
 
 // TestGoldenStatus pins the keys of a voter's status.
 func TestGoldenStatus(t *testing.T) {
-	golden.Compare(t, "status-keys.txt", golden.Keys(reflect.TypeFor[VoterStatus](), "json"))
+	golden.Compare(t, "status-keys.txt", golden.Keys(reflect.TypeFor[ServerStatus](), "json"))
 }
 
 // TestGoldenCopy reads the copy that an earlier version stored, and writes the same bytes.
--- a/internal/coordination/client/hello.go
+++ b/internal/coordination/client/hello.go
@@ -49,7 +49,7 @@
 
 // DecodeHello reads a Hello. The error wraps protomsg.ErrMalformed.
 func DecodeHello(encoded []byte) (hello Hello, err error) {
-	err = protomsg.Each(encoded, func(field protomsg.Field) error {
+	err = protomsg.EachField(encoded, func(field protomsg.Field) error {
 		switch field.Number {
 		case helloRole:
 			hello.Role = Role(min(field.Uint, maxEnum))
@@ -103,7 +103,7 @@
 
 // DecodeWelcome reads a Welcome. The error wraps protomsg.ErrMalformed.
 func DecodeWelcome(encoded []byte) (welcome Welcome, err error) {
-	err = protomsg.Each(encoded, func(field protomsg.Field) error {
+	err = protomsg.EachField(encoded, func(field protomsg.Field) error {
 		switch field.Number {
 		case welcomeCluster:
 			welcome.Cluster = field.Uint
--- a/internal/coordination/client/lease.go
+++ b/internal/coordination/client/lease.go
@@ -26,8 +26,9 @@
 // stopped since the last one. A nil lease is not valid.
 func (l *Lease) Valid(now time.Time) bool { return l != nil && now.Before(l.Until) }
 
-// AcquireLease acquires a lease on units of a resource, or renews one. The error wraps ErrRefused, ErrNobody or
-// ErrUnsure; after ErrUnsure nothing is known of the new lease, and the renewed one stays what it was until its end.
+// AcquireLease acquires a lease on units of a resource, or renews one. The error wraps ErrRejected, ErrNotAttempted
+// or ErrUncertain; after ErrUncertain nothing is known of the new lease, and the renewed one stays what it was until
+// its end.
 func (c *Client) AcquireLease(
 	ctx context.Context, resource, holder string, units int64, duration time.Duration, renewed *Lease,
 ) (*Lease, error) {
--- a/internal/coordination/client/request.go
+++ b/internal/coordination/client/request.go
@@ -71,7 +71,7 @@
 
 // DecodeRequest reads a Request. The error wraps protomsg.ErrMalformed.
 func DecodeRequest(encoded []byte) (request Request, err error) {
-	err = protomsg.Each(encoded, func(field protomsg.Field) error {
+	err = protomsg.EachField(encoded, func(field protomsg.Field) error {
 		switch field.Number {
 		case requestNumber:
 			request.Number = field.Uint
--- a/internal/coordination/client/response.go
+++ b/internal/coordination/client/response.go
@@ -99,12 +99,12 @@
 	w.Uint(responseClock, result.Clock)
 	w.Uint(responseFencingToken, result.FencingToken)
 	w.Int(responseFree, result.Free)
-	state.WriteReserved(w, responseReserved, result.Reserved)
+	state.EncodeReserved(w, responseReserved, result.Reserved)
 }
 
 // DecodeResponse reads a Response. The error wraps protomsg.ErrMalformed.
 func DecodeResponse(encoded []byte) (response Response, err error) {
-	err = protomsg.Each(encoded, func(field protomsg.Field) error {
+	err = protomsg.EachField(encoded, func(field protomsg.Field) error {
 		switch field.Number {
 		case responseNumber:
 			response.Number = field.Uint
@@ -160,7 +160,7 @@
 	case responseFree:
 		result.Free = field.Int()
 	case responseReserved:
-		slot, err := state.ReadReserved(field.Raw)
+		slot, err := state.DecodeReserved(field.Raw)
 		result.Reserved = append(result.Reserved, slot)
 		return err
 	}
--- a/internal/coordination/client/status.go
+++ b/internal/coordination/client/status.go
@@ -1,8 +1,8 @@
 package client
 
-// VoterStatus is the state of a server at a moment, as "olivearch promises members" shows it. Times are in
+// ServerStatus is the state of a server at a moment, as "olivearch promises members" shows it. Times are in
 // milliseconds. It is sent as JSON; the keys are those of the first version.
-type VoterStatus struct {
+type ServerStatus struct {
 	Name          string         `json:"name"`
 	ID            string         `json:"id"`                // the Raft ID, in hexadecimal
 	Cluster       string         `json:"cluster,omitempty"` // empty: it waits for the other servers, or to join
--- a/internal/coordination/client/update.go
+++ b/internal/coordination/client/update.go
@@ -50,7 +50,7 @@
 
 // DecodeUpdate reads an Update. The error wraps protomsg.ErrMalformed.
 func DecodeUpdate(encoded []byte) (update Update, err error) {
-	err = protomsg.Each(encoded, func(field protomsg.Field) error {
+	err = protomsg.EachField(encoded, func(field protomsg.Field) error {
 		switch field.Number {
 		case updateState:
 			update.State = field.Raw
@@ -88,7 +88,7 @@
 
 // DecodePing returns a ping's number. The error wraps protomsg.ErrMalformed.
 func DecodePing(encoded []byte) (number uint64, err error) {
-	err = protomsg.Each(encoded, func(field protomsg.Field) error {
+	err = protomsg.EachField(encoded, func(field protomsg.Field) error {
 		if field.Number == pingNumber {
 			number = field.Uint
 		}
--- a/internal/coordination/membership/change.go
+++ b/internal/coordination/membership/change.go
@@ -24,10 +24,10 @@
 
 // Change is the next step towards the members that the operators want. The zero value is no change.
 type Change struct {
-	Kind     ChangeKind
-	Member   state.Member
-	Replaced uint64 // id of the member that is replaced or removed
-	Level    uint32
+	Kind       ChangeKind
+	Member     state.Member
+	ReplacedID uint64 // id of the member that is replaced or removed
+	Level      uint32
 }
 
 // Timeouts are the times that decisions depend on.
@@ -63,7 +63,7 @@
 		isIdle := learner.silence() > timeouts.LearnerIdle
 		isSucceeded := v.hasSuccessor(learner) && learner.silence() > aliveTimeout
 		if !v.isAdmitted(learner.Name) || isIdle || isSucceeded {
-			return Change{Kind: RemoveMember, Replaced: learner.ID}
+			return Change{Kind: RemoveMember, ReplacedID: learner.ID}
 		}
 	}
 	return Change{}
@@ -80,7 +80,7 @@
 func (v View) giveVote() Change {
 	voters := v.voters()
 	for _, learner := range v.learners() {
-		if learner.MatchIndex+maxLearnerLag < v.Committed || !learner.isAlive() {
+		if learner.MatchIndex+maxLearnerLag < v.CommitIndex || !learner.isAlive() {
 			continue
 		}
 		replaced := indexOfName(voters, learner.Name)
@@ -91,7 +91,7 @@
 			continue
 		}
 		if hasQuorum(voters) && hasQuorum(with(without(voters, replaced), learner)) {
-			return Change{Kind: ReplaceVoter, Member: learner.Member, Replaced: voters[replaced].ID}
+			return Change{Kind: ReplaceVoter, Member: learner.Member, ReplacedID: voters[replaced].ID}
 		}
 	}
 	return Change{}
@@ -110,7 +110,7 @@
 			continue
 		}
 		if voter.ID != v.Self {
-			return Change{Kind: RemoveMember, Replaced: voter.ID}
+			return Change{Kind: RemoveMember, ReplacedID: voter.ID}
 		}
 		successor := slices.MinFunc(others, func(a, b Peer) int { return cmp.Compare(a.SinceContact, b.SinceContact) })
 		return Change{Kind: TransferLeadership, Member: successor.Member}
--- a/internal/coordination/membership/change_test.go
+++ b/internal/coordination/membership/change_test.go
@@ -14,7 +14,7 @@
 // viewOfFive is the view of the leader a of five voters, a to e with the ids 1 to 5, that are all alive. A peer with
 // the id of one of them takes its place; the others are members beside them.
 func viewOfFive(peers ...Peer) View {
-	view := View{Self: 1, Admitted: map[string]string{}, Committed: 1000, FeatureLevel: 1}
+	view := View{Self: 1, Admitted: map[string]string{}, CommitIndex: 1000, FeatureLevel: 1}
 	for i, name := range []string{"a", "b", "c", "d", "e"} {
 		view.Members = append(view.Members, voter(uint64(i+1), name))
 		view.Admitted[name] = name
@@ -152,7 +152,7 @@
 	{
 		name:  "it has caught up",
 		peers: []Peer{silentVoter(2, "b"), learnerB},
-		want:  Change{Kind: ReplaceVoter, Member: memberB, Replaced: 2},
+		want:  Change{Kind: ReplaceVoter, Member: memberB, ReplacedID: 2},
 	},
 	{
 		name:  "it has not caught up",
@@ -177,7 +177,7 @@
 			Level:        1,
 		}},
 		joining: []JoiningVoter{{VoterReport: VoterReport{Name: "b", ID: 23, Level: 1}, Address: "addr"}},
-		want:    Change{Kind: RemoveMember, Replaced: 22},
+		want:    Change{Kind: RemoveMember, ReplacedID: 22},
 	},
 	{
 		name:  "it has just been added and has not been heard yet",
@@ -189,7 +189,7 @@
 	{
 		name:        "not admitted any more",
 		notAdmitted: "c",
-		want:        Change{Kind: RemoveMember, Replaced: 3},
+		want:        Change{Kind: RemoveMember, ReplacedID: 3},
 	},
 	{
 		name:        "the leader is not admitted any more",
--- a/internal/coordination/membership/quorum_test.go
+++ b/internal/coordination/membership/quorum_test.go
@@ -78,7 +78,7 @@
 	givesVote := change.Kind == ReplaceVoter || change.Kind == PromoteLearner
 	var voters []Peer
 	for _, member := range view.Members {
-		staysVoter := !member.Learner && member.ID != change.Replaced
+		staysVoter := !member.Learner && member.ID != change.ReplacedID
 		becomesVoter := givesVote && member.ID == change.Member.ID
 		if staysVoter || becomesVoter {
 			voters = append(voters, member)
--- a/internal/coordination/membership/view.go
+++ b/internal/coordination/membership/view.go
@@ -13,7 +13,7 @@
 	Members       []Peer // voters and learners
 	JoiningVoters []JoiningVoter
 	Admitted      map[string]string // names that may vote, with their addresses
-	Committed     uint64            // index of the last committed entry of the log
+	CommitIndex   uint64            // index of the last committed entry of the log
 	Changing      bool              // a change of the members is in progress
 	FeatureLevel  uint32            // of the state: commands up to it may be applied
 }
--- a/internal/coordination/server/apply.go
+++ b/internal/coordination/server/apply.go
@@ -121,7 +121,7 @@
 // decodeChangeCommands returns encoded envelopes.
 func decodeChangeCommands(encoded []byte) ([][]byte, error) {
 	var commands [][]byte
-	err := protomsg.Each(encoded, func(f protomsg.Field) error {
+	err := protomsg.EachField(encoded, func(f protomsg.Field) error {
 		if f.Number == changeCommandField {
 			commands = append(commands, f.Raw)
 		}
--- a/internal/coordination/server/bootstrap.go
+++ b/internal/coordination/server/bootstrap.go
@@ -52,7 +52,7 @@
 	if c.bootstrap.inProgress {
 		return
 	}
-	for name := range c.Voters {
+	for name := range c.Addresses {
 		switch {
 		case name == c.Name:
 			own := membership.VoterReport{Name: name, ID: c.id(), Level: state.NewestFeatureLevel}
@@ -63,7 +63,7 @@
 			c.inquire(name, client.Request{Operation: client.OpIdentify})
 		}
 	}
-	members, waitReason := membership.Bootstrap(c.Name, c.Voters, c.bootstrap.reports)
+	members, waitReason := membership.Bootstrap(c.Name, c.Addresses, c.bootstrap.reports)
 	if members == nil {
 		if !c.bootstrap.clusterExists() {
 			c.bootstrap.waitReason = waitReason
@@ -111,7 +111,7 @@
 
 // askToJoin asks the configured servers who the members are, until a snapshot says so.
 func (c *core) askToJoin() {
-	for name := range c.Voters {
+	for name := range c.Addresses {
 		if name != c.Name {
 			c.inquire(name, c.joinRequest())
 		}
--- a/internal/coordination/server/client_connection.go
+++ b/internal/coordination/server/client_connection.go
@@ -61,7 +61,7 @@
 
 // write writes responses until the connection ends. A response without a number only says that the server is there.
 func (c *clientConnection) write() {
-	keepAlive := time.NewTicker(client.KeepAlive)
+	keepAlive := time.NewTicker(client.KeepAliveInterval)
 	defer keepAlive.Stop()
 	for {
 		var response client.Response
--- a/internal/coordination/server/fault_injection.go
+++ b/internal/coordination/server/fault_injection.go
@@ -98,7 +98,7 @@
 
 // diskFault returns the fault that the disk has now; an empty kind: none.
 func diskFault() (kind, argument string) {
-	text, err := os.ReadFile(os.Getenv(disk.Variable))
+	text, err := os.ReadFile(os.Getenv(disk.FaultVariable))
 	if err != nil {
 		return "", ""
 	}
--- a/internal/coordination/server/followers_benchmark_test.go
+++ b/internal/coordination/server/followers_benchmark_test.go
@@ -92,7 +92,7 @@
 	addresses = map[string]string{"k1": l.Addr().String()}
 	ctx, cancel := context.WithCancel(b.Context())
 	server, err := New(Config{
-		Name: "k1", Address: addresses["k1"], Voters: addresses, Folder: b.TempDir(), ReplaceAfter: 2 * time.Second,
+		Name: "k1", Address: addresses["k1"], Addresses: addresses, Folder: b.TempDir(), ReplaceAfter: 2 * time.Second,
 	}, l)
 	if err != nil {
 		b.Fatal(err)
--- a/internal/coordination/server/identity.go
+++ b/internal/coordination/server/identity.go
@@ -28,7 +28,7 @@
 }
 
 func (i *identity) decode(b []byte) error {
-	return protomsg.Each(b, func(f protomsg.Field) error {
+	return protomsg.EachField(b, func(f protomsg.Field) error {
 		switch f.Number {
 		case 2:
 			return f.Text(&i.Name, state.MaxName)
--- a/internal/coordination/server/membership.go
+++ b/internal/coordination/server/membership.go
@@ -167,7 +167,7 @@
 		Admitted:     c.state.AdmittedVoters(),
 		Changing:     c.members.changePending,
 		FeatureLevel: c.state.FeatureLevel(),
-		Committed:    c.node.BasicStatus().GetCommit(),
+		CommitIndex:  c.node.BasicStatus().GetCommit(),
 	}
 	matchIndexes := c.matchIndexes()
 	for _, member := range c.state.Members() {
@@ -185,7 +185,7 @@
 
 // carryOut proposes a change, or hands the leadership over.
 func (c *core) carryOut(change membership.Change, now time.Time) {
-	member, replaced := change.Member, change.Replaced
+	member, replaced := change.Member, change.ReplacedID
 	voter := member
 	voter.Learner = false
 	addVoter := confChange(raftpb.ConfChangeAddNode, member.ID)
@@ -226,7 +226,7 @@
 		c.members.changeProposed(now)
 	}
 	slog.Info("membership change proposed", "name", change.Member.Name, "id", formatID(change.Member.ID),
-		"replaced", formatID(change.Replaced), "kind", change.Kind, "err", err)
+		"replaced", formatID(change.ReplacedID), "kind", change.Kind, "err", err)
 }
 
 // requestJoin serves the request of a process with an empty folder to join. It is done once that is a member.
--- a/internal/coordination/server/peer_links.go
+++ b/internal/coordination/server/peer_links.go
@@ -22,7 +22,7 @@
 	minRedialPause = 50 * time.Millisecond
 	maxRedialPause = 500 * time.Millisecond
 	// peerSilenceTimeout is after how long without a frame a link counts as cut.
-	peerSilenceTimeout = 4 * client.KeepAlive
+	peerSilenceTimeout = 4 * client.KeepAliveInterval
 	// writeTimeout bounds a write to a peer, client or follower.
 	writeTimeout = 2 * time.Second
 )
@@ -254,7 +254,7 @@
 
 // sendOutbox writes what is queued for a member until its connection breaks or another takes its place.
 func (c *core) sendOutbox(conn net.Conn, box *outbox) {
-	keepAlive := time.NewTicker(client.KeepAlive)
+	keepAlive := time.NewTicker(client.KeepAliveInterval)
 	defer keepAlive.Stop()
 	for {
 		var frames bytes.Buffer
@@ -267,7 +267,7 @@
 		case <-keepAlive.C:
 			_ = client.WriteFrame(&frames, nil) // a buffer takes all
 		}
-		keepAlive.Reset(client.KeepAlive)
+		keepAlive.Reset(client.KeepAliveInterval)
 		_ = conn.SetWriteDeadline(time.Now().Add(writeTimeout)) // on a broken connection the write fails
 		_, err := conn.Write(frames.Bytes())
 		if hasSnapshot {
--- a/internal/coordination/server/requests.go
+++ b/internal/coordination/server/requests.go
@@ -78,7 +78,7 @@
 // that was cut: the client has given up, and may have asked for something else since. Times are uptimes in
 // milliseconds.
 func (r request) stale(now uint64) (delay uint64, stale bool) {
-	if r.Tick == 0 || now <= r.Tick+uint64((r.Within+client.Stale)/time.Millisecond) {
+	if r.Tick == 0 || now <= r.Tick+uint64((r.Within+client.StaleAfter)/time.Millisecond) {
 		return 0, false
 	}
 	return now - r.Tick, true
@@ -163,7 +163,7 @@
 	forwarded.Within = 0
 	response, err := c.caller.Call(ctx, leader, forwarded)
 	switch {
-	case errors.Is(err, client.ErrNobody):
+	case errors.Is(err, client.ErrNotAttempted):
 		response = client.Response{Outcome: client.OutcomeNotAttempted, Message: err.Error()}
 	case err != nil:
 		response = client.Response{Outcome: client.OutcomeUncertain, Message: err.Error()}
@@ -209,7 +209,7 @@
 	if err != nil {
 		return nil, err
 	}
-	if state.IsInternal(command) {
+	if state.IsServerOnly(command) {
 		return nil, errors.New("such a command is not taken from outside")
 	}
 	if err := command.Check(); err != nil {
--- a/internal/coordination/server/requests_test.go
+++ b/internal/coordination/server/requests_test.go
@@ -10,7 +10,7 @@
 // A request is stale once it has waited for longer than its client does.
 func TestStaleRequest(t *testing.T) {
 	const tick = 1000
-	patience := uint64((time.Second + client.Stale) / time.Millisecond)
+	patience := uint64((time.Second + client.StaleAfter) / time.Millisecond)
 	cases := []struct {
 		name  string
 		tick  uint64
--- a/internal/coordination/server/server.go
+++ b/internal/coordination/server/server.go
@@ -21,9 +21,9 @@
 type Config struct {
 	Name    string
 	Address string // at which the other servers reach it
-	// Voters maps the name of each server, this one among them, to the address at which this process reaches it.
-	Voters map[string]string
-	Folder string // must exist; it belongs to this server alone
+	// Addresses maps the name of each server, this one among them, to the address at which this process reaches it.
+	Addresses map[string]string
+	Folder    string // must exist; it belongs to this server alone
 	// WriteQuorum is how many voters must have a command on their disks before its client gets an answer; 0: a majority.
 	WriteQuorum int
 	// ReplaceAfter is for how long a voter must have been silent before an empty one of its name may replace it.
@@ -32,7 +32,7 @@
 
 // reachableAt returns the address at which a member is reached from here.
 func (c *Config) reachableAt(member state.Member) string {
-	if address := c.Voters[member.Name]; address != "" {
+	if address := c.Addresses[member.Name]; address != "" {
 		return address
 	}
 	return member.Address
@@ -41,7 +41,7 @@
 // peerAddresses returns the addresses of the other servers, by name.
 func (c *Config) peerAddresses() map[string]string {
 	peers := map[string]string{}
-	for name, address := range c.Voters {
+	for name, address := range c.Addresses {
 		if name != c.Name {
 			peers[name] = address
 		}
--- a/internal/coordination/server/server_test.go
+++ b/internal/coordination/server/server_test.go
@@ -39,7 +39,7 @@
 func (c *cluster) run(ctx context.Context, name, folder string, writeQuorum int, l net.Listener) <-chan struct{} {
 	c.t.Helper()
 	server, err := New(Config{
-		Name: name, Address: c.addresses[name], Voters: c.addresses, Folder: folder,
+		Name: name, Address: c.addresses[name], Addresses: c.addresses, Folder: folder,
 		ReplaceAfter: 2 * time.Second, WriteQuorum: writeQuorum,
 	}, l)
 	if err != nil {
@@ -190,7 +190,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		if c, in = conn, r; w.Tick > uint64(2*client.Stale/time.Millisecond) {
+		if c, in = conn, r; w.Tick > uint64(2*client.StaleAfter/time.Millisecond) {
 			break
 		}
 		c.Close()
--- a/internal/coordination/server/status.go
+++ b/internal/coordination/server/status.go
@@ -37,8 +37,8 @@
 const noContact = -1
 
 // status returns the server's view of itself and of the cluster.
-func (c *core) status(now time.Time) client.VoterStatus {
-	status := client.VoterStatus{
+func (c *core) status(now time.Time) client.ServerStatus {
+	status := client.ServerStatus{
 		Name:         c.Name,
 		ID:           formatID(c.id()),
 		Role:         roleWaiting,
@@ -111,7 +111,7 @@
 		counts[grantsResources]++
 		counts[grantsLeases] += len(resource.Leases())
 		for _, reserved := range resource.Reserved() {
-			counts[grantsReservations] += int(reserved.Places)
+			counts[grantsReservations] += int(reserved.Count)
 		}
 	}
 	return counts
--- a/internal/coordination/state/codec_commands.go
+++ b/internal/coordination/state/codec_commands.go
@@ -42,7 +42,7 @@
 func Decode(encoded []byte) (Command, error) {
 	var number uint64
 	var body []byte
-	err := protomsg.Each(encoded, func(field protomsg.Field) error {
+	err := protomsg.EachField(encoded, func(field protomsg.Field) error {
 		switch field.Number {
 		case fieldCommandNumber:
 			number = field.Uint
@@ -58,7 +58,7 @@
 		return nil, fmt.Errorf("%w: number %d", ErrUnknownKind, number)
 	}
 	command := commandKinds[uint32(number)]()
-	if err := protomsg.Each(body, command.decode); err != nil {
+	if err := protomsg.EachField(body, command.decode); err != nil {
 		return nil, fmt.Errorf("command %d: %w", number, err)
 	}
 	return command, nil
@@ -91,7 +91,7 @@
 func DecodeEnvelope(encoded []byte) (Envelope, error) {
 	var envelope Envelope
 	var command []byte
-	err := protomsg.Each(encoded, func(field protomsg.Field) error {
+	err := protomsg.EachField(encoded, func(field protomsg.Field) error {
 		switch field.Number {
 		case fieldEnvelopeID:
 			envelope.ID = field.Uint
--- a/internal/coordination/state/codec_overrides.go
+++ b/internal/coordination/state/codec_overrides.go
@@ -121,7 +121,7 @@
 // decodeOverride reads a stored override and adds it to the state.
 func (s *State) decodeOverride(encoded []byte) error {
 	var override Override
-	err := protomsg.Each(encoded, override.decode)
+	err := protomsg.EachField(encoded, override.decode)
 	if err = cmp.Or(err, override.checkSubject()); err != nil {
 		return err
 	}
--- a/internal/coordination/state/codec_reservations.go
+++ b/internal/coordination/state/codec_reservations.go
@@ -21,7 +21,7 @@
 	w.String(fieldReserveResource, c.Resource)
 	w.String(fieldReserveHolder, c.Holder)
 	w.Uint(fieldReserveSequence, c.Sequence)
-	w.Int(fieldReservePlaces, c.Places)
+	w.Int(fieldReservePlaces, c.Slots)
 	w.Uint(fieldReserveAfter, uint64(c.After))
 	w.Uint(fieldReserveWithin, uint64(c.Within))
 }
@@ -35,7 +35,7 @@
 	case fieldReserveSequence:
 		c.Sequence = field.Uint
 	case fieldReservePlaces:
-		c.Places = field.Int()
+		c.Slots = field.Int()
 	case fieldReserveAfter:
 		c.After = decodeSecondsAhead(field)
 	case fieldReserveWithin:
@@ -56,25 +56,25 @@
 	fieldReservedSlotPlaces = 2
 )
 
-// WriteReserved appends reserved slots to a message, each as a nested message under the number of a field.
-func WriteReserved(w *protomsg.Writer, field protomsg.Number, slots []ReservedSlot) {
+// EncodeReserved appends reserved slots to a message, each as a nested message under the number of a field.
+func EncodeReserved(w *protomsg.Writer, field protomsg.Number, slots []ReservedSlot) {
 	for _, slot := range slots {
 		w.Message(field, func(nested *protomsg.Writer) {
 			nested.Uint(fieldReservedSlotSecond, slot.Second)
-			nested.Int(fieldReservedSlotPlaces, slot.Places)
+			nested.Int(fieldReservedSlotPlaces, slot.Count)
 		})
 	}
 }
 
-// ReadReserved reads one nested message of WriteReserved. The error wraps protomsg.ErrMalformed.
-func ReadReserved(encoded []byte) (ReservedSlot, error) {
+// DecodeReserved reads one nested message of WriteReserved. The error wraps protomsg.ErrMalformed.
+func DecodeReserved(encoded []byte) (ReservedSlot, error) {
 	var slot ReservedSlot
-	err := protomsg.Each(encoded, func(field protomsg.Field) error {
+	err := protomsg.EachField(encoded, func(field protomsg.Field) error {
 		switch field.Number {
 		case fieldReservedSlotSecond:
 			slot.Second = field.Uint
 		case fieldReservedSlotPlaces:
-			slot.Places = field.Int()
+			slot.Count = field.Int()
 		}
 		return nil
 	})
@@ -95,7 +95,7 @@
 	w.String(fieldReservationHolder, r.holder)
 	w.Uint(fieldReservationSequence, r.sequence)
 	w.Uint(fieldReservationUntil, r.until)
-	WriteReserved(w, fieldReservationSlot, r.slots)
+	EncodeReserved(w, fieldReservationSlot, r.slots)
 }
 
 func (r *reservation) decode(field protomsg.Field) error {
@@ -109,7 +109,7 @@
 	case fieldReservationUntil:
 		r.until = field.Uint
 	case fieldReservationSlot:
-		slot, err := ReadReserved(field.Raw)
+		slot, err := DecodeReserved(field.Raw)
 		r.slots = append(r.slots, slot)
 		return err
 	}
@@ -119,7 +119,7 @@
 // decodeReservation reads a stored reservation and adds it to the state.
 func (s *State) decodeReservation(encoded []byte) error {
 	var stored reservation
-	err := protomsg.Each(encoded, stored.decode)
+	err := protomsg.EachField(encoded, stored.decode)
 	err = cmp.Or(err, checkName("bound", stored.resource), checkName("holder", stored.holder))
 	if err != nil {
 		return err
--- a/internal/coordination/state/codec_resources.go
+++ b/internal/coordination/state/codec_resources.go
@@ -18,7 +18,7 @@
 
 func (c *SetResource) encode(w *protomsg.Writer) {
 	w.String(fieldResourceName, c.Name)
-	w.Bool(fieldResourceSlots, c.Slots)
+	w.Bool(fieldResourceSlots, c.PerSecond)
 	w.Int(fieldResourceLimit, c.Limit)
 }
 
@@ -27,7 +27,7 @@
 	case fieldResourceName:
 		return field.Text(&c.Name, MaxName)
 	case fieldResourceSlots:
-		c.Slots = field.Bool()
+		c.PerSecond = field.Bool()
 	case fieldResourceLimit:
 		c.Limit = field.Int()
 	}
@@ -36,23 +36,23 @@
 
 func (r *Resource) encode(w *protomsg.Writer) {
 	w.String(fieldResourceName, r.Name)
-	w.Bool(fieldResourceSlots, r.Slots)
+	w.Bool(fieldResourceSlots, r.PerSecond)
 	w.Int(fieldResourceLimit, r.Limit)
 	for _, lease := range r.Leases() {
 		w.Message(fieldResourceLease, lease.encode)
 	}
-	WriteReserved(w, fieldResourceReserved, r.Reserved())
+	EncodeReserved(w, fieldResourceReserved, r.Reserved())
 }
 
 // decodeResource reads a stored resource and adds it to the state.
 func (s *State) decodeResource(encoded []byte) error {
 	resource := newResource("", false, 0)
-	err := protomsg.Each(encoded, func(field protomsg.Field) error {
+	err := protomsg.EachField(encoded, func(field protomsg.Field) error {
 		switch field.Number {
 		case fieldResourceName:
 			return field.Text(&resource.Name, MaxName)
 		case fieldResourceSlots:
-			resource.Slots = field.Bool()
+			resource.PerSecond = field.Bool()
 		case fieldResourceLimit:
 			resource.Limit = field.Int()
 		case fieldResourceLease:
@@ -76,7 +76,7 @@
 // decodeLease reads a stored lease and adds it to a resource of the state.
 func (s *State) decodeLease(resource *Resource, encoded []byte) error {
 	var lease Lease
-	if err := protomsg.Each(encoded, lease.decode); err != nil {
+	if err := protomsg.EachField(encoded, lease.decode); err != nil {
 		return err
 	}
 	if _, exists := resource.leases[lease.Holder]; exists {
@@ -89,13 +89,13 @@
 
 // decodeReserved reads the reserved slots of one second and adds them to a resource of the state.
 func (s *State) decodeReserved(resource *Resource, encoded []byte) error {
-	slot, err := ReadReserved(encoded)
+	slot, err := DecodeReserved(encoded)
 	if err != nil {
 		return err
 	}
 	if resource.reserved[slot.Second] == 0 {
 		s.usedBytes += slotOverhead
 	}
-	resource.reserved[slot.Second] = max(1, slot.Places)
+	resource.reserved[slot.Second] = max(1, slot.Count)
 	return nil
 }
--- a/internal/coordination/state/codec_state.go
+++ b/internal/coordination/state/codec_state.go
@@ -8,8 +8,8 @@
 	"olivearch/internal/protomsg"
 )
 
-// Version of the form of snapshots. A reader rejects a newer one.
-const Version = 1
+// SnapshotVersion of the form of snapshots. A reader rejects a newer one.
+const SnapshotVersion = 1
 
 // Fields of a snapshot.
 const (
@@ -27,7 +27,7 @@
 // Encode writes a snapshot of the state. Equal states have the same bytes: entries stand in a fixed order.
 func (s *State) Encode() []byte {
 	var w protomsg.Writer
-	w.Uint(fieldStateVersion, Version)
+	w.Uint(fieldStateVersion, SnapshotVersion)
 	w.Uint(fieldStateClock, s.clock)
 	w.Uint(fieldStateRevision, s.revision)
 	w.Uint(fieldStateFeatureLevel, uint64(s.featureLevel))
@@ -59,7 +59,7 @@
 func DecodeState(encoded []byte) (*State, error) {
 	state := NewState()
 	version := uint64(0)
-	err := protomsg.Each(encoded, func(field protomsg.Field) error {
+	err := protomsg.EachField(encoded, func(field protomsg.Field) error {
 		if field.Number == fieldStateVersion {
 			version = field.Uint
 			return nil
@@ -69,8 +69,8 @@
 	switch {
 	case err != nil:
 		return nil, fmt.Errorf("the ledger's state: %w", err)
-	case version != Version:
-		return nil, fmt.Errorf("the ledger's state is of version %d, and %d is known", version, Version)
+	case version != SnapshotVersion:
+		return nil, fmt.Errorf("the ledger's state is of version %d, and %d is known", version, SnapshotVersion)
 	}
 	state.nextExpiry = 0 // the next command determines it
 	return state, nil
@@ -100,7 +100,7 @@
 
 func (s *State) decodeAdmittedVoter(encoded []byte) error {
 	var voter AddVoter
-	if err := protomsg.Each(encoded, voter.decode); err != nil {
+	if err := protomsg.EachField(encoded, voter.decode); err != nil {
 		return err
 	}
 	s.admittedVoters[voter.Name] = voter.Address
@@ -109,7 +109,7 @@
 
 func (s *State) decodeMember(encoded []byte) error {
 	var member Member
-	if err := protomsg.Each(encoded, member.Read); err != nil {
+	if err := protomsg.EachField(encoded, member.Read); err != nil {
 		return err
 	}
 	s.members[member.ID] = member
--- a/internal/coordination/state/commands.go
+++ b/internal/coordination/state/commands.go
@@ -76,8 +76,8 @@
 	numberUnregisterMember:  func() Command { return new(UnregisterMember) },
 }
 
-// IsInternal reports whether a command is proposed by the coordination servers only, and never accepted from clients.
-func IsInternal(command Command) bool {
+// IsServerOnly reports whether a command is proposed by the coordination servers only, and never accepted from clients.
+func IsServerOnly(command Command) bool {
 	switch command.(type) {
 	case *RaiseFeatureLevel, *AdvanceClock, *RegisterMember, *UnregisterMember:
 		return true
--- a/internal/coordination/state/commands_test.go
+++ b/internal/coordination/state/commands_test.go
@@ -30,20 +30,20 @@
 		{"lease of no units", &AcquireLease{Resource: "b", Holder: "x", Units: 0, Duration: time.Second}},
 		{"lease without a duration", &AcquireLease{Resource: "b", Holder: "x", Units: 1}},
 		{"lease of slots", &AcquireLease{Resource: "p", Holder: "x", Units: 1, Duration: time.Second}},
-		{"slots of a resource for leases", &Reserve{Resource: "b", Holder: "x", Sequence: 1, Places: 1}},
-		{"reservation without a number", &Reserve{Resource: "p", Holder: "x", Places: 1}},
+		{"slots of a resource for leases", &Reserve{Resource: "b", Holder: "x", Sequence: 1, Slots: 1}},
+		{"reservation without a number", &Reserve{Resource: "p", Holder: "x", Slots: 1}},
 		{
 			"reservation whose end is before its start",
-			&Reserve{Resource: "p", Holder: "x", Sequence: 1, Places: 1, After: 3, Within: 2},
+			&Reserve{Resource: "p", Holder: "x", Sequence: 1, Slots: 1, After: 3, Within: 2},
 		},
-		{"resource of the other kind", &SetResource{Name: "b", Slots: true, Limit: 1}},
+		{"resource of the other kind", &SetResource{Name: "b", PerSecond: true, Limit: 1}},
 		{"resource without a name", &SetResource{Name: "", Limit: 1}},
 		{"voter that is not admitted", &RemoveVoter{"x"}},
 		{"release without a token", &ReleaseLease{Resource: "b", Holder: "x"}},
 	}
 	s := NewState()
 	mustApply(t, s, &SetResource{Name: "b", Limit: 10})
-	mustApply(t, s, &SetResource{Name: "p", Slots: true, Limit: 10})
+	mustApply(t, s, &SetResource{Name: "p", PerSecond: true, Limit: 10})
 	before := s.Encode()
 	for _, test := range cases {
 		t.Run(test.name, func(t *testing.T) {
--- a/internal/coordination/state/model_test.go
+++ b/internal/coordination/state/model_test.go
@@ -33,9 +33,9 @@
 			return &ClearOverride{Subject: subject.Draw(t, "of"), By: "x"}
 		case 2:
 			return &SetResource{
-				Name:  name.Draw(t, "resource"),
-				Slots: rapid.Bool().Draw(t, "slots"),
-				Limit: count.Draw(t, "limit"),
+				Name:      name.Draw(t, "resource"),
+				PerSecond: rapid.Bool().Draw(t, "slots"),
+				Limit:     count.Draw(t, "limit"),
 			}
 		case 3:
 			return &ReleaseLease{
@@ -48,7 +48,7 @@
 				Resource: name.Draw(t, "resource"),
 				Holder:   name.Draw(t, "holder"),
 				Sequence: number.Draw(t, "sequence"),
-				Places:   count.Draw(t, "slots"),
+				Slots:    count.Draw(t, "slots"),
 				After:    uint32(rapid.IntRange(0, 3).Draw(t, "after")),
 				Within:   uint32(rapid.IntRange(0, 6).Draw(t, "within")),
 			}
@@ -175,7 +175,7 @@
 			t.Fatalf("%d units of %s are leased of %d", leased, resource.Name, resource.Limit)
 		}
 		for _, slot := range resource.Reserved() {
-			if slot.Places > resource.Limit {
+			if slot.Count > resource.Limit {
 				t.Fatalf("%s has %+v reserved of %d", resource.Name, slot, resource.Limit)
 			}
 		}
--- a/internal/coordination/state/reservations.go
+++ b/internal/coordination/state/reservations.go
@@ -12,7 +12,7 @@
 // ReservedSlot is a number of slots in one second of the cluster's clock.
 type ReservedSlot struct {
 	Second uint64
-	Places int64 // slots
+	Count  int64 // slots
 }
 
 // reservation is the last one of a holder. It is stored for reservationRetention so that a retry gets the same
@@ -64,7 +64,7 @@
 type Reserve struct {
 	Resource, Holder string
 	Sequence         uint64 // grows with each of the holder's reservations
-	Places           int64  // slots
+	Slots            int64  // slots
 	After, Within    uint32 // the first and the last second that will do, from now
 }
 
@@ -74,7 +74,7 @@
 		checkName("bound", c.Resource),
 		checkName("holder", c.Holder),
 		c.checkSequence(),
-		checkCount("places", c.Places),
+		checkCount("places", c.Slots),
 		c.checkHorizon(),
 	)
 }
@@ -107,7 +107,7 @@
 		return reject(RejectedFenced, "%s has booked number %d already", c.Holder, previous.sequence)
 	}
 	now := state.clock / millisPerSecond
-	slots := resource.freeSlots(now+uint64(c.After), now+uint64(c.Within), c.Places)
+	slots := resource.freeSlots(now+uint64(c.After), now+uint64(c.Within), c.Slots)
 	if len(slots) == 0 {
 		const format = "no second from %d to %d s ahead has a place left"
 		return reject(RejectedNoCapacity, format, c.After, c.Within)
@@ -138,7 +138,7 @@
 		if resource.reserved[slot.Second] == 0 {
 			s.usedBytes += slotOverhead
 		}
-		resource.reserved[slot.Second] += slot.Places
+		resource.reserved[slot.Second] += slot.Count
 		s.scheduleExpiry(endOfSecond(slot.Second))
 	}
 }
--- a/internal/coordination/state/reservations_test.go
+++ b/internal/coordination/state/reservations_test.go
@@ -7,13 +7,13 @@
 
 func TestReservations(t *testing.T) {
 	s := NewState()
-	mustApply(t, s, &SetResource{Name: "p", Slots: true, Limit: 5})
+	mustApply(t, s, &SetResource{Name: "p", PerSecond: true, Limit: 5})
 	reserve := func(holder string, sequence uint64, slots int64) Result {
 		return apply(t, s, &Reserve{
 			Resource: "p",
 			Holder:   holder,
 			Sequence: sequence,
-			Places:   slots,
+			Slots:    slots,
 			After:    10,
 			Within:   20,
 		})
--- a/internal/coordination/state/resources.go
+++ b/internal/coordination/state/resources.go
@@ -10,20 +10,20 @@
 // Resource is something of which all balancers together may use a limited amount: as leases of units at any moment,
 // or as reserved slots in each second.
 type Resource struct {
-	Name     string
-	Slots    bool             // Limit is of the slots in each second, else of the units leased at any moment
-	Limit    int64            // units, or slots in each second
-	leases   map[string]Lease // by holder
-	reserved map[uint64]int64 // second of the cluster's clock -> reserved slots
+	Name      string
+	PerSecond bool             // Limit is of the slots in each second, else of the units leased at any moment
+	Limit     int64            // units, or slots in each second
+	leases    map[string]Lease // by holder
+	reserved  map[uint64]int64 // second of the cluster's clock -> reserved slots
 }
 
 func newResource(name string, slots bool, limit int64) *Resource {
 	return &Resource{
-		Name:     name,
-		Slots:    slots,
-		Limit:    limit,
-		leases:   map[string]Lease{},
-		reserved: map[uint64]int64{},
+		Name:      name,
+		PerSecond: slots,
+		Limit:     limit,
+		leases:    map[string]Lease{},
+		reserved:  map[uint64]int64{},
 	}
 }
 
@@ -50,7 +50,7 @@
 	if !ok {
 		return nil, reject(RejectedNotFound, "there is no bound %s", name)
 	}
-	if resource.Slots != slots {
+	if resource.PerSecond != slots {
 		return nil, rejectOtherKind(name)
 	}
 	return resource, Result{}
@@ -63,9 +63,9 @@
 // SetResource creates a resource or changes its limit. A limit of 0 removes it, unless a part of it is leased or
 // reserved. What is leased or reserved above a lowered limit stays until it ends, and nothing is granted before.
 type SetResource struct {
-	Name  string
-	Slots bool // see Resource
-	Limit int64
+	Name      string
+	PerSecond bool // see Resource
+	Limit     int64
 }
 
 // Check implements Command.
@@ -85,7 +85,7 @@
 		return Result{}
 	case !exists:
 		return c.create(state)
-	case resource.Slots != c.Slots:
+	case resource.PerSecond != c.PerSecond:
 		return rejectOtherKind(c.Name)
 	case c.Limit == 0 && resource.inUse():
 		return reject(RejectedNoCapacity, "of the bound %s something is still held", c.Name)
@@ -99,7 +99,7 @@
 }
 
 func (c *SetResource) create(state *State) Result {
-	resource := newResource(c.Name, c.Slots, c.Limit)
+	resource := newResource(c.Name, c.PerSecond, c.Limit)
 	if state.exceedsCapacity(resource.size()) {
 		return state.rejectFull()
 	}
--- a/internal/disk/fault_injection.go
+++ b/internal/disk/fault_injection.go
@@ -9,14 +9,14 @@
 	"time"
 )
 
-// Variable is the environment variable that names a file with the fault of the disk: full, error, torn, or slow and a
+// FaultVariable is the environment variable that names a file with the fault of the disk: full, error, torn, or slow and a
 // duration. The file may come and go at any time.
-const Variable = "OLIVEARCH_GROUND_DISK"
+const FaultVariable = "OLIVEARCH_GROUND_DISK"
 
 // injectFault takes the place of Replace if the disk is to fail; it reports whether it did. A torn write leaves half of
 // the new contents in the file, as a disk does that acknowledges what it has not stored.
 func injectFault(path string, contents []byte) (handled bool, err error) {
-	text, err := os.ReadFile(os.Getenv(Variable))
+	text, err := os.ReadFile(os.Getenv(FaultVariable))
 	if err != nil {
 		return false, nil
 	}
--- a/internal/faulttest/askers.go
+++ b/internal/faulttest/askers.go
@@ -67,7 +67,7 @@
 	defer setup.Close()
 	ctx, cancel := context.WithTimeout(w.ctx, finalWithin)
 	defer cancel()
-	for _, c := range []state.Command{&state.SetResource{Name: leaseBound, Limit: leaseLimit}, &state.SetResource{Name: slotBound, Slots: true, Limit: slotLimit}} {
+	for _, c := range []state.Command{&state.SetResource{Name: leaseBound, Limit: leaseLimit}, &state.SetResource{Name: slotBound, PerSecond: true, Limit: slotLimit}} {
 		if _, err := setup.Propose(ctx, c); err != nil {
 			return nil, fmt.Errorf("the first promises: %w", err)
 		}
@@ -103,9 +103,9 @@
 		x.gap, x.lastYes = max(x.gap, now.Sub(x.lastYes)), now
 		x.yes.RecordValue(max(1, took.Microseconds()))
 		return true, true
-	case errors.Is(err, client.ErrUnsure):
+	case errors.Is(err, client.ErrUncertain):
 		return false, false
-	case errors.Is(err, client.ErrNobody):
+	case errors.Is(err, client.ErrNotAttempted):
 		x.nobody++
 	}
 	return false, true
@@ -161,12 +161,12 @@
 			case err == nil:
 				drop(asked)
 				held, lease = got, &history.Lease{Bound: leaseBound, Holder: got.Holder, Parts: 1, Fence: got.FencingToken, Asked: asked, From: event.Now(), Until: until(got), Limit: leaseLimit}
-			case errors.Is(err, client.ErrRefused) && held != nil: // it has ended there, so it had ended here
+			case errors.Is(err, client.ErrRejected) && held != nil: // it has ended there, so it had ended here
 				drop(lease.Until)
 			}
 		case d < 19 && held != nil:
 			now := event.Now()
-			if _, err := c.Propose(ctx, &state.ReleaseLease{Resource: leaseBound, Holder: held.Holder, FencingToken: held.FencingToken}); !errors.Is(err, client.ErrNobody) {
+			if _, err := c.Propose(ctx, &state.ReleaseLease{Resource: leaseBound, Holder: held.Holder, FencingToken: held.FencingToken}); !errors.Is(err, client.ErrNotAttempted) {
 				drop(now) // whoever gives back does not use it any more, whatever comes of it
 			}
 		default:
@@ -212,12 +212,12 @@
 
 func (x *askers) book(ctx context.Context, c *client.Client, i int, n int64) {
 	began := time.Now()
-	a, err := c.Propose(ctx, &state.Reserve{Resource: slotBound, Holder: fmt.Sprintf("c-%d", i), Sequence: uint64(n), Places: 2, After: 1, Within: 30})
+	a, err := c.Propose(ctx, &state.Reserve{Resource: slotBound, Holder: fmt.Sprintf("c-%d", i), Sequence: uint64(n), Slots: 2, After: 1, Within: 30})
 	if held, _ := x.answered(err, time.Since(began)); !held {
 		return
 	}
 	for _, b := range a.Result.Reserved {
-		x.history.Slots(history.Slot{Bound: slotBound, Second: b.Second, Places: b.Places, Limit: slotLimit})
+		x.history.Slots(history.Slot{Bound: slotBound, Second: b.Second, Places: b.Count, Limit: slotLimit})
 	}
 }
 
--- a/internal/faulttest/word.go
+++ b/internal/faulttest/word.go
@@ -65,7 +65,7 @@
 		one, end := context.WithTimeout(ctx, askWithin)
 		_, err := c.Propose(one, command)
 		end()
-		if err == nil || errors.Is(err, client.ErrRefused) || ctx.Err() != nil {
+		if err == nil || errors.Is(err, client.ErrRejected) || ctx.Err() != nil {
 			return err
 		}
 	}
--- a/internal/frontend/client.go
+++ b/internal/frontend/client.go
@@ -266,7 +266,7 @@
 		return false, f.answer(c, f.health(), c.last)
 	}
 	q := call.PoolRequest()
-	q.Reply, q.Client, c.call = c.answers, c, call
+	q.Responses, q.Client, c.call = c.answers, c, call
 	c.state.Store(waiting)
 	refused, err := call.Admit()
 	if err != nil || refused.Status != 0 {
--- a/internal/frontend/moments_test.go
+++ b/internal/frontend/moments_test.go
@@ -48,7 +48,7 @@
 	t.Helper()
 	select {
 	case q := <-d.asked:
-		q.Reply <- pool.Response{Status: http.StatusOK}
+		q.Responses <- pool.Response{Status: http.StatusOK}
 	case <-time.After(10 * time.Second):
 		t.Fatal("no request comes")
 	}
--- a/internal/frontend/read.go
+++ b/internal/frontend/read.go
@@ -108,6 +108,6 @@
 	if c.Buffered() > 0 && !q.Message.Rest.Live() {
 		return nil, nil, errAhead
 	}
-	q.At = f.desk.Now() // it counts from its last byte
+	q.ReceivedAt = f.desk.Now() // it counts from its last byte
 	return call, h, nil
 }
--- a/internal/metrics/metrics.go
+++ b/internal/metrics/metrics.go
@@ -125,8 +125,8 @@
 	var made, never, old, up, draining float64
 	for i := range s.Pools {
 		p := &s.Pools[i]
-		made, never, old = made+one(p.Created), never+one(!p.Asked()), old+one(p.Expired)
-		up, draining = up+float64(p.Up), draining+float64(p.Draining)
+		made, never, old = made+one(p.HasBalancer), never+one(!p.HasRequests()), old+one(p.Expired)
+		up, draining = up+float64(p.Active), draining+float64(p.Draining)
 	}
 	w.family(gauge, "pools", "Pools by what they hold: made ones have their nodes' state, others a list.")
 	w.line(made, "state", "made")
@@ -144,7 +144,7 @@
 func (s *Snapshot) byPool(w *writer) {
 	each := func(tell func(p *Pool)) {
 		for i := range s.Pools {
-			if p := &s.Pools[i]; p.Asked() || p.Expired {
+			if p := &s.Pools[i]; p.HasRequests() || p.Expired {
 				tell(p)
 			}
 		}
@@ -168,7 +168,7 @@
 	each(func(p *Pool) { w.line(float64(p.Tunnels), "pool", p.Name) })
 	w.family(gauge, "pool_nodes", "Nodes listed, by what holds at this balancer.")
 	each(func(p *Pool) {
-		w.line(float64(p.Up), "pool", p.Name, "phase", "up")
+		w.line(float64(p.Active), "pool", p.Name, "phase", "up")
 		w.line(float64(p.Draining), "pool", p.Name, "phase", "draining")
 	})
 	w.family(gauge, "list_age_seconds", "The time since the last good word from the list's source.")
--- a/internal/metrics/metrics_test.go
+++ b/internal/metrics/metrics_test.go
@@ -47,10 +47,10 @@
 
 func sample() Snapshot {
 	return Snapshot{Version: "1.2", Reloads: 3, Listeners: []live.Listener{{Name: "in", Connections: 4, Limit: 500}}, Pools: []Pool{
-		{"checkin", pool.Stats{Served: 10, Refused: 2, Failed: 1, QueueFull: 7, ServedFor: 2500 * time.Millisecond, Open: 3, Queued: 1, Connections: 2, Tunnels: 1, Up: 5, Draining: 1, Created: true, ListAge: time.Second}},
-		{"never", pool.Stats{Up: 37}},
-		{"old", pool.Stats{Up: 2, Expired: true, ListAge: time.Minute}},
-		{`odd "name"` + "\n\\", pool.Stats{Served: 1, Up: 1, Created: true}},
+		{"checkin", pool.Stats{Served: 10, Refused: 2, Failed: 1, QueueFull: 7, ServedFor: 2500 * time.Millisecond, Open: 3, Queued: 1, Connections: 2, Tunnels: 1, Active: 5, Draining: 1, HasBalancer: true, ListAge: time.Second}},
+		{"never", pool.Stats{Active: 37}},
+		{"old", pool.Stats{Active: 2, Expired: true, ListAge: time.Minute}},
+		{`odd "name"` + "\n\\", pool.Stats{Served: 1, Active: 1, HasBalancer: true}},
 	}, Promises: &live.Promises{Voter: "v1", AgeMS: 250, Words: map[string]int{"out": 2}}}
 }
 
@@ -100,7 +100,7 @@
 	var s Snapshot
 	for i := range 490 {
 		s.Pools = append(s.Pools, Pool{fmt.Sprintf("service-%03d", i), pool.Stats{
-			Served: uint64(i*i*7919 + 1), Refused: uint64(i % 7), ServedFor: time.Duration(i*i*104729 + 1), Connections: i % 40, Up: 37, Created: true,
+			Served: uint64(i*i*7919 + 1), Refused: uint64(i % 7), ServedFor: time.Duration(i*i*104729 + 1), Connections: i % 40, Active: 37, HasBalancer: true,
 			ListAge: time.Duration(i) * 7 * time.Millisecond,
 		}})
 	}
@@ -111,7 +111,7 @@
 	}
 	_, _, plain := read(t, h)
 	for i := range s.Pools {
-		s.Pools[i].Stats = pool.Stats{Up: 37}
+		s.Pools[i].Stats = pool.Stats{Active: 37}
 	}
 	if _, _, quiet := read(t, h); quiet > 8192 {
 		t.Errorf("%d bytes though nobody has asked", quiet)
@@ -167,7 +167,7 @@
 func BenchmarkScrape(b *testing.B) {
 	var s Snapshot
 	for i := range 490 {
-		s.Pools = append(s.Pools, Pool{fmt.Sprintf("service-%03d", i), pool.Stats{Served: uint64(i*i*7919 + 1), Connections: i % 40, Up: 37, Created: true}})
+		s.Pools = append(s.Pools, Pool{fmt.Sprintf("service-%03d", i), pool.Stats{Served: uint64(i*i*7919 + 1), Connections: i % 40, Active: 37, HasBalancer: true}})
 	}
 	h := Handler(func() Snapshot { return s })
 	r := httptest.NewRequest(http.MethodGet, "/metrics", nil)
--- a/internal/override/shared.go
+++ b/internal/override/shared.go
@@ -13,30 +13,30 @@
 // Shared is what the overrides in the coordination cluster say of the upstreams of one pool. The zero value says
 // nothing.
 type Shared struct {
-	All    bool               // the whole pool is out of service
-	Out    map[string]bool    // upstreams out of service, by id
-	Zones  map[string]bool    // zones out of service
-	Caps   map[string]int     // by upstream: attempts in flight from this balancer at once
-	Shares map[string]float64 // by upstream: fraction of its weight
+	WholePool       bool               // the whole pool is out of service
+	Upstreams       map[string]bool    // upstreams out of service, by id
+	Zones           map[string]bool    // zones out of service
+	ConcurrencyCaps map[string]int     // by upstream: attempts in flight from this balancer at once
+	WeightFactors   map[string]float64 // by upstream: fraction of its weight
 }
 
-// ForPool selects what overrides mean for a pool. Those of upstreams and zones name no pool, so they apply to every
-// pool that has such an upstream or zone.
-func ForPool(overrides []state.Override, pool string) Shared {
+// SharedForPool selects what overrides mean for a pool. Those of upstreams and zones name no pool, so they apply to
+// every pool that has such an upstream or zone.
+func SharedForPool(overrides []state.Override, pool string) Shared {
 	shared := Shared{
-		Out:    map[string]bool{},
-		Zones:  map[string]bool{},
-		Caps:   map[string]int{},
-		Shares: map[string]float64{},
+		Upstreams:       map[string]bool{},
+		Zones:           map[string]bool{},
+		ConcurrencyCaps: map[string]int{},
+		WeightFactors:   map[string]float64{},
 	}
 	for _, override := range overrides {
 		switch override.Kind {
 		case state.OutOfService:
 			shared.addOutOfService(override.Subject, pool)
 		case state.ConcurrencyCap:
-			shared.Caps[override.Target] = int(override.Value)
+			shared.ConcurrencyCaps[override.Target] = int(override.Value)
 		case state.TrafficShare:
-			shared.Shares[override.Target] = float64(override.Value) / thousandths
+			shared.WeightFactors[override.Target] = float64(override.Value) / thousandths
 		}
 	}
 	return shared
@@ -45,11 +45,11 @@
 func (s *Shared) addOutOfService(subject state.Subject, pool string) {
 	switch subject.Scope {
 	case state.ScopeUpstream:
-		s.Out[subject.Target] = true
+		s.Upstreams[subject.Target] = true
 	case state.ScopeZone:
 		s.Zones[subject.Target] = true
 	case state.ScopePool:
-		s.All = s.All || subject.Target == pool
+		s.WholePool = s.WholePool || subject.Target == pool
 	}
 }
 
@@ -68,8 +68,8 @@
 // clearedBy lists what s keeps out of service and next does not.
 func (s *Shared) clearedBy(next Shared) []scopedTarget {
 	var cleared []scopedTarget
-	for id := range s.Out {
-		if !next.Out[id] {
+	for id := range s.Upstreams {
+		if !next.Upstreams[id] {
 			cleared = append(cleared, scopedTarget{state.ScopeUpstream, id})
 		}
 	}
@@ -78,7 +78,7 @@
 			cleared = append(cleared, scopedTarget{state.ScopeZone, zone})
 		}
 	}
-	if s.All && !next.All {
+	if s.WholePool && !next.WholePool {
 		cleared = append(cleared, scopedTarget{scope: state.ScopePool})
 	}
 	return cleared
--- a/internal/override/shared_test.go
+++ b/internal/override/shared_test.go
@@ -28,7 +28,7 @@
 	}
 	wantReturned := func(id, zone string, at time.Duration) {
 		t.Helper()
-		if got := table.ReturnedAt(id, zone); got != at {
+		if got := table.PutBackAt(id, zone); got != at {
 			t.Errorf("%s in zone %s: put back at %v, want %v: %+v", id, zone, got, at, table)
 		}
 	}
@@ -46,7 +46,7 @@
 
 	// A local override of a, and shared ones.
 	table.TakeOut("a", 1)
-	table.ApplyShared(ForPool([]state.Override{
+	table.ApplyShared(SharedForPool([]state.Override{
 		outOfService(state.ScopeUpstream, "a"),
 		outOfService(state.ScopeZone, "z"),
 		outOfService(state.ScopePool, "other"),
@@ -66,7 +66,7 @@
 	wantOut("a", "y", true)
 
 	// The upstream and the zone are put back while the whole pool goes out of service.
-	table.ApplyShared(ForPool([]state.Override{outOfService(state.ScopePool, "mine")}, "mine"), 5)
+	table.ApplyShared(SharedForPool([]state.Override{outOfService(state.ScopePool, "mine")}, "mine"), 5)
 	wantOut("c", "y", true)
 	wantReturned("a", "y", 5)
 	wantReturned("b", "z", 5)
@@ -92,23 +92,27 @@
 		want      Shared
 	}{
 		{"none", nil, Shared{}},
-		{"upstream", []state.Override{outOfService(state.ScopeUpstream, "a")}, Shared{Out: map[string]bool{"a": true}}},
+		{"upstream", []state.Override{outOfService(state.ScopeUpstream, "a")}, Shared{Upstreams: map[string]bool{"a": true}}},
 		{"zone", []state.Override{outOfService(state.ScopeZone, "z")}, Shared{Zones: map[string]bool{"z": true}}},
 		{"another pool", []state.Override{outOfService(state.ScopePool, "other")}, Shared{}},
 		{
 			"this pool, before another",
 			[]state.Override{outOfService(state.ScopePool, "mine"), outOfService(state.ScopePool, "other")},
-			Shared{All: true},
+			Shared{WholePool: true},
+		},
+		{
+			"cap",
+			[]state.Override{upstreamOverride(state.ConcurrencyCap, "a", 4)},
+			Shared{ConcurrencyCaps: map[string]int{"a": 4}},
 		},
-		{"cap", []state.Override{upstreamOverride(state.ConcurrencyCap, "a", 4)}, Shared{Caps: map[string]int{"a": 4}}},
 		{
 			"traffic share",
 			[]state.Override{upstreamOverride(state.TrafficShare, "a", 1)},
-			Shared{Shares: map[string]float64{"a": 0.001}},
+			Shared{WeightFactors: map[string]float64{"a": 0.001}},
 		},
 	} {
 		t.Run(test.name, func(t *testing.T) {
-			if got, want := ForPool(test.overrides, "mine"), withMaps(test.want); !reflect.DeepEqual(got, want) {
+			if got, want := SharedForPool(test.overrides, "mine"), withMaps(test.want); !reflect.DeepEqual(got, want) {
 				t.Errorf("got %+v, want %+v", got, want)
 			}
 		})
@@ -117,17 +121,17 @@
 
 // withMaps puts empty maps in the place of nil ones, as ForPool returns them.
 func withMaps(shared Shared) Shared {
-	if shared.Out == nil {
-		shared.Out = map[string]bool{}
+	if shared.Upstreams == nil {
+		shared.Upstreams = map[string]bool{}
 	}
 	if shared.Zones == nil {
 		shared.Zones = map[string]bool{}
 	}
-	if shared.Caps == nil {
-		shared.Caps = map[string]int{}
+	if shared.ConcurrencyCaps == nil {
+		shared.ConcurrencyCaps = map[string]int{}
 	}
-	if shared.Shares == nil {
-		shared.Shares = map[string]float64{}
+	if shared.WeightFactors == nil {
+		shared.WeightFactors = map[string]float64{}
 	}
 	return shared
 }
--- a/internal/override/table.go
+++ b/internal/override/table.go
@@ -31,12 +31,12 @@
 
 // OutOfService reports whether an upstream of a zone is out of service by a local or a shared override.
 func (t *Table) OutOfService(id, zone string) bool {
-	return t.OutLocally(id) || t.shared.All || t.shared.Out[id] || t.shared.Zones[zone]
+	return t.OutLocally(id) || t.shared.WholePool || t.shared.Upstreams[id] || t.shared.Zones[zone]
 }
 
-// ReturnedAt returns when an upstream of a zone was last put back, by clearing either kind of override, as Unix time.
+// PutBackAt returns when an upstream of a zone was last put back, by clearing either kind of override, as Unix time.
 // It returns 0 if that was not lately.
-func (t *Table) ReturnedAt(id, zone string) time.Duration {
+func (t *Table) PutBackAt(id, zone string) time.Duration {
 	if len(t.sharedPutBack) == 0 { // nearly always: spares the look-ups below
 		return t.putBackLocallyAt(id)
 	}
@@ -49,11 +49,11 @@
 }
 
 // ConcurrencyCap returns how many attempts this balancer may have in flight at an upstream; 0 means no cap.
-func (t *Table) ConcurrencyCap(id string) int { return t.shared.Caps[id] }
+func (t *Table) ConcurrencyCap(id string) int { return t.shared.ConcurrencyCaps[id] }
 
 // WeightFactor returns the fraction of its weight that an upstream has: above 0, and 1 without an override.
 func (t *Table) WeightFactor(id string) float64 {
-	if factor, ok := t.shared.Shares[id]; ok && factor > 0 {
+	if factor, ok := t.shared.WeightFactors[id]; ok && factor > 0 {
 		return factor
 	}
 	return 1
@@ -65,7 +65,7 @@
 func (t *Table) ReleaseLocal(id string, now time.Duration) {
 	switch {
 	case !t.OutLocally(id):
-	case t.shared.Out[id]:
+	case t.shared.Upstreams[id]:
 		delete(t.local, id)
 	default:
 		t.PutBack(id, now)
--- a/internal/pool/attempt.go
+++ b/internal/pool/attempt.go
@@ -109,7 +109,7 @@
 // mayConnect reports whether an attempt may have a connection.
 func (l *loop) mayConnect(a *attempt) bool {
 	isTunnel := a.request.Message.Upgrade != ""
-	if isTunnel && a.endpoint.tunnelCount >= l.tunnelLimits.PerNode {
+	if isTunnel && a.endpoint.tunnelCount >= l.tunnelLimits.PerEndpoint {
 		return false
 	}
 	return a.request.isOpen() && a.Wait > 0 && a.endpoint.state == balancer.Active
@@ -170,7 +170,7 @@
 	}
 	request.hintSent = true
 	// Reply has room for it and for the final response.
-	request.Reply <- Response{Status: http.StatusEarlyHints, Header: e.fields}
+	request.Responses <- Response{Status: http.StatusEarlyHints, Header: e.fields}
 }
 
 // attemptFinished is an attempt that has ended on its connection.
--- a/internal/pool/clock_step_test.go
+++ b/internal/pool/clock_step_test.go
@@ -17,7 +17,7 @@
 // TestClockStepsWhileDormant runs it.
 func TestClockSteps(t *testing.T) {
 	file := filepath.Join(t.TempDir(), "clock")
-	t.Setenv(clock.Variable, file)
+	t.Setenv(clock.OffsetVariable, file)
 	set := func(by string) {
 		if err := os.WriteFile(file, []byte(by), 0o600); err != nil {
 			t.Fatal(err)
--- a/internal/pool/configure.go
+++ b/internal/pool/configure.go
@@ -23,8 +23,8 @@
 // updateRegistration applies what a Spec says of endpoints that other pools list too.
 func (l *loop) updateRegistration(spec Spec) {
 	l.registration.setWeight(spec.SharedWeight)
-	if l.registration.ownDrainsOnly != spec.OwnDrains {
-		l.registration.ownDrainsOnly = spec.OwnDrains
+	if l.registration.ownDrainsOnly != spec.IgnoreDrainsOfOthers {
+		l.registration.ownDrainsOnly = spec.IgnoreDrainsOfOthers
 		l.refreshAllotments(func(string) bool { return true })
 	}
 }
--- a/internal/pool/connection_pool.go
+++ b/internal/pool/connection_pool.go
@@ -25,7 +25,7 @@
 	max         int           // Spec.Connections
 	idleTimeout time.Duration // after which an idle connection is closed
 	nextSweepAt time.Duration // when connections that have been idle for too long are looked for next
-	// delayOnlyAfterUnsolicited is Spec.KeepUntilUnsolicited.
+	// delayOnlyAfterUnsolicited is Spec.ReuseDelayOnlyAfterUnsolicited.
 	delayOnlyAfterUnsolicited bool
 }
 
--- a/internal/pool/endpoint.go
+++ b/internal/pool/endpoint.go
@@ -124,7 +124,7 @@
 // overrideUpstream applies what operators have set to what the balancer sees of an endpoint, but for its state.
 func (l *loop) overrideUpstream(endpoint *endpoint) {
 	seen := &endpoint.upstream
-	returnedAt := l.overrides.ReturnedAt(endpoint.name, seen.Zone)
+	returnedAt := l.overrides.PutBackAt(endpoint.name, seen.Zone)
 	if returnedAt > 0 { // it was restarted while out of service, of which lists tell late
 		seen.StartedAt = max(seen.StartedAt, returnedAt)
 	}
--- a/internal/pool/loop.go
+++ b/internal/pool/loop.go
@@ -90,9 +90,9 @@
 	l.fullResponses = spec.FullResponses
 	l.tunnelLimits = spec.Tunnels
 	l.connections.transport = upstream.HTTP1{Timeout: spec.Links.ConnectTimeout, Whole: spec.FullResponses}
-	l.connections.max = spec.Connections
+	l.connections.max = spec.MaxConnections
 	l.connections.idleTimeout = max(spec.Links.KeepAlive-idleMargin, spec.Links.KeepAlive/2)
-	l.connections.delayOnlyAfterUnsolicited = spec.KeepUntilUnsolicited
+	l.connections.delayOnlyAfterUnsolicited = spec.ReuseDelayOnlyAfterUnsolicited
 }
 
 // now is the time on the loop's clock. Any goroutine may call it.
--- a/internal/pool/loop_test.go
+++ b/internal/pool/loop_test.go
@@ -134,7 +134,7 @@
 	want(t, "endpoints while it is in flight", len(h.endpoints), 2)
 	close(release)
 	h.handleEvents()
-	want(t, "status", (<-request.Reply).Status, 200)
+	want(t, "status", (<-request.Responses).Status, 200)
 	want(t, "endpoints", len(h.endpoints), 1)
 	want(t, "connections", h.connections.open, 0)
 }
@@ -176,7 +176,7 @@
 // and no outcome is left to report.
 func TestNoConnectionLeft(t *testing.T) {
 	spec := testSpec()
-	spec.Connections = 0
+	spec.MaxConnections = 0
 	spec.InitialEndpoints.Members = []discovery.Member{unreachableMember("s-00000001", "127.0.0.1:9")}
 	h := newManualLoop(t, spec)
 	request := newRequest("", h.now(), time.Second)
--- a/internal/pool/manual_loop_test.go
+++ b/internal/pool/manual_loop_test.go
@@ -29,7 +29,7 @@
 		Name:             "n0",
 		Seed:             1,
 		Discovery:        "127.0.0.1:9",
-		Connections:      400,
+		MaxConnections:   400,
 		InitialEndpoints: &discovery.Listing{},
 		Links:            wire.Links{KeepAlive: time.Minute, ConnectTimeout: 500 * time.Millisecond},
 		Settings: balancer.Settings{
@@ -80,7 +80,7 @@
 
 // newRequest is a request of the class "checkin" whose last byte comes at a time on its pool's clock.
 func newRequest(name string, at, budget time.Duration) *Request {
-	request := &Request{Name: name, At: at, Reply: make(chan Response, 1)}
+	request := &Request{ClientRequestID: name, ReceivedAt: at, Responses: make(chan Response, 1)}
 	request.Class = "checkin"
 	request.Budget = budget
 	request.Message = upstream.Message{Line: "POST /checkin", Host: "x"}
@@ -145,7 +145,7 @@
 	for len(h.requests) > 0 || h.hasOpenAttempts() {
 		h.handleEvents()
 	}
-	return <-request.Reply
+	return <-request.Responses
 }
 
 // handleEvents waits for events and handles them.
--- a/internal/pool/pool.go
+++ b/internal/pool/pool.go
@@ -35,8 +35,8 @@
 ) (*Pool, error) {
 	ctx, stop := context.WithCancel(ctx)
 	p := &Pool{loop: newLoop(ctx, spec), name: spec.Name, stop: stop, ended: make(chan struct{})}
-	p.queueLimit.Store(int64(spec.Queue))
-	p.loop.registration = registry.join(spec.SharedWeight, spec.OwnDrains, p.loop.enqueueUrgent)
+	p.queueLimit.Store(int64(spec.MaxRequests))
+	p.loop.registration = registry.join(spec.SharedWeight, spec.IgnoreDrainsOfOthers, p.loop.enqueueUrgent)
 	p.loop.overrides.Merge(overrides)
 	if err := p.loop.start(spec.InitialEndpoints); err != nil {
 		p.loop.registration.remove()
@@ -155,8 +155,8 @@
 	return member
 }
 
-// SourceFailed notes why the list's source has given no good answer. The last list stays in use.
-func (p *Pool) SourceFailed(why error) { p.loop.enqueueUrgent(endpointsUpdated{Err: why}) }
+// ListSourceFailed notes why the list's source has given no good answer. The last list stays in use.
+func (p *Pool) ListSourceFailed(why error) { p.loop.enqueueUrgent(endpointsUpdated{Err: why}) }
 
 // ConfirmEndpoints notes that the list's source says that the list has not changed. It does not wake the pool's
 // goroutine.
@@ -172,7 +172,7 @@
 		return fmt.Errorf("pool %s has ended", p.name)
 	}
 	if err == nil {
-		p.queueLimit.Store(int64(spec.Queue))
+		p.queueLimit.Store(int64(spec.MaxRequests))
 	}
 	return err
 }
--- a/internal/pool/registration.go
+++ b/internal/pool/registration.go
@@ -104,17 +104,17 @@
 // that those of all addresses may.
 func (r *registration) applyChanges(update allotmentsChanged, changed func(address string)) (all bool) {
 	for _, change := range update.changes {
-		_, claimed := r.claimed[change.Node]
-		isOfEarlierUse := r.unconfirmed[change.Node] > update.claimSerial
+		_, claimed := r.claimed[change.Address]
+		isOfEarlierUse := r.unconfirmed[change.Address] > update.claimSerial
 		if !claimed || isOfEarlierUse {
 			continue
 		}
 		if change.Exclusive {
-			delete(r.allotments, change.Node)
+			delete(r.allotments, change.Address)
 		} else {
-			r.allotments[change.Node] = change.Allotment
+			r.allotments[change.Address] = change.Allotment
 		}
-		changed(change.Node)
+		changed(change.Address)
 	}
 	if !update.claimAccepted {
 		return false
--- a/internal/pool/request.go
+++ b/internal/pool/request.go
@@ -24,12 +24,12 @@
 // pool.
 type Request struct {
 	balancer.Request
-	Name    string // the client's id of it
-	Message upstream.Message
-	At      time.Duration // when the last byte had come, on the pool's clock
-	// Reply has room for the final response, and for an interim one (status 103) where Message asks for these.
-	Reply  chan Response
-	Client Client // nil: it is not known whether the client is still connected
+	ClientRequestID string // the client's id of it
+	Message         upstream.Message
+	ReceivedAt      time.Duration // when the last byte had come, on the pool's clock
+	// Responses has room for the final response, and for an interim one (status 103) where Message asks for these.
+	Responses chan Response
+	Client    Client // nil: it is not known whether the client is still connected
 
 	loop          *loop // of the pool to which it was submitted
 	state         requestState
@@ -72,7 +72,7 @@
 	if r.clientGone.Load() {
 		return false
 	}
-	mayBeChecked := r.Client != nil && r.loop.now()-r.At > clientCheckDelay
+	mayBeChecked := r.Client != nil && r.loop.now()-r.ReceivedAt > clientCheckDelay
 	if mayBeChecked && !r.Client.Connected() {
 		r.clientGone.Store(true)
 	}
@@ -93,10 +93,10 @@
 		request.state = request.state.after(clientDeparted)
 		return
 	}
-	if l.clientRequestIDs[request.Name] {
+	if l.clientRequestIDs[request.ClientRequestID] {
 		// An endpoint could not tell the two requests apart. The later one is refused, the earlier one goes on.
 		request.state = request.state.after(finalResponseSent)
-		request.Reply <- Response{Status: http.StatusConflict}
+		request.Responses <- Response{Status: http.StatusConflict}
 		return
 	}
 	if err := l.createBalancer(); err != nil {
@@ -113,10 +113,10 @@
 // register gives a request its id and deadline.
 func (l *loop) register(request *Request, now time.Duration) {
 	l.suspension.unusedSince = 0
-	l.clientRequestIDs[request.Name] = true
+	l.clientRequestIDs[request.ClientRequestID] = true
 	l.lastRequestID++
 	request.ID = balancer.RequestID(l.lastRequestID) // of the pool's own: clients' ids need not be unique
-	request.deadline = request.At + request.Budget
+	request.deadline = request.ReceivedAt + request.Budget
 	request.Budget = max(0, request.deadline-now)
 	if request.Message.Rest.Live() { // the budget counts from the last byte, which the client has not sent yet
 		request.deadline = now + request.Message.Most().Within
@@ -176,7 +176,7 @@
 func (r *Request) discardResponses() {
 	for {
 		select {
-		case response := <-r.Reply:
+		case response := <-r.Responses:
 			response.Stream.Abandon()
 			response.Tunnel.Close()
 		default:
@@ -203,10 +203,10 @@
 		l.counters.failed.Add(1)
 	default:
 		l.counters.served.Add(1)
-		l.counters.servedFor.Add(int64(max(0, l.now()-request.At)))
+		l.counters.servedFor.Add(int64(max(0, l.now()-request.ReceivedAt)))
 	}
 	response.RetryAfterInSeconds = l.fullResponses
-	request.Reply <- response // has room
+	request.Responses <- response // has room
 	l.closeRequest(request, finalResponseSent)
 }
 
@@ -232,6 +232,6 @@
 		return
 	}
 	delete(l.requests, request.ID)
-	delete(l.clientRequestIDs, request.Name)
+	delete(l.clientRequestIDs, request.ClientRequestID)
 	l.timers.cancel(&request.deadlineTimer)
 }
--- a/internal/pool/running_pool_test.go
+++ b/internal/pool/running_pool_test.go
@@ -14,7 +14,7 @@
 	spec := testSpec()
 	spec.Discovery = ""
 	spec.InitialEndpoints = nil
-	spec.Queue = 1000
+	spec.MaxRequests = 1000
 	spec.Links.KeepAlive = 200 * time.Millisecond
 	spec.Settings.PollDiscovery = false
 	spec.Settings.SuspendWhenIdle = true
@@ -42,7 +42,7 @@
 		t.Fatal(err)
 	}
 	p := &Pool{loop: l, name: spec.Name, stop: cancel, ended: make(chan struct{})}
-	p.queueLimit.Store(int64(spec.Queue))
+	p.queueLimit.Store(int64(spec.MaxRequests))
 	l.mailbox.start(l.run)
 	return &runningPool{p, t}
 }
@@ -78,7 +78,7 @@
 // submit submits a request.
 func (p *runningPool) submit(name string) *Request {
 	request := newRequest(name, p.Now(), 3*time.Second)
-	request.Reply = make(chan Response, 2)
+	request.Responses = make(chan Response, 2)
 	p.Submit(request)
 	return request
 }
@@ -87,7 +87,7 @@
 func (p *runningPool) request(name string) Response {
 	p.t.Helper()
 	select {
-	case response := <-p.submit(name).Reply:
+	case response := <-p.submit(name).Responses:
 		return response
 	case <-time.After(eventPatience):
 		p.t.Fatal("no response")
--- a/internal/pool/spec.go
+++ b/internal/pool/spec.go
@@ -24,18 +24,18 @@
 	// MaxEndpointAge is how long a list is used without a good answer from its source; 0: for ever.
 	MaxEndpointAge time.Duration
 
-	// Connections bounds the connections to all endpoints together.
-	Connections int
-	// Queue bounds the requests in the pool, forwarded or waiting.
-	Queue int
+	// MaxConnections bounds the connections to all endpoints together.
+	MaxConnections int
+	// MaxRequests bounds the requests in the pool, forwarded or waiting.
+	MaxRequests int
 	// SharedWeight is the pool's weight on endpoints that other pools list too.
 	SharedWeight float64
-	// OwnDrains leaves out of account which endpoints drain by other pools' lists.
-	OwnDrains bool
-	// KeepUntilUnsolicited lets a connection carry the next request at once, unless its endpoint has sent unsolicited
-	// bytes. Else each connection stays unused for connectionReuseDelay between two requests.
-	KeepUntilUnsolicited bool
-	Tunnels              TunnelLimits
+	// IgnoreDrainsOfOthers leaves out of account which endpoints drain by other pools' lists.
+	IgnoreDrainsOfOthers bool
+	// ReuseDelayOnlyAfterUnsolicited lets a connection carry the next request at once, unless its endpoint has sent
+	// unsolicited bytes. Else each connection stays unused for connectionReuseDelay between two requests.
+	ReuseDelayOnlyAfterUnsolicited bool
+	Tunnels                        TunnelLimits
 	// FullResponses passes on all that endpoints answer, not status 200 and the body only.
 	FullResponses bool
 }
@@ -49,6 +49,6 @@
 
 // TunnelLimits bound the connections that have changed their protocol.
 type TunnelLimits struct {
-	Total   int // of the pool
-	PerNode int // of one endpoint
+	Total       int // of the pool
+	PerEndpoint int // of one endpoint
 }
--- a/internal/pool/stats.go
+++ b/internal/pool/stats.go
@@ -16,24 +16,24 @@
 	// ServedFor is the sum of the times that served requests took, from their arrival to the response's head.
 	ServedFor time.Duration
 	// Open is how many requests are in the pool, Queue how many may be.
-	Open, Queue int
+	Open, MaxRequests int
 	// Queued is how many of the open requests wait to be sent.
 	Queued int
 	// Connections is how many connections to endpoints are open, Limit how many may be.
-	Connections, Limit int
-	Tunnels            int
-	// Up and Draining count the listed endpoints by the state that counts for this pool.
-	Up, Draining int
-	// Created: the pool has a balancer, since it has had requests or is large.
-	Created bool
+	Connections, MaxConnections int
+	Tunnels                     int
+	// Active and Draining count the listed endpoints by the state that counts for this pool.
+	Active, Draining int
+	// HasBalancer: the pool has a balancer, since it has had requests or is large.
+	HasBalancer bool
 	// ListAge is the time since the list's source gave its last good answer.
 	ListAge time.Duration
 	// Expired: the list is too old to be used, and all requests are refused.
 	Expired bool
 }
 
-// Asked reports whether the pool has ever had a request.
-func (s *Stats) Asked() bool { return s.Served+s.Refused+s.Failed+s.QueueFull > 0 || s.Open > 0 }
+// HasRequests reports whether the pool has ever had a request.
+func (s *Stats) HasRequests() bool { return s.Served+s.Refused+s.Failed+s.QueueFull > 0 || s.Open > 0 }
 
 // counters are what other goroutines read of a pool. Counters are exact; levels are as the loop left them when it was
 // parked, or up to sweepInterval ago while it runs.
@@ -53,20 +53,20 @@
 func (p *Pool) Stats() Stats {
 	levels := &p.loop.counters
 	stats := Stats{
-		Served:      levels.served.Load(),
-		Refused:     levels.refused.Load(),
-		Failed:      levels.failed.Load(),
-		QueueFull:   p.queueFull.Load(),
-		ServedFor:   time.Duration(levels.servedFor.Load()),
-		Open:        int(max(0, p.admitted.Load())),
-		Queue:       int(p.queueLimit.Load()),
-		Queued:      int(levels.queued.Load()),
-		Connections: int(levels.connections.Load()),
-		Limit:       int(levels.connectionLimit.Load()),
-		Tunnels:     int(levels.tunnels.Load()),
-		Up:          int(levels.active.Load()),
-		Draining:    int(levels.draining.Load()),
-		Created:     levels.created.Load(),
+		Served:         levels.served.Load(),
+		Refused:        levels.refused.Load(),
+		Failed:         levels.failed.Load(),
+		QueueFull:      p.queueFull.Load(),
+		ServedFor:      time.Duration(levels.servedFor.Load()),
+		Open:           int(max(0, p.admitted.Load())),
+		MaxRequests:    int(p.queueLimit.Load()),
+		Queued:         int(levels.queued.Load()),
+		Connections:    int(levels.connections.Load()),
+		MaxConnections: int(levels.connectionLimit.Load()),
+		Tunnels:        int(levels.tunnels.Load()),
+		Active:         int(levels.active.Load()),
+		Draining:       int(levels.draining.Load()),
+		HasBalancer:    levels.created.Load(),
 	}
 	receivedAt := time.Duration(levels.listReceivedAt.Load())
 	confirmedAt := time.Duration(p.loop.source.confirmedAt.Load())
--- a/internal/pool/stats_test.go
+++ b/internal/pool/stats_test.go
@@ -17,8 +17,8 @@
 // comparableStats are the stats that a view has too.
 func comparableStats(s Stats) string {
 	return fmt.Sprint(
-		s.Served, s.Refused, s.Failed, s.QueueFull, s.Open, s.Queue, s.Queued,
-		s.Connections, s.Limit, s.Tunnels, s.Up, s.Draining, s.Expired,
+		s.Served, s.Refused, s.Failed, s.QueueFull, s.Open, s.MaxRequests, s.Queued,
+		s.Connections, s.MaxConnections, s.Tunnels, s.Active, s.Draining, s.Expired,
 	)
 }
 
@@ -82,7 +82,7 @@
 	for step := range 40 {
 		what := p.randomStep(rng, server, step)
 		p.checkStatsMatchView(fmt.Sprintf("step %d: %s", step, what))
-		if p.Stats().Created {
+		if p.Stats().HasBalancer {
 			created.Add(1)
 		} else {
 			dormant.Add(1)
@@ -115,7 +115,7 @@
 		return "a local override"
 	case 3:
 		id := fmt.Sprintf("n%d", 1+rng.IntN(5))
-		p.ApplyOverrides(override.Shared{Out: map[string]bool{id: true}})
+		p.ApplyOverrides(override.Shared{Upstreams: map[string]bool{id: true}})
 		return "a shared override"
 	case 4:
 		if status := p.request(fmt.Sprint(step)).Status; status != http.StatusOK {
@@ -127,7 +127,7 @@
 		p.await("closed", func() bool { return p.Stats().Connections == 0 })
 		p.awaitParked()
 		p.inspect(func(l *loop) { l.suspension.unusedSince = l.now() - l.suspension.balancerIdleTimeout })
-		p.await("released", func() bool { return !p.Stats().Created })
+		p.await("released", func() bool { return !p.Stats().HasBalancer })
 		return "released"
 	}
 }
@@ -155,12 +155,12 @@
 	p.awaitParked()
 	before := parked.Load()
 	for range 100 {
-		if stats := p.Stats(); stats.Up != 1 || stats.Created || stats.Asked() {
+		if stats := p.Stats(); stats.Active != 1 || stats.HasBalancer || stats.HasRequests() {
 			t.Fatalf("%+v", stats)
 		}
 	}
 	want(t, "times that its goroutine ran", parked.Load(), before)
-	if view := p.ViewOf(live.Part{Nodes: live.NoNodes}); len(view.Nodes) != 0 {
+	if view := p.PartialView(live.Part{Nodes: live.NoNodes}); len(view.Nodes) != 0 {
 		t.Errorf("%d endpoints", len(view.Nodes))
 	}
 	p.awaitParked()
@@ -175,7 +175,7 @@
 	began := time.Now()
 	want(t, "status", p.request("1").Status, http.StatusOK)
 	took := time.Since(began)
-	if stats := p.Stats(); stats.ServedFor <= 0 || stats.ServedFor > took || !stats.Asked() {
+	if stats := p.Stats(); stats.ServedFor <= 0 || stats.ServedFor > took || !stats.HasRequests() {
 		t.Errorf("%v of at most %v", stats.ServedFor, took)
 	}
 	sum := p.Stats().ServedFor
@@ -207,9 +207,9 @@
 	})
 	p.await("closed", func() bool { return p.Stats().Connections == 0 }) // it enqueues no event
 	p.awaitParked()
-	want(t, "balancer", p.Stats().Created, true)
+	want(t, "balancer", p.Stats().HasBalancer, true)
 	p.inspect(func(l *loop) {
 		l.suspension.unusedSince = l.now() + 5*time.Millisecond - l.suspension.balancerIdleTimeout
 	})
-	p.await("released", func() bool { return !p.Stats().Created })
+	p.await("released", func() bool { return !p.Stats().HasBalancer })
 }
--- a/internal/pool/suspend_test.go
+++ b/internal/pool/suspend_test.go
@@ -66,7 +66,7 @@
 	request := p.submit("1")
 	close(goOn)
 	select {
-	case response := <-request.Reply:
+	case response := <-request.Responses:
 		want(t, "status", response.Status, http.StatusOK)
 	case <-time.After(5 * time.Second):
 		t.Fatal("the request is lost")
@@ -111,7 +111,7 @@
 	for what, drain := range map[string]func(p *runningPool){
 		"list":            func(p *runningPool) { p.setEndpoints(drainingEntry("a", a), listEntry("b", b)) },
 		"out of service":  func(p *runningPool) { want(t, "out of service", p.SetOutOfService("a", true), nil) },
-		"shared override": func(p *runningPool) { p.ApplyOverrides(override.Shared{Out: map[string]bool{"a": true}}) },
+		"shared override": func(p *runningPool) { p.ApplyOverrides(override.Shared{Upstreams: map[string]bool{"a": true}}) },
 		"merged override": func(p *runningPool) {
 			p.MergeOverrides(map[string]override.Entry{"a": {Out: true, At: 1}})
 		},
@@ -272,7 +272,7 @@
 	time.Sleep(300 * time.Millisecond)
 	want(t, "balancer", p.hasBalancer(), true)
 	close(release)
-	want(t, "status", (<-request.Reply).Status, http.StatusOK)
+	want(t, "status", (<-request.Responses).Status, http.StatusOK)
 	p.awaitReleased()
 }
 
@@ -310,7 +310,7 @@
 	request := newRequest("1", p.Now(), time.Second)
 	request.Tenant = "t"
 	p.Submit(request)
-	want(t, "status", (<-request.Reply).Status, http.StatusOK)
+	want(t, "status", (<-request.Responses).Status, http.StatusOK)
 	p.checkHeldSince(time.Now())
 }
 
@@ -324,7 +324,7 @@
 		return false
 	})
 	spec := suspendableSpec()
-	spec.Tunnels = TunnelLimits{Total: 1, PerNode: 1}
+	spec.Tunnels = TunnelLimits{Total: 1, PerEndpoint: 1}
 	spec.Links.KeepAlive = 2 * releaseDelay // it is no idle connection: it holds the balancer by itself
 	p := startPool(t, spec, releaseDelay, nil)
 	p.setEndpoints(listEntry("a", server))
@@ -333,7 +333,7 @@
 	request.Message.Upgrade = "echo"
 	request.Message.Tunnel = &body.TunnelLimits{Idle: time.Minute, Grace: time.Minute}
 	p.Submit(request)
-	response := <-request.Reply
+	response := <-request.Responses
 	if response.Status != http.StatusSwitchingProtocols || response.Tunnel == nil {
 		t.Fatalf("got %d", response.Status)
 	}
@@ -408,7 +408,7 @@
 		t.Errorf("wrong settings: %v", err)
 	}
 	next := spec
-	next.Connections = 7
+	next.MaxConnections = 7
 	want(t, "configure", p.Configure(next), nil)
 	want(t, "balancer", p.hasBalancer(), false)
 	want(t, "limit", p.View().Limit, 7)
--- a/internal/pool/unsent_attempt_test.go
+++ b/internal/pool/unsent_attempt_test.go
@@ -49,7 +49,7 @@
 		}},
 		{
 			name: "the client leaves, and its reader has not run", client: fixedClient(false),
-			change: func(h *manualLoop, r *Request, _ *scripted.Node) { r.At -= 2 * clientCheckDelay },
+			change: func(h *manualLoop, r *Request, _ *scripted.Node) { r.ReceivedAt -= 2 * clientCheckDelay },
 		},
 	}
 	for _, c := range cases {
@@ -126,7 +126,7 @@
 			}
 			if late {
 				// The key's scope is all endpoints: a repeat by the client is dropped there.
-				want(t, "status", (<-r.Reply).Status, http.StatusServiceUnavailable)
+				want(t, "status", (<-r.Responses).Status, http.StatusServiceUnavailable)
 			}
 		})
 	}
--- a/internal/pool/view.go
+++ b/internal/pool/view.go
@@ -10,10 +10,10 @@
 )
 
 // View returns the pool's state at this moment.
-func (p *Pool) View() live.Pool { return p.ViewOf(live.Part{}) }
+func (p *Pool) View() live.Pool { return p.PartialView(live.Part{}) }
 
-// ViewOf returns a part of it. That of a pool that has ended has a name only.
-func (p *Pool) ViewOf(part live.Part) live.Pool {
+// PartialView returns a part of it. That of a pool that has ended has a name only.
+func (p *Pool) PartialView(part live.Part) live.Pool {
 	reply := make(chan live.Pool, 1)
 	p.loop.enqueue(viewRequested{part, reply})
 	select {
@@ -27,7 +27,7 @@
 	}
 }
 
-// viewRequested is a call of ViewOf.
+// viewRequested is a call of PartialView.
 type viewRequested struct {
 	part  live.Part
 	reply chan<- live.Pool
--- a/internal/protomsg/protomsg_test.go
+++ b/internal/protomsg/protomsg_test.go
@@ -70,7 +70,7 @@
 	for _, test := range cases {
 		t.Run(test.name, func(t *testing.T) {
 			var got []Field
-			err := Each(test.message, func(field Field) error {
+			err := EachField(test.message, func(field Field) error {
 				got = append(got, field)
 				return nil
 			})
@@ -102,14 +102,14 @@
 	}
 	for _, test := range cases {
 		t.Run(test.name, func(t *testing.T) {
-			if err := Each(test.message, test.visit); !errors.Is(err, ErrMalformed) {
+			if err := EachField(test.message, test.visit); !errors.Is(err, ErrMalformed) {
 				t.Errorf("got %v, want an error that wraps ErrMalformed", err)
 			}
 		})
 	}
 
 	errVisit := errors.New("stop")
-	if err := Each([]byte{0x08, 0x01}, func(Field) error { return errVisit }); !errors.Is(err, errVisit) {
+	if err := EachField([]byte{0x08, 0x01}, func(Field) error { return errVisit }); !errors.Is(err, errVisit) {
 		t.Errorf("got %v, want the visitor's error", err)
 	}
 }
--- a/internal/protomsg/reader.go
+++ b/internal/protomsg/reader.go
@@ -31,10 +31,10 @@
 	return nil
 }
 
-// Each calls visit for each field of a message, in order, and stops at the first error. It returns the error of visit
-// as it is; one about the message itself wraps ErrMalformed. Fields of wire types that this package does not write,
-// which a newer version may use, are skipped.
-func Each(message []byte, visit func(Field) error) error {
+// EachField calls visit for each field of a message, in order, and stops at the first error. It returns the error of
+// visit as it is; one about the message itself wraps ErrMalformed. Fields of wire types that this package does not
+// write, which a newer version may use, are skipped.
+func EachField(message []byte, visit func(Field) error) error {
 	for len(message) > 0 {
 		field, known, length, err := consumeField(message)
 		if err != nil {
--- a/internal/proxy/balancer.go
+++ b/internal/proxy/balancer.go
@@ -65,8 +65,8 @@
 		b.takeOver(ctx, b.previous)
 	}
 	b.serving.Store(true)
-	if b.config.Meeting != "" {
-		if err := b.listenForTakeover(ctx, b.config.Meeting); err != nil {
+	if b.config.TakeoverPath != "" {
+		if err := b.listenForTakeover(ctx, b.config.TakeoverPath); err != nil {
 			slog.Warn("takeover requests not accepted", "err", err)
 		}
 	}
--- a/internal/proxy/config.go
+++ b/internal/proxy/config.go
@@ -31,19 +31,19 @@
 
 // Config is the configuration of a balancer. It never changes: a reload makes another.
 type Config struct {
-	Name         string
-	Listen       string            // host:port for clients
-	Discovery    string            // host:port of discovery
-	Seed         uint64            // of the decision module's random numbers
-	MemoryMB     int               // MiB that the process may use
-	Sockets      int               // file descriptors that the process may use
-	Known        discovery.Listing // the endpoint list that was last known, maybe stale
-	Meeting      string            // path at which a new process of this balancer requests a takeover; empty: none does
-	Management   string            // host:port for operators' commands; empty: none
-	Coordination *config.Promises  // of the coordination cluster; nil: no shared overrides
-	Settings     balancer.Settings
-	Links        wire.Links // timeouts of upstream connections
-	keys         keySet     // of the file, to find on a reload what is missing
+	Name             string
+	Listen           string            // host:port for clients
+	Discovery        string            // host:port of discovery
+	Seed             uint64            // of the decision module's random numbers
+	MemoryMB         int               // MiB that the process may use
+	Sockets          int               // file descriptors that the process may use
+	InitialEndpoints discovery.Listing // the endpoint list that was last known, maybe stale
+	TakeoverPath     string            // path at which a new process requests a takeover; empty: none does
+	AdminAddress     string            // host:port for operators' commands; empty: none
+	Coordination     *config.Promises  // of the coordination cluster; nil: no shared overrides
+	Settings         balancer.Settings
+	Links            wire.Links // timeouts of upstream connections
+	keys             keySet     // of the file, to find on a reload what is missing
 }
 
 // LoadConfig reads the file that RELAY_CONFIG names. An error names the variable, or the file and the key.
@@ -73,7 +73,7 @@
 		}
 	}
 	if folder := getenv(envFolder); folder != "" {
-		loaded.Meeting = filepath.Join(folder, "olivearch-"+loaded.Name+".sock")
+		loaded.TakeoverPath = filepath.Join(folder, "olivearch-"+loaded.Name+".sock")
 	}
 	return loaded, nil
 }
@@ -140,7 +140,7 @@
 		Links:            c.Links,
 		Seed:             c.Seed,
 		Discovery:        c.Discovery,
-		InitialEndpoints: &c.Known,
-		Connections:      c.upstreamConns(),
+		InitialEndpoints: &c.InitialEndpoints,
+		MaxConnections:   c.upstreamConns(),
 	}
 }
--- a/internal/proxy/config_file.go
+++ b/internal/proxy/config_file.go
@@ -73,14 +73,14 @@
 		return Config{}, err
 	}
 	converted := Config{
-		Name:       f.Name,
-		Listen:     f.Listen,
-		Discovery:  f.Discovery,
-		Seed:       seed,
-		MemoryMB:   f.Limits.MemoryMB,
-		Sockets:    f.Limits.Sockets,
-		Known:      f.Known,
-		Management: f.Management,
+		Name:             f.Name,
+		Listen:           f.Listen,
+		Discovery:        f.Discovery,
+		Seed:             seed,
+		MemoryMB:         f.Limits.MemoryMB,
+		Sockets:          f.Limits.Sockets,
+		InitialEndpoints: f.Known,
+		AdminAddress:     f.Management,
 	}
 	if err := converted.decodeSettings(f.Settings); err != nil {
 		return Config{}, err
--- a/internal/proxy/platform_router.go
+++ b/internal/proxy/platform_router.go
@@ -94,7 +94,8 @@
 	if err := checkFitsClass(class, method, fields); err != nil {
 		return nil, err
 	}
-	exchange := &platformExchange{pool: r.pool, parsedRequest: parsedRequest{Request: pool.Request{Name: requestID}}}
+	exchange := &platformExchange{pool: r.pool}
+	exchange.ClientRequestID = requestID
 	if err := exchange.parseFields(fields); err != nil {
 		return nil, err
 	}
--- a/internal/proxy/platform_router_test.go
+++ b/internal/proxy/platform_router_test.go
@@ -61,7 +61,8 @@
 			t.Errorf("passed on %q, of which the upstream reads %q, %v, %d more",
 				q.Message.Bytes(time.Second), body, err, in.Buffered())
 		}
-		if r.Header.Get("X-Request-Id") != q.Name || !strings.HasPrefix(q.Message.Line, r.Method+" "+r.RequestURI) {
+		sameID := r.Header.Get("X-Request-Id") == q.ClientRequestID
+		if !sameID || !strings.HasPrefix(q.Message.Line, r.Method+" "+r.RequestURI) {
 			t.Errorf("passed on %q", q.Message.Bytes(time.Second))
 		}
 	})
--- a/internal/proxy/route_table.go
+++ b/internal/proxy/route_table.go
@@ -26,25 +26,25 @@
 
 // Destination is what a route does with its requests, beside naming pools.
 type Destination struct {
-	Class     balancer.Class
-	Limit     time.Duration // on the wait for an answer
-	KeyCookie string        // whose value chooses among the route's pools
-	Bodies    *body.Limits  // nil: the usual ones
-	Upgrades  []string      // protocols that a connection may change to (RFC 9110, section 7.8), in small letters
-	Tunnels   *body.TunnelLimits
+	Class        balancer.Class
+	Limit        time.Duration // on the wait for an answer
+	KeyCookie    string        // whose value chooses among the route's pools
+	BodyLimits   *body.Limits  // nil: the usual ones
+	Upgrades     []string      // protocols that a connection may change to (RFC 9110, section 7.8), in small letters
+	TunnelLimits *body.TunnelLimits
 }
 
 // Routing is a whole set of routes with the pools that they lead to. It never changes: a reload makes another.
 type Routing struct {
-	Table *route.Table
-	To    []Destination // by the numbers of the table's rules: many routes have one in common
-	Pools map[string]*pool.Pool
+	Table        *route.Table
+	Destinations []Destination // by the numbers of the table's rules: many routes have one in common
+	Pools        map[string]*pool.Pool
 }
 
 // allows tells whether a route of this name still lets a connection change to the protocol.
 func (r *Routing) allows(by upgradedBy) bool {
 	rule := r.Table.Rule(by.route)
-	return rule != nil && slices.Contains(r.To[rule.To].Upgrades, by.protocol)
+	return rule != nil && slices.Contains(r.Destinations[rule.To].Upgrades, by.protocol)
 }
 
 // RouteTable is a router that finds the pool of a request by its route. Its methods may be called from any goroutine;
@@ -67,13 +67,13 @@
 		tunnels:   tunnelSet{open: map[*body.Tunnel]upgradedBy{}},
 	}
 	t.epoch = time.Duration(t.startedAt.UnixNano())
-	t.Route(r)
+	t.SetRouting(r)
 	return t
 }
 
-// Route replaces the routes. Requests that are in a pool stay there; tunnels whose route has gone, or does not allow
-// them any more, end within their grace.
-func (t *RouteTable) Route(r *Routing) {
+// SetRouting replaces the routes. Requests that are in a pool stay there; tunnels whose route has gone, or does not
+// allow them any more, end within their grace.
+func (t *RouteTable) SetRouting(r *Routing) {
 	t.routing.Store(r)
 	t.tunnels.endUnless(r.allows)
 }
@@ -85,7 +85,7 @@
 
 // MaxDeadline is the longest limit of a route.
 func (t *RouteTable) MaxDeadline() (longest time.Duration) {
-	for _, destination := range t.routing.Load().To {
+	for _, destination := range t.routing.Load().Destinations {
 		longest = max(longest, destination.Limit)
 	}
 	return longest
@@ -132,7 +132,7 @@
 	if err != nil {
 		return nil, err
 	}
-	exchange := &routedExchange{table: t, parsedRequest: parsedRequest{Request: pool.Request{Name: requestID}}}
+	exchange := &routedExchange{table: t, parsedRequest: parsedRequest{Request: pool.Request{ClientRequestID: requestID}}}
 	if err := exchange.parseFields(fields); err != nil {
 		return nil, err
 	}
@@ -152,7 +152,7 @@
 		Header: *fields,
 		Host:   host,
 		Bodied: mayHaveBody(method),
-		Limits: exchange.destination.Bodies,
+		Limits: exchange.destination.BodyLimits,
 		Hints:  true,
 	}
 	exchange.allowUpgrade(upgrade)
@@ -223,7 +223,7 @@
 	if rule == nil {
 		return &frontend.Rejection{Status: http.StatusNotFound, Why: "no route leads there"}
 	}
-	destination := &routing.To[rule.To]
+	destination := &routing.Destinations[rule.To]
 	exchange.routeName, exchange.destination = rule.Name, destination
 	class := destination.Class
 	if named := exchange.query.Class; named != "" && named != class.Name {
@@ -235,7 +235,7 @@
 	exchange.setKeyFromCookie(exchange.fields, destination.KeyCookie)
 	poolHash := exchange.Key
 	if !exchange.HasKey {
-		poolHash = maphash.String(t.seed, exchange.Name)
+		poolHash = maphash.String(t.seed, exchange.ClientRequestID)
 	}
 	exchange.pool = routing.Pools[rule.Choose(poolHash)]
 	exchange.setClass(class, destination.Limit)
@@ -249,7 +249,7 @@
 		return
 	}
 	e.Message.Upgrade = protocol
-	e.Message.Tunnel = e.destination.Tunnels
+	e.Message.Tunnel = e.destination.TunnelLimits
 }
 
 // Admit hands the request to its pool. If that was retired since the head was read, the request is looked up again.
@@ -258,7 +258,7 @@
 		current := e.pool
 		acquired, full := current.Acquire()
 		if acquired {
-			e.At += current.Now() - e.table.Now() // on the pool's clock
+			e.ReceivedAt += current.Now() - e.table.Now() // on the pool's clock
 			current.Submit(&e.Request)
 			return pool.Response{}, nil
 		}
--- a/internal/proxy/route_table_test.go
+++ b/internal/proxy/route_table_test.go
@@ -26,7 +26,7 @@
 	ctx, cancel := context.WithCancel(context.Background())
 	t.Cleanup(cancel)
 	p, err := pool.New(ctx, pool.Spec{
-		Name: name, Queue: queue, SharedWeight: 1, Connections: 10,
+		Name: name, MaxRequests: queue, SharedWeight: 1, MaxConnections: 10,
 		Links:    wire.Links{KeepAlive: time.Minute, ConnectTimeout: time.Second},
 		Settings: oneClassSettings(),
 	}, pool.NewEndpointRegistry(ctx, 10), nil)
@@ -40,8 +40,8 @@
 	t.Helper()
 	class := balancer.Class{Name: "c", Deadline: time.Second, Idempotency: balancer.NonIdempotent}
 	r := &Routing{
-		To:    []Destination{{Class: class, Limit: time.Second, KeyCookie: "obj"}},
-		Pools: map[string]*pool.Pool{},
+		Destinations: []Destination{{Class: class, Limit: time.Second, KeyCookie: "obj"}},
+		Pools:        map[string]*pool.Pool{},
 	}
 	var rules []route.Rule
 	for _, p := range pools {
@@ -99,7 +99,8 @@
 			t.Fatalf("passed on host %q and target %q: %v, %v", got.Host, got.RequestURI, err, err2)
 		}
 		rule := r.Table.Lookup(&route.Query{Host: host, Path: target.Path, Method: got.Method, Fields: q.fields})
-		if rule == nil || r.Pools[rule.Name] != q.pool || got.Header.Get("X-Request-Id") != q.Name || q.Name == "" {
+		sameID := got.Header.Get("X-Request-Id") == q.ClientRequestID && q.ClientRequestID != ""
+		if rule == nil || r.Pools[rule.Name] != q.pool || !sameID {
 			t.Errorf("passed on %q by pool %s; the server would come to %+v", sent, q.pool.Name(), rule)
 		}
 	})
@@ -117,7 +118,7 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			q.PoolRequest().Reply = make(chan pool.Response, 1)
+			q.PoolRequest().Responses = make(chan pool.Response, 1)
 			all = append(all, q.(*routedExchange))
 		}
 		return all
@@ -131,7 +132,7 @@
 	var wg sync.WaitGroup
 	for i, q := range before {
 		if i == len(before)/2 {
-			d.Route(moved)
+			d.SetRouting(moved)
 			old.Shutdown()
 		}
 		wg.Go(func() {
@@ -139,7 +140,7 @@
 				t.Errorf("request %d: %v, %v", i, a, err)
 				return
 			}
-			<-q.Reply // rejected: there is no upstream
+			<-q.Responses // rejected: there is no upstream
 			q.Done()
 		})
 	}
@@ -150,7 +151,7 @@
 	}
 	for _, q := range before[len(before)/2:] {
 		if q.pool != next {
-			t.Errorf("request %s went to the retired pool", q.Name)
+			t.Errorf("request %s went to the retired pool", q.ClientRequestID)
 		}
 	}
 }
--- a/internal/proxy/shared_overrides.go
+++ b/internal/proxy/shared_overrides.go
@@ -108,7 +108,7 @@
 		Reason:  overrideReason,
 		At:      at.UnixMilli(),
 	})
-	if errors.Is(err, client.ErrUnsure) {
+	if errors.Is(err, client.ErrUncertain) {
 		return "", fmt.Errorf("only here for certain: the others may be told, or not (%w)", err)
 	}
 	if err != nil {
@@ -151,6 +151,6 @@
 
 // applySharedOverrides gives the pool its part of the shared overrides.
 func (b *Balancer) applySharedOverrides(overrides []state.Override) {
-	b.pool.ApplyOverrides(override.ForPool(overrides, b.config.Name))
+	b.pool.ApplyOverrides(override.SharedForPool(overrides, b.config.Name))
 	slog.Info("shared overrides applied", "overrides", len(overrides))
 }
--- a/internal/proxy/shared_overrides_test.go
+++ b/internal/proxy/shared_overrides_test.go
@@ -41,7 +41,7 @@
 
 // What operators read of a shared override, and whether the local one is released at once.
 func TestSetSharedOverride(t *testing.T) {
-	unsure := fmt.Errorf("voter k1: %w", client.ErrUnsure)
+	unsure := fmt.Errorf("voter k1: %w", client.ErrUncertain)
 	for _, c := range []struct {
 		name     string
 		cluster  fakeCluster
@@ -59,11 +59,11 @@
 			cluster: fakeCluster{response: client.Response{Stored: 3, Voters: 3, Result: state.Result{Revision: 8}}, index: 8},
 		},
 		{
-			name: "no voter reached", cause: client.ErrNobody, cluster: fakeCluster{err: client.ErrNobody, index: 9},
-			err: "only here, not copied: " + client.ErrNobody.Error(),
+			name: "no voter reached", cause: client.ErrNotAttempted, cluster: fakeCluster{err: client.ErrNotAttempted, index: 9},
+			err: "only here, not copied: " + client.ErrNotAttempted.Error(),
 		},
 		{
-			name: "no certainty", cause: client.ErrUnsure, cluster: fakeCluster{err: unsure, index: 9},
+			name: "no certainty", cause: client.ErrUncertain, cluster: fakeCluster{err: unsure, index: 9},
 			err: "only here for certain: the others may be told, or not (" + unsure.Error() + ")",
 		},
 	} {
@@ -116,9 +116,9 @@
 		note      string
 	}{
 		{"cleared", out, nil, false, "held by 2 of 3"},
-		{"failed, and out", out, client.ErrNobody, true, ""},
-		{"failed, and not out", nil, client.ErrNobody, false, ""},
-		{"failed, and capped alone", capped, client.ErrUnsure, false, ""},
+		{"failed, and out", out, client.ErrNotAttempted, true, ""},
+		{"failed, and not out", nil, client.ErrNotAttempted, false, ""},
+		{"failed, and capped alone", capped, client.ErrUncertain, false, ""},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			shared, _ := attachedOverrides(t, &fakeCluster{response: client.Response{Stored: 2, Voters: 3}, err: c.err})
--- a/internal/service/lists.go
+++ b/internal/service/lists.go
@@ -84,7 +84,7 @@
 		switch {
 		case w.Err != nil:
 			slog.Warn("the last list holds", "pool", name, "err", w.Err, "looks_with_another", w.Failed)
-			x.SourceFailed(w.Err)
+			x.ListSourceFailed(w.Err)
 		case w.List != nil:
 			if w.Failed > 0 {
 				slog.Info("the list is good again", "pool", name, "looks_that_failed", w.Failed)
--- a/internal/service/promises.go
+++ b/internal/service/promises.go
@@ -61,7 +61,7 @@
 	defer g.mu.Unlock()
 	g.words = words
 	for name, p := range g.pools() {
-		p.ApplyOverrides(override.ForPool(words, name))
+		p.ApplyOverrides(override.SharedForPool(words, name))
 	}
 	slog.Info("what the ledger holds", "words", len(words))
 }
@@ -71,7 +71,7 @@
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	if len(g.words) > 0 {
-		p.ApplyOverrides(override.ForPool(g.words, name))
+		p.ApplyOverrides(override.SharedForPool(g.words, name))
 	}
 }
 
--- a/internal/service/service.go
+++ b/internal/service/service.go
@@ -231,9 +231,9 @@
 	x := c.Pools[name]
 	return pool.Spec{
 		Name: name, Settings: c.Settings(name), Discovery: x.Nodes.Discovery, MaxEndpointAge: time.Duration(x.Nodes.Hold),
-		Links:       wire.Links{KeepAlive: time.Duration(x.IdleTimeout), ConnectTimeout: time.Duration(x.ConnectTimeout)},
-		Connections: x.Connections, Queue: x.Queue, SharedWeight: x.Share, OwnDrains: x.Drains == "own", KeepUntilUnsolicited: x.Rest == "after_stray",
-		Tunnels: pool.TunnelLimits{Total: x.Tunnels.Most, PerNode: x.Tunnels.PerNode}, FullResponses: true,
+		Links:          wire.Links{KeepAlive: time.Duration(x.IdleTimeout), ConnectTimeout: time.Duration(x.ConnectTimeout)},
+		MaxConnections: x.Connections, MaxRequests: x.Queue, SharedWeight: x.Share, IgnoreDrainsOfOthers: x.Drains == "own", ReuseDelayOnlyAfterUnsolicited: x.Rest == "after_stray",
+		Tunnels: pool.TunnelLimits{Total: x.Tunnels.Most, PerEndpoint: x.Tunnels.PerNode}, FullResponses: true,
 	}
 }
 
@@ -299,15 +299,15 @@
 // route makes the routes of a state those that hold.
 func (s *Service) route(next *configuration) {
 	c := next.config
-	r := &proxy.Routing{Table: c.Table, To: make([]proxy.Destination, len(c.Targets)), Pools: make(map[string]*pool.Pool, len(next.pools))}
+	r := &proxy.Routing{Table: c.Table, Destinations: make([]proxy.Destination, len(c.Targets)), Pools: make(map[string]*pool.Pool, len(next.pools))}
 	for i, x := range c.Targets {
-		r.To[i] = proxy.Destination{
+		r.Destinations[i] = proxy.Destination{
 			Class: c.Class(x.Class), Limit: time.Duration(x.Deadline), KeyCookie: x.KeyCookie,
-			Bodies: &body.Limits{
+			BodyLimits: &body.Limits{
 				Request: int64(x.Body.Max), Ahead: int(x.Body.Buffer), Within: time.Duration(x.Body.Within), Answer: int64(x.Answer.Max),
 				Quiet: time.Duration(x.Answer.Idle), Total: time.Duration(x.Answer.Total), Trailers: true,
 			},
-			Upgrades: x.Upgrades, Tunnels: &body.TunnelLimits{Idle: time.Duration(x.Tunnels.Idle), Total: time.Duration(x.Tunnels.Total), Grace: time.Duration(x.Tunnels.Grace)},
+			Upgrades: x.Upgrades, TunnelLimits: &body.TunnelLimits{Idle: time.Duration(x.Tunnels.Idle), Total: time.Duration(x.Tunnels.Total), Grace: time.Duration(x.Tunnels.Grace)},
 		}
 	}
 	for name, x := range next.pools {
@@ -317,7 +317,7 @@
 		s.desk = proxy.NewRouteTable(r)
 		return
 	}
-	s.desk.Route(r)
+	s.desk.SetRouting(r)
 }
 
 // serve starts, resizes and stops listeners.
@@ -420,7 +420,7 @@
 		if p == nil {
 			return v, fmt.Errorf("there is no pool %.64q", name)
 		}
-		v.Pools = append(v.Pools, p.ViewOf(part))
+		v.Pools = append(v.Pools, p.PartialView(part))
 	}
 	v.Promises = s.promises.view()
 	return v, nil
--- a/internal/sharedlimit/allocator.go
+++ b/internal/sharedlimit/allocator.go
@@ -30,7 +30,7 @@
 
 // Change is a new allotment of an endpoint that several pools list.
 type Change struct {
-	Node      string // address of the endpoint
+	Address   string // address of the endpoint
 	Allotment Allotment
 	Exclusive bool // no other pool lists the endpoint any more: the pool may use all of it, and Allotment is empty
 }
@@ -159,7 +159,7 @@
 			if !isFirst && allotment.reduces(use.notified) {
 				target = cuts
 			}
-			target[use.pool] = append(target[use.pool], Change{Node: address, Allotment: allotment})
+			target[use.pool] = append(target[use.pool], Change{Address: address, Allotment: allotment})
 			use.notified = allotment
 		}
 	}
@@ -178,7 +178,7 @@
 	last := usages[0]
 	a.exclusive[address] = last.pool
 	if last.notified != (Allotment{}) {
-		changes[last.pool] = append(changes[last.pool], Change{Node: address, Exclusive: true})
+		changes[last.pool] = append(changes[last.pool], Change{Address: address, Exclusive: true})
 	}
 }
 
--- a/internal/sharedlimit/allocator_test.go
+++ b/internal/sharedlimit/allocator_test.go
@@ -57,9 +57,9 @@
 		count += len(list)
 		for _, change := range list {
 			if change.Exclusive {
-				delete(n.known[pool], change.Node)
+				delete(n.known[pool], change.Address)
 			} else {
-				n.known[pool][change.Node] = change.Allotment
+				n.known[pool][change.Address] = change.Allotment
 			}
 		}
 	}
