--- a/benchmarks/compatibility/upstreams.go
+++ b/benchmarks/compatibility/upstreams.go
@@ -16,6 +16,8 @@
 	serviceTime = 2 * time.Millisecond
 	// watchTimeout is how long discovery holds a call that asks for a newer list; there never is one.
 	watchTimeout = time.Second
+	// Upstreams report their load in steps: a report that is the same as the one before is no new reading.
+	leastLoad, loadStep, loadSteps = 0.1, 0.01, 7
 	// listRevision is that of the list of upstreams.
 	listRevision = "7"
 	// requestIDHeader names a request; an upstream answers with its value.
@@ -35,9 +37,9 @@
 	var members []string
 	for index := range upstreamCount {
 		server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-			group.hits[index].Add(1)
+			hits := group.hits[index].Add(1)
 			time.Sleep(serviceTime)
-			w.Header().Set("X-Load", "util=0.1")
+			w.Header().Set("X-Load", fmt.Sprintf("util=%g", leastLoad+loadStep*float64(hits%loadSteps)))
 			fmt.Fprint(w, r.Header.Get(requestIDHeader))
 		}))
 		group.servers = append(group.servers, server)
