--- a/benchmarks/compatibility/cluster.go
+++ b/benchmarks/compatibility/cluster.go
@@ -5,13 +5,13 @@
 	"errors"
 	"fmt"
 	"slices"
+	"strings"
 )
 
 // clusterPlan is what is done with a cluster.
 type clusterPlan struct {
 	start mix // versions on empty folders
-	// Versions that all servers are brought to in turn, one server after the other, as far as it does not run that
-	// already.
+	// Versions that all servers are brought to in turn, one server after the other. One that runs it already stays.
 	rolls  []version
 	copied direction // versions of the balancers that write and read a stored follower copy
 }
@@ -184,42 +184,47 @@
 	return r.seenByBoth(ctx)
 }
 
-// roll brings one server after the other to a version. While a server is stopped an override is set at the others, so
-// that it has to catch up when it is back.
+// roll brings one server after the other to a version.
 func (r *clusterRun) roll(ctx context.Context, target version) error {
 	r.outcome.Rolls = append(r.outcome.Rolls, target.name)
 	for _, server := range r.servers {
 		if server.program == target {
 			continue
 		}
-		if err := server.stop(); err != nil {
-			return err
-		}
-		setter := r.bothVersions()[r.outcome.Restarts%2]
-		upstream := fmt.Sprintf("s-%08x", 0xb0+r.outcome.Restarts)
-		out := override{kind: "out", target: upstream, reason: server.name + " restarts"}
-		if err := r.setOverride(ctx, setter, out); err != nil {
-			return err
+		if err := r.restart(ctx, server, target); err != nil {
+			return fmt.Errorf("%s to the %s: %w", server.name, target.name, err)
 		}
-		server.program = target
 		r.outcome.Restarts++
-		if err := server.start(); err != nil {
-			return err
-		}
-		if err := r.awaitMembers(ctx, target); err != nil {
-			return err
-		}
-		if err := r.seenByBoth(ctx); err != nil {
-			return err
-		}
 	}
 	return nil
 }
 
-// scoped is how a target is listed: an upstream's id has its scope before it.
+// restart stops a server, sets an override at the others and starts it again with a version, so that it has to catch
+// up. The override must be found at all servers then, with all that was set before.
+func (r *clusterRun) restart(ctx context.Context, server *coordinationServer, target version) error {
+	if err := server.stop(); err != nil {
+		return err
+	}
+	setter := r.bothVersions()[r.outcome.Restarts%2]
+	upstream := fmt.Sprintf("s-%08x", 0xb0+r.outcome.Restarts)
+	out := override{kind: "out", target: upstream, reason: server.name + " restarts"}
+	if err := r.setOverride(ctx, setter, out); err != nil {
+		return err
+	}
+	server.program = target
+	if err := server.start(); err != nil {
+		return err
+	}
+	if err := r.awaitMembers(ctx, target); err != nil {
+		return fmt.Errorf("%w; the log of %s ends with: %s", err, server.name, server.process.tail())
+	}
+	return r.seenByBoth(ctx)
+}
+
+// scoped is how a target is listed: a bare id is an upstream's.
 func scoped(target string) string {
-	if target[0] == 's' {
-		return "upstream/" + target
+	if strings.Contains(target, "/") {
+		return target
 	}
-	return target
+	return "upstream/" + target
 }
--- a/benchmarks/compatibility/processes.go
+++ b/benchmarks/compatibility/processes.go
@@ -86,18 +86,23 @@
 	return string(bytes.TrimSpace(text[max(0, len(text)-logTail):]))
 }
 
-// poll calls attempt until it returns no error, and returns its last error when the time is over.
+// poll calls attempt until it returns no error. When the time is over it returns the last error that attempt gave
+// before: one of an attempt that was cut short says nothing.
 func poll(ctx context.Context, what string, attempt func(ctx context.Context) error) error {
 	ctx, cancel := context.WithTimeout(ctx, stepTimeout)
 	defer cancel()
+	var last error
 	for {
 		err := attempt(ctx)
 		if err == nil {
 			return nil
 		}
+		if last == nil || ctx.Err() == nil {
+			last = err
+		}
 		select {
 		case <-ctx.Done():
-			return fmt.Errorf("%s: not in time: %w", what, err)
+			return fmt.Errorf("%s: not in time: %w", what, last)
 		case <-time.After(pollInterval):
 		}
 	}
