--- a/benchmarks/compatibility/cluster.go
+++ b/benchmarks/compatibility/cluster.go
@@ -93,14 +93,14 @@
 func (r *clusterRun) setByBoth(ctx context.Context) error {
 	for index, using := range r.bothVersions() {
 		pool, upstream := fmt.Sprintf("pool-%d", index), fmt.Sprintf("s-%08x", 0xa0+index)
-		for _, one := range []override{
+		for _, entry := range []override{
 			{kind: "out", target: upstream, reason: "disk swap"},
 			{kind: "out", target: fmt.Sprintf("zone/z%d", index), reason: "power test", expires: true},
 			{kind: "out", target: "pool/" + pool},
 			{kind: "cap", target: upstream, value: "7"},
 			{kind: "share", target: upstream, value: "250"},
 		} {
-			if err := r.setOverride(ctx, using, one); err != nil {
+			if err := r.setOverride(ctx, using, entry); err != nil {
 				return err
 			}
 		}
@@ -112,22 +112,22 @@
 }
 
 // setOverride sets an override by a version's command. It tries again while the cluster elects a leader.
-func (r *clusterRun) setOverride(ctx context.Context, using version, one override) error {
-	arguments := []string{"set", one.kind, one.target}
-	if one.value != "" {
-		arguments = append(arguments, one.value)
+func (r *clusterRun) setOverride(ctx context.Context, using version, entry override) error {
+	arguments := []string{"set", entry.kind, entry.target}
+	if entry.value != "" {
+		arguments = append(arguments, entry.value)
 	}
-	if one.reason != "" {
-		arguments = append(arguments, "--why", one.reason)
+	if entry.reason != "" {
+		arguments = append(arguments, "--why", entry.reason)
 	}
-	if one.expires {
+	if entry.expires {
 		arguments = append(arguments, "--for", "2h")
 	}
 	if err := r.change(ctx, using, arguments...); err != nil {
 		return err
 	}
-	one.by, one.target = operatorName(using), scoped(one.target)
-	r.set = append(r.set, one)
+	entry.by, entry.target = operatorName(using), scoped(entry.target)
+	r.set = append(r.set, entry)
 	return nil
 }
 
@@ -151,7 +151,7 @@
 	})
 }
 
-// seenByBoth tells whether the commands of both versions list exactly what was set, at the cluster and at each server
+// seenByBoth waits until the commands of both versions list exactly what was set, at the cluster and at each server
 // alone.
 func (r *clusterRun) seenByBoth(ctx context.Context) error {
 	for _, using := range r.bothVersions() {
@@ -172,7 +172,7 @@
 	both := r.bothVersions()
 	for index, using := range both {
 		setter := operatorName(both[1-index])
-		at := slices.IndexFunc(r.set, func(one override) bool { return one.kind == "share" && one.by == setter })
+		at := slices.IndexFunc(r.set, func(entry override) bool { return entry.kind == "share" && entry.by == setter })
 		if at < 0 {
 			return errors.New("there is nothing to clear")
 		}
--- a/benchmarks/compatibility/followercopy.go
+++ b/benchmarks/compatibility/followercopy.go
@@ -10,9 +10,9 @@
 )
 
 const (
-	// copiedIndex is the upstream that is out of service by the cluster's word.
+	// copiedIndex is the upstream that is out of service by an override in the cluster.
 	copiedIndex = 0
-	// copyAnswers is how many answers tell whether an upstream gets requests.
+	// copyAnswers is how many answers show whether an upstream gets requests.
 	copyAnswers = 200
 )
 
@@ -39,11 +39,11 @@
 	if err := r.writeCopy(ctx, copyPath); err != nil {
 		return fmt.Errorf("writing a copy: %w", err)
 	}
-	seen, atOut, err := r.serveByCopy(ctx, copyPath)
+	answered, atOut, err := r.serveByCopy(ctx, copyPath)
 	if err != nil {
 		return fmt.Errorf("serving by a copy: %w", err)
 	}
-	outcome.Requests, outcome.RequestsAtOut = seen, atOut
+	outcome.Requests, outcome.RequestsAtOut = answered, atOut
 	if _, outcome.RequestsAtControl, err = r.serveByCopy(ctx, copyPath+"-none"); err != nil {
 		return fmt.Errorf("serving without a copy: %w", err)
 	}
@@ -81,31 +81,31 @@
 func (r *clusterRun) serveByCopy(ctx context.Context, copyPath string) (answered, atOut int64, err error) {
 	group := startUpstreams()
 	defer group.close()
-	var nobody []string
+	var unreachable []string
 	for _, server := range r.servers {
 		address, err := freeAddress()
 		if err != nil {
 			return 0, 0, err
 		}
-		nobody = append(nobody, server.name+"="+address)
+		unreachable = append(unreachable, server.name+"="+address)
 	}
-	reader, site, err := r.startFollowing(ctx, r.copied.next, group, copyPath, strings.Join(nobody, ","))
+	reader, site, err := r.startFollowing(ctx, r.copied.next, group, copyPath, strings.Join(unreachable, ","))
 	if err != nil {
 		return 0, 0, err
 	}
 	clients := startLoad(site.listen)
 	waited := clients.awaitAnswers(ctx, copyAnswers)
-	seen := clients.stop()
+	figures := clients.stop()
 	stopped := reader.stop()
 	switch {
 	case waited != nil:
 		return 0, 0, waited
 	case stopped != nil:
 		return 0, 0, stopped
-	case seen.LostRequests > 0:
-		return 0, 0, fmt.Errorf("%d of %d requests were lost", seen.LostRequests, seen.Requests)
+	case figures.LostRequests > 0:
+		return 0, 0, fmt.Errorf("%d of %d requests were lost", figures.LostRequests, figures.Requests)
 	}
-	return seen.Requests, group.hits[copiedIndex].Load(), nil
+	return figures.Requests, group.hits[copiedIndex].Load(), nil
 }
 
 // startFollowing starts a balancer that follows servers and stores its copy at a path.
--- a/benchmarks/compatibility/listener.go
+++ b/benchmarks/compatibility/listener.go
@@ -18,7 +18,7 @@
 	localAddressColumn, stateColumn, inodeColumn = 1, 3, 9
 )
 
-// errListenerChanged says that another socket listens than before.
+// errListenerChanged is returned if another socket listens than before.
 var errListenerChanged = errors.New("the new process listens on another socket than the old one did")
 
 // listenerInodes returns the inodes of the sockets that listen at an address's port. Two processes that share one
@@ -49,7 +49,7 @@
 	return inodes
 }
 
-// compareListeners tells whether one and the same socket listens before and after a hot restart.
+// compareListeners is an error unless one and the same socket listens before and after a hot restart.
 func compareListeners(before, after []string) error {
 	if len(before) != 1 || !slices.Equal(before, after) {
 		return fmt.Errorf("%w: inodes %v, then %v", errListenerChanged, before, after)
--- a/benchmarks/compatibility/main.go
+++ b/benchmarks/compatibility/main.go
@@ -26,7 +26,7 @@
 	runTimeout = 3 * time.Minute
 )
 
-// errBroken says that a check does not hold; which one, the result tells.
+// errBroken is returned if a check does not hold. The result says which.
 var errBroken = errors.New("a check does not hold")
 
 func main() {
@@ -92,11 +92,11 @@
 
 // report prints the checks of a scenario on standard error.
 func report(scenario string, checks checklist) {
-	for _, one := range checks {
+	for _, item := range checks {
 		verdict := "holds"
-		if !one.Holds {
-			verdict = "BROKEN: " + one.Problem
+		if !item.Holds {
+			verdict = "BROKEN: " + item.Problem
 		}
-		fmt.Fprintf(os.Stderr, "%s: %s: %s\n", scenario, one.Name, verdict)
+		fmt.Fprintf(os.Stderr, "%s: %s: %s\n", scenario, item.Name, verdict)
 	}
 }
--- a/benchmarks/compatibility/overrides.go
+++ b/benchmarks/compatibility/overrides.go
@@ -11,7 +11,7 @@
 // untilCleared stands in the column "until" of an override without an end of its own.
 const untilCleared = "cleared"
 
-// errNoTable says that a list of overrides has not the form that both versions print.
+// errNoTable is returned for a list without the table that both versions print.
 var errNoTable = errors.New("the list has no table of overrides")
 
 // tableColumns are the columns of "olivearch promises list".
@@ -76,7 +76,7 @@
 	})
 }
 
-// compareOverrides tells in what a list differs from what was set.
+// compareOverrides reports in what a list differs from what was set.
 func compareOverrides(wanted, found []override) error {
 	wanted = slices.Clone(wanted)
 	sortOverrides(wanted)
--- a/benchmarks/compatibility/processes.go
+++ b/benchmarks/compatibility/processes.go
@@ -25,7 +25,7 @@
 	logTail = 600
 )
 
-// errStillRunning says that a process did not end in time and was killed.
+// errStillRunning is how a process ended that did not end in time and was killed.
 var errStillRunning = errors.New("it did not end after SIGTERM and was killed")
 
 // process is a started program.
@@ -62,7 +62,7 @@
 // ended. A second call returns the same.
 func (p *process) stop() error {
 	p.once.Do(func() {
-		_ = p.started.Process.Signal(syscall.SIGTERM) // fails if it has ended already: then err tells how
+		_ = p.started.Process.Signal(syscall.SIGTERM) // fails if it has ended already: then err says how
 		select {
 		case <-p.ended:
 		case <-time.After(stopTimeout):
--- a/benchmarks/compatibility/restore.go
+++ b/benchmarks/compatibility/restore.go
@@ -12,7 +12,7 @@
 }
 
 // restoreSnapshot lets an old process learn from requests, ends those, and lets a new process take over. What both
-// tell of the upstreams must then be the same: the new process has had no request of its own, so it can only have it
+// know of the upstreams must then be the same: the new process has had no request of its own, so it can only have it
 // from the old one. Upstreams that are out of service have no place in a snapshot, so all are in service here.
 func restoreSnapshot(ctx context.Context, folder string, versions direction) (figures restoreFigures, err error) {
 	group := startUpstreams()
@@ -57,9 +57,9 @@
 func learnFromRequests(ctx context.Context, site *balancerSite) error {
 	clients := startLoad(site.listen)
 	waited := clients.awaitAnswers(ctx, learntAfter)
-	seen := clients.stop()
-	if waited == nil && seen.LostRequests > 0 {
-		return fmt.Errorf("%d of %d requests were lost", seen.LostRequests, seen.Requests)
+	figures := clients.stop()
+	if waited == nil && figures.LostRequests > 0 {
+		return fmt.Errorf("%d of %d requests were lost", figures.LostRequests, figures.Requests)
 	}
 	return waited
 }
--- a/benchmarks/compatibility/result.go
+++ b/benchmarks/compatibility/result.go
@@ -1,5 +1,7 @@
 package main
 
+import "context"
+
 // result is what one run has shown. It is printed as one line of JSON.
 type result struct {
 	Base        string             `json:"base"`         // commit
@@ -20,27 +22,42 @@
 // checklist is the checks of one scenario, in the order in which they were made.
 type checklist []check
 
-// add notes a check, which holds if there is no error. It returns whether it holds.
+// add notes a check, which holds if there is no error. It reports whether it holds.
 func (c *checklist) add(name string, err error) bool {
-	one := check{Name: name, Holds: err == nil}
+	added := check{Name: name, Holds: err == nil}
 	if err != nil {
-		one.Problem = err.Error()
+		added.Problem = err.Error()
+	}
+	*c = append(*c, added)
+	return added.Holds
+}
+
+// step is a named part of a scenario. What comes after a failed one is not run.
+type step struct {
+	name string
+	run  func(ctx context.Context) error
+}
+
+// runSteps runs steps until one fails.
+func (c *checklist) runSteps(ctx context.Context, steps []step) {
+	for _, part := range steps {
+		if !c.add(part.name, part.run(ctx)) {
+			return
+		}
 	}
-	*c = append(*c, one)
-	return one.Holds
 }
 
-// hold tells whether checks were made and all of them hold.
+// hold reports whether checks were made and all of them hold.
 func (c checklist) hold() bool {
-	for _, one := range c {
-		if !one.Holds {
+	for _, item := range c {
+		if !item.Holds {
 			return false
 		}
 	}
 	return len(c) > 0
 }
 
-// allHold tells whether every scenario ran and every check holds.
+// allHold reports whether every scenario ran and every check holds.
 func (r result) allHold() bool {
 	for _, restart := range r.HotRestarts {
 		if !restart.Checks.hold() {
--- a/benchmarks/compatibility/servers.go
+++ b/benchmarks/compatibility/servers.go
@@ -18,8 +18,8 @@
 // String names the versions, such as "base, base, working tree".
 func (m mix) String() string {
 	var names []string
-	for _, one := range m {
-		names = append(names, one.name)
+	for _, program := range m {
+		names = append(names, program.name)
 	}
 	return strings.Join(names, ", ")
 }
--- a/benchmarks/compatibility/snapshot.go
+++ b/benchmarks/compatibility/snapshot.go
@@ -99,11 +99,11 @@
 	return send(conn, restartMessage{Kind: kindSnapshotRequest})
 }
 
-func checkSnapshot(told *snapshot) (*snapshot, error) {
-	if told == nil {
+func checkSnapshot(received *snapshot) (*snapshot, error) {
+	if received == nil {
 		return nil, errors.New("the snapshot's message is empty")
 	}
-	return told, nil
+	return received, nil
 }
 
 func send(conn *net.UnixConn, message restartMessage) error {
@@ -152,11 +152,11 @@
 	}
 }
 
-// compareSnapshots tells in what the upstreams of a new process's snapshot differ from those of the old one's. No
+// compareSnapshots reports in what the upstreams of a new process's snapshot differ from those of the old one's. No
 // request may have been answered in between.
 func compareSnapshots(before, after *snapshot) error {
 	if len(before.Upstreams) != upstreamCount || len(after.Upstreams) != upstreamCount {
-		return fmt.Errorf("of %d upstreams the old process tells of %d, and the new one of %d",
+		return fmt.Errorf("of %d upstreams the old snapshot has %d, and the new one %d",
 			upstreamCount, len(before.Upstreams), len(after.Upstreams))
 	}
 	for _, old := range before.Upstreams {
@@ -171,7 +171,7 @@
 	return nil
 }
 
-// compareLearnt tells in what two records of an upstream differ.
+// compareLearnt reports in what two records of an upstream differ.
 func compareLearnt(before, after learntUpstream) error {
 	beforeFigures := slices.Sorted(maps.Keys(before.Figures))
 	afterFigures := slices.Sorted(maps.Keys(after.Figures))
@@ -192,8 +192,8 @@
 // totalAnswers is from how many answers the balancer has learnt.
 func (s *snapshot) totalAnswers() int {
 	total := 0
-	for _, one := range s.Upstreams {
-		total += one.Answers
+	for _, learnt := range s.Upstreams {
+		total += learnt.Answers
 	}
 	return total
 }
--- a/benchmarks/compatibility/storage.go
+++ b/benchmarks/compatibility/storage.go
@@ -23,12 +23,12 @@
 	}
 	held := r.set
 	r.set = nil
-	for _, one := range held {
-		if one.kind == resourceKind {
-			r.set = append(r.set, one) // a resource stays: restoring it sets the same limit again
+	for _, entry := range held {
+		if entry.kind == resourceKind {
+			r.set = append(r.set, entry) // a resource stays: restoring it sets the same limit again
 			continue
 		}
-		if err := r.change(ctx, r.copied.old, "clear", one.kind, one.target); err != nil {
+		if err := r.change(ctx, r.copied.old, "clear", entry.kind, entry.target); err != nil {
 			return err
 		}
 	}
@@ -42,21 +42,21 @@
 	return r.seenByBoth(ctx)
 }
 
-// folderSizes finds how many overrides and resources a folder holds in what "show" tells of it.
+// folderSizes finds how many overrides and resources a folder holds in the output of "show".
 var folderSizes = regexp.MustCompile(`(?m)^(\d+) \w+, (\d+) \w+, \d+ bytes`)
 
 // numbers finds all numbers in a text.
 var numbers = regexp.MustCompile(`\d+`)
 
-// errNoSizes says that "show" has not told how much a folder holds.
-var errNoSizes = errors.New("it is not told how much the folder holds")
+// errNoSizes is returned for an output of "show" without the sizes.
+var errNoSizes = errors.New("the output does not say how much the folder holds")
 
-// readFolders lets the programs of both versions tell what the stopped servers' folders hold. They must tell the same
+// readFolders reads the stopped servers' folders by the programs of both versions. Their outputs must have the same
 // figures, and as many overrides and resources as were set.
 func (r *clusterRun) readFolders(ctx context.Context) error {
 	overrides, resources := r.countSet()
 	for _, server := range r.servers {
-		var told []string
+		var outputs []string
 		for _, using := range r.bothVersions() {
 			text, err := command(ctx, "", using.coordinator, "show", server.configPath)
 			if err == nil {
@@ -65,10 +65,10 @@
 			if err != nil {
 				return fmt.Errorf("reading the folder of %s by the %s: %w", server.name, using.name, err)
 			}
-			told = append(told, text)
+			outputs = append(outputs, text)
 		}
-		if !slices.Equal(numbers.FindAllString(told[0], -1), numbers.FindAllString(told[1], -1)) {
-			return fmt.Errorf("the folder of %s is read as %q and as %q", server.name, told[0], told[1])
+		if !slices.Equal(numbers.FindAllString(outputs[0], -1), numbers.FindAllString(outputs[1], -1)) {
+			return fmt.Errorf("the folder of %s is read as %q and as %q", server.name, outputs[0], outputs[1])
 		}
 	}
 	return nil
@@ -76,15 +76,15 @@
 
 // countSet counts the overrides and the resources that were set.
 func (c *cluster) countSet() (overrides, resources int) {
-	for _, one := range c.set {
-		if one.kind == resourceKind {
+	for _, entry := range c.set {
+		if entry.kind == resourceKind {
 			resources++
 		}
 	}
 	return len(c.set) - resources, resources
 }
 
-// checkFolder tells whether a folder holds so many overrides and resources, by what "show" tells of it.
+// checkFolder compares the sizes in the output of "show" with what was set.
 func checkFolder(text string, overrides, resources int) error {
 	found := folderSizes.FindStringSubmatch(text)
 	if found == nil {
--- a/benchmarks/compatibility/takeover.go
+++ b/benchmarks/compatibility/takeover.go
@@ -12,9 +12,9 @@
 	outIndex = 2
 	// The upstream with this index is out of service while both processes run.
 	brieflyOutIndex = 1
-	// settledAfter is after how many answers what was on its way before an operators' command has arrived.
+	// settledAfter is how many answers to wait for until requests that were sent before a command have arrived.
 	settledAfter = 100
-	// learntAfter is how many answers the old process learns from before anything else happens.
+	// learntAfter is how many answers the old process learns from at the beginning.
 	learntAfter = 300
 )
 
@@ -31,28 +31,13 @@
 // hotRestart is one hot restart while clients ask.
 type hotRestart struct {
 	direction
-	upstreams *upstreams
-	site      *balancerSite
-	load      *load
-	oldOne    *balancer
-	newOne    *balancer
-	hitsOut   int64 // requests at the upstream that is out of service, once that holds
-	takeover  time.Duration
-}
-
-// step is a named part of a scenario. What comes after a failed one is not run.
-type step struct {
-	name string
-	run  func(ctx context.Context) error
-}
-
-// runSteps runs steps until one fails.
-func (c *checklist) runSteps(ctx context.Context, steps []step) {
-	for _, one := range steps {
-		if !c.add(one.name, one.run(ctx)) {
-			return
-		}
-	}
+	upstreams  *upstreams
+	site       *balancerSite
+	load       *load
+	oldProcess *balancer
+	newProcess *balancer
+	hitsOut    int64 // requests at the upstream that is out of service, counted after the command
+	takeover   time.Duration
 }
 
 // runHotRestart lets a process of one version take over from one of the other.
@@ -69,12 +54,12 @@
 		{"old process serves", scenario.serve},
 		{"upstream out of service", scenario.takeOut},
 		{"listener taken over", scenario.takeOver},
-		{"commands hold in both processes", scenario.commandBoth},
+		{"command to old process holds in new", scenario.commandOld},
 		{"old process ends", scenario.endOld},
 		{"override taken over", scenario.stayedOut},
 		{"upstream back in service", scenario.putBack},
 		{"no request lost", scenario.lostNothing},
-		{"new process ends", func(context.Context) error { return scenario.newOne.stop() }},
+		{"new process ends", func(context.Context) error { return scenario.newProcess.stop() }},
 		{"snapshot restored", func(ctx context.Context) (err error) {
 			outcome.restoreFigures, err = restoreSnapshot(ctx, folder, versions)
 			return err
@@ -93,7 +78,7 @@
 	if h.load != nil {
 		h.load.stop()
 	}
-	for _, started := range []*balancer{h.newOne, h.oldOne} {
+	for _, started := range []*balancer{h.newProcess, h.oldProcess} {
 		if started != nil {
 			_ = started.stop() // its error is looked at by a check
 		}
@@ -104,7 +89,7 @@
 // serve starts the old process and the clients.
 func (h *hotRestart) serve(ctx context.Context) error {
 	var err error
-	if h.oldOne, err = h.site.start(ctx, h.old); err != nil {
+	if h.oldProcess, err = h.site.start(ctx, h.old); err != nil {
 		return err
 	}
 	h.load = startLoad(h.site.listen)
@@ -113,7 +98,7 @@
 
 // takeOut takes an upstream out of service at the old process.
 func (h *hotRestart) takeOut(ctx context.Context) error {
-	if err := h.oldOne.command(ctx, "maint-on "+upstreamID(outIndex)); err != nil {
+	if err := h.oldProcess.command(ctx, "maint-on "+upstreamID(outIndex)); err != nil {
 		return err
 	}
 	if err := h.load.awaitAnswers(ctx, settledAfter); err != nil {
@@ -132,7 +117,7 @@
 		return err
 	}
 	began := time.Now()
-	if h.newOne, err = h.site.start(ctx, h.next); err != nil {
+	if h.newProcess, err = h.site.start(ctx, h.next); err != nil {
 		return err
 	}
 	h.takeover = time.Since(began)
@@ -143,10 +128,10 @@
 	return compareListeners(before, after)
 }
 
-// commandBoth takes an upstream out of service by a command to the old process, and puts it back by one to the new
-// process. Both share the clients meanwhile, and each must do what the other was told.
-func (h *hotRestart) commandBoth(ctx context.Context) error {
-	if err := h.oldOne.command(ctx, "maint-on "+upstreamID(brieflyOutIndex)); err != nil {
+// commandOld takes an upstream out of service by a command to the old process while both run. The new process, which
+// has the clients by then, must send nothing there until a command to itself puts the upstream back.
+func (h *hotRestart) commandOld(ctx context.Context) error {
+	if err := h.oldProcess.command(ctx, "maint-on "+upstreamID(brieflyOutIndex)); err != nil {
 		return err
 	}
 	if err := h.load.awaitAnswers(ctx, settledAfter); err != nil {
@@ -159,7 +144,7 @@
 	if more := h.upstreams.hits[brieflyOutIndex].Load() - hits; more != 0 {
 		return fmt.Errorf("%d requests at an upstream that is out of service by a command to the old process", more)
 	}
-	if err := h.newOne.command(ctx, "maint-off "+upstreamID(brieflyOutIndex)); err != nil {
+	if err := h.newProcess.command(ctx, "maint-off "+upstreamID(brieflyOutIndex)); err != nil {
 		return err
 	}
 	return h.awaitHit(ctx, brieflyOutIndex)
@@ -167,13 +152,13 @@
 
 // endOld ends the old process, which answers what it has taken, and lets the new one serve alone.
 func (h *hotRestart) endOld(ctx context.Context) error {
-	if err := h.oldOne.stop(); err != nil {
+	if err := h.oldProcess.stop(); err != nil {
 		return err
 	}
 	return h.load.awaitAnswers(ctx, settledAfter)
 }
 
-// stayedOut tells whether the upstream that is out of service got nothing since.
+// stayedOut is an error if the upstream that is out of service got a request since.
 func (h *hotRestart) stayedOut(context.Context) error {
 	if more := h.upstreams.hits[outIndex].Load() - h.hitsOut; more != 0 {
 		return fmt.Errorf("%d requests at the upstream that is out of service", more)
@@ -183,7 +168,7 @@
 
 // putBack puts the upstream back in service at the new process.
 func (h *hotRestart) putBack(ctx context.Context) error {
-	if err := h.newOne.command(ctx, "maint-off "+upstreamID(outIndex)); err != nil {
+	if err := h.newProcess.command(ctx, "maint-off "+upstreamID(outIndex)); err != nil {
 		return err
 	}
 	return h.awaitHit(ctx, outIndex)
@@ -202,10 +187,10 @@
 
 // lostNothing ends the clients and looks at what they saw over the whole hot restart.
 func (h *hotRestart) lostNothing(context.Context) error {
-	seen := h.load.stop()
-	if seen.LostRequests+seen.RefusedConnections+seen.ClosedConnections > 0 {
+	figures := h.load.stop()
+	if figures.LostRequests+figures.RefusedConnections+figures.ClosedConnections > 0 {
 		return fmt.Errorf("of %d requests %d were lost; %d connections were refused, %d closed",
-			seen.Requests, seen.LostRequests, seen.RefusedConnections, seen.ClosedConnections)
+			figures.Requests, figures.LostRequests, figures.RefusedConnections, figures.ClosedConnections)
 	}
 	return nil
 }
