--- a/benchmarks/compatibility/read_test.go
+++ b/benchmarks/compatibility/read_test.go
@@ -1,6 +1,7 @@
 package main
 
 import (
+	"encoding/json"
 	"errors"
 	"os"
 	"path/filepath"
@@ -85,7 +86,7 @@
 
 func TestCompareSnapshots(t *testing.T) {
 	learnt := func(change func(*learntUpstream)) *snapshot {
-		all := &snapshot{}
+		all := &snapshot{Classes: map[string]float64{"c": 1e6}}
 		for index := range upstreamCount {
 			all.Upstreams = append(all.Upstreams, learntUpstream{
 				ID: uint32(index), Readings: 4, Answers: 5, Window: []float64{0.1, 0.2}, Figures: map[string]float64{"lat": 1},
@@ -104,13 +105,18 @@
 		"fewer readings":   func(u *learntUpstream) { u.Readings = 0 },
 		"other readings":   func(u *learntUpstream) { u.Window = []float64{0.1} },
 		"no figures":       func(u *learntUpstream) { u.Figures = nil },
+		"a further key":    func(u *learntUpstream) { u.keys = []string{"id"} },
 	} {
 		if compareSnapshots(before, learnt(change)) == nil {
 			t.Errorf("%s passed", name)
 		}
 	}
-	if compareSnapshots(before, &snapshot{}) == nil {
-		t.Error("an empty snapshot passed")
+	other := learnt(func(*learntUpstream) {})
+	other.Classes["c"] = 2e6
+	for name, after := range map[string]*snapshot{"empty": {}, "another latency of a class": other} {
+		if compareSnapshots(before, after) == nil {
+			t.Errorf("%s passed", name)
+		}
 	}
 	nothing := learnt(func(u *learntUpstream) { u.Answers = 0 })
 	if compareSnapshots(nothing, nothing) == nil {
@@ -118,6 +124,21 @@
 	}
 }
 
+// TestRecordKeys: a record of a snapshot has all its keys, also those that the program does not read.
+func TestRecordKeys(t *testing.T) {
+	var read snapshot
+	if err := json.Unmarshal([]byte(`{"upstreams":[{"id":3,"wait":1,"answers":5}]}`), &read); err != nil {
+		t.Fatal(err)
+	}
+	record := read.Upstreams[0]
+	if record.ID != 3 || record.Answers != 5 || !slices.Equal(record.keys, []string{"answers", "id", "wait"}) {
+		t.Errorf("%+v", record)
+	}
+	if json.Unmarshal([]byte(`{"upstreams":[{"id":"three"}]}`), &read) == nil {
+		t.Error("an id that is no number passed")
+	}
+}
+
 func TestCheckFolder(t *testing.T) {
 	const text = "voter k1, member 3a of cluster 7f\nthe log ends at 12 (term 2), and all up to 12 was known\n" +
 		"14 words, 2 bounds, 730 bytes of 4194304"
--- a/benchmarks/compatibility/snapshot.go
+++ b/benchmarks/compatibility/snapshot.go
@@ -51,6 +51,21 @@
 	Answers  int                `json:"answers"`
 	Window   []float64          `json:"window"` // the latest readings
 	Figures  map[string]float64 `json:"figures"`
+	keys     []string           // all that the record has, also those that are not read here
+}
+
+// UnmarshalJSON reads a record and notes its keys.
+func (u *learntUpstream) UnmarshalJSON(text []byte) error {
+	type record learntUpstream // without this method
+	if err := json.Unmarshal(text, (*record)(u)); err != nil {
+		return err
+	}
+	var fields map[string]json.RawMessage
+	if err := json.Unmarshal(text, &fields); err != nil {
+		return err
+	}
+	u.keys = slices.Sorted(maps.Keys(fields))
+	return nil
 }
 
 // readSnapshot asks the process that waits at a socket for its snapshot. It must not be in a hot restart meanwhile.
@@ -159,6 +174,9 @@
 		return fmt.Errorf("of %d upstreams the old snapshot has %d, and the new one %d",
 			upstreamCount, len(before.Upstreams), len(after.Upstreams))
 	}
+	if len(before.Classes) == 0 || !maps.Equal(before.Classes, after.Classes) {
+		return fmt.Errorf("the old snapshot has the classes' latencies %v, the new one %v", before.Classes, after.Classes)
+	}
 	for _, old := range before.Upstreams {
 		at := slices.IndexFunc(after.Upstreams, func(u learntUpstream) bool { return u.ID == old.ID })
 		if at < 0 {
@@ -183,6 +201,8 @@
 			before.Answers, before.Readings, after.Answers, after.Readings)
 	case !slices.Equal(after.Window, before.Window):
 		return fmt.Errorf("the old process had the readings %v, the new one has %v", before.Window, after.Window)
+	case !slices.Equal(after.keys, before.keys):
+		return fmt.Errorf("the old process's record has the keys %v, the new one's has %v", before.keys, after.keys)
 	case !slices.Equal(afterFigures, beforeFigures):
 		return fmt.Errorf("the old process had the figures %v, the new one has %v", beforeFigures, afterFigures)
 	}
