--- a/balancer/balancer.go
+++ b/balancer/balancer.go
@@ -1,62 +1,55 @@
-// The decisions of the balancer: every rule and every constant is in this file and in slowstart.go. Its
-// interface (types, events, actions) is in api.go, what it keeps in state.go; docs/design gives the reasons.
-
 package balancer
 
 import (
+	"fmt"
 	"math/rand/v2"
 	"time"
 )
 
-// Constants. Those without a unit are ratios.
 const (
-	bandWindow            = 8           // N: readings in an upstream's moving window
-	muteLeast             = 64          // answers in a row without a report: then utilisation is estimated
-	bandAlpha             = 2.0         // α: half the band gap in standard deviations, as usual for these bands
-	bandPeriod            = time.Second // the band gap is integrated over it, then shares move
-	areaFloor             = 0.4         // areas below it are noise: a deviation of a tenth of full use
-	areaRatio             = 1.25        // saturated: an area over this multiple of the fleet's median
-	areaSpread            = 4.0         // and so many times as far over it as the lowest quarter is under it
-	fullUse               = 0.8         // mean use over which more attempts out bring no more
-	levelFloor            = 0.5         // use below it never counts as excess level
-	cutMost               = 0.8         // the deepest cut in one period: reports lag, so steps are small
-	restoreStep           = 1.04        // shares come back more slowly than they go
-	shareFloor            = 0.1         // a share is never cut below this part of its start
-	debtRounds            = 1.0         // turns missed beyond this many rounds are forgotten
-	smoothing             = 0.1         // weight of a new sample in running means
-	sharers               = 4.0         // balancers that share an upstream, where there are enough
-	sharersMost           = 10.0        // and at most, for evenness
-	evenTurns             = 4.0         // for it one uses the root of this multiple of its requests a second
-	subsetLeast           = 2           // upstreams that a balancer uses at least
-	sliceLeast            = 0.125       // part of an upstream that one uses at least, if any
-	rateWeight            = 0.25        // weight of a period's requests in the rate that a balancer has
-	rateNoise             = 1.5         // changes of the rate within it move nothing
-	boundStart            = 3           // attempts out at one upstream, over all balancers, at first
-	boundLeast            = 0.25        // over all balancers: with pauses, so that a crowded server can rest
-	boundCut              = 0.8         // on a crowded answer; twice on a full queue or a time-out
-	boundGrowth           = 0.02        // on an answer while turns are short, times the square of its spare aims
-	easy                  = 1.5         // latency for the work, in multiples of its least: no queue
-	crowded               = 1.6         // over this multiple: the upstream is crowded or sick
-	crowdedShare          = 0.5         // and it takes this part of the aim: far under it crowding hurts nobody
-	idleShare             = 0.0625      // under it a bound may grow without waiting for readings
-	leastDrift            = 0.005       // how fast the least latency is unlearnt
-	patienceDevs          = 5.0         // deviations over its usual latency before an upstream is silent
-	errorWeight           = 0.125       // weight of an answer in the share of errors among them
-	sickOver              = 0.5         // more errors than the fleet by this share of answers: trials only
-	errorNoise            = 0.25        // under it an excess of errors is chance and costs no share
-	sickFloor             = 0.015625    // a share is never cut below this part by errors
-	tipMargin             = 0.6         // part of the cold budget that is used
-	turnsUnder            = 2.0         // a part of it under so many calls is used in turns
-	sendSpare             = 2.33        // latencies left to the aim of a held request sent, less its late worth
-	budgetNoise           = 16          // a budget shorter by one in this many is a client's later try
-	turnWeight            = 0.0625      // weight of a new sample in the mean time between turns of what is held
-	ticksPerAim           = 16          // housekeeping runs this often in the shortest aim
-	waitGrowth            = 2           // trials, failed connects and discovery calls are spaced by this growth
-	logEvery              = 5 * time.Second
-	watchWaitMost         = 1500 * time.Millisecond // after failed calls: changes count as told after 6 s
-	tickToken, watchToken = 1, 2
+	ticksPerObjective = 16              // ticks come this often in the shortest latency objective
+	logInterval       = 5 * time.Second // least time between two log lines of a kind
 )
 
+// Balancer decides for one proxy instance. See the package comment for the contract.
+//
+// An attempt goes to the upstream that interleaver picks by its share. What an upstream may get follows from its parts:
+// a bollingerBand of its utilisation cuts its share, latencyStats move its concurrencyLimit, an outlierDetector leaves
+// it trial requests only, and slowStart has a budget for it while it warms up. A request that finds no turn waits in
+// the admissionQueue.
+type Balancer struct {
+	settings          Settings
+	host              Host
+	rngSource         *rand.PCG // of rng
+	rng               *rand.Rand
+	classes           map[string]*class
+	safestIdempotency Idempotency // of all classes
+	tickInterval      time.Duration
+	startedAt         time.Duration
+	periodStartedAt   time.Duration
+	watchBackoff      time.Duration            // growing wait between failed discovery calls
+	lastLoggedAt      map[string]time.Duration // by kind of line
+
+	requests     map[RequestID]*request
+	inFlight     int // attempts at all upstreams
+	byID         map[UpstreamID]*upstream
+	upstreams    []*upstream // in order of arrival
+	preallocated []upstream  // for those of the first list
+
+	latency  float64 // usual latency over all upstreams, ns
+	meanCost float64 // mean cost hint, ns
+	arrivals arrivalRate
+	fleet    fleetStats
+	limits   limitSettings
+
+	interleaver interleaver
+	retry       retryPolicy
+	queue       admissionQueue
+	subset      subset
+	quota       quota
+	idle        idleState
+}
+
 // New returns a Balancer, or an error that names the setting that is wrong.
 func New(s Settings, seed uint64, now time.Duration, host Host) (*Balancer, error) {
 	if host == nil {
@@ -67,14 +60,21 @@
 	}
 	source := rand.NewPCG(seed, 0)
 	b := &Balancer{
-		host: host, source: source, rng: rand.New(source), requests: map[RequestID]*request{},
-		byID: map[UpstreamID]*upstream{}, senders: map[string]*sender{}, logged: map[string]time.Duration{},
-		stepAt: now, tightAt: now, bornAt: now,
+		host:            host,
+		rngSource:       source,
+		rng:             rand.New(source),
+		requests:        map[RequestID]*request{},
+		byID:            map[UpstreamID]*upstream{},
+		quota:           quota{levels: map[string]*tenantLevel{}},
+		queue:           admissionQueue{lastFullAt: now},
+		lastLoggedAt:    map[string]time.Duration{},
+		periodStartedAt: now,
+		startedAt:       now,
 	}
-	shortest := b.adopt(s, now)
-	b.gather(now)
-	b.lat = float64(shortest) / 4 // until answers tell
-	b.nextTick(now)
+	b.applySettings(s, now)
+	b.chooseSubset(now)
+	b.latency = float64(s.shortestObjective()) / 4 // until answers tell
+	b.scheduleTick(now)
 	if s.PollDiscovery {
 		host.WatchEndpoints(true)
 	}
@@ -82,19 +82,57 @@
 }
 
 // Configure puts other settings in the place of those that hold, or changes nothing and names the one that is
-// wrong. What was learnt of upstreams stays: windows, shares, bounds. Open requests keep their class.
+// wrong. What was learnt of upstreams stays: windows, shares, limits. Open requests keep their class.
 func (b *Balancer) Configure(now time.Duration, s Settings) error {
 	if err := s.Validate(); err != nil {
 		return err
 	}
 	b.catchUp(now)
-	follows := b.s.PollDiscovery
-	b.adopt(s, now)
-	if s.PollDiscovery != follows {
+	polledBefore := b.settings.PollDiscovery
+	b.applySettings(s, now)
+	if s.PollDiscovery != polledBefore {
 		b.host.WatchEndpoints(s.PollDiscovery)
 	}
-	b.gather(now)
-	b.dispatch(now)
-	b.rouse(now)
+	b.chooseSubset(now)
+	b.dispatchQueued(now)
+	b.resumeTicks(now)
 	return nil
 }
+
+// applySettings takes settings. What is counted of classes and tenants that stay goes on.
+func (b *Balancer) applySettings(s Settings, now time.Duration) {
+	classes := make(map[string]*class, len(s.Classes))
+	b.safestIdempotency = NonIdempotent
+	for _, c := range s.Classes {
+		next := &class{Class: c}
+		if old := b.classes[c.Name]; old != nil { // its budget may have shrunk with its deadline: that is learnt anew
+			next.latency = old.latency
+			next.lastRanAt = old.lastRanAt
+		}
+		classes[c.Name] = next
+		b.safestIdempotency = min(b.safestIdempotency, c.Idempotency)
+	}
+	b.quota.update(s.Tenants, s.Balancers, now)
+	b.settings = s
+	b.classes = classes
+	b.tickInterval = max(s.Granularity, s.shortestObjective()/ticksPerObjective, time.Millisecond)
+	b.retry = retryPolicy{maxAttempts: s.Limits.MaxAttempts, hedging: s.Limits.Hedging, margin: b.tickInterval}
+}
+
+// shortestObjective is the shortest latency objective of all classes.
+func (s *Settings) shortestObjective() time.Duration {
+	shortest := s.Classes[0].LatencyObjective
+	for i := range s.Classes {
+		shortest = min(shortest, s.Classes[i].LatencyObjective)
+	}
+	return shortest
+}
+
+// log writes a line of a kind, at most one in a while.
+func (b *Balancer) log(now time.Duration, kind, format string, args ...any) {
+	if at, logged := b.lastLoggedAt[kind]; logged && now-at < logInterval {
+		return
+	}
+	b.lastLoggedAt[kind] = now
+	b.host.Log(fmt.Sprintf(format, args...))
+}
--- a/balancer/balancer_test.go
+++ b/balancer/balancer_test.go
@@ -30,16 +30,16 @@
 	t.Helper()
 	b.RequestArrived(now, Request{ID: id, Class: "write", Budget: time.Second})
 	r := b.requests[id]
-	if r == nil || r.out != 1 {
+	if r == nil || r.inFlight != 1 {
 		t.Fatalf("request %d was not sent", id)
 	}
-	u := r.attempts[0].up
+	u := r.attempts[0].upstream
 	b.AttemptFinished(now, AttemptResult{ID: id, Upstream: u.ID, Latency: 50 * ms, Status: OK, Closed: true})
 	return u
 }
 
 func TestBands(t *testing.T) {
-	mean, dev := bands([]float64{0.2, 0.4, 0.4, 0.4, 0.5, 0.5, 0.7, 0.9})
+	mean, dev := meanAndDeviation([]float64{0.2, 0.4, 0.4, 0.4, 0.5, 0.5, 0.7, 0.9})
 	if math.Abs(mean-0.5) > 1e-9 || math.Abs(dev-0.2) > 1e-9 { // worked by hand: squares sum to 0.32
 		t.Errorf("mean %v, deviation %v; want 0.5, 0.2", mean, dev)
 	}
@@ -47,12 +47,12 @@
 
 func TestAreaIsIntegratedOverTimeNotSamples(t *testing.T) {
 	b, _ := start(t, settings(), fleet(1))
-	u := b.ups[0]
-	u.dev, u.mean, u.readAt = 0.1, 0.3, time.Hour
-	b.integrate(u, time.Hour+250*ms)
-	b.integrate(u, time.Hour+500*ms)
-	if want := 2 * bandAlpha * 0.1 * 0.5; math.Abs(u.area-want) > 1e-9 {
-		t.Errorf("area %v, want %v", u.area, want)
+	u := b.upstreams[0]
+	u.band.deviation, u.band.mean, u.band.integratedAt = 0.1, 0.3, time.Hour
+	u.band.integrate(b.fleet.utilisation, time.Hour+250*ms)
+	u.band.integrate(b.fleet.utilisation, time.Hour+500*ms)
+	if want := 2 * bandAlpha * 0.1 * 0.5; math.Abs(u.band.area-want) > 1e-9 {
+		t.Errorf("area %v, want %v", u.band.area, want)
 	}
 }
 
@@ -60,51 +60,51 @@
 	b, _ := start(t, settings(), fleet(3))
 	step := func(n int) {
 		for range n {
-			for _, u := range b.ups {
-				u.readings, u.mean = bandWindow, 0.3
+			for _, u := range b.upstreams {
+				u.band.readings, u.band.mean = bandWindow, 0.3
 			}
-			b.ups[0].mean = 1 // flat readings at full load: no deviation at all
-			b.step(b.stepAt + bandPeriod)
+			b.upstreams[0].band.mean = 1 // flat readings at full load: no deviation at all
+			b.endPeriod(b.periodStartedAt + bandPeriod)
 		}
 	}
 	step(2)
-	first := b.ups[0].factor
+	first := b.upstreams[0].share.factor
 	step(40)
-	if first >= 1 || first < cutMost*cutMost || b.ups[0].factor != shareFloor || b.ups[1].factor != 1 {
-		t.Errorf("shares left: %v at first, then %v and %v", first, b.ups[0].factor, b.ups[1].factor)
+	if first >= 1 || first < deepestCut*deepestCut || b.upstreams[0].share.factor != minShareFactor || b.upstreams[1].share.factor != 1 {
+		t.Errorf("shares left: %v at first, then %v and %v", first, b.upstreams[0].share.factor, b.upstreams[1].share.factor)
 	}
 	for range 80 {
-		b.ups[0].mean = 0.3
-		b.step(b.stepAt + bandPeriod)
+		b.upstreams[0].band.mean = 0.3
+		b.endPeriod(b.periodStartedAt + bandPeriod)
 	}
-	if b.ups[0].factor != 1 {
-		t.Errorf("share left after rest: %v, want 1", b.ups[0].factor)
+	if b.upstreams[0].share.factor != 1 {
+		t.Errorf("share left after rest: %v, want 1", b.upstreams[0].share.factor)
 	}
 }
 
 func TestFleetWideRiseCutsNobody(t *testing.T) {
 	b, _ := start(t, settings(), fleet(4))
 	for range 10 {
-		for _, u := range b.ups {
-			u.readings, u.mean, u.dev = bandWindow, 0.95, 0.2
+		for _, u := range b.upstreams {
+			u.band.readings, u.band.mean, u.band.deviation = bandWindow, 0.95, 0.2
 		}
-		b.step(b.stepAt + bandPeriod)
+		b.endPeriod(b.periodStartedAt + bandPeriod)
 	}
-	for _, u := range b.ups {
-		if u.factor != 1 {
-			t.Errorf("upstream %d is left %v of its share", u.ID, u.factor)
+	for _, u := range b.upstreams {
+		if u.share.factor != 1 {
+			t.Errorf("upstream %d is left %v of its share", u.ID, u.share.factor)
 		}
 	}
 }
 
 func TestRepeatedReportIsNoReading(t *testing.T) {
 	b, _ := start(t, settings(), fleet(1))
-	u := b.ups[0]
+	u := b.upstreams[0]
 	for i, util := range []float64{0.5, 0.5, 0.6, 0.6, 0.5} {
-		b.read(u, Load{Fields: HasUtil, Util: util}, true, 0, time.Hour+time.Duration(i)*ms)
+		b.recordLoad(u, Load{Fields: HasUtil, Util: util}, true, 0, time.Hour+time.Duration(i)*ms)
 	}
-	if u.readings != 3 {
-		t.Errorf("%d readings, want 3", u.readings)
+	if u.band.readings != 3 {
+		t.Errorf("%d readings, want 3", u.band.readings)
 	}
 }
 
@@ -124,8 +124,8 @@
 		s := settings()
 		s.Reports = c.via
 		b, _ := start(t, s, fleet(1))
-		if b.read(b.ups[0], c.load, true, c.late, time.Hour); math.Abs(b.ups[0].mean-c.want) > 1e-9 {
-			t.Errorf("%s: reading %v, want %v", c.name, b.ups[0].mean, c.want)
+		if b.recordLoad(b.upstreams[0], c.load, true, c.late, time.Hour); math.Abs(b.upstreams[0].band.mean-c.want) > 1e-9 {
+			t.Errorf("%s: reading %v, want %v", c.name, b.upstreams[0].band.mean, c.want)
 		}
 	}
 }
@@ -134,7 +134,7 @@
 // much as the other.
 func TestHalvedQuotaTakesEveryFourthTurn(t *testing.T) {
 	b, _ := start(t, settings(), fleet(2))
-	one := b.ups[0]
+	one := b.upstreams[0]
 	turns := func(from, n int) (taken []int) {
 		for i := from; i < from+n; i++ {
 			if serve(t, b, time.Hour, RequestID(i)) == one {
@@ -144,7 +144,7 @@
 		return taken
 	}
 	even := turns(1, 20)
-	one.weight = 1.0 / 3
+	one.share.weight = 1.0 / 3
 	quarter := turns(101, 40)
 	for i := 1; i < len(even); i++ {
 		if even[i]-even[i-1] != 2 {
@@ -167,7 +167,7 @@
 	b, _ := start(t, settings(), fleet(2))
 	serve(t, b, time.Hour, 1)
 	serve(t, b, time.Hour, 2)
-	if p := b.patience(b.ups[0], 1); p < 150*ms {
+	if p := b.responseTimeout(b.upstreams[0], 1); p < 150*ms {
 		t.Errorf("patience %v after an answer in 50ms", p)
 	}
 }
@@ -175,7 +175,7 @@
 // A request with a short budget was once held past its deadline, since holds are looked at once a tick.
 func TestShortBudgetIsAnsweredInTime(t *testing.T) {
 	b, h := start(t, settings(), fleet(1))
-	b.ups[0].freeAt = 2 * time.Hour
+	b.upstreams[0].limit.nextSendAt = 2 * time.Hour
 	b.RequestArrived(time.Hour, Request{ID: 1, Class: "write", Budget: 10 * ms})
 	if h.count("refuse id=1") != 1 {
 		t.Errorf("not refused at once: %v", h.lines)
@@ -200,8 +200,8 @@
 		now += 5 * ms
 		id := RequestID(10000 + i)
 		b.RequestArrived(now, Request{ID: id, Class: "write", Budget: time.Second, Cost: ms})
-		if r := b.requests[id]; r != nil && r.out == 1 {
-			b.AttemptFinished(now, AttemptResult{ID: id, Upstream: r.attempts[0].up.ID, Latency: 20 * ms, Status: OK, Closed: true})
+		if r := b.requests[id]; r != nil && r.inFlight == 1 {
+			b.AttemptFinished(now, AttemptResult{ID: id, Upstream: r.attempts[0].upstream.ID, Latency: 20 * ms, Status: OK, Closed: true})
 		}
 	}
 	toCold := 0
@@ -223,25 +223,25 @@
 		serve(t, b, time.Hour, RequestID(i+1))
 	}
 	b.RequestArrived(time.Hour, Request{ID: 100, Class: "read", Budget: time.Second})
-	u := b.requests[100].attempts[0].up
-	now := time.Hour + b.patience(u, 1) + 20*ms
+	u := b.requests[100].attempts[0].upstream
+	now := time.Hour + b.responseTimeout(u, 1) + 20*ms
 	b.TimerFired(now, tickToken)
-	if !u.silent || h.count("cancel id=100") != 1 {
-		t.Fatalf("silent %v; %v", u.silent, h.lines[len(h.lines)-4:])
+	if !u.outlier.unresponsive || h.count("cancel id=100") != 1 {
+		t.Fatalf("silent %v; %v", u.outlier.unresponsive, h.lines[len(h.lines)-4:])
 	}
 	b.AttemptFinished(now, AttemptResult{ID: 100, Upstream: u.ID, Latency: 400 * ms, Status: Cancelled})
-	if r := b.requests[100]; r == nil || r.out != 1 || r.attempts[1].up == u {
+	if r := b.requests[100]; r == nil || r.inFlight != 1 || r.attempts[1].upstream == u {
 		t.Error("the request did not start again elsewhere")
 	}
 }
 
 func TestCrowdedUpstreamRests(t *testing.T) {
 	b, _ := start(t, settings(), fleet(1))
-	u, now := b.ups[0], time.Hour
+	u, now := b.upstreams[0], time.Hour
 	answer := func(id RequestID, lat time.Duration) {
 		now += time.Second
 		b.RequestArrived(now, Request{ID: id, Class: "write", Budget: time.Second})
-		if r := b.requests[id]; r != nil && r.out == 1 {
+		if r := b.requests[id]; r != nil && r.inFlight == 1 {
 			now += lat
 			b.AttemptFinished(now, AttemptResult{ID: id, Upstream: u.ID, Latency: lat, Status: OK, Closed: true})
 		}
@@ -249,16 +249,16 @@
 	for i := range 30 {
 		answer(RequestID(i+1), 80*ms)
 	}
-	healthy := u.bound
+	healthy := u.limit.allowed
 	for i := range 20 {
 		answer(RequestID(i+100), 290*ms)
 	}
-	if u.bound > healthy/4 {
-		t.Errorf("bound %v after late answers, %v before", u.bound, healthy)
+	if u.limit.allowed > healthy/4 {
+		t.Errorf("bound %v after late answers, %v before", u.limit.allowed, healthy)
 	}
-	u.freeAt = now
+	u.limit.nextSendAt = now
 	answer(500, 80*ms)
-	if u.bound < b.start {
+	if u.limit.allowed < b.limits.initial {
 		t.Error("the bound does not come back with a good answer")
 	}
 }
@@ -290,13 +290,13 @@
 	var last time.Duration
 	for range 3 {
 		b.EndpointsUpdated(time.Hour, ListFailed, nil)
-		if b.watchWait <= last {
-			t.Errorf("wait %v after %v", b.watchWait, last)
+		if b.watchBackoff <= last {
+			t.Errorf("wait %v after %v", b.watchBackoff, last)
 		}
-		last = b.watchWait
+		last = b.watchBackoff
 	}
 	b.TimerFired(time.Hour, watchToken)
-	if h.count("watch") != 2 || len(b.ups) != 1 {
+	if h.count("watch") != 2 || len(b.upstreams) != 1 {
 		t.Error("did not ask again, or lost the list")
 	}
 }
@@ -363,9 +363,9 @@
 		now += 20 * ms
 		id := RequestID(i + 1)
 		b.RequestArrived(now, Request{ID: id, Class: "read", Budget: time.Second, Cost: time.Duration(odd[i%3+2])})
-		if r := b.requests[id]; r != nil && r.out > 0 {
+		if r := b.requests[id]; r != nil && r.inFlight > 0 {
 			l := Load{Fields: HasUtil | HasInflight | HasQueue, Util: odd[i%6], Inflight: odd[(i+1)%6], Queue: odd[(i+2)%6]}
-			o := AttemptResult{ID: id, Upstream: r.attempts[0].up.ID, Latency: time.Duration(i%3-1) * 30 * ms, Status: OK, Closed: true, Load: l}
+			o := AttemptResult{ID: id, Upstream: r.attempts[0].upstream.ID, Latency: time.Duration(i%3-1) * 30 * ms, Status: OK, Closed: true, Load: l}
 			b.AttemptFinished(now, o)
 			b.AttemptFinished(now, o)
 		}
@@ -374,10 +374,10 @@
 		b.TimerFired(now, tickToken)
 		b.TimerFired(now, 12345)
 	}
-	for _, u := range b.ups {
+	for _, u := range b.upstreams {
 		for name, x := range map[string]float64{
-			"mean": u.mean, "dev": u.dev, "weight": u.weight, "latency": u.lat,
-			"bound": u.bound, "due": u.due, "area": u.area, "factor": u.factor,
+			"mean": u.band.mean, "dev": u.band.deviation, "weight": u.share.weight, "latency": u.latency.mean,
+			"bound": u.limit.allowed, "due": u.dueTurn, "area": u.band.area, "factor": u.share.factor,
 		} {
 			if math.IsNaN(x) || math.IsInf(x, 0) || x < 0 {
 				t.Errorf("upstream %d: %s is %v", u.ID, name, x)
@@ -470,8 +470,8 @@
 		now += ms
 		id := RequestID(i + 1)
 		bal.RequestArrived(now, Request{ID: id, Class: "write", Budget: time.Second})
-		if r := bal.requests[id]; r != nil && r.out > 0 {
-			bal.AttemptFinished(now, AttemptResult{ID: id, Upstream: r.attempts[0].up.ID, Latency: 50 * ms, Status: OK, Closed: true})
+		if r := bal.requests[id]; r != nil && r.inFlight > 0 {
+			bal.AttemptFinished(now, AttemptResult{ID: id, Upstream: r.attempts[0].upstream.ID, Latency: 50 * ms, Status: OK, Closed: true})
 		}
 	}
 }
@@ -490,10 +490,10 @@
 		s.Balancers = n
 		b, _ := start(t, s, fleet(1))
 		for i := range 60 {
-			b.shrink(b.ups[0], time.Hour+time.Duration(i)*time.Second, boundCut)
+			b.cutLimit(b.upstreams[0], time.Hour+time.Duration(i)*time.Second, limitCut)
 		}
-		if total := b.ups[0].bound * float64(n); math.Abs(total-boundLeast) > 1e-9 {
-			t.Errorf("%d balancers: %v attempts over all, want %v", n, total, boundLeast)
+		if total := b.upstreams[0].limit.allowed * float64(n); math.Abs(total-minLimitTotal) > 1e-9 {
+			t.Errorf("%d balancers: %v attempts over all, want %v", n, total, minLimitTotal)
 		}
 	}
 }
@@ -501,16 +501,16 @@
 // A balancer that started while a server was choked once took its slow answers for usual.
 func TestUpstreamMetCrowdedIsJudgedByTheFleet(t *testing.T) {
 	b, _ := start(t, settings(), fleet(8))
-	for _, u := range b.ups {
-		u.readings, u.least, u.calm = 1, float64(60*ms), float64(60*ms)
+	for _, u := range b.upstreams {
+		u.band.readings, u.latency.best, u.latency.unloaded = 1, float64(60*ms), float64(60*ms)
 	}
-	u := b.ups[3]
-	u.least, u.calm = 0, 0
-	b.step(time.Hour + bandPeriod)
-	a := &attempt{r: &request{class: b.classes["write"], units: 1}, up: u}
-	b.learn(a, AttemptResult{Latency: 200 * ms, Status: OK}, time.Hour+2*bandPeriod)
-	if u.bound >= b.start {
-		t.Errorf("bound %v after an answer three times as slow as the fleet's least", u.bound)
+	u := b.upstreams[3]
+	u.latency.best, u.latency.unloaded = 0, 0
+	b.endPeriod(time.Hour + bandPeriod)
+	a := &attempt{request: &request{class: b.classes["write"], work: 1}, upstream: u}
+	b.recordOutcome(a, AttemptResult{Latency: 200 * ms, Status: OK}, time.Hour+2*bandPeriod)
+	if u.limit.allowed >= b.limits.initial {
+		t.Errorf("bound %v after an answer three times as slow as the fleet's least", u.limit.allowed)
 	}
 }
 
@@ -520,8 +520,8 @@
 	s.Balancers = 8 // all of them use all upstreams
 	b, _ := start(t, s, fleet(20))
 	later := 0
-	for _, u := range b.ups {
-		if u.freeAt > time.Hour+b.pause(u)/10 { // 50 ms were a tenth of the pause before there were subsets
+	for _, u := range b.upstreams {
+		if u.limit.nextSendAt > time.Hour+b.sendInterval(u)/10 { // 50 ms were a tenth of the pause before there were subsets
 			later++
 		}
 	}
@@ -540,12 +540,12 @@
 		for i := range 10 { // more than it may have out at once
 			b.RequestArrived(time.Hour, Request{ID: RequestID(i + 1), Class: "write", Budget: time.Second})
 		}
-		for _, u := range b.ups {
-			got[u.ID] += len(u.outs)
+		for _, u := range b.upstreams {
+			got[u.ID] += len(u.inFlight)
 		}
 	}
 	for id, n := range got {
-		if n > 2*sharers {
+		if n > 2*usualSharers {
 			t.Errorf("upstream %d was sent %d at once by 24 balancers", id, n)
 		}
 	}
@@ -558,12 +558,12 @@
 		grows bool
 	}{{0.5, true}, {0.97, false}} {
 		b, _ := start(t, settings(), fleet(1))
-		u := b.ups[0]
-		u.mean, u.readings, u.least, b.tightAt = c.use, bandWindow, float64(50*ms), time.Hour
-		before := u.bound
-		b.learn(&attempt{r: &request{class: b.classes["write"], units: 1}, up: u}, AttemptResult{Latency: 50 * ms, Status: OK}, time.Hour)
-		if (u.bound > before) != c.grows {
-			t.Errorf("use %v: bound %v, then %v", c.use, before, u.bound)
+		u := b.upstreams[0]
+		u.band.mean, u.band.readings, u.latency.best, b.queue.lastFullAt = c.use, bandWindow, float64(50*ms), time.Hour
+		before := u.limit.allowed
+		b.recordOutcome(&attempt{request: &request{class: b.classes["write"], work: 1}, upstream: u}, AttemptResult{Latency: 50 * ms, Status: OK}, time.Hour)
+		if (u.limit.allowed > before) != c.grows {
+			t.Errorf("use %v: bound %v, then %v", c.use, before, u.limit.allowed)
 		}
 	}
 }
@@ -572,15 +572,15 @@
 // weights rise with idleness, and a server of weight 3 was judged against a third of the fleet's latency.
 func TestIdleUpstreamOfHighWeightIsNotTakenForCrowded(t *testing.T) {
 	b, _ := start(t, settings(), fleet(4))
-	for _, u := range b.ups {
-		u.mean, u.readings, u.least, u.units, u.lat = 0.2, bandWindow, float64(50*ms), 1, float64(50*ms)
+	for _, u := range b.upstreams {
+		u.band.mean, u.band.readings, u.latency.best, u.latency.work, u.latency.mean = 0.2, bandWindow, float64(50*ms), 1, float64(50*ms)
 	}
-	b.step(time.Hour)
-	u := b.ups[0]
-	u.weight, u.bound, u.outs, b.tightAt = 3, 2, make([]*attempt, 2), time.Hour
-	b.learn(&attempt{r: &request{class: b.classes["write"], units: 1}, up: u}, AttemptResult{Latency: 55 * ms, Status: OK}, time.Hour)
-	if u.bound <= 2 {
-		t.Errorf("bound %v, want more than 2", u.bound)
+	b.endPeriod(time.Hour)
+	u := b.upstreams[0]
+	u.share.weight, u.limit.allowed, u.inFlight, b.queue.lastFullAt = 3, 2, make([]*attempt, 2), time.Hour
+	b.recordOutcome(&attempt{request: &request{class: b.classes["write"], work: 1}, upstream: u}, AttemptResult{Latency: 55 * ms, Status: OK}, time.Hour)
+	if u.limit.allowed <= 2 {
+		t.Errorf("bound %v, want more than 2", u.limit.allowed)
 	}
 }
 
@@ -589,13 +589,13 @@
 	set := settings()
 	set.Balancers = 8
 	b, _ := start(t, set, fleet(4))
-	u := b.ups[0]
+	u := b.upstreams[0]
 	for i := range 30 {
 		lat := []time.Duration{190, 60, 60, 60}[i%4] * ms
 		now := 2*time.Hour + time.Duration(i)*time.Second
-		b.learn(&attempt{r: &request{class: b.classes["write"], units: 1}, up: u}, AttemptResult{Latency: lat, Status: OK}, now)
-		if i > 8 && u.bound < b.start {
-			t.Fatalf("answer %d after %v: bound %v, want %v", i, lat, u.bound, b.start)
+		b.recordOutcome(&attempt{request: &request{class: b.classes["write"], work: 1}, upstream: u}, AttemptResult{Latency: lat, Status: OK}, now)
+		if i > 8 && u.limit.allowed < b.limits.initial {
+			t.Fatalf("answer %d after %v: bound %v, want %v", i, lat, u.limit.allowed, b.limits.initial)
 		}
 	}
 }
@@ -603,22 +603,22 @@
 // Bounds once doubled each round trip: many balancers choked a fleet before the first reading told of full use.
 func TestBoundAtMostDoublesBetweenPeriods(t *testing.T) {
 	b, _ := start(t, settings(), fleet(1))
-	u := b.ups[0]
-	u.least, u.outs = float64(20*ms), make([]*attempt, 100)
+	u := b.upstreams[0]
+	u.latency.best, u.inFlight = float64(20*ms), make([]*attempt, 100)
 	answers := func(now time.Duration) {
 		for range 50 {
-			b.tightAt = now
-			b.learn(&attempt{r: &request{class: b.classes["write"], units: 1}, up: u}, AttemptResult{Latency: 20 * ms, Status: OK}, now)
+			b.queue.lastFullAt = now
+			b.recordOutcome(&attempt{request: &request{class: b.classes["write"], work: 1}, upstream: u}, AttemptResult{Latency: 20 * ms, Status: OK}, now)
 		}
 	}
 	answers(time.Hour)
-	if u.bound != boundStart {
-		t.Errorf("bound %v before the first period has passed, want %v", u.bound, boundStart)
+	if u.limit.allowed != initialLimitTotal {
+		t.Errorf("bound %v before the first period has passed, want %v", u.limit.allowed, initialLimitTotal)
 	}
-	b.step(time.Hour + bandPeriod)
+	b.endPeriod(time.Hour + bandPeriod)
 	answers(time.Hour + bandPeriod)
-	if u.bound != 2*boundStart {
-		t.Errorf("bound %v in the next period, want %v", u.bound, 2*boundStart)
+	if u.limit.allowed != 2*initialLimitTotal {
+		t.Errorf("bound %v in the next period, want %v", u.limit.allowed, 2*initialLimitTotal)
 	}
 }
 
@@ -626,22 +626,22 @@
 // what they could serve was refused for want of turns. They stop as soon as answers take longer.
 func TestIdleUpstreamsBoundGrowsWithinThePeriod(t *testing.T) {
 	b, _ := start(t, settings(), fleet(1))
-	u := b.ups[0]
-	u.outs = make([]*attempt, 100)
+	u := b.upstreams[0]
+	u.inFlight = make([]*attempt, 100)
 	answers := func(lat time.Duration) {
 		for range 50 {
-			b.tightAt = time.Hour
-			b.learn(&attempt{r: &request{class: b.classes["write"], units: 1}, up: u}, AttemptResult{Latency: lat, Status: OK}, time.Hour)
+			b.queue.lastFullAt = time.Hour
+			b.recordOutcome(&attempt{request: &request{class: b.classes["write"], work: 1}, upstream: u}, AttemptResult{Latency: lat, Status: OK}, time.Hour)
 		}
 	}
 	answers(ms)
-	grown := u.bound
-	if grown < 10*boundStart {
+	grown := u.limit.allowed
+	if grown < 10*initialLimitTotal {
 		t.Errorf("bound %v after 50 answers within 1 ms", grown)
 	}
 	answers(20 * ms)
-	if u.bound > grown {
-		t.Errorf("bound %v went on to %v although answers take longer", grown, u.bound)
+	if u.limit.allowed > grown {
+		t.Errorf("bound %v went on to %v although answers take longer", grown, u.limit.allowed)
 	}
 }
 
@@ -658,11 +658,11 @@
 		{"twice the calm latency, most of the aim", 240 * ms, 120 * ms, true},
 	} {
 		b, _ := start(t, settings(), fleet(1))
-		u := b.ups[0]
-		u.lat, u.units, u.slow, u.calm = float64(c.lat), 1, float64(c.calm), float64(c.calm)
-		b.learn(&attempt{r: &request{class: b.classes["write"], units: 1}, up: u}, AttemptResult{Latency: c.lat, Status: OK}, 2*time.Hour)
-		if (u.bound < b.start) != c.short {
-			t.Errorf("%s: bound %v, at first %v", c.name, u.bound, b.start)
+		u := b.upstreams[0]
+		u.latency.mean, u.latency.work, u.latency.smoothed, u.latency.unloaded = float64(c.lat), 1, float64(c.calm), float64(c.calm)
+		b.recordOutcome(&attempt{request: &request{class: b.classes["write"], work: 1}, upstream: u}, AttemptResult{Latency: c.lat, Status: OK}, 2*time.Hour)
+		if (u.limit.allowed < b.limits.initial) != c.short {
+			t.Errorf("%s: bound %v, at first %v", c.name, u.limit.allowed, b.limits.initial)
 		}
 	}
 }
@@ -683,7 +683,7 @@
 		used := map[UpstreamID]float64{}
 		for s.Rank = range c.balancers {
 			b, _ := start(t, s, fleet(c.upstreams))
-			if n := len(b.near); n < c.least || n > c.most {
+			if n := len(b.subset.upstreams); n < c.least || n > c.most {
 				t.Fatalf("%+v: a balancer uses %d upstreams", c, n)
 			}
 			for id, part := range parts(b) {
@@ -702,11 +702,11 @@
 // parts is the part of a balancer's traffic that each upstream is to have.
 func parts(b *Balancer) map[UpstreamID]float64 {
 	sum, of := 0.0, map[UpstreamID]float64{}
-	for _, u := range b.near {
-		sum += b.share(u, time.Hour)
+	for _, u := range b.subset.upstreams {
+		sum += b.trafficShare(u, time.Hour)
 	}
-	for _, u := range b.near {
-		of[u.ID] = b.share(u, time.Hour) / sum
+	for _, u := range b.subset.upstreams {
+		of[u.ID] = b.trafficShare(u, time.Hour) / sum
 	}
 	return of
 }
@@ -750,7 +750,7 @@
 			t.Fatalf("%d of 4 were sent at once", h.count("send"))
 		}
 		for _, r := range b.requests {
-			got[r.attempts[0].up.ID]++
+			got[r.attempts[0].upstream.ID]++
 		}
 	}
 	for id := range 200 { // six are due
@@ -797,14 +797,14 @@
 		}
 		for s.Rank = range s.Balancers {
 			b, _ := start(t, s, list)
-			for _, u := range b.near {
+			for _, u := range b.subset.upstreams {
 				if u.ID == list[7].ID {
-					users[i], sum[i] = users[i]+1, sum[i]+u.slice
+					users[i], sum[i] = users[i]+1, sum[i]+u.share.subsetPart
 				}
 			}
 		}
 	}
-	if users[1] > 0.7*users[0] || users[1] < sharers || math.Abs(sum[1]/sum[0]-1) > 0.25 {
+	if users[1] > 0.7*users[0] || users[1] < usualSharers || math.Abs(sum[1]/sum[0]-1) > 0.25 {
 		t.Errorf("%v use it, %v while it is cold; their slices add up to %.2f and %.2f", users[0], users[1], sum[0], sum[1])
 	}
 }
@@ -821,13 +821,13 @@
 		{"all are alike but one", []float64{1, 1, 1, 1, 1, 1, 1, 1.6}, 1},
 	} {
 		b, _ := start(t, settings(), fleet(len(c.areas)))
-		for i, u := range b.ups {
-			u.readings, u.area, u.readAt = bandWindow, c.areas[i], 2*time.Hour
+		for i, u := range b.upstreams {
+			u.band.readings, u.band.area, u.band.integratedAt = bandWindow, c.areas[i], 2*time.Hour
 		}
-		b.step(2 * time.Hour)
+		b.endPeriod(2 * time.Hour)
 		cut := 0
-		for _, u := range b.ups {
-			if u.factor < 1 {
+		for _, u := range b.upstreams {
+			if u.share.factor < 1 {
 				cut++
 			}
 		}
@@ -842,23 +842,23 @@
 	s := settings()
 	s.Balancers = 40
 	b, _ := start(t, s, fleet(40))
-	before := slices.Clone(b.near)
-	before[0].silent = true
-	before[1].cold, before[1].coldAt = true, time.Hour
-	b.gather(time.Hour)
-	if len(b.near) != len(before)+2 {
-		t.Errorf("%d upstreams in use, then %d with one silent and one cold", len(before), len(b.near))
+	before := slices.Clone(b.subset.upstreams)
+	before[0].outlier.unresponsive = true
+	before[1].slowStart.warming, before[1].slowStart.since = true, time.Hour
+	b.chooseSubset(time.Hour)
+	if len(b.subset.upstreams) != len(before)+2 {
+		t.Errorf("%d upstreams in use, then %d with one silent and one cold", len(before), len(b.subset.upstreams))
 	}
 	gone := before[2].Upstream
 	gone.State = Draining
 	b.EndpointsUpdated(time.Hour, ListDelta, []Upstream{gone})
-	if before[2].member || len(b.near) != len(before)+2 {
-		t.Errorf("a draining upstream was not replaced: %d in use", len(b.near))
+	if before[2].inSubset || len(b.subset.upstreams) != len(before)+2 {
+		t.Errorf("a draining upstream was not replaced: %d in use", len(b.subset.upstreams))
 	}
-	before[0].silent, before[1].cold = false, false
-	b.gather(time.Hour)
-	if len(b.near) != len(before) {
-		t.Errorf("%d in use after all came back, %d at first", len(b.near), len(before))
+	before[0].outlier.unresponsive, before[1].slowStart.warming = false, false
+	b.chooseSubset(time.Hour)
+	if len(b.subset.upstreams) != len(before) {
+		t.Errorf("%d in use after all came back, %d at first", len(b.subset.upstreams), len(before))
 	}
 }
 
@@ -880,9 +880,9 @@
 		}
 	}
 	now := 2 * time.Hour
-	b.ups[0].freeAt = now + time.Minute
+	b.upstreams[0].limit.nextSendAt = now + time.Minute
 	b.RequestArrived(now, Request{ID: 1000, Class: "write", Budget: time.Second})
-	if r := b.requests[1000]; r == nil || !r.held || r.units > 0.5 {
+	if r := b.requests[1000]; r == nil || !r.queued || r.work > 0.5 {
 		t.Errorf("a request with five times its usual latency left to its aim was not held: %v", h.lines[len(h.lines)-1])
 	}
 }
@@ -898,13 +898,13 @@
 		s := settings()
 		s.Balancers = c.balancers
 		b, _ := start(t, s, fleet(1))
-		u := b.ups[0]
-		u.readings, u.mean, u.least, u.slow, u.calm = bandWindow, c.use, float64(30*ms), float64(60*ms), float64(60*ms)
-		b.tightAt = time.Hour
-		a := &attempt{r: &request{class: b.classes["write"], units: 1}, up: u}
-		b.learn(a, AttemptResult{Latency: 60 * ms, Status: OK}, time.Hour) // twice the least
-		if (u.bound > b.start) != c.grows {
-			t.Errorf("%+v: bound %v, at first %v", c, u.bound, b.start)
+		u := b.upstreams[0]
+		u.band.readings, u.band.mean, u.latency.best, u.latency.smoothed, u.latency.unloaded = bandWindow, c.use, float64(30*ms), float64(60*ms), float64(60*ms)
+		b.queue.lastFullAt = time.Hour
+		a := &attempt{request: &request{class: b.classes["write"], work: 1}, upstream: u}
+		b.recordOutcome(a, AttemptResult{Latency: 60 * ms, Status: OK}, time.Hour) // twice the least
+		if (u.limit.allowed > b.limits.initial) != c.grows {
+			t.Errorf("%+v: bound %v, at first %v", c, u.limit.allowed, b.limits.initial)
 		}
 	}
 }
@@ -926,7 +926,7 @@
 		b.RequestArrived(time.Hour, Request{ID: 1, Class: "write", Budget: time.Second})
 		now := time.Hour + time.Second
 		if c.tight {
-			b.tightAt = now
+			b.queue.lastFullAt = now
 		}
 		b.RequestArrived(now, Request{ID: 2, Class: "write", Budget: c.budget})
 		if (h.count("send id=2") == 1) != c.sent || h.count("send id=2")+h.count("refuse id=2") != 1 {
@@ -950,14 +950,14 @@
 		list := fleet(3)
 		list[2].StartedAt = time.Hour
 		b.EndpointsUpdated(time.Hour, ListCached, list)
-		b.carry = 0.2 // requests a second that a warm upstream takes from this balancer
+		b.fleet.workPerWeight = 0.2 // requests a second that a warm upstream takes from this balancer
 		for i := range 150 {
-			for _, u := range b.ups[:2] {
-				u.freeAt = 2 * time.Hour // all the traffic asks for the cold one
+			for _, u := range b.upstreams[:2] {
+				u.limit.nextSendAt = 2 * time.Hour // all the traffic asks for the cold one
 			}
 			now := time.Hour + time.Duration(i)*10*ms
 			b.RequestArrived(now, Request{ID: RequestID(i + 1), Class: "read", Budget: time.Second})
-			if r := b.requests[RequestID(i+1)]; r != nil && r.out > 0 {
+			if r := b.requests[RequestID(i+1)]; r != nil && r.inFlight > 0 {
 				b.AttemptFinished(now, AttemptResult{ID: r.ID, Upstream: 3, Latency: 5 * ms, Status: OK, Closed: true})
 			}
 		}
@@ -979,12 +979,12 @@
 		s := settings()
 		s.Balancers = c.balancers
 		b, _ := start(t, s, fleet(1))
-		u := b.ups[0]
-		u.readings, u.mean, u.lat, u.units, u.slow, u.calm = 1, c.use, float64(250*ms), 1, float64(60*ms), float64(60*ms)
-		a := &attempt{r: &request{class: b.classes["write"], units: 1}, up: u}
-		b.learn(a, AttemptResult{Latency: 250 * ms, Status: OK}, 2*time.Hour)
-		if (u.bound < b.start) != c.cut {
-			t.Errorf("%+v: bound %v, at first %v", c, u.bound, b.start)
+		u := b.upstreams[0]
+		u.band.readings, u.band.mean, u.latency.mean, u.latency.work, u.latency.smoothed, u.latency.unloaded = 1, c.use, float64(250*ms), 1, float64(60*ms), float64(60*ms)
+		a := &attempt{request: &request{class: b.classes["write"], work: 1}, upstream: u}
+		b.recordOutcome(a, AttemptResult{Latency: 250 * ms, Status: OK}, 2*time.Hour)
+		if (u.limit.allowed < b.limits.initial) != c.cut {
+			t.Errorf("%+v: bound %v, at first %v", c, u.limit.allowed, b.limits.initial)
 		}
 	}
 }
@@ -992,19 +992,19 @@
 // Requests come by chance. Spaced evenly by its pause, a thin flow left turns unused and refused at others.
 func TestIdleUpstreamHasOneAttemptInHand(t *testing.T) {
 	b, _ := start(t, settings(), fleet(1))
-	u := b.ups[0]
-	u.bound, u.lat = 0.2, float64(100*ms)
+	u := b.upstreams[0]
+	u.limit.allowed, u.latency.mean = 0.2, float64(100*ms)
 	answer := func(sent time.Duration) {
-		u.bound = 0.2
-		a := &attempt{r: &request{class: b.classes["write"], units: 1}, up: u, sentAt: sent}
-		b.learn(a, AttemptResult{Latency: 100 * ms, Status: Error}, sent+100*ms)
+		u.limit.allowed = 0.2
+		a := &attempt{request: &request{class: b.classes["write"], work: 1}, upstream: u, sentAt: sent}
+		b.recordOutcome(a, AttemptResult{Latency: 100 * ms, Status: Error}, sent+100*ms)
 	}
 	now := 2 * time.Hour // idle for long
-	if answer(now); u.freeAt > now+100*ms {
-		t.Errorf("after one attempt: free after %v", u.freeAt-now)
+	if answer(now); u.limit.nextSendAt > now+100*ms {
+		t.Errorf("after one attempt: free after %v", u.limit.nextSendAt-now)
 	}
-	if answer(now + 100*ms); u.freeAt < now+500*ms {
-		t.Errorf("after two in a row: free after %v", u.freeAt-now)
+	if answer(now + 100*ms); u.limit.nextSendAt < now+500*ms {
+		t.Errorf("after two in a row: free after %v", u.limit.nextSendAt-now)
 	}
 }
 
@@ -1014,12 +1014,12 @@
 	s := settings()
 	s.Balancers = 8
 	b, _ := start(t, s, fleet(1))
-	u := b.ups[0]
+	u := b.upstreams[0]
 	for i, lat := range []time.Duration{100, 110, 100, 90, 10, 10} {
-		a := &attempt{r: &request{class: b.classes["write"], units: 1}, up: u}
-		b.learn(a, AttemptResult{Latency: lat * ms, Status: OK}, time.Hour+time.Duration(i)*time.Second)
+		a := &attempt{request: &request{class: b.classes["write"], work: 1}, upstream: u}
+		b.recordOutcome(a, AttemptResult{Latency: lat * ms, Status: OK}, time.Hour+time.Duration(i)*time.Second)
 	}
-	if p := b.patience(u, 1); p < 200*ms {
+	if p := b.responseTimeout(u, 1); p < 200*ms {
 		t.Errorf("patience %v where answers take 100ms as a rule", p)
 	}
 }
@@ -1036,8 +1036,8 @@
 			for i := range rate {
 				id := RequestID(now) + RequestID(i)
 				b.RequestArrived(now, Request{ID: id, Class: "read", Budget: time.Second})
-				if r := b.requests[id]; r != nil && r.out > 0 {
-					b.AttemptFinished(now, AttemptResult{ID: id, Upstream: r.attempts[0].up.ID, Latency: 10 * ms, Status: OK, Closed: true})
+				if r := b.requests[id]; r != nil && r.inFlight > 0 {
+					b.AttemptFinished(now, AttemptResult{ID: id, Upstream: r.attempts[0].upstream.ID, Latency: 10 * ms, Status: OK, Closed: true})
 				}
 				b.ClientLeft(now, id)
 			}
@@ -1045,12 +1045,12 @@
 			b.TimerFired(now, tickToken)
 		}
 		members := 0
-		for _, u := range b.near {
-			if u.member {
+		for _, u := range b.subset.upstreams {
+			if u.inSubset {
 				members++
 			}
 		}
-		return members, b.start * float64(members) // those at the ends of the stretch are used in part
+		return members, b.limits.initial * float64(members) // those at the ends of the stretch are used in part
 	}
 	even, turns := ask(10, 1000, 20) // its even part is ten a second
 	if even != 7 {
--- a/balancer/cold_test.go
+++ b/balancer/cold_test.go
@@ -30,15 +30,15 @@
 	slices := 0.0
 	for rank := range balancers {
 		f.begin(rank, f.born)
-		for _, u := range f.all[rank].near {
-			if u.ID == coldID && u.member {
-				slices += u.slice
+		for _, u := range f.all[rank].subset.upstreams {
+			if u.ID == coldID && u.inSubset {
+				slices += u.share.subsetPart
 			}
 		}
 	}
 	for _, b := range f.all {
-		if b.lat = float64(f.took); !cold {
-			b.carry = capacity / slices
+		if b.latency = float64(f.took); !cold {
+			b.fleet.workPerWeight = capacity / slices
 		}
 	}
 	return f
@@ -85,11 +85,11 @@
 // ask lets a balancer have a request that only the cold upstream can take now.
 func (f *coldFleet) ask(rank int, now time.Duration) {
 	b := f.all[rank]
-	for _, u := range b.ups {
+	for _, u := range b.upstreams {
 		if u.ID != coldID {
-			u.freeAt = now + time.Hour
+			u.limit.nextSendAt = now + time.Hour
 		} else {
-			u.freeAt, u.bound = now, 100 // what binds is the budget
+			u.limit.nextSendAt, u.limit.allowed = now, 100 // what binds is the budget
 		}
 	}
 	f.seq++
@@ -99,12 +99,12 @@
 	if r == nil {
 		return
 	}
-	if r.out > 0 {
+	if r.inFlight > 0 {
 		f.sent = append(f.sent, now)
 		b.AttemptFinished(now, AttemptResult{ID: id, Upstream: coldID, Latency: f.took, Status: OK, Closed: true})
 	} else {
 		b.ClientLeft(now, id)
-		b.dispatch(now)
+		b.dispatchQueued(now)
 	}
 }
 
--- a/balancer/configure_test.go
+++ b/balancer/configure_test.go
@@ -10,8 +10,8 @@
 func TestConfigureKeepsWhatWasLearnt(t *testing.T) {
 	s := settings()
 	b, h := start(t, s, fleet(3))
-	for _, u := range b.ups {
-		u.readings, u.mean, u.dev, u.factor, u.bound = 5, 0.6, 0.1, 0.5, 7
+	for _, u := range b.upstreams {
+		u.band.readings, u.band.mean, u.band.deviation, u.share.factor, u.limit.allowed = 5, 0.6, 0.1, 0.5, 7
 	}
 	b.RequestArrived(time.Hour, Request{ID: 1, Class: s.Classes[0].Name, Budget: s.Classes[0].Deadline})
 	if h.count("send id=1") != 1 {
@@ -28,8 +28,8 @@
 	if err := b.Configure(time.Hour, next); err != nil {
 		t.Fatal(err)
 	}
-	for _, u := range b.ups {
-		if u.readings != 5 || u.factor != 0.5 || u.bound != 7 || !u.member {
+	for _, u := range b.upstreams {
+		if u.band.readings != 5 || u.share.factor != 0.5 || u.limit.allowed != 7 || !u.inSubset {
 			t.Errorf("upstream %d lost what was learnt: %+v", u.ID, u)
 		}
 	}
@@ -38,7 +38,7 @@
 	if h.count("send id=2") != 1 || h.count("refuse id=3") != 1 {
 		t.Errorf("the new class is not served, or the removed one is: %v", h.lines)
 	}
-	up := b.requests[1].attempts[0].up
+	up := b.requests[1].attempts[0].upstream
 	b.AttemptFinished(time.Hour+ms, AttemptResult{ID: 1, Upstream: up.ID, Status: OK, Latency: ms})
 	if b.requests[1] != nil {
 		t.Error("an open request was not closed by its answer")
@@ -50,9 +50,9 @@
 	list := fleet(1)
 	list[0].MaxInFlight = 2
 	b, h := start(t, settings(), list)
-	b.ups[0].bound = 50
+	b.upstreams[0].limit.allowed = 50
 	for i := range RequestID(10) {
-		b.RequestArrived(time.Hour, Request{ID: i + 1, Class: b.s.Classes[0].Name, Budget: time.Second})
+		b.RequestArrived(time.Hour, Request{ID: i + 1, Class: b.settings.Classes[0].Name, Budget: time.Second})
 	}
 	if n := h.count("send"); n != 2 {
 		t.Errorf("%d sends at once, want 2", n)
@@ -66,17 +66,17 @@
 		list := fleet(2)
 		list[1].WarmUpShare = part
 		b, h := start(t, settings(), list)
-		b.chill(b.ups[1], time.Hour)
-		b.carry = 100
+		b.beginWarmUp(b.upstreams[1], time.Hour)
+		b.fleet.workPerWeight = 100
 		for i := range RequestID(500) {
-			for _, u := range b.ups {
-				u.bound, u.freeAt = 1e6, 0
+			for _, u := range b.upstreams {
+				u.limit.allowed, u.limit.nextSendAt = 1e6, 0
 			}
-			b.RequestArrived(time.Hour+time.Duration(i)*ms, Request{ID: i + 1, Class: b.s.Classes[0].Name, Budget: time.Second})
+			b.RequestArrived(time.Hour+time.Duration(i)*ms, Request{ID: i + 1, Class: b.settings.Classes[0].Name, Budget: time.Second})
 		}
 		n := 0
 		for _, r := range b.requests {
-			if len(r.attempts) > 0 && r.attempts[0].up == b.ups[1] {
+			if len(r.attempts) > 0 && r.attempts[0].upstream == b.upstreams[1] {
 				n++
 			}
 		}
@@ -94,7 +94,7 @@
 // TestViewShowsBands: the figures are the ones that decide.
 func TestViewShowsBands(t *testing.T) {
 	b, _ := start(t, settings(), fleet(2))
-	b.ups[0].readings, b.ups[0].mean, b.ups[0].dev, b.ups[0].factor = 8, 0.5, 0.1, 0.5
+	b.upstreams[0].band.readings, b.upstreams[0].band.mean, b.upstreams[0].band.deviation, b.upstreams[0].share.factor = 8, 0.5, 0.1, 0.5
 	views, held := b.View(time.Hour)
 	if len(views) != 2 || held != 0 {
 		t.Fatalf("%+v", views)
--- a/balancer/decide_test.go
+++ b/balancer/decide_test.go
@@ -25,8 +25,8 @@
 				}
 				id := RequestID(i + 1)
 				bal.RequestArrived(now, Request{ID: id, Class: "read", Budget: time.Second})
-				if r := bal.requests[id]; r != nil && r.out > 0 {
-					bal.AttemptFinished(now, AttemptResult{ID: id, Upstream: r.attempts[0].up.ID, Latency: 50 * ms, Status: OK, Closed: true})
+				if r := bal.requests[id]; r != nil && r.inFlight > 0 {
+					bal.AttemptFinished(now, AttemptResult{ID: id, Upstream: r.attempts[0].upstream.ID, Latency: 50 * ms, Status: OK, Closed: true})
 				}
 			}
 		})
--- a/balancer/endpoints.go
+++ b/balancer/endpoints.go
@@ -1,169 +1,118 @@
-// The endpoint list, and the subset of it that this balancer uses.
+// The endpoint list.
 
 package balancer
 
 import (
-	"cmp"
 	"math"
 	"time"
 )
 
+// maxWatchBackoff bounds the wait after failed discovery calls: changes count as told after 6 s.
+const maxWatchBackoff = 1500 * time.Millisecond
+
 // EndpointsUpdated takes what discovery says of the upstreams.
 func (b *Balancer) EndpointsUpdated(now time.Duration, mode ListMode, list []Upstream) {
 	b.catchUp(now)
-	if mode == ListFailed { // ask again, later each time and never all instances at once
-		interval := b.s.Rules.PollInterval
-		b.watchWait = min(max(b.watchWait*waitGrowth, interval/32), interval/2, watchWaitMost)
-		wait := b.watchWait/2 + time.Duration(b.rng.Int64N(int64(b.watchWait)+1))
-		b.host.SetTimer(wait, watchToken)
-		b.log(now, "discovery", "discovery call failed: asking again in %v", wait)
+	if mode == ListFailed {
+		b.retryDiscovery(now)
 		return
 	}
-	b.watchWait = 0
-	if len(b.ups) == 0 {
-		b.makeRoom(len(list))
+	b.watchBackoff = 0
+	if len(b.upstreams) == 0 {
+		b.preallocate(len(list))
 	} else if mode != ListDelta {
-		named := make(map[UpstreamID]bool, len(list))
-		for _, e := range list {
-			named[e.ID] = true
-		}
-		for _, u := range b.ups {
-			if !named[u.ID] {
-				u.State = Removed
-			}
-		}
+		b.removeUnlisted(list)
 	}
-	for _, e := range list {
-		b.member(e.clean(), now)
+	for _, endpoint := range list {
+		b.applyEndpoint(endpoint.clean(), now)
 	}
-	b.gather(now)
-	b.dispatch(now)
+	b.chooseSubset(now)
+	b.dispatchQueued(now)
 }
 
-// MaxInFlightChanged sets anew how many attempts may be out at an upstream at once; 0: any number.
-func (b *Balancer) MaxInFlightChanged(now time.Duration, id UpstreamID, most int) {
-	b.catchUp(now)
-	if u := b.byID[id]; u != nil && u.MaxInFlight != most {
-		u.MaxInFlight = most
-		b.dispatch(now)
-	}
+// retryDiscovery asks discovery again, later each time and never all instances at once.
+func (b *Balancer) retryDiscovery(now time.Duration) {
+	interval := b.settings.Rules.PollInterval
+	b.watchBackoff = min(max(b.watchBackoff*backoffGrowth, interval/32), interval/2, maxWatchBackoff)
+	wait := b.watchBackoff/2 + time.Duration(b.rng.Int64N(int64(b.watchBackoff)+1))
+	b.host.SetTimer(wait, watchToken)
+	b.log(now, "discovery", "discovery call failed: asking again in %v", wait)
 }
 
-// member applies one list entry.
-func (b *Balancer) member(e Upstream, now time.Duration) {
-	u := b.byID[e.ID]
-	if u == nil && e.State == Removed {
-		return
-	} else if u == nil {
-		u = b.newUpstream()
-		*u = upstream{
-			weight: e.Weight, factor: 1, most: boundStart, wait: b.tick, spentAt: now, answeredAt: now,
-			cutAt: now, freeAt: now, place: mixed(uint64(e.ID)),
-		}
-		b.byID[e.ID], b.ups = u, append(b.ups, u)
+// removeUnlisted takes upstreams out of service that a whole list lacks.
+func (b *Balancer) removeUnlisted(list []Upstream) {
+	listed := make(map[UpstreamID]bool, len(list))
+	for i := range list {
+		listed[list[i].ID] = true
 	}
-	if e.StartedAt > u.StartedAt { // new, or restarted under the same id
-		u.silent, u.freeAt = false, now
-		if now-e.StartedAt < b.s.Rules.SlowStartDuration {
-			b.chill(u, e.StartedAt)
+	for _, u := range b.upstreams {
+		if !listed[u.ID] {
+			u.State = Removed
 		}
 	}
-	u.Upstream = e
-	if b.s.Weights == WeightLive { // late and the same for all: only its slow mean is safe to follow
-		e.Weight = u.weight + smoothing*(e.Weight-u.weight)
-	}
-	u.weight = max(e.Weight, math.SmallestNonzeroFloat32)
 }
 
-// width is how many of n upstreams this balancer uses: few, or connections run out and no balancer sees
-// enough of any; more where it has the requests. Over k counts vary by chance as rate/k, and by places of
-// turns as k/6: the sum is least at √(6 rate), hardly more with fewer connections.
-func (b *Balancer) width(n float64) float64 {
-	of := func(sharers float64) float64 { return n * sharers / max(sharers, float64(b.s.Balancers)-sharers) }
-	few := min(n, max(subsetLeast, of(sharers)))
-	want := min(n, max(few, min(of(sharersMost), math.Sqrt(evenTurns*cmp.Or(b.fair, b.rate)))))
-	b.pace = few / max(want, 1) // more that share an upstream cut it by less each: they grow by less too
-	// One with several times the traffic of the others filled its few while theirs stood idle: it uses as many
-	// times more, with as many turns at first over all of them.
-	over := max(1, b.rate/cmp.Or(b.fair, math.Inf(1)))
-	if over > max(1, b.wide)*rateNoise || over < b.wide/rateNoise {
-		b.wide = over
+// MaxInFlightChanged sets anew how many attempts may be in flight at an upstream at once; 0: any number.
+func (b *Balancer) MaxInFlightChanged(now time.Duration, id UpstreamID, most int) {
+	b.catchUp(now)
+	if u := b.byID[id]; u != nil && u.MaxInFlight != most {
+		u.MaxInFlight = most
+		b.dispatchQueued(now)
 	}
-	return max(1, min(n, want*max(1, b.wide)))
 }
 
-// gather chooses the upstreams that this balancer uses. All see the same ring of them, and each one uses a
-// stretch from a place of its own, its ends in part: what all use adds up to the same everywhere. Cold and
-// silent ones stay in the stretch, which goes on until as many are warm as few sharers have.
-func (b *Balancer) gather(now time.Duration) {
-	if b.gathered = b.unmoved(); b.gathered { // it would come to the same
-		b.skip(b.chosen)
-		return
-	}
-	ring := b.active
-	n, total := float64(len(ring)), 0.0
-	for _, u := range ring {
-		total += b.arc(u)
-	}
-	want := b.width(n)
-	b.went = ringed{len(ring), want, b.pace, b.s.Rank, b.s.Balancers}
-	b.start = boundStart * max(n, 1) / want / float64(b.s.Balancers)
-	first, at := 0, lattice(b.s.Rank, b.s.Balancers)*total
-	for ; first < len(ring)-1 && at >= b.arc(ring[first]); first++ {
-		at -= b.arc(ring[first])
-	}
-	left, least := want*total/max(n, 1), sliceLeast*total/max(n, 1)
-	few, good := left*(1-b.pace), left*b.pace // the stretch of few sharers ends there; so much is wanted warm
-	chosen, end := make(map[*upstream]float64, int(want)+1), -left
-	b.warm = false
-	for i := 0; i < len(ring) && left > end && (max(left, good) > least/2 || i < subsetLeast); i++ {
-		u := ring[(first+i)%len(ring)]
-		part := max(0, min(b.arc(u)-at, max(left, good)))
-		at, left = 0, left-part
-		if u.cold && left+part <= few { // few learn a cold one, with more of their traffic each, or all crowd it
-			continue
-		} else if !u.cold && !u.silent {
-			good -= part
-			b.warm = true
-		}
-		if u.slice = min(1, max(part, least)/b.arc(u)); want == n {
-			u.slice = 1
+// applyEndpoint applies one list entry.
+func (b *Balancer) applyEndpoint(endpoint Upstream, now time.Duration) {
+	u := b.byID[endpoint.ID]
+	if u == nil {
+		if endpoint.State == Removed {
+			return
 		}
-		if u.cold {
-			u.slice /= b.pace
-		}
-		chosen[u] = (float64(i) + b.rng.Float64()) / want
+		u = b.addUpstream(endpoint.ID, endpoint.Weight, now)
 	}
-	b.near, b.chosen = b.near[:0], len(chosen)
-	for _, u := range b.ups {
-		first, chosen := chosen[u]
-		if chosen && !u.member { // first turns go round the stretch, so those of all balancers round the ring
-			u.bound, u.readAt, u.due = cmp.Or(u.bound, b.start), now, b.turn+first*want
-			late := min(1, math.Floor(first*want)/want) // or all crowd it
-			u.freeAt = max(u.freeAt, now+time.Duration(late*float64(b.pause(u))))
-			u.spent, u.spentAt = first, now
-			u.probedAt = now - time.Duration(first*float64(bandPeriod))
-		}
-		if u.member = chosen; u.member || len(u.outs) > 0 {
-			b.near = append(b.near, u)
+	if endpoint.StartedAt > u.StartedAt { // new, or restarted under the same id
+		u.outlier.unresponsive = false
+		u.limit.nextSendAt = now
+		if now-endpoint.StartedAt < b.settings.Rules.SlowStartDuration {
+			b.beginWarmUp(u, endpoint.StartedAt)
 		}
 	}
+	u.Upstream = endpoint
+	weight := endpoint.Weight
+	if b.settings.Weights == WeightLive { // late and the same for all: only its slow mean is safe to follow
+		weight = u.share.weight + sampleWeight*(weight-u.share.weight)
+	}
+	u.share.weight = max(weight, math.SmallestNonzeroFloat32)
 }
 
-// arc is the length of u's place on the ring: its size, as listed. Sizes that are told anew all the time are
-// none, or the places of all others would move with them.
-func (b *Balancer) arc(u *upstream) float64 {
-	if b.s.Weights == WeightLive {
-		return 1
+// addUpstream adds an upstream of which nothing is known.
+func (b *Balancer) addUpstream(id UpstreamID, weight float64, now time.Duration) *upstream {
+	u := b.allocate()
+	*u = upstream{
+		ringPosition: hash64(uint64(id)),
+		share:        share{weight: weight, factor: 1},
+		limit:        concurrencyLimit{periodMax: initialLimitTotal, cutAt: now, nextSendAt: now},
+		outlier:      outlierDetector{backoff: b.tickInterval, answeredAt: now},
+		slowStart:    slowStart{sentWorkAt: now},
 	}
-	return u.weight
+	b.byID[id] = u
+	b.upstreams = append(b.upstreams, u)
+	return u
 }
 
-// HealthCheckFinished takes a health check's result: a reading only, since a shallow one proves no more than a
-// process.
-func (b *Balancer) HealthCheckFinished(now time.Duration, p HealthCheckResult) {
-	b.catchUp(now)
-	if u := b.byID[p.Upstream]; u != nil && p.Status == OK {
-		b.read(u, p.Load.clean(), false, 0, now)
+// preallocate makes room for the upstreams of a first list, all at once.
+func (b *Balancer) preallocate(count int) {
+	b.byID = make(map[UpstreamID]*upstream, count)
+	b.upstreams = make([]*upstream, 0, count)
+	b.preallocated = make([]upstream, count)
+}
+
+// allocate returns room for one upstream.
+func (b *Balancer) allocate() *upstream {
+	if len(b.preallocated) == 0 {
+		return new(upstream)
 	}
+	u := &b.preallocated[0]
+	b.preallocated = b.preallocated[1:]
+	return u
 }
--- a/balancer/errors_test.go
+++ b/balancer/errors_test.go
@@ -31,18 +31,18 @@
 		b.RequestArrived(now, Request{ID: first + RequestID(i), Class: "write", Budget: time.Second})
 		for again := true; again; { // an outcome may send what is held
 			again = false
-			for _, u := range b.ups {
-				for _, a := range slices.Clone(u.outs) {
+			for _, u := range b.upstreams {
+				for _, a := range slices.Clone(u.inFlight) {
 					if seen[a] {
 						continue
 					}
 					seen[a], again = true, true
 					sent++
-					if u == b.ups[0] {
+					if u == b.upstreams[0] {
 						atFirst++
 					}
 					o := AttemptResult{
-						ID: a.r.ID, Upstream: u.ID, Latency: 20 * ms, Status: OK, Closed: true,
+						ID: a.request.ID, Upstream: u.ID, Latency: 20 * ms, Status: OK, Closed: true,
 						Load: Load{Fields: HasUtil, Util: 0.3 + float64(i%7)/1000},
 					}
 					if sick(u) {
@@ -68,7 +68,7 @@
 	b, _ := start(t, settings(), fleet(5))
 	none := func(*upstream) bool { return false }
 	flow(t, b, time.Hour, 1, 1000, none)
-	_, failed, sent := flow(t, b, time.Hour+10*time.Second, 10000, 2000, func(u *upstream) bool { return u == b.ups[0] })
+	_, failed, sent := flow(t, b, time.Hour+10*time.Second, 10000, 2000, func(u *upstream) bool { return u == b.upstreams[0] })
 	if failed == 0 || failed > 20 || sent < 1990 {
 		t.Errorf("%d of %d sent failed within 10 s, want a few trials", failed, sent)
 	}
@@ -95,8 +95,8 @@
 func TestMemory(t *testing.T) {
 	list := fleet(4)
 	b, _ := start(t, settings(), list)
-	flow(t, b, time.Hour, 1, 2000, func(u *upstream) bool { return u == b.ups[0] })
-	b.ups[1].bound, b.ups[1].factor = 7, 0.5
+	flow(t, b, time.Hour, 1, 2000, func(u *upstream) bool { return u == b.upstreams[0] })
+	b.upstreams[1].limit.allowed, b.upstreams[1].share.factor = 7, 0.5
 	text, err := json.Marshal(b.Snapshot())
 	if err != nil {
 		t.Fatal(err)
@@ -110,16 +110,16 @@
 	next, _ := start(t, settings(), nil)
 	next.EndpointsUpdated(now, ListFull, list)
 	next.Restore(now, m)
-	if next.ups[1].bound != 7 || next.ups[1].factor != 0.5 || next.ups[1].lat != b.ups[1].lat || next.lat != b.lat {
-		t.Errorf("bound %v, share left %v: want what was learnt", next.ups[1].bound, next.ups[1].factor)
+	if next.upstreams[1].limit.allowed != 7 || next.upstreams[1].share.factor != 0.5 || next.upstreams[1].latency.mean != b.upstreams[1].latency.mean || next.latency != b.latency {
+		t.Errorf("bound %v, share left %v: want what was learnt", next.upstreams[1].limit.allowed, next.upstreams[1].share.factor)
 	}
-	if !next.ups[0].silent {
+	if !next.upstreams[0].outlier.unresponsive {
 		t.Error("one that had trials only has them no more")
 	}
-	if u := next.ups[2]; !u.cold || u.bound != next.start || u.readings != 0 {
-		t.Errorf("one that has been started since: cold %v, bound %v, %d readings", u.cold, u.bound, u.readings)
+	if u := next.upstreams[2]; !u.slowStart.warming || u.limit.allowed != next.limits.initial || u.band.readings != 0 {
+		t.Errorf("one that has been started since: cold %v, bound %v, %d readings", u.slowStart.warming, u.limit.allowed, u.band.readings)
 	}
-	_, failed, sent := flow(t, next, now, 50000, 500, func(u *upstream) bool { return u == next.ups[0] })
+	_, failed, sent := flow(t, next, now, 50000, 500, func(u *upstream) bool { return u == next.upstreams[0] })
 	if failed > 8 || sent < 490 {
 		t.Errorf("%d of %d failed", failed, sent)
 	}
@@ -142,13 +142,13 @@
 			b.TimerFired(now, tickToken)
 			b.RequestArrived(now, Request{ID: id + 1, Class: "write", Budget: 500 * ms})
 			if r := b.requests[id+1]; r != nil && len(r.attempts) > 0 {
-				b.AttemptFinished(now, AttemptResult{ID: id + 1, Upstream: r.attempts[0].up.ID, Latency: 20 * ms, Status: OK, Closed: true})
+				b.AttemptFinished(now, AttemptResult{ID: id + 1, Upstream: r.attempts[0].upstream.ID, Latency: 20 * ms, Status: OK, Closed: true})
 			}
 		}
 		if len(b.requests) > 60 {
 			t.Errorf("%d requests without an answer", len(b.requests))
 		}
-		for _, u := range b.ups {
+		for _, u := range b.upstreams {
 			for name, x := range u.figures() {
 				if !amount(*x) {
 					t.Errorf("%s is %v", name, *x)
--- a/balancer/rest_test.go
+++ b/balancer/idle_test.go
@@ -85,18 +85,18 @@
 func (w *twin) state() string {
 	b := w.Balancer
 	b.catchUp(w.now) // after what is not for a rest, such as the end of an attempt that is not known
-	rng, _ := b.source.MarshalBinary()
+	rng, _ := b.rngSource.MarshalBinary()
 	var s strings.Builder
-	fmt.Fprintf(&s, "%x %v %v %v %v %v %v %v %v %v\n", rng, b.out, len(b.held), len(b.requests), b.short, b.spell, b.gap, b.turnAt, b.turn, b.lat)
-	fmt.Fprintf(&s, "%v %v %v %v %v %v %v %v %v %v %v %v %v %v\n", b.cost, b.pace, b.start, b.asked, b.rate, b.warm, b.wide, b.ceiling, b.carry, b.failing, b.least, b.calm, b.stepAt, b.tightAt)
-	for _, list := range [][]*upstream{b.near, b.ups} {
+	fmt.Fprintf(&s, "%x %v %v %v %v %v %v %v %v %v\n", rng, b.inFlight, len(b.queue.waiting), len(b.requests), b.queue.overloaded, b.queue.queueingInterval, b.queue.turnInterval, b.queue.lastTurnAt, b.interleaver.virtualTime, b.latency)
+	fmt.Fprintf(&s, "%v %v %v %v %v %v %v %v %v %v %v %v %v %v\n", b.meanCost, b.limits.growth, b.limits.initial, b.arrivals.count, b.arrivals.perSecond, b.subset.hasWarm, b.subset.loadFactor, b.fleet.utilisation, b.fleet.workPerWeight, b.fleet.errorRate, b.fleet.bestLatency, b.fleet.unloadedLatency, b.periodStartedAt, b.queue.lastFullAt)
+	for _, list := range [][]*upstream{b.subset.upstreams, b.upstreams} {
 		for _, u := range list {
 			x := *u
-			x.outs = nil
-			fmt.Fprintf(&s, "%v %+v\n", len(u.outs), x)
+			x.inFlight = nil
+			fmt.Fprintf(&s, "%v %+v\n", len(u.inFlight), x)
 		}
 	}
-	for _, c := range b.s.Classes {
+	for _, c := range b.settings.Classes {
 		fmt.Fprintf(&s, "%+v\n", *b.classes[c.Name])
 	}
 	return s.String()
@@ -283,12 +283,12 @@
 	b, _ := start(t, settings(), fleet(3))
 	c, _ := start(t, settings(), fleet(3))
 	for _, n := range []int{0, 1, 15, 16, 17, 1000, 77777} {
-		b.skip(n)
+		b.skipDraws(n)
 		for range n {
 			c.rng.Float64()
 		}
-		x, _ := b.source.MarshalBinary()
-		y, _ := c.source.MarshalBinary()
+		x, _ := b.rngSource.MarshalBinary()
+		y, _ := c.rngSource.MarshalBinary()
 		if !bytes.Equal(x, y) {
 			t.Fatalf("after %d draws: %x, want %x", n, x, y)
 		}
@@ -307,38 +307,38 @@
 	for i := range 2000 {
 		now := time.Hour + time.Duration(i)*100*ms
 		for _, w := range []*Balancer{b, c} {
-			u := w.ups[i%len(w.ups)]
+			u := w.upstreams[i%len(w.upstreams)]
 			switch i % 37 {
 			case 5:
 				u.State = Draining
 			case 9:
-				u.silent = !u.silent
+				u.outlier.unresponsive = !u.outlier.unresponsive
 			case 14:
-				w.chill(u, now)
+				w.beginWarmUp(u, now)
 			case 21:
 				u.State = Active
 			case 30:
-				w.rate = float64(i % 400)
+				w.arrivals.perSecond = float64(i % 400)
 			case 33:
-				u.weight = float64(1 + i%3)
+				u.share.weight = float64(1 + i%3)
 			}
 		}
 		if rng.IntN(2) == 0 {
 			continue
 		}
-		b.gather(now)
-		c.went = ringed{} // it always looks
-		c.gather(now)
-		if b.gathered {
+		b.chooseSubset(now)
+		c.subset.inputs = subsetInputs{} // it always looks
+		c.chooseSubset(now)
+		if b.subset.unchanged {
 			left++
 		}
-		x, _ := b.source.MarshalBinary()
-		y, _ := c.source.MarshalBinary()
-		if !bytes.Equal(x, y) || b.start != c.start || b.warm != c.warm || len(b.near) != len(c.near) {
+		x, _ := b.rngSource.MarshalBinary()
+		y, _ := c.rngSource.MarshalBinary()
+		if !bytes.Equal(x, y) || b.limits.initial != c.limits.initial || b.subset.hasWarm != c.subset.hasWarm || len(b.subset.upstreams) != len(c.subset.upstreams) {
 			t.Fatalf("turn %d: not the same", i)
 		}
-		for j, u := range b.near {
-			if v := c.near[j]; u.ID != v.ID || u.slice != v.slice || u.due != v.due || u.freeAt != v.freeAt || u.member != v.member {
+		for j, u := range b.subset.upstreams {
+			if v := c.subset.upstreams[j]; u.ID != v.ID || u.share.subsetPart != v.share.subsetPart || u.dueTurn != v.dueTurn || u.limit.nextSendAt != v.limit.nextSendAt || u.inSubset != v.inSubset {
 				t.Fatalf("turn %d: upstream %d is not the same", i, u.ID)
 			}
 		}
--- /dev/null
+++ b/balancer/queue.go
@@ -0,0 +1,140 @@
+// The queue of requests that wait for a turn: their order, when they are rejected, and when clients should come back.
+
+package balancer
+
+import (
+	"cmp"
+	"math"
+	"slices"
+	"time"
+)
+
+// intervalWeight is the weight of a new sample in the mean intervals of the queue.
+const intervalWeight = 0.0625
+
+// admissionQueue holds the requests that wait for a turn, in the order of compare. While turns suffice the one due
+// first goes first: any other order makes somebody wait for nothing, up to his objective. Once they are short, some
+// are lost whatever the order: most weight first, then the newest, whose answers come soonest.
+type admissionQueue struct {
+	waiting          []*request
+	overloaded       bool          // turns are too few for all of them
+	queueingInterval float64       // mean time between requests that come to be queued, ns
+	turnInterval     float64       // mean time between turns of queued requests, ns
+	lastTurnAt       time.Duration // or since when something is queued
+	lastFullAt       time.Duration // last time that no upstream could take a request
+}
+
+// compare orders two requests.
+func (q *admissionQueue) compare(x, y *request) int {
+	if !q.overloaded {
+		return cmp.Compare(x.sendBy, y.sendBy)
+	}
+	return cmp.Or(cmp.Compare(y.weight, x.weight), cmp.Compare(y.queuedAt, x.queuedAt))
+}
+
+// add queues a request that found no turn.
+func (q *admissionQueue) add(r *request, now time.Duration) {
+	if len(q.waiting) == 0 {
+		q.lastTurnAt = now
+		q.overloaded = false
+	} else {
+		updateMean(&q.queueingInterval, float64(now-q.lastFullAt), intervalWeight)
+	}
+	q.lastFullAt = now
+	r.queued = true
+	r.queuedAt = now
+	at, _ := slices.BinarySearchFunc(q.waiting, r, q.compare)
+	q.waiting = slices.Insert(q.waiting, at, r)
+}
+
+// turnTaken notes that a queued request is sent.
+func (q *admissionQueue) turnTaken(now time.Duration) {
+	updateMean(&q.turnInterval, float64(now-q.lastTurnAt), intervalWeight)
+	q.lastTurnAt = now
+}
+
+// updateOrder puts the queue into order again: turns are short from the first request that is lost by waiting, and
+// suffice again once all that is queued starts before the first is due. To foresee the loss by the time between turns
+// was worse in bursts; so was to wait until much is lost.
+func (q *admissionQueue) updateOrder(now time.Duration, lost bool) {
+	turnInterval := max(q.turnInterval, float64(now-q.lastTurnAt))
+	queueingInterval := max(q.queueingInterval, float64(now-q.lastFullAt))
+	lost = lost && queueingInterval < turnInterval
+	overloaded := lost
+	if q.overloaded && !lost {
+		overloaded = turnInterval*float64(len(q.waiting)) > q.timeToFirstDue(now)
+	}
+	if overloaded != q.overloaded {
+		q.overloaded = overloaded
+		slices.SortStableFunc(q.waiting, q.compare)
+	}
+}
+
+// timeToFirstDue is how long until some queued request must be sent, in ns.
+func (q *admissionQueue) timeToFirstDue(now time.Duration) float64 {
+	soonest := math.Inf(1)
+	for _, r := range q.waiting {
+		soonest = min(soonest, float64(r.sendBy-now))
+	}
+	return soonest
+}
+
+// dispatchQueued sends queued requests while turns come free, and ends those that could not be answered in time. A
+// request without an attempt that fits nowhere shows that no later one fits.
+func (b *Balancer) dispatchQueued(now time.Duration) {
+	kept := b.queue.waiting[:0]
+	blocked, lost := false, false
+	for _, r := range b.queue.waiting {
+		if r.done {
+			continue
+		}
+		if now >= r.sendBy {
+			lost = true
+			b.log(now, "shed", "%d held, no turn free within the aim: refusing", len(b.queue.waiting))
+			b.rejectOrFail(r, now)
+			continue
+		}
+		if !blocked {
+			if b.dispatch(r, now) {
+				continue
+			}
+			blocked = len(r.attempts) == 0
+		}
+		kept = append(kept, r)
+	}
+	clear(b.queue.waiting[len(kept):])
+	b.queue.waiting = kept
+	b.queue.updateOrder(now, lost)
+}
+
+// dispatch sends a queued request if a turn is free.
+func (b *Balancer) dispatch(r *request, now time.Duration) (sent bool) {
+	u, _ := b.pickUpstream(r, now)
+	if u == nil {
+		return false
+	}
+	b.queue.turnTaken(now)
+	b.send(r, u, now)
+	return true
+}
+
+// retryAfter is when a client that is rejected should come back: by then what is queued has had its turns and some
+// upstream may be tried.
+func (b *Balancer) retryAfter(now time.Duration) time.Duration {
+	if !b.settings.Limits.RetryAfter {
+		return 0
+	}
+	soonest, capacity := b.settings.Limits.MaxRetryAfter, 0.0
+	for _, u := range b.subset.upstreams {
+		if u.inSubset && u.State == Active {
+			soonest = min(soonest, max(0, u.nextTurnAt()-now))
+			capacity += max(1, u.limit.allowed)
+		}
+	}
+	queued := float64(len(b.queue.waiting) + 1)
+	turns := time.Duration(b.latency * queued / max(1, capacity))
+	return min(max(soonest, turns), b.settings.Limits.MaxRetryAfter)
+}
+
+// QueueLength is how many requests wait for a turn.
+func (b *Balancer) QueueLength() int { return len(b.queue.waiting) }
--- a/balancer/requests.go
+++ b/balancer/requests.go
@@ -1,4 +1,4 @@
-// Requests: their attempts, when one may be sent again, and their final answers.
+// Requests: their attempts and their final answers.
 
 package balancer
 
@@ -8,47 +8,40 @@
 	"time"
 )
 
-// maySend alone decides whether r may be sent (again), and whether u may take it.
-func (b *Balancer) maySend(r *request, u *upstream, now time.Duration) bool {
-	if r.done || now >= r.deadline || u.State != Active ||
-		len(r.attempts) >= b.s.Limits.MaxAttempts || (r.out > 0 && !b.s.Limits.Hedging) {
-		return false
-	}
-	for _, a := range r.attempts {
-		if !a.neverRan && (r.class.Idempotency == NonIdempotent || (r.class.Idempotency == IdempotentWithKey &&
-			(now-a.sentAt >= r.class.DeduplicationWindow-b.tick ||
-				(r.class.KeyScope == KeyScopeZone && a.up.Zone != u.Zone) ||
-				(r.class.KeyScope == KeyScopeCell && a.up.Cell != u.Cell)))) {
-			return false
-		}
-	}
-	return true
-}
+const (
+	sendMargin      = 2.33 // latencies left to the objective of a queued request sent, less its late weight
+	budgetTolerance = 16   // a budget shorter by one in this many is a client's retry
+)
 
-// SendDeadline tells when upstreams that may have run a keyed request forget it: its newest attempt must be
-// written before then, however long its connection takes. 0: there is no such time.
-func (b *Balancer) SendDeadline(id RequestID) (until time.Duration) {
-	r := b.requests[id]
-	if r == nil || r.class.Idempotency != IdempotentWithKey {
-		return 0
-	}
-	for _, a := range r.attempts[:max(0, len(r.attempts)-1)] {
-		if end := a.sentAt + r.class.DeduplicationWindow - b.tick; !a.neverRan && (until == 0 || end < until) {
-			until = end
-		}
-	}
-	return until
+// class is one kind of request, and what is learnt of it.
+type class struct {
+	Class
+	latency   float64       // usual, ns
+	maxBudget time.Duration // the longest budget of a request so far
+	lastRanAt time.Duration // with an idempotency key: when one that may have run last ended
 }
 
-// mayRefuse alone decides whether the client may be told that a retry is harmless.
-func (b *Balancer) mayRefuse(r *request) bool {
-	keyedEverywhere := r.class.Idempotency == IdempotentWithKey && r.class.KeyScope == KeyScopeAll
-	return r.class.Idempotency == Idempotent || keyedEverywhere || b.never(r)
+// attempt is one send of a request.
+type attempt struct {
+	request         *request
+	upstream        *upstream
+	sentAt          time.Duration
+	ended, neverRan bool
 }
 
-// never reports whether no attempt of r can have run: it stands as if it had just come.
-func (b *Balancer) never(r *request) bool {
-	return !slices.ContainsFunc(r.attempts, func(a *attempt) bool { return !a.neverRan })
+// request is a client's request; it stays until its last attempt has ended.
+type request struct {
+	Request
+	class    *class
+	weight   float64       // priority weight per unit of work
+	work     float64       // in mean requests
+	sendBy   time.Duration // sent after it, an answer would come late
+	deadline time.Duration
+	queuedAt time.Duration // when it began to wait
+	attempts []*attempt
+	inFlight int  // attempts
+	done     bool // it has its final answer
+	queued   bool
 }
 
 // RequestArrived takes a client's request.
@@ -59,110 +52,103 @@
 		b.host.Reject(q.ID, 0) // and it helps as little later
 		return
 	}
-	b.asked++
-	r := &request{
-		Request: q, class: c, units: cmp.Or(c.lat/b.lat, 1), deadline: now + q.Budget,
-		worth: c.PriorityWeight,
+	b.arrivals.count++
+	r := b.newRequest(q, c, now)
+	b.requests[r.ID] = r
+	recentlyFull := now-b.queue.lastFullAt < time.Duration(b.latency)
+	if r.weight == 0 && recentlyFull {
+		b.rejectOrFail(r, now)
+	} else {
+		b.sendOrQueue(r, now)
 	}
+	b.resumeTicks(now)
+}
+
+// newRequest weighs a request and counts it against its tenant's quota.
+func (b *Balancer) newRequest(q Request, c *class, now time.Duration) *request {
+	r := &request{Request: q, class: c, weight: c.PriorityWeight, deadline: now + q.Budget}
+	r.work = cmp.Or(c.latency/b.latency, 1)
 	if q.Cost > 0 {
-		follow(&b.cost, float64(q.Cost), smoothing*smoothing)
-		r.units = max(float64(q.Cost)/b.cost, smoothing)
+		updateMean(&b.meanCost, float64(q.Cost), sampleWeight*sampleWeight)
+		r.work = max(float64(q.Cost)/b.meanCost, sampleWeight)
 	}
-	if !b.s.WeightByWork {
-		r.worth /= r.units
+	if !b.settings.WeightByWork {
+		r.weight /= r.work
 	}
 	if b.overQuota(q.Tenant, now) {
-		r.worth *= b.s.OverQuotaWeightFactor
-	}
-	// A later try shows its age by a short budget. Past the aim such once took the turns of those in time.
-	spare := time.Duration((sendSpare - c.LateWeightFactor) * cmp.Or(c.lat, b.lat))
-	c.budget = max(c.budget, q.Budget)
-	if q.Budget < c.budget-c.budget/budgetNoise && c.LatencyObjective-(c.Deadline-q.Budget) < spare {
-		r.worth *= c.LateWeightFactor
+		r.weight *= b.settings.OverQuotaWeightFactor
 	}
-	// Held requests are looked at once a tick: without one in hand a short budget ran out unseen.
-	r.sendBy = now + min(c.LatencyObjective, q.Budget) - max(spare, b.tick) - b.tick
-	b.requests[r.ID] = r
-	if r.worth == 0 && now-b.tightAt < time.Duration(b.lat) { // turns are short
-		b.giveUp(r, now)
-	} else {
-		b.place(r, now)
+	margin := time.Duration((sendMargin - c.LateWeightFactor) * cmp.Or(c.latency, b.latency))
+	if c.isLateRetry(q.Budget, margin) {
+		r.weight *= c.LateWeightFactor
 	}
-	b.rouse(now)
+	// Queued requests are looked at once a tick: without one in hand a short budget ran out unseen.
+	r.sendBy = now + min(c.LatencyObjective, q.Budget) - max(margin, b.tickInterval) - b.tickInterval
+	return r
 }
 
-// place sends r if a turn allows it, holds it if one may come free in time, and otherwise ends it.
-func (b *Balancer) place(r *request, now time.Duration) {
-	switch u, legal := b.pick(r, now); {
-	case u != nil:
+// isLateRetry reports whether a request is a client's retry that can't be answered within the objective: it shows its
+// age by a short budget. Past the objective such once took the turns of those in time.
+func (c *class) isLateRetry(budget, margin time.Duration) bool {
+	c.maxBudget = max(c.maxBudget, budget)
+	age := c.Deadline - budget
+	return budget < c.maxBudget-c.maxBudget/budgetTolerance && c.LatencyObjective-age < margin
+}
+
+// sendOrQueue sends r if a turn allows it, queues it if one may come free in time, and otherwise ends it.
+func (b *Balancer) sendOrQueue(r *request, now time.Duration) {
+	u, legal := b.pickUpstream(r, now)
+	if u != nil {
 		b.send(r, u, now)
-	case (legal || (b.never(r) && len(r.attempts) < b.s.Limits.MaxAttempts)) && now < r.sendBy:
-		if len(b.held) == 0 {
-			b.turnAt, b.short = now, false
-		} else {
-			follow(&b.spell, float64(now-b.tightAt), turnWeight)
-		}
-		r.held, r.heldAt, b.tightAt = true, now, now
-		at, _ := slices.BinarySearchFunc(b.held, r, b.order)
-		b.held = slices.Insert(b.held, at, r)
-	default:
-		b.giveUp(r, now)
+		return
 	}
+	mayWait := legal || (r.neverRan() && len(r.attempts) < b.retry.maxAttempts)
+	if mayWait && now < r.sendBy {
+		b.queue.add(r, now)
+		return
+	}
+	b.rejectOrFail(r, now)
 }
 
+// send starts an attempt.
 func (b *Balancer) send(r *request, u *upstream, now time.Duration) {
 	timeout := time.Duration(0) // until the client quits: work half done is worth more than work begun anew
-	if u.silent {
-		u.trialAt = now + u.wait
-		u.wait *= waitGrowth
+	if u.outlier.unresponsive {
+		u.outlier.trialSent(now)
 		if r.class.Idempotency != NonIdempotent { // a trial leaves time for another attempt
-			timeout = b.patience(u, r.units)
+			timeout = b.responseTimeout(u, r.work)
 		}
 	}
-	a := &attempt{r: r, up: u, sentAt: now}
-	r.attempts, r.out, r.held, b.out = append(r.attempts, a), r.out+1, false, b.out+1
-	u.sentAt = now
-	u.outs, u.carried, u.spent = append(u.outs, a), u.carried+r.units, u.spent+max(1, r.units)
+	a := &attempt{request: r, upstream: u, sentAt: now}
+	r.attempts = append(r.attempts, a)
+	r.inFlight++
+	r.queued = false
+	b.inFlight++
+	u.inFlight = append(u.inFlight, a)
+	u.workload.sent += r.work
+	u.slowStart.recordSent(r.work, now)
 	b.host.Send(r.ID, u.ID, timeout)
 }
 
-// giveUp gives the final answer to a request that is not served.
-func (b *Balancer) giveUp(r *request, now time.Duration) {
-	if b.finish(r, -1); b.mayRefuse(r) {
-		b.host.Reject(r.ID, b.advice(now))
+// rejectOrFail gives the final answer to a request that is not served.
+func (b *Balancer) rejectOrFail(r *request, now time.Duration) {
+	b.closeRequest(r, -1)
+	if r.mayReject() {
+		b.host.Reject(r.ID, b.retryAfter(now))
 	} else {
 		b.host.Fail(r.ID)
 	}
 }
 
-// advice is when a client that is refused should come back: by then what is held has had its turns and some
-// upstream may be asked.
-func (b *Balancer) advice(now time.Duration) time.Duration {
-	if !b.s.Limits.RetryAfter {
-		return 0
-	}
-	soonest, room := b.s.Limits.MaxRetryAfter, 0.0
-	for _, u := range b.near {
-		if u.member && u.State == Active {
-			at := u.freeAt
-			if u.silent {
-				at = u.trialAt
-			}
-			soonest, room = min(soonest, max(0, at-now)), room+max(1, u.bound)
-		}
-	}
-	turns := time.Duration(b.lat * float64(len(b.held)+1) / max(1, room))
-	return min(max(soonest, turns), b.s.Limits.MaxRetryAfter)
-}
-
-// finish notes that r has its answer, or its stream from attempt n, and stops what else is out.
-func (b *Balancer) finish(r *request, n int) {
+// closeRequest notes that r has its answer, or its stream from an attempt, and stops the other attempts.
+func (b *Balancer) closeRequest(r *request, answeredBy int) {
 	for i, a := range r.attempts {
-		if i != n && !a.ended && !r.done && b.s.Limits.Cancel {
+		if i != answeredBy && !a.ended && !r.done && b.settings.Limits.Cancel {
 			b.host.Cancel(r.ID, i)
 		}
 	}
-	if r.done = true; r.out == 0 {
+	r.done = true
+	if r.inFlight == 0 {
 		delete(b.requests, r.ID)
 	}
 }
@@ -170,45 +156,66 @@
 // ClientLeft drops a request whose client has left.
 func (b *Balancer) ClientLeft(now time.Duration, id RequestID) {
 	if r := b.requests[id]; r != nil && !r.done {
-		b.finish(r, -1)
+		b.closeRequest(r, -1)
+	}
+}
+
+// attempt returns an attempt by its order, or nil.
+func (r *request) attempt(n int) *attempt {
+	if r == nil || n < 0 || n >= len(r.attempts) {
+		return nil
 	}
+	return r.attempts[n]
 }
 
 // ResponseStarted marks a request as served by a stream that has begun.
 func (b *Balancer) ResponseStarted(now time.Duration, id RequestID, n int) {
-	if r := b.requests[id]; r != nil && !r.done && n >= 0 && n < len(r.attempts) {
-		b.answered(r.attempts[n].up, now)
-		b.finish(r, n)
+	r := b.requests[id]
+	if a := r.attempt(n); a != nil && !r.done {
+		a.upstream.outlier.responded(now, b.tickInterval)
+		b.closeRequest(r, n)
 	}
 }
 
-// BodySent tells that the last byte of a body has gone out in attempt n: its upstream owes an answer from now
-// on.
+// BodySent tells that the last byte of a body has gone out in attempt n: its upstream owes an answer from now on.
 func (b *Balancer) BodySent(now time.Duration, id RequestID, n int) {
-	if r := b.requests[id]; r != nil && r.BodyStreaming && n >= 0 && n < len(r.attempts) {
-		r.BodyStreaming, r.attempts[n].sentAt = false, now
+	r := b.requests[id]
+	if a := r.attempt(n); a != nil && r.BodyStreaming {
+		r.BodyStreaming = false
+		a.sentAt = now
 	}
 }
 
 // AttemptFinished takes the end of an attempt.
 func (b *Balancer) AttemptFinished(now time.Duration, o AttemptResult) {
 	r := b.requests[o.ID]
-	if r == nil || o.Attempt < 0 || o.Attempt >= len(r.attempts) || r.attempts[o.Attempt].ended {
+	a := r.attempt(o.Attempt)
+	if a == nil || a.ended {
 		return
 	}
-	a := r.attempts[o.Attempt]
-	a.ended, a.neverRan = true, o.Status == Rejected || o.Status == ConnectFailed || o.Status == NotSent
-	if r.class.Idempotency == IdempotentWithKey && !a.neverRan {
-		r.class.ranAt = now
-	}
-	r.out, b.out = r.out-1, b.out-1
-	a.up.outs = slices.DeleteFunc(a.up.outs, func(x *attempt) bool { return x == a })
-	b.learn(a, o.clean(), now)
+	b.endAttempt(a, o.Status, now)
+	b.recordOutcome(a, o.clean(), now)
 	switch {
 	case r.done || o.Closed || o.Status == OK:
-		b.finish(r, o.Attempt)
-	case r.out == 0 && !r.held: // else another copy may still answer, or a turn may come free
-		b.place(r, now)
+		b.closeRequest(r, o.Attempt)
+	case r.inFlight == 0 && !r.queued: // else another attempt may still answer, or a turn may come free
+		b.sendOrQueue(r, now)
 	}
-	b.dispatch(now)
+	b.dispatchQueued(now)
 }
+
+// endAttempt takes an attempt out of what is in flight.
+func (b *Balancer) endAttempt(a *attempt, status Status, now time.Duration) {
+	r, u := a.request, a.upstream
+	a.ended = true
+	a.neverRan = status.neverRan()
+	if r.class.Idempotency == IdempotentWithKey && !a.neverRan {
+		r.class.lastRanAt = now
+	}
+	r.inFlight--
+	b.inFlight--
+	u.inFlight = slices.DeleteFunc(u.inFlight, func(x *attempt) bool { return x == a })
+}
+
+// neverRan reports whether a status proves that the request never ran.
+func (s Status) neverRan() bool { return s == Rejected || s == ConnectFailed || s == NotSent }
--- a/balancer/rules_test.go
+++ b/balancer/rules_test.go
@@ -393,15 +393,15 @@
 		}
 		id := RequestID(i + 1)
 		b.RequestArrived(now, Request{ID: id, Class: "read", Budget: 100 * ms, Key: uint64(i), HasKey: true})
-		if r := b.requests[id]; r != nil && r.out > 0 {
-			b.AttemptFinished(now, AttemptResult{ID: id, Upstream: r.attempts[0].up.ID, Latency: 10 * ms, Status: OK, Closed: true})
+		if r := b.requests[id]; r != nil && r.inFlight > 0 {
+			b.AttemptFinished(now, AttemptResult{ID: id, Upstream: r.attempts[0].upstream.ID, Latency: 10 * ms, Status: OK, Closed: true})
 		}
 		if i%20 == 0 {
 			b.TimerFired(now, tickToken)
 		}
 	}
 	b.TimerFired(now+2*time.Second, tickToken)
-	if len(b.requests)+len(b.held) > 0 || len(b.ups) != 4 || len(b.byID) != 4 {
-		t.Errorf("kept %d requests, %d held, %d upstreams", len(b.requests), len(b.held), len(b.ups))
+	if len(b.requests)+len(b.queue.waiting) > 0 || len(b.upstreams) != 4 || len(b.byID) != 4 {
+		t.Errorf("kept %d requests, %d held, %d upstreams", len(b.requests), len(b.queue.waiting), len(b.upstreams))
 	}
 }
--- a/balancer/service_test.go
+++ b/balancer/service_test.go
@@ -44,25 +44,25 @@
 		class := []string{"read", "write", "read"}[i%3]
 		b.RequestArrived(time.Hour+time.Duration(i), Request{ID: i + 1, Class: class, Budget: time.Second, Cost: time.Duration(10+i%4) * ms})
 	}
-	if first := b.held[0]; b.short || first.sendBy > b.held[59].sendBy {
-		t.Errorf("before turns are known to be short: %v; request %d is first", b.short, first.ID)
+	if first := b.queue.waiting[0]; b.queue.overloaded || first.sendBy > b.queue.waiting[59].sendBy {
+		t.Errorf("before turns are known to be short: %v; request %d is first", b.queue.overloaded, first.ID)
 	}
-	b.arrange(time.Hour+ms, true) // as when one is lost by waiting
-	if b.dispatch(time.Hour + 2*ms); !b.short {
+	b.queue.updateOrder(time.Hour+ms, true) // as when one is lost by waiting
+	if b.dispatchQueued(time.Hour + 2*ms); !b.queue.overloaded {
 		t.Error("turns suffice again although none has come")
 	}
-	want := slices.Clone(b.held)
+	want := slices.Clone(b.queue.waiting)
 	slices.SortStableFunc(want, func(x, y *request) int {
-		if x.worth != y.worth {
-			if x.worth > y.worth {
+		if x.weight != y.weight {
+			if x.weight > y.weight {
 				return -1
 			}
 			return 1
 		}
 		return int(y.ID) - int(x.ID)
 	})
-	if len(want) != 60 || !slices.Equal(want, b.held) {
-		t.Errorf("%d held, out of order", len(b.held))
+	if len(want) != 60 || !slices.Equal(want, b.queue.waiting) {
+		t.Errorf("%d held, out of order", len(b.queue.waiting))
 	}
 }
 
@@ -83,8 +83,8 @@
 		for k := range 3 {
 			id := RequestID(3*i + k + 1)
 			b.RequestArrived(now, Request{ID: id, Class: "write", Tenant: "none", Key: uint64(id), HasKey: true, Budget: 300 * ms})
-			if r := b.requests[id]; r != nil && r.out == 1 {
-				b.AttemptFinished(now, AttemptResult{ID: id, Upstream: r.attempts[0].up.ID, Latency: 50 * ms, Status: OK, Closed: true})
+			if r := b.requests[id]; r != nil && r.inFlight == 1 {
+				b.AttemptFinished(now, AttemptResult{ID: id, Upstream: r.attempts[0].upstream.ID, Latency: 50 * ms, Status: OK, Closed: true})
 			}
 		}
 		h.lines = nil
@@ -92,14 +92,14 @@
 	now += time.Minute
 	b.TimerFired(now, tickToken)
 	b.TimerFired(now+bandPeriod, tickToken)
-	for what, n := range map[string]int{"upstreams": len(b.byID), "their list": len(b.ups), "the subset": len(b.near)} {
+	for what, n := range map[string]int{"upstreams": len(b.byID), "their list": len(b.upstreams), "the subset": len(b.subset.upstreams)} {
 		if n != 4 {
 			t.Errorf("%s: %d, want 4", what, n)
 		}
 	}
-	if len(b.requests) > 0 || len(b.held) > 0 || len(b.senders) != 0 || len(b.ring) != 0 || len(b.logged) > 5 {
+	if len(b.requests) > 0 || len(b.queue.waiting) > 0 || len(b.quota.levels) != 0 || len(b.quota.sweepOrder) != 0 || len(b.lastLoggedAt) > 5 {
 		t.Errorf("left: %d requests, %d held, %d tenants, %d kinds of log line",
-			len(b.requests), len(b.held), len(b.senders), len(b.logged))
+			len(b.requests), len(b.queue.waiting), len(b.quota.levels), len(b.lastLoggedAt))
 	}
 }
 
@@ -110,8 +110,8 @@
 	for i := range RequestID(10) {
 		b.RequestArrived(time.Hour, Request{ID: i + 1, Class: "write", Budget: time.Second})
 	}
-	if n := h.count("send"); b.start != 1.5 || n != 4 {
-		t.Errorf("%d sent at a bound of %v for each of two, want 4", n, b.start)
+	if n := h.count("send"); b.limits.initial != 1.5 || n != 4 {
+		t.Errorf("%d sent at a bound of %v for each of two, want 4", n, b.limits.initial)
 	}
 }
 
@@ -121,7 +121,7 @@
 	list := fleet(1)
 	list[0].MaxInFlight = 1
 	b, h := start(t, settings(), list)
-	b.lat = float64(work)
+	b.latency = float64(work)
 	waits = make([]time.Duration, len(arrivals))
 	var now, endAt time.Duration
 	var out RequestID
@@ -135,7 +135,7 @@
 		}
 	}
 	tickAt := time.Hour
-	for i := 0; i < len(arrivals) || out != 0 || len(b.held) > 0; {
+	for i := 0; i < len(arrivals) || out != 0 || len(b.queue.waiting) > 0; {
 		next := tickAt
 		if out != 0 {
 			next = min(next, endAt)
@@ -152,7 +152,7 @@
 			i++
 			b.RequestArrived(now, Request{ID: RequestID(i), Class: "read", Budget: time.Second})
 		default:
-			tickAt += b.tick
+			tickAt += b.tickInterval
 			b.TimerFired(now, tickToken)
 		}
 	}
@@ -199,22 +199,22 @@
 	list := fleet(1)
 	list[0].MaxInFlight = 16
 	b, _ := start(t, settings(), list)
-	u := b.ups[0]
-	u.outs = make([]*attempt, 15)
+	u := b.upstreams[0]
+	u.inFlight = make([]*attempt, 15)
 	for range 10000 {
-		b.tightAt = time.Hour
-		b.learn(&attempt{r: &request{class: b.classes["write"], units: 1}, up: u}, AttemptResult{Latency: ms, Status: OK}, time.Hour)
+		b.queue.lastFullAt = time.Hour
+		b.recordOutcome(&attempt{request: &request{class: b.classes["write"], work: 1}, upstream: u}, AttemptResult{Latency: ms, Status: OK}, time.Hour)
 	}
-	if u.bound != 16 {
-		t.Errorf("bound %v, the cap is 16", u.bound)
+	if u.limit.allowed != 16 {
+		t.Errorf("bound %v, the cap is 16", u.limit.allowed)
 	}
-	u.MaxInFlight, u.outs = 0, u.outs[:3]
+	u.MaxInFlight, u.inFlight = 0, u.inFlight[:3]
 	for range 10000 {
-		b.tightAt = time.Hour
-		b.learn(&attempt{r: &request{class: b.classes["write"], units: 1}, up: u}, AttemptResult{Latency: ms, Status: OK}, time.Hour)
+		b.queue.lastFullAt = time.Hour
+		b.recordOutcome(&attempt{request: &request{class: b.classes["write"], work: 1}, upstream: u}, AttemptResult{Latency: ms, Status: OK}, time.Hour)
 	}
-	if u.bound != 16 {
-		t.Errorf("bound %v with four in use", u.bound)
+	if u.limit.allowed != 16 {
+		t.Errorf("bound %v with four in use", u.limit.allowed)
 	}
 }
 
@@ -227,12 +227,12 @@
 	for i := range RequestID(6) {
 		b.RequestArrived(time.Hour, Request{ID: i + 1, Class: "write", Budget: time.Second})
 	}
-	if n := h.count("send"); n != 4 || len(b.held) != 2 {
-		t.Fatalf("%d sent, %d held", n, len(b.held))
+	if n := h.count("send"); n != 4 || len(b.queue.waiting) != 2 {
+		t.Fatalf("%d sent, %d held", n, len(b.queue.waiting))
 	}
 	b.AttemptFinished(time.Hour+ms, AttemptResult{ID: 2, Latency: ms, Status: OK})
-	if n := h.count("send"); n != 5 || len(b.held) != 1 || b.out != 4 {
-		t.Errorf("after an answer: %d sent, %d held, %d out", n, len(b.held), b.out)
+	if n := h.count("send"); n != 5 || len(b.queue.waiting) != 1 || b.inFlight != 4 {
+		t.Errorf("after an answer: %d sent, %d held, %d out", n, len(b.queue.waiting), b.inFlight)
 	}
 }
 
@@ -289,15 +289,15 @@
 		t.Fatalf("not sent: %v", h.lines[max(0, len(h.lines)-4):])
 	}
 	u := b.byID[1]
-	b.quiet(u, at+30*time.Second)
-	if u.silent {
+	b.checkResponsive(u, at+30*time.Second)
+	if u.outlier.unresponsive {
 		t.Error("silent while the body comes")
 	}
 	b.BodySent(at+30*time.Second, 100, 0)
-	if b.quiet(u, at+30*time.Second+5*ms); u.silent {
+	if b.checkResponsive(u, at+30*time.Second+5*ms); u.outlier.unresponsive {
 		t.Error("silent at once")
 	}
-	if b.quiet(u, at+40*time.Second); !u.silent {
+	if b.checkResponsive(u, at+40*time.Second); !u.outlier.unresponsive {
 		t.Error("not silent ten seconds after the last byte")
 	}
 }
--- a/balancer/size_test.go
+++ b/balancer/size_test.go
@@ -66,7 +66,7 @@
 				clear(users)
 				used = 0
 				for rank := range planBalancers {
-					for _, u := range planned(b, planBalancers, rank, n, nil).near {
+					for _, u := range planned(b, planBalancers, rank, n, nil).subset.upstreams {
 						users[u.ID]++
 						used++
 					}
@@ -138,17 +138,17 @@
 				for i, n := range all {
 					for rank := range ranks {
 						x, slices := planned(b, balancers, (rank*balancers/ranks+i)%balancers, n, nil), 0.0
-						x.rate = planRate * 18_000 / float64(balancers) * parts[i] / sum
-						x.gather(0)
-						for _, u := range x.near {
-							slices += u.slice
+						x.arrivals.perSecond = planRate * 18_000 / float64(balancers) * parts[i] / sum
+						x.chooseSubset(0)
+						for _, u := range x.subset.upstreams {
+							slices += u.share.subsetPart
 						}
 						if parts[i] == 0 {
 							continue
 						}
-						used += float64(len(x.near)) / ranks / float64(groups)
-						for _, u := range x.near {
-							rate := x.rate * u.slice / slices
+						used += float64(len(x.subset.upstreams)) / ranks / float64(groups)
+						for _, u := range x.subset.upstreams {
+							rate := x.arrivals.perSecond * u.share.subsetPart / slices
 							open += (1 - math.Exp(-rate*idle)) / ranks / float64(groups)
 							opened += rate * math.Exp(-rate*idle) / ranks / float64(groups)
 							for k, w := range windows {
@@ -290,7 +290,7 @@
 			x.ticks = x.now + d
 		}
 	})
-	x.ticks, x.next = x.tick, x.gap()
+	x.ticks, x.next = x.tickInterval, x.gap()
 	return x
 }
 
@@ -380,7 +380,7 @@
 	rules := settings().Rules
 	for rank := range balancers {
 		x := newBalancerAt(b, balancers, rank, n, rng)
-		if n > 10 && !slices.ContainsFunc(x.near, func(u *upstream) bool { return u.ID == id }) {
+		if n > 10 && !slices.ContainsFunc(x.subset.upstreams, func(u *upstream) bool { return u.ID == id }) {
 			continue // its stretch lies elsewhere; among few each may come to use it
 		}
 		users++
@@ -465,7 +465,7 @@
 		b.Run(fmt.Sprint(n, " step"), func(b *testing.B) { // what a pool's module does each second, whether or not it is used
 			for b.Loop() {
 				now += time.Second
-				x.step(now)
+				x.endPeriod(now)
 			}
 		})
 	}
@@ -527,7 +527,7 @@
 					rng := rand.New(rand.NewPCG(uint64(n), 13))
 					for rank := range balancers {
 						x := newBalancerAt(b, balancers, rank, n, rng)
-						if !slices.ContainsFunc(x.near, func(u *upstream) bool { return u.ID == 1 }) {
+						if !slices.ContainsFunc(x.subset.upstreams, func(u *upstream) bool { return u.ID == 1 }) {
 							continue
 						}
 						span := 0
@@ -540,8 +540,8 @@
 						to := func(end int) {
 							for ; told < end; told++ {
 								x.play(time.Duration(told+1) * time.Second)
-								for _, u := range x.near {
-									if shared && u.member {
+								for _, u := range x.subset.upstreams {
+									if shared && u.inSubset {
 										x.HealthCheckFinished(x.now, HealthCheckResult{Upstream: u.ID, Status: OK, Load: x.load(u.ID)})
 									}
 								}
--- a/balancer/slowstart.go
+++ b/balancer/slowstart.go
@@ -1,4 +1,4 @@
-// The decisions about upstreams that have just started: how much of one is there, and who may send when.
+// Upstreams that have just started: how much of one is there, and who may send when.
 
 package balancer
 
@@ -8,65 +8,126 @@
 	"time"
 )
 
-// ramp is the share of its capacity that u is sure to have.
-func (b *Balancer) ramp(u *upstream, now time.Duration) float64 {
-	if u.cold && now-u.coldAt < b.s.Rules.SlowStartDuration {
-		from := b.s.Rules.SlowStartFloor
-		return from + (1-from)*max(0, float64(now-u.coldAt)/float64(b.s.Rules.SlowStartDuration))
+const (
+	overloadMargin      = 0.6 // part of a warming upstream's budget that is used
+	minContinuousBudget = 2.0 // a part of the budget under so many requests is used in turns
+)
+
+// slowStart is the warming up of an upstream that started lately. sentWork leaks at the rate of the budget, so it is
+// what the upstream was sent within the last Rules.OverloadWindow.
+type slowStart struct {
+	warming    bool
+	since      time.Duration // the upstream's start
+	sentWork   float64       // in mean requests; none counts less than one
+	sentWorkAt time.Duration
+	lastSentAt time.Duration // also while it is warm
+}
+
+// begin starts the warming up of a process that started at a time.
+func (s *slowStart) begin(at time.Duration) {
+	s.warming = true
+	s.since = at
+	s.sentWorkAt = max(s.sentWorkAt, at) // what it was sent while warm is no debt of the new process
+}
+
+// capacity is the share of its capacity that the upstream is sure to have. It ends the warming up once that is over.
+func (s *slowStart) capacity(rules *Rules, now time.Duration) float64 {
+	if s.warming && now-s.since < rules.SlowStartDuration {
+		elapsed := float64(now-s.since) / float64(rules.SlowStartDuration)
+		return rules.SlowStartFloor + (1-rules.SlowStartFloor)*max(0, elapsed)
 	}
-	u.cold = false
+	s.warming = false
 	return 1
 }
 
-// chill treats u as freshly started: nothing learnt before holds.
-func (b *Balancer) chill(u *upstream, at time.Duration) {
-	u.cold, u.coldAt, u.lat, u.latDev, u.units, u.slow = true, at, 0, 0, 0, 0
-	u.readings, u.mean, u.dev, u.area, u.bound, u.least, u.calm, u.mute = 0, 0, 0, 0, b.start, 0, 0, 0
-	u.failing, u.answers = 0, 0
-	u.spentAt = max(u.spentAt, at) // what it was sent while warm is no debt of the new process
+// recordSent counts an attempt.
+func (s *slowStart) recordSent(work float64, now time.Duration) {
+	s.lastSentAt = now
+	s.sentWork += max(1, work)
+}
+
+// fits reports whether work fits a budget of so many requests over a window, half of which may come at once. No
+// request counts less than the mean: many small ones once pushed a server over.
+func (s *slowStart) fits(work, budget float64, window, now time.Duration) bool {
+	rate, burst := budget/window.Seconds(), budget/2
+	leaked := rate / 2 * (now - s.sentWorkAt).Seconds()
+	s.sentWork = max(0, min(s.sentWork, burst)-leaked)
+	s.sentWorkAt = now
+	return s.sentWork <= max(0, burst-max(1, work))
+}
+
+// warmUpTurns are one balancer's turns at a warming upstream of which it may have few requests. A part of few requests
+// can't be rounded up: over many balancers that came to many times the budget. So each has one request in each of its
+// own turns, which follow each other as its part adds up, and only in the open share at the begin of a turn. The
+// turns of all who use the upstream are spread evenly by their phase, and go by the time since its start: a process
+// that was started anew has the same, and leaves out its first.
+type warmUpTurns struct {
+	budget float64 // requests over Rules.OverloadWindow, once the upstream is warm
+	phase  float64 // when this balancer's turns begin, as a part of a turn
+	open   float64 // part of a turn in which it may send
+}
+
+// at is how many turns have gone by at an age of the upstream, the present one in part.
+func (t *warmUpTurns) at(age time.Duration, rules *Rules) float64 {
+	seconds := max(0, age.Seconds())
+	duration, floor := rules.SlowStartDuration.Seconds(), rules.SlowStartFloor
+	capacitySeconds := t.budget * seconds * (floor + (1-floor)*seconds/duration/2)
+	return capacitySeconds/rules.OverloadWindow.Seconds() + t.phase
 }
 
-// coldRoom reports whether r fits this balancer's part of what a cold u may get over TipAfter, judged by what
-// warm ones carry. No request counts less than the mean: many small ones once pushed a server over.
-func (b *Balancer) coldRoom(u *upstream, r *request, now time.Duration) bool {
-	carry := b.carry
-	if carry == 0 { // no warm one to judge by: a server does one after the other; the margin counts twice
-		carry = tipMargin * float64(bandPeriod) / b.lat * b.start / boundStart / u.weight
+// hasTurn reports whether the present turn is open and nothing was sent in it. A balancer that started since knows
+// nothing of what it sent before.
+func (s *slowStart) hasTurn(turns *warmUpTurns, rules *Rules, balancerStartedAt, now time.Duration) bool {
+	turn, elapsed := math.Modf(turns.at(now-s.since, rules))
+	if elapsed >= turns.open {
+		return false
 	}
-	calls := tipMargin * b.s.Rules.OverloadMultiple * carry * u.weight * u.slice * cmp.Or(u.WarmUpShare, 1)
-	calls *= b.s.Rules.OverloadWindow.Seconds() / bandPeriod.Seconds()
-	part := calls * b.ramp(u, now)
-	if b.carry == 0 && b.warm {
+	last := max(s.lastSentAt, balancerStartedAt)
+	return last <= s.since || math.Floor(turns.at(last-s.since, rules)) < turn
+}
+
+// beginWarmUp treats u as freshly started: nothing learnt before holds.
+func (b *Balancer) beginWarmUp(u *upstream, at time.Duration) {
+	u.slowStart.begin(at)
+	u.band.restart()
+	u.outlier.restart()
+	u.latency = latencyStats{}
+	u.limit.allowed = b.limits.initial
+	u.unreportedAnswers = 0
+}
+
+// hasWarmUpBudget reports whether r fits this balancer's part of what a warming u may get over Rules.OverloadWindow,
+// judged by what warm upstreams carry.
+func (b *Balancer) hasWarmUpBudget(u *upstream, r *request, now time.Duration) bool {
+	rules := &b.settings.Rules
+	whenWarm := b.warmUpBudget(u)
+	budget := whenWarm * u.slowStart.capacity(rules, now)
+	if b.fleet.workPerWeight == 0 && b.subset.hasWarm {
 		return false
-	} else if part < turnsUnder {
-		return b.coldTurn(u, now, calls, part/2)
 	}
-	rate, room := part/b.s.Rules.OverloadWindow.Seconds(), part/2
-	u.spent, u.spentAt = max(0, min(u.spent, room)-rate/2*(now-u.spentAt).Seconds()), now
-	return u.spent <= max(0, room-max(1, r.units))
+	if budget < minContinuousBudget {
+		turns := warmUpTurns{budget: whenWarm, phase: b.turnPhase(u), open: budget / 2}
+		return u.slowStart.hasTurn(&turns, rules, b.startedAt, now)
+	}
+	return u.slowStart.fits(r.work, budget, rules.OverloadWindow, now)
 }
 
-// coldTurn reports whether it is this balancer's turn at a cold u, to which it may send so many calls in
-// TipAfter once u is warm. A part of few calls can't be rounded up: over many balancers that came to many
-// times the budget. So each has one call in each of its own turns, which follow each other as its part adds
-// up, and only in the open share at the begin of a turn, half of TipAfter. The turns of all who use u are
-// spread evenly, and go by the time since its start: a process that was started anew has the same, and leaves
-// out its first.
-func (b *Balancer) coldTurn(u *upstream, now time.Duration, calls, open float64) bool {
-	turns := func(at time.Duration) float64 { // that have gone by, the present one in part
-		ramp, from := b.s.Rules.SlowStartDuration.Seconds(), b.s.Rules.SlowStartFloor
-		age := max(0, (at - u.coldAt).Seconds())
-		return calls*age*(from+(1-from)*age/ramp/2)/b.s.Rules.OverloadWindow.Seconds() + b.phase(u)
+// warmUpBudget is how many requests over Rules.OverloadWindow this balancer may send to u once u is warm.
+func (b *Balancer) warmUpBudget(u *upstream) float64 {
+	perWeight := b.fleet.workPerWeight
+	if perWeight == 0 { // no warm one to judge by: a server does one after the other; the margin counts twice
+		perWeight = overloadMargin * float64(bandPeriod) / b.latency * b.limits.initial / initialLimitTotal / u.share.weight
 	}
-	turn, in := math.Modf(turns(now))
-	last := max(u.sentAt, b.bornAt)
-	return in < open && (last <= u.coldAt || math.Floor(turns(last)) < turn)
+	budget := overloadMargin * b.settings.Rules.OverloadMultiple * perWeight
+	budget = budget * u.share.weight * u.share.subsetPart * cmp.Or(u.WarmUpShare, 1)
+	return budget * (b.settings.Rules.OverloadWindow.Seconds() / bandPeriod.Seconds())
 }
 
-// phase is when this balancer's turns begin at a cold u, as a part of a turn. Those who use it stand side by
+// turnPhase is when this balancer's turns begin at a warming u, as a part of a turn. Those who use it stand side by
 // side on the ring, so steps of the golden ratio spread them.
-func (b *Balancer) phase(u *upstream) float64 {
-	place := math.Round(lattice(b.s.Rank, b.s.Balancers) * float64(b.s.Balancers))
-	_, part := math.Modf(place*(math.Phi-1) + float64(u.place)/(1<<64))
-	return part
+func (b *Balancer) turnPhase(u *upstream) float64 {
+	balancers := b.settings.Balancers
+	place := math.Round(latticePoint(b.settings.Rank, balancers) * float64(balancers))
+	_, phase := math.Modf(place*(math.Phi-1) + float64(u.ringPosition)/(1<<64))
+	return phase
 }
--- a/balancer/tenants.go
+++ b/balancer/tenants.go
@@ -17,12 +17,12 @@
 	shards [][]Tenant // by the high bits of the name's hash, each in order of names
 	shift  int
 	n      int
-	err    error                // what is wrong with the list
-	part   atomic.Pointer[part] // of the last that asked
+	err    error                    // what is wrong with the list
+	part   atomic.Pointer[evenPart] // of the last that asked
 }
 
-// part is the sum of the quotas' parts for one of so many balancers, in requests a second.
-type part struct {
+// evenPart is the sum of the quotas' parts for one of so many balancers, in requests a second.
+type evenPart struct {
 	balancers int
 	rate      float64
 }
@@ -235,7 +235,7 @@
 	if p := t.part.Load(); p != nil && p.balancers == balancers {
 		return p.rate
 	}
-	p := &part{balancers: balancers}
+	p := &evenPart{balancers: balancers}
 	for x := range t.All() {
 		p.rate += x.Quota / float64(balancers)
 	}
--- a/balancer/tenants_test.go
+++ b/balancer/tenants_test.go
@@ -14,7 +14,7 @@
 // keepsAll counts every tenant's requests for ever: what overQuota has to equal.
 type keepsAll struct {
 	s      Settings
-	levels map[string]*sender
+	levels map[string]*tenantLevel
 }
 
 func (k *keepsAll) rate(name string) (float64, bool) {
@@ -29,10 +29,10 @@
 	}
 	x := k.levels[name]
 	if x == nil {
-		x = &sender{at: now}
+		x = &tenantLevel{updatedAt: now}
 		k.levels[name] = x
 	}
-	x.level, x.at = max(0, x.level-rate*(now.Seconds()-x.at.Seconds()))+1, now
+	x.level, x.updatedAt = max(0, x.level-rate*(now.Seconds()-x.updatedAt.Seconds()))+1, now
 	return x.level > max(rate, 1)
 }
 
@@ -44,7 +44,7 @@
 		if !known {
 			delete(k.levels, name)
 		} else if next := quota / float64(s.Balancers); next != rate {
-			x.level, x.at = max(0, x.level-rate*(now.Seconds()-x.at.Seconds())), now
+			x.level, x.updatedAt = max(0, x.level-rate*(now.Seconds()-x.updatedAt.Seconds())), now
 		}
 	}
 	k.s = s
@@ -61,7 +61,7 @@
 	s := settings()
 	s.Balancers, s.Tenants = 3, NewTenants(list)
 	b, _ := start(t, s, nil)
-	all := &keepsAll{s, map[string]*sender{}}
+	all := &keepsAll{s, map[string]*tenantLevel{}}
 	now, overs, most := time.Hour, 0, 0
 	for i := range 100000 {
 		now += time.Duration(rng.ExpFloat64() * float64(5*ms))
@@ -91,8 +91,8 @@
 		if got {
 			overs++
 		}
-		most = max(most, len(b.ring))
-		if len(b.ring) != len(b.senders) {
+		most = max(most, len(b.quota.sweepOrder))
+		if len(b.quota.sweepOrder) != len(b.quota.levels) {
 			t.Fatal("the ring and the map differ")
 		}
 	}
@@ -129,19 +129,19 @@
 	if n := allowed(); n != 0 {
 		t.Errorf("%d more 1 s before its level is dry: a second quota", n)
 	}
-	if !b.owing(now) || b.senders["a"] == nil {
+	if !b.quota.hasLevels(now) || b.quota.levels["a"] == nil {
 		t.Error("a tenant whose level is not dry was let go")
 	}
 	pass(12 * time.Second)
-	if b.senders["a"] != nil {
+	if b.quota.levels["a"] != nil {
 		t.Error("a tenant whose level is dry is kept")
 	}
 	if n := allowed(); n != 10 {
 		t.Errorf("back later it has %d of 10", n)
 	}
 	now += time.Minute
-	if b.owing(now) || len(b.ring) != 0 {
-		t.Errorf("%d tenants owe something a minute later", len(b.ring))
+	if b.quota.hasLevels(now) || len(b.quota.sweepOrder) != 0 {
+		t.Errorf("%d tenants owe something a minute later", len(b.quota.sweepOrder))
 	}
 }
 
@@ -158,12 +158,12 @@
 	if err := b.Configure(now, s); err != nil {
 		t.Fatal(err)
 	}
-	if now += time.Second; !b.overQuota("a", now) || b.senders["a"].level != 9 {
-		t.Errorf("level %v, want 10 - 2 + 1", b.senders["a"].level)
+	if now += time.Second; !b.overQuota("a", now) || b.quota.levels["a"].level != 9 {
+		t.Errorf("level %v, want 10 - 2 + 1", b.quota.levels["a"].level)
 	}
 	s.Tenants = s.Tenants.With(nil, []string{"a"})
-	if err := b.Configure(now, s); err != nil || len(b.ring) != 0 || b.overQuota("a", now) || b.fair != 0 {
-		t.Errorf("after it has gone: %v, %d kept", err, len(b.ring))
+	if err := b.Configure(now, s); err != nil || len(b.quota.sweepOrder) != 0 || b.overQuota("a", now) || b.quota.evenRate != 0 {
+		t.Errorf("after it has gone: %v, %d kept", err, len(b.quota.sweepOrder))
 	}
 }
 
--- a/balancer/timers.go
+++ b/balancer/timers.go
@@ -4,26 +4,32 @@
 
 import "time"
 
+// The tokens of the timers that a Balancer sets.
+const (
+	tickToken  = 1
+	watchToken = 2
+)
+
 // TimerFired takes a timer that the Balancer has set.
 func (b *Balancer) TimerFired(now time.Duration, token uint64) {
-	if token != tickToken { // watchToken; a stray one must not start a second row of ticks
+	if token != tickToken { // watchToken; an unknown one must not start a second row of ticks
 		b.host.WatchEndpoints(true)
 		return
 	}
-	if b.resting { // no tick is owed
+	if b.idle.suspended { // no tick is owed
 		return
 	}
-	b.nextTick(now)
-	if now-b.stepAt >= bandPeriod {
-		b.step(now)
+	b.scheduleTick(now)
+	if now-b.periodStartedAt >= bandPeriod {
+		b.endPeriod(now)
 	}
-	ask := b.s.Reports == ReportHealthChecks && b.s.Limits.HealthChecks
-	for _, u := range b.near {
-		b.quiet(u, now)
-		if ask && u.member && now-u.probedAt >= bandPeriod {
-			u.probedAt = now
+	checksHealth := b.settings.Reports == ReportHealthChecks && b.settings.Limits.HealthChecks
+	for _, u := range b.subset.upstreams {
+		b.checkResponsive(u, now)
+		if checksHealth && u.inSubset && now-u.healthCheckedAt >= bandPeriod {
+			u.healthCheckedAt = now
 			b.host.HealthCheck(u.ID)
 		}
 	}
-	b.dispatch(now)
+	b.dispatchQueued(now)
 }
--- a/balancer/view.go
+++ b/balancer/view.go
@@ -20,29 +20,42 @@
 	Latency                 time.Duration
 }
 
-// View returns the upstreams in order of arrival, and how many requests are held for a turn.
-func (b *Balancer) View(now time.Duration) (views []UpstreamView, held int) {
+// View returns the upstreams in order of arrival, and how many requests wait for a turn.
+func (b *Balancer) View(now time.Duration) (views []UpstreamView, queued int) {
 	b.catchUp(now)
 	var total float64
-	for _, u := range b.near {
-		if u.member && u.State == Active {
-			total += b.share(u, now)
+	for _, u := range b.subset.upstreams {
+		if u.inSubset && u.State == Active {
+			total += b.trafficShare(u, now)
 		}
 	}
-	for _, u := range b.ups {
-		v := UpstreamView{
-			ID: u.ID, State: u.State, InSubset: u.member, ShareFactor: u.factor, Mean: u.mean, Upper: u.mean + bandAlpha*u.dev,
-			Lower: u.mean - bandAlpha*u.dev, Area: u.area, Readings: u.readings,
-			Estimated: b.estimated(u), WarmingUp: u.cold, Unresponsive: u.silent, InFlight: len(u.outs),
-			ConcurrencyLimit: u.bound, Latency: time.Duration(u.lat),
+	for _, u := range b.upstreams {
+		view := b.viewOf(u)
+		if u.inSubset && u.State == Active {
+			view.Share = b.trafficShare(u, now) / total
 		}
-		if u.member && u.State == Active {
-			v.Share = b.share(u, now) / total
-		}
-		views = append(views, v)
+		views = append(views, view)
 	}
-	return views, len(b.held)
+	return views, len(b.queue.waiting)
 }
 
-// QueueLength is how many requests wait for a turn.
-func (b *Balancer) QueueLength() int { return len(b.held) }
+// viewOf is u's view but for its share.
+func (b *Balancer) viewOf(u *upstream) UpstreamView {
+	return UpstreamView{
+		ID:               u.ID,
+		State:            u.State,
+		InSubset:         u.inSubset,
+		ShareFactor:      u.share.factor,
+		Mean:             u.band.mean,
+		Upper:            u.band.upper(),
+		Lower:            u.band.lower(),
+		Area:             u.band.area,
+		Readings:         u.band.readings,
+		Estimated:        b.isEstimated(u),
+		WarmingUp:        u.slowStart.warming,
+		Unresponsive:     u.outlier.unresponsive,
+		InFlight:         len(u.inFlight),
+		ConcurrencyLimit: u.limit.allowed,
+		Latency:          time.Duration(u.latency.mean),
+	}
+}
