--- a/balancer/balancer.go
+++ b/balancer/balancer.go
@@ -32,9 +32,9 @@
 
 	requests     map[RequestID]*request
 	inFlight     int // attempts at all upstreams
-	byID         map[UpstreamID]*upstream
-	upstreams    []*upstream // in order of arrival
-	preallocated []upstream  // for those of the first list
+	byID         map[UpstreamID]*upstreamState
+	upstreams    []*upstreamState // in order of arrival
+	preallocated []upstreamState  // for those of the first list
 
 	latency  float64 // usual latency over all upstreams, ns
 	meanCost float64 // mean cost hint, ns
@@ -58,27 +58,32 @@
 	if err := s.Validate(); err != nil {
 		return nil, err
 	}
+	b := newBalancer(seed, now, host)
+	b.applySettings(s, now)
+	b.chooseSubset(now)
+	b.latency = float64(s.shortestObjective()) / 4 // until answers tell
+	b.scheduleTick(now)
+	if s.PollDiscovery {
+		host.WatchEndpoints(true)
+	}
+	return b, nil
+}
+
+// newBalancer returns a Balancer without settings.
+func newBalancer(seed uint64, now time.Duration, host Host) *Balancer {
 	source := rand.NewPCG(seed, 0)
-	b := &Balancer{
+	return &Balancer{
 		host:            host,
 		rngSource:       source,
 		rng:             rand.New(source),
 		requests:        map[RequestID]*request{},
-		byID:            map[UpstreamID]*upstream{},
+		byID:            map[UpstreamID]*upstreamState{},
 		quota:           quota{levels: map[string]*tenantLevel{}},
 		queue:           admissionQueue{lastFullAt: now},
 		lastLoggedAt:    map[string]time.Duration{},
 		periodStartedAt: now,
 		startedAt:       now,
 	}
-	b.applySettings(s, now)
-	b.chooseSubset(now)
-	b.latency = float64(s.shortestObjective()) / 4 // until answers tell
-	b.scheduleTick(now)
-	if s.PollDiscovery {
-		host.WatchEndpoints(true)
-	}
-	return b, nil
 }
 
 // Configure puts other settings in the place of those that hold, or changes nothing and names the one that is
@@ -101,22 +106,27 @@
 
 // applySettings takes settings. What is counted of classes and tenants that stay goes on.
 func (b *Balancer) applySettings(s Settings, now time.Duration) {
-	classes := make(map[string]*class, len(s.Classes))
+	b.quota.update(s.Tenants, s.Balancers, now)
+	b.updateClasses(s.Classes)
+	b.settings = s
+	b.tickInterval = max(s.Granularity, s.shortestObjective()/ticksPerObjective, time.Millisecond)
+	b.retry = retryPolicy{maxAttempts: s.Limits.MaxAttempts, hedging: s.Limits.Hedging, margin: b.tickInterval}
+}
+
+// updateClasses takes the classes of settings.
+func (b *Balancer) updateClasses(list []Class) {
+	classes := make(map[string]*class, len(list))
 	b.safestIdempotency = NonIdempotent
-	for _, c := range s.Classes {
-		next := &class{Class: c}
-		if old := b.classes[c.Name]; old != nil { // its budget may have shrunk with its deadline: that is learnt anew
+	for _, listed := range list {
+		next := &class{Class: listed}
+		if old := b.classes[listed.Name]; old != nil { // its budget may have shrunk with its deadline: that is learnt anew
 			next.latency = old.latency
 			next.lastRanAt = old.lastRanAt
 		}
-		classes[c.Name] = next
-		b.safestIdempotency = min(b.safestIdempotency, c.Idempotency)
+		classes[listed.Name] = next
+		b.safestIdempotency = min(b.safestIdempotency, listed.Idempotency)
 	}
-	b.quota.update(s.Tenants, s.Balancers, now)
-	b.settings = s
 	b.classes = classes
-	b.tickInterval = max(s.Granularity, s.shortestObjective()/ticksPerObjective, time.Millisecond)
-	b.retry = retryPolicy{maxAttempts: s.Limits.MaxAttempts, hedging: s.Limits.Hedging, margin: b.tickInterval}
 }
 
 // shortestObjective is the shortest latency objective of all classes.
--- a/balancer/balancer_test.go
+++ b/balancer/balancer_test.go
@@ -26,7 +26,7 @@
 }
 
 // serve sends a request and answers it at once; it returns the upstream that got it.
-func serve(t *testing.T, b *Balancer, now time.Duration, id RequestID) *upstream {
+func serve(t *testing.T, b *Balancer, now time.Duration, id RequestID) *upstreamState {
 	t.Helper()
 	b.RequestArrived(now, Request{ID: id, Class: "write", Budget: time.Second})
 	r := b.requests[id]
--- a/balancer/decide_test.go
+++ b/balancer/decide_test.go
@@ -8,7 +8,7 @@
 
 // BenchmarkDecide is a request with its outcome and its part of the ticks, at one a millisecond.
 func BenchmarkDecide(b *testing.B) {
-	for _, n := range []int{10, 100, 1000} {
+	for _, n := range []int{10, 100, 1000, 10_000} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
 			s := settings()
 			s.Balancers = 1
--- a/balancer/endpoints.go
+++ b/balancer/endpoints.go
@@ -45,9 +45,9 @@
 	for i := range list {
 		listed[list[i].ID] = true
 	}
-	for _, u := range b.upstreams {
-		if !listed[u.ID] {
-			u.State = Removed
+	for _, upstream := range b.upstreams {
+		if !listed[upstream.ID] {
+			upstream.State = Removed
 		}
 	}
 }
@@ -55,64 +55,64 @@
 // MaxInFlightChanged sets anew how many attempts may be in flight at an upstream at once; 0: any number.
 func (b *Balancer) MaxInFlightChanged(now time.Duration, id UpstreamID, most int) {
 	b.catchUp(now)
-	if u := b.byID[id]; u != nil && u.MaxInFlight != most {
-		u.MaxInFlight = most
+	if upstream := b.byID[id]; upstream != nil && upstream.MaxInFlight != most {
+		upstream.MaxInFlight = most
 		b.dispatchQueued(now)
 	}
 }
 
 // applyEndpoint applies one list entry.
 func (b *Balancer) applyEndpoint(endpoint Upstream, now time.Duration) {
-	u := b.byID[endpoint.ID]
-	if u == nil {
+	upstream := b.byID[endpoint.ID]
+	if upstream == nil {
 		if endpoint.State == Removed {
 			return
 		}
-		u = b.addUpstream(endpoint.ID, endpoint.Weight, now)
+		upstream = b.addUpstream(endpoint.ID, endpoint.Weight, now)
 	}
-	if endpoint.StartedAt > u.StartedAt { // new, or restarted under the same id
-		u.outlier.unresponsive = false
-		u.limit.nextSendAt = now
+	if endpoint.StartedAt > upstream.StartedAt { // new, or restarted under the same id
+		upstream.outlier.unresponsive = false
+		upstream.limit.nextSendAt = now
 		if now-endpoint.StartedAt < b.settings.Rules.SlowStartDuration {
-			b.beginWarmUp(u, endpoint.StartedAt)
+			b.beginWarmUp(upstream, endpoint.StartedAt)
 		}
 	}
-	u.Upstream = endpoint
+	upstream.Upstream = endpoint
 	weight := endpoint.Weight
 	if b.settings.Weights == WeightLive { // late and the same for all: only its slow mean is safe to follow
-		weight = u.share.weight + sampleWeight*(weight-u.share.weight)
+		weight = upstream.share.weight + sampleWeight*(weight-upstream.share.weight)
 	}
-	u.share.weight = max(weight, math.SmallestNonzeroFloat32)
+	upstream.share.weight = max(weight, math.SmallestNonzeroFloat32)
 }
 
 // addUpstream adds an upstream of which nothing is known.
-func (b *Balancer) addUpstream(id UpstreamID, weight float64, now time.Duration) *upstream {
-	u := b.allocate()
-	*u = upstream{
+func (b *Balancer) addUpstream(id UpstreamID, weight float64, now time.Duration) *upstreamState {
+	upstream := b.allocate()
+	*upstream = upstreamState{
 		ringPosition: hash64(uint64(id)),
 		share:        share{weight: weight, factor: 1},
 		limit:        concurrencyLimit{periodMax: initialLimitTotal, cutAt: now, nextSendAt: now},
 		outlier:      outlierDetector{backoff: b.tickInterval, answeredAt: now},
 		slowStart:    slowStart{sentWorkAt: now},
 	}
-	b.byID[id] = u
-	b.upstreams = append(b.upstreams, u)
-	return u
+	b.byID[id] = upstream
+	b.upstreams = append(b.upstreams, upstream)
+	return upstream
 }
 
 // preallocate makes room for the upstreams of a first list, all at once.
 func (b *Balancer) preallocate(count int) {
-	b.byID = make(map[UpstreamID]*upstream, count)
-	b.upstreams = make([]*upstream, 0, count)
-	b.preallocated = make([]upstream, count)
+	b.byID = make(map[UpstreamID]*upstreamState, count)
+	b.upstreams = make([]*upstreamState, 0, count)
+	b.preallocated = make([]upstreamState, count)
 }
 
 // allocate returns room for one upstream.
-func (b *Balancer) allocate() *upstream {
+func (b *Balancer) allocate() *upstreamState {
 	if len(b.preallocated) == 0 {
-		return new(upstream)
+		return new(upstreamState)
 	}
-	u := &b.preallocated[0]
+	upstream := &b.preallocated[0]
 	b.preallocated = b.preallocated[1:]
-	return u
+	return upstream
 }
--- a/balancer/errors_test.go
+++ b/balancer/errors_test.go
@@ -10,7 +10,7 @@
 
 // flow sends requests one by one, 5 ms apart, and has each answered after 20 ms, or with an error at once where sick says so. It
 // tells how many came to the first upstream, how many failed and how many were sent.
-func flow(t *testing.T, b *Balancer, from time.Duration, first RequestID, n int, sick func(u *upstream) bool) (atFirst, failed, sent int) {
+func flow(t *testing.T, b *Balancer, from time.Duration, first RequestID, n int, sick func(u *upstreamState) bool) (atFirst, failed, sent int) {
 	t.Helper()
 	now := from
 	type answer struct {
@@ -66,9 +66,9 @@
 // again once it is well.
 func TestErrorsTurnAnUpstreamIntoATrial(t *testing.T) {
 	b, _ := start(t, settings(), fleet(5))
-	none := func(*upstream) bool { return false }
+	none := func(*upstreamState) bool { return false }
 	flow(t, b, time.Hour, 1, 1000, none)
-	_, failed, sent := flow(t, b, time.Hour+10*time.Second, 10000, 2000, func(u *upstream) bool { return u == b.upstreams[0] })
+	_, failed, sent := flow(t, b, time.Hour+10*time.Second, 10000, 2000, func(u *upstreamState) bool { return u == b.upstreams[0] })
 	if failed == 0 || failed > 20 || sent < 1990 {
 		t.Errorf("%d of %d sent failed within 10 s, want a few trials", failed, sent)
 	}
@@ -83,8 +83,8 @@
 func TestErrorsOfAllCutNobody(t *testing.T) {
 	for _, n := range []int{1, 2, 5} {
 		b, _ := start(t, settings(), fleet(n))
-		flow(t, b, time.Hour, 1, 600, func(*upstream) bool { return true })
-		_, _, sent := flow(t, b, time.Hour+10*time.Second, 10000, 600, func(*upstream) bool { return true })
+		flow(t, b, time.Hour, 1, 600, func(*upstreamState) bool { return true })
+		_, _, sent := flow(t, b, time.Hour+10*time.Second, 10000, 600, func(*upstreamState) bool { return true })
 		if sent < 590 {
 			t.Errorf("%d upstreams: %d of 600 sent", n, sent)
 		}
@@ -95,7 +95,7 @@
 func TestMemory(t *testing.T) {
 	list := fleet(4)
 	b, _ := start(t, settings(), list)
-	flow(t, b, time.Hour, 1, 2000, func(u *upstream) bool { return u == b.upstreams[0] })
+	flow(t, b, time.Hour, 1, 2000, func(u *upstreamState) bool { return u == b.upstreams[0] })
 	b.upstreams[1].limit.allowed, b.upstreams[1].share.factor = 7, 0.5
 	text, err := json.Marshal(b.Snapshot())
 	if err != nil {
@@ -119,7 +119,7 @@
 	if u := next.upstreams[2]; !u.slowStart.warming || u.limit.allowed != next.limits.initial || u.band.readings != 0 {
 		t.Errorf("one that has been started since: cold %v, bound %v, %d readings", u.slowStart.warming, u.limit.allowed, u.band.readings)
 	}
-	_, failed, sent := flow(t, next, now, 50000, 500, func(u *upstream) bool { return u == next.upstreams[0] })
+	_, failed, sent := flow(t, next, now, 50000, 500, func(u *upstreamState) bool { return u == next.upstreams[0] })
 	if failed > 8 || sent < 490 {
 		t.Errorf("%d of %d failed", failed, sent)
 	}
@@ -161,7 +161,7 @@
 // Two runs of one memory are alike: it holds no order of a map.
 func TestMemoryIsTheSameTwice(t *testing.T) {
 	b, _ := start(t, settings(), fleet(4))
-	flow(t, b, time.Hour, 1, 300, func(*upstream) bool { return false })
+	flow(t, b, time.Hour, 1, 300, func(*upstreamState) bool { return false })
 	one, _ := json.Marshal(b.Snapshot())
 	two, _ := json.Marshal(b.Snapshot())
 	if !reflect.DeepEqual(one, two) {
--- a/balancer/fleet.go
+++ b/balancer/fleet.go
@@ -46,11 +46,11 @@
 }
 
 // quantile is that of the upstreams that have readings.
-func (b *Balancer) quantile(parts int, of func(*upstream) float64) float64 {
+func (b *Balancer) quantile(parts int, of func(*upstreamState) float64) float64 {
 	values := make([]float64, 0, len(b.subset.upstreams)+1)
-	for _, u := range b.subset.upstreams {
-		if u.inSubset && u.band.readings > 0 {
-			values = append(values, of(u))
+	for _, upstream := range b.subset.upstreams {
+		if upstream.inSubset && upstream.band.readings > 0 {
+			values = append(values, of(upstream))
 		}
 	}
 	return firstOf(parts, values)
@@ -59,9 +59,9 @@
 // usualErrorRate is the share of errors among the answers of a good part of the fleet.
 func (b *Balancer) usualErrorRate() float64 {
 	rates := make([]float64, 0, len(b.subset.upstreams)+1)
-	for _, u := range b.subset.upstreams {
-		if u.inSubset && u.outlier.answers > 0 {
-			rates = append(rates, u.outlier.errorRate)
+	for _, upstream := range b.subset.upstreams {
+		if upstream.inSubset && upstream.outlier.answers > 0 {
+			rates = append(rates, upstream.outlier.errorRate)
 		}
 	}
 	return firstOf(quartileParts, rates)
@@ -69,6 +69,6 @@
 
 // areaThreshold is the threshold of this period.
 func (b *Balancer) areaThreshold() float64 {
-	area := func(u *upstream) float64 { return u.band.area }
+	area := func(u *upstreamState) float64 { return u.band.area }
 	return saturationThreshold(b.quantile(medianParts, area), b.quantile(quartileParts, area))
 }
--- a/balancer/golden_test.go
+++ b/balancer/golden_test.go
@@ -16,7 +16,7 @@
 // TestGoldenMemoryKeys pins the keys of what a Balancer hands to the process that takes its place.
 func TestGoldenMemoryKeys(t *testing.T) {
 	var b Balancer
-	var u upstream
+	var u upstreamState
 	var text strings.Builder
 	text.WriteString(golden.Keys(reflect.TypeFor[Snapshot](), "json"))
 	fmt.Fprintln(&text, "fleet", slices.Sorted(maps.Keys(b.figures())))
--- a/balancer/idle.go
+++ b/balancer/idle.go
@@ -127,14 +127,14 @@
 
 // integrateIdle closes the band areas of the first idle period, and returns the work that fades from then on.
 func (b *Balancer) integrateIdle(now time.Duration) (work idleWork) {
-	for _, u := range b.subset.upstreams {
-		u.band.integrate(b.fleet.utilisation, now)
-		warm := u.countsAsWarm()
-		if u.workload.mean > 0 {
-			work.add(u, warm)
+	for _, upstream := range b.subset.upstreams {
+		upstream.band.integrate(b.fleet.utilisation, now)
+		warm := upstream.countsAsWarm()
+		if upstream.workload.mean > 0 {
+			work.add(upstream, warm)
 		}
 		if warm {
-			work.weight += u.share.inSubset()
+			work.weight += upstream.share.inSubset()
 		}
 	}
 	return work
@@ -143,16 +143,16 @@
 // endIdleShares cuts or restores shares for so many periods with the same areas.
 func (b *Balancer) endIdleShares(count int, end time.Duration) {
 	threshold := b.areaThreshold()
-	for _, u := range b.subset.upstreams {
+	for _, upstream := range b.subset.upstreams {
 		for range count {
-			before := u.share.factor
-			u.share.endPeriod(&u.band, threshold)
-			if u.share.factor == before {
+			before := upstream.share.factor
+			upstream.share.endPeriod(&upstream.band, threshold)
+			if upstream.share.factor == before {
 				break
 			}
 		}
-		u.band.area = 0
-		u.band.integratedAt = end
+		upstream.band.area = 0
+		upstream.band.integratedAt = end
 	}
 }
 
@@ -165,15 +165,15 @@
 
 // idleWorkload is that of one upstream.
 type idleWorkload struct {
-	upstream     *upstream
+	upstream     *upstreamState
 	mean         float64
 	usedCapacity float64
 	warm         bool // it counts for what warm upstreams carry
 }
 
-func (w *idleWork) add(u *upstream, warm bool) {
-	mean := u.workload.mean
-	w.entries = append(w.entries, idleWorkload{u, mean, u.usedCapacity(), warm})
+func (w *idleWork) add(upstream *upstreamState, warm bool) {
+	mean := upstream.workload.mean
+	w.entries = append(w.entries, idleWorkload{upstream, mean, upstream.usedCapacity(), warm})
 	w.tiny = w.tiny || mean < minIdleWork
 }
 
@@ -231,9 +231,9 @@
 			until = max(until, c.lastRanAt+c.DeduplicationWindow)
 		}
 	}
-	for _, u := range b.upstreams {
-		if u.State == Active {
-			until = max(until, u.limit.nextSendAt, u.StartedAt+b.settings.Rules.SlowStartDuration)
+	for _, upstream := range b.upstreams {
+		if upstream.State == Active {
+			until = max(until, upstream.limit.nextSendAt, upstream.StartedAt+b.settings.Rules.SlowStartDuration)
 		}
 	}
 	if b.quota.hasLevels(now) {
--- a/balancer/idle_test.go
+++ b/balancer/idle_test.go
@@ -89,7 +89,7 @@
 	var s strings.Builder
 	fmt.Fprintf(&s, "%x %v %v %v %v %v %v %v %v %v\n", rng, b.inFlight, len(b.queue.waiting), len(b.requests), b.queue.overloaded, b.queue.queueingInterval, b.queue.turnInterval, b.queue.lastTurnAt, b.interleaver.virtualTime, b.latency)
 	fmt.Fprintf(&s, "%v %v %v %v %v %v %v %v %v %v %v %v %v %v\n", b.meanCost, b.limits.growth, b.limits.initial, b.arrivals.count, b.arrivals.perSecond, b.subset.hasWarm, b.subset.loadFactor, b.fleet.utilisation, b.fleet.workPerWeight, b.fleet.errorRate, b.fleet.bestLatency, b.fleet.unloadedLatency, b.periodStartedAt, b.queue.lastFullAt)
-	for _, list := range [][]*upstream{b.subset.upstreams, b.upstreams} {
+	for _, list := range [][]*upstreamState{b.subset.upstreams, b.upstreams} {
 		for _, u := range list {
 			x := *u
 			x.inFlight = nil
--- a/balancer/interleaver.go
+++ b/balancer/interleaver.go
@@ -20,23 +20,23 @@
 	return max(due, i.virtualTime-maxDebtRounds*round) + round
 }
 
-// pickUpstream gives the turn to the upstream due first among those that may take r now. legal: some upstream may ever
-// take it.
-func (b *Balancer) pickUpstream(r *request, now time.Duration) (best *upstream, legal bool) {
+// pickUpstream gives the turn to the upstream due first among those that may take a request now. legal: some
+// upstream may ever take it.
+func (b *Balancer) pickUpstream(req *request, now time.Duration) (best *upstreamState, legal bool) {
 	var total float64
 	hasRoom := b.settings.Limits.MaxInFlight == 0 || b.inFlight < b.settings.Limits.MaxInFlight
-	for _, u := range b.subset.upstreams {
-		if !u.inSubset {
+	for _, upstream := range b.subset.upstreams {
+		if !upstream.inSubset {
 			continue
 		}
-		total += b.trafficShare(u, now)
-		if !b.retry.maySend(r, u, now) {
+		total += b.trafficShare(upstream, now)
+		if !b.retry.maySend(req, upstream, now) {
 			continue
 		}
 		legal = true
-		first := best == nil || u.dueTurn < best.dueTurn
-		if hasRoom && first && b.isEligible(u, r, now) {
-			best = u
+		first := best == nil || upstream.dueTurn < best.dueTurn
+		if hasRoom && first && b.isEligible(upstream, req, now) {
+			best = upstream
 		}
 	}
 	if best != nil {
@@ -46,18 +46,18 @@
 	return best, legal
 }
 
-// isEligible reports whether u may take r at this turn.
-func (b *Balancer) isEligible(u *upstream, r *request, now time.Duration) bool {
-	if u.MaxInFlight != 0 && len(u.inFlight) >= u.MaxInFlight {
+// isEligible reports whether an upstream may take a request at this turn.
+func (b *Balancer) isEligible(upstream *upstreamState, req *request, now time.Duration) bool {
+	if upstream.MaxInFlight != 0 && len(upstream.inFlight) >= upstream.MaxInFlight {
 		return false
 	}
-	if u.outlier.unresponsive {
-		if !u.outlier.trialDue(r.class.Idempotency == b.safestIdempotency, now) {
+	if upstream.outlier.unresponsive {
+		if !upstream.outlier.trialDue(req.class.Idempotency == b.safestIdempotency, now) {
 			return false
 		}
-	} else if !u.limit.permits(len(u.inFlight), now) {
+	} else if !upstream.limit.permits(len(upstream.inFlight), now) {
 		return false
 	}
-	isWarm := u.slowStart.capacity(&b.settings.Rules, now) == 1
-	return isWarm || b.hasWarmUpBudget(u, r, now)
+	isWarm := upstream.slowStart.capacity(&b.settings.Rules, now) == 1
+	return isWarm || b.hasWarmUpBudget(upstream, req, now)
 }
--- a/balancer/limits.go
+++ b/balancer/limits.go
@@ -21,31 +21,31 @@
 
 // adjustLimit moves the limit by a successful answer. Cuts go by the least of a slow mean, since single answers once
 // counted as crowding. Growth goes by the least, or by readings where one answer outweighs the mean.
-func (b *Balancer) adjustLimit(u *upstream, a *answer, now time.Duration) {
-	spare := u.band.mean < fullUtilisation
-	crowded := a.perWork > max(crowdedRatio*u.latency.unloadedOf(&b.fleet), crowdedObjectivePart*a.objective)
-	if crowded && !(a.sparse && spare) {
-		b.cutLimit(u, now, limitCut)
+func (b *Balancer) adjustLimit(upstream *upstreamState, got *answer, now time.Duration) {
+	spare := upstream.band.mean < fullUtilisation
+	crowded := got.perWork > max(crowdedRatio*upstream.latency.unloadedOf(&b.fleet), crowdedObjectivePart*got.objective)
+	if crowded && (!got.sparse || !spare) {
+		b.cutLimit(upstream, now, limitCut)
 		return
 	}
-	if u.limit.allowed < b.limits.initial { // it has had its rest
-		u.limit.allowed = b.limits.initial
+	if upstream.limit.allowed < b.limits.initial { // it has had its rest
+		upstream.limit.allowed = b.limits.initial
 		return
 	}
-	uncrowded := a.sparse || a.idle() || a.perWork < uncrowdedRatio*u.latency.bestOf(&b.fleet)
-	if uncrowded && spare && u.limit.halfUsed(len(u.inFlight)) && b.lacksTurns(now) {
-		u.limit.grow(a.objective/a.latency-1, b.limits.growth, growthBound(u, a))
+	uncrowded := got.sparse || got.idle() || got.perWork < uncrowdedRatio*upstream.latency.bestOf(&b.fleet)
+	if uncrowded && spare && upstream.limit.halfUsed(len(upstream.inFlight)) && b.lacksTurns(now) {
+		upstream.limit.grow(got.objective/got.latency-1, b.limits.growth, growthBound(upstream, got))
 	}
 }
 
 // growthBound is what a limit must not grow over.
-func growthBound(u *upstream, a *answer) float64 {
-	most := u.limit.periodMax
+func growthBound(upstream *upstreamState, a *answer) float64 {
+	most := upstream.limit.periodMax
 	if a.idle() { // many short ones pass before a reading tells of full use: their latency tells first
 		most = math.Inf(1)
 	}
-	if u.MaxInFlight > 0 {
-		most = min(most, float64(u.MaxInFlight))
+	if upstream.MaxInFlight > 0 {
+		most = min(most, float64(upstream.MaxInFlight))
 	}
 	return most
 }
@@ -56,11 +56,11 @@
 }
 
 // cutLimit lowers the limit of a crowded upstream.
-func (b *Balancer) cutLimit(u *upstream, now time.Duration, factor float64) {
-	u.limit.cut(factor, len(u.inFlight), b.limits.minimum(), u.latency.mean, now)
+func (b *Balancer) cutLimit(upstream *upstreamState, now time.Duration, factor float64) {
+	upstream.limit.cut(factor, len(upstream.inFlight), b.limits.minimum(), upstream.latency.mean, now)
 }
 
 // sendInterval is the wait between attempts at an upstream whose limit is under one.
-func (b *Balancer) sendInterval(u *upstream) time.Duration {
-	return u.limit.interval(cmp.Or(u.latency.mean, b.latency))
+func (b *Balancer) sendInterval(upstream *upstreamState) time.Duration {
+	return upstream.limit.interval(cmp.Or(upstream.latency.mean, b.latency))
 }
--- a/balancer/period.go
+++ b/balancer/period.go
@@ -11,10 +11,10 @@
 func (b *Balancer) endPeriod(now time.Duration) {
 	b.endWorkloads(now)
 	threshold := b.areaThreshold()
-	for _, u := range b.subset.upstreams {
-		u.share.endPeriod(&u.band, threshold)
-		u.band.area = 0
-		u.limit.endPeriod()
+	for _, upstream := range b.subset.upstreams {
+		upstream.share.endPeriod(&upstream.band, threshold)
+		upstream.band.area = 0
+		upstream.limit.endPeriod()
 	}
 	b.arrivals.endPeriod(now - b.periodStartedAt)
 	b.periodStartedAt = now
@@ -26,12 +26,12 @@
 // endWorkloads closes the band areas and what upstreams were sent, and sums up what warm ones carry.
 func (b *Balancer) endWorkloads(now time.Duration) {
 	var work, weight float64
-	for _, u := range b.subset.upstreams {
-		u.band.integrate(b.fleet.utilisation, now)
-		u.workload.endPeriod()
-		if u.countsAsWarm() {
-			work += u.workload.mean / u.usedCapacity()
-			weight += u.share.inSubset()
+	for _, upstream := range b.subset.upstreams {
+		upstream.band.integrate(b.fleet.utilisation, now)
+		upstream.workload.endPeriod()
+		if upstream.countsAsWarm() {
+			work += upstream.workload.mean / upstream.usedCapacity()
+			weight += upstream.share.inSubset()
 		}
 	}
 	b.fleet.updateWorkPerWeight(work, weight)
@@ -39,18 +39,21 @@
 
 // updateFleet takes the figures that upstreams are compared with.
 func (b *Balancer) updateFleet() {
-	b.fleet.utilisation = b.quantile(medianParts, func(u *upstream) float64 { return u.band.mean })
+	utilisation := func(u *upstreamState) float64 { return u.band.mean }
+	best := func(u *upstreamState) float64 { return u.latency.best }
+	unloaded := func(u *upstreamState) float64 { return u.latency.unloaded }
+	b.fleet.utilisation = b.quantile(medianParts, utilisation)
 	b.fleet.errorRate = b.usualErrorRate()
-	b.fleet.bestLatency = b.quantile(quartileParts, func(u *upstream) float64 { return u.latency.best })
-	b.fleet.unloadedLatency = b.quantile(quartileParts, func(u *upstream) float64 { return u.latency.unloaded })
+	b.fleet.bestLatency = b.quantile(quartileParts, best)
+	b.fleet.unloadedLatency = b.quantile(quartileParts, unloaded)
 }
 
 // forgetRemoved forgets the upstreams that are gone and owe nothing.
 func (b *Balancer) forgetRemoved() {
-	b.upstreams = slices.DeleteFunc(b.upstreams, func(u *upstream) bool {
-		gone := u.State == Removed && len(u.inFlight) == 0
+	b.upstreams = slices.DeleteFunc(b.upstreams, func(upstream *upstreamState) bool {
+		gone := upstream.State == Removed && len(upstream.inFlight) == 0
 		if gone {
-			delete(b.byID, u.ID)
+			delete(b.byID, upstream.ID)
 		}
 		return gone
 	})
--- a/balancer/queue.go
+++ b/balancer/queue.go
@@ -33,7 +33,7 @@
 }
 
 // add queues a request that found no turn.
-func (q *admissionQueue) add(r *request, now time.Duration) {
+func (q *admissionQueue) add(req *request, now time.Duration) {
 	if len(q.waiting) == 0 {
 		q.lastTurnAt = now
 		q.overloaded = false
@@ -41,10 +41,10 @@
 		updateMean(&q.queueingInterval, float64(now-q.lastFullAt), intervalWeight)
 	}
 	q.lastFullAt = now
-	r.queued = true
-	r.queuedAt = now
-	at, _ := slices.BinarySearchFunc(q.waiting, r, q.compare)
-	q.waiting = slices.Insert(q.waiting, at, r)
+	req.queued = true
+	req.queuedAt = now
+	at, _ := slices.BinarySearchFunc(q.waiting, req, q.compare)
+	q.waiting = slices.Insert(q.waiting, at, req)
 }
 
 // turnTaken notes that a queued request is sent.
@@ -73,8 +73,8 @@
 // timeToFirstDue is how long until some queued request must be sent, in ns.
 func (q *admissionQueue) timeToFirstDue(now time.Duration) float64 {
 	soonest := math.Inf(1)
-	for _, r := range q.waiting {
-		soonest = min(soonest, float64(r.sendBy-now))
+	for _, req := range q.waiting {
+		soonest = min(soonest, float64(req.sendBy-now))
 	}
 	return soonest
 }
@@ -84,23 +84,23 @@
 func (b *Balancer) dispatchQueued(now time.Duration) {
 	kept := b.queue.waiting[:0]
 	blocked, lost := false, false
-	for _, r := range b.queue.waiting {
-		if r.done {
+	for _, req := range b.queue.waiting {
+		if req.done {
 			continue
 		}
-		if now >= r.sendBy {
+		if now >= req.sendBy {
 			lost = true
 			b.log(now, "shed", "%d held, no turn free within the aim: refusing", len(b.queue.waiting))
-			b.rejectOrFail(r, now)
+			b.rejectOrFail(req, now)
 			continue
 		}
 		if !blocked {
-			if b.dispatch(r, now) {
+			if b.dispatch(req, now) {
 				continue
 			}
-			blocked = len(r.attempts) == 0
+			blocked = len(req.attempts) == 0
 		}
-		kept = append(kept, r)
+		kept = append(kept, req)
 	}
 	clear(b.queue.waiting[len(kept):])
 	b.queue.waiting = kept
@@ -108,13 +108,13 @@
 }
 
 // dispatch sends a queued request if a turn is free.
-func (b *Balancer) dispatch(r *request, now time.Duration) (sent bool) {
-	u, _ := b.pickUpstream(r, now)
-	if u == nil {
+func (b *Balancer) dispatch(req *request, now time.Duration) (sent bool) {
+	upstream, _ := b.pickUpstream(req, now)
+	if upstream == nil {
 		return false
 	}
 	b.queue.turnTaken(now)
-	b.send(r, u, now)
+	b.send(req, upstream, now)
 	return true
 }
 
@@ -125,10 +125,10 @@
 		return 0
 	}
 	soonest, capacity := b.settings.Limits.MaxRetryAfter, 0.0
-	for _, u := range b.subset.upstreams {
-		if u.inSubset && u.State == Active {
-			soonest = min(soonest, max(0, u.nextTurnAt()-now))
-			capacity += max(1, u.limit.allowed)
+	for _, upstream := range b.subset.upstreams {
+		if upstream.inSubset && upstream.State == Active {
+			soonest = min(soonest, max(0, upstream.nextTurnAt()-now))
+			capacity += max(1, upstream.limit.allowed)
 		}
 	}
 	queued := float64(len(b.queue.waiting) + 1)
--- a/balancer/requests.go
+++ b/balancer/requests.go
@@ -24,7 +24,7 @@
 // attempt is one send of a request.
 type attempt struct {
 	request         *request
-	upstream        *upstream
+	upstream        *upstreamState
 	sentAt          time.Duration
 	ended, neverRan bool
 }
@@ -45,46 +45,46 @@
 }
 
 // RequestArrived takes a client's request.
-func (b *Balancer) RequestArrived(now time.Duration, q Request) {
+func (b *Balancer) RequestArrived(now time.Duration, arrived Request) {
 	b.catchUp(now)
-	c := b.classes[q.Class]
-	if c == nil { // a class that the settings lack; never sent, so a retry is harmless
-		b.host.Reject(q.ID, 0) // and it helps as little later
+	cls := b.classes[arrived.Class]
+	if cls == nil { // a class that the settings lack; never sent, so a retry is harmless
+		b.host.Reject(arrived.ID, 0) // and it helps as little later
 		return
 	}
 	b.arrivals.count++
-	r := b.newRequest(q, c, now)
-	b.requests[r.ID] = r
+	req := b.newRequest(arrived, cls, now)
+	b.requests[req.ID] = req
 	recentlyFull := now-b.queue.lastFullAt < time.Duration(b.latency)
-	if r.weight == 0 && recentlyFull {
-		b.rejectOrFail(r, now)
+	if req.weight == 0 && recentlyFull {
+		b.rejectOrFail(req, now)
 	} else {
-		b.sendOrQueue(r, now)
+		b.sendOrQueue(req, now)
 	}
 	b.resumeTicks(now)
 }
 
 // newRequest weighs a request and counts it against its tenant's quota.
-func (b *Balancer) newRequest(q Request, c *class, now time.Duration) *request {
-	r := &request{Request: q, class: c, weight: c.PriorityWeight, deadline: now + q.Budget}
-	r.work = cmp.Or(c.latency/b.latency, 1)
-	if q.Cost > 0 {
-		updateMean(&b.meanCost, float64(q.Cost), sampleWeight*sampleWeight)
-		r.work = max(float64(q.Cost)/b.meanCost, sampleWeight)
+func (b *Balancer) newRequest(arrived Request, cls *class, now time.Duration) *request {
+	req := &request{Request: arrived, class: cls, weight: cls.PriorityWeight, deadline: now + arrived.Budget}
+	req.work = cmp.Or(cls.latency/b.latency, 1)
+	if arrived.Cost > 0 {
+		updateMean(&b.meanCost, float64(arrived.Cost), sampleWeight*sampleWeight)
+		req.work = max(float64(arrived.Cost)/b.meanCost, sampleWeight)
 	}
 	if !b.settings.WeightByWork {
-		r.weight /= r.work
+		req.weight /= req.work
 	}
-	if b.overQuota(q.Tenant, now) {
-		r.weight *= b.settings.OverQuotaWeightFactor
+	if b.overQuota(arrived.Tenant, now) {
+		req.weight *= b.settings.OverQuotaWeightFactor
 	}
-	margin := time.Duration((sendMargin - c.LateWeightFactor) * cmp.Or(c.latency, b.latency))
-	if c.isLateRetry(q.Budget, margin) {
-		r.weight *= c.LateWeightFactor
+	margin := time.Duration((sendMargin - cls.LateWeightFactor) * cmp.Or(cls.latency, b.latency))
+	if cls.isLateRetry(arrived.Budget, margin) {
+		req.weight *= cls.LateWeightFactor
 	}
 	// Queued requests are looked at once a tick: without one in hand a short budget ran out unseen.
-	r.sendBy = now + min(c.LatencyObjective, q.Budget) - max(margin, b.tickInterval) - b.tickInterval
-	return r
+	req.sendBy = now + min(cls.LatencyObjective, arrived.Budget) - max(margin, b.tickInterval) - b.tickInterval
+	return req
 }
 
 // isLateRetry reports whether a request is a client's retry that can't be answered within the objective: it shows its
@@ -95,126 +95,126 @@
 	return budget < c.maxBudget-c.maxBudget/budgetTolerance && c.LatencyObjective-age < margin
 }
 
-// sendOrQueue sends r if a turn allows it, queues it if one may come free in time, and otherwise ends it.
-func (b *Balancer) sendOrQueue(r *request, now time.Duration) {
-	u, legal := b.pickUpstream(r, now)
-	if u != nil {
-		b.send(r, u, now)
+// sendOrQueue sends a request if a turn allows it, queues it if one may come free in time, and otherwise ends it.
+func (b *Balancer) sendOrQueue(req *request, now time.Duration) {
+	upstream, legal := b.pickUpstream(req, now)
+	if upstream != nil {
+		b.send(req, upstream, now)
 		return
 	}
-	mayWait := legal || (r.neverRan() && len(r.attempts) < b.retry.maxAttempts)
-	if mayWait && now < r.sendBy {
-		b.queue.add(r, now)
+	mayWait := legal || (req.neverRan() && len(req.attempts) < b.retry.maxAttempts)
+	if mayWait && now < req.sendBy {
+		b.queue.add(req, now)
 		return
 	}
-	b.rejectOrFail(r, now)
+	b.rejectOrFail(req, now)
 }
 
 // send starts an attempt.
-func (b *Balancer) send(r *request, u *upstream, now time.Duration) {
+func (b *Balancer) send(req *request, upstream *upstreamState, now time.Duration) {
 	timeout := time.Duration(0) // until the client quits: work half done is worth more than work begun anew
-	if u.outlier.unresponsive {
-		u.outlier.trialSent(now)
-		if r.class.Idempotency != NonIdempotent { // a trial leaves time for another attempt
-			timeout = b.responseTimeout(u, r.work)
+	if upstream.outlier.unresponsive {
+		upstream.outlier.trialSent(now)
+		if req.class.Idempotency != NonIdempotent { // a trial leaves time for another attempt
+			timeout = b.responseTimeout(upstream, req.work)
 		}
 	}
-	a := &attempt{request: r, upstream: u, sentAt: now}
-	r.attempts = append(r.attempts, a)
-	r.inFlight++
-	r.queued = false
+	a := &attempt{request: req, upstream: upstream, sentAt: now}
+	req.attempts = append(req.attempts, a)
+	req.inFlight++
+	req.queued = false
 	b.inFlight++
-	u.inFlight = append(u.inFlight, a)
-	u.workload.sent += r.work
-	u.slowStart.recordSent(r.work, now)
-	b.host.Send(r.ID, u.ID, timeout)
+	upstream.inFlight = append(upstream.inFlight, a)
+	upstream.workload.sent += req.work
+	upstream.slowStart.recordSent(req.work, now)
+	b.host.Send(req.ID, upstream.ID, timeout)
 }
 
 // rejectOrFail gives the final answer to a request that is not served.
-func (b *Balancer) rejectOrFail(r *request, now time.Duration) {
-	b.closeRequest(r, -1)
-	if r.mayReject() {
-		b.host.Reject(r.ID, b.retryAfter(now))
+func (b *Balancer) rejectOrFail(req *request, now time.Duration) {
+	b.closeRequest(req, -1)
+	if req.mayReject() {
+		b.host.Reject(req.ID, b.retryAfter(now))
 	} else {
-		b.host.Fail(r.ID)
+		b.host.Fail(req.ID)
 	}
 }
 
-// closeRequest notes that r has its answer, or its stream from an attempt, and stops the other attempts.
-func (b *Balancer) closeRequest(r *request, answeredBy int) {
-	for i, a := range r.attempts {
-		if i != answeredBy && !a.ended && !r.done && b.settings.Limits.Cancel {
-			b.host.Cancel(r.ID, i)
+// closeRequest notes that a request has its answer, or its stream from an attempt, and stops the other attempts.
+func (b *Balancer) closeRequest(req *request, answeredBy int) {
+	for i, a := range req.attempts {
+		if i != answeredBy && !a.ended && !req.done && b.settings.Limits.Cancel {
+			b.host.Cancel(req.ID, i)
 		}
 	}
-	r.done = true
-	if r.inFlight == 0 {
-		delete(b.requests, r.ID)
+	req.done = true
+	if req.inFlight == 0 {
+		delete(b.requests, req.ID)
 	}
 }
 
 // ClientLeft drops a request whose client has left.
 func (b *Balancer) ClientLeft(now time.Duration, id RequestID) {
-	if r := b.requests[id]; r != nil && !r.done {
-		b.closeRequest(r, -1)
+	if req := b.requests[id]; req != nil && !req.done {
+		b.closeRequest(req, -1)
 	}
 }
 
 // attempt returns an attempt by its order, or nil.
-func (r *request) attempt(n int) *attempt {
-	if r == nil || n < 0 || n >= len(r.attempts) {
+func (req *request) attempt(n int) *attempt {
+	if req == nil || n < 0 || n >= len(req.attempts) {
 		return nil
 	}
-	return r.attempts[n]
+	return req.attempts[n]
 }
 
 // ResponseStarted marks a request as served by a stream that has begun.
 func (b *Balancer) ResponseStarted(now time.Duration, id RequestID, n int) {
-	r := b.requests[id]
-	if a := r.attempt(n); a != nil && !r.done {
+	req := b.requests[id]
+	if a := req.attempt(n); a != nil && !req.done {
 		a.upstream.outlier.responded(now, b.tickInterval)
-		b.closeRequest(r, n)
+		b.closeRequest(req, n)
 	}
 }
 
 // BodySent tells that the last byte of a body has gone out in attempt n: its upstream owes an answer from now on.
 func (b *Balancer) BodySent(now time.Duration, id RequestID, n int) {
-	r := b.requests[id]
-	if a := r.attempt(n); a != nil && r.BodyStreaming {
-		r.BodyStreaming = false
+	req := b.requests[id]
+	if a := req.attempt(n); a != nil && req.BodyStreaming {
+		req.BodyStreaming = false
 		a.sentAt = now
 	}
 }
 
 // AttemptFinished takes the end of an attempt.
 func (b *Balancer) AttemptFinished(now time.Duration, o AttemptResult) {
-	r := b.requests[o.ID]
-	a := r.attempt(o.Attempt)
+	req := b.requests[o.ID]
+	a := req.attempt(o.Attempt)
 	if a == nil || a.ended {
 		return
 	}
 	b.endAttempt(a, o.Status, now)
 	b.recordOutcome(a, o.clean(), now)
 	switch {
-	case r.done || o.Closed || o.Status == OK:
-		b.closeRequest(r, o.Attempt)
-	case r.inFlight == 0 && !r.queued: // else another attempt may still answer, or a turn may come free
-		b.sendOrQueue(r, now)
+	case req.done || o.Closed || o.Status == OK:
+		b.closeRequest(req, o.Attempt)
+	case req.inFlight == 0 && !req.queued: // else another attempt may still answer, or a turn may come free
+		b.sendOrQueue(req, now)
 	}
 	b.dispatchQueued(now)
 }
 
 // endAttempt takes an attempt out of what is in flight.
 func (b *Balancer) endAttempt(a *attempt, status Status, now time.Duration) {
-	r, u := a.request, a.upstream
+	req, upstream := a.request, a.upstream
 	a.ended = true
 	a.neverRan = status.neverRan()
-	if r.class.Idempotency == IdempotentWithKey && !a.neverRan {
-		r.class.lastRanAt = now
+	if req.class.Idempotency == IdempotentWithKey && !a.neverRan {
+		req.class.lastRanAt = now
 	}
-	r.inFlight--
+	req.inFlight--
 	b.inFlight--
-	u.inFlight = slices.DeleteFunc(u.inFlight, func(x *attempt) bool { return x == a })
+	upstream.inFlight = slices.DeleteFunc(upstream.inFlight, func(x *attempt) bool { return x == a })
 }
 
 // neverRan reports whether a status proves that the request never ran.
--- a/balancer/ring.go
+++ b/balancer/ring.go
@@ -14,26 +14,26 @@
 	length                        float64
 }
 
-// ringEntryOf is u's entry by now.
-func (b *Balancer) ringEntryOf(u *upstream) ringEntry {
-	if u.State != Active {
+// ringEntryOf is the entry of an upstream by now.
+func (b *Balancer) ringEntryOf(upstream *upstreamState) ringEntry {
+	if upstream.State != Active {
 		return ringEntry{}
 	}
 	return ringEntry{
 		active:       true,
-		warming:      u.slowStart.warming,
-		unresponsive: u.outlier.unresponsive,
-		length:       b.ringLength(u),
+		warming:      upstream.slowStart.warming,
+		unresponsive: upstream.outlier.unresponsive,
+		length:       b.ringLength(upstream),
 	}
 }
 
-// ringLength is the length of u's place on the ring: its size, as listed. Sizes that are told anew all the time are
-// none, or the places of all others would move with them.
-func (b *Balancer) ringLength(u *upstream) float64 {
+// ringLength is the length of an upstream's place on the ring: its size, as listed. Sizes that are told anew all the
+// time are none, or the places of all others would move with them.
+func (b *Balancer) ringLength(upstream *upstreamState) float64 {
 	if b.settings.Weights == WeightLive {
 		return 1
 	}
-	return u.share.weight
+	return upstream.share.weight
 }
 
 // updateRing takes the upstreams' entries anew, and the ring itself where an upstream came or went. It returns how many
@@ -41,24 +41,28 @@
 func (b *Balancer) updateRing() (active int, unchanged bool) {
 	unchanged = true
 	sameMembers := true
-	for _, u := range b.upstreams {
-		entry := b.ringEntryOf(u)
+	for _, upstream := range b.upstreams {
+		entry := b.ringEntryOf(upstream)
 		if entry.active {
 			active++
 		}
-		if entry != u.ringEntry {
-			sameMembers = sameMembers && entry.active == u.ringEntry.active
-			u.ringEntry = entry
+		if entry != upstream.ringEntry {
+			sameMembers = sameMembers && entry.active == upstream.ringEntry.active
+			upstream.ringEntry = entry
 			unchanged = false
 		}
 	}
 	if !sameMembers || len(b.subset.ring) != active {
-		b.subset.ring = slices.DeleteFunc(slices.Clone(b.upstreams), func(u *upstream) bool { return u.State != Active })
-		slices.SortFunc(b.subset.ring, func(x, y *upstream) int { return cmp.Compare(x.ringPosition, y.ringPosition) })
+		b.subset.ring = slices.DeleteFunc(slices.Clone(b.upstreams), (*upstreamState).isInactive)
+		slices.SortFunc(b.subset.ring, byRingPosition)
 	}
 	return active, unchanged
 }
 
+func (u *upstreamState) isInactive() bool { return u.State != Active }
+
+func byRingPosition(x, y *upstreamState) int { return cmp.Compare(x.ringPosition, y.ringPosition) }
+
 // hash64 is a fixed hash of x, so that neither numbering nor time of listing orders the ring.
 func hash64(x uint64) uint64 {
 	x = (x + 1) * 0x9e3779b97f4a7c15
--- a/balancer/settings.go
+++ b/balancer/settings.go
@@ -20,10 +20,29 @@
 
 // Validate names what is missing or out of range. New and Configure refuse the same.
 func (s Settings) Validate() error {
-	r := s.Rules
-	for _, x := range []struct {
-		name string
-		ok   bool
+	if err := s.validateFigures(); err != nil {
+		return err
+	}
+	named := map[string]bool{}
+	for i := range s.Classes {
+		class := &s.Classes[i]
+		if named[class.Name] {
+			return bad("class %q is set twice", class.Name)
+		}
+		if err := class.validate(); err != nil {
+			return err
+		}
+		named[class.Name] = true
+	}
+	return s.Tenants.Err()
+}
+
+// validateFigures names the first figure that is missing or out of range.
+func (s *Settings) validateFigures() error {
+	limits, rules := &s.Limits, &s.Rules
+	for _, figure := range []struct {
+		name  string
+		valid bool
 	}{
 		{"Classes", len(s.Classes) > 0},
 		{"Balancers", s.Balancers >= 1},
@@ -32,43 +51,40 @@
 		{"Granularity", s.Granularity >= 0},
 		{"Weights", s.Weights <= WeightLive},
 		{"Reports", s.Reports <= ReportHealthChecks},
-		{"Limits.MaxAttempts", s.Limits.MaxAttempts >= 1},
-		{"Limits.Out", s.Limits.MaxInFlight >= 0},
-		{"Limits.MaxRetry", s.Limits.MaxRetryAfter >= 0},
-		{"Rules.DrainGrace", r.DrainGrace >= 0},
-		{"Rules.AnswerWithin", r.AnswerSlack >= 0},
-		{"Rules.TipAfter", r.OverloadWindow > 0},
-		{"Rules.RampTime", r.SlowStartDuration > 0},
-		{"Rules.TipMultiple", amount(r.OverloadMultiple) && r.OverloadMultiple > 0},
-		{"Rules.ColdFrom", r.SlowStartFloor > 0 && r.SlowStartFloor <= 1},
-		{"Rules.AskWithin", r.PollInterval > 0 || (r.PollInterval == 0 && !s.PollDiscovery)},
+		{"Limits.MaxAttempts", limits.MaxAttempts >= 1},
+		{"Limits.Out", limits.MaxInFlight >= 0},
+		{"Limits.MaxRetry", limits.MaxRetryAfter >= 0},
+		{"Rules.DrainGrace", rules.DrainGrace >= 0},
+		{"Rules.AnswerWithin", rules.AnswerSlack >= 0},
+		{"Rules.TipAfter", rules.OverloadWindow > 0},
+		{"Rules.RampTime", rules.SlowStartDuration > 0},
+		{"Rules.TipMultiple", amount(rules.OverloadMultiple) && rules.OverloadMultiple > 0},
+		{"Rules.ColdFrom", rules.SlowStartFloor > 0 && rules.SlowStartFloor <= 1},
+		{"Rules.AskWithin", rules.PollInterval > 0 || (rules.PollInterval == 0 && !s.PollDiscovery)},
 	} {
-		if !x.ok {
-			return bad("%s is missing or out of range", x.name)
+		if !figure.valid {
+			return bad("%s is missing or out of range", figure.name)
 		}
 	}
-	names := map[string]bool{}
-	for _, c := range s.Classes {
-		switch {
-		case names[c.Name]:
-			return bad("class %q is set twice", c.Name)
-		case !amount(c.PriorityWeight) || !amount(c.LateWeightFactor):
-			return bad("class %q: Worth and LateWorth must be finite and not negative", c.Name)
-		case c.LatencyObjective <= 0:
-			return bad("class %q: Aim must be over zero", c.Name)
-		case c.Deadline < c.LatencyObjective:
-			return bad("class %q: Deadline is before Aim", c.Name)
-		case c.Idempotency > NonIdempotent:
-			return bad("class %q: Repeat is of no known kind", c.Name)
-		case c.Idempotency == IdempotentWithKey && c.KeyScope > KeyScopeCell:
-			return bad("class %q: Group is of no known kind", c.Name)
-		case c.Idempotency == IdempotentWithKey && c.DeduplicationWindow <= 0:
-			return bad("class %q: Memory must be over zero", c.Name)
-		}
-		names[c.Name] = true
-	}
-	if s.Tenants != nil {
-		return s.Tenants.err
+	return nil
+}
+
+// validate names what is out of range in a class.
+func (c *Class) validate() error {
+	withKey := c.Idempotency == IdempotentWithKey
+	switch {
+	case !amount(c.PriorityWeight) || !amount(c.LateWeightFactor):
+		return bad("class %q: Worth and LateWorth must be finite and not negative", c.Name)
+	case c.LatencyObjective <= 0:
+		return bad("class %q: Aim must be over zero", c.Name)
+	case c.Deadline < c.LatencyObjective:
+		return bad("class %q: Deadline is before Aim", c.Name)
+	case c.Idempotency > NonIdempotent:
+		return bad("class %q: Repeat is of no known kind", c.Name)
+	case withKey && c.KeyScope > KeyScopeCell:
+		return bad("class %q: Group is of no known kind", c.Name)
+	case withKey && c.DeduplicationWindow <= 0:
+		return bad("class %q: Memory must be over zero", c.Name)
 	}
 	return nil
 }
@@ -77,18 +93,20 @@
 
 // clean returns l without the values that are negative or not finite.
 func (l Load) clean() Load {
-	for i, x := range []*float64{&l.Util, &l.Inflight, &l.Queue, &l.Service, &l.Rate, &l.Errors} {
-		if !amount(*x) || *x > math.MaxInt32 {
-			*x, l.Fields = 0, l.Fields&^(1<<i)
+	for i, value := range []*float64{&l.Util, &l.Inflight, &l.Queue, &l.Service, &l.Rate, &l.Errors} {
+		if !amount(*value) || *value > math.MaxInt32 {
+			*value = 0
+			l.Fields &^= 1 << i
 		}
 	}
 	return l
 }
 
-// clean returns o with a latency over zero and a clean load.
-func (o AttemptResult) clean() AttemptResult {
-	o.Latency, o.Load = max(o.Latency, 1), o.Load.clean()
-	return o
+// clean returns r with a latency over zero and a clean load.
+func (r AttemptResult) clean() AttemptResult {
+	r.Latency = max(r.Latency, 1)
+	r.Load = r.Load.clean()
+	return r
 }
 
 // clean returns u with a weight that can be set against others: 1 if it is not finite or not over zero.
@@ -100,10 +118,10 @@
 }
 
 // Equal reports whether two settings say the same. Tables of tenants are compared by what they do not share.
-func (s Settings) Equal(o Settings) bool {
-	if !s.Tenants.Equal(o.Tenants) {
+func (s Settings) Equal(other Settings) bool {
+	if !s.Tenants.Equal(other.Tenants) {
 		return false
 	}
-	s.Tenants, o.Tenants = nil, nil
-	return reflect.DeepEqual(s, o)
+	s.Tenants, other.Tenants = nil, nil
+	return reflect.DeepEqual(s, other)
 }
--- a/balancer/share.go
+++ b/balancer/share.go
@@ -36,6 +36,7 @@
 }
 
 // trafficShare is an upstream's part of the traffic, not scaled: less while it answers with errors or warms up.
-func (b *Balancer) trafficShare(u *upstream, now time.Duration) float64 {
-	return u.share.value() * u.outlier.shareFactor(b.fleet.errorRate) * u.slowStart.capacity(&b.settings.Rules, now)
+func (b *Balancer) trafficShare(upstream *upstreamState, now time.Duration) float64 {
+	errorFactor := upstream.outlier.shareFactor(b.fleet.errorRate)
+	return upstream.share.value() * errorFactor * upstream.slowStart.capacity(&b.settings.Rules, now)
 }
--- a/balancer/size_test.go
+++ b/balancer/size_test.go
@@ -380,7 +380,7 @@
 	rules := settings().Rules
 	for rank := range balancers {
 		x := newBalancerAt(b, balancers, rank, n, rng)
-		if n > 10 && !slices.ContainsFunc(x.subset.upstreams, func(u *upstream) bool { return u.ID == id }) {
+		if n > 10 && !slices.ContainsFunc(x.subset.upstreams, func(u *upstreamState) bool { return u.ID == id }) {
 			continue // its stretch lies elsewhere; among few each may come to use it
 		}
 		users++
@@ -527,7 +527,7 @@
 					rng := rand.New(rand.NewPCG(uint64(n), 13))
 					for rank := range balancers {
 						x := newBalancerAt(b, balancers, rank, n, rng)
-						if !slices.ContainsFunc(x.subset.upstreams, func(u *upstream) bool { return u.ID == 1 }) {
+						if !slices.ContainsFunc(x.subset.upstreams, func(u *upstreamState) bool { return u.ID == 1 }) {
 							continue
 						}
 						span := 0
--- a/balancer/slowstart.go
+++ b/balancer/slowstart.go
@@ -86,48 +86,49 @@
 	return last <= s.since || math.Floor(turns.at(last-s.since, rules)) < turn
 }
 
-// beginWarmUp treats u as freshly started: nothing learnt before holds.
-func (b *Balancer) beginWarmUp(u *upstream, at time.Duration) {
-	u.slowStart.begin(at)
-	u.band.restart()
-	u.outlier.restart()
-	u.latency = latencyStats{}
-	u.limit.allowed = b.limits.initial
-	u.unreportedAnswers = 0
+// beginWarmUp treats an upstream as freshly started: nothing learnt before holds.
+func (b *Balancer) beginWarmUp(upstream *upstreamState, at time.Duration) {
+	upstream.slowStart.begin(at)
+	upstream.band.restart()
+	upstream.outlier.restart()
+	upstream.latency = latencyStats{}
+	upstream.limit.allowed = b.limits.initial
+	upstream.unreportedAnswers = 0
 }
 
-// hasWarmUpBudget reports whether r fits this balancer's part of what a warming u may get over Rules.OverloadWindow,
-// judged by what warm upstreams carry.
-func (b *Balancer) hasWarmUpBudget(u *upstream, r *request, now time.Duration) bool {
+// hasWarmUpBudget reports whether a request fits this balancer's part of what an upstream that warms up may get over
+// Rules.OverloadWindow, judged by what warm upstreams carry.
+func (b *Balancer) hasWarmUpBudget(upstream *upstreamState, req *request, now time.Duration) bool {
 	rules := &b.settings.Rules
-	whenWarm := b.warmUpBudget(u)
-	budget := whenWarm * u.slowStart.capacity(rules, now)
+	whenWarm := b.warmUpBudget(upstream)
+	budget := whenWarm * upstream.slowStart.capacity(rules, now)
 	if b.fleet.workPerWeight == 0 && b.subset.hasWarm {
 		return false
 	}
 	if budget < minContinuousBudget {
-		turns := warmUpTurns{budget: whenWarm, phase: b.turnPhase(u), open: budget / 2}
-		return u.slowStart.hasTurn(&turns, rules, b.startedAt, now)
+		turns := warmUpTurns{budget: whenWarm, phase: b.turnPhase(upstream), open: budget / 2}
+		return upstream.slowStart.hasTurn(&turns, rules, b.startedAt, now)
 	}
-	return u.slowStart.fits(r.work, budget, rules.OverloadWindow, now)
+	return upstream.slowStart.fits(req.work, budget, rules.OverloadWindow, now)
 }
 
-// warmUpBudget is how many requests over Rules.OverloadWindow this balancer may send to u once u is warm.
-func (b *Balancer) warmUpBudget(u *upstream) float64 {
+// warmUpBudget is how many requests over Rules.OverloadWindow this balancer may send to an upstream once that is warm.
+func (b *Balancer) warmUpBudget(upstream *upstreamState) float64 {
 	perWeight := b.fleet.workPerWeight
 	if perWeight == 0 { // no warm one to judge by: a server does one after the other; the margin counts twice
-		perWeight = overloadMargin * float64(bandPeriod) / b.latency * b.limits.initial / initialLimitTotal / u.share.weight
+		concurrent := overloadMargin * float64(bandPeriod) / b.latency * b.limits.initial / initialLimitTotal
+		perWeight = concurrent / upstream.share.weight
 	}
 	budget := overloadMargin * b.settings.Rules.OverloadMultiple * perWeight
-	budget = budget * u.share.weight * u.share.subsetPart * cmp.Or(u.WarmUpShare, 1)
+	budget = budget * upstream.share.weight * upstream.share.subsetPart * cmp.Or(upstream.WarmUpShare, 1)
 	return budget * (b.settings.Rules.OverloadWindow.Seconds() / bandPeriod.Seconds())
 }
 
-// turnPhase is when this balancer's turns begin at a warming u, as a part of a turn. Those who use it stand side by
-// side on the ring, so steps of the golden ratio spread them.
-func (b *Balancer) turnPhase(u *upstream) float64 {
+// turnPhase is when this balancer's turns begin at an upstream that warms up, as a part of a turn. Those who use it
+// stand side by side on the ring, so steps of the golden ratio spread them.
+func (b *Balancer) turnPhase(upstream *upstreamState) float64 {
 	balancers := b.settings.Balancers
 	place := math.Round(latticePoint(b.settings.Rank, balancers) * float64(balancers))
-	_, phase := math.Modf(place*(math.Phi-1) + float64(u.ringPosition)/(1<<64))
+	_, phase := math.Modf(place*(math.Phi-1) + float64(upstream.ringPosition)/(1<<64))
 	return phase
 }
--- a/balancer/snapshot.go
+++ b/balancer/snapshot.go
@@ -43,7 +43,7 @@
 }
 
 // figures are those of an upstream.
-func (u *upstream) figures() map[string]*float64 {
+func (u *upstreamState) figures() map[string]*float64 {
 	return map[string]*float64{
 		"factor":  &u.share.factor,
 		"failing": &u.outlier.errorRate,
@@ -90,14 +90,14 @@
 	for name, c := range b.classes {
 		snapshot.Classes[name] = c.latency
 	}
-	for _, u := range b.subset.upstreams {
-		snapshot.Upstreams = append(snapshot.Upstreams, u.snapshot())
+	for _, upstream := range b.subset.upstreams {
+		snapshot.Upstreams = append(snapshot.Upstreams, upstream.snapshot())
 	}
 	return snapshot
 }
 
-// snapshot returns what has been learnt of u.
-func (u *upstream) snapshot() UpstreamSnapshot {
+// snapshot returns what has been learnt of an upstream.
+func (u *upstreamState) snapshot() UpstreamSnapshot {
 	return UpstreamSnapshot{
 		ID:           u.ID,
 		StartedAt:    u.StartedAt,
@@ -124,9 +124,9 @@
 	}
 	for i := range m.Upstreams {
 		learnt := &m.Upstreams[i]
-		u := b.byID[learnt.ID]
-		if u != nil && u.StartedAt == learnt.StartedAt && learnt.isValid() {
-			b.restoreUpstream(u, learnt, now)
+		upstream := b.byID[learnt.ID]
+		if upstream != nil && upstream.StartedAt == learnt.StartedAt && learnt.isValid() {
+			b.restoreUpstream(upstream, learnt, now)
 		}
 	}
 	b.chooseSubset(now)
@@ -140,20 +140,20 @@
 	return window && counts
 }
 
-// restoreUpstream takes what has been learnt of u.
-func (b *Balancer) restoreUpstream(u *upstream, learnt *UpstreamSnapshot, now time.Duration) {
-	adoptFigures(u.figures(), learnt.Figures)
-	u.band.restore(learnt.Readings, learnt.Window)
-	u.unreportedAnswers = learnt.Unreported
-	u.slowStart.sentWorkAt = now
-	u.outlier.answers = learnt.Answers
-	u.outlier.answeredAt = now
+// restoreUpstream takes what has been learnt of an upstream.
+func (b *Balancer) restoreUpstream(upstream *upstreamState, learnt *UpstreamSnapshot, now time.Duration) {
+	adoptFigures(upstream.figures(), learnt.Figures)
+	upstream.band.restore(learnt.Readings, learnt.Window)
+	upstream.unreportedAnswers = learnt.Unreported
+	upstream.slowStart.sentWorkAt = now
+	upstream.outlier.answers = learnt.Answers
+	upstream.outlier.answeredAt = now
 	// The limit is of this balancer's part: never over what was learnt, nor under what any may have.
-	u.limit.allowed = max(u.limit.allowed, b.limits.minimum())
-	u.share.factor = min(1, max(minShareFactor, u.share.factor))
+	upstream.limit.allowed = max(upstream.limit.allowed, b.limits.minimum())
+	upstream.share.factor = min(1, max(minShareFactor, upstream.share.factor))
 	if learnt.Unresponsive {
-		u.outlier.unresponsive = true
-		u.outlier.trialAt = min(learnt.TrialAt, now+b.settings.Rules.SlowStartDuration)
-		u.outlier.backoff = max(b.tickInterval, learnt.Wait)
+		upstream.outlier.unresponsive = true
+		upstream.outlier.trialAt = min(learnt.TrialAt, now+b.settings.Rules.SlowStartDuration)
+		upstream.outlier.backoff = max(b.tickInterval, learnt.Wait)
 	}
 }
--- a/balancer/subset.go
+++ b/balancer/subset.go
@@ -21,12 +21,12 @@
 // subset is the stretch of the ring that this balancer uses. upstreams holds its members in order of arrival, and what
 // left it with attempts still in flight. It is chosen anew only when its inputs or the ring have changed.
 type subset struct {
-	ring       []*upstream // active upstreams, by position
-	upstreams  []*upstream
+	ring       []*upstreamState // active upstreams, by position
+	upstreams  []*upstreamState
 	inputs     subsetInputs // what the last choice went by
 	size       int          // how many it chose
 	unchanged  bool         // the last choice was left out, as it would have come to the same
-	hasWarm    bool         // some member neither warms up nor is unresponsive
+	hasWarm    bool         // some member neither warms upstream nor is unresponsive
 	loadFactor float64      // this balancer's rate as a multiple of its even part, where that is more
 }
 
@@ -82,8 +82,8 @@
 	inputs := b.currentInputs(active)
 	b.subset.unchanged = unchanged && inputs == b.subset.inputs
 	if b.subset.unchanged { // it would come to the same
-		b.subset.upstreams = slices.DeleteFunc(b.subset.upstreams, func(u *upstream) bool {
-			return !u.inSubset && len(u.inFlight) == 0
+		b.subset.upstreams = slices.DeleteFunc(b.subset.upstreams, func(upstream *upstreamState) bool {
+			return !upstream.inSubset && len(upstream.inFlight) == 0
 		})
 		b.skipDraws(b.subset.size)
 		return
@@ -93,30 +93,30 @@
 	turns := b.walkRing(inputs.width)
 	b.subset.size = len(turns)
 	b.subset.upstreams = b.subset.upstreams[:0]
-	for _, u := range b.upstreams {
-		firstTurn, chosen := turns[u]
-		if chosen && !u.inSubset {
-			b.enterSubset(u, firstTurn, inputs.width, now)
+	for _, upstream := range b.upstreams {
+		firstTurn, chosen := turns[upstream]
+		if chosen && !upstream.inSubset {
+			b.enterSubset(upstream, firstTurn, inputs.width, now)
 		}
-		u.inSubset = chosen
-		if chosen || len(u.inFlight) > 0 {
-			b.subset.upstreams = append(b.subset.upstreams, u)
+		upstream.inSubset = chosen
+		if chosen || len(upstream.inFlight) > 0 {
+			b.subset.upstreams = append(b.subset.upstreams, upstream)
 		}
 	}
 }
 
-// enterSubset prepares u for its first turn, in rounds. First turns go round the stretch, so those of all balancers go
-// round the ring.
-func (b *Balancer) enterSubset(u *upstream, firstTurn, width float64, now time.Duration) {
-	u.limit.allowed = cmp.Or(u.limit.allowed, b.limits.initial)
-	u.band.integratedAt = now
-	u.dueTurn = b.interleaver.virtualTime + firstTurn*width
+// enterSubset prepares an upstream for its first turn, in rounds. First turns go round the stretch, so those of all
+// balancers go round the ring.
+func (b *Balancer) enterSubset(upstream *upstreamState, firstTurn, width float64, now time.Duration) {
+	upstream.limit.allowed = cmp.Or(upstream.limit.allowed, b.limits.initial)
+	upstream.band.integratedAt = now
+	upstream.dueTurn = b.interleaver.virtualTime + firstTurn*width
 	late := min(1, math.Floor(firstTurn*width)/width) // or all crowd it
-	wait := time.Duration(late * float64(b.sendInterval(u)))
-	u.limit.nextSendAt = max(u.limit.nextSendAt, now+wait)
-	u.slowStart.sentWork = firstTurn
-	u.slowStart.sentWorkAt = now
-	u.healthCheckedAt = now - time.Duration(firstTurn*float64(bandPeriod))
+	wait := time.Duration(late * float64(b.sendInterval(upstream)))
+	upstream.limit.nextSendAt = max(upstream.limit.nextSendAt, now+wait)
+	upstream.slowStart.sentWork = firstTurn
+	upstream.slowStart.sentWorkAt = now
+	upstream.healthCheckedAt = now - time.Duration(firstTurn*float64(bandPeriod))
 }
 
 // ringWalk goes along the ring, in units of its length. Warming and unresponsive upstreams stay in the stretch, which
@@ -126,7 +126,7 @@
 	remaining float64 // what is left of the stretch; under zero: how far the walk has gone beyond it
 	end       float64 // where the walk ends in any case
 	goodLeft  float64 // how much is still wanted of good upstreams
-	learnFrom float64 // upstreams that warm up are left out from here on
+	learnFrom float64 // upstreams that warm upstream are left out from here on
 	minPart   float64
 }
 
@@ -167,32 +167,32 @@
 }
 
 // walkRing chooses the members of the subset and their parts, and returns their first turns, in rounds.
-func (b *Balancer) walkRing(width float64) (firstTurns map[*upstream]float64) {
+func (b *Balancer) walkRing(width float64) (firstTurns map[*upstreamState]float64) {
 	ring := b.subset.ring
 	active, total := float64(len(ring)), 0.0
-	for _, u := range ring {
-		total += b.ringLength(u)
+	for _, upstream := range ring {
+		total += b.ringLength(upstream)
 	}
 	first, offset := b.stretchStart(total)
 	walk := newRingWalk(offset, width, total, active, b.limits.growth)
-	firstTurns = make(map[*upstream]float64, int(width)+1)
+	firstTurns = make(map[*upstreamState]float64, int(width)+1)
 	b.subset.hasWarm = false
-	for i := 0; i < len(ring) && !walk.done(i); i++ {
-		u := ring[(first+i)%len(ring)]
-		good := !u.slowStart.warming && !u.outlier.unresponsive
-		part, chosen := walk.pass(b.ringLength(u), u.slowStart.warming, good)
+	for visited := 0; visited < len(ring) && !walk.done(visited); visited++ {
+		upstream := ring[(first+visited)%len(ring)]
+		good := !upstream.slowStart.warming && !upstream.outlier.unresponsive
+		part, chosen := walk.pass(b.ringLength(upstream), upstream.slowStart.warming, good)
 		if !chosen {
 			continue
 		}
 		b.subset.hasWarm = b.subset.hasWarm || good
-		u.share.subsetPart = 1
+		upstream.share.subsetPart = 1
 		if width != active {
-			u.share.subsetPart = min(1, max(part, walk.minPart)/b.ringLength(u))
+			upstream.share.subsetPart = min(1, max(part, walk.minPart)/b.ringLength(upstream))
 		}
-		if u.slowStart.warming {
-			u.share.subsetPart /= b.limits.growth
+		if upstream.slowStart.warming {
+			upstream.share.subsetPart /= b.limits.growth
 		}
-		firstTurns[u] = (float64(i) + b.rng.Float64()) / width
+		firstTurns[upstream] = (float64(visited) + b.rng.Float64()) / width
 	}
 	return firstTurns
 }
--- a/balancer/timers.go
+++ b/balancer/timers.go
@@ -24,11 +24,11 @@
 		b.endPeriod(now)
 	}
 	checksHealth := b.settings.Reports == ReportHealthChecks && b.settings.Limits.HealthChecks
-	for _, u := range b.subset.upstreams {
-		b.checkResponsive(u, now)
-		if checksHealth && u.inSubset && now-u.healthCheckedAt >= bandPeriod {
-			u.healthCheckedAt = now
-			b.host.HealthCheck(u.ID)
+	for _, upstream := range b.subset.upstreams {
+		b.checkResponsive(upstream, now)
+		if checksHealth && upstream.inSubset && now-upstream.healthCheckedAt >= bandPeriod {
+			upstream.healthCheckedAt = now
+			b.host.HealthCheck(upstream.ID)
 		}
 	}
 	b.dispatchQueued(now)
--- a/balancer/upstream.go
+++ b/balancer/upstream.go
@@ -2,8 +2,9 @@
 
 import "time"
 
-// upstream is what this balancer knows of one server: the entry of the endpoint list, and a part for each of its rules.
-type upstream struct {
+// upstreamState is what this balancer knows of one server: the entry of the endpoint list, and a part for each of its
+// rules.
+type upstreamState struct {
 	Upstream
 	inSubset          bool
 	ringPosition      uint64    // on the ring of all upstreams
@@ -23,8 +24,8 @@
 	workload  workload
 }
 
-// nextTurnAt is when u may be tried again.
-func (u *upstream) nextTurnAt() time.Duration {
+// nextTurnAt is when the upstream may be tried again.
+func (u *upstreamState) nextTurnAt() time.Duration {
 	if u.outlier.unresponsive {
 		return u.outlier.trialAt
 	}
--- a/balancer/view.go
+++ b/balancer/view.go
@@ -24,38 +24,38 @@
 func (b *Balancer) View(now time.Duration) (views []UpstreamView, queued int) {
 	b.catchUp(now)
 	var total float64
-	for _, u := range b.subset.upstreams {
-		if u.inSubset && u.State == Active {
-			total += b.trafficShare(u, now)
+	for _, upstream := range b.subset.upstreams {
+		if upstream.inSubset && upstream.State == Active {
+			total += b.trafficShare(upstream, now)
 		}
 	}
-	for _, u := range b.upstreams {
-		view := b.viewOf(u)
-		if u.inSubset && u.State == Active {
-			view.Share = b.trafficShare(u, now) / total
+	for _, upstream := range b.upstreams {
+		view := b.viewOf(upstream)
+		if upstream.inSubset && upstream.State == Active {
+			view.Share = b.trafficShare(upstream, now) / total
 		}
 		views = append(views, view)
 	}
 	return views, len(b.queue.waiting)
 }
 
-// viewOf is u's view but for its share.
-func (b *Balancer) viewOf(u *upstream) UpstreamView {
+// viewOf is the view of an upstream but for its share.
+func (b *Balancer) viewOf(upstream *upstreamState) UpstreamView {
 	return UpstreamView{
-		ID:               u.ID,
-		State:            u.State,
-		InSubset:         u.inSubset,
-		ShareFactor:      u.share.factor,
-		Mean:             u.band.mean,
-		Upper:            u.band.upper(),
-		Lower:            u.band.lower(),
-		Area:             u.band.area,
-		Readings:         u.band.readings,
-		Estimated:        b.isEstimated(u),
-		WarmingUp:        u.slowStart.warming,
-		Unresponsive:     u.outlier.unresponsive,
-		InFlight:         len(u.inFlight),
-		ConcurrencyLimit: u.limit.allowed,
-		Latency:          time.Duration(u.latency.mean),
+		ID:               upstream.ID,
+		State:            upstream.State,
+		InSubset:         upstream.inSubset,
+		ShareFactor:      upstream.share.factor,
+		Mean:             upstream.band.mean,
+		Upper:            upstream.band.upper(),
+		Lower:            upstream.band.lower(),
+		Area:             upstream.band.area,
+		Readings:         upstream.band.readings,
+		Estimated:        b.isEstimated(upstream),
+		WarmingUp:        upstream.slowStart.warming,
+		Unresponsive:     upstream.outlier.unresponsive,
+		InFlight:         len(upstream.inFlight),
+		ConcurrencyLimit: upstream.limit.allowed,
+		Latency:          time.Duration(upstream.latency.mean),
 	}
 }
--- a/balancer/workload.go
+++ b/balancer/workload.go
@@ -37,12 +37,12 @@
 	a.count = 0
 }
 
-// countsAsWarm tells whether u counts for what warm upstreams carry.
-func (u *upstream) countsAsWarm() bool {
+// countsAsWarm tells whether the upstream counts for what warm upstreams carry.
+func (u *upstreamState) countsAsWarm() bool {
 	return u.inSubset && !u.slowStart.warming && !u.outlier.unresponsive && u.workload.mean > 0
 }
 
-// usedCapacity is the part of its capacity by which u counts there: all of it while no reading tells.
-func (u *upstream) usedCapacity() float64 {
+// usedCapacity is the part of its capacity by which it counts there: all of it while no reading tells.
+func (u *upstreamState) usedCapacity() float64 {
 	return min(max(cmp.Or(u.band.mean, 1), minExcessLevel), 1)
 }
