--- /dev/null
+++ b/balancer/bollinger_test.go
@@ -0,0 +1,112 @@
+package balancer
+
+import (
+	"math"
+	"slices"
+	"testing"
+	"time"
+)
+
+// near reports whether two figures are equal but for rounding.
+func near(x, y float64) bool { return math.Abs(x-y) < 1e-9 }
+
+func TestBollingerBandWindowMoves(t *testing.T) {
+	for _, c := range []struct {
+		name            string
+		readings        []float64
+		window          []float64
+		mean, deviation float64
+		upper, lower    float64
+	}{
+		{"none", nil, nil, 0, 0, 0, 0},
+		{"one", []float64{0.4}, []float64{0.4}, 0.4, 0, 0.4, 0.4},
+		{"two", []float64{0.2, 0.6}, []float64{0.2, 0.6}, 0.4, 0.2, 0.8, 0},
+		{"eight", []float64{0, 1, 0, 1, 0, 1, 0, 1}, []float64{0, 1, 0, 1, 0, 1, 0, 1}, 0.5, 0.5, 1.5, -0.5},
+		{
+			"ten: the first two are gone",
+			[]float64{9, 9, 0.5, 0.5, 0.5, 0.5, 0.5, 0.5, 0.5, 0.5},
+			[]float64{0.5, 0.5, 0.5, 0.5, 0.5, 0.5, 0.5, 0.5},
+			0.5, 0, 0.5, 0.5,
+		},
+	} {
+		var band bollingerBand
+		for _, reading := range c.readings {
+			band.add(reading)
+		}
+		if band.readings != len(c.readings) || !slices.Equal(band.filled(), c.window) {
+			t.Errorf("%s: %d readings, window %v, want %v", c.name, band.readings, band.filled(), c.window)
+		}
+		if !near(band.mean, c.mean) || !near(band.deviation, c.deviation) {
+			t.Errorf("%s: mean %v, deviation %v; want %v, %v", c.name, band.mean, band.deviation, c.mean, c.deviation)
+		}
+		if !near(band.upper(), c.upper) || !near(band.lower(), c.lower) {
+			t.Errorf("%s: from %v to %v, want %v to %v", c.name, band.lower(), band.upper(), c.lower, c.upper)
+		}
+	}
+}
+
+// The gap is four deviations wide; the level over half use and over the fleet's counts as deviation does.
+func TestBollingerBandArea(t *testing.T) {
+	for _, c := range []struct {
+		name                   string
+		mean, deviation, fleet float64
+		elapsed                time.Duration
+		area                   float64
+	}{
+		{"flat and idle", 0.3, 0, 0.3, time.Second, 0},
+		{"a deviation of 0.1 for a second", 0.3, 0.1, 0.3, time.Second, 0.4},
+		{"for a quarter of it", 0.3, 0.1, 0.3, 250 * ms, 0.1},
+		{"pinned at full load, the fleet at 0.6", 1, 0, 0.6, time.Second, 1.6},
+		{"pinned at full load as all are", 1, 0, 1, time.Second, 0},
+		{"half use in an idle fleet", 0.5, 0, 0, time.Second, 0},
+		{"both", 0.9, 0.05, 0.6, 2 * time.Second, 2.8},
+	} {
+		band := bollingerBand{mean: c.mean, deviation: c.deviation, integratedAt: time.Hour}
+		band.integrate(c.fleet, time.Hour+c.elapsed)
+		if !near(band.area, c.area) || band.integratedAt != time.Hour+c.elapsed {
+			t.Errorf("%s: area %v, want %v", c.name, band.area, c.area)
+		}
+	}
+}
+
+func TestBollingerBandSaturated(t *testing.T) {
+	for _, c := range []struct {
+		readings        int
+		area, threshold float64
+		saturated       bool
+	}{
+		{0, 9, 0.4, false},
+		{3, 9, 0.4, false}, // few readings prove nothing
+		{4, 9, 0.4, true},
+		{4, 0.4, 0.4, false},
+		{100, 0.41, 0.4, true},
+	} {
+		band := bollingerBand{readings: c.readings, area: c.area}
+		if band.saturated(c.threshold) != c.saturated {
+			t.Errorf("%+v: saturated %v", c, !c.saturated)
+		}
+	}
+}
+
+func TestBollingerBandRestart(t *testing.T) {
+	var band bollingerBand
+	band.add(0.9)
+	band.add(0.1)
+	band.integrate(0, time.Second)
+	band.restart()
+	if band.readings != 0 || band.mean != 0 || band.deviation != 0 || band.area != 0 || len(band.filled()) != 0 {
+		t.Errorf("left after a restart: %+v", band)
+	}
+	band.add(0.6)
+	if band.mean != 0.6 {
+		t.Errorf("mean %v after one reading, want 0.6: the old process counts", band.mean)
+	}
+}
+
+func TestBollingerBandRestoreLeavesOutOddReadings(t *testing.T) {
+	var band bollingerBand
+	band.restore(12, []float64{0.5, math.NaN(), -1, math.Inf(1), 1e16, 0.7})
+	if want := []float64{0.5, 0, 0, 0, 0, 0.7, 0, 0}; band.readings != 12 || !slices.Equal(band.filled(), want) {
+		t.Errorf("%d readings, window %v, want %v", band.readings, band.filled(), want)
+	}
+}
--- a/balancer/concurrency.go
+++ b/balancer/concurrency.go
@@ -24,9 +24,9 @@
 // attempts. It is cut once for what was in flight together.
 type concurrencyLimit struct {
 	allowed    float64
-	periodMax  float64 // it grows no further in this period
-	cutAt      time.Duration
 	nextSendAt time.Duration // the upstream's turns are skipped until then
+	periodMax  float64       // it grows no further in this period
+	cutAt      time.Duration
 }
 
 // limitSettings is what the width of the subset makes of all concurrency limits.
--- a/balancer/idle_test.go
+++ b/balancer/idle_test.go
@@ -418,3 +418,71 @@
 		}
 	}
 }
+
+// Ticks of 20 ms, of which the first that is left out was due at 1 s.
+func TestIdleTicks(t *testing.T) {
+	s := idleState{suspended: true, nextTickAt: time.Second}
+	for _, c := range []struct{ at, from, until time.Duration }{
+		{time.Second, time.Second, time.Second},
+		{1001 * ms, 1020 * ms, time.Second},
+		{1020 * ms, 1020 * ms, 1020 * ms},
+		{1039 * ms, 1040 * ms, 1020 * ms},
+		{2 * time.Second, 2 * time.Second, 2 * time.Second},
+	} {
+		if got := s.firstTickFrom(c.at, 20*ms); got != c.from {
+			t.Errorf("first tick from %v on: %v, want %v", c.at, got, c.from)
+		}
+		if got := s.lastTickUntil(c.at, 20*ms); got != c.until {
+			t.Errorf("last tick until %v: %v, want %v", c.at, got, c.until)
+		}
+	}
+	if got := s.firstTickFrom(0, 20*ms); got != time.Second {
+		t.Errorf("first tick from 0 on: %v, want the next one", got)
+	}
+}
+
+func TestIsIdle(t *testing.T) {
+	for _, c := range []struct {
+		name   string
+		change func(b *Balancer)
+		idle   bool
+	}{
+		{"nothing open", func(*Balancer) {}, true},
+		{"an open request", func(b *Balancer) { b.requests[1] = &request{} }, false},
+		{"a queued request", func(b *Balancer) { b.queue.waiting = []*request{{}} }, false},
+		{"an attempt in flight", func(b *Balancer) { b.inFlight = 1 }, false},
+		{"health checks tell of load", func(b *Balancer) { b.settings.Reports = ReportHealthChecks }, false},
+		{"it must not suspend", func(b *Balancer) { b.settings.SuspendWhenIdle = false }, false},
+	} {
+		s := settings()
+		s.SuspendWhenIdle = true
+		b, _ := start(t, s, fleet(2))
+		if c.change(b); b.isIdle() != c.idle {
+			t.Errorf("%s: idle %v", c.name, !c.idle)
+		}
+	}
+}
+
+// Work of 10 and 20 fades by a tenth each period; only the first counts as warm, at half use.
+func TestIdleWorkFades(t *testing.T) {
+	for _, c := range []struct {
+		periods       int
+		means         [2]float64
+		workPerWeight float64
+	}{{1, [2]float64{9, 18}, 6}, {2, [2]float64{8.1, 16.2}, 5.4}, {3, [2]float64{7.29, 14.58}, 4.86}} {
+		upstreams := []*upstreamState{
+			{workload: workload{mean: 10}, band: bollingerBand{mean: 0.5}}, {workload: workload{mean: 20}},
+		}
+		work := idleWork{weight: 3}
+		work.add(upstreams[0], true)
+		work.add(upstreams[1], false)
+		fleet := fleetStats{workPerWeight: 99}
+		work.fade(c.periods, &fleet)
+		if !near(upstreams[0].workload.mean, c.means[0]) || !near(upstreams[1].workload.mean, c.means[1]) {
+			t.Errorf("%d periods: %v, %v", c.periods, upstreams[0].workload.mean, upstreams[1].workload.mean)
+		}
+		if !near(fleet.workPerWeight, c.workPerWeight) {
+			t.Errorf("%d periods: %v carried, want %v", c.periods, fleet.workPerWeight, c.workPerWeight)
+		}
+	}
+}
--- /dev/null
+++ b/balancer/retry_test.go
@@ -0,0 +1,118 @@
+package balancer
+
+import (
+	"testing"
+	"time"
+)
+
+func TestRetryMaySend(t *testing.T) {
+	read := &class{Class: Class{Idempotency: Idempotent}}
+	write := &class{Class: Class{Idempotency: NonIdempotent}}
+	keyed := func(scope KeyScope) *class {
+		return &class{Class: Class{Idempotency: IdempotentWithKey, KeyScope: scope, DeduplicationWindow: 400 * ms}}
+	}
+	here := &upstreamState{Upstream: Upstream{ID: 1, Zone: "near", Cell: 1}}
+	sameZone := &upstreamState{Upstream: Upstream{ID: 2, Zone: "near", Cell: 2}}
+	sameCell := &upstreamState{Upstream: Upstream{ID: 3, Zone: "far", Cell: 1}}
+	draining := &upstreamState{Upstream: Upstream{ID: 4, Zone: "near", Cell: 1, State: Draining}}
+	ended := func(age time.Duration, neverRan bool) *attempt {
+		return &attempt{upstream: here, sentAt: time.Hour - age, ended: true, neverRan: neverRan}
+	}
+	for _, c := range []struct {
+		name     string
+		class    *class
+		attempts []*attempt
+		inFlight int
+		to       *upstreamState
+		may      bool
+	}{
+		{"a first attempt", write, nil, 0, here, true},
+		{"to a draining upstream", read, nil, 0, draining, false},
+		{"idempotent: again", read, []*attempt{ended(ms, false)}, 0, here, true},
+		{"idempotent: beside one in flight", read, []*attempt{ended(ms, false)}, 1, here, false},
+		{"idempotent: as often as allowed", read, []*attempt{ended(0, false), ended(0, false), ended(0, false)}, 0, here, false},
+		{"non-idempotent: it may have run", write, []*attempt{ended(ms, false)}, 0, here, false},
+		{"non-idempotent: it never ran", write, []*attempt{ended(ms, true)}, 0, here, true},
+		{"non-idempotent: one of two may have run", write, []*attempt{ended(ms, true), ended(ms, false)}, 0, here, false},
+		{"key for the zone, in it", keyed(KeyScopeZone), []*attempt{ended(ms, false)}, 0, sameZone, true},
+		{"key for the zone, elsewhere", keyed(KeyScopeZone), []*attempt{ended(ms, false)}, 0, sameCell, false},
+		{"key for the zone, elsewhere, never ran", keyed(KeyScopeZone), []*attempt{ended(ms, true)}, 0, sameCell, true},
+		{"key for the cell, in it", keyed(KeyScopeCell), []*attempt{ended(ms, false)}, 0, sameCell, true},
+		{"key for the cell, elsewhere", keyed(KeyScopeCell), []*attempt{ended(ms, false)}, 0, sameZone, false},
+		{"key for all", keyed(KeyScopeAll), []*attempt{ended(ms, false)}, 0, sameCell, true},
+		{"key, in time", keyed(KeyScopeAll), []*attempt{ended(379*ms, false)}, 0, here, true},
+		{"key, all but forgotten", keyed(KeyScopeAll), []*attempt{ended(380*ms, false)}, 0, here, false},
+	} {
+		r := &request{class: c.class, attempts: c.attempts, inFlight: c.inFlight, deadline: time.Hour + 1}
+		policy := retryPolicy{maxAttempts: 3, margin: 20 * ms}
+		if policy.maySend(r, c.to, time.Hour) != c.may {
+			t.Errorf("%s: may be sent: %v", c.name, !c.may)
+		}
+		if policy.maySend(r, c.to, time.Hour+1) {
+			t.Errorf("%s: may be sent at the deadline", c.name)
+		}
+		r.done = true
+		if policy.maySend(r, c.to, time.Hour) {
+			t.Errorf("%s: may be sent after the final answer", c.name)
+		}
+	}
+}
+
+func TestRetryHedging(t *testing.T) {
+	upstream := &upstreamState{}
+	r := &request{class: &class{}, attempts: []*attempt{{upstream: upstream}}, inFlight: 1, deadline: time.Second}
+	for _, hedging := range []bool{false, true} {
+		policy := retryPolicy{maxAttempts: 3, hedging: hedging}
+		if policy.maySend(r, upstream, 0) != hedging {
+			t.Errorf("hedging %v: a second attempt %v", hedging, !hedging)
+		}
+	}
+}
+
+func TestRetryMayReject(t *testing.T) {
+	ran, never := &attempt{}, &attempt{neverRan: true}
+	for _, c := range []struct {
+		name     string
+		class    Class
+		attempts []*attempt
+		may      bool
+	}{
+		{"idempotent", Class{Idempotency: Idempotent}, []*attempt{ran}, true},
+		{"non-idempotent, not sent", Class{Idempotency: NonIdempotent}, nil, true},
+		{"non-idempotent, never ran", Class{Idempotency: NonIdempotent}, []*attempt{never, never}, true},
+		{"non-idempotent, may have run", Class{Idempotency: NonIdempotent}, []*attempt{never, ran}, false},
+		{"key for all", Class{Idempotency: IdempotentWithKey, KeyScope: KeyScopeAll}, []*attempt{ran}, true},
+		{"key for a zone: the client may come to another", Class{Idempotency: IdempotentWithKey, KeyScope: KeyScopeZone}, []*attempt{ran}, false},
+		{"key for a cell, never ran", Class{Idempotency: IdempotentWithKey, KeyScope: KeyScopeCell}, []*attempt{never}, true},
+	} {
+		r := &request{class: &class{Class: c.class}, attempts: c.attempts}
+		if r.mayReject() != c.may {
+			t.Errorf("%s: may be rejected: %v", c.name, !c.may)
+		}
+	}
+}
+
+func TestRetrySendDeadline(t *testing.T) {
+	at := func(sentAt time.Duration, neverRan bool) *attempt {
+		return &attempt{sentAt: sentAt, neverRan: neverRan}
+	}
+	for _, c := range []struct {
+		name        string
+		idempotency Idempotency
+		attempts    []*attempt
+		deadline    time.Duration
+	}{
+		{"no attempt", IdempotentWithKey, nil, 0},
+		{"the first: nobody has seen it", IdempotentWithKey, []*attempt{at(time.Second, false)}, 0},
+		{"the second", IdempotentWithKey, []*attempt{at(time.Second, false), at(2*time.Second, false)}, 1380 * ms},
+		{"the earliest counts", IdempotentWithKey, []*attempt{at(2*time.Second, false), at(time.Second, false), at(0, false)}, 1380 * ms},
+		{"one that never ran does not", IdempotentWithKey, []*attempt{at(time.Second, true), at(2*time.Second, false), at(0, false)}, 2380 * ms},
+		{"without a key", Idempotent, []*attempt{at(time.Second, false), at(2*time.Second, false)}, 0},
+	} {
+		policy := retryPolicy{margin: 20 * ms}
+		r := &request{class: &class{Class: Class{Idempotency: c.idempotency, DeduplicationWindow: 400 * ms}}, attempts: c.attempts}
+		if got := policy.sendDeadline(r); got != c.deadline {
+			t.Errorf("%s: %v, want %v", c.name, got, c.deadline)
+		}
+	}
+}
--- /dev/null
+++ b/balancer/share_test.go
@@ -0,0 +1,58 @@
+package balancer
+
+import (
+	"testing"
+	"time"
+)
+
+func TestShareAfterPeriod(t *testing.T) {
+	for _, c := range []struct {
+		name                    string
+		factor, area, threshold float64
+		want                    float64
+	}{
+		{"restored by 4 % where the area is under the threshold", 0.5, 0.1, 0.4, 0.52},
+		{"restored at the threshold", 0.5, 0.4, 0.4, 0.52},
+		{"never over the whole", 0.99, 0, 0.4, 1},
+		{"whole", 1, 0, 0.4, 1},
+		{"cut by the area's excess", 1, 0.5, 0.45, 0.9},
+		{"by a fifth at most", 1, 4, 0.4, 0.8},
+		{"from what is left", 0.5, 4, 0.4, 0.4},
+		{"never below a tenth", 0.11, 4, 0.4, 0.1},
+	} {
+		s := share{weight: 1, factor: c.factor, subsetPart: 1}
+		s.endPeriod(&bollingerBand{readings: bandWindow, area: c.area}, c.threshold)
+		if !near(s.factor, c.want) {
+			t.Errorf("%s: %v left, want %v", c.name, s.factor, c.want)
+		}
+	}
+}
+
+func TestShareValue(t *testing.T) {
+	for _, c := range []struct {
+		share           share
+		value, inSubset float64
+	}{
+		{share{1, 1, 1}, 1, 1},
+		{share{4, 0.5, 0.25}, 0.5, 1},
+		{share{3, 1, 2}, 6, 6}, // few balancers learn an upstream that warms up
+	} {
+		if c.share.value() != c.value || c.share.inSubset() != c.inSubset {
+			t.Errorf("%+v: %v, uncut %v; want %v, %v", c.share, c.share.value(), c.share.inSubset(), c.value, c.inSubset)
+		}
+	}
+}
+
+// What an upstream gets is less for saturation, for errors and while it warms up, each by its factor.
+func TestTrafficShareIsTheProductOfAllFactors(t *testing.T) {
+	b, _ := start(t, settings(), fleet(2))
+	upstream := b.upstreams[0]
+	upstream.share = share{weight: 2, factor: 0.5, subsetPart: 1}
+	upstream.outlier.errorRate = 0.625 // half of what is over the tolerance: a sixteenth of the share is left
+	upstream.slowStart = slowStart{warming: true, since: time.Hour}
+	rules := b.settings.Rules
+	now := time.Hour + rules.SlowStartDuration/2
+	if got, want := b.trafficShare(upstream, now), 2*0.5*0.0625*0.65; !near(got, want) { // 0.3 of capacity at first
+		t.Errorf("share %v, want %v", got, want)
+	}
+}
--- /dev/null
+++ b/balancer/slowstart_test.go
@@ -0,0 +1,196 @@
+package balancer
+
+import (
+	"testing"
+	"time"
+)
+
+// warmUpRules: an upstream starts at 0.3 of its capacity, is warm after 10 s, and what counts is sent within 2 s.
+var warmUpRules = Rules{
+	SlowStartFloor: 0.3, SlowStartDuration: 10 * time.Second, OverloadMultiple: 3, OverloadWindow: 2 * time.Second,
+}
+
+func TestSlowStartCapacity(t *testing.T) {
+	for _, c := range []struct {
+		name     string
+		warming  bool
+		age      time.Duration
+		capacity float64
+		after    bool // it warms up still
+	}{
+		{"at its start", true, 0, 0.3, true},
+		{"heard of before its start", true, -time.Second, 0.3, true},
+		{"half way", true, 5 * time.Second, 0.65, true},
+		{"warm", true, 10 * time.Second, 1, false},
+		{"never started lately", false, 0, 1, false},
+	} {
+		s := slowStart{warming: c.warming, since: time.Hour}
+		if got := s.capacity(&warmUpRules, time.Hour+c.age); !near(got, c.capacity) || s.warming != c.after {
+			t.Errorf("%s: %v of its capacity, warming up: %v", c.name, got, s.warming)
+		}
+	}
+}
+
+func TestSlowStartBegin(t *testing.T) {
+	for _, c := range []struct{ countedAt, startedAt, want time.Duration }{
+		{time.Hour, 2 * time.Hour, 2 * time.Hour}, // what it was sent while warm is no debt
+		{2 * time.Hour, time.Hour, 2 * time.Hour},
+	} {
+		s := slowStart{sentWorkAt: c.countedAt}
+		s.begin(c.startedAt)
+		if !s.warming || s.since != c.startedAt || s.sentWorkAt != c.want {
+			t.Errorf("%+v: %+v", c, s)
+		}
+	}
+}
+
+// Eight requests over two seconds: four at once, and two a second after them.
+func TestSlowStartFits(t *testing.T) {
+	for _, c := range []struct {
+		name  string
+		sent  float64
+		since time.Duration
+		work  float64
+		fits  bool
+		left  float64
+	}{
+		{"nothing sent", 0, 0, 1, true, 0},
+		{"three sent", 3, 0, 1, true, 3},
+		{"four sent", 4, 0, 1, false, 4},
+		{"half a second later", 4, 500 * ms, 1, true, 3},
+		{"small requests count as one", 3.5, 0, 0.01, false, 3.5},
+		{"a large one as what it is", 1, 0, 3, true, 1},
+		{"a larger one", 1, 0, 3.1, false, 1},
+		{"a debt of before ends soon", 100, 0, 1, false, 4},
+	} {
+		s := slowStart{sentWork: c.sent, sentWorkAt: time.Hour}
+		fits := s.fits(c.work, 8, 2*time.Second, time.Hour+c.since)
+		if fits != c.fits || !near(s.sentWork, c.left) {
+			t.Errorf("%s: fits %v, %v counted; want %v, %v", c.name, fits, s.sentWork, c.fits, c.left)
+		}
+	}
+}
+
+func TestSlowStartRecordSent(t *testing.T) {
+	var s slowStart
+	s.recordSent(0.2, time.Second)
+	s.recordSent(3, 2*time.Second)
+	if s.sentWork != 4 || s.lastSentAt != 2*time.Second {
+		t.Errorf("%+v", s)
+	}
+}
+
+// One request over two seconds once warm: half a turn a second then, and a third of that at the start.
+func TestWarmUpTurnsFollowCapacity(t *testing.T) {
+	for _, c := range []struct {
+		budget, phase float64
+		age           time.Duration
+		turns         float64
+	}{
+		{1, 0, 0, 0},
+		{1, 0.25, 0, 0.25},
+		{1, 0, -time.Second, 0},
+		{1, 0, 10 * time.Second, 3.25}, // 0.65 of 5
+		{0.1, 0.5, 10 * time.Second, 0.825},
+		{1, 0, time.Second, 0.1675}, // a half of 0.335
+	} {
+		turns := warmUpTurns{budget: c.budget, phase: c.phase}
+		if got := turns.at(c.age, &warmUpRules); !near(got, c.turns) {
+			t.Errorf("%+v: %v turns", c, got)
+		}
+	}
+}
+
+// The second turn begins 4.40 s after the upstream's start and the third at 7.23 s; a fifth of each is open.
+func TestSlowStartHasTurn(t *testing.T) {
+	turns := &warmUpTurns{budget: 1, open: 0.2}
+	for _, c := range []struct {
+		name             string
+		age, sent, start time.Duration // of the upstream; when the last was sent and the balancer started, by its age
+		has              bool
+	}{
+		{"the first turn", 500 * ms, -time.Hour, -time.Hour, true},
+		{"the first turn, a balancer that started since the upstream", 500 * ms, -time.Hour, 100 * ms, false},
+		{"in the rest of a turn", 2 * time.Second, -time.Hour, -time.Hour, false},
+		{"the second turn, its open part is over", 5100 * ms, 500 * ms, -time.Hour, false},
+		{"before the second turn", 4 * time.Second, 0, -time.Hour, false},
+		{"the second turn", 4500 * ms, 500 * ms, -time.Hour, true},
+		{"the second turn, a balancer that started in the first", 4500 * ms, -time.Hour, 500 * ms, true},
+		{"the second turn, sent in it", 4600 * ms, 4500 * ms, -time.Hour, false},
+		{"the third turn, sent in the second", 7300 * ms, 4500 * ms, -time.Hour, true},
+	} {
+		s := slowStart{warming: true, since: time.Hour, lastSentAt: time.Hour + c.sent}
+		if s.hasTurn(turns, &warmUpRules, time.Hour+c.start, time.Hour+c.age) != c.has {
+			t.Errorf("%s: has its turn %v", c.name, !c.has)
+		}
+	}
+}
+
+// A warm upstream of weight 1 carries ten a second: of three times as many within two seconds, 0.6 are used.
+func TestWarmUpBudget(t *testing.T) {
+	for _, c := range []struct {
+		name                      string
+		carried                   float64
+		weight, part, warmUpShare float64
+		latency                   time.Duration
+		initialLimit, budget      float64
+	}{
+		{"a whole upstream", 10, 1, 1, 0, 50 * ms, 1.5, 36},
+		{"twice the size, half of it", 10, 2, 0.5, 0, 50 * ms, 1.5, 36},
+		{"a quarter of the budget, as one owner runs four balancers on it", 10, 1, 1, 0.25, 50 * ms, 1.5, 9},
+		{"no warm one: one request after the other, with the margin twice", 0, 1, 1, 0, 50 * ms, 3, 43.2},
+		{"of which this balancer has half", 0, 1, 1, 0, 50 * ms, 1.5, 21.6},
+		{"whatever its size", 0, 4, 1, 0, 50 * ms, 3, 43.2},
+	} {
+		b, _ := start(t, settings(), fleet(1))
+		b.settings.Rules = warmUpRules
+		b.fleet.workPerWeight = c.carried
+		b.latency = float64(c.latency)
+		b.limits.initial = c.initialLimit
+		upstream := b.upstreams[0]
+		upstream.share = share{weight: c.weight, factor: 1, subsetPart: c.part}
+		upstream.WarmUpShare = c.warmUpShare
+		if got := b.warmUpBudget(upstream); !near(got, c.budget) {
+			t.Errorf("%s: %v, want %v", c.name, got, c.budget)
+		}
+	}
+}
+
+// While there is a warm upstream, nothing goes to one that warms up before it is known what a warm one carries.
+func TestWarmUpBudgetWaitsForTheWarm(t *testing.T) {
+	for _, c := range []struct {
+		carried float64
+		hasWarm bool
+		fits    bool
+	}{{0, true, false}, {0, false, true}, {10, true, true}} {
+		b, _ := start(t, settings(), fleet(1))
+		upstream := b.upstreams[0]
+		b.beginWarmUp(upstream, time.Hour)
+		b.fleet.workPerWeight, b.subset.hasWarm = c.carried, c.hasWarm
+		if b.hasWarmUpBudget(upstream, &request{work: 1}, time.Hour+time.Second) != c.fits {
+			t.Errorf("%+v: a request fits: %v", c, !c.fits)
+		}
+	}
+}
+
+func TestBeginWarmUpForgetsTheOldProcess(t *testing.T) {
+	b, _ := start(t, settings(), fleet(1))
+	upstream := b.upstreams[0]
+	upstream.latency = latencyStats{1, 2, 3, 4, 5, 6}
+	upstream.band = bollingerBand{readings: 9, mean: 0.5, deviation: 0.1, area: 3}
+	upstream.outlier = outlierDetector{answers: 3, errorRate: 0.5}
+	upstream.limit.allowed, upstream.unreportedAnswers = 99, 70
+	b.beginWarmUp(upstream, time.Hour)
+	switch {
+	case !upstream.slowStart.warming || upstream.slowStart.since != time.Hour:
+		t.Errorf("it does not warm up: %+v", upstream.slowStart)
+	case upstream.latency != latencyStats{}:
+		t.Errorf("latency left: %+v", upstream.latency)
+	case upstream.band.readings != 0 || upstream.band.area != 0 || upstream.unreportedAnswers != 0:
+		t.Errorf("readings left: %+v", upstream.band)
+	case upstream.outlier.answers != 0 || upstream.outlier.errorRate != 0:
+		t.Errorf("errors left: %+v", upstream.outlier)
+	case upstream.limit.allowed != b.limits.initial:
+		t.Errorf("limit %v, want %v", upstream.limit.allowed, b.limits.initial)
+	}
+}
--- a/balancer/upstream.go
+++ b/balancer/upstream.go
@@ -6,22 +6,24 @@
 // rules.
 type upstreamState struct {
 	Upstream
-	inSubset          bool
-	ringPosition      uint64    // on the ring of all upstreams
-	ringEntry         ringEntry // as of the last choice of the subset
-	dueTurn           float64   // its next turn in the interleaver's virtual time
-	healthCheckedAt   time.Duration
-	lastLoad          Load       // the last load report, to tell a repeated one
-	unreportedAnswers int        // successful answers in a row without a load report
-	inFlight          []*attempt // in order of sending
 
+	// Read for each request; they stand together for the sake of the cache.
+	inSubset  bool
+	dueTurn   float64 // its next turn in the interleaver's virtual time
 	share     share
-	band      bollingerBand
-	latency   latencyStats
-	limit     concurrencyLimit
 	outlier   outlierDetector
+	limit     concurrencyLimit
 	slowStart slowStart
-	workload  workload
+	inFlight  []*attempt // in order of sending
+
+	band              bollingerBand
+	lastLoad          Load // the last load report, to tell a repeated one
+	unreportedAnswers int  // successful answers in a row without a load report
+	latency           latencyStats
+	workload          workload
+	ringPosition      uint64    // on the ring of all upstreams
+	ringEntry         ringEntry // as of the last choice of the subset
+	healthCheckedAt   time.Duration
 }
 
 // nextTurnAt is when the upstream may be tried again.
