--- a/balancer/balancer_test.go
+++ b/balancer/balancer_test.go
@@ -27,7 +27,8 @@
 		if r := b.requests[id]; r != nil && r.inFlight > 0 {
 			l := Load{Fields: HasUtil | HasInflight | HasQueue, Util: odd[i%6], Inflight: odd[(i+1)%6], Queue: odd[(i+2)%6]}
 			o := AttemptResult{
-				ID: id, Upstream: r.attempts[0].upstream.ID, Latency: time.Duration(i%3-1) * 30 * ms, Status: OK, Closed: true, Load: l,
+				ID: id, Upstream: r.attempts[0].upstream.ID, Latency: time.Duration(i%3-1) * 30 * ms,
+				Status: OK, Closed: true, Load: l,
 			}
 			b.AttemptFinished(now, o)
 			b.AttemptFinished(now, o)
--- a/balancer/cold_test.go
+++ b/balancer/cold_test.go
@@ -137,21 +137,26 @@
 			for _, capacity := range []float64{3, 10, 40} { // requests a second of the upstream when it is warm
 				// The gap is between two requests at each balancer, at the same moments everywhere.
 				for _, gap := range []time.Duration{20 * ms, 250 * ms} {
-					for _, fault := range []string{"", "restart", "late", "all cold"} {
-						f := newColdFleet(t, balancers, capacity, fault == "all cold")
-						f.play(gap, fault)
-						most, breach := f.worst(capacity)
-						name := fmt.Sprintf("%v a second, one each %v, %q", capacity, gap, fault)
-						if breach != "" {
-							t.Errorf("%s: %s", name, breach)
-						}
-						if len(f.sent) == 0 {
-							t.Errorf("%s: nothing is sent", name)
-						}
-						t.Logf("%s: %d sent, %.2f of the budget at most", name, len(f.sent), most)
-					}
+					checkColdBudget(t, balancers, capacity, gap)
 				}
 			}
 		})
 	}
 }
+
+func checkColdBudget(t *testing.T, balancers int, capacity float64, gap time.Duration) {
+	t.Helper()
+	for _, fault := range []string{"", "restart", "late", "all cold"} {
+		f := newColdFleet(t, balancers, capacity, fault == "all cold")
+		f.play(gap, fault)
+		most, breach := f.worst(capacity)
+		name := fmt.Sprintf("%v a second, one each %v, %q", capacity, gap, fault)
+		if breach != "" {
+			t.Errorf("%s: %s", name, breach)
+		}
+		if len(f.sent) == 0 {
+			t.Errorf("%s: nothing is sent", name)
+		}
+		t.Logf("%s: %d sent, %.2f of the budget at most", name, len(f.sent), most)
+	}
+}
--- a/balancer/idle_test.go
+++ b/balancer/idle_test.go
@@ -45,24 +45,24 @@
 	up UpstreamID
 }
 
-func newTwin(t testing.TB, s Settings, seed uint64, now time.Duration) *twin {
+func newTwin(t testing.TB, s Settings, seed uint64) *twin {
 	t.Helper()
-	w := &twin{now: now}
+	w := &twin{now: time.Hour}
 	w.hook = func(kind string, id RequestID, up UpstreamID, d time.Duration, n uint64) {
-		switch {
-		case kind == "timer":
+		switch kind {
+		case "timer":
 			heap.Push(&w.timers, timerSet{w.now + d, n})
 			if n == tickToken {
 				return
 			}
-		case kind == "send":
+		case "send":
 			w.sent = append(w.sent, sentTo{id, up})
 		}
 		w.acts = append(w.acts, fmt.Sprint(w.now, " ", w.lines[len(w.lines)-1]))
 		w.lines = w.lines[:0]
 	}
 	var err error
-	if w.Balancer, err = New(s, seed, now, w); err != nil {
+	if w.Balancer, err = New(s, seed, w.now, w); err != nil {
 		t.Fatal(err)
 	}
 	return w
@@ -87,8 +87,12 @@
 	b.catchUp(w.now) // after what is not for a rest, such as the end of an attempt that is not known
 	rng, _ := b.rngSource.MarshalBinary()
 	var s strings.Builder
-	fmt.Fprintf(&s, "%x %v %v %v %v %v %v %v %v %v\n", rng, b.inFlight, len(b.queue.waiting), len(b.requests), b.queue.overloaded, b.queue.queueingInterval, b.queue.turnInterval, b.queue.lastTurnAt, b.interleaver.virtualTime, b.latency)
-	fmt.Fprintf(&s, "%v %v %v %v %v %v %v %v %v %v %v %v %v %v\n", b.meanCost, b.limits.growth, b.limits.initial, b.arrivals.count, b.arrivals.perSecond, b.subset.hasWarm, b.subset.loadFactor, b.fleet.utilisation, b.fleet.workPerWeight, b.fleet.errorRate, b.fleet.bestLatency, b.fleet.unloadedLatency, b.periodStartedAt, b.queue.lastFullAt)
+	fmt.Fprintf(&s, "%x %v %v %v\n", rng, b.inFlight, len(b.queue.waiting), len(b.requests))
+	queue := b.queue
+	queue.waiting = nil
+	fmt.Fprintf(&s, "%+v %+v %v %v\n", queue, b.interleaver, b.latency, b.meanCost)
+	fmt.Fprintf(&s, "%+v %+v %+v %v\n", b.limits, b.arrivals, b.fleet, b.periodStartedAt)
+	fmt.Fprintf(&s, "%v %v\n", b.subset.hasWarm, b.subset.loadFactor)
 	for _, list := range [][]*upstreamState{b.subset.upstreams, b.upstreams} {
 		for _, u := range list {
 			x := *u
@@ -118,10 +122,10 @@
 		}
 		s.Granularity = time.Duration(40+rng.IntN(100)) * ms
 		now := time.Hour
-		plain := newTwin(t, s, seed, now)
+		plain := newTwin(t, s, seed)
 		s.SuspendWhenIdle = true
-		rest := newTwin(t, s, seed, now)
-		compare(t, rng, s, now, plain, rest)
+		rest := newTwin(t, s, seed)
+		newComparison(t, rng, s, now, plain, rest).play()
 		if t.Failed() {
 			t.Fatalf("seed %d", seed)
 		}
@@ -139,143 +143,204 @@
 	o  AttemptResult
 }
 
-func compare(t *testing.T, rng *rand.Rand, s Settings, now time.Duration, plain, rest *twin) {
+// comparison lets two twins have the same events by chance, and compares what they do.
+type comparison struct {
+	t           *testing.T
+	rng         *rand.Rand
+	s           Settings
+	now         time.Duration
+	plain, rest *twin
+	list        []Upstream
+	ends        []outcomeDue
+	open        []RequestID
+	attempts    map[RequestID]int
+	id          RequestID
+	busy        int // events left of a busy spell
+}
+
+func newComparison(t *testing.T, rng *rand.Rand, s Settings, now time.Duration, plain, rest *twin) *comparison {
 	t.Helper()
-	twins := []*twin{plain, rest}
-	both := func(do func(w *twin)) {
-		for _, w := range twins {
-			w.turn(now)
-			do(w)
-		}
+	c := &comparison{t: t, rng: rng, s: s, now: now, plain: plain, rest: rest, attempts: map[RequestID]int{}}
+	c.list = fleet(1 + rng.IntN(40))
+	for i := range c.list {
+		c.list[i].Weight = 1 + float64(rng.IntN(3))
 	}
-	list := fleet(1 + rng.IntN(40))
-	for i := range list {
-		list[i].Weight = 1 + float64(rng.IntN(3))
-	}
-	var ends []outcomeDue
-	var open []RequestID
-	attempts := map[RequestID]int{}
-	id := RequestID(0)
-	both(func(w *twin) { w.EndpointsUpdated(now, ListFull, list) })
-	busy := 0 // events left of a busy spell
+	c.both(func(w *twin) { w.EndpointsUpdated(now, ListFull, c.list) })
+	return c
+}
+
+func (c *comparison) both(do func(w *twin)) {
+	for _, w := range []*twin{c.plain, c.rest} {
+		w.turn(c.now)
+		do(w)
+	}
+}
+
+func (c *comparison) play() {
+	c.t.Helper()
 	for range 200 {
-		// Outcomes that are due come first, in order.
-		wait := time.Duration(rng.IntN(20)) * ms
-		if busy--; busy < 0 {
-			wait = []time.Duration{ms, 40 * ms, time.Second, 3 * time.Second, 3 * time.Second, 20 * time.Second, 20 * time.Second, time.Minute}[rng.IntN(8)]
-			wait += time.Duration(rng.IntN(1000)) * time.Millisecond / 3
-			if rng.IntN(2) == 0 {
-				busy = rng.IntN(60)
-			}
+		c.finishUntil(c.now + c.pause())
+		c.event(c.rng.IntN(20))
+		c.compareActions()
+		if c.t.Failed() {
+			return
 		}
-		until := now + wait
-		slices.SortStableFunc(ends, func(x, y outcomeDue) int { return int(x.at - y.at) })
-		for len(ends) > 0 && ends[0].at <= until {
-			now = ends[0].at
-			o := ends[0].o
-			ends = ends[1:]
-			both(func(w *twin) { w.AttemptFinished(now, o) })
-			ends = sends(t, rng, now, plain, rest, attempts, ends)
+	}
+}
+
+// pause is the time to the next event.
+func (c *comparison) pause() time.Duration {
+	wait := time.Duration(c.rng.IntN(20)) * ms
+	c.busy--
+	if c.busy < 0 {
+		waits := []time.Duration{
+			ms, 40 * ms, time.Second, 3 * time.Second, 3 * time.Second, 20 * time.Second, 20 * time.Second, time.Minute,
 		}
-		now = until
-		switch n := rng.IntN(20); {
-		case n < 12:
-			id++
-			q := Request{
-				ID: id, Class: []string{"read", "keyed", "write"}[rng.IntN(3)], Budget: time.Duration(100+rng.IntN(900)) * ms,
-				Tenant: []string{"", "big", "small"}[rng.IntN(3)], Cost: time.Duration(rng.IntN(3)) * 10 * ms,
-			}
-			open = append(open, id)
-			both(func(w *twin) { w.RequestArrived(now, q) })
-		case n < 13 && len(open) > 0:
-			x := open[rng.IntN(len(open))]
-			both(func(w *twin) { w.ClientLeft(now, x) })
-		case n < 14: // one entry changes
-			i := rng.IntN(len(list))
-			switch rng.IntN(4) {
-			case 0:
-				list[i].State = Draining
-			case 1:
-				list[i].State = Active
-			case 2:
-				list[i].StartedAt = now - time.Duration(rng.IntN(10))*time.Second
-				list[i].State = Active
-			default:
-				list[i].Weight = 1 + float64(rng.IntN(4))
-			}
-			both(func(w *twin) { w.EndpointsUpdated(now, ListDelta, list[i:i+1]) })
-		case n < 15: // the whole list, without one
-			i := rng.IntN(len(list))
-			both(func(w *twin) { w.EndpointsUpdated(now, ListFull, slices.Delete(slices.Clone(list), i, i+1)) })
-		case n < 16:
-			x, most := list[rng.IntN(len(list))].ID, rng.IntN(4)
-			both(func(w *twin) { w.MaxInFlightChanged(now, x, most) })
-		case n < 17:
-			s.Balancers = 1 + rng.IntN(20)
-			s.Rank = 0
-			s.Classes = slices.Clone(s.Classes)
-			s.Classes[0].LatencyObjective = time.Duration(100+rng.IntN(300)) * ms
-			both(func(w *twin) {
-				s.SuspendWhenIdle = w == rest
-				if err := w.Configure(now, s); err != nil {
-					t.Fatal(err)
-				}
-			})
-		case n < 18:
-			m := plain.Snapshot()
-			both(func(w *twin) { w.Restore(now, m) })
-		case n < 19:
-			x := list[rng.IntN(len(list))].ID
-			both(func(w *twin) {
-				w.HealthCheckFinished(now, HealthCheckResult{Upstream: x, Status: OK, Load: Load{Fields: HasUtil, Util: float64(id%10) / 10}})
-			})
-		default:
-			var views [2]string
-			for i, w := range twins {
-				w.turn(now)
-				v, held := w.View(now)
-				views[i] = fmt.Sprintf("%+v %d", v, held)
-			}
-			if views[0] != views[1] {
-				t.Fatalf("at %v: view\n%s\nticking\n%s", now, views[1], views[0])
-			}
+		wait = waits[c.rng.IntN(8)]
+		wait += time.Duration(c.rng.IntN(1000)) * time.Millisecond / 3
+		if c.rng.IntN(2) == 0 {
+			c.busy = c.rng.IntN(60)
 		}
-		ends = sends(t, rng, now, plain, rest, attempts, ends)
-		if t.Failed() {
-			return
+	}
+	return wait
+}
+
+// finishUntil lets attempts end that are due, in order.
+func (c *comparison) finishUntil(until time.Duration) {
+	c.t.Helper()
+	slices.SortStableFunc(c.ends, func(x, y outcomeDue) int { return int(x.at - y.at) })
+	for len(c.ends) > 0 && c.ends[0].at <= until {
+		c.now = c.ends[0].at
+		o := c.ends[0].o
+		c.ends = c.ends[1:]
+		c.both(func(w *twin) { w.AttemptFinished(c.now, o) })
+		c.compareActions()
+	}
+	c.now = until
+}
+
+// event lets something happen that is not the end of an attempt.
+func (c *comparison) event(n int) {
+	c.t.Helper()
+	switch {
+	case n < 12:
+		c.request()
+	case n < 13 && len(c.open) > 0:
+		x := c.open[c.rng.IntN(len(c.open))]
+		c.both(func(w *twin) { w.ClientLeft(c.now, x) })
+	case n < 14:
+		c.changeEndpoint()
+	case n < 15: // the whole list, without one
+		i := c.rng.IntN(len(c.list))
+		list := slices.Delete(slices.Clone(c.list), i, i+1)
+		c.both(func(w *twin) { w.EndpointsUpdated(c.now, ListFull, slices.Clone(list)) })
+	case n < 16:
+		x, most := c.list[c.rng.IntN(len(c.list))].ID, c.rng.IntN(4)
+		c.both(func(w *twin) { w.MaxInFlightChanged(c.now, x, most) })
+	case n < 17:
+		c.configure()
+	case n < 18:
+		m := c.plain.Snapshot()
+		c.both(func(w *twin) { w.Restore(c.now, m) })
+	case n < 19:
+		load := Load{Fields: HasUtil, Util: float64(c.id%10) / 10}
+		result := HealthCheckResult{Upstream: c.list[c.rng.IntN(len(c.list))].ID, Status: OK, Load: load}
+		c.both(func(w *twin) { w.HealthCheckFinished(c.now, result) })
+	default:
+		c.compareViews()
+	}
+}
+
+func (c *comparison) request() {
+	c.id++
+	q := Request{
+		ID: c.id, Class: []string{"read", "keyed", "write"}[c.rng.IntN(3)],
+		Budget: time.Duration(100+c.rng.IntN(900)) * ms,
+		Tenant: []string{"", "big", "small"}[c.rng.IntN(3)], Cost: time.Duration(c.rng.IntN(3)) * 10 * ms,
+	}
+	c.open = append(c.open, c.id)
+	c.both(func(w *twin) { w.RequestArrived(c.now, q) })
+}
+
+func (c *comparison) changeEndpoint() {
+	i := c.rng.IntN(len(c.list))
+	switch c.rng.IntN(4) {
+	case 0:
+		c.list[i].State = Draining
+	case 1:
+		c.list[i].State = Active
+	case 2:
+		c.list[i].StartedAt = c.now - time.Duration(c.rng.IntN(10))*time.Second
+		c.list[i].State = Active
+	default:
+		c.list[i].Weight = 1 + float64(c.rng.IntN(4))
+	}
+	c.both(func(w *twin) { w.EndpointsUpdated(c.now, ListDelta, c.list[i:i+1]) })
+}
+
+func (c *comparison) configure() {
+	c.t.Helper()
+	c.s.Balancers = 1 + c.rng.IntN(20)
+	c.s.Rank = 0
+	c.s.Classes = slices.Clone(c.s.Classes)
+	c.s.Classes[0].LatencyObjective = time.Duration(100+c.rng.IntN(300)) * ms
+	c.both(func(w *twin) {
+		c.s.SuspendWhenIdle = w == c.rest
+		if err := w.Configure(c.now, c.s); err != nil {
+			c.t.Fatal(err)
 		}
+	})
+}
+
+func (c *comparison) compareViews() {
+	c.t.Helper()
+	var views [2]string
+	for i, w := range []*twin{c.plain, c.rest} {
+		w.turn(c.now)
+		v, held := w.View(c.now)
+		views[i] = fmt.Sprintf("%+v %d", v, held)
+	}
+	if views[0] != views[1] {
+		c.t.Fatalf("at %v: view\n%s\nticking\n%s", c.now, views[1], views[0])
 	}
 }
 
-// sends compares what the two have done, and decides how what they have sent ends.
-func sends(t *testing.T, rng *rand.Rand, now time.Duration, plain, rest *twin, attempts map[RequestID]int, ends []outcomeDue) []outcomeDue {
-	t.Helper()
-	if !slices.Equal(plain.acts, rest.acts) {
-		t.Fatalf("at %v: did\n%s\nticking\n%s", now, strings.Join(rest.acts, "\n"), strings.Join(plain.acts, "\n"))
-	}
-	if rng.IntN(8) > 0 { // to write it down takes long
-	} else if x, y := plain.state(), rest.state(); x != y {
-		a, b := strings.Split(x, "\n"), strings.Split(y, "\n")
-		for i := range min(len(a), len(b)) {
-			if a[i] != b[i] {
-				t.Fatalf("at %v: state, line %d of %d:\n%s\nticking, of %d\n%s", now, i, len(b), b[i], len(a), a[i])
-			}
+// compareActions compares what the two have done, and decides how what they have sent ends.
+func (c *comparison) compareActions() {
+	c.t.Helper()
+	if x, y := c.plain.acts, c.rest.acts; !slices.Equal(x, y) {
+		c.t.Fatalf("at %v: did\n%s\nticking\n%s", c.now, strings.Join(y, "\n"), strings.Join(x, "\n"))
+	}
+	if c.rng.IntN(8) == 0 { // to write it down takes long
+		c.compareStates()
+	}
+	for _, x := range c.plain.sent {
+		n := c.attempts[x.id]
+		c.attempts[x.id]++
+		o := AttemptResult{ID: x.id, Upstream: x.up, Attempt: n, Latency: time.Duration(1+c.rng.IntN(200)) * ms}
+		o.Status = []Status{OK, OK, OK, OK, OK, OK, Error, Rejected, Timeout, ConnectFailed, Reset}[c.rng.IntN(11)]
+		if c.rng.IntN(2) == 0 {
+			o.Load = Load{Fields: HasUtil, Util: c.rng.Float64()}
 		}
-		t.Fatalf("at %v: state of %d lines, ticking of %d", now, len(b), len(a))
+		c.ends = append(c.ends, outcomeDue{c.now + o.Latency, o})
 	}
-	for _, x := range plain.sent {
-		n := attempts[x.id]
-		attempts[x.id]++
-		o := AttemptResult{ID: x.id, Upstream: x.up, Attempt: n, Latency: time.Duration(1+rng.IntN(200)) * ms}
-		o.Status = []Status{OK, OK, OK, OK, OK, OK, Error, Rejected, Timeout, ConnectFailed, Reset}[rng.IntN(11)]
-		if rng.IntN(2) == 0 {
-			o.Load = Load{Fields: HasUtil, Util: rng.Float64()}
+	c.plain.sent, c.rest.sent = nil, nil
+	c.plain.acts, c.rest.acts = nil, nil
+}
+
+func (c *comparison) compareStates() {
+	c.t.Helper()
+	x, y := c.plain.state(), c.rest.state()
+	if x == y {
+		return
+	}
+	a, b := strings.Split(x, "\n"), strings.Split(y, "\n")
+	for i := range min(len(a), len(b)) {
+		if a[i] != b[i] {
+			c.t.Fatalf("at %v: state, line %d of %d:\n%s\nticking, of %d\n%s", c.now, i, len(b), b[i], len(a), a[i])
 		}
-		ends = append(ends, outcomeDue{now + o.Latency, o})
 	}
-	plain.sent, rest.sent = nil, nil
-	plain.acts, rest.acts = nil, nil
-	return ends
+	c.t.Fatalf("at %v: state of %d lines, ticking of %d", c.now, len(b), len(a))
 }
 
 // The source goes on by any number of draws as if each had been made.
@@ -334,11 +399,14 @@
 		}
 		x, _ := b.rngSource.MarshalBinary()
 		y, _ := c.rngSource.MarshalBinary()
-		if !bytes.Equal(x, y) || b.limits.initial != c.limits.initial || b.subset.hasWarm != c.subset.hasWarm || len(b.subset.upstreams) != len(c.subset.upstreams) {
+		if !bytes.Equal(x, y) || b.limits.initial != c.limits.initial || b.subset.hasWarm != c.subset.hasWarm ||
+			len(b.subset.upstreams) != len(c.subset.upstreams) {
 			t.Fatalf("turn %d: not the same", i)
 		}
 		for j, u := range b.subset.upstreams {
-			if v := c.subset.upstreams[j]; u.ID != v.ID || u.share.subsetPart != v.share.subsetPart || u.dueTurn != v.dueTurn || u.limit.nextSendAt != v.limit.nextSendAt || u.inSubset != v.inSubset {
+			v := c.subset.upstreams[j]
+			if u.ID != v.ID || u.inSubset != v.inSubset || u.share.subsetPart != v.share.subsetPart ||
+				u.dueTurn != v.dueTurn || u.limit.nextSendAt != v.limit.nextSendAt {
 				t.Fatalf("turn %d: upstream %d is not the same", i, u.ID)
 			}
 		}
@@ -353,9 +421,9 @@
 	s := settings()
 	s.Granularity, s.Tenants = 250*ms, nil
 	now := time.Hour
-	plain := newTwin(t, s, 3, now)
+	plain := newTwin(t, s, 3)
 	s.SuspendWhenIdle = true
-	rest := newTwin(t, s, 3, now)
+	rest := newTwin(t, s, 3)
 	list := fleet(30)
 	for i := range list {
 		list[i].Weight = 1000 // what is carried for it comes to 0 sooner than the work
@@ -366,7 +434,10 @@
 			id := RequestID(i + 1)
 			w.RequestArrived(now, Request{ID: id, Class: "read", Budget: time.Second})
 			for _, x := range w.sent {
-				w.AttemptFinished(now, AttemptResult{ID: x.id, Upstream: x.up, Latency: 20 * ms, Status: OK, Load: Load{Fields: HasUtil, Util: float64(i%7) / 7}})
+				w.AttemptFinished(now, AttemptResult{
+					ID: x.id, Upstream: x.up, Latency: 20 * ms, Status: OK,
+					Load: Load{Fields: HasUtil, Util: float64(i%7) / 7},
+				})
 			}
 			w.sent = nil
 		}
@@ -393,7 +464,7 @@
 				s := settings()
 				s.SuspendWhenIdle, s.Balancers = true, 1
 				now := time.Hour
-				w := newTwin(b, s, 1, now)
+				w := newTwin(b, s, 1)
 				w.EndpointsUpdated(now, ListFull, fleet(n))
 				id := RequestID(0)
 				for b.Loop() {
--- a/balancer/queue_test.go
+++ b/balancer/queue_test.go
@@ -262,11 +262,11 @@
 	var now, endAt time.Duration
 	var out RequestID
 	h.hook = func(kind string, id RequestID, _ UpstreamID, d time.Duration, _ uint64) {
-		switch {
-		case kind == "send":
+		switch kind {
+		case "send":
 			out, endAt = id, now+work
 			waits[id-1] = endAt - time.Hour - arrivals[id-1]
-		case kind == "refuse":
+		case "refuse":
 			refused++
 		}
 	}
@@ -325,7 +325,7 @@
 	for i := range 200 {
 		arrivals = append(arrivals, 3*time.Second+time.Duration(i)*5*ms+time.Duration(i%2)*9*ms)
 	}
-	waits, refused = queue(t, 5*ms, arrivals)
+	waits, _ = queue(t, 5*ms, arrivals)
 	if late := waits[600:]; slices.Min(late) == 0 || slices.Max(late) > 40*ms {
 		t.Errorf("after the burst: waits from %v to %v", slices.Min(late), slices.Max(late))
 	}
--- a/balancer/rules_test.go
+++ b/balancer/rules_test.go
@@ -96,16 +96,8 @@
 		if !x.over {
 			out++
 		}
-		if !x.ran() {
-			continue
-		}
-		switch {
-		case r.class.Idempotency == NonIdempotent:
-			c.bad("rule 2: unsafe request %d sent again", r.id)
-		case r.class.Idempotency == IdempotentWithKey && c.now > x.at+r.class.DeduplicationWindow:
-			c.bad("rule 2: keyed request %d sent again after its memory", r.id)
-		case r.class.Idempotency == IdempotentWithKey && ((r.class.KeyScope == KeyScopeZone && x.up.Zone != u.Zone) || (r.class.KeyScope == KeyScopeCell && x.up.Cell != u.Cell)):
-			c.bad("rule 2: keyed request %d sent outside its group", r.id)
+		if x.ran() {
+			c.repeat(r, x, u)
 		}
 	}
 	if out > 0 && !c.s.Limits.Hedging {
@@ -122,6 +114,21 @@
 	c.open = append(c.open, x)
 }
 
+// repeat holds a send against rule 2: an earlier try may have run.
+func (c *checker) repeat(r *seen, earlier *try, u Upstream) {
+	keyed := r.class.Idempotency == IdempotentWithKey
+	otherZone := r.class.KeyScope == KeyScopeZone && earlier.up.Zone != u.Zone
+	otherCell := r.class.KeyScope == KeyScopeCell && earlier.up.Cell != u.Cell
+	switch {
+	case r.class.Idempotency == NonIdempotent:
+		c.bad("rule 2: unsafe request %d sent again", r.id)
+	case keyed && c.now > earlier.at+r.class.DeduplicationWindow:
+		c.bad("rule 2: keyed request %d sent again after its memory", r.id)
+	case keyed && (otherZone || otherCell):
+		c.bad("rule 2: keyed request %d sent outside its group", r.id)
+	}
+}
+
 // cold holds a send against rule 4: within any window a fresh upstream gets no more than the multiple of what it
 // can do. What a warm one can do is the most that any has been sent in such a window, and at least this balancer's
 // even share of drive's traffic: 133 requests a second, over two balancers and five upstreams.
--- a/balancer/size_test.go
+++ b/balancer/size_test.go
@@ -22,7 +22,7 @@
 )
 
 // planned returns a Balancer of a service with n upstreams.
-func planned(b *testing.B, balancers, rank, n int, hook func(kind string, id RequestID, up UpstreamID, d time.Duration, n uint64)) *Balancer {
+func planned(b *testing.B, balancers, rank, n int, hook actionHook) *Balancer {
 	s := settings()
 	s.Balancers, s.Rank, s.Tenants = balancers, rank, nil
 	s.Rules.SlowStartFloor = 0.33 // as serve has it
@@ -34,10 +34,11 @@
 	return x
 }
 
+// actionHook is told what a Balancer asks its Host to do.
+type actionHook func(kind string, id RequestID, up UpstreamID, d time.Duration, n uint64)
+
 // quietHost tells a hook and keeps nothing.
-type quietHost struct {
-	hook func(kind string, id RequestID, up UpstreamID, d time.Duration, n uint64)
-}
+type quietHost struct{ hook actionHook }
 
 func (h quietHost) tell(kind string, id RequestID, up UpstreamID, d time.Duration, n uint64) {
 	if h.hook != nil {
@@ -113,66 +114,100 @@
 // readings within so many seconds. Requests are even by upstream, or by Zipf's law over services of any size, a tenth
 // of which has none. A sixth: each balancer has every sixth service.
 func BenchmarkAllServices(b *testing.B) {
-	const idle, ranks = 55.0, 10
-	windows := []float64{8, 30, 60, 300}
 	for _, how := range []string{"even", "skewed", "a sixth, even", "a sixth, skewed"} {
 		b.Run(how, func(b *testing.B) {
-			skewed, groups := strings.HasSuffix(how, "skewed"), 1
-			if strings.HasPrefix(how, "a sixth") {
-				groups = 6
-			}
-			balancers, all := planBalancers/groups, sizes()
-			parts, sum, least := make([]float64, len(all)), 0.0, all[0]
-			places := rand.New(rand.NewPCG(1, 1)).Perm(len(all))
-			for i, n := range all {
-				switch {
-				case !skewed:
-					parts[i] = float64(n)
-				case places[i] < len(all)*9/10:
-					parts[i] = 1 / float64(places[i]+1)
-				}
-				sum, least = sum+parts[i], min(least, n)
-			}
-			var used, open, opened float64
-			var within []float64
+			p := newServicePlan(how)
+			var use serviceUse
 			for b.Loop() {
-				used, open, opened, within = 0, 0, 0, make([]float64, len(windows))
-				for i, n := range all {
-					for rank := range ranks {
-						x, slices := planned(b, balancers, (rank*balancers/ranks+i)%balancers, n, nil), 0.0
-						x.arrivals.perSecond = planRate * 18_000 / float64(balancers) * parts[i] / sum
-						x.chooseSubset(0)
-						for _, u := range x.subset.upstreams {
-							slices += u.share.subsetPart
-						}
-						if parts[i] == 0 {
-							continue
-						}
-						used += float64(len(x.subset.upstreams)) / ranks / float64(groups)
-						for _, u := range x.subset.upstreams {
-							rate := x.arrivals.perSecond * u.share.subsetPart / slices
-							open += (1 - math.Exp(-rate*idle)) / ranks / float64(groups)
-							opened += rate * math.Exp(-rate*idle) / ranks / float64(groups)
-							for k, w := range windows {
-								if bandWindow/rate <= w {
-									within[k] += rate / ranks / float64(groups) / (planRate * 18_000 / planBalancers)
-								}
-							}
-						}
+				use = serviceUse{within: make([]float64, len(useWindows))}
+				for i, n := range p.upstreams {
+					for rank := range useRanks {
+						use.add(p.balancer(b, i, n, rank), p.parts[i] > 0, p.groups)
 					}
 				}
 			}
-			b.ReportMetric(float64(least), "smallest")
-			b.ReportMetric(used, "used")
-			b.ReportMetric(open, "open")
-			b.ReportMetric(opened, "opened/s")
-			for k, w := range windows {
-				b.ReportMetric(within[k], fmt.Sprintf("window-in-%vs", w))
+			b.ReportMetric(float64(slices.Min(p.upstreams)), "smallest")
+			b.ReportMetric(use.used, "used")
+			b.ReportMetric(use.open, "open")
+			b.ReportMetric(use.opened, "opened/s")
+			for k, w := range useWindows {
+				b.ReportMetric(use.within[k], fmt.Sprintf("window-in-%vs", w))
 			}
 		})
 	}
 }
 
+const (
+	useRanks       = 10   // balancers that are looked at of each service
+	useIdleSeconds = 55.0 // after them an unused connection is closed
+)
+
+var useWindows = [...]float64{8, 30, 60, 300} // seconds
+
+// servicePlan is how many upstreams the services have, and which part of all requests.
+type servicePlan struct {
+	groups, balancers int // services that share a balancer; balancers of a service
+	upstreams         []int
+	parts             []float64
+	sum               float64 // of the parts
+}
+
+func newServicePlan(how string) *servicePlan {
+	skewed := strings.HasSuffix(how, "skewed")
+	p := &servicePlan{groups: 1, upstreams: sizes()}
+	if strings.HasPrefix(how, "a sixth") {
+		p.groups = 6
+	}
+	p.balancers = planBalancers / p.groups
+	p.parts = make([]float64, len(p.upstreams))
+	places := rand.New(rand.NewPCG(1, 1)).Perm(len(p.upstreams))
+	for i, n := range p.upstreams {
+		switch {
+		case !skewed:
+			p.parts[i] = float64(n)
+		case places[i] < len(p.upstreams)*9/10:
+			p.parts[i] = 1 / float64(places[i]+1)
+		}
+		p.sum += p.parts[i]
+	}
+	return p
+}
+
+// balancer is one of service i, with n upstreams and its usual rate.
+func (p *servicePlan) balancer(b *testing.B, i, n, rank int) *Balancer {
+	x := planned(b, p.balancers, (rank*p.balancers/useRanks+i)%p.balancers, n, nil)
+	x.arrivals.perSecond = planRate * 18_000 / float64(p.balancers) * p.parts[i] / p.sum
+	x.chooseSubset(0)
+	return x
+}
+
+// serviceUse is what one balancer uses of all services, in the mean.
+type serviceUse struct {
+	used, open, opened float64
+	within             []float64
+}
+
+func (use *serviceUse) add(x *Balancer, hasRequests bool, groups int) {
+	if !hasRequests {
+		return
+	}
+	parts := 0.0
+	for _, u := range x.subset.upstreams {
+		parts += u.share.subsetPart
+	}
+	use.used += float64(len(x.subset.upstreams)) / useRanks / float64(groups)
+	for _, u := range x.subset.upstreams {
+		rate := x.arrivals.perSecond * u.share.subsetPart / parts
+		use.open += (1 - math.Exp(-rate*useIdleSeconds)) / useRanks / float64(groups)
+		use.opened += rate * math.Exp(-rate*useIdleSeconds) / useRanks / float64(groups)
+		for k, w := range useWindows {
+			if bandWindow/rate <= w {
+				use.within[k] += rate / useRanks / float64(groups) / (planRate * 18_000 / planBalancers)
+			}
+		}
+	}
+}
+
 // What a module holds, in bytes of heap, by its upstreams.
 func BenchmarkHeld(b *testing.B) {
 	for _, upstreams := range []int{0, 37, 370, 2000} {
@@ -209,7 +244,10 @@
 // was sent in its ramp as a part of what a warm one gets in that time, and the most in any window as a part of that
 // window's budget; over several starts, the mean and the worst. Of 250 balancers: where one in six has the service.
 func BenchmarkColdAt(b *testing.B) {
-	for _, x := range []struct{ n, balancers int }{{2, planBalancers}, {10, planBalancers}, {37, planBalancers}, {150, planBalancers}, {300, planBalancers}, {2, planBalancers / 6}, {10, planBalancers / 6}, {37, planBalancers / 6}} {
+	const all, sixth = planBalancers, planBalancers / 6
+	for _, x := range []struct{ n, balancers int }{
+		{2, all}, {10, all}, {37, all}, {150, all}, {300, all}, {2, sixth}, {10, sixth}, {37, sixth},
+	} {
 		b.Run(fmt.Sprintf("%d of %d", x.n, x.balancers), func(b *testing.B) {
 			var first, part, worst []float64
 			users, never := 0, 0
@@ -269,8 +307,9 @@
 
 func newBalancerAt(b *testing.B, balancers, rank, n int, rng *rand.Rand) *balancerAt {
 	x := &balancerAt{
-		rate: planRate * float64(n) / float64(balancers), took: 50 * ms, rng: rng, sent: func(UpstreamID) {}, came: map[RequestID]time.Duration{},
-		attempts: map[RequestID]int{}, dead: func(UpstreamID) bool { return false },
+		rate: planRate * float64(n) / float64(balancers), took: 50 * ms, rng: rng,
+		sent: func(UpstreamID) {}, dead: func(UpstreamID) bool { return false },
+		came: map[RequestID]time.Duration{}, attempts: map[RequestID]int{},
 	}
 	x.Balancer = planned(b, balancers, rank, n, func(kind string, r RequestID, up UpstreamID, d time.Duration, n uint64) {
 		switch {
@@ -326,7 +365,9 @@
 		case len(x.owed) > 0 && x.owed[0].at == at:
 			a := x.owed[0]
 			x.owed = x.owed[1:]
-			o := AttemptResult{ID: a.id, Upstream: a.up, Attempt: a.n, Latency: x.took, Status: OK, Closed: true, Load: x.load(a.up)}
+			o := AttemptResult{
+				ID: a.id, Upstream: a.up, Attempt: a.n, Latency: x.took, Status: OK, Closed: true, Load: x.load(a.up),
+			}
 			if a.up == x.slow {
 				o.Latency = 3 * x.took
 			}
@@ -426,20 +467,8 @@
 				asked, flagged = 0, 0
 				rng := rand.New(rand.NewPCG(1, 2))
 				for range 20 { // balancers
-					s := settings()
-					s.Balancers, s.Tenants = planBalancers, NewTenants([]Tenant{{Name: "one", Quota: x.quota}})
-					balancer, err := New(s, 1, 0, quietHost{})
-					if err != nil {
-						b.Fatal(err)
-					}
-					now := 0.0
-					for range 5000 {
-						now += rng.ExpFloat64() / (x.quota * x.part / float64(x.over))
-						asked++
-						if balancer.overQuota("one", time.Duration(now*float64(time.Second))) {
-							flagged++
-						}
-					}
+					asked += 5000
+					flagged += float64(countOver(b, rng, x.quota, x.quota*x.part/float64(x.over), 5000))
 				}
 			}
 			b.ReportMetric(flagged/asked, "counted-over")
@@ -447,6 +476,24 @@
 	}
 }
 
+// countOver is how many of a tenant's requests at one balancer count as over its quota, at a rate.
+func countOver(b *testing.B, rng *rand.Rand, quota, rate float64, requests int) (over int) {
+	s := settings()
+	s.Balancers, s.Tenants = planBalancers, NewTenants([]Tenant{{Name: "one", Quota: quota}})
+	balancer, err := New(s, 1, 0, quietHost{})
+	if err != nil {
+		b.Fatal(err)
+	}
+	now := 0.0
+	for range requests {
+		now += rng.ExpFloat64() / rate
+		if balancer.overQuota("one", time.Duration(now*float64(time.Second))) {
+			over++
+		}
+	}
+	return over
+}
+
 // What a module takes to hear of one upstream that drains or is back, of a whole list, and to take one request and its
 // answer, by its upstreams.
 func BenchmarkTold(b *testing.B) {
@@ -483,35 +530,43 @@
 	for _, n := range []int{10, 37, 300} {
 		for _, lost := range []float64{1.0 / 19, 5.0 / 6} {
 			b.Run(fmt.Sprintf("%d lost %.2f", n, lost), func(b *testing.B) {
-				var asked, tried, late [4]float64
+				var count silentCount
 				for b.Loop() {
-					asked, tried, late = [4]float64{}, [4]float64{}, [4]float64{}
+					count = silentCount{}
 					rng := rand.New(rand.NewPCG(uint64(n), 11))
 					for rank := 0; rank < planBalancers; rank += planBalancers / 300 {
 						x := newBalancerAt(b, planBalancers, rank, n, rng)
 						x.play(2 * time.Minute)
-						x.dead = func(up UpstreamID) bool { return float64(up-1) < math.Round(lost*float64(n)) }
-						for part, until := range []time.Duration{126 * time.Second, 186 * time.Second, 196 * time.Second, 216 * time.Second} {
-							if part == 2 {
-								x.dead = func(UpstreamID) bool { return false }
-							}
-							before, tries, lates := x.asked, x.tries, x.refused
-							x.play(until)
-							asked[part] += float64(x.asked - before)
-							tried[part] += float64(x.tries - tries)
-							late[part] += float64(x.refused - lates)
-						}
+						count.play(x, func(up UpstreamID) bool { return float64(up-1) < math.Round(lost*float64(n)) })
 					}
 				}
 				for part, name := range []string{"first-6s", "then", "back", "later"} {
-					b.ReportMetric(tried[part]/asked[part], "sent-to-silent-"+name)
-					b.ReportMetric(late[part]/asked[part], "not-served-"+name)
+					b.ReportMetric(count.tried[part]/count.asked[part], "sent-to-silent-"+name)
+					b.ReportMetric(count.late[part]/count.asked[part], "not-served-"+name)
 				}
 			})
 		}
 	}
 }
 
+// silentCount counts requests by the part of the course in which they came.
+type silentCount struct{ asked, tried, late [4]float64 }
+
+// play lets upstreams fall silent after two minutes, and come back after 66 s.
+func (c *silentCount) play(x *balancerAt, dead func(up UpstreamID) bool) {
+	x.dead = dead
+	for part, until := range []time.Duration{126 * time.Second, 186 * time.Second, 196 * time.Second, 216 * time.Second} {
+		if part == 2 {
+			x.dead = func(UpstreamID) bool { return false }
+		}
+		before, tries, lates := x.asked, x.tries, x.refused
+		x.play(until)
+		c.asked[part] += float64(x.asked - before)
+		c.tried[part] += float64(x.tries - tries)
+		c.late[part] += float64(x.refused - lates)
+	}
+}
+
 // How soon the share of an upstream falls that becomes three times slower and reports that it is full: what is sent to
 // it of what was sent before, in the spans that end after so many seconds. Either each balancer reads what its own
 // answers say, or all are told a reading of each upstream that they use once a second, as balancers of a region could
@@ -524,46 +579,16 @@
 				if strings.HasPrefix(how, "a sixth") {
 					balancers /= 6
 				}
-				ends := []int{10, 30, 60, 300}
-				var sent [5]float64
+				var sent slowCount
 				for b.Loop() {
-					sent = [5]float64{}
+					sent = slowCount{}
 					rng := rand.New(rand.NewPCG(uint64(n), 13))
 					for rank := range balancers {
-						x := newBalancerAt(b, balancers, rank, n, rng)
-						if !slices.ContainsFunc(x.subset.upstreams, func(u *upstreamState) bool { return u.ID == 1 }) {
-							continue
-						}
-						span := 0
-						x.sent = func(up UpstreamID) {
-							if up == 1 {
-								sent[span]++
-							}
-						}
-						told := 0
-						to := func(end int) {
-							for ; told < end; told++ {
-								x.play(time.Duration(told+1) * time.Second)
-								for _, u := range x.subset.upstreams {
-									if shared && u.inSubset {
-										x.HealthCheckFinished(x.now, HealthCheckResult{Upstream: u.ID, Status: OK, Load: x.load(u.ID)})
-									}
-								}
-							}
-						}
-						before := sent[0]
-						to(60)
-						sent[0] = before // the first minute is no measure
-						to(120)
-						x.slow = 1
-						for i, end := range ends {
-							span = i + 1
-							to(120 + end)
-						}
+						sent.play(newBalancerAt(b, balancers, rank, n, rng), shared)
 					}
 				}
 				from := 0
-				for i, end := range ends {
+				for i, end := range slowEnds {
 					b.ReportMetric(sent[i+1]/float64(end-from)/(sent[0]/60), fmt.Sprintf("left-to-%ds", end))
 					from = end
 				}
@@ -572,6 +597,49 @@
 	}
 }
 
+// slowEnds are the ends of the spans after an upstream became slow, in seconds.
+var slowEnds = [...]int{10, 30, 60, 300}
+
+// slowCount is what was sent to that upstream: in the minute before, and in each span.
+type slowCount [len(slowEnds) + 1]float64
+
+// play lets an upstream become slow after two minutes, if the balancer uses it.
+func (c *slowCount) play(x *balancerAt, shared bool) {
+	const slow = 1
+	if !slices.ContainsFunc(x.subset.upstreams, func(u *upstreamState) bool { return u.ID == slow }) {
+		return
+	}
+	span := 0
+	x.sent = func(up UpstreamID) {
+		if up == slow {
+			c[span]++
+		}
+	}
+	before := c[0]
+	x.playSeconds(0, 60, shared)
+	c[0] = before // the first minute is no measure
+	x.playSeconds(60, 120, shared)
+	x.slow = slow
+	from := 120
+	for i, end := range slowEnds {
+		span = i + 1
+		x.playSeconds(from, 120+end, shared)
+		from = 120 + end
+	}
+}
+
+// playSeconds goes on second by second; after each a shared reading of all members comes in.
+func (x *balancerAt) playSeconds(from, to int, shared bool) {
+	for second := from; second < to; second++ {
+		x.play(time.Duration(second+1) * time.Second)
+		for _, u := range x.subset.upstreams {
+			if shared && u.inSubset {
+				x.HealthCheckFinished(x.now, HealthCheckResult{Upstream: u.ID, Status: OK, Load: x.load(u.ID)})
+			}
+		}
+	}
+}
+
 // The budget of a cold upstream holds for 1,500 balancers that all have requests for it at the same moments, as it does
 // for 300 (TestColdBudgetHoldsForTheFleet, which plays them more often). The first call comes at once.
 func TestColdBudgetHoldsFor1500(t *testing.T) {
--- a/balancer/tenants_test.go
+++ b/balancer/tenants_test.go
@@ -69,15 +69,7 @@
 			now += time.Duration(rng.IntN(30)) * time.Second
 		}
 		if rng.IntN(500) == 0 {
-			x := Tenant{fmt.Sprintf("t%d", rng.IntN(310)), 20 * rng.Float64()}
-			var gone []string
-			if rng.IntN(3) == 0 {
-				gone = []string{fmt.Sprintf("t%d", rng.IntN(310))}
-			}
-			s.Tenants = s.Tenants.With([]Tenant{x}, gone)
-			if rng.IntN(10) == 0 {
-				s.Balancers = 1 + rng.IntN(5)
-			}
+			s = otherQuotas(s, rng)
 			if err := b.Configure(now, s); err != nil {
 				t.Fatal(err)
 			}
@@ -102,6 +94,20 @@
 	t.Logf("%d over; at most %d of %d kept", overs, most, len(all.levels))
 }
 
+// otherQuotas changes a tenant's quota, and now and then drops a tenant or changes the number of balancers.
+func otherQuotas(s Settings, rng *rand.Rand) Settings {
+	x := Tenant{fmt.Sprintf("t%d", rng.IntN(310)), 20 * rng.Float64()}
+	var gone []string
+	if rng.IntN(3) == 0 {
+		gone = []string{fmt.Sprintf("t%d", rng.IntN(310))}
+	}
+	s.Tenants = s.Tenants.With([]Tenant{x}, gone)
+	if rng.IntN(10) == 0 {
+		s.Balancers = 1 + rng.IntN(5)
+	}
+	return s
+}
+
 // TestNoSecondQuota: a tenant has spent its quota and falls silent while others send, so that the sweep comes by often.
 // Back before its level has run dry it is over at once; back later it has what a new one has, and no more.
 func TestNoSecondQuota(t *testing.T) {
@@ -162,7 +168,8 @@
 		t.Errorf("level %v, want 10 - 2 + 1", b.quota.levels["a"].level)
 	}
 	s.Tenants = s.Tenants.With(nil, []string{"a"})
-	if err := b.Configure(now, s); err != nil || len(b.quota.sweepOrder) != 0 || b.overQuota("a", now) || b.quota.evenRate != 0 {
+	err := b.Configure(now, s)
+	if err != nil || len(b.quota.sweepOrder) != 0 || b.overQuota("a", now) || b.quota.evenRate != 0 {
 		t.Errorf("after it has gone: %v, %d kept", err, len(b.quota.sweepOrder))
 	}
 }
@@ -172,30 +179,7 @@
 func TestTenantsTable(t *testing.T) {
 	rng := rand.New(rand.NewPCG(36, 2))
 	table, want := NewTenants(nil), map[string]float64{}
-	type kept struct {
-		table *Tenants
-		want  map[string]float64
-	}
-	var versions []kept
-	check := func(x kept) {
-		t.Helper()
-		sum, n := 0.0, 0
-		for e := range x.table.All() {
-			if quota, known := x.want[e.Name]; !known || quota != e.Quota {
-				t.Fatalf("%q has %v, want %v", e.Name, e.Quota, quota)
-			}
-			n++
-		}
-		for name, quota := range x.want {
-			if got, known := x.table.Quota(name); !known || got != quota {
-				t.Fatalf("%q has %v (%v), want %v", name, got, known, quota)
-			}
-			sum += quota / 4
-		}
-		if n != len(x.want) || x.table.Len() != n || math.Abs(x.table.evenPart(4)-sum) > 1e-6 {
-			t.Fatalf("%d tenants with %v in all, want %d with %v", n, x.table.evenPart(4), len(x.want), sum)
-		}
-	}
+	var versions []tableVersion
 	for range 300 {
 		var changed []Tenant
 		var gone []string
@@ -205,34 +189,66 @@
 		for range rng.IntN(60) {
 			changed = append(changed, Tenant{fmt.Sprint(rng.IntN(3000)), rng.Float64()})
 		}
-		next := map[string]float64{}
-		for name, quota := range want {
-			if !slices.Contains(gone, name) {
-				next[name] = quota
-			}
-		}
-		for _, x := range changed {
-			next[x.Name] = x.Quota
-		}
 		before := table
-		table, want = table.With(changed, gone), next
-		versions = append(versions, kept{table, want})
+		table, want = table.With(changed, gone), changedMap(want, changed, gone)
+		versions = append(versions, tableVersion{table, want})
 		if table.Equal(before) && !sameMap(want, versions[max(0, len(versions)-2)].want) {
 			t.Fatal("a changed table is equal to the one before")
 		}
 	}
 	for _, x := range versions {
-		check(x)
+		x.check(t)
 	}
 	var list []Tenant
 	for name, quota := range want {
 		list = append(list, Tenant{name, quota})
 	}
-	if fresh := NewTenants(list); !fresh.Equal(table) || !table.Equal(fresh) || fresh.Equal(nil) || !(*Tenants)(nil).Equal(NewTenants(nil)) {
+	fresh, empty := NewTenants(list), (*Tenants)(nil)
+	if !fresh.Equal(table) || !table.Equal(fresh) || fresh.Equal(nil) || !empty.Equal(NewTenants(nil)) {
 		t.Error("Equal is wrong")
 	}
 }
 
+// tableVersion is a table and what it is to hold.
+type tableVersion struct {
+	table *Tenants
+	want  map[string]float64
+}
+
+func (x tableVersion) check(t *testing.T) {
+	t.Helper()
+	sum, n := 0.0, 0
+	for e := range x.table.All() {
+		if quota, known := x.want[e.Name]; !known || quota != e.Quota {
+			t.Fatalf("%q has %v, want %v", e.Name, e.Quota, quota)
+		}
+		n++
+	}
+	for name, quota := range x.want {
+		if got, known := x.table.Quota(name); !known || got != quota {
+			t.Fatalf("%q has %v (%v), want %v", name, got, known, quota)
+		}
+		sum += quota / 4
+	}
+	if n != len(x.want) || x.table.Len() != n || math.Abs(x.table.evenPart(4)-sum) > 1e-6 {
+		t.Fatalf("%d tenants with %v in all, want %d with %v", n, x.table.evenPart(4), len(x.want), sum)
+	}
+}
+
+// changedMap is what a table of these quotas is to hold after a change.
+func changedMap(quotas map[string]float64, changed []Tenant, gone []string) map[string]float64 {
+	next := map[string]float64{}
+	for name, quota := range quotas {
+		if !slices.Contains(gone, name) {
+			next[name] = quota
+		}
+	}
+	for _, x := range changed {
+		next[x.Name] = x.Quota
+	}
+	return next
+}
+
 func sameMap(x, y map[string]float64) bool {
 	for name, quota := range x {
 		if q, known := y[name]; !known || q != quota {
@@ -247,7 +263,8 @@
 	for _, list := range [][]Tenant{{{"x", 1}, {"y", 2}, {"x", 3}}, {{"x", math.Inf(1)}}, {{"x", -1}}} {
 		s := settings()
 		s.Tenants = NewTenants(list)
-		if err := s.Validate(); !errors.Is(err, ErrSettings) || !strings.Contains(err.Error(), `tenant "x" is set twice or has a Quota`) {
+		err := s.Validate()
+		if !errors.Is(err, ErrSettings) || !strings.Contains(err.Error(), `tenant "x" is set twice or has a Quota`) {
 			t.Errorf("%v: %v", list, err)
 		}
 	}
