--- a/balancer/api.go
+++ b/balancer/api.go
@@ -1,6 +1,6 @@
 // Package balancer makes the decisions of a load-balancing proxy for fleets of
-// HTTP servers: which upstream gets a request, whether it is sent again, held,
-// refused or failed, and how the upstream list is followed. It does no I/O.
+// HTTP servers: which upstream gets a request, whether it is sent again, queued,
+// rejected or failed, and how the endpoint list is followed. It does no I/O.
 //
 // # Contract
 //
@@ -10,18 +10,26 @@
 // outside it. It reads no clock, starts no goroutine and shares no state with
 // other Balancers; the same events with the same seed give the same actions.
 //
-// Events arrive in order: a request's Request first, then one Outcome for each
-// Send, at most one Gone. An Outcome may follow the request's final answer.
-// Ids that are not held are passed over. Memory is bounded by what the owner
-// has open: requests, attempts and listed upstreams.
+// Events arrive in order: a request's RequestArrived first, then one
+// AttemptFinished for each Send, at most one ClientLeft. An AttemptFinished may
+// follow the request's final answer. Ids that are not known are passed over.
+// Memory is bounded by what the owner has open: requests, attempts and listed
+// upstreams.
 //
-// Every request gets exactly one final answer: a successful Outcome, Refuse or
-// Fail. Refuse promises the client that another try is harmless.
+// Every request gets exactly one final answer: a successful AttemptFinished,
+// Reject or Fail. Reject promises the client that a retry is harmless.
+//
+// # Where to read on
+//
+// balancer.go puts the parts together, requests.go takes a request from its
+// arrival to its final answer, interleaver.go picks the upstream of an attempt,
+// outcomes.go learns from how it ended, and period.go moves shares and limits
+// once a second. Each other file is one part, a type with its own state.
 package balancer
 
 import "time"
 
-// RequestID names one try of a client's request; ids are never reused.
+// RequestID names one request that a client sent, so a retry has another; ids are never reused.
 type RequestID uint64
 
 // UpstreamID names an upstream. It carries no meaning and survives restarts.
@@ -30,17 +38,17 @@
 // Idempotency says whether a class may run more than once, safest first.
 type Idempotency uint8
 
-// The repeat kinds.
+// The kinds of idempotency.
 const (
 	Idempotent        Idempotency = iota // may run any number of times
-	IdempotentWithKey                    // a group of upstreams drops repeats for Class.Memory
+	IdempotentWithKey                    // a group of upstreams drops repeats for Class.DeduplicationWindow
 	NonIdempotent                        // must never run twice
 )
 
-// KeyScope says which upstreams drop a keyed request's repeats.
+// KeyScope says which upstreams drop the repeats of a request with an idempotency key.
 type KeyScope uint8
 
-// The groups.
+// The scopes.
 const (
 	KeyScopeAll KeyScope = iota
 	KeyScopeZone
@@ -50,17 +58,17 @@
 // Class is one kind of request.
 type Class struct {
 	Name                string
-	LatencyObjective    time.Duration // answers within it earn full worth
+	LatencyObjective    time.Duration // answers within it earn the full weight
 	Deadline            time.Duration // the client's total wait
 	Idempotency         Idempotency
-	KeyScope            KeyScope      // for Keyed
-	DeduplicationWindow time.Duration // for Keyed: how long repeats are dropped
+	KeyScope            KeyScope      // for IdempotentWithKey
+	DeduplicationWindow time.Duration // for IdempotentWithKey: how long repeats are dropped
 	Stream              bool
 	PriorityWeight      float64
-	LateWeightFactor    float64 // fraction of Worth between Aim and Deadline
+	LateWeightFactor    float64 // part of the weight of an answer between LatencyObjective and Deadline
 }
 
-// Tenant is a customer with a share of the service.
+// Tenant is a customer with a quota.
 type Tenant struct {
 	Name  string
 	Quota float64 // requests a second over all balancers
@@ -74,16 +82,16 @@
 	RetryAfter    bool
 	MaxRetryAfter time.Duration // longest wait a client honours
 	MaxAttempts   int
-	MaxInFlight   int // attempts out at once over all upstreams, such as connections suffice for; 0: any number
+	MaxInFlight   int // attempts in flight over all upstreams, such as connections suffice for; 0: any number
 }
 
-// Rules holds the figures of the drain and cold-start rules.
+// Rules holds the figures of the rules about draining and slow start.
 type Rules struct {
-	PollInterval      time.Duration // discovery on request: ask at least this often
+	PollInterval      time.Duration // discovery that is polled: at least this often
 	SlowStartFloor    float64       // an upstream starts at this share of capacity or more
 	SlowStartDuration time.Duration // and is warm no later than this
-	OverloadMultiple  float64       // sent more than this multiple of present capacity
-	OverloadWindow    time.Duration // for this long, a cold upstream falls over
+	OverloadMultiple  float64       // sent over this multiple of its present capacity
+	OverloadWindow    time.Duration // for this long, an upstream that warms up is overloaded
 	DrainGrace        time.Duration // sends to a draining upstream must cease within this
 	AnswerSlack       time.Duration // slack of a final answer after the client's deadline
 }
@@ -105,8 +113,8 @@
 // The ways of reporting.
 const (
 	ReportNone         ReportVia = iota
-	ReportAnswers                // within outcomes and probe results
-	ReportHealthChecks           // within probe results only
+	ReportAnswers                // within outcomes and health checks
+	ReportHealthChecks           // within health checks only
 )
 
 // Settings is what a Balancer is told at its start.
@@ -116,12 +124,12 @@
 	Rank                  int // of this instance among them, from 0
 	Classes               []Class
 	Tenants               *Tenants
-	OverQuotaWeightFactor float64 // worth of traffic over a tenant's quota
-	WeightByWork          bool    // worth counts per unit of work, not per request
-	WarmKeys              bool    // an upstream serves keys it met lately with less work
+	OverQuotaWeightFactor float64 // what is left of the weight of requests over a tenant's quota
+	WeightByWork          bool    // weight counts per unit of work, not per request
+	WarmKeys              bool    // an upstream serves keys that it has seen lately with less work
 	Limits                Limits
 	Rules                 Rules
-	PollDiscovery         bool // discovery answers only when asked
+	PollDiscovery         bool // discovery answers only when it is polled
 	Weights               WeightKind
 	Reports               ReportVia
 	Granularity           time.Duration // least spacing of event batches
@@ -146,25 +154,25 @@
 	Weight      float64
 	StartedAt   time.Duration // latest start on the owner's clock; 0: long past
 	State       State
-	WarmUpShare float64 // of its cold budget, where one owner runs several Balancers on it; 0: all
-	MaxInFlight int     // attempts out at once that it may have of this Balancer; 0: any number
+	WarmUpShare float64 // of its budget while it warms up, where one owner runs several Balancers on it; 0: all
+	MaxInFlight int     // attempts in flight that it may have of this Balancer; 0: any number
 }
 
-// ListMode says how a list relates to the one held.
+// ListMode says how a list relates to the one known.
 type ListMode uint8
 
 // The list modes.
 const (
 	ListDelta  ListMode = iota // changed entries only
 	ListFull                   // the whole list; what it lacks is gone
-	ListCached                 // the whole list as last held, maybe stale
+	ListCached                 // the whole list as last known, maybe stale
 	ListFailed                 // the call failed or the watch dropped; no entries
 )
 
 // Request is a client's request.
 type Request struct {
 	ID     RequestID
-	Budget time.Duration // the client gives up this try after it
+	Budget time.Duration // the client gives up after it
 	Class  string        // a name from Settings.Classes
 	Tenant string        // a name from Settings.Tenants, or empty
 	Key    uint64        // subject of the request, if HasKey
@@ -172,17 +180,17 @@
 	Retry  bool
 	Cost   time.Duration // hint: work on a standard core; 0: unknown
 
-	BodyStreaming bool // its body goes on as it comes: an attempt owes no answer before Sent
+	BodyStreaming bool // its body is sent on as it comes: an attempt owes no answer before BodySent
 }
 
-// Status is how an attempt or probe ended.
+// Status is how an attempt or health check ended.
 type Status uint8
 
 // The statuses. Those marked * prove that the request never ran.
 const (
 	OK            Status = iota
 	Error                // the upstream answered with an error
-	Rejected             // * turned away unseen
+	Rejected             // * the upstream did not look at it
 	Timeout              // no answer in time
 	ConnectFailed        // * no connection in time
 	Reset                // connection lost
@@ -207,7 +215,7 @@
 type Load struct {
 	Fields   LoadField
 	Util     float64 // share of CPU busy
-	Inflight float64 // requests held
+	Inflight float64 // requests in flight
 	Queue    float64 // requests waiting
 	Service  float64 // recent service time, ms
 	Rate     float64 // requests served a second
@@ -225,7 +233,7 @@
 	Load     Load
 }
 
-// HealthCheckResult is the end of one probe.
+// HealthCheckResult is the end of one health check.
 type HealthCheckResult struct {
 	Upstream UpstreamID
 	Latency  time.Duration
@@ -242,7 +250,7 @@
 	HealthCheck(up UpstreamID)
 	CloseIdle(up UpstreamID) // close idle connections
 	WatchEndpoints(on bool)  // subscribe to discovery
-	FetchEndpoints()         // ask discovery for the whole list once
+	FetchEndpoints()         // poll discovery for the whole list once
 	SetTimer(after time.Duration, token uint64)
 	Log(text string)
 }
@@ -256,8 +264,8 @@
 	ClientLeft(now time.Duration, id RequestID) // the client left, nothing more is owed
 	HealthCheckFinished(now time.Duration, p HealthCheckResult)
 	TimerFired(now time.Duration, token uint64)
-	MaxInFlightChanged(now time.Duration, up UpstreamID, most int) // Upstream.Most has changed
-	// SendDeadline is before when a Send must be written; it is asked from within Host.Send too.
+	MaxInFlightChanged(now time.Duration, up UpstreamID, most int) // Upstream.MaxInFlight has changed
+	// SendDeadline is before when a Send must be written; 0: no such time. It is called from within Host.Send too.
 	SendDeadline(id RequestID) time.Duration
 }
 
--- a/balancer/fleet_test.go
+++ b/balancer/fleet_test.go
@@ -1,21 +1,26 @@
 package balancer
 
-import "testing"
+import (
+	"slices"
+	"testing"
+)
 
-func TestFirstOf(t *testing.T) {
+func TestLowerQuantiles(t *testing.T) {
 	for _, c := range []struct {
-		parts  int
-		values []float64
-		want   float64
+		values                []float64
+		median, lowerQuartile float64
 	}{
-		{medianParts, nil, 0},
-		{medianParts, []float64{7}, 7},
-		{medianParts, []float64{9, 1, 5}, 5},
-		{medianParts, []float64{9, 1, 5, 7}, 7},
-		{quartileParts, []float64{8, 7, 6, 5, 4, 3, 2, 1}, 3},
+		{nil, 0, 0},
+		{[]float64{7}, 7, 7},
+		{[]float64{9, 1, 5}, 5, 1},
+		{[]float64{9, 1, 5, 7}, 7, 5},
+		{[]float64{8, 7, 6, 5, 4, 3, 2, 1}, 5, 3},
 	} {
-		if got := firstOf(c.parts, c.values); got != c.want {
-			t.Errorf("one in %d of %v: %v, want %v", c.parts, c.values, got, c.want)
+		if got := median(slices.Clone(c.values)); got != c.median {
+			t.Errorf("%v: median %v, want %v", c.values, got, c.median)
+		}
+		if got := lowerQuartile(slices.Clone(c.values)); got != c.lowerQuartile {
+			t.Errorf("%v: lower quartile %v, want %v", c.values, got, c.lowerQuartile)
 		}
 	}
 }
--- a/balancer/idle.go
+++ b/balancer/idle.go
@@ -121,7 +121,7 @@
 		return true
 	}
 	inputs := &b.subset.inputs
-	width := b.subsetWidth(float64(inputs.active)) // it sets the growth of limits
+	width := b.updateWidth(float64(inputs.active)) // it sets the growth of limits
 	return width == inputs.width && b.limits.growth == inputs.limitGrowth
 }
 
--- a/balancer/interleaver.go
+++ b/balancer/interleaver.go
@@ -20,9 +20,9 @@
 	return max(due, i.virtualTime-maxDebtRounds*round) + round
 }
 
-// pickUpstream gives the turn to the upstream due first among those that may take a request now. legal: some
+// pickUpstream gives the turn to the upstream due first among those that may take a request now. permitted: some
 // upstream may ever take it.
-func (b *Balancer) pickUpstream(req *request, now time.Duration) (best *upstreamState, legal bool) {
+func (b *Balancer) pickUpstream(req *request, now time.Duration) (best *upstreamState, permitted bool) {
 	var total float64
 	hasRoom := b.settings.Limits.MaxInFlight == 0 || b.inFlight < b.settings.Limits.MaxInFlight
 	for _, upstream := range b.subset.upstreams {
@@ -33,7 +33,7 @@
 		if !b.retry.maySend(req, upstream, now) {
 			continue
 		}
-		legal = true
+		permitted = true
 		first := best == nil || upstream.dueTurn < best.dueTurn
 		if hasRoom && first && b.isEligible(upstream, req, now) {
 			best = upstream
@@ -43,7 +43,7 @@
 		round := total / b.trafficShare(best, now)
 		best.dueTurn = b.interleaver.take(best.dueTurn, round)
 	}
-	return best, legal
+	return best, permitted
 }
 
 // isEligible reports whether an upstream may take a request at this turn.
--- a/balancer/latency.go
+++ b/balancer/latency.go
@@ -37,21 +37,21 @@
 	return perWork
 }
 
-// bestOf is the least latency for a unit of work, here or in a good part of the fleet: an upstream that was crowded
-// from the first answer on knows no better of itself.
-func (l *latencyStats) bestOf(fleet *fleetStats) float64 {
+// bestHereOrInFleet is the least latency for a unit of work, here or in a good part of the fleet: an upstream that was
+// crowded from the first answer on knows no better of itself.
+func (l *latencyStats) bestHereOrInFleet(fleet *fleetStats) float64 {
 	return min(l.best, cmp.Or(fleet.bestLatency, l.best))
 }
 
-// unloadedOf is the same of the slow mean.
-func (l *latencyStats) unloadedOf(fleet *fleetStats) float64 {
+// unloadedHereOrInFleet is the same of the slow mean.
+func (l *latencyStats) unloadedHereOrInFleet(fleet *fleetStats) float64 {
 	return min(l.unloaded, cmp.Or(fleet.unloadedLatency, l.unloaded))
 }
 
 // estimateUtilisation is the utilisation of an upstream that reports none: where half of its latency is spent in a
 // queue, half of it is used (so the mean has it in M/M/1).
 func (l *latencyStats) estimateUtilisation(fleet *fleetStats) float64 {
-	return max(0, 1-l.unloadedOf(fleet)/l.smoothed)
+	return max(0, 1-l.unloadedHereOrInFleet(fleet)/l.smoothed)
 }
 
 // updateMean moves a running mean; the first sample sets it.
--- a/balancer/latency_test.go
+++ b/balancer/latency_test.go
@@ -88,8 +88,8 @@
 	for _, c := range []struct{ own, fleet, want float64 }{{50, 0, 50}, {50, 80, 50}, {50, 20, 20}} {
 		l := latencyStats{best: c.own, unloaded: c.own}
 		fleet := fleetStats{bestLatency: c.fleet, unloadedLatency: c.fleet}
-		if l.bestOf(&fleet) != c.want || l.unloadedOf(&fleet) != c.want {
-			t.Errorf("%+v: %v, %v", c, l.bestOf(&fleet), l.unloadedOf(&fleet))
+		if l.bestHereOrInFleet(&fleet) != c.want || l.unloadedHereOrInFleet(&fleet) != c.want {
+			t.Errorf("%+v: %v, %v", c, l.bestHereOrInFleet(&fleet), l.unloadedHereOrInFleet(&fleet))
 		}
 	}
 }
--- a/balancer/limits.go
+++ b/balancer/limits.go
@@ -23,7 +23,8 @@
 // counted as crowding. Growth goes by the least, or by readings where one answer outweighs the mean.
 func (b *Balancer) adjustLimit(upstream *upstreamState, got *answer, now time.Duration) {
 	spare := upstream.band.mean < fullUtilisation
-	crowded := got.perWork > max(crowdedRatio*upstream.latency.unloadedOf(&b.fleet), crowdedObjectivePart*got.objective)
+	unloaded := upstream.latency.unloadedHereOrInFleet(&b.fleet)
+	crowded := got.perWork > max(crowdedRatio*unloaded, crowdedObjectivePart*got.objective)
 	if crowded && (!got.sparse || !spare) {
 		b.cutLimit(upstream, now, limitCut)
 		return
@@ -32,8 +33,10 @@
 		upstream.limit.allowed = b.limits.initial
 		return
 	}
-	uncrowded := got.sparse || got.idle() || got.perWork < uncrowdedRatio*upstream.latency.bestOf(&b.fleet)
-	if uncrowded && spare && upstream.limit.halfUsed(len(upstream.inFlight)) && b.lacksTurns(now) {
+	best := upstream.latency.bestHereOrInFleet(&b.fleet)
+	uncrowded := got.sparse || got.idle() || got.perWork < uncrowdedRatio*best
+	wanted := upstream.limit.halfUsed(len(upstream.inFlight)) && b.lacksTurns(now)
+	if uncrowded && spare && wanted {
 		upstream.limit.grow(got.objective/got.latency-1, b.limits.growth, growthBound(upstream, got))
 	}
 }
--- a/balancer/period.go
+++ b/balancer/period.go
@@ -42,10 +42,10 @@
 	utilisation := func(u *upstreamState) float64 { return u.band.mean }
 	best := func(u *upstreamState) float64 { return u.latency.best }
 	unloaded := func(u *upstreamState) float64 { return u.latency.unloaded }
-	b.fleet.utilisation = b.quantile(medianParts, utilisation)
+	b.fleet.utilisation = median(b.measured(utilisation))
 	b.fleet.errorRate = b.usualErrorRate()
-	b.fleet.bestLatency = b.quantile(quartileParts, best)
-	b.fleet.unloadedLatency = b.quantile(quartileParts, unloaded)
+	b.fleet.bestLatency = lowerQuartile(b.measured(best))
+	b.fleet.unloadedLatency = lowerQuartile(b.measured(unloaded))
 }
 
 // forgetRemoved forgets the upstreams that are gone and owe nothing.
--- a/balancer/requests.go
+++ b/balancer/requests.go
@@ -47,13 +47,13 @@
 // RequestArrived takes a client's request.
 func (b *Balancer) RequestArrived(now time.Duration, arrived Request) {
 	b.catchUp(now)
-	cls := b.classes[arrived.Class]
-	if cls == nil { // a class that the settings lack; never sent, so a retry is harmless
+	requestClass := b.classes[arrived.Class]
+	if requestClass == nil { // a class that the settings lack; never sent, so a retry is harmless
 		b.host.Reject(arrived.ID, 0) // and it helps as little later
 		return
 	}
 	b.arrivals.count++
-	req := b.newRequest(arrived, cls, now)
+	req := b.newRequest(arrived, requestClass, now)
 	b.requests[req.ID] = req
 	recentlyFull := now-b.queue.lastFullAt < time.Duration(b.latency)
 	if req.weight == 0 && recentlyFull {
@@ -65,9 +65,10 @@
 }
 
 // newRequest weighs a request and counts it against its tenant's quota.
-func (b *Balancer) newRequest(arrived Request, cls *class, now time.Duration) *request {
-	req := &request{Request: arrived, class: cls, weight: cls.PriorityWeight, deadline: now + arrived.Budget}
-	req.work = cmp.Or(cls.latency/b.latency, 1)
+func (b *Balancer) newRequest(arrived Request, requestClass *class, now time.Duration) *request {
+	req := &request{Request: arrived, class: requestClass, deadline: now + arrived.Budget}
+	req.weight = requestClass.PriorityWeight
+	req.work = cmp.Or(requestClass.latency/b.latency, 1)
 	if arrived.Cost > 0 {
 		updateMean(&b.meanCost, float64(arrived.Cost), sampleWeight*sampleWeight)
 		req.work = max(float64(arrived.Cost)/b.meanCost, sampleWeight)
@@ -78,31 +79,32 @@
 	if b.overQuota(arrived.Tenant, now) {
 		req.weight *= b.settings.OverQuotaWeightFactor
 	}
-	margin := time.Duration((sendMargin - cls.LateWeightFactor) * cmp.Or(cls.latency, b.latency))
-	if cls.isLateRetry(arrived.Budget, margin) {
-		req.weight *= cls.LateWeightFactor
+	margin := time.Duration((sendMargin - requestClass.LateWeightFactor) * cmp.Or(requestClass.latency, b.latency))
+	requestClass.maxBudget = max(requestClass.maxBudget, arrived.Budget)
+	if requestClass.isLateRetry(arrived.Budget, margin) {
+		req.weight *= requestClass.LateWeightFactor
 	}
 	// Queued requests are looked at once a tick: without one in hand a short budget ran out unseen.
-	req.sendBy = now + min(cls.LatencyObjective, arrived.Budget) - max(margin, b.tickInterval) - b.tickInterval
+	req.sendBy = now + min(requestClass.LatencyObjective, arrived.Budget) - max(margin, b.tickInterval) - b.tickInterval
 	return req
 }
 
 // isLateRetry reports whether a request is a client's retry that can't be answered within the objective: it shows its
 // age by a short budget. Past the objective such once took the turns of those in time.
 func (c *class) isLateRetry(budget, margin time.Duration) bool {
-	c.maxBudget = max(c.maxBudget, budget)
+	isRetry := budget < c.maxBudget-c.maxBudget/budgetTolerance
 	age := c.Deadline - budget
-	return budget < c.maxBudget-c.maxBudget/budgetTolerance && c.LatencyObjective-age < margin
+	return isRetry && c.LatencyObjective-age < margin
 }
 
 // sendOrQueue sends a request if a turn allows it, queues it if one may come free in time, and otherwise ends it.
 func (b *Balancer) sendOrQueue(req *request, now time.Duration) {
-	upstream, legal := b.pickUpstream(req, now)
+	upstream, permitted := b.pickUpstream(req, now)
 	if upstream != nil {
 		b.send(req, upstream, now)
 		return
 	}
-	mayWait := legal || (req.neverRan() && len(req.attempts) < b.retry.maxAttempts)
+	mayWait := permitted || (req.neverRan() && len(req.attempts) < b.retry.maxAttempts)
 	if mayWait && now < req.sendBy {
 		b.queue.add(req, now)
 		return
--- a/balancer/requests_test.go
+++ b/balancer/requests_test.go
@@ -18,14 +18,24 @@
 		{"a retry with less than the margin left to the objective", 799 * ms, 100 * ms, true},
 		{"a retry past the objective", 500 * ms, 100 * ms, true},
 	} {
-		cls := &class{Class: Class{LatencyObjective: 300 * ms, Deadline: time.Second}, maxBudget: time.Second}
-		if cls.isLateRetry(c.budget, c.margin) != c.late {
+		requestClass := &class{Class: Class{LatencyObjective: 300 * ms, Deadline: time.Second}, maxBudget: time.Second}
+		if requestClass.isLateRetry(c.budget, c.margin) != c.late {
 			t.Errorf("%s: a late retry: %v", c.name, !c.late)
 		}
 	}
-	cls := &class{Class: Class{LatencyObjective: 300 * ms, Deadline: time.Second}}
-	if cls.isLateRetry(500*ms, 100*ms) || cls.maxBudget != 500*ms {
-		t.Error("the longest budget so far is no retry's")
+}
+
+// The longest budget so far is no retry's.
+func TestLongestBudgetIsFollowed(t *testing.T) {
+	b, _ := start(t, settings(), nil)
+	for _, c := range []struct {
+		budget, longest time.Duration
+		weight          float64 // half of it is left to a late retry
+	}{{500 * ms, 500 * ms, 1}, {time.Second, time.Second, 1}, {500 * ms, time.Second, 0.5}} {
+		r := b.newRequest(Request{Class: "read", Budget: c.budget}, b.classes["read"], time.Hour)
+		if r.weight != c.weight || b.classes["read"].maxBudget != c.longest {
+			t.Errorf("%+v: weight %v, longest budget %v", c, r.weight, b.classes["read"].maxBudget)
+		}
 	}
 }
 
--- a/balancer/retry_test.go
+++ b/balancer/retry_test.go
@@ -111,8 +111,8 @@
 		{"without a key", Idempotent, []*attempt{at(1), at(2)}, 0},
 	} {
 		policy := retryPolicy{margin: 20 * ms}
-		cls := &class{Class: Class{Idempotency: c.idempotency, DeduplicationWindow: 400 * ms}}
-		r := &request{class: cls, attempts: c.attempts}
+		requestClass := &class{Class: Class{Idempotency: c.idempotency, DeduplicationWindow: 400 * ms}}
+		r := &request{class: requestClass, attempts: c.attempts}
 		if got := policy.sendDeadline(r); got != c.deadline {
 			t.Errorf("%s: %v, want %v", c.name, got, c.deadline)
 		}
--- a/balancer/subset.go
+++ b/balancer/subset.go
@@ -59,9 +59,9 @@
 	}
 }
 
-// subsetWidth is how many of so many upstreams this balancer uses: with a multiple of its even part of the traffic as
+// updateWidth is how many of so many upstreams this balancer uses: with a multiple of its even part of the traffic as
 // many times more, with as many turns at first over all of them.
-func (b *Balancer) subsetWidth(active float64) float64 {
+func (b *Balancer) updateWidth(active float64) float64 {
 	rate := cmp.Or(b.quota.evenRate, b.arrivals.perSecond)
 	width, growth := baseWidth(active, b.settings.Balancers, rate)
 	b.limits.growth = growth
@@ -71,7 +71,7 @@
 
 // currentInputs is what the choice goes by now.
 func (b *Balancer) currentInputs(active int) subsetInputs {
-	width := b.subsetWidth(float64(active)) // it sets the growth of limits
+	width := b.updateWidth(float64(active)) // it sets the growth of limits
 	return subsetInputs{active, width, b.limits.growth, b.settings.Rank, b.settings.Balancers}
 }
 
