--- a/balancer/limits_test.go
+++ b/balancer/limits_test.go
@@ -279,3 +279,64 @@
 		t.Errorf("bound %v with four in use", u.limit.allowed)
 	}
 }
+
+// An objective of 320 ms: an answer within 20 ms leaves no doubt that nothing waited.
+func TestGrowthBound(t *testing.T) {
+	for _, c := range []struct {
+		name        string
+		latency     time.Duration
+		maxInFlight int
+		want        float64
+	}{
+		{"up to twice the limit in a period", 100 * ms, 0, 6},
+		{"no further than the cap", 100 * ms, 4, 4},
+		{"the cap lies higher", 100 * ms, 9, 6},
+		{"an idle upstream", 19 * ms, 0, math.Inf(1)},
+		{"an idle upstream with a cap", 19 * ms, 9, 9},
+	} {
+		upstream := &upstreamState{Upstream: Upstream{MaxInFlight: c.maxInFlight}, limit: concurrencyLimit{periodMax: 6}}
+		got := growthBound(upstream, &answer{latency: float64(c.latency), objective: float64(320 * ms)})
+		if got != c.want {
+			t.Errorf("%s: %v, want %v", c.name, got, c.want)
+		}
+	}
+}
+
+// The least latency for a unit of work is 50 ms, the objective 300 ms; the limit is 4 of at first 3.
+func TestAdjustLimit(t *testing.T) {
+	const cut, kept, grown = 3.2, 4.0, 4.5
+	for _, c := range []struct {
+		name   string
+		answer answer
+		use    float64
+		limit  float64
+		full   bool // a request had to wait
+		want   float64
+	}{
+		{"as usual", answer{50, 300, 50, false}, 0.5, 4, true, grown},
+		{"no request had to wait", answer{50, 300, 50, false}, 0.5, 4, false, kept},
+		{"at full use", answer{50, 300, 50, false}, 0.9, 4, true, kept},
+		{"a queue begins", answer{80, 300, 79, false}, 0.5, 4, true, kept},
+		{"a sparse answer says little of latency", answer{50, 300, 79, true}, 0.5, 4, true, grown},
+		{"crowded", answer{160, 300, 160, false}, 0.5, 4, true, cut},
+		{"crowded, far under the objective", answer{160, 900, 160, false}, 0.5, 4, true, kept},
+		{"a sparse late answer at spare use", answer{160, 300, 160, true}, 0.5, 4, false, kept},
+		{"a sparse late answer at full use", answer{160, 300, 160, true}, 0.9, 4, false, cut},
+		{"it had been cut: its rest is over", answer{50, 300, 50, false}, 0.5, 0.3, false, 3},
+	} {
+		b, _ := start(t, settings(), fleet(1))
+		b.limits = limitSettings{initial: 3, growth: 1}
+		b.queue.lastFullAt = time.Hour
+		if !c.full {
+			b.queue.lastFullAt = 0
+		}
+		upstream := b.upstreams[0]
+		upstream.limit = concurrencyLimit{allowed: c.limit, periodMax: 100}
+		upstream.latency = latencyStats{best: 50, unloaded: 50}
+		upstream.band.mean = c.use
+		upstream.inFlight = make([]*attempt, 5)
+		if b.adjustLimit(upstream, &c.answer, time.Hour); !near(upstream.limit.allowed, c.want) {
+			t.Errorf("%s: %v, want %v", c.name, upstream.limit.allowed, c.want)
+		}
+	}
+}
--- a/balancer/outlier.go
+++ b/balancer/outlier.go
@@ -16,12 +16,12 @@
 // outlierDetector follows an upstream's errors and its silence. An unresponsive one gets trial requests only, each
 // after a longer wait than the one before. errorRate lies in [0, 1].
 type outlierDetector struct {
-	errorRate    float64 // share of errors among the answers, the newest first
-	answers      int     // with and without an error
 	unresponsive bool
 	trialAt      time.Duration // the next trial request
 	backoff      time.Duration // growing wait between trials or failed connections
 	answeredAt   time.Duration
+	answers      int     // with and without an error
+	errorRate    float64 // share of errors among the answers, the newest first
 }
 
 // recordAnswer counts an answer.
--- a/balancer/upstream.go
+++ b/balancer/upstream.go
@@ -7,13 +7,15 @@
 type upstreamState struct {
 	Upstream
 
-	// Read for each request; they stand together for the sake of the cache.
-	inSubset  bool
-	dueTurn   float64 // its next turn in the interleaver's virtual time
-	share     share
+	// What each pick and each choice of the subset reads stands together for the sake of the cache: from here to the
+	// begin of slowStart.
+	ringEntry ringEntry // as of the last choice of the subset
 	outlier   outlierDetector
-	limit     concurrencyLimit
+	share     share
+	dueTurn   float64 // its next turn in the interleaver's virtual time
+	inSubset  bool
 	slowStart slowStart
+	limit     concurrencyLimit
 	inFlight  []*attempt // in order of sending
 
 	band              bollingerBand
@@ -21,8 +23,7 @@
 	unreportedAnswers int  // successful answers in a row without a load report
 	latency           latencyStats
 	workload          workload
-	ringPosition      uint64    // on the ring of all upstreams
-	ringEntry         ringEntry // as of the last choice of the subset
+	ringPosition      uint64 // on the ring of all upstreams
 	healthCheckedAt   time.Duration
 }
 
