--- a/balancer/cold_test.go
+++ b/balancer/cold_test.go
@@ -20,7 +20,8 @@
 
 const coldID = 3
 
-// newColdFleet starts balancers that know how much a warm upstream carries, or where all are cold how long an answer takes.
+// newColdFleet starts balancers that know how much a warm upstream carries, or where all are cold how long an answer
+// takes.
 func newColdFleet(t *testing.T, balancers int, capacity float64, cold bool) *coldFleet {
 	f := &coldFleet{
 		t: t, s: settings(), all: make([]*Balancer, balancers), born: time.Hour, cold: cold,
@@ -30,15 +31,15 @@
 	slices := 0.0
 	for rank := range balancers {
 		f.begin(rank, f.born)
-		for _, u := range f.all[rank].near {
-			if u.ID == coldID && u.member {
-				slices += u.slice
+		for _, u := range f.all[rank].subset.upstreams {
+			if u.ID == coldID && u.inSubset {
+				slices += u.share.subsetPart
 			}
 		}
 	}
 	for _, b := range f.all {
-		if b.lat = float64(f.took); !cold {
-			b.carry = capacity / slices
+		if b.latency = float64(f.took); !cold {
+			b.fleet.workPerWeight = capacity / slices
 		}
 	}
 	return f
@@ -85,11 +86,11 @@
 // ask lets a balancer have a request that only the cold upstream can take now.
 func (f *coldFleet) ask(rank int, now time.Duration) {
 	b := f.all[rank]
-	for _, u := range b.ups {
+	for _, u := range b.upstreams {
 		if u.ID != coldID {
-			u.freeAt = now + time.Hour
+			u.limit.nextSendAt = now + time.Hour
 		} else {
-			u.freeAt, u.bound = now, 100 // what binds is the budget
+			u.limit.nextSendAt, u.limit.allowed = now, 100 // what binds is the budget
 		}
 	}
 	f.seq++
@@ -99,12 +100,12 @@
 	if r == nil {
 		return
 	}
-	if r.out > 0 {
+	if r.inFlight > 0 {
 		f.sent = append(f.sent, now)
 		b.AttemptFinished(now, AttemptResult{ID: id, Upstream: coldID, Latency: f.took, Status: OK, Closed: true})
 	} else {
 		b.ClientLeft(now, id)
-		b.dispatch(now)
+		b.dispatchQueued(now)
 	}
 }
 
@@ -125,31 +126,37 @@
 	return most, breach
 }
 
-// All balancers' parts of a cold upstream's budget add up to no more than the budget, for any count of balancers and any window:
-// also where a part is under one call, where all have requests at the same moments, where a third of the processes are started anew
-// in the middle and have forgotten what they sent and learnt, where a third hear late of the upstream, and where there is no warm one to
-// judge by.
+// All balancers' parts of a cold upstream's budget add up to no more than the budget, for any count of balancers and
+// any window: also where a part is under one call, where all have requests at the same moments, where a third of the
+// processes are started anew in the middle and have forgotten what they sent and learnt, where a third hear late of the
+// upstream, and where there is no warm one to judge by.
 func TestColdBudgetHoldsForTheFleet(t *testing.T) {
 	for _, balancers := range []int{1, 2, 3, 5, 8, 13, 20, 30, 60, 150, 300} {
 		t.Run(fmt.Sprint(balancers), func(t *testing.T) {
 			t.Parallel()
 			for _, capacity := range []float64{3, 10, 40} { // requests a second of the upstream when it is warm
-				for _, gap := range []time.Duration{20 * ms, 250 * ms} { // between two requests at each balancer, at the same moments everywhere
-					for _, fault := range []string{"", "restart", "late", "all cold"} {
-						f := newColdFleet(t, balancers, capacity, fault == "all cold")
-						f.play(gap, fault)
-						most, breach := f.worst(capacity)
-						name := fmt.Sprintf("%v a second, one each %v, %q", capacity, gap, fault)
-						if breach != "" {
-							t.Errorf("%s: %s", name, breach)
-						}
-						if len(f.sent) == 0 {
-							t.Errorf("%s: nothing is sent", name)
-						}
-						t.Logf("%s: %d sent, %.2f of the budget at most", name, len(f.sent), most)
-					}
+				// The gap is between two requests at each balancer, at the same moments everywhere.
+				for _, gap := range []time.Duration{20 * ms, 250 * ms} {
+					checkColdBudget(t, balancers, capacity, gap)
 				}
 			}
 		})
 	}
 }
+
+func checkColdBudget(t *testing.T, balancers int, capacity float64, gap time.Duration) {
+	t.Helper()
+	for _, fault := range []string{"", "restart", "late", "all cold"} {
+		f := newColdFleet(t, balancers, capacity, fault == "all cold")
+		f.play(gap, fault)
+		most, breach := f.worst(capacity)
+		name := fmt.Sprintf("%v a second, one each %v, %q", capacity, gap, fault)
+		if breach != "" {
+			t.Errorf("%s: %s", name, breach)
+		}
+		if len(f.sent) == 0 {
+			t.Errorf("%s: nothing is sent", name)
+		}
+		t.Logf("%s: %d sent, %.2f of the budget at most", name, len(f.sent), most)
+	}
+}
--- a/balancer/decide_test.go
+++ b/balancer/decide_test.go
@@ -8,7 +8,7 @@
 
 // BenchmarkDecide is a request with its outcome and its part of the ticks, at one a millisecond.
 func BenchmarkDecide(b *testing.B) {
-	for _, n := range []int{10, 100, 1000} {
+	for _, n := range []int{10, 100, 1000, 10_000} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
 			s := settings()
 			s.Balancers = 1
@@ -25,8 +25,9 @@
 				}
 				id := RequestID(i + 1)
 				bal.RequestArrived(now, Request{ID: id, Class: "read", Budget: time.Second})
-				if r := bal.requests[id]; r != nil && r.out > 0 {
-					bal.AttemptFinished(now, AttemptResult{ID: id, Upstream: r.attempts[0].up.ID, Latency: 50 * ms, Status: OK, Closed: true})
+				if r := bal.requests[id]; r != nil && r.inFlight > 0 {
+					upstream := r.attempts[0].upstream.ID
+					bal.AttemptFinished(now, AttemptResult{ID: id, Upstream: upstream, Latency: 50 * ms, Status: OK, Closed: true})
 				}
 			}
 		})
--- a/balancer/golden_test.go
+++ b/balancer/golden_test.go
@@ -16,7 +16,7 @@
 // TestGoldenMemoryKeys pins the keys of what a Balancer hands to the process that takes its place.
 func TestGoldenMemoryKeys(t *testing.T) {
 	var b Balancer
-	var u upstream
+	var u upstreamState
 	var text strings.Builder
 	text.WriteString(golden.Keys(reflect.TypeFor[Snapshot](), "json"))
 	fmt.Fprintln(&text, "fleet", slices.Sorted(maps.Keys(b.figures())))
@@ -70,11 +70,13 @@
 		}
 		id := RequestID(i + 1)
 		sent.upstream = 0
-		b.RequestArrived(now, Request{ID: id, Class: []string{"read", "keyed", "write"}[i%3], Budget: time.Second, Cost: time.Duration(i%5) * time.Millisecond})
+		class, cost := []string{"read", "keyed", "write"}[i%3], time.Duration(i%5)*time.Millisecond
+		b.RequestArrived(now, Request{ID: id, Class: class, Budget: time.Second, Cost: cost})
 		if sent.upstream == 0 {
 			continue
 		}
-		outcome := AttemptResult{ID: id, Upstream: sent.upstream, Latency: time.Duration(15+i%7) * time.Millisecond, Closed: true}
+		latency := time.Duration(15+i%7) * time.Millisecond
+		outcome := AttemptResult{ID: id, Upstream: sent.upstream, Latency: latency, Closed: true}
 		switch {
 		case i%50 == 49:
 			outcome.Status = Error
--- /dev/null
+++ b/balancer/interleaver_test.go
@@ -0,0 +1,101 @@
+package balancer
+
+import (
+	"testing"
+	"time"
+)
+
+func TestInterleaverTake(t *testing.T) {
+	for _, c := range []struct {
+		name          string
+		virtual       float64
+		due, round    float64
+		next, current float64
+	}{
+		{"in time: a round later", 10, 10, 2, 12, 10},
+		{"in advance: virtual time goes on to it", 10, 11, 2, 13, 11},
+		{"a turn missed within a round is made up for", 10, 9, 2, 11, 10},
+		{"at most one round of them", 10, 3, 2, 10, 10},
+	} {
+		i := interleaver{virtualTime: c.virtual}
+		if next := i.take(c.due, c.round); next != c.next || i.virtualTime != c.current {
+			t.Errorf("%s: next at %v, now %v; want %v, %v", c.name, next, i.virtualTime, c.next, c.current)
+		}
+	}
+}
+
+// Shares of 3, 2 and 1 in six turns: each has its number, evenly spread.
+func TestInterleaverFollowsShares(t *testing.T) {
+	shares := []float64{3, 2, 1}
+	due := []float64{0, 0, 0}
+	var i interleaver
+	var order []int
+	for range 12 {
+		first := 0
+		for j := range due {
+			if due[j] < due[first] {
+				first = j
+			}
+		}
+		due[first] = i.take(due[first], 6/shares[first])
+		order = append(order, first)
+	}
+	for from := 0; from < 12; from += 6 {
+		count := [3]int{}
+		for _, j := range order[from : from+6] {
+			count[j]++
+		}
+		if count != [3]int{3, 2, 1} {
+			t.Errorf("turns %v: %v in the six from turn %d on", order, count, from)
+		}
+	}
+}
+
+// The paper's example: an even split turns 1, 3, 5 into 9, 13, 17 when one server keeps a third as
+// much as the other.
+func TestHalvedQuotaTakesEveryFourthTurn(t *testing.T) {
+	b, _ := start(t, settings(), fleet(2))
+	one := b.upstreams[0]
+	turns := func(from, n int) (taken []int) {
+		for i := from; i < from+n; i++ {
+			if serve(t, b, time.Hour, RequestID(i)) == one {
+				taken = append(taken, i)
+			}
+		}
+		return taken
+	}
+	even := turns(1, 20)
+	one.share.weight = 1.0 / 3
+	quarter := turns(101, 40)
+	for i := 1; i < len(even); i++ {
+		if even[i]-even[i-1] != 2 {
+			t.Errorf("even split took turns %v", even)
+		}
+	}
+	for i := 2; i < len(quarter); i++ {
+		if quarter[i]-quarter[i-1] != 4 {
+			t.Errorf("a quarter took turns %v", quarter)
+		}
+	}
+	if len(even) != 10 || len(quarter) < 9 {
+		t.Errorf("took %d of 20 and %d of 40 turns", len(even), len(quarter))
+	}
+}
+
+// Attempts over all upstreams keep within what connections there are: one more waits for a turn, and is not used up by
+// sends that come to nothing.
+func TestAttemptsKeepWithinAllConnections(t *testing.T) {
+	s := settings()
+	s.Limits.MaxInFlight = 4
+	b, h := start(t, s, fleet(4))
+	for i := range RequestID(6) {
+		b.RequestArrived(time.Hour, Request{ID: i + 1, Class: "write", Budget: time.Second})
+	}
+	if n := h.count("send"); n != 4 || len(b.queue.waiting) != 2 {
+		t.Fatalf("%d sent, %d held", n, len(b.queue.waiting))
+	}
+	b.AttemptFinished(time.Hour+ms, AttemptResult{ID: 2, Latency: ms, Status: OK})
+	if n := h.count("send"); n != 5 || len(b.queue.waiting) != 1 || b.inFlight != 4 {
+		t.Errorf("after an answer: %d sent, %d held, %d out", n, len(b.queue.waiting), b.inFlight)
+	}
+}
--- a/balancer/rules_test.go
+++ b/balancer/rules_test.go
@@ -96,16 +96,8 @@
 		if !x.over {
 			out++
 		}
-		if !x.ran() {
-			continue
-		}
-		switch {
-		case r.class.Idempotency == NonIdempotent:
-			c.bad("rule 2: unsafe request %d sent again", r.id)
-		case r.class.Idempotency == IdempotentWithKey && c.now > x.at+r.class.DeduplicationWindow:
-			c.bad("rule 2: keyed request %d sent again after its memory", r.id)
-		case r.class.Idempotency == IdempotentWithKey && ((r.class.KeyScope == KeyScopeZone && x.up.Zone != u.Zone) || (r.class.KeyScope == KeyScopeCell && x.up.Cell != u.Cell)):
-			c.bad("rule 2: keyed request %d sent outside its group", r.id)
+		if x.ran() {
+			c.repeat(r, x, u)
 		}
 	}
 	if out > 0 && !c.s.Limits.Hedging {
@@ -122,6 +114,21 @@
 	c.open = append(c.open, x)
 }
 
+// repeat holds a send against rule 2: an earlier try may have run.
+func (c *checker) repeat(r *seen, earlier *try, u Upstream) {
+	keyed := r.class.Idempotency == IdempotentWithKey
+	otherZone := r.class.KeyScope == KeyScopeZone && earlier.up.Zone != u.Zone
+	otherCell := r.class.KeyScope == KeyScopeCell && earlier.up.Cell != u.Cell
+	switch {
+	case r.class.Idempotency == NonIdempotent:
+		c.bad("rule 2: unsafe request %d sent again", r.id)
+	case keyed && c.now > earlier.at+r.class.DeduplicationWindow:
+		c.bad("rule 2: keyed request %d sent again after its memory", r.id)
+	case keyed && (otherZone || otherCell):
+		c.bad("rule 2: keyed request %d sent outside its group", r.id)
+	}
+}
+
 // cold holds a send against rule 4: within any window a fresh upstream gets no more than the multiple of what it
 // can do. What a warm one can do is the most that any has been sent in such a window, and at least this balancer's
 // even share of drive's traffic: 133 requests a second, over two balancers and five upstreams.
@@ -150,7 +157,8 @@
 		c.bad("rule 1: request %d answered %v late", r.id, c.now-r.deadline)
 	}
 	for _, x := range r.tries {
-		harmless := r.class.Idempotency == Idempotent || (r.class.Idempotency == IdempotentWithKey && r.class.KeyScope == KeyScopeAll)
+		keyedEverywhere := r.class.Idempotency == IdempotentWithKey && r.class.KeyScope == KeyScopeAll
+		harmless := r.class.Idempotency == Idempotent || keyedEverywhere
 		if refused && x.ran() && !harmless {
 			c.bad("rule 2: request %d refused though it may have run", r.id)
 		}
@@ -161,7 +169,10 @@
 func drive(t *testing.T, s Settings, seed uint64, origin time.Duration) (*checker, *recorder) {
 	t.Helper()
 	rng := rand.New(rand.NewPCG(seed, 1))
-	c := &checker{t: t, s: s, now: origin, requests: map[RequestID]*seen{}, list: map[UpstreamID]Upstream{}, goneAt: map[UpstreamID]time.Duration{}, sent: map[UpstreamID][]time.Duration{}}
+	c := &checker{
+		t: t, s: s, now: origin, requests: map[RequestID]*seen{}, list: map[UpstreamID]Upstream{},
+		goneAt: map[UpstreamID]time.Duration{}, sent: map[UpstreamID][]time.Duration{},
+	}
 	for _, x := range slices.SortedFunc(s.Tenants.All(), func(x, y Tenant) int { return cmp.Compare(y.Quota, x.Quota) }) {
 		c.tenants = append(c.tenants, x.Name)
 	}
@@ -234,7 +245,9 @@
 		if x.status == OK && !closed {
 			r.ended, r.finals, closed = c.now, r.finals+1, true
 		}
-		o := AttemptResult{ID: r.id, Upstream: x.up.ID, Attempt: x.n, Latency: c.now - x.at, Status: x.status, Closed: closed, Load: load}
+		o := AttemptResult{
+			ID: r.id, Upstream: x.up.ID, Attempt: x.n, Latency: c.now - x.at, Status: x.status, Closed: closed, Load: load,
+		}
 		b.AttemptFinished(c.now, o)
 		if rng.IntN(20) == 0 { // told twice, which must be passed over
 			b.AttemptFinished(c.now, o)
@@ -311,7 +324,9 @@
 	asked.PollDiscovery, asked.Reports, asked.WeightByWork = true, ReportHealthChecks, false
 	many := settings()
 	many.Balancers, many.Rank, many.Limits.Hedging, many.Weights = 5, 4, true, WeightLive
-	return map[string]Settings{"zone": settings(), "all": all, "cell": cell, "copies": copies, "asked": asked, "many": many}
+	return map[string]Settings{
+		"zone": settings(), "all": all, "cell": cell, "copies": copies, "asked": asked, "many": many,
+	}
 }
 
 func TestRulesHoldOnRandomEvents(t *testing.T) {
@@ -393,15 +408,13 @@
 		}
 		id := RequestID(i + 1)
 		b.RequestArrived(now, Request{ID: id, Class: "read", Budget: 100 * ms, Key: uint64(i), HasKey: true})
-		if r := b.requests[id]; r != nil && r.out > 0 {
-			b.AttemptFinished(now, AttemptResult{ID: id, Upstream: r.attempts[0].up.ID, Latency: 10 * ms, Status: OK, Closed: true})
-		}
+		answerIfSent(b, now, id, 10*ms)
 		if i%20 == 0 {
 			b.TimerFired(now, tickToken)
 		}
 	}
 	b.TimerFired(now+2*time.Second, tickToken)
-	if len(b.requests)+len(b.held) > 0 || len(b.ups) != 4 || len(b.byID) != 4 {
-		t.Errorf("kept %d requests, %d held, %d upstreams", len(b.requests), len(b.held), len(b.ups))
+	if len(b.requests)+len(b.queue.waiting) > 0 || len(b.upstreams) != 4 || len(b.byID) != 4 {
+		t.Errorf("kept %d requests, %d held, %d upstreams", len(b.requests), len(b.queue.waiting), len(b.upstreams))
 	}
 }
--- a/balancer/view.go
+++ b/balancer/view.go
@@ -20,29 +20,42 @@
 	Latency                 time.Duration
 }
 
-// View returns the upstreams in order of arrival, and how many requests are held for a turn.
-func (b *Balancer) View(now time.Duration) (views []UpstreamView, held int) {
+// View returns the upstreams in order of arrival, and how many requests wait for a turn.
+func (b *Balancer) View(now time.Duration) (views []UpstreamView, queued int) {
 	b.catchUp(now)
 	var total float64
-	for _, u := range b.near {
-		if u.member && u.State == Active {
-			total += b.share(u, now)
+	for _, upstream := range b.subset.upstreams {
+		if upstream.inSubset && upstream.State == Active {
+			total += b.trafficShare(upstream, now)
 		}
 	}
-	for _, u := range b.ups {
-		v := UpstreamView{
-			ID: u.ID, State: u.State, InSubset: u.member, ShareFactor: u.factor, Mean: u.mean, Upper: u.mean + bandAlpha*u.dev,
-			Lower: u.mean - bandAlpha*u.dev, Area: u.area, Readings: u.readings,
-			Estimated: b.estimated(u), WarmingUp: u.cold, Unresponsive: u.silent, InFlight: len(u.outs),
-			ConcurrencyLimit: u.bound, Latency: time.Duration(u.lat),
+	for _, upstream := range b.upstreams {
+		view := b.viewOf(upstream)
+		if upstream.inSubset && upstream.State == Active {
+			view.Share = b.trafficShare(upstream, now) / total
 		}
-		if u.member && u.State == Active {
-			v.Share = b.share(u, now) / total
-		}
-		views = append(views, v)
+		views = append(views, view)
 	}
-	return views, len(b.held)
+	return views, len(b.queue.waiting)
 }
 
-// QueueLength is how many requests wait for a turn.
-func (b *Balancer) QueueLength() int { return len(b.held) }
+// viewOf is the view of an upstream but for its share.
+func (b *Balancer) viewOf(upstream *upstreamState) UpstreamView {
+	return UpstreamView{
+		ID:               upstream.ID,
+		State:            upstream.State,
+		InSubset:         upstream.inSubset,
+		ShareFactor:      upstream.share.factor,
+		Mean:             upstream.band.mean,
+		Upper:            upstream.band.upper(),
+		Lower:            upstream.band.lower(),
+		Area:             upstream.band.area,
+		Readings:         upstream.band.readings,
+		Estimated:        b.isEstimated(upstream),
+		WarmingUp:        upstream.slowStart.warming,
+		Unresponsive:     upstream.outlier.unresponsive,
+		InFlight:         len(upstream.inFlight),
+		ConcurrencyLimit: upstream.limit.allowed,
+		Latency:          time.Duration(upstream.latency.mean),
+	}
+}
