--- /dev/null
+++ b/internal/conventions/logs_test.go
@@ -0,0 +1,149 @@
+package conventions
+
+import (
+	"go/ast"
+	"go/parser"
+	"go/token"
+	"io/fs"
+	"path/filepath"
+	"regexp"
+	"slices"
+	"strconv"
+	"strings"
+	"testing"
+)
+
+// logMessage is the form of a log message: a few lower-case words, without a figure, a colon or an end mark. What
+// varies is in the attributes.
+var logMessage = regexp.MustCompile(`^[a-z][a-z0-9 -]*[a-z]$`)
+
+// logKeys are the keys of log attributes; docs/operate/on-call.md says what they mean.
+var logKeys = []string{
+	"address", "answer", "classes", "cluster", "config", "err", "event", "failed_checks", "id", "kind", "known", "line",
+	"listen", "name", "newest", "overrides", "path", "pool", "pools", "previous", "reason", "replaced", "request",
+	"revision", "routes", "signal", "stack", "term", "type", "upstream", "voters",
+}
+
+// unfinishedLogs are folders whose log messages are not brought to this form yet. The list only ever gets shorter.
+var unfinishedLogs = []string{
+	"benchmarks", "cmd/olivearch", "internal/body", "internal/demo", "internal/experiment", "internal/faulttest",
+	"internal/frontend", "internal/service", "internal/standin",
+}
+
+// logWriter writes the lines that a pool's event loop has queued with logInfo: their messages are checked there.
+const logWriter = "internal/pool/log.go"
+
+// logCalls are the functions of log/slog that write a line.
+var logCalls = []string{"Debug", "Info", "Warn", "Error"}
+
+func TestLogMessagesAndKeys(t *testing.T) {
+	checked := 0
+	for _, folder := range []string{"balancer", "benchmarks", "cmd", "internal"} {
+		walkSources(t, filepath.Join("..", "..", folder), func(path string) {
+			file, err := parser.ParseFile(token.NewFileSet(), path, nil, 0)
+			if err != nil {
+				t.Fatal(err)
+			}
+			constants := stringConstants(file)
+			ast.Inspect(file, func(node ast.Node) bool {
+				if call, ok := node.(*ast.CallExpr); ok && isLogCall(call) {
+					checked++
+					checkLogCall(t, path, call, constants)
+				}
+				return true
+			})
+		})
+	}
+	if checked == 0 {
+		t.Error("no log call was found")
+	}
+}
+
+// walkSources calls visit for each Go file below a folder that is no test and in no folder of unfinishedLogs.
+func walkSources(t *testing.T, folder string, visit func(path string)) {
+	t.Helper()
+	err := filepath.WalkDir(folder, func(path string, entry fs.DirEntry, err error) error {
+		if err != nil {
+			return err
+		}
+		name := strings.TrimPrefix(filepath.ToSlash(path), "../../")
+		if entry.IsDir() {
+			if slices.Contains(unfinishedLogs, name) {
+				return fs.SkipDir
+			}
+			return nil
+		}
+		if strings.HasSuffix(name, ".go") && !strings.HasSuffix(name, "_test.go") && name != logWriter {
+			visit(path)
+		}
+		return nil
+	})
+	if err != nil {
+		t.Fatal(err)
+	}
+}
+
+// stringConstants are the string constants that a file declares, by name.
+func stringConstants(file *ast.File) map[string]string {
+	constants := map[string]string{}
+	ast.Inspect(file, func(node ast.Node) bool {
+		spec, ok := node.(*ast.ValueSpec)
+		if !ok || len(spec.Names) != len(spec.Values) {
+			return true
+		}
+		for i, name := range spec.Names {
+			if text, ok := literal(spec.Values[i]); ok {
+				constants[name.Name] = text
+			}
+		}
+		return true
+	})
+	return constants
+}
+
+// literal returns the value of a string literal.
+func literal(expression ast.Expr) (string, bool) {
+	basic, ok := expression.(*ast.BasicLit)
+	if !ok || basic.Kind != token.STRING {
+		return "", false
+	}
+	text, err := strconv.Unquote(basic.Value)
+	return text, err == nil
+}
+
+// isLogCall reports whether a call is one of slog's, with its package's name, or queues a line in an event loop.
+func isLogCall(call *ast.CallExpr) bool {
+	selector, ok := call.Fun.(*ast.SelectorExpr)
+	if !ok {
+		return false
+	}
+	if selector.Sel.Name == "logInfo" {
+		return true
+	}
+	receiver, ok := selector.X.(*ast.Ident)
+	return ok && receiver.Name == "slog" && slices.Contains(logCalls, selector.Sel.Name)
+}
+
+// checkLogCall checks the message and the keys of a call. A message may be a constant of the file.
+func checkLogCall(t *testing.T, path string, call *ast.CallExpr, constants map[string]string) {
+	t.Helper()
+	message, ok := literal(call.Args[0])
+	if name, isName := call.Args[0].(*ast.Ident); isName {
+		message, ok = constants[name.Name]
+	}
+	if !ok {
+		t.Errorf("%s: the message of a log call is no constant of its file", path)
+		return
+	}
+	if !logMessage.MatchString(message) {
+		t.Errorf("%s: log message %q is not of the form %s", path, message, logMessage)
+	}
+	for i := 1; i < len(call.Args); i += 2 {
+		key, ok := literal(call.Args[i])
+		if !ok {
+			t.Errorf("%s: log message %q: a key is no string literal", path, message)
+		} else if !slices.Contains(logKeys, key) {
+			t.Errorf("%s: log message %q: the key %q is not among those of on-call.md", path, message, key)
+		}
+	}
+}
