--- a/internal/upstream/giveup_test.go
+++ b/internal/upstream/giveup_test.go
@@ -27,8 +27,9 @@
 	}
 }
 
-// An attempt that is given up at once is over for its node before the goroutine that carries it has had a turn: on one processor, which
-// the test does not leave, a further attempt would else go out while the first is still out.
+// An attempt that is given up at once is over for its node before the goroutine that carries it has had a
+// turn: on one processor, which the test does not leave, a further attempt would else go out while the first
+// is still out.
 func TestGivenUpIsOverAtOnce(t *testing.T) {
 	defer runtime.GOMAXPROCS(runtime.GOMAXPROCS(1))
 	l, err := net.Listen("tcp", "127.0.0.1:0")
--- a/internal/upstream/http1_test.go
+++ b/internal/upstream/http1_test.go
@@ -141,7 +141,7 @@
 	want(t, "dropped", a.Drop(), true)
 	r := d.Do(a)
 	want(t, "status", r.Status, balancer.NotSent)
-	want(t, "still of use", r.Conn != nil && r.Conn.(*conn).fresh() == nil, true)
+	want(t, "still of use", r.Conn != nil && r.Conn.(*conn).checkIdle() == nil, true)
 	want(t, "requests written", len(s.Arrivals), 0)
 }
 
@@ -165,7 +165,11 @@
 		{"more than all cores", []string{"load_share=61"}, balancer.Load{}, "a utilisation of 61: 1 is all cores busy"},
 		{"unknown names", []string{"cpu=0.5"}, balancer.Load{}, `"cpu=0.5" names no load that is known`},
 	} {
-		got, why := LoadOf(c.reports)
+		got, err := parseLoadReport(c.reports)
+		why := ""
+		if err != nil {
+			why = err.Error()
+		}
 		want(t, c.name, got, c.want)
 		want(t, c.name, why, c.why)
 	}
--- a/internal/upstream/message.go
+++ b/internal/upstream/message.go
@@ -11,27 +11,27 @@
 	"olivearch/internal/http1"
 )
 
-// Message is a client's request as a node gets it, but for what is added for an attempt. Method, path, query and body go on
-// unchanged.
+// Message is a client's request as an upstream gets it, without the fields that are added for each attempt.
+// Method, path, query and body are forwarded unchanged.
 type Message struct {
 	Line   string // method and target
 	Header http1.Fields
 	Host   string
-	Body   []byte
-	Rest   *body.Upload // of the body, where it is long; nil: there is none
-	Bodied bool         // a Content-Length goes with it, also without a body
+	Body   []byte       // the body, or the part of it that was read before the message was made
+	Rest   *body.Upload // the part of a long body that follows Body; nil: there is none
+	Bodied bool         // the body is framed (RFC 9112, section 6), also if it is empty
 
-	Trailer http1.Fields // of a body that is whole; then it goes in chunks
+	Trailer http1.Fields // of a complete body, which is then chunked
 	Upgrade string       // the protocol that the client asks for instead (RFC 9110, section 7.8); empty: none
 	Tunnel  *body.TunnelLimits
-	Hints   bool         // interim answers with status 103 go on
-	Limits  *body.Limits // of its body and of its answer's; nil: the usual ones
+	Hints   bool         // interim responses with status 103 are forwarded
+	Limits  *body.Limits // of its body and of its response's; nil: body.Usual
 }
 
-// bodiless tells whether an answer to it has no body, whatever its head says.
-func (m *Message) bodiless() bool { return strings.HasPrefix(m.Line, http.MethodHead+" ") }
+// isHead returns whether a response to the message has no body, whatever its head says (RFC 9110, section 9.3.2).
+func (m *Message) isHead() bool { return strings.HasPrefix(m.Line, http.MethodHead+" ") }
 
-// Most are the limits that hold.
+// Most returns the limits of the message's body and of its response's.
 func (m *Message) Most() *body.Limits {
 	if m.Limits == nil {
 		return &body.Usual
@@ -39,40 +39,45 @@
 	return m.Limits
 }
 
-// Bytes renders m in HTTP/1.1, up to where Rest begins, for an attempt that waits so long.
+// Bytes renders the message in HTTP/1.1, up to where Rest begins, for an attempt that waits so long for its response.
 func (m *Message) Bytes(wait time.Duration) []byte {
-	b := http1.Buffer()
-	defer http1.Done(b)
-	m.render(b, wait)
-	return bytes.Clone(b.Bytes())
+	buffer := http1.Buffer()
+	defer http1.Done(buffer)
+	m.render(buffer, wait)
+	return bytes.Clone(buffer.Bytes())
 }
 
-func (m *Message) render(b *bytes.Buffer, wait time.Duration) {
-	b.WriteString(m.Line)
-	b.WriteString(" HTTP/1.1\r\nHost: ")
-	b.WriteString(m.Host)
-	b.WriteString("\r\nX-Deadline-Ms: ")
-	b.WriteString(strconv.FormatInt(max(1, wait.Milliseconds()), 10))
-	b.WriteString("\r\n")
-	http1.WriteFields(b, m.Header)
-	if m.Upgrade != "" {
-		http1.WriteField(b, "Connection", "Upgrade")
-		http1.WriteField(b, "Upgrade", m.Upgrade)
+func (m *Message) render(out *bytes.Buffer, wait time.Duration) {
+	m.renderHead(out, wait)
+	if !m.chunked() {
+		out.Write(m.Body)
+		return
 	}
-	if m.Bodied {
-		b.WriteString(m.framing())
+	http1.WriteChunk(out, m.Body)
+	if m.Rest == nil {
+		http1.WriteEnd(out, m.Trailer)
 	}
-	b.WriteString("\r\n")
-	if m.chunked() {
-		http1.WriteChunk(b, m.Body)
-	} else {
-		b.Write(m.Body)
+}
+
+func (m *Message) renderHead(out *bytes.Buffer, wait time.Duration) {
+	out.WriteString(m.Line)
+	out.WriteString(" HTTP/1.1\r\nHost: ")
+	out.WriteString(m.Host)
+	out.WriteString("\r\nX-Deadline-Ms: ")
+	out.WriteString(strconv.FormatInt(max(1, wait.Milliseconds()), 10))
+	out.WriteString("\r\n")
+	http1.WriteFields(out, m.Header)
+	if m.Upgrade != "" {
+		http1.WriteField(out, "Connection", "Upgrade")
+		http1.WriteField(out, "Upgrade", m.Upgrade)
 	}
-	if m.Rest == nil && m.chunked() {
-		http1.WriteEnd(b, m.Trailer)
+	if m.Bodied {
+		out.WriteString(m.framing())
 	}
+	out.WriteString("\r\n")
 }
 
+// chunked returns whether the body is sent in chunks: its length is unknown, or trailer fields follow it.
 func (m *Message) chunked() bool {
 	if m.Rest == nil {
 		return len(m.Trailer) > 0
@@ -81,14 +86,14 @@
 	return !known
 }
 
-// framing is the field that tells a node where the body ends.
+// framing returns the header field that tells the upstream where the body ends.
 func (m *Message) framing() string {
 	if m.chunked() {
 		return "Transfer-Encoding: chunked\r\n"
 	}
-	n := uint64(len(m.Body))
+	length := uint64(len(m.Body))
 	if m.Rest != nil {
-		n, _ = m.Rest.Length()
+		length, _ = m.Rest.Length()
 	}
-	return "Content-Length: " + strconv.FormatUint(n, 10) + "\r\n"
+	return "Content-Length: " + strconv.FormatUint(length, 10) + "\r\n"
 }
--- /dev/null
+++ b/internal/upstream/response.go
@@ -0,0 +1,177 @@
+package upstream
+
+import (
+	"errors"
+	"net/http"
+
+	"olivearch/balancer"
+	"olivearch/internal/body"
+	"olivearch/internal/http1"
+)
+
+const (
+	// loadHeader is the response field with a load report.
+	loadHeader = "X-Load"
+	// notRunHeader is the response field that is notRun if the upstream has not run the request.
+	notRunHeader = "X-Not-Run"
+	notRun       = "1"
+)
+
+// responseReader reads the response to one attempt from its connection.
+type responseReader struct {
+	conn          *conn
+	message       *Message
+	fullResponses bool     // HTTP1.Whole
+	observer      Observer // nil: responses are not streamed, and a long one is too large
+}
+
+// read returns the result of the attempt. A malformed response means that the attempt has run, and closes the
+// connection. A response that is long, or of unknown length, is streamed: the observer gets its start, and
+// the result is that of its end.
+func (r responseReader) read() Result {
+	status, header, framing, err := r.conn.Answer(r.expectation())
+	if err != nil {
+		return r.fail(err)
+	}
+	if status == http.StatusSwitchingProtocols {
+		return r.tunnel(header)
+	}
+	closing := http1.Closes(header) || framing.ToClose
+	result := r.classify(status, header)
+	if err := r.readBody(&result, framing); err != nil {
+		return r.fail(err)
+	}
+	// The next request's response would be read from unsolicited bytes behind this one.
+	result.Stray = r.conn.Buffered() > 0
+	if closing || result.Stray {
+		r.conn.Close()
+	} else {
+		result.Conn = r.conn
+	}
+	return result
+}
+
+// expectation is what reading the response's head depends on.
+func (r responseReader) expectation() http1.Asked {
+	asked := http1.Asked{Head: r.message.isHead()}
+	if r.observer == nil {
+		return asked
+	}
+	asked.Upgrade = r.message.Upgrade
+	if r.message.Hints {
+		asked.Hint = r.observer.Hint
+	}
+	return asked
+}
+
+// fail closes the connection and returns the result of an attempt whose response could not be read.
+func (r responseReader) fail(err error) Result {
+	r.conn.Close()
+	if isMalformed(err) {
+		return Result{Status: balancer.Error}
+	}
+	return Result{Status: balancer.Reset}
+}
+
+// isMalformed returns whether the upstream sent something that is no response, or one beyond the limits.
+func isMalformed(err error) bool {
+	for _, malformed := range []error{http1.ErrHead, http1.ErrLine, http1.ErrLong, http1.ErrFrame, http1.ErrLarge} {
+		if errors.Is(err, malformed) {
+			return true
+		}
+	}
+	return false
+}
+
+// tunnel hands the connection over to the observer and waits for the tunnel's end. There is an observer,
+// since without one no change of the protocol is accepted.
+func (r responseReader) tunnel(header http1.Fields) Result {
+	tunnel := body.NewTunnel(r.conn.Stream, r.message.Tunnel)
+	r.observer.Began(Result{
+		Status: balancer.OK,
+		Code:   http.StatusSwitchingProtocols,
+		Header: header,
+		Tunnel: tunnel,
+	})
+	<-tunnel.Done()
+	r.conn.Close()
+	return Result{Status: balancer.OK}
+}
+
+// classify returns the result as far as the head of the response determines it. It changes header.
+func (r responseReader) classify(status int, header http1.Fields) Result {
+	result := Result{Status: balancer.Error}
+	load, err := parseLoadReport(header.Values(loadHeader))
+	result.Load = load
+	if err != nil {
+		result.Spoilt = err.Error()
+	}
+	switch {
+	case isRejection(status, header):
+		result.Status = balancer.Rejected
+	case r.fullResponses && isForwarded(status):
+		http1.DropNamed(&header, nil)
+		result.Status = balancer.OK
+		result.Code = status
+		result.Header = header
+	case status == http.StatusOK:
+		result.Status = balancer.OK
+		result.Code = status
+		result.Kind = header.Get("Content-Type")
+	}
+	return result
+}
+
+// isRejection returns whether the upstream says that it has not run the request. Without the mark it may have run it.
+func isRejection(status int, header http1.Fields) bool {
+	mayReject := status == http.StatusServiceUnavailable || status == http.StatusGatewayTimeout
+	return mayReject && header.Get(notRunHeader) == notRun
+}
+
+// isForwarded returns whether a full response with this status is passed on to the client. 429 is not: it
+// would promise that the request has not run.
+func isForwarded(status int) bool {
+	return status < http.StatusInternalServerError && status != http.StatusTooManyRequests
+}
+
+// readBody reads the body of the response into result, or streams it.
+func (r responseReader) readBody(result *Result, framing http1.Framing) error {
+	limits := r.message.Most()
+	isLong := framing.Length > body.Whole
+	isTooLarge := framing.Length > uint64(limits.Answer)
+	mayStream := r.observer != nil && result.Status == balancer.OK
+	switch {
+	case isTooLarge, isLong && r.observer == nil:
+		return http1.ErrLarge
+	case mayStream && (isLong || framing.Chunked || framing.ToClose):
+		return r.streamBody(result, framing, limits)
+	default:
+		return r.readWholeBody(result, framing, limits)
+	}
+}
+
+// streamBody notifies the observer of the start of a streamed response and returns at the end of its body.
+func (r responseReader) streamBody(result *Result, framing http1.Framing, limits *body.Limits) (err error) {
+	download := body.NewDownload(r.conn, framing, limits)
+	result.Body, err = download.Receive(func() {
+		started := *result
+		started.More = download
+		r.observer.Began(started)
+	})
+	result.Trailer = download.Trailer()
+	return err
+}
+
+// readWholeBody reads a body of at most body.Whole bytes.
+func (r responseReader) readWholeBody(result *Result, framing http1.Framing, limits *body.Limits) (err error) {
+	source := r.conn.Body(framing, limits.Answer)
+	result.Body, err = source.UpTo(body.Whole + 1)
+	if err != nil {
+		return err
+	}
+	if len(result.Body) > body.Whole {
+		return http1.ErrLarge
+	}
+	result.Trailer = limits.Trailer(source)
+	return nil
+}
--- a/internal/upstream/size_test.go
+++ b/internal/upstream/size_test.go
@@ -12,8 +12,8 @@
 	"olivearch/internal/standin/scripted"
 )
 
-// What a new connection to a node costs beside a kept one, in CPU time of both sides, which share this process: connections to 18,000
-// nodes are kept no longer than they are used.
+// What a new connection to a node costs beside a kept one, in CPU time of both sides, which share this
+// process: connections to 18,000 nodes are kept no longer than they are used.
 func BenchmarkConnect(b *testing.B) {
 	for _, kept := range []bool{true, false} {
 		name := map[bool]string{true: "kept", false: "new"}[kept]
