--- a/internal/upstream/conformance_test.go
+++ b/internal/upstream/conformance_test.go
@@ -15,66 +15,78 @@
 	"olivearch/internal/upstream/upstreamtest"
 )
 
-// node speaks HTTP/1.1.
-type node struct {
+// server is an upstreamtest.Server that speaks HTTP/1.1.
+type server struct {
 	*scripted.Node
-	do       atomic.Int64
-	arrived  chan string
-	released chan struct{}
-	release  func()
+	behaviour atomic.Int64
+	arrived   chan string
+	released  chan struct{}
+	release   func()
 }
 
-func (n *node) Address() string             { return n.Addr }
-func (n *node) Do(b upstreamtest.Behaviour) { n.do.Store(int64(b)) }
-func (n *node) Arrived() <-chan string      { return n.arrived }
-func (n *node) Release()                    { n.release() }
+func startServer(t *testing.T) *server {
+	t.Helper()
+	s := &server{arrived: make(chan string, 100), released: make(chan struct{})}
+	s.release = sync.OnceFunc(func() { close(s.released) })
+	t.Cleanup(s.release)
+	s.Node = scripted.Start(t, s.respond)
+	return s
+}
+
+func (s *server) Address() string                       { return s.Addr }
+func (s *server) SetBehaviour(b upstreamtest.Behaviour) { s.behaviour.Store(int64(b)) }
+func (s *server) Arrived() <-chan string                { return s.arrived }
+func (s *server) Release()                              { s.release() }
 
-func (n *node) answer(c net.Conn, r *http.Request) bool {
-	<-n.Arrivals
+// respond is a scripted.Answer: it returns whether the connection stays open.
+func (s *server) respond(c net.Conn, r *http.Request) bool {
+	<-s.Arrivals
 	if r.URL.Path == "/x" {
-		n.arrived <- r.Header.Get("X-Request-Id")
+		s.arrived <- r.Header.Get("X-Request-Id")
 	}
-	long := func(part int) {
-		fmt.Fprintf(c, "HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n", len(upstreamtest.Long))
-		c.Write(upstreamtest.Long[:len(upstreamtest.Long)/part])
-	}
-	switch upstreamtest.Behaviour(n.do.Load()) {
+	answer := string(upstreamtest.Answer)
+	switch upstreamtest.Behaviour(s.behaviour.Load()) {
 	case upstreamtest.ServeLong:
-		long(1)
-	case upstreamtest.Turn:
-		io.WriteString(c, "HTTP/1.1 503 Busy\r\nX-Not-Run: 1\r\nContent-Length: 0\r\n\r\n")
+		return sendLong(c, len(upstreamtest.Long))
+	case upstreamtest.Reject:
+		return send(c, "HTTP/1.1 503 Busy\r\nX-Not-Run: 1\r\nContent-Length: 0\r\n\r\n")
 	case upstreamtest.Fail:
-		io.WriteString(c, "HTTP/1.1 500 Oops\r\nContent-Length: 0\r\n\r\n")
-	case upstreamtest.Vanish:
+		return send(c, "HTTP/1.1 500 Oops\r\nContent-Length: 0\r\n\r\n")
+	case upstreamtest.Disconnect:
 		return false
-	case upstreamtest.Cut:
-		long(2)
+	case upstreamtest.Truncate:
+		sendLong(c, len(upstreamtest.Long)/2)
 		return false
-	case upstreamtest.Hang:
-		long(2)
-		<-n.released
+	case upstreamtest.Stall:
+		sendLong(c, len(upstreamtest.Long)/2)
+		<-s.released
 		return false
 	case upstreamtest.Hold:
-		<-n.released
-		return scripted.OK(c, string(upstreamtest.Answer))
-	case upstreamtest.Extra:
-		return scripted.OK(c, string(upstreamtest.Answer)) && scripted.OK(c, "a second copy")
+		<-s.released
+		return scripted.OK(c, answer)
+	case upstreamtest.Unsolicited:
+		return scripted.OK(c, answer) && scripted.OK(c, "a second copy")
 	default:
-		return scripted.OK(c, string(upstreamtest.Answer))
+		return scripted.OK(c, answer)
 	}
-	return true
 }
 
-// HTTP/1.1 keeps to the contract.
+// send returns whether a response could be sent.
+func send(c net.Conn, response string) bool {
+	_, err := io.WriteString(c, response)
+	return err == nil
+}
+
+// sendLong sends that many bytes of a response with the body upstreamtest.Long.
+func sendLong(c net.Conn, bodyBytes int) bool {
+	head := fmt.Sprintf("HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n", len(upstreamtest.Long))
+	return send(c, head) && send(c, string(upstreamtest.Long[:bodyBytes]))
+}
+
+// TestContract tests the HTTP/1.1 transport against the contract of upstream.Transport.
 func TestContract(t *testing.T) {
 	upstreamtest.Test(t, upstreamtest.Suite{
 		Transport: func() upstream.Transport { return upstream.HTTP1{Timeout: 5 * time.Second, Whole: true} },
-		Node: func(t *testing.T) upstreamtest.Node {
-			n := &node{arrived: make(chan string, 100), released: make(chan struct{})}
-			n.release = sync.OnceFunc(func() { close(n.released) })
-			t.Cleanup(n.release)
-			n.Node = scripted.Start(t, n.answer)
-			return n
-		},
+		Server:    func(t *testing.T) upstreamtest.Server { return startServer(t) },
 	})
 }
--- a/internal/upstream/http1.go
+++ b/internal/upstream/http1.go
@@ -64,31 +64,36 @@
 }
 
 // send writes the attempt's message on a connection and reads the response.
-func (d HTTP1) send(attempt *Attempt, c *conn) Result {
-	if !attempt.MaySend() || !attempt.Claim(c.giveUp) {
-		return Result{Status: balancer.NotSent, Conn: c}
+func (d HTTP1) send(attempt *Attempt, connection *conn) Result {
+	if !attempt.MaySend() || !attempt.Claim(connection.giveUp) {
+		return Result{Status: balancer.NotSent, Conn: connection}
 	}
-	c.limitAttemptWrites(attempt)
+	connection.limitAttemptWrites(attempt)
 	upload := attempt.Message.Rest
 	if upload != nil {
 		if !upload.Hold() { // the client's side has ended
-			return Result{Status: balancer.NotSent, Conn: c}
+			return Result{Status: balancer.NotSent, Conn: connection}
 		}
 		defer upload.Release()
 	}
-	complete, err := c.writeMessage(attempt.Message, attempt.Wait)
+	complete, err := connection.writeMessage(attempt.Message, attempt.Wait)
 	if err != nil {
-		c.Close()
+		connection.Close()
 		if complete && upload == nil {
 			return Result{Status: balancer.Reset}
 		}
 		return Result{Status: balancer.ConnectFailed} // certain: the last byte never left this process
 	}
-	response := responseReader{conn: c, message: attempt.Message, fullResponses: d.Whole, observer: attempt.Told}
+	response := responseReader{
+		conn:          connection,
+		message:       attempt.Message,
+		fullResponses: d.Whole,
+		observer:      attempt.Told,
+	}
 	if upload == nil {
 		return response.read()
 	}
-	if err := upload.Send(c); err != nil {
+	if err := upload.Send(connection); err != nil {
 		return response.readEarly(err)
 	}
 	if upload.Live() && attempt.Told != nil {
--- /dev/null
+++ b/internal/upstream/upstreamtest/streaming.go
@@ -0,0 +1,156 @@
+package upstreamtest
+
+import (
+	"bytes"
+	"errors"
+	"fmt"
+	"io"
+	"net"
+	"testing"
+	"time"
+
+	"olivearch/balancer"
+	"olivearch/internal/body"
+	"olivearch/internal/http1"
+	"olivearch/internal/upstream"
+)
+
+// readBufferSize is the size in bytes of the read buffer of a client's connection.
+const readBufferSize = 4 << 10
+
+// streamedResponse is an attempt whose response is being streamed.
+type streamedResponse struct {
+	observer *recorder
+	started  upstream.Result
+	ended    chan upstream.Result
+}
+
+// startStreaming makes an attempt and returns when its response has started.
+func startStreaming(t *testing.T, suite Suite, behaviour Behaviour) streamedResponse {
+	t.Helper()
+	server := suite.Server(t)
+	server.SetBehaviour(behaviour)
+	response := streamedResponse{observer: newRecorder(), ended: make(chan upstream.Result, 1)}
+	attempt := newAttempt(server.Address(), nil)
+	attempt.Told = response.observer
+	transport := suite.Transport()
+	go func() { response.ended <- transport.Do(attempt) }()
+	select {
+	case response.started = <-response.observer.began:
+	case result := <-response.ended:
+		t.Fatalf("it ends with %v before it has begun", result.Status)
+	case <-time.After(timeout):
+		t.Fatal("nothing begins")
+	}
+	awaitArrival(t, server)
+	return response
+}
+
+// readAsClient streams the response on and returns what a client reads of its body.
+func (r streamedResponse) readAsClient(t *testing.T) ([]byte, error) {
+	t.Helper()
+	balancerSide, clientSide := net.Pipe()
+	copied := make(chan error, 1)
+	go func() {
+		err := r.started.More.Copy(balancerSide, true)
+		balancerSide.Close()
+		copied <- err
+	}()
+	var source io.Reader = clientSide
+	if r.started.More.Framed() {
+		stream := http1.NewStream(clientSide, readBufferSize)
+		source = stream.Body(http1.Framing{Chunked: true}, 1<<30)
+	}
+	got, err := io.ReadAll(source)
+	return got, errors.Join(err, <-copied)
+}
+
+func testLongResponse(t *testing.T, suite Suite) {
+	response := startStreaming(t, suite, ServeLong)
+	expect(t, "status", response.started.Status, balancer.OK)
+	got, err := response.readAsClient(t)
+	if err != nil || !bytes.Equal(got, Long) {
+		t.Errorf("%d bytes came on, %v", len(got), err)
+	}
+	expect(t, "status of its end", (<-response.ended).Status, balancer.OK)
+	expect(t, "notifications", fmt.Sprint(response.observer.recorded()), "[began]")
+}
+
+func testTruncatedResponse(t *testing.T, suite Suite) {
+	response := startStreaming(t, suite, Truncate)
+	got, err := response.readAsClient(t)
+	if err == nil || len(got) >= len(Long) {
+		t.Errorf("a truncated response passes for complete: %d bytes", len(got))
+	}
+	expectBroken(t, <-response.ended)
+}
+
+func testStalledResponse(t *testing.T, suite Suite) {
+	response := startStreaming(t, suite, Stall)
+	response.started.More.Abandon() // its client has gone
+	select {
+	case result := <-response.ended:
+		expectBroken(t, result)
+	case <-time.After(timeout):
+		t.Error("it waits for ever")
+	}
+}
+
+// streamedRequest is an attempt whose request body is still to come from its client.
+type streamedRequest struct {
+	attempt *upstream.Attempt
+	client  net.Conn
+	upload  *body.Upload
+}
+
+// newStreamedRequest returns a request with the body length of Long.
+func newStreamedRequest(t *testing.T, address string) streamedRequest {
+	t.Helper()
+	balancerSide, clientSide := net.Pipe()
+	t.Cleanup(func() {
+		balancerSide.Close()
+		clientSide.Close()
+	})
+	noSpool := new(body.Spool) // without capacity nothing is read ahead
+	framing := http1.Framing{Length: uint64(len(Long))}
+	upload := body.NewUpload(noSpool, balancerSide, framing, &body.Usual)
+	if err := upload.Fill(http1.NewStream(balancerSide, readBufferSize).Body(framing, 0)); err != nil {
+		t.Fatal(err)
+	}
+	attempt := newAttempt(address, nil)
+	attempt.Message.Body = nil
+	attempt.Message.Rest = upload
+	return streamedRequest{attempt: attempt, client: clientSide, upload: upload}
+}
+
+func testStreamedRequest(t *testing.T, suite Suite) {
+	server := suite.Server(t)
+	request := newStreamedRequest(t, server.Address())
+	observer := newRecorder()
+	request.attempt.Told = observer
+	ended := make(chan upstream.Result, 1)
+	go func() { ended <- suite.Transport().Do(request.attempt) }()
+	if _, err := request.client.Write(Long); err != nil {
+		t.Fatal(err)
+	}
+	expect(t, "the client side's error", <-request.upload.Done(), nil)
+	expect(t, "status", (<-ended).Status, balancer.OK)
+	expect(t, "notifications", fmt.Sprint(observer.recorded()), "[written]")
+	awaitArrival(t, server)
+}
+
+func testClientFailure(t *testing.T, suite Suite) {
+	server := suite.Server(t)
+	request := newStreamedRequest(t, server.Address())
+	ended := make(chan upstream.Result, 1)
+	go func() { ended <- suite.Transport().Do(request.attempt) }()
+	if _, err := request.client.Write(Long[:len(Long)/2]); err != nil {
+		t.Fatal(err)
+	}
+	request.client.Close()
+	if err := <-request.upload.Done(); !errors.As(err, new(body.ClientFailed)) {
+		t.Errorf("the client side's error is %v", err)
+	}
+	expect(t, "status", (<-ended).Status, balancer.NotSent)
+	expectNoArrival(t, server)
+}
