--- /dev/null
+++ b/internal/upstream/give_up_test.go
@@ -0,0 +1,80 @@
+package upstream
+
+import (
+	"bufio"
+	"net"
+	"net/http"
+	"runtime"
+	"syscall"
+	"testing"
+	"time"
+
+	"olivearch/internal/http1"
+	"olivearch/internal/standin/scripted"
+)
+
+var longAgo = time.Unix(0, 1)
+
+// An attempt that is given up in the moment in which its response has come does not leave its connection to
+// the next one.
+func TestGivenUpConnectionIsNotUsedAgain(t *testing.T) {
+	server := scripted.Start(t, scripted.Done)
+	attempt := newPatientAttempt(server.Addr)
+	result := HTTP1{Timeout: time.Minute}.Do(attempt)
+	if result.Conn == nil || !attempt.GiveUp(longAgo) {
+		t.Fatalf("got %v", result)
+	}
+	defer result.Conn.Close()
+	if err := result.Conn.Reuse(); err == nil {
+		t.Error("a connection on which this side has ended serves again")
+	}
+}
+
+// An attempt that is given up at once is over for its upstream before the goroutine that carries it has run: on one
+// processor, which the test does not yield, a retry would otherwise be sent while the first attempt is still open.
+func TestGivenUpIsOverAtOnce(t *testing.T) {
+	defer runtime.GOMAXPROCS(runtime.GOMAXPROCS(1))
+	listener, err := net.Listen("tcp", "127.0.0.1:0")
+	if err != nil {
+		t.Fatal(err)
+	}
+	defer listener.Close()
+	attempt := newPatientAttempt(listener.Addr().String())
+	ended := make(chan Result, 1)
+	go func() { ended <- HTTP1{Timeout: time.Minute}.Do(attempt) }()
+	accepted, err := listener.Accept()
+	if err != nil {
+		t.Fatal(err)
+	}
+	defer accepted.Close()
+	if _, err := http.ReadRequest(bufio.NewReader(accepted)); err != nil {
+		t.Fatal(err)
+	}
+	rawConn, err := accepted.(syscall.Conn).SyscallConn()
+	if err != nil {
+		t.Fatal(err)
+	}
+	readCount := 1
+	var readErr error
+	peek := func(fd uintptr) {
+		readCount, _, readErr = syscall.Recvfrom(int(fd), make([]byte, 1), syscall.MSG_PEEK|syscall.MSG_DONTWAIT)
+	}
+	for !attempt.GiveUp(longAgo) { // until it is claimed
+		runtime.Gosched()
+	}
+	if err := rawConn.Control(peek); err != nil {
+		t.Error(err)
+	}
+	if readCount != 0 || readErr != nil {
+		t.Errorf("the attempt is still open: %d, %v", readCount, readErr)
+	}
+	<-ended
+}
+
+// newPatientAttempt returns an attempt that does not time out within a test.
+func newPatientAttempt(address string) *Attempt {
+	attempt := newAttempt(address, nil, http1.Field{Name: "X-Request-Id", Value: "1"})
+	attempt.Message.Line = "GET /x"
+	attempt.Wait = time.Minute
+	return attempt
+}
