--- a/internal/upstream/attempt.go
+++ b/internal/upstream/attempt.go
@@ -37,8 +37,9 @@
 // Drop keeps an attempt from being written. It returns false if the attempt was claimed or dropped before.
 func (a *Attempt) Drop() bool { return a.leaveConnecting(stageDropped) }
 
-// Claim marks an attempt as about to be written. It returns false if the attempt was dropped. Only a
-// Transport calls it. From then on GiveUp calls giveUp, which bounds the wait for the response.
+// Claim marks an attempt as about to be written. It returns false if that was done before or the attempt was
+// dropped. Only a Transport calls it. From then on GiveUp calls giveUp, which bounds the wait for the
+// response.
 func (a *Attempt) Claim(giveUp func(at time.Time)) bool {
 	a.giveUp = giveUp
 	return a.leaveConnecting(stageClaimed)
--- /dev/null
+++ b/internal/upstream/attempt_test.go
@@ -0,0 +1,44 @@
+package upstream
+
+import (
+	"testing"
+	"time"
+)
+
+// An attempt leaves its first stage once; which calls succeed afterwards depends on how it left it.
+func TestAttemptStages(t *testing.T) {
+	drop := func(a *Attempt) bool { return a.Drop() }
+	claim := func(a *Attempt) bool { return a.Claim(func(time.Time) {}) }
+	giveUp := func(a *Attempt) bool { return a.GiveUp(longAgo) }
+	for _, c := range []struct {
+		name     string
+		previous func(*Attempt) bool // nil: the attempt is in its first stage
+		call     func(*Attempt) bool
+		succeeds bool
+	}{
+		{name: "drop", call: drop, succeeds: true},
+		{name: "claim", call: claim, succeeds: true},
+		{name: "give up", call: giveUp},
+		{name: "drop, then drop", previous: drop, call: drop},
+		{name: "drop, then claim", previous: drop, call: claim},
+		{name: "drop, then give up", previous: drop, call: giveUp},
+		{name: "claim, then drop", previous: claim, call: drop},
+		{name: "claim, then claim", previous: claim, call: claim},
+		{name: "claim, then give up", previous: claim, call: giveUp, succeeds: true},
+	} {
+		attempt := new(Attempt)
+		if c.previous != nil {
+			want(t, c.name+": the first call", c.previous(attempt), true)
+		}
+		want(t, c.name, c.call(attempt), c.succeeds)
+	}
+}
+
+// GiveUp passes its time to the function that the transport has set when it claimed the attempt.
+func TestGiveUpReachesTheTransport(t *testing.T) {
+	attempt := new(Attempt)
+	var until time.Time
+	attempt.Claim(func(at time.Time) { until = at })
+	attempt.GiveUp(longAgo)
+	want(t, "time", until, longAgo)
+}
--- a/internal/upstream/give_up_test.go
+++ b/internal/upstream/give_up_test.go
@@ -13,6 +13,7 @@
 	"olivearch/internal/standin/scripted"
 )
 
+// longAgo is a time that has passed.
 var longAgo = time.Unix(0, 1)
 
 // An attempt that is given up in the moment in which its response has come does not leave its connection to
