--- a/internal/http1/stream_test.go
+++ b/internal/http1/stream_test.go
@@ -10,7 +10,8 @@
 	"olivearch/internal/standin/scripted"
 )
 
-// FuzzAnswer reads what an upstream may say. What is taken for whole must be so for net/http too, with the same body.
+// FuzzAnswer reads what an upstream may send. A response that is taken for complete must be so for net/http too, with
+// the same body.
 func FuzzAnswer(f *testing.F) {
 	for _, text := range []string{
 		"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nab",
@@ -33,14 +34,11 @@
 		if err != nil {
 			return
 		}
-		in := bufio.NewReader(bytes.NewReader(text))
-		resp, err := http.ReadResponse(in, nil)
-		for err == nil && resp.StatusCode < 200 {
-			resp, err = http.ReadResponse(in, nil)
-		}
+		resp, err := readFinalResponse(bufio.NewReader(bytes.NewReader(text)))
 		if err != nil {
 			t.Fatalf("taken, but unreadable for others: %v", err)
 		}
+		defer func() { _ = resp.Body.Close() }() // it has been read, or there is none
 		if resp.StatusCode == http.StatusNoContent || resp.StatusCode == http.StatusNotModified {
 			return // these have no body there
 		}
@@ -50,3 +48,14 @@
 		}
 	})
 }
+
+// readFinalResponse reads a response by net/http, past its interim ones.
+func readFinalResponse(in *bufio.Reader) (*http.Response, error) {
+	for {
+		resp, err := http.ReadResponse(in, nil)
+		if err != nil || resp.StatusCode >= http.StatusOK {
+			return resp, err
+		}
+		_ = resp.Body.Close() // an interim response has none
+	}
+}
