--- a/internal/body/download.go
+++ b/internal/body/download.go
@@ -1,11 +1,8 @@
 package body
 
 import (
-	"cmp"
 	"errors"
 	"io"
-	"log/slog"
-	"net"
 	"sync"
 	"time"
 
@@ -13,80 +10,91 @@
 )
 
 const (
-	// Whole is up to how many bytes an answer's body may be held back to be judged whole.
+	// Whole bounds, in bytes, a body that is buffered to its end before anything of it is forwarded.
 	Whole = 64 << 10
-	// Promptly is how long the body of an answer may come in before what there is of it goes on. One that comes whole in that time, and
-	// is no longer than Whole, is judged whole: cut or spoilt, another attempt may take its place where its class allows.
-	Promptly = 20 * time.Millisecond
-	// slowBlock is how long a client may take for a block of an answer that goes on as it comes.
-	slowBlock = 20 * time.Second
+	// bufferingTime is how long the body of a response is buffered before what there is of it is forwarded. One that is
+	// complete in that time, and no longer than Whole, can be judged first: cut or malformed, another attempt may take its
+	// place where its class allows.
+	bufferingTime = 20 * time.Millisecond
 )
 
-// part is a piece of an answer that goes on as it comes. The last one has none of it, and an error, io.EOF if the answer is whole.
+// part is a piece of a response that is streamed. The last one has an error, which is io.EOF if the response is
+// complete.
 type part struct {
 	block *[Block]byte
-	n     int
+	n     int // bytes of the block that are used
 	err   error
 }
 
-// Download is an answer that may go on to the client as it comes. The attempt's goroutine receives it, and the client's passes it
-// on; either may end it.
+// Download is a response that may be streamed to the client as it comes. The attempt's goroutine calls Receive, the
+// client's calls Copy; either may end it.
 type Download struct {
-	conn   Source
-	f      http1.Framing
-	limits *Limits
-	src    *http1.Body // read by the attempt's goroutine, or, where the length is known, by the client's
-	ended  chan error  // how the client's side has ended reading it
-	parts  chan part
-	gone   chan struct{} // closed once nobody wants the rest
-	leave  func()
-	begun  chan struct{} // closed once it has been told that it goes on
-
-	mu    sync.Mutex
-	first []byte // what had come when it began to go on
-	state progress
+	source    Source
+	framing   http1.Framing
+	limits    *Limits
+	body      *http1.Body // read by the attempt's goroutine, or by the client's if the length is known
+	forwarded chan error  // how the client's goroutine has ended reading it
+	parts     chan part
+	abandoned chan struct{} // closed once nobody wants the rest
+	abandon   func()        // closes it, once
+	begun     chan struct{} // closed once Receive's begin has returned
+
+	mu       sync.Mutex
+	buffered []byte // what had come before streaming; not written after that
+	state    downloadState
 }
 
-// progress is what a download has come to.
-type progress uint8
+// downloadState only grows.
+type downloadState uint8
 
 const (
-	gathering progress = iota // nothing has gone on
-	passing                   // it goes on as it comes
-	over                      // no more is read for it
+	buffering downloadState = iota // nothing has been forwarded
+	streaming                      // it is forwarded as it comes
+	finished                       // no more is read for it
 )
 
-// Source is a connection to a node that a download is read from. *http1.Stream is one.
+// Source is a connection to an upstream that a download is read from. *http1.Stream is one.
 type Source interface {
 	Body(f http1.Framing, most int64) *http1.Body
 	SetReadDeadline(time.Time) error
 }
 
-// NewDownload returns the answer that comes from c.
+// NewDownload returns the response that comes from c, whose head has been read.
 func NewDownload(c Source, f http1.Framing, limits *Limits) *Download {
-	d := &Download{conn: c, f: f, limits: limits, src: c.Body(f, limits.Answer), ended: make(chan error, 1), parts: make(chan part, 1), gone: make(chan struct{}), begun: make(chan struct{})}
-	d.leave = sync.OnceFunc(func() {
-		close(d.gone)
-		d.mu.Lock()
-		defer d.mu.Unlock()
-		if d.state != over { // else the connection may serve another request by now
-			d.conn.SetReadDeadline(time.Unix(0, 1))
-		}
-	})
+	d := &Download{
+		source:    c,
+		framing:   f,
+		limits:    limits,
+		body:      c.Body(f, limits.Answer),
+		forwarded: make(chan error, 1),
+		parts:     make(chan part, 1),
+		abandoned: make(chan struct{}),
+		begun:     make(chan struct{}),
+	}
+	d.abandon = sync.OnceFunc(d.stopReading)
 	return d
 }
 
-// Length is the body's, where Framed is false.
-func (d *Download) Length() uint64 { return d.f.Length }
+func (d *Download) stopReading() {
+	close(d.abandoned)
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	if d.state != finished { // else the connection may serve another request by now
+		_ = d.source.SetReadDeadline(expired) // fails on a closed connection, as reads do then
+	}
+}
+
+// Length is the body's in bytes, where Framed is false.
+func (d *Download) Length() uint64 { return d.framing.Length }
 
 // Framed tells whether the client gets chunks: the length is not known.
-func (d *Download) Framed() bool { return d.f.Chunked || d.f.ToClose }
+func (d *Download) Framed() bool { return d.framing.Chunked || d.framing.ToClose }
 
-// Trailer is what stood behind an answer that Receive has returned whole.
-func (d *Download) Trailer() http1.Fields { return d.limits.Trailer(d.src) }
+// Trailer returns the trailer of a response that Receive has returned complete.
+func (d *Download) Trailer() http1.Fields { return d.limits.Trailer(d.body) }
 
-// advance moves on from one state to another, if it is in that.
-func (d *Download) advance(from, to progress) bool {
+// advance changes the state, if it is from.
+func (d *Download) advance(from, to downloadState) bool {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	if d.state != from {
@@ -99,167 +107,115 @@
 // Abandon ends what nobody reads. A nil download has nothing to end.
 func (d *Download) Abandon() {
 	if d != nil {
-		d.leave()
+		d.abandon()
 	}
 }
 
-// Receive reads the body. It calls begin, from any goroutine, once there is something to go on with that is not the whole; if it
-// has not, it returns the whole. It returns after begin has: what is told of the end must not come before what was told of the
-// beginning, or the end of a short answer would pass for an empty one.
+// Receive reads the body. It calls begin, from any goroutine, once there is something to forward that is not the whole;
+// if it has not, it returns the whole. It returns after begin has: were the end reported before the beginning, the end
+// of a short response would pass for an empty one.
 func (d *Download) Receive(begin func()) (whole []byte, err error) {
 	start := func() {
-		if d.advance(gathering, passing) {
+		if d.advance(buffering, streaming) {
 			begin()
 			close(d.begun)
 		}
 	}
 	if !d.Framed() { // it is known to be long
 		start()
-		select {
-		case err = <-d.ended:
-		case <-d.gone:
-			select { // both may stand
-			case err = <-d.ended:
-			default:
-				err = errStopped
-			}
-		}
-		d.advance(passing, over)
+		err := d.waitForwarded()
+		d.advance(streaming, finished)
 		return nil, err
 	}
-	timer := time.AfterFunc(Promptly, start)
+	timer := time.AfterFunc(bufferingTime, start)
 	defer timer.Stop()
 	for {
-		b := blocks.Get().(*[Block]byte)
-		n, err := d.src.Read(b[:])
-		d.mu.Lock()
-		if d.state == gathering {
-			d.first = append(d.first, b[:n]...)
-			blocks.Put(b)
-			if err != nil {
-				d.state = over
-			}
-			long := len(d.first) > Whole
-			d.mu.Unlock()
-			if err == io.EOF {
-				return d.first, nil
-			} else if err != nil {
-				return nil, err
-			}
-			if long {
-				start()
+		next := d.readPart()
+		switch {
+		case !d.buffer(next):
+			if err := d.streamPart(next); err != nil {
+				return nil, d.finishStreaming(err)
 			}
-			continue
-		}
-		if err != nil {
-			d.state = over
+		case errors.Is(next.err, io.EOF):
+			return d.buffered, nil
+		case next.err != nil:
+			return nil, next.err
+		case len(d.buffered) > Whole:
+			start()
 		}
-		d.mu.Unlock()
-		gone := d.pass(part{b, n, err})
-		if gone == nil && err == nil {
-			gone = d.patient(d.limits.Quiet)
-		}
-		if gone == nil && err == nil {
-			continue
-		}
-		d.advance(passing, over)
-		<-d.begun
-		if gone == nil && err == io.EOF {
-			return nil, nil
-		}
-		return nil, cmp.Or(gone, err)
 	}
 }
 
-// patient bounds the next read from the node, unless nobody wants the rest any more.
-func (d *Download) patient(within time.Duration) error {
-	d.mu.Lock()
-	defer d.mu.Unlock()
+// waitForwarded waits until the client's goroutine has forwarded the body or given it up.
+func (d *Download) waitForwarded() error {
 	select {
-	case <-d.gone: // its limit of time stands
-		d.state = over
-		return errStopped
+	case err := <-d.forwarded:
+		return err
+	case <-d.abandoned:
+	}
+	select { // both may be ready
+	case err := <-d.forwarded:
+		return err
 	default:
-		d.conn.SetReadDeadline(time.Now().Add(within)) // if it fails so does the read, which is told to the client's side
-		return nil
+		return errStopped
 	}
 }
 
-// pass gives a piece to the client's side, if that is still there.
-func (d *Download) pass(p part) error {
-	select {
-	case d.parts <- p:
-		return nil
-	case <-d.gone:
-		blocks.Put(p.block)
-		return errStopped
-	}
+func (d *Download) readPart() part {
+	block := blocks.Get().(*[Block]byte)
+	n, err := d.body.Read(block[:])
+	return part{block, n, err}
 }
 
-// Copy passes the body on to a client, in chunks if Framed, or else up to the connection's close (framed is false). If the node
-// fails the client gets no clean end, as far as that can be told without chunks.
-func (d *Download) Copy(to net.Conn, framed bool) (err error) {
-	defer d.leave()
-	if !d.Framed() {
-		err = d.forward(to)
-		d.ended <- err
-		if err != nil {
-			slog.Warn("an answer that was being passed on is cut", "why", err)
-		}
-		return err
-	}
-	if err := http1.Chunk(to, d.first, framed, slowBlock); err != nil {
-		return err
+// buffer adds a part to what is buffered. It returns false, and leaves the part alone, if streaming has begun.
+func (d *Download) buffer(next part) bool {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	mayBuffer := d.state == buffering
+	if mayBuffer {
+		d.buffered = append(d.buffered, next.block[:next.n]...)
+		blocks.Put(next.block)
 	}
-	for began := time.Now(); ; {
-		p := <-d.parts
-		err := http1.Chunk(to, p.block[:p.n], framed, slowBlock)
-		blocks.Put(p.block)
-		switch {
-		case err != nil:
-			return err
-		case d.late(began):
-			return errLate
-		case p.err == nil:
-		case !errors.Is(p.err, io.EOF):
-			slog.Warn("an answer that was being passed on is cut", "why", p.err)
-			if !framed { // a close would pass for the end
-				http1.Abort(to)
-			}
-			return p.err
-		case !framed:
-			return nil
-		default:
-			return http1.End(to, d.Trailer(), slowBlock)
-		}
+	if next.err != nil {
+		d.state = finished
 	}
+	return mayBuffer
 }
 
-var errLate = errors.New("the answer takes longer than its route lets it")
+// streamPart gives a part to the client's goroutine. It returns the part's error, or errStopped if nobody wants more.
+func (d *Download) streamPart(next part) error {
+	select {
+	case d.parts <- next:
+	case <-d.abandoned:
+		blocks.Put(next.block)
+		return errStopped
+	}
+	if next.err != nil {
+		return next.err
+	}
+	return d.setReadTimeout(d.limits.Quiet)
+}
 
-func (d *Download) late(began time.Time) bool {
-	return d.limits.Total > 0 && time.Since(began) > d.limits.Total
+// finishStreaming returns what Receive reports of a streamed response: nil if it is complete.
+func (d *Download) finishStreaming(err error) error {
+	d.advance(streaming, finished)
+	<-d.begun
+	if errors.Is(err, io.EOF) {
+		return nil
+	}
+	return err
 }
 
-// forward moves a body of known length from the node's connection to the client's.
-func (d *Download) forward(to net.Conn) error {
-	for began := time.Now(); ; {
-		if err := d.patient(d.limits.Quiet); err != nil {
-			return err
-		}
-		if err := d.src.Wait(); err != nil && !errors.Is(err, io.EOF) {
-			return err
-		}
-		if err := d.patient(partWait); err != nil {
-			return err
-		}
-		switch _, err := move(d.src, to, slowBlock); {
-		case errors.Is(err, io.EOF):
-			return nil
-		case err != nil:
-			return err
-		case d.late(began):
-			return errLate
-		}
+// setReadTimeout bounds the next read from the upstream, unless nobody wants the rest any more.
+func (d *Download) setReadTimeout(timeout time.Duration) error {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	select {
+	case <-d.abandoned: // the expired deadline stays
+		d.state = finished
+		return errStopped
+	default:
+		_ = d.source.SetReadDeadline(time.Now().Add(timeout)) // if it fails so does the read
+		return nil
 	}
 }
--- a/internal/body/download_test.go
+++ b/internal/body/download_test.go
@@ -3,40 +3,64 @@
 import (
 	"io"
 	"net"
-	"strings"
 	"testing"
 	"time"
 
 	"olivearch/internal/http1"
 )
 
-// The end of an answer is told after its beginning, however late that is: an answer that had just begun to go on was once told
-// as whole and empty, and served so.
-func TestEndIsToldAfterTheBeginning(t *testing.T) {
-	for _, text := range []string{"3\r\nabc\r\n0\r\n\r\n", "3\r\nabc\r\n", "noise"} {
-		here, there := net.Pipe()
-		d := NewDownload(http1.NewStream(here, 2<<10), http1.Framing{Chunked: true}, &Usual)
-		begins, goOn := make(chan struct{}), make(chan struct{})
-		ended := make(chan error, 1)
-		go func() {
-			_, err := d.Receive(func() { close(begins); <-goOn })
-			ended <- err
-		}()
-		<-begins // the timer has gone off, and what it tells has not come yet
-		io.WriteString(there, text)
-		there.Close()
-		p := <-d.parts
-		for p.err == nil {
-			p = <-d.parts
-		}
-		select {
-		case <-ended:
-			t.Fatal("the end is told before the beginning")
-		case <-time.After(Promptly): // it has had time to
-		}
-		close(goOn)
-		if err := <-ended; (err == nil) != strings.HasSuffix(text, http1.LastChunk) {
-			t.Errorf("%q: %v", text, err)
-		}
+// An upstream's response that had just begun to be streamed was once reported as complete and empty, and served so.
+func TestEndIsReportedAfterBeginning(t *testing.T) {
+	for _, c := range []struct {
+		name     string
+		text     string
+		complete bool
+	}{
+		{"complete", "3\r\nabc\r\n0\r\n\r\n", true},
+		{"cut", "3\r\nabc\r\n", false},
+		{"malformed", "noise", false},
+	} {
+		t.Run(c.name, func(t *testing.T) {
+			here, there := net.Pipe()
+			d := NewDownload(http1.NewStream(here, 2<<10), http1.Framing{Chunked: true}, &Usual)
+			beginCalled, letBeginReturn := make(chan struct{}), make(chan struct{})
+			received := make(chan error, 1)
+			go func() {
+				_, err := d.Receive(func() {
+					close(beginCalled)
+					<-letBeginReturn
+				})
+				received <- err
+			}()
+			<-beginCalled // by the timer, and it has not returned yet
+			sendAndClose(t, there, c.text)
+			takeAllParts(d)
+			select {
+			case err := <-received:
+				t.Fatalf("Receive has returned before begin: %v", err)
+			case <-time.After(bufferingTime): // it has had time to
+			}
+			close(letBeginReturn)
+			if err := <-received; (err == nil) != c.complete {
+				t.Errorf("%q: %v", c.text, err)
+			}
+		})
+	}
+}
+
+func sendAndClose(t *testing.T, c net.Conn, text string) {
+	t.Helper()
+	if _, err := io.WriteString(c, text); err != nil {
+		t.Fatal(err)
+	}
+	if err := c.Close(); err != nil {
+		t.Fatal(err)
+	}
+}
+
+// takeAllParts takes what a download passes on, up to the part with its end.
+func takeAllParts(d *Download) {
+	for next := <-d.parts; next.err == nil; {
+		next = <-d.parts
 	}
 }
--- a/internal/body/limits.go
+++ b/internal/body/limits.go
@@ -1,3 +1,6 @@
+// Package body carries long bodies between a client's connection and an upstream's: requests (Upload), responses
+// (Download) and connections that have changed their protocol (Tunnel). Each says who may end it, and bounds every
+// wait.
 package body
 
 import (
@@ -9,16 +12,16 @@
 // Limits are what bodies may take, by the route of their request.
 type Limits struct {
 	Request int64         // bytes of a request's body
-	Ahead   int           // bytes of it that are read ahead of an attempt, beyond the Whole that each may have for itself
-	Within  time.Duration // for a request's body that goes on as it comes
-	Answer  int64         // bytes of an answer's body
-	Quiet   time.Duration // how long a node may say nothing in the middle of an answer
-	Total   time.Duration // for an answer that goes on as it comes; 0: as long as it takes
+	Ahead   int           // bytes of it that are read before an attempt, beyond the Whole that each may have for itself
+	Within  time.Duration // for a request's body that is sent while it comes
+	Answer  int64         // bytes of a response's body
+	Quiet   time.Duration // how long an upstream may send nothing in the middle of a response
+	Total   time.Duration // for a response that is streamed; 0: no limit
 
-	Trailers bool // what stands behind chunks goes on
+	Trailers bool // trailers are forwarded
 }
 
-// Trailer is what goes on of a body's trailer.
+// Trailer returns what is forwarded of a body's trailer.
 func (l *Limits) Trailer(b *http1.Body) http1.Fields {
 	if !l.Trailers {
 		return nil
@@ -27,4 +30,10 @@
 }
 
 // Usual are the limits where nothing else is set.
-var Usual = Limits{Request: 48 << 20, Ahead: 1 << 20, Within: 5 * time.Minute, Answer: 48 << 20, Quiet: 30 * time.Second}
+var Usual = Limits{
+	Request: 48 << 20,
+	Ahead:   1 << 20,
+	Within:  5 * time.Minute,
+	Answer:  48 << 20,
+	Quiet:   30 * time.Second,
+}
--- a/internal/body/tunnel.go
+++ b/internal/body/tunnel.go
@@ -14,53 +14,58 @@
 )
 
 const (
-	// halfOpen is how long a tunnel may say nothing once one side has ended.
-	halfOpen = 30 * time.Second
-	// slowPeer is how long a side of a tunnel may take no byte.
-	slowPeer = 30 * time.Second
+	// halfOpenTimeout is how long a tunnel may be silent once one side has ended.
+	halfOpenTimeout = 30 * time.Second
+	// tunnelWriteTimeout is how long a side of a tunnel may take no byte.
+	tunnelWriteTimeout = 30 * time.Second
 )
 
 // TunnelLimits are what a connection that has changed its protocol (RFC 9110, section 7.8) may take.
 type TunnelLimits struct {
-	Idle  time.Duration // that neither side may say anything for
-	Total time.Duration // 0: as long as it takes
-	Grace time.Duration // that it has to end by itself once its node drains, its route has gone or the process stops
+	Idle  time.Duration // that neither side may send anything for
+	Total time.Duration // 0: no limit
+	Grace time.Duration // to end by itself once its upstream drains, its route has gone or the process stops
 }
 
-// Tunnel joins a client's connection and a node's. While neither side says anything it holds no memory but the buffers that both
-// connections have.
+// Tunnel joins a client's connection and an upstream's. One goroutine runs Up, another Down; any may end it. While
+// neither side sends anything it holds no memory but the buffers that both connections have.
 type Tunnel struct {
-	node   *http1.Stream
-	limits *TunnelLimits
-
-	mu     sync.Mutex
-	client net.Conn // set by Bind
-	after  []func() // once it has ended; nil from then on
-	over   bool
-
-	activity atomic.Int64 // when a byte last came, in Unix nanoseconds
-	halves   atomic.Int32 // directions that have ended
-	done     chan struct{}
-	end      func()
-	soon     func()
+	upstream *http1.Stream
+	limits   *TunnelLimits
+
+	mu      sync.Mutex
+	client  net.Conn // set by Bind
+	onEnded []func() // called once it has ended; nil from then on
+	ended   bool
+
+	lastActivity    atomic.Int64 // when a byte last came, in Unix nanoseconds
+	endedDirections atomic.Int32
+	done            chan struct{}
+	end             func() // runs markEnded, once
+	endSoon         func() // starts the timer of the grace, once
 }
 
-// NewTunnel returns a tunnel to a node that has agreed to it. Nothing else uses the node's connection until Done.
+// NewTunnel returns a tunnel to an upstream that has agreed to it. Nothing else uses the upstream's connection until
+// Done.
 func NewTunnel(node *http1.Stream, limits *TunnelLimits) *Tunnel {
-	t := &Tunnel{node: node, limits: limits, done: make(chan struct{})}
-	t.activity.Store(time.Now().UnixNano())
-	t.end = sync.OnceFunc(func() {
-		close(t.done)
-		t.mu.Lock()
-		after := t.after
-		t.over, t.after = true, nil
-		t.mu.Unlock()
-		for _, f := range after {
-			f()
-		}
-	})
-	t.soon = sync.OnceFunc(func() { time.AfterFunc(limits.Grace, t.Close) })
-	return t
+	tunnel := &Tunnel{upstream: node, limits: limits, done: make(chan struct{})}
+	tunnel.lastActivity.Store(time.Now().UnixNano())
+	tunnel.end = sync.OnceFunc(tunnel.markEnded)
+	tunnel.endSoon = sync.OnceFunc(func() { time.AfterFunc(limits.Grace, tunnel.Close) })
+	return tunnel
+}
+
+// markEnded closes Done and calls what waits for the end.
+func (t *Tunnel) markEnded() {
+	close(t.done)
+	t.mu.Lock()
+	callbacks := t.onEnded
+	t.ended = true
+	t.onEnded = nil
+	t.mu.Unlock()
+	for _, callback := range callbacks {
+		callback()
+	}
 }
 
 // Bind names the client's connection. It is called before Up and Down.
@@ -74,55 +79,56 @@
 	}
 }
 
-// Ended has f called once the tunnel has ended, at once if it has. No goroutine waits for it.
-func (t *Tunnel) Ended(f func()) {
+// Ended has callback called once the tunnel has ended, at once if it has. No goroutine waits for it.
+func (t *Tunnel) Ended(callback func()) {
 	t.mu.Lock()
-	over := t.over
-	if !over {
-		t.after = append(t.after, f)
+	ended := t.ended
+	if !ended {
+		t.onEnded = append(t.onEnded, callback)
 	}
 	t.mu.Unlock()
-	if over {
-		f()
+	if ended {
+		callback()
 	}
 }
 
-// Done is closed once the tunnel has ended. A nil Tunnel never does.
+// Done is closed once the tunnel has ended.
 func (t *Tunnel) Done() <-chan struct{} { return t.done }
 
-// Grace is what it has once it is to end.
+// Grace is the time that the tunnel has once it is to end.
 func (t *Tunnel) Grace() time.Duration { return t.limits.Grace }
 
 // EndSoon ends the tunnel once its grace is over, unless it ends before.
-func (t *Tunnel) EndSoon() { t.soon() }
+func (t *Tunnel) EndSoon() { t.endSoon() }
 
 // Close ends the tunnel at once. A nil one has nothing to end.
 func (t *Tunnel) Close() {
 	if t == nil {
 		return
 	}
-	past := time.Unix(0, 1)
 	t.end()
-	t.node.SetDeadline(past)
+	_ = t.upstream.SetDeadline(expired) // fails on a closed connection, as reads and writes do then
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if t.client != nil {
-		t.client.SetDeadline(past)
+		_ = t.client.SetDeadline(expired)
 	}
 }
 
-// Down moves what the node says to the client, until it ends.
-func (t *Tunnel) Down() { t.move(t.client, t.node) }
+// Down moves what the upstream sends to the client, until the tunnel ends.
+func (t *Tunnel) Down() { t.relay(t.client, t.upstream) }
 
-// Up moves what the client says to the node, until it ends. src reads the client's connection.
-func (t *Tunnel) Up(src *http1.Stream) { t.move(t.node, src) }
+// Up moves what the client sends to the upstream, until the tunnel ends. src reads the client's connection.
+func (t *Tunnel) Up(src *http1.Stream) { t.relay(t.upstream, src) }
 
-func (t *Tunnel) move(to net.Conn, src *http1.Stream) {
+// relay moves one direction. Once src has ended, the other direction may go on, if the connection can be closed in one
+// direction only.
+func (t *Tunnel) relay(to net.Conn, src *http1.Stream) {
 	src.Limit(math.MaxInt64) // what comes is no message any more
-	err := t.copy(to, src)
-	if err == nil && t.halves.Add(1) < 2 { // the other direction may go on
-		half, ok := http1.Under(to).(*net.TCPConn)
-		if ok && half.CloseWrite() == nil {
+	err := t.copyUntilEnd(to, src)
+	if err == nil && t.endedDirections.Add(1) < 2 {
+		tcp, ok := http1.Under(to).(*net.TCPConn)
+		if ok && tcp.CloseWrite() == nil {
 			<-t.done
 			return
 		}
@@ -130,17 +136,13 @@
 	t.Close()
 }
 
-// copy moves bytes until the source ends, which is no error.
-func (t *Tunnel) copy(to net.Conn, src *http1.Stream) error {
+// copyUntilEnd moves bytes until the source ends, which is no error.
+func (t *Tunnel) copyUntilEnd(target net.Conn, src *http1.Stream) error {
 	for {
-		idle := t.limits.Idle
-		if t.halves.Load() > 0 {
-			idle = min(idle, halfOpen)
-		}
-		last := time.Unix(0, t.activity.Load())
-		src.SetReadDeadline(last.Add(idle))
-		select { // its limit of time stands
-		case <-t.done:
+		idle := t.idleTimeout()
+		_ = src.SetReadDeadline(t.lastActive().Add(idle)) // fails on a closed connection, as the read does then
+		select {
+		case <-t.done: // Close may have set its deadline before
 			return net.ErrClosed
 		default:
 		}
@@ -148,31 +150,43 @@
 		switch {
 		case errors.Is(err, io.EOF):
 			return nil
-		case errors.Is(err, os.ErrDeadlineExceeded) && time.Since(time.Unix(0, t.activity.Load())) < idle: // the other side has spoken
+		case errors.Is(err, os.ErrDeadlineExceeded) && time.Since(t.lastActive()) < idle: // the other side has sent
 			continue
 		case err != nil:
 			return err
 		}
-		t.activity.Store(time.Now().UnixNano())
-		if err := burst(to, src); err != nil {
+		t.lastActivity.Store(time.Now().UnixNano())
+		if err := copyAvailable(target, src); err != nil {
 			return err
 		}
 	}
 }
 
-// burst moves what has come.
-func burst(to net.Conn, src *http1.Stream) error {
-	b := blocks.Get().(*[Block]byte)
-	defer blocks.Put(b)
-	for n := Block; n == Block || src.Buffered() > 0; {
-		var err error
-		if n, err = src.Read(b[:]); err != nil {
-			return nil // Wait sees it again
+func (t *Tunnel) lastActive() time.Time { return time.Unix(0, t.lastActivity.Load()) }
+
+// idleTimeout is how long neither side may send anything.
+func (t *Tunnel) idleTimeout() time.Duration {
+	if t.endedDirections.Load() > 0 {
+		return min(t.limits.Idle, halfOpenTimeout)
+	}
+	return t.limits.Idle
+}
+
+// copyAvailable moves what has come.
+func copyAvailable(to net.Conn, src *http1.Stream) error {
+	block := blocks.Get().(*[Block]byte)
+	defer blocks.Put(block)
+	for {
+		n, err := src.Read(block[:])
+		if err != nil {
+			return nil // the next Wait returns it
 		}
-		to.SetWriteDeadline(time.Now().Add(slowPeer))
-		if _, err := to.Write(b[:n]); err != nil {
+		_ = to.SetWriteDeadline(time.Now().Add(tunnelWriteTimeout)) // fails on a closed connection, as the write does
+		if _, err := to.Write(block[:n]); err != nil {
 			return err
 		}
+		if n < Block && src.Buffered() == 0 {
+			return nil
+		}
 	}
-	return nil
 }
