--- a/internal/body/tunnel.go
+++ b/internal/body/tunnel.go
@@ -47,8 +47,8 @@
 
 // NewTunnel returns a tunnel to an upstream that has agreed to it. Nothing else uses the upstream's connection until
 // Done.
-func NewTunnel(node *http1.Stream, limits *TunnelLimits) *Tunnel {
-	tunnel := &Tunnel{upstream: node, limits: limits, done: make(chan struct{})}
+func NewTunnel(upstream *http1.Stream, limits *TunnelLimits) *Tunnel {
+	tunnel := &Tunnel{upstream: upstream, limits: limits, done: make(chan struct{})}
 	tunnel.lastActivity.Store(time.Now().UnixNano())
 	tunnel.end = sync.OnceFunc(tunnel.markEnded)
 	tunnel.endSoon = sync.OnceFunc(func() { time.AfterFunc(limits.Grace, tunnel.Close) })
--- a/internal/body/upload.go
+++ b/internal/body/upload.go
@@ -53,9 +53,9 @@
 }
 
 // NewUpload returns the rest of a body, which conn brings. The client's side holds it until it calls Release.
-func NewUpload(room *Spool, conn net.Conn, f http1.Framing, limits *Limits) *Upload {
+func NewUpload(spool *Spool, conn net.Conn, f http1.Framing, limits *Limits) *Upload {
 	u := &Upload{
-		spool:  room,
+		spool:  spool,
 		conn:   conn,
 		limits: limits,
 		length: f.Length,
