--- a/internal/frontend/exchange_test.go
+++ b/internal/frontend/exchange_test.go
@@ -13,29 +13,29 @@
 	"olivearch/internal/upstream"
 )
 
-// counter is a desk whose pool answers each request at once, with the body that came.
-type counter struct{ asked int }
+// echoRouter is a desk whose pool answers each request at once, with the body that came.
+type echoRouter struct{ asked int }
 
-type counted struct {
+type echoExchange struct {
 	pool.Request
-	desk *counter
+	desk *echoRouter
 }
 
-func (d *counter) Check(method, target string, h *http1.Fields) (Exchange, error) {
+func (d *echoRouter) Check(method, target string, h *http1.Fields) (Exchange, error) {
 	if !strings.HasPrefix(target, "/") {
 		return nil, BadRequest("the target is no path")
 	}
-	q := &counted{desk: d}
+	q := &echoExchange{desk: d}
 	q.Message = upstream.Message{Line: method + " " + target, Header: *h, Bodied: method == http.MethodPost}
 	return q, nil
 }
-func (d *counter) Ping()                      {}
-func (d *counter) Now() time.Duration         { return 0 }
-func (d *counter) MaxDeadline() time.Duration { return time.Second }
+func (d *echoRouter) Ping()                      {}
+func (d *echoRouter) Now() time.Duration         { return 0 }
+func (d *echoRouter) MaxDeadline() time.Duration { return time.Second }
 
-func (q *counted) PoolRequest() *pool.Request { return &q.Request }
-func (q *counted) Done()                      {}
-func (q *counted) Admit() (pool.Response, error) {
+func (q *echoExchange) PoolRequest() *pool.Request { return &q.Request }
+func (q *echoExchange) Done()                      {}
+func (q *echoExchange) Admit() (pool.Response, error) {
 	q.desk.asked++
 	return pool.Response{Status: http.StatusOK, Body: q.Message.Body}, nil
 }
@@ -53,13 +53,13 @@
 		f.Add([]byte(text))
 	}
 	f.Fuzz(func(t *testing.T, text []byte) {
-		d := &counter{}
+		d := &echoRouter{}
 		limits := Usual(10)
 		limits.HTTP10 = true
 		front := New(d, nil, limits)
 		c := scripted.Saying(text)
 		front.Take(c)
-		front.gone.Wait()
+		front.connections.Wait()
 		said := c.Heard.Bytes()
 		answers := strings.Count(string(said), "HTTP/1.1 200 OK\r\n")
 		refusals := 0
--- a/internal/frontend/limits.go
+++ b/internal/frontend/limits.go
@@ -18,5 +18,5 @@
 
 // Usual are the limits where nothing but the connections is set.
 func Usual(connections int) Limits {
-	return Limits{Connections: connections, Head: http1.MaxHead, Within: slowClient, Rate: 8 << 10}
+	return Limits{Connections: connections, Head: http1.MaxHead, Within: requestTimeout, Rate: 8 << 10}
 }
--- a/internal/frontend/moments_test.go
+++ b/internal/frontend/moments_test.go
@@ -19,32 +19,32 @@
 	"olivearch/internal/upstream"
 )
 
-// held is a desk whose pool answers each request when the test says so.
-type held struct{ asked chan *pool.Request }
+// heldRouter is a desk whose pool answers each request when the test says so.
+type heldRouter struct{ asked chan *pool.Request }
 
-type heldCall struct {
+type heldExchange struct {
 	pool.Request
-	desk *held
+	desk *heldRouter
 }
 
-func (d *held) Check(method, target string, h *http1.Fields) (Exchange, error) {
-	q := &heldCall{desk: d}
+func (d *heldRouter) Check(method, target string, h *http1.Fields) (Exchange, error) {
+	q := &heldExchange{desk: d}
 	q.Message = upstream.Message{Line: method + " " + target, Header: *h, Bodied: method == http.MethodPost}
 	return q, nil
 }
-func (d *held) Ping()                      {}
-func (d *held) Now() time.Duration         { return 0 }
-func (d *held) MaxDeadline() time.Duration { return time.Second }
+func (d *heldRouter) Ping()                      {}
+func (d *heldRouter) Now() time.Duration         { return 0 }
+func (d *heldRouter) MaxDeadline() time.Duration { return time.Second }
 
-func (q *heldCall) PoolRequest() *pool.Request { return &q.Request }
-func (q *heldCall) Done()                      {}
-func (q *heldCall) Admit() (pool.Response, error) {
+func (q *heldExchange) PoolRequest() *pool.Request { return &q.Request }
+func (q *heldExchange) Done()                      {}
+func (q *heldExchange) Admit() (pool.Response, error) {
 	q.desk.asked <- &q.Request
 	return pool.Response{}, nil
 }
 
 // reply answers the next request that comes.
-func (d *held) reply(t *testing.T) {
+func (d *heldRouter) reply(t *testing.T) {
 	t.Helper()
 	select {
 	case q := <-d.asked:
@@ -54,22 +54,22 @@
 	}
 }
 
-// seam is a client's connection as the Front has it, with places at which a test may step in.
-type seam struct {
+// hookedConn is a client's connection as the Front has it, with places at which a test may step in.
+type hookedConn struct {
 	*net.TCPConn
 	read  chan struct{} // not nil: a second Read begins once it is closed
 	reads int
 	write func() // called before each Write
 }
 
-func (s *seam) Read(b []byte) (int, error) {
+func (s *hookedConn) Read(b []byte) (int, error) {
 	if s.reads++; s.reads > 1 && s.read != nil {
 		<-s.read
 	}
 	return s.TCPConn.Read(b)
 }
 
-func (s *seam) Write(b []byte) (int, error) {
+func (s *hookedConn) Write(b []byte) (int, error) {
 	if s.write != nil {
 		s.write()
 	}
@@ -77,7 +77,7 @@
 }
 
 // arrived waits until bytes of the client are in the socket.
-func (s *seam) arrived(t *testing.T, bytes int) {
+func (s *hookedConn) arrived(t *testing.T, bytes int) {
 	t.Helper()
 	raw, err := s.SyscallConn()
 	if err != nil {
@@ -96,31 +96,31 @@
 	t.Fatal("the client's bytes do not come")
 }
 
-// seamed is a Front whose connections are seams.
-type seamed struct {
+// hookedListener is a Front whose connections are seams.
+type hookedListener struct {
 	net.Listener
-	taken chan *seam
+	taken chan *hookedConn
 }
 
-func (l *seamed) Accept() (net.Conn, error) {
+func (l *hookedListener) Accept() (net.Conn, error) {
 	c, err := l.Listener.Accept()
 	if err != nil {
 		return nil, err
 	}
-	s := &seam{TCPConn: c.(*net.TCPConn)}
+	s := &hookedConn{TCPConn: c.(*net.TCPConn)}
 	l.taken <- s
 	<-l.taken // the test has set what it wants
 	return s, nil
 }
 
-// newSeamed serves on a loopback port until the test ends.
-func newSeamed(t *testing.T) (*Server, *seamed, *held) {
+// newHookedServer serves on a loopback port until the test ends.
+func newHookedServer(t *testing.T) (*Server, *hookedListener, *heldRouter) {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	s, d := &seamed{l, make(chan *seam)}, &held{make(chan *pool.Request, 10)}
+	s, d := &hookedListener{l, make(chan *hookedConn)}, &heldRouter{make(chan *pool.Request, 10)}
 	f := New(d, s, Usual(100))
 	go f.Serve()
 	t.Cleanup(func() { l.Close() })
@@ -128,7 +128,7 @@
 }
 
 // dial opens a connection and lets a test set its seam before it is served.
-func (l *seamed) dial(t *testing.T, set func(*seam)) (*net.TCPConn, *bufio.Reader, *seam) {
+func (l *hookedListener) dial(t *testing.T, set func(*hookedConn)) (*net.TCPConn, *bufio.Reader, *hookedConn) {
 	t.Helper()
 	c, err := net.Dial("tcp", l.Addr().String())
 	if err != nil {
@@ -142,7 +142,7 @@
 	return c.(*net.TCPConn), bufio.NewReader(c), s
 }
 
-const ask = "GET /a HTTP/1.1\r\nHost: x\r\n\r\n"
+const getRequest = "GET /a HTTP/1.1\r\nHost: x\r\n\r\n"
 
 func expectStatus(t *testing.T, in *bufio.Reader, status int, closes bool) {
 	t.Helper()
@@ -167,22 +167,22 @@
 // A request comes on a resting connection in the moment in which the balancer lets that go: the bytes are in the socket, and the reader
 // has not seen them when it is told to end. It is served, and the connection goes behind its answer.
 func TestRequestCrossesTheStop(t *testing.T) {
-	f, l, d := newSeamed(t)
+	f, l, d := newHookedServer(t)
 	gate := make(chan struct{})
-	c, in, s := l.dial(t, func(s *seam) { s.read = gate })
-	io.WriteString(c, ask)
+	c, in, s := l.dial(t, func(s *hookedConn) { s.read = gate })
+	io.WriteString(c, getRequest)
 	d.reply(t)
 	expectStatus(t, in, http.StatusOK, false)
-	for f.stages(idle) == 0 {
+	for f.stages(stageIdle) == 0 {
 		runtime.Gosched()
 	}
 	stopped := make(chan struct{})
 	go func() { f.Stop(); close(stopped) }()
-	for f.stages(idle) > 0 { // let go
+	for f.stages(stageIdle) > 0 { // let go
 		runtime.Gosched()
 	}
-	io.WriteString(c, ask)
-	s.arrived(t, len(ask))
+	io.WriteString(c, getRequest)
+	s.arrived(t, len(getRequest))
 	close(gate)
 	d.reply(t)
 	expectStatus(t, in, http.StatusOK, true)
@@ -192,17 +192,17 @@
 
 // Behind the last answer of a connection the client has sent more than is ever read. A close over that would be a reset.
 func TestBytesUnderTheLastAnswer(t *testing.T) {
-	_, l, d := newSeamed(t)
+	_, l, d := newHookedServer(t)
 	more := bytes.Repeat([]byte("x"), 64<<10)
 	sent := make(chan func(), 1) // lets the client send more
-	c, in, _ := l.dial(t, func(s *seam) {
+	c, in, _ := l.dial(t, func(s *hookedConn) {
 		s.write = func() {
 			(<-sent)()
 			s.arrived(t, 16<<10)
 		}
 	})
 	sent <- func() { c.Write(more) }
-	io.WriteString(c, strings.Replace(ask, "\r\n\r\n", "\r\nConnection: close\r\n\r\n", 1))
+	io.WriteString(c, strings.Replace(getRequest, "\r\n\r\n", "\r\nConnection: close\r\n\r\n", 1))
 	d.reply(t)
 	expectStatus(t, in, http.StatusOK, true)
 	expectEnd(t, in)
@@ -213,13 +213,13 @@
 	for _, x := range []struct {
 		rest   string
 		status int
-	}{{ask[20:], http.StatusOK}, {"", http.StatusRequestTimeout}} {
+	}{{getRequest[20:], http.StatusOK}, {"", http.StatusRequestTimeout}} {
 		t.Run(fmt.Sprint(x.status), func(t *testing.T) {
 			t.Parallel()
-			f, l, d := newSeamed(t)
-			unused, _, _ := l.dial(t, func(*seam) {})
-			c, in, _ := l.dial(t, func(*seam) {})
-			io.WriteString(c, ask[:20])
+			f, l, d := newHookedServer(t)
+			unused, _, _ := l.dial(t, func(*hookedConn) {})
+			c, in, _ := l.dial(t, func(*hookedConn) {})
+			io.WriteString(c, getRequest[:20])
 			for f.reading() == 0 {
 				runtime.Gosched()
 			}
@@ -243,7 +243,7 @@
 func (f *Server) stages(s stage) int {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return f.count[s]
+	return f.stageCounts[s]
 }
 
 // reading counts the connections on which a request is being read.
@@ -251,7 +251,7 @@
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	for c := range f.clients {
-		if c.reads && c.stage == silent {
+		if c.readingRequest && c.stage == stageReading {
 			n++
 		}
 	}
--- a/internal/frontend/present_test.go
+++ b/internal/frontend/present_test.go
@@ -37,8 +37,8 @@
 				t.Fatal(err)
 			}
 			defer here.Close()
-			pace := &pacer{Conn: here}
-			c := &client{Stream: http1.NewStream(pace, readBuffer), pace: pace}
+			pace := &deadlineConn{Conn: here}
+			c := &clientConn{Stream: http1.NewStream(pace, readBufferBytes), conn: pace}
 			if err := x.does(there.(*net.TCPConn)); err != nil {
 				t.Fatal(err)
 			}
--- a/internal/frontend/read.go
+++ b/internal/frontend/read.go
@@ -13,16 +13,16 @@
 )
 
 // readBody reads a body, or the part of it that is read ahead.
-func (f *Server) readBody(c *client, q *pool.Request, framed http1.Framing) (err error) {
+func (f *Server) readBody(c *clientConn, q *pool.Request, framed http1.Framing) (err error) {
 	limits := q.Message.Most()
 	src := c.Body(framed, limits.Request)
-	c.pace.extend(maxBody)
-	if q.Message.Body, err = src.UpTo(maxBody); err != nil || src.Ended() {
+	c.conn.allowBody(bufferedBodyBytes)
+	if q.Message.Body, err = src.UpTo(bufferedBodyBytes); err != nil || src.Ended() {
 		q.Message.Trailer = limits.Trailer(src)
 		return err
 	}
-	rest := body.NewUpload(&f.spool, c.pace, framed, limits)
-	c.pace.extend(limits.Ahead)
+	rest := body.NewUpload(&f.spool, c.conn, framed, limits)
+	c.conn.allowBody(limits.Ahead)
 	if err := rest.Fill(src); err != nil {
 		rest.Release()
 		return err
@@ -44,25 +44,25 @@
 // ReadRequest reads one request off a connection as a Front does, for who wants to know what becomes of it; nil is a question after
 // the balancer's health.
 func ReadRequest(d Router, c net.Conn) (Exchange, error) {
-	s := &client{Stream: http1.NewStream(c, readBuffer)}
+	s := &clientConn{Stream: http1.NewStream(c, readBufferBytes)}
 	s.Limit(http1.MaxHead)
-	call, _, err := New(d, nil, Usual(1)).read(s)
+	call, _, err := New(d, nil, Usual(1)).readRequest(s)
 	return call, err
 }
 
-// read reads a client's request; nil is a question after this balancer's health. What is malformed never reaches the
+// readRequest reads a client's request; nil is a question after this balancer's health. What is malformed never reaches the
 // module.
-func (f *Server) read(c *client) (Exchange, http1.Fields, error) {
+func (f *Server) readRequest(c *clientConn) (Exchange, http1.Fields, error) {
 	line, h, err := c.Head()
 	if err != nil {
 		return nil, nil, err
 	}
 	method, rest, _ := strings.Cut(line, " ")
 	target, version, _ := strings.Cut(rest, " ")
-	if c.old = version == "HTTP/1.0" && f.limits.Load().HTTP10; version != "HTTP/1.1" && !c.old {
+	if c.http10 = version == "HTTP/1.0" && f.limits.Load().HTTP10; version != "HTTP/1.1" && !c.http10 {
 		return nil, nil, &Rejection{http.StatusHTTPVersionNotSupported, "HTTP/1.1 is wanted"}
 	}
-	if c.old && h.Has("Transfer-Encoding") { // RFC 9112, section 6.1
+	if c.http10 && h.Has("Transfer-Encoding") { // RFC 9112, section 6.1
 		return nil, nil, BadRequest("Transfer-Encoding in HTTP/1.0")
 	}
 	for _, name := range Once {
@@ -73,12 +73,12 @@
 	if method == http.MethodGet && target == "/healthz" && h.Get("X-Request-Id") == "" {
 		return nil, h, nil
 	}
-	call, err := f.desk.Check(method, target, &h)
+	call, err := f.router.Check(method, target, &h)
 	if err != nil {
 		return nil, nil, err
 	}
 	q := call.PoolRequest()
-	if expect := h.Get("Expect"); expect != "" && !strings.EqualFold(expect, "100-continue") && !c.old {
+	if expect := h.Get("Expect"); expect != "" && !strings.EqualFold(expect, "100-continue") && !c.http10 {
 		return nil, nil, &Rejection{http.StatusExpectationFailed, "of expectations, 100-continue is known"}
 	}
 	framed, some, err := http1.FramingOf(h)
@@ -98,7 +98,7 @@
 		return nil, nil, BadRequest("%s with a body", method)
 	}
 	if some {
-		if strings.EqualFold(h.Get("Expect"), "100-continue") && c.Buffered() == 0 && !c.old {
+		if strings.EqualFold(h.Get("Expect"), "100-continue") && c.Buffered() == 0 && !c.http10 {
 			io.WriteString(c, "HTTP/1.1 100 Continue\r\n\r\n") // if it fails so does the reading
 		}
 		if err := f.readBody(c, q, framed); err != nil {
@@ -106,8 +106,8 @@
 		}
 	}
 	if c.Buffered() > 0 && !q.Message.Rest.Live() {
-		return nil, nil, errAhead
+		return nil, nil, errPipelined
 	}
-	q.ReceivedAt = f.desk.Now() // it counts from its last byte
+	q.ReceivedAt = f.router.Now() // it counts from its last byte
 	return call, h, nil
 }
--- a/internal/frontend/desk.go
+++ b/internal/frontend/router.go
@@ -43,4 +43,4 @@
 	return &Rejection{http.StatusBadRequest, fmt.Sprintf(format, args...)}
 }
 
-var errAhead = BadRequest("bytes behind a request that is not answered yet")
+var errPipelined = BadRequest("bytes behind a request that is not answered yet")
--- a/internal/frontend/write.go
+++ b/internal/frontend/write.go
@@ -13,14 +13,14 @@
 	"olivearch/internal/pool"
 )
 
-// turnAway answers a client whose request can't be served, and closes the connection: where its next request begins
+// reject answers a client whose request can't be served, and closes the connection: where its next request begins
 // is not certain. One whose connection broke gets no answer.
-func (f *Server) turnAway(c *client, err error) {
-	if !f.enter(c, silent) {
+func (f *Server) reject(c *clientConn, err error) {
+	if !f.enterStage(c, stageReading) {
 		return
 	}
 	r := &Rejection{http.StatusBadRequest, err.Error()}
-	if timedOut(err) {
+	if isTimeout(err) {
 		r = &Rejection{http.StatusRequestTimeout, "the request did not come whole in time"}
 	} else if errors.Is(err, body.ErrSlow) {
 		r.Status = http.StatusRequestTimeout
@@ -33,15 +33,15 @@
 	} else if !errors.As(err, &r) && !errors.Is(err, http1.ErrHead) && !errors.Is(err, http1.ErrFrame) {
 		return
 	}
-	if c.write(pool.Response{Status: r.Status, Body: []byte(r.Why + "\n"), ContentType: "text/plain"}, true) != nil {
+	if c.writeResponse(pool.Response{Status: r.Status, Body: []byte(r.Why + "\n"), ContentType: "text/plain"}, true) != nil {
 		return
 	}
-	c.farewell(farewellFor, farewellMost)
+	c.lingeringClose(lingerTimeout, lingerBytes)
 }
 
-// farewell reads and drops what a client still sends, for a time and up to a number of bytes.
-func (c *client) farewell(within time.Duration, most int64) {
-	if half, ok := c.pace.Conn.(interface {
+// lingeringClose reads and drops what a client still sends, for a time and up to a number of bytes.
+func (c *clientConn) lingeringClose(within time.Duration, most int64) {
+	if half, ok := c.conn.Conn.(interface {
 		net.Conn
 		CloseWrite() error
 	}); ok {
@@ -51,8 +51,8 @@
 	}
 }
 
-// write writes an answer. If it fails the client has gone, and can tell that the answer is not whole.
-func (c *client) write(a pool.Response, last bool) error {
+// writeResponse writes an answer. If it fails the client has gone, and can tell that the answer is not whole.
+func (c *clientConn) writeResponse(a pool.Response, last bool) error {
 	b := http1.Buffer()
 	defer http1.Done(b)
 	field := func(name, value string) {
@@ -67,9 +67,9 @@
 		field("Connection: ", "Upgrade")
 		field("Upgrade: ", a.Header.Get("Upgrade"))
 	case a.Status == http.StatusNoContent || a.Status == http.StatusNotModified: // end with their head (RFC 9112, section 6.3)
-	case a.Stream != nil && a.Stream.Framed() && c.old: // to the close
+	case a.Stream != nil && a.Stream.Framed() && c.http10: // to the close
 		last = true
-	case a.Stream != nil && a.Stream.Framed(), len(a.Trailer) > 0 && !c.old:
+	case a.Stream != nil && a.Stream.Framed(), len(a.Trailer) > 0 && !c.http10:
 		field("Transfer-Encoding: ", "chunked")
 	case a.Stream != nil:
 		field("Content-Length: ", strconv.FormatUint(a.Stream.Length(), 10))
@@ -88,33 +88,33 @@
 	}
 	if last {
 		field("Connection: ", "close")
-	} else if c.old {
+	} else if c.http10 {
 		field("Connection: ", "keep-alive")
 	}
 	b.WriteString("\r\n")
-	if len(a.Trailer) > 0 && a.Stream == nil && !c.old {
+	if len(a.Trailer) > 0 && a.Stream == nil && !c.http10 {
 		http1.WriteChunk(b, a.Body)
 		http1.WriteEnd(b, a.Trailer)
 	} else {
 		b.Write(a.Body)
 	}
-	c.pace.writeWithin(slowReader)
+	c.conn.allowWrite(responseWriteTimeout)
 	if _, err := c.Write(b.Bytes()); err != nil || a.Stream == nil {
 		a.Stream.Abandon()
 		return err
 	}
-	if err := a.Stream.Copy(c, !c.old); err != nil || !c.old || !a.Stream.Framed() {
+	if err := a.Stream.Copy(c, !c.http10); err != nil || !c.http10 || !a.Stream.Framed() {
 		return err
 	}
-	return errToClose
+	return errEndsWithClose
 }
 
-// errToClose ends a connection whose close is the end of the answer.
-var errToClose = errors.New("the answer ends with the connection")
+// errEndsWithClose ends a connection whose close is the end of the answer.
+var errEndsWithClose = errors.New("the answer ends with the connection")
 
-// hint writes an interim answer, unless the reader has ended the request.
-func (c *client) hint(a pool.Response) {
-	if c.old || c.state.Load() != waiting {
+// writeEarlyHints writes an interim answer, unless the reader has ended the request.
+func (c *clientConn) writeEarlyHints(a pool.Response) {
+	if c.http10 || c.exchangeState.Load() != exchangePending {
 		return
 	}
 	b := http1.Buffer()
@@ -122,6 +122,6 @@
 	b.WriteString("HTTP/1.1 103 Early Hints\r\n")
 	http1.WriteFields(b, a.Header)
 	b.WriteString("\r\n")
-	c.pace.writeWithin(slowReader)
+	c.conn.allowWrite(responseWriteTimeout)
 	c.Write(b.Bytes()) // if it fails so does the answer
 }
