--- a/internal/frontend/moments_test.go
+++ b/internal/frontend/moments_test.go
@@ -86,9 +86,12 @@
 	buffer := make([]byte, bytes)
 	for limit := time.Now().Add(10 * time.Second); time.Now().Before(limit); runtime.Gosched() {
 		n := 0
-		raw.Control(func(fd uintptr) {
+		err := raw.Control(func(fd uintptr) {
 			n, _, _ = syscall.Recvfrom(int(fd), buffer, syscall.MSG_PEEK|syscall.MSG_DONTWAIT)
 		})
+		if err != nil {
+			t.Fatal(err)
+		}
 		if n >= bytes {
 			return
 		}
--- /dev/null
+++ b/internal/frontend/request.go
@@ -0,0 +1,197 @@
+package frontend
+
+import (
+	"errors"
+	"io"
+	"net"
+	"net/http"
+	"strings"
+
+	"olivearch/internal/body"
+	"olivearch/internal/http1"
+	"olivearch/internal/pool"
+	"olivearch/internal/upstream"
+)
+
+const (
+	version10 = "HTTP/1.0"
+	version11 = "HTTP/1.1"
+
+	// healthTarget is what a health check of this balancer asks for. One with a request id is an ordinary request.
+	healthTarget = "/healthz"
+
+	// continueResponse lets a client send its body (RFC 9110, section 10.1.1).
+	continueResponse = "HTTP/1.1 100 Continue\r\n\r\n"
+)
+
+// Once names the fields of which a second one would leave open which of them counts.
+var Once = []string{
+	"Host", "Content-Length", "X-Request-Id", "X-Class", "X-Tenant", "X-Deadline-Ms", "Idempotency-Key",
+	"X-Retry", "X-Cost-Hint", "X-Extras", "Cookie",
+}
+
+// ReadRequest reads one request from a connection as a Server does, for tests and tools that examine what becomes of
+// it. A nil Exchange is a health check of the balancer.
+func ReadRequest(router Router, conn net.Conn) (Exchange, error) {
+	c := &clientConn{Stream: http1.NewStream(conn, readBufferBytes)}
+	c.Limit(http1.MaxHead)
+	exchange, _, err := New(router, nil, Usual(1)).readRequest(c)
+	return exchange, err
+}
+
+// readRequest reads a client's request. A nil Exchange is a health check of this balancer. What is malformed never
+// reaches a pool.
+func (s *Server) readRequest(client *clientConn) (Exchange, http1.Fields, error) {
+	line, header, err := client.Head()
+	if err != nil {
+		return nil, nil, err
+	}
+	method, rest, _ := strings.Cut(line, " ")
+	target, version, _ := strings.Cut(rest, " ")
+	client.http10 = version == version10 && s.limits.Load().HTTP10
+	if err := checkVersion(version, client.http10, header); err != nil {
+		return nil, nil, err
+	}
+	if err := checkRepeatedFields(header); err != nil {
+		return nil, nil, err
+	}
+	if isHealthCheck(method, target, header) {
+		return nil, header, nil
+	}
+	exchange, err := s.router.Check(method, target, &header)
+	if err != nil {
+		return nil, nil, err
+	}
+	request := exchange.PoolRequest()
+	expectation := expectationOf(client, header)
+	if expectation == unknownExpectation {
+		return nil, nil, &Rejection{http.StatusExpectationFailed, "of expectations, 100-continue is known"}
+	}
+	framing, hasBody, err := framingOf(method, header, &request.Message)
+	if err != nil {
+		return nil, nil, err
+	}
+	if hasBody {
+		if expectation == expectsContinue && client.Buffered() == 0 {
+			_, _ = io.WriteString(client, continueResponse) // if it fails, so does the reading
+		}
+		if err := s.readBody(client, request, framing); err != nil {
+			return nil, nil, err
+		}
+	}
+	if client.Buffered() > 0 && !request.Message.Rest.Live() {
+		return nil, nil, errPipelined
+	}
+	request.ReceivedAt = s.router.Now() // after its last byte
+	return exchange, header, nil
+}
+
+// checkVersion rejects versions of HTTP that are not served, and framing that HTTP/1.0 does not have.
+func checkVersion(version string, http10 bool, header http1.Fields) error {
+	if version != version11 && !http10 {
+		return &Rejection{http.StatusHTTPVersionNotSupported, "HTTP/1.1 is wanted"}
+	}
+	if http10 && header.Has("Transfer-Encoding") { // RFC 9112, section 6.1
+		return BadRequest("Transfer-Encoding in HTTP/1.0")
+	}
+	return nil
+}
+
+// checkRepeatedFields rejects a second one of the fields that Once names.
+func checkRepeatedFields(header http1.Fields) error {
+	for _, name := range Once {
+		if header.Count(name) > 1 {
+			return BadRequest("%s stands there more than once", name)
+		}
+	}
+	return nil
+}
+
+func isHealthCheck(method, target string, header http1.Fields) bool {
+	return method == http.MethodGet && target == healthTarget && header.Get("X-Request-Id") == ""
+}
+
+// expectation is what a client expects before it sends its body (RFC 9110, section 10.1.1).
+type expectation int
+
+const (
+	expectsNothing expectation = iota
+	expectsContinue
+	unknownExpectation
+)
+
+// expectationOf reads the field Expect, which is ignored in HTTP/1.0.
+func expectationOf(client *clientConn, header http1.Fields) expectation {
+	value := header.Get("Expect")
+	switch {
+	case value == "", client.http10:
+		return expectsNothing
+	case strings.EqualFold(value, "100-continue"):
+		return expectsContinue
+	default:
+		return unknownExpectation
+	}
+}
+
+// framingOf tells how a request's body is framed, and whether it has one. A body that is malformed, too large, or not
+// expected of the message is rejected.
+func framingOf(method string, header http1.Fields, message *upstream.Message) (http1.Framing, bool, error) {
+	framing, hasBody, err := http1.FramingOf(header)
+	if err != nil {
+		return framing, hasBody, framingRejection(err, header)
+	}
+	notEmpty := framing.Chunked || framing.Length > 0
+	switch {
+	case framing.Length > uint64(message.Most().Request):
+		err = errBodyTooLarge
+	case !hasBody && message.Bodied:
+		err = &Rejection{http.StatusLengthRequired, "a Content-Length or chunks are wanted"}
+	case notEmpty && !message.Bodied:
+		err = BadRequest("%s with a body", method)
+	}
+	return framing, hasBody, err
+}
+
+var errBodyTooLarge = &Rejection{http.StatusRequestEntityTooLarge, "a body of that length is not taken"}
+
+// framingRejection returns what a client gets whose framing can't be read.
+func framingRejection(err error, header http1.Fields) *Rejection {
+	badRequest := func(why string) *Rejection { return &Rejection{http.StatusBadRequest, why} }
+	switch {
+	case errors.Is(err, http1.ErrLarge):
+		return errBodyTooLarge
+	case !header.Has("Content-Length"): // RFC 9112, section 6.1
+		return &Rejection{http.StatusNotImplemented, "of transfer codings, chunked is known"}
+	case header.Has("Transfer-Encoding"):
+		// An upstream may go by the other one: the rest of the body would be a request of its own.
+		return badRequest("Content-Length beside Transfer-Encoding")
+	default:
+		return badRequest("Content-Length is no number")
+	}
+}
+
+// readBody reads a body, or the part of it that is read ahead.
+func (s *Server) readBody(client *clientConn, request *pool.Request, framing http1.Framing) error {
+	message := &request.Message
+	limits := message.Most()
+	source := client.Body(framing, limits.Request)
+	client.conn.allowBody(bufferedBodyBytes)
+	var err error
+	message.Body, err = source.UpTo(bufferedBodyBytes)
+	if err != nil || source.Ended() {
+		message.Trailer = limits.Trailer(source)
+		return err
+	}
+	upload := body.NewUpload(&s.spool, client.conn, framing, limits)
+	client.conn.allowBody(limits.Ahead)
+	if err := upload.Fill(source); err != nil {
+		upload.Release()
+		return err
+	}
+	upload.Settle(len(message.Body))
+	if serverLimits := s.limits.Load(); serverLimits.Floor {
+		upload.Hurry(body.Floor{Rate: serverLimits.Rate, Grace: serverLimits.Within})
+	}
+	message.Rest = upload
+	return nil
+}
--- /dev/null
+++ b/internal/frontend/response.go
@@ -0,0 +1,135 @@
+package frontend
+
+import (
+	"bytes"
+	"errors"
+	"net/http"
+	"strconv"
+	"time"
+
+	"olivearch/internal/http1"
+	"olivearch/internal/pool"
+)
+
+// errEndsWithClose is that of a response whose end is the close of its connection (RFC 9112, section 6.3).
+var errEndsWithClose = errors.New("the answer ends with the connection")
+
+// bodyFraming is how a client finds the end of a response (RFC 9112, section 6.3).
+type bodyFraming int
+
+const (
+	framedByLength bodyFraming = iota
+	framedByChunks
+	framedByClose
+	withoutBody
+	upgraded // the connection becomes a tunnel
+)
+
+// framingOfResponse tells how a response is framed, and its length where that is what frames it.
+func framingOfResponse(response pool.Response, http10 bool) (framing bodyFraming, length string) {
+	unknownLength := response.Stream != nil && response.Stream.Framed()
+	switch {
+	case response.Tunnel != nil:
+		return upgraded, ""
+	case response.Status == http.StatusNoContent, response.Status == http.StatusNotModified:
+		return withoutBody, ""
+	case unknownLength && http10:
+		return framedByClose, ""
+	case unknownLength, len(response.Trailer) > 0 && !http10:
+		return framedByChunks, ""
+	case response.Stream != nil:
+		return framedByLength, strconv.FormatUint(response.Stream.Length(), 10)
+	case response.Header.Has("Content-Length") && len(response.Body) == 0:
+		// A response to HEAD has the length that the one to GET would have.
+		return framedByLength, response.Header.Get("Content-Length")
+	default:
+		return framedByLength, strconv.Itoa(len(response.Body))
+	}
+}
+
+// writeField writes a header field; the name comes with colon and space.
+func writeField(b *bytes.Buffer, name, value string) {
+	b.WriteString(name)
+	b.WriteString(value)
+	b.WriteString("\r\n")
+}
+
+// writeResponse writes a response, with a field that announces the close of the connection where closes is set. If it
+// fails the client has left, and can tell that the response is not complete; errEndsWithClose is the exception.
+func (c *clientConn) writeResponse(response pool.Response, closes bool) error {
+	b := http1.Buffer()
+	defer http1.Done(b)
+	c.writeHead(b, response, closes)
+	if len(response.Trailer) > 0 && response.Stream == nil && !c.http10 {
+		http1.WriteChunk(b, response.Body)
+		http1.WriteEnd(b, response.Trailer)
+	} else {
+		b.Write(response.Body)
+	}
+	c.conn.allowWrite(responseWriteTimeout)
+	_, err := c.Write(b.Bytes())
+	if err != nil || response.Stream == nil {
+		response.Stream.Abandon()
+		return err
+	}
+	err = response.Stream.Copy(c, !c.http10)
+	if err == nil && c.http10 && response.Stream.Framed() {
+		return errEndsWithClose
+	}
+	return err
+}
+
+// writeHead writes a response's status line and fields to a buffer.
+func (c *clientConn) writeHead(buffer *bytes.Buffer, response pool.Response, closes bool) {
+	writeField(buffer, "HTTP/1.1 ", strconv.Itoa(response.Status)+" "+http.StatusText(response.Status))
+	http1.WriteFields(buffer, response.Header)
+	framing, length := framingOfResponse(response, c.http10)
+	switch framing {
+	case upgraded:
+		writeField(buffer, "Connection: ", "Upgrade")
+		writeField(buffer, "Upgrade: ", response.Header.Get("Upgrade"))
+	case withoutBody:
+	case framedByClose:
+		closes = true
+	case framedByChunks:
+		writeField(buffer, "Transfer-Encoding: ", "chunked")
+	case framedByLength:
+		writeField(buffer, "Content-Length: ", length)
+	}
+	if response.ContentType != "" {
+		writeField(buffer, "Content-Type: ", response.ContentType)
+	}
+	if response.RetryAfter > 0 {
+		writeField(buffer, "Retry-After: ", retryAfter(response))
+	}
+	if closes {
+		writeField(buffer, "Connection: ", "close")
+	} else if c.http10 {
+		writeField(buffer, "Connection: ", "keep-alive")
+	}
+	buffer.WriteString("\r\n")
+}
+
+// retryAfter formats a pause in seconds: whole ones, rounded up, where the client knows only these (RFC 9110, section
+// 10.2.3), else with milliseconds.
+func retryAfter(response pool.Response) string {
+	if response.RetryAfterInSeconds {
+		seconds := (response.RetryAfter + time.Second - 1) / time.Second
+		return strconv.FormatInt(int64(seconds), 10)
+	}
+	return strconv.FormatFloat(response.RetryAfter.Seconds(), 'f', 3, 64)
+}
+
+// writeEarlyHints writes an interim response (RFC 8297), unless the reader has canceled the exchange.
+func (c *clientConn) writeEarlyHints(response pool.Response) {
+	if c.http10 || !c.isExchangePending() {
+		return
+	}
+	b := http1.Buffer()
+	defer http1.Done(b)
+	b.WriteString("HTTP/1.1 103 Early Hints\r\n")
+	http1.WriteFields(b, response.Header)
+	b.WriteString("\r\n")
+	c.conn.allowWrite(responseWriteTimeout)
+	_, _ = c.Write(b.Bytes()) // if it fails, so does the response
+}
--- /dev/null
+++ b/internal/frontend/writer.go
@@ -0,0 +1,103 @@
+package frontend
+
+import (
+	"errors"
+	"net/http"
+
+	"olivearch/internal/body"
+	"olivearch/internal/pool"
+)
+
+// writeResponses is a connection's writer: it writes the response to each request that a pool has, until quit is
+// closed.
+func (s *Server) writeResponses(client *clientConn, quit <-chan struct{}) {
+	for {
+		var response pool.Response
+		select {
+		case response = <-client.responses:
+		case <-quit:
+			return
+		}
+		if response.Status == http.StatusEarlyHints {
+			client.writeEarlyHints(response)
+			continue
+		}
+		upload := client.exchange.PoolRequest().Message.Rest
+		if upload.Failed() || !client.claim(exchangeAnswered) { // the reader ends the connection
+			response.Stream.Abandon()
+			response.Tunnel.Close()
+			continue
+		}
+		if response.Tunnel != nil {
+			s.openTunnel(client, response)
+			return
+		}
+		s.finishExchange(client, response, upload.Unread())
+	}
+}
+
+// finishExchange writes the final response, and lets the reader go on.
+func (s *Server) finishExchange(client *clientConn, response pool.Response, bodyUnread bool) {
+	client.releaseExchange()
+	closes := client.closeRequested || response.Status == http.StatusConflict || bodyUnread
+	goesOn := s.respond(client, response, closes)
+	if goesOn {
+		client.setExchangeState(exchangeNone)
+	} else {
+		client.interruptRead() // before responded: what the reader does then has deadlines of its own
+	}
+	client.responded <- goesOn
+}
+
+// openTunnel lets a connection become a tunnel: the writer moves what the upstream sends, the reader what the client
+// does.
+func (s *Server) openTunnel(client *clientConn, response pool.Response) {
+	tunnel := response.Tunnel
+	tunnel.Bind(client.conn)
+	if owner, ok := client.exchange.(interface{ Tunnel(*body.Tunnel) }); ok {
+		owner.Tunnel(tunnel)
+	}
+	client.releaseExchange()
+	s.addTunnel(client, tunnel)
+	if client.writeResponse(response, false) != nil {
+		tunnel.Close()
+	}
+	client.responded <- true
+	client.interruptRead() // it reads for the tunnel from now on
+	tunnel.Down()
+}
+
+// addTunnel makes a tunnel known to Stop, or ends it where Stop has closed the listener already.
+func (s *Server) addTunnel(client *clientConn, tunnel *body.Tunnel) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	client.tunnel = tunnel
+	if s.listenerClosed {
+		tunnel.EndSoon()
+	}
+}
+
+// respond writes a response, and tells whether the connection goes on.
+func (s *Server) respond(client *clientConn, response pool.Response, closes bool) bool {
+	closes = closes || s.closesConnections()
+	err := client.writeResponse(response, closes)
+	if err == nil && !closes && s.enterStage(client, stageIdle) {
+		return true
+	}
+	// After any other error the client must see that the response is not complete.
+	client.closeGracefully = err == nil || errors.Is(err, errEndsWithClose)
+	return false
+}
+
+// healthResponse is the response to a health check of this balancer.
+func (s *Server) healthResponse() pool.Response {
+	if s.closesConnections() {
+		return pool.Response{
+			Status:      http.StatusServiceUnavailable,
+			Body:        []byte("draining\n"),
+			ContentType: "text/plain",
+		}
+	}
+	s.router.Ping()
+	return pool.Response{Status: http.StatusOK, Body: []byte("ok\n"), ContentType: "text/plain"}
+}
