--- a/internal/frontend/client.go
+++ b/internal/frontend/client.go
@@ -16,7 +16,7 @@
 	*http1.Stream
 	conn *deadlineConn // that Stream reads and writes
 
-	// Guarded by the Server's lock.
+	// Written under the Server's lock, and by the goroutines of the connection alone where they read it without.
 	stage              stage
 	stageSince         time.Time
 	readingRequest     bool         // the first byte of a request has come, and it is being read
@@ -29,7 +29,7 @@
 	closeRequested bool // the connection is closed behind the response
 	http10         bool // the request is of HTTP/1.0
 
-	// closeGracefully tells that the connection ends between requests or behind a response: what the client sends at
+	// closeGracefully reports that the connection ends between requests or behind a response: what the client sends at
 	// the same time is read. It is the goroutine's that ends the connection.
 	closeGracefully bool
 
@@ -68,7 +68,7 @@
 // setExchangeState is for who alone may move the exchange on.
 func (c *clientConn) setExchangeState(state exchangeState) { c.exchangeState.Store(int32(state)) }
 
-// isExchangePending tells whether a pool has a request of the connection and no response has come.
+// isExchangePending reports whether a pool has a request of the connection and no response has come.
 func (c *clientConn) isExchangePending() bool {
 	return exchangeState(c.exchangeState.Load()) == exchangePending
 }
--- a/internal/frontend/connected.go
+++ b/internal/frontend/connected.go
@@ -26,7 +26,7 @@
 	return connected && !closedHere
 }
 
-// hasPendingBytes tells whether bytes of the client wait to be read.
+// hasPendingBytes reports whether bytes of the client wait to be read.
 func (c *clientConn) hasPendingBytes() bool {
 	if c.Buffered() > 0 {
 		return true
--- a/internal/frontend/deadlines.go
+++ b/internal/frontend/deadlines.go
@@ -6,11 +6,11 @@
 	"time"
 )
 
-// expiredDeadline is a limit of time that is over.
+// expiredDeadline is a deadline in the past.
 var expiredDeadline = time.Unix(0, 1)
 
-// deadlineConn sets a connection's limits of time. To set one costs as much as a good part of a request, so one that
-// stands is kept for as long as it is about right.
+// deadlineConn sets a connection's deadlines. To set one costs as much as a good part of a request, so the current one
+// is kept for as long as it is about right.
 type deadlineConn struct {
 	net.Conn
 
@@ -19,10 +19,10 @@
 	requestDeadline time.Time
 	minBodyRate     int
 
-	writeDeadline time.Time // that stands; the writer's, or the reader's while no exchange is pending
+	writeDeadline time.Time // the current one; the writer's, or the reader's while no exchange is pending
 
 	mu           sync.Mutex
-	readDeadline time.Time // that stands; zero: none
+	readDeadline time.Time // the current one; zero: none
 	expired      bool      // the rest of an incomplete request is no longer waited for
 }
 
--- a/internal/frontend/doc.go
+++ b/internal/frontend/doc.go
@@ -28,6 +28,8 @@
 //	idle      the first byte of a request                         reading
 //	idle      a drain, or other connections need its place        closing
 //	idle      nothing has come within keepAliveTimeout            closing
+//	reading   a hot restart, before its first byte                handed over to the peer process
+//	idle      a hot restart                                       handed over to the peer process
 //	closing   the first byte of a request came at the same time   reading, with closeAfterResponse
 //	any but   there is no room for a new connection: the one      evicted
 //	active    that has been longest at closing, else reading,
--- a/internal/frontend/drain.go
+++ b/internal/frontend/drain.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// Drained tells whether an operator has drained the balancer.
+// Drained reports whether an operator has drained the balancer.
 func (s *Server) Drained() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -94,7 +94,7 @@
 	}
 }
 
-// isUnused tells whether a new connection has sent no byte of a request. The caller holds the Server's lock.
+// isUnused reports whether a new connection has sent no byte of a request. The caller holds the Server's lock.
 func (c *clientConn) isUnused() bool { return c.stage == stageReading && !c.readingRequest }
 
 // retireIdle lets the idle connections end. The caller holds the lock.
@@ -142,7 +142,7 @@
 	return longest
 }
 
-// closesConnections tells whether every response closes its connection.
+// closesConnections reports whether every response closes its connection.
 func (s *Server) closesConnections() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/frontend/handover.go
+++ b/internal/frontend/handover.go
@@ -31,7 +31,7 @@
 }
 
 // handOverConnection hands a connection over whose wait for a request has ended with an error, if there is a peer
-// process and no byte of a request has been read. It tells whether the connection was to be handed over.
+// process and no byte of a request has been read. It reports whether the connection was to be handed over.
 func (s *Server) handOverConnection(client *clientConn, err error) bool {
 	s.mu.Lock()
 	peerProcess := s.peerProcess
--- a/internal/frontend/reader.go
+++ b/internal/frontend/reader.go
@@ -45,7 +45,8 @@
 }
 
 // awaitResponse is called when bytes, an end or an interruption have come while a pool had the request. It cancels the
-// request if the client has left, or else waits until the response is written. It tells whether the connection goes on.
+// request if the client has left, or else waits until the response is written. It reports whether the connection stays
+// open.
 func (s *Server) awaitResponse(client *clientConn, err error) bool {
 	if client.claim(exchangeCanceled) {
 		client.cancelExchange()
@@ -65,8 +66,8 @@
 	return true
 }
 
-// waitsAgain is called when the wait for a request has ended with an error. It tells whether the connection goes on, as
-// a request has come at the same time.
+// waitsAgain is called when the wait for a request has ended with an error. It reports whether the connection stays open,
+// as a request has come at the same time.
 func (s *Server) waitsAgain(client *clientConn, err error) bool {
 	if s.handOverConnection(client, err) {
 		return false
@@ -87,7 +88,7 @@
 
 const (
 	connectionEnds  requestOutcome = iota
-	responseWritten                // by the reader; the connection goes on
+	responseWritten                // by the reader; the connection stays open
 	responsePending                // the writer writes it
 )
 
@@ -156,11 +157,11 @@
 }
 
 // waitForUpload waits while a body is forwarded as it comes, since until then nobody else may read the connection. It
-// tells whether the connection goes on.
+// reports whether the connection stays open.
 func (s *Server) waitForUpload(client *clientConn, upload *body.Upload) bool {
 	select {
-	case goesOn := <-client.responded: // answered before the body was complete
-		client.responded <- goesOn
+	case staysOpen := <-client.responded: // answered before the body was complete
+		client.responded <- staysOpen
 	case err := <-upload.Done():
 		var failed body.ClientFailed
 		if errors.As(err, &failed) && client.claim(exchangeCanceled) {
--- a/internal/frontend/rejection.go
+++ b/internal/frontend/rejection.go
@@ -27,7 +27,7 @@
 // errPipelined rejects a client that sends more before it has the response to its request.
 var errPipelined = BadRequest("bytes behind a request that is not answered yet")
 
-// isTimeout tells whether an error is that of a limit of time.
+// isTimeout reports whether an error is that of a deadline.
 func isTimeout(err error) bool {
 	var netError net.Error
 	return errors.As(err, &netError) && netError.Timeout()
--- a/internal/frontend/request.go
+++ b/internal/frontend/request.go
@@ -133,7 +133,7 @@
 	}
 }
 
-// framingOf tells how a request's body is framed, and whether it has one. A body that is malformed, too large, or not
+// framingOf returns how a request's body is framed, and whether it has one. A body that is malformed, too large, or not
 // expected of the message is rejected.
 func framingOf(method string, header http1.Fields, message *upstream.Message) (http1.Framing, bool, error) {
 	framing, hasBody, err := http1.FramingOf(header)
--- a/internal/frontend/response.go
+++ b/internal/frontend/response.go
@@ -25,7 +25,7 @@
 	upgraded // the connection becomes a tunnel
 )
 
-// framingOfResponse tells how a response is framed, and its length where that is what frames it.
+// framingOfResponse returns how a response is framed, and its length where that is what frames it.
 func framingOfResponse(response pool.Response, http10 bool) (framing bodyFraming, length string) {
 	unknownLength := response.Stream != nil && response.Stream.Framed()
 	switch {
--- a/internal/frontend/router.go
+++ b/internal/frontend/router.go
@@ -24,8 +24,8 @@
 type Exchange interface {
 	// PoolRequest is the request as a pool takes it.
 	PoolRequest() *pool.Request
-	// Admit submits the request to its pool. A response with a status tells that the pool rejects it, and is what the
-	// client gets.
+	// Admit submits the request to its pool. A response with a status means that the pool rejects it, and is what
+	// the client gets.
 	Admit() (pool.Response, error)
 	// Done follows each Admit that has succeeded, once the request is answered or its client has left.
 	Done()
--- a/internal/frontend/server.go
+++ b/internal/frontend/server.go
@@ -48,14 +48,14 @@
 	return s
 }
 
-// Spare closes the connection that idles longest whenever more than so many are active or idle. It is called before
+// Spare has the connection that idles longest closed whenever more than so many are active or idle. It is called before
 // Serve.
 func (s *Server) Spare(connections int) { s.keepAliveLimit = connections }
 
 // Spool gives clients' bodies so many bytes to be read ahead into.
 func (s *Server) Spool(bytes int64) { s.spool.Set(bytes) }
 
-// SpoolFree tells how much of that is free, in bytes.
+// SpoolFree returns how much of that is free, in bytes.
 func (s *Server) SpoolFree() int64 { return s.spool.Free() }
 
 // Listener is where connections are accepted.
@@ -64,7 +64,7 @@
 // Limit sets other limits. Connections over them are closed as soon as they are idle and another comes.
 func (s *Server) Limit(limits Limits) { s.limits.Store(&limits) }
 
-// Connections tells how many there are, and how many there may be.
+// Connections returns how many there are, and how many there may be.
 func (s *Server) Connections() (open, limit int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/frontend/stage.go
+++ b/internal/frontend/stage.go
@@ -55,7 +55,7 @@
 	return true
 }
 
-// mayIdle tells whether a connection may wait for another request. The caller holds the lock.
+// mayIdle reports whether a connection may wait for another request. The caller holds the lock.
 func (s *Server) mayIdle(client *clientConn) bool {
 	if client.closeAfterResponse {
 		return false
@@ -73,7 +73,7 @@
 	}
 }
 
-// makeRoom tells whether there is room for one more connection. Where there is none it closes one, never one with a
+// makeRoom reports whether there is room for one more connection. Where there is none it closes one, never one with a
 // request in it. Descriptors that run out would be missing to upstreams and discovery too.
 func (s *Server) makeRoom() bool {
 	s.mu.Lock()
@@ -106,7 +106,7 @@
 	return candidate
 }
 
-// isEvictable tells whether the connection may be closed to make room. The caller holds the Server's lock.
+// isEvictable reports whether the connection may be closed to make room. The caller holds the Server's lock.
 func (c *clientConn) isEvictable() bool {
 	switch c.stage {
 	case stageActive, stageEvicted:
--- /dev/null
+++ b/internal/frontend/stage_test.go
@@ -0,0 +1,52 @@
+package frontend
+
+import (
+	"testing"
+	"time"
+)
+
+// Room is made by closing a connection that is closing, else one that is reading, else one that is idle, and of these
+// the one that has been there longest; never one with a request in it or one that has just come.
+func TestEvictionOrder(t *testing.T) {
+	type connection struct {
+		name  string
+		stage stage
+		age   time.Duration
+	}
+	for _, test := range []struct {
+		name        string
+		from        stage
+		connections []connection
+		want        string // "": none
+	}{
+		{"no connection", stageClosing, nil, ""},
+		{"active ones stay", stageClosing, []connection{{"active", stageActive, time.Hour}}, ""},
+		{"new ones stay", stageClosing, []connection{{"new", stageReading, 0}}, ""},
+		{"closing before reading", stageClosing, []connection{
+			{"reading", stageReading, time.Hour}, {"closing", stageClosing, time.Second},
+		}, "closing"},
+		{"reading before idle", stageClosing, []connection{
+			{"idle", stageIdle, time.Hour}, {"reading", stageReading, time.Second},
+		}, "reading"},
+		{"the longest of a stage", stageClosing, []connection{
+			{"idle", stageIdle, time.Minute}, {"longer", stageIdle, time.Hour}, {"short", stageIdle, time.Second},
+		}, "longer"},
+		{"from idle on", stageIdle, []connection{
+			{"closing", stageClosing, time.Hour}, {"reading", stageReading, time.Hour}, {"idle", stageIdle, time.Second},
+		}, "idle"},
+	} {
+		t.Run(test.name, func(t *testing.T) {
+			server := New(nil, nil, Usual(1))
+			names := map[*clientConn]string{}
+			for _, connection := range test.connections {
+				client := &clientConn{stage: connection.stage, stageSince: time.Now().Add(-connection.age)}
+				server.clients[client] = struct{}{}
+				names[client] = connection.name
+			}
+			got := names[server.evictionCandidate(test.from)]
+			if got != test.want {
+				t.Errorf("got %q, want %q", got, test.want)
+			}
+		})
+	}
+}
--- a/internal/frontend/writer.go
+++ b/internal/frontend/writer.go
@@ -40,13 +40,13 @@
 func (s *Server) finishExchange(client *clientConn, response pool.Response, bodyUnread bool) {
 	client.releaseExchange()
 	closes := client.closeRequested || response.Status == http.StatusConflict || bodyUnread
-	goesOn := s.respond(client, response, closes)
-	if goesOn {
+	staysOpen := s.respond(client, response, closes)
+	if staysOpen {
 		client.setExchangeState(exchangeNone)
 	} else {
 		client.interruptRead() // before responded: what the reader does then has deadlines of its own
 	}
-	client.responded <- goesOn
+	client.responded <- staysOpen
 }
 
 // openTunnel lets a connection become a tunnel: the writer moves what the upstream sends, the reader what the client
@@ -77,7 +77,7 @@
 	}
 }
 
-// respond writes a response, and tells whether the connection goes on.
+// respond writes a response, and reports whether the connection stays open.
 func (s *Server) respond(client *clientConn, response pool.Response, closes bool) bool {
 	closes = closes || s.closesConnections()
 	err := client.writeResponse(response, closes)
