--- a/internal/frontend/reader.go
+++ b/internal/frontend/reader.go
@@ -66,8 +66,8 @@
 	return true
 }
 
-// waitsAgain is called when the wait for a request has ended with an error. It reports whether the connection stays open,
-// as a request has come at the same time.
+// waitsAgain is called when the wait for a request has ended with an error. It reports whether the connection stays
+// open, as a request has come at the same time.
 func (s *Server) waitsAgain(client *clientConn, err error) bool {
 	if s.handOverConnection(client, err) {
 		return false
