--- a/balancer/balancer_test.go
+++ b/balancer/balancer_test.go
@@ -158,7 +158,7 @@
 	}
 	left := len(b.requests) + len(b.queue.waiting) + len(b.quota.levels) + len(b.quota.sweepOrder)
 	if left > 0 || len(b.lastLoggedAt) > 5 {
-		t.Errorf("left: %d requests, %d held, %d tenants, %d kinds of log line",
+		t.Errorf("left: %d requests, %d queued, %d tenants, %d kinds of log line",
 			len(b.requests), len(b.queue.waiting), len(b.quota.levels), len(b.lastLoggedAt))
 	}
 }
--- a/balancer/bollinger_test.go
+++ b/balancer/bollinger_test.go
@@ -111,7 +111,7 @@
 	}
 }
 
-func TestBands(t *testing.T) {
+func TestMeanAndDeviation(t *testing.T) {
 	mean, dev := meanAndDeviation([]float64{0.2, 0.4, 0.4, 0.4, 0.5, 0.5, 0.7, 0.9})
 	if math.Abs(mean-0.5) > 1e-9 || math.Abs(dev-0.2) > 1e-9 { // worked by hand: squares sum to 0.32
 		t.Errorf("mean %v, deviation %v; want 0.5, 0.2", mean, dev)
--- a/balancer/configure_test.go
+++ b/balancer/configure_test.go
@@ -60,9 +60,9 @@
 	}
 }
 
-// TestPartsOfOneColdUpstream: two Balancers of one owner, told a half each, send a cold upstream no more together than
-// one of them alone would, and each gets something.
-func TestPartsOfOneColdUpstream(t *testing.T) {
+// TestWarmUpSharesOfOneUpstream: two Balancers of one owner, told a half each, send a warming upstream no more together
+// than one of them alone would, and each gets something.
+func TestWarmUpSharesOfOneUpstream(t *testing.T) {
 	sent := func(part float64) int {
 		list := fleet(2)
 		list[1].WarmUpShare = part
--- a/balancer/endpoints_test.go
+++ b/balancer/endpoints_test.go
@@ -34,7 +34,7 @@
 	b.RequestArrived(time.Hour, Request{ID: 2, Class: "write", Budget: -time.Second})
 	b.RequestArrived(time.Hour, Request{ID: 3, Class: "no such class", Budget: time.Second})
 	if h.count("refuse") != 3 {
-		t.Errorf("not refused at once: %v", h.lines)
+		t.Errorf("not rejected at once: %v", h.lines)
 	}
 	b.EndpointsUpdated(time.Hour, ListFull, fleet(4))
 	b.EndpointsUpdated(time.Hour, ListFull, nil)
--- a/balancer/idle_test.go
+++ b/balancer/idle_test.go
@@ -344,7 +344,7 @@
 }
 
 // The source goes on by any number of draws as if each had been made.
-func TestSkip(t *testing.T) {
+func TestSkipDraws(t *testing.T) {
 	b, _ := start(t, settings(), fleet(3))
 	c, _ := start(t, settings(), fleet(3))
 	for _, n := range []int{0, 1, 15, 16, 17, 1000, 77777} {
@@ -361,7 +361,7 @@
 }
 
 // A gather that is left out because nothing has moved would have come to the same: what was chosen, and the draws.
-func TestGatherLeftOut(t *testing.T) {
+func TestSubsetChoiceLeftOut(t *testing.T) {
 	s := settings()
 	s.Balancers, s.Rank = 12, 5
 	list := fleet(60)
@@ -417,7 +417,7 @@
 }
 
 // Two hours and a half go by at once: longer than the work of before fades in, down to the least figure there is.
-func TestLongRest(t *testing.T) {
+func TestLongIdleTime(t *testing.T) {
 	s := settings()
 	s.Granularity, s.Tenants = 250*ms, nil
 	now := time.Hour
--- a/balancer/interleaver_test.go
+++ b/balancer/interleaver_test.go
@@ -92,10 +92,10 @@
 		b.RequestArrived(time.Hour, Request{ID: i + 1, Class: "write", Budget: time.Second})
 	}
 	if n := h.count("send"); n != 4 || len(b.queue.waiting) != 2 {
-		t.Fatalf("%d sent, %d held", n, len(b.queue.waiting))
+		t.Fatalf("%d sent, %d queued", n, len(b.queue.waiting))
 	}
 	b.AttemptFinished(time.Hour+ms, AttemptResult{ID: 2, Latency: ms, Status: OK})
 	if n := h.count("send"); n != 5 || len(b.queue.waiting) != 1 || b.inFlight != 4 {
-		t.Errorf("after an answer: %d sent, %d held, %d out", n, len(b.queue.waiting), b.inFlight)
+		t.Errorf("after an answer: %d sent, %d queued, %d out", n, len(b.queue.waiting), b.inFlight)
 	}
 }
--- a/balancer/limits_test.go
+++ b/balancer/limits_test.go
@@ -25,17 +25,17 @@
 		answer(RequestID(i+100), 290*ms)
 	}
 	if u.limit.allowed > healthy/4 {
-		t.Errorf("bound %v after late answers, %v before", u.limit.allowed, healthy)
+		t.Errorf("limit %v after late answers, %v before", u.limit.allowed, healthy)
 	}
 	u.limit.nextSendAt = now
 	answer(500, 80*ms)
 	if u.limit.allowed < b.limits.initial {
-		t.Error("the bound does not come back with a good answer")
+		t.Error("the limit does not come back with a good answer")
 	}
 }
 
 // With many balancers the trickle of all together once kept a choked server from the rest it needs.
-func TestLeastBoundIsATotalOverAllBalancers(t *testing.T) {
+func TestMinimumLimitIsATotalOverAllBalancers(t *testing.T) {
 	for _, n := range []int{2, 24} {
 		s := settings()
 		s.Balancers = n
@@ -50,7 +50,7 @@
 }
 
 // A balancer that started while a server was choked once took its slow answers for usual.
-func TestUpstreamMetCrowdedIsJudgedByTheFleet(t *testing.T) {
+func TestUpstreamCrowdedFromItsFirstAnswerIsComparedWithTheFleet(t *testing.T) {
 	b, _ := start(t, settings(), fleet(8))
 	for _, u := range b.upstreams {
 		u.band.readings, u.latency.best, u.latency.unloaded = 1, float64(60*ms), float64(60*ms)
@@ -60,12 +60,12 @@
 	b.endPeriod(time.Hour + bandPeriod)
 	answerAfter(b, u, 200*ms, time.Hour+2*bandPeriod)
 	if u.limit.allowed >= b.limits.initial {
-		t.Errorf("bound %v after an answer three times as slow as the fleet's least", u.limit.allowed)
+		t.Errorf("limit %v after an answer three times as slow as the fleet's least", u.limit.allowed)
 	}
 }
 
-// Balancers that began in overload once let bounds grow at servers that were busy already.
-func TestBoundDoesNotGrowAtFullUse(t *testing.T) {
+// Balancers that began in overload once let limits grow at servers that were busy already.
+func TestLimitDoesNotGrowAtFullUtilisation(t *testing.T) {
 	for _, c := range []struct {
 		use   float64
 		grows bool
@@ -76,12 +76,12 @@
 		before := u.limit.allowed
 		answerAfter(b, u, 50*ms, time.Hour)
 		if (u.limit.allowed > before) != c.grows {
-			t.Errorf("use %v: bound %v, then %v", c.use, before, u.limit.allowed)
+			t.Errorf("use %v: limit %v, then %v", c.use, before, u.limit.allowed)
 		}
 	}
 }
 
-// One balancer of four was left for ten seconds, and refused most of its requests beside idle servers: live
+// One balancer of four was left for ten seconds, and rejected most of its requests beside idle servers: live
 // weights rise with idleness, and a server of weight 3 was judged against a third of the fleet's latency.
 func TestIdleUpstreamOfHighWeightIsNotTakenForCrowded(t *testing.T) {
 	b, _ := start(t, settings(), fleet(4))
@@ -94,7 +94,7 @@
 	u.share.weight, u.limit.allowed, u.inFlight, b.queue.lastFullAt = 3, 2, make([]*attempt, 2), time.Hour
 	answerAfter(b, u, 55*ms, time.Hour)
 	if u.limit.allowed <= 2 {
-		t.Errorf("bound %v, want more than 2", u.limit.allowed)
+		t.Errorf("limit %v, want more than 2", u.limit.allowed)
 	}
 }
 
@@ -109,13 +109,13 @@
 		now := 2*time.Hour + time.Duration(i)*time.Second
 		answerAfter(b, u, lat, now)
 		if i > 8 && u.limit.allowed < b.limits.initial {
-			t.Fatalf("answer %d after %v: bound %v, want %v", i, lat, u.limit.allowed, b.limits.initial)
+			t.Fatalf("answer %d after %v: limit %v, want %v", i, lat, u.limit.allowed, b.limits.initial)
 		}
 	}
 }
 
 // Bounds once doubled each round trip: many balancers choked a fleet before the first reading told of full use.
-func TestBoundAtMostDoublesBetweenPeriods(t *testing.T) {
+func TestLimitAtMostDoublesBetweenPeriods(t *testing.T) {
 	b, _ := start(t, settings(), fleet(1))
 	u := b.upstreams[0]
 	u.latency.best, u.inFlight = float64(20*ms), make([]*attempt, 100)
@@ -127,18 +127,18 @@
 	}
 	answers(time.Hour)
 	if u.limit.allowed != initialLimitTotal {
-		t.Errorf("bound %v before the first period has passed, want %v", u.limit.allowed, initialLimitTotal)
+		t.Errorf("limit %v before the first period has passed, want %v", u.limit.allowed, initialLimitTotal)
 	}
 	b.endPeriod(time.Hour + bandPeriod)
 	answers(time.Hour + bandPeriod)
 	if u.limit.allowed != 2*initialLimitTotal {
-		t.Errorf("bound %v in the next period, want %v", u.limit.allowed, 2*initialLimitTotal)
+		t.Errorf("limit %v in the next period, want %v", u.limit.allowed, 2*initialLimitTotal)
 	}
 }
 
-// Answers in a small part of the aim leave no doubt, and many such pass in a period: their nodes' bounds go up with
-// them, or what they could serve was refused for want of turns. They stop as soon as answers take longer.
-func TestIdleUpstreamsBoundGrowsWithinThePeriod(t *testing.T) {
+// Answers in a small part of the objective leave no doubt, and many such pass in a period: their nodes' limits go up
+// with them, or what they could serve was rejected for want of turns. They stop as soon as answers take longer.
+func TestIdleUpstreamsLimitGrowsWithinThePeriod(t *testing.T) {
 	b, _ := start(t, settings(), fleet(1))
 	u := b.upstreams[0]
 	u.inFlight = make([]*attempt, 100)
@@ -151,16 +151,16 @@
 	answers(ms)
 	grown := u.limit.allowed
 	if grown < 10*initialLimitTotal {
-		t.Errorf("bound %v after 50 answers within 1 ms", grown)
+		t.Errorf("limit %v after 50 answers within 1 ms", grown)
 	}
 	answers(20 * ms)
 	if u.limit.allowed > grown {
-		t.Errorf("bound %v went on to %v although answers take longer", grown, u.limit.allowed)
+		t.Errorf("limit %v went on to %v although answers take longer", grown, u.limit.allowed)
 	}
 }
 
-// Single late answers are chance where latency varies; each once cut the bound, and turns were refused.
-func TestOnlyCrowdingCutsTheBound(t *testing.T) {
+// Single late answers are chance where latency varies; each once cut the limit, and turns were rejected.
+func TestOnlyCrowdingCutsTheLimit(t *testing.T) {
 	for _, c := range []struct {
 		name  string
 		lat   time.Duration
@@ -177,13 +177,13 @@
 		u.latency.smoothed, u.latency.unloaded = float64(c.calm), float64(c.calm)
 		answerAfter(b, u, c.lat, 2*time.Hour)
 		if (u.limit.allowed < b.limits.initial) != c.short {
-			t.Errorf("%s: bound %v, at first %v", c.name, u.limit.allowed, b.limits.initial)
+			t.Errorf("%s: limit %v, at first %v", c.name, u.limit.allowed, b.limits.initial)
 		}
 	}
 }
 
-// Where flows are thin an answer near the least latency is rare, and bounds stayed where they began while the
-// servers idled: a third of the requests was refused. Readings decide there.
+// Where flows are thin an answer near the least latency is rare, and limits stayed where they began while the
+// servers idled: a third of the requests was rejected. Readings decide there.
 func TestThinFlowGrowsByReadings(t *testing.T) {
 	for _, c := range []struct {
 		balancers int
@@ -199,12 +199,12 @@
 		b.queue.lastFullAt = time.Hour
 		answerAfter(b, u, 60*ms, time.Hour) // twice the least
 		if (u.limit.allowed > b.limits.initial) != c.grows {
-			t.Errorf("%+v: bound %v, at first %v", c, u.limit.allowed, b.limits.initial)
+			t.Errorf("%+v: limit %v, at first %v", c, u.limit.allowed, b.limits.initial)
 		}
 	}
 }
 
-// Single long answers of heavy-tailed work cut the bounds of thin flows at half use, and a fifth was refused.
+// Single long answers of heavy-tailed work cut the limits of thin flows at half use, and a fifth was rejected.
 func TestThinFlowIsNotCutAtSpareUse(t *testing.T) {
 	for _, c := range []struct {
 		balancers int
@@ -220,12 +220,12 @@
 		u.latency.smoothed, u.latency.unloaded = float64(60*ms), float64(60*ms)
 		answerAfter(b, u, 250*ms, 2*time.Hour)
 		if (u.limit.allowed < b.limits.initial) != c.cut {
-			t.Errorf("%+v: bound %v, at first %v", c, u.limit.allowed, b.limits.initial)
+			t.Errorf("%+v: limit %v, at first %v", c, u.limit.allowed, b.limits.initial)
 		}
 	}
 }
 
-// Requests come by chance. Spaced evenly by its pause, a thin flow left turns unused and refused at others.
+// Requests come by chance. Spaced evenly by its pause, a thin flow left turns unused and rejected at others.
 func TestIdleUpstreamHasOneAttemptInHand(t *testing.T) {
 	b, _ := start(t, settings(), fleet(1))
 	u := b.upstreams[0]
@@ -244,20 +244,20 @@
 	}
 }
 
-// A bound of one and a half attempts counts as two: cut to one, upstreams stood at half their use while requests were
-// refused, since the way there and back leaves them without work.
-func TestBoundIsRounded(t *testing.T) {
+// A limit of one and a half attempts counts as two: cut to one, upstreams stood at half their use while requests were
+// rejected, since the way there and back leaves them without work.
+func TestLimitIsRounded(t *testing.T) {
 	b, h := start(t, settings(), fleet(2)) // of two balancers each has half of boundStart
 	for i := range RequestID(10) {
 		b.RequestArrived(time.Hour, Request{ID: i + 1, Class: "write", Budget: time.Second})
 	}
 	if n := h.count("send"); b.limits.initial != 1.5 || n != 4 {
-		t.Errorf("%d sent at a bound of %v for each of two, want 4", n, b.limits.initial)
+		t.Errorf("%d sent at a limit of %v for each of two, want 4", n, b.limits.initial)
 	}
 }
 
-// Where a cap lies under the bound, the bound stays where it was tried: it once went to ten thousand with 16 in use.
-func TestBoundStaysAtWhatTheCapAllows(t *testing.T) {
+// Where a cap lies under the limit, the limit stays where it was tried: it once went to ten thousand with 16 in use.
+func TestLimitStaysAtWhatTheCapAllows(t *testing.T) {
 	list := fleet(1)
 	list[0].MaxInFlight = 16
 	b, _ := start(t, settings(), list)
@@ -268,7 +268,7 @@
 		answerAfter(b, u, ms, time.Hour)
 	}
 	if u.limit.allowed != 16 {
-		t.Errorf("bound %v, the cap is 16", u.limit.allowed)
+		t.Errorf("limit %v, the cap is 16", u.limit.allowed)
 	}
 	u.MaxInFlight, u.inFlight = 0, u.inFlight[:3]
 	for range 10000 {
@@ -276,7 +276,7 @@
 		answerAfter(b, u, ms, time.Hour)
 	}
 	if u.limit.allowed != 16 {
-		t.Errorf("bound %v with four in use", u.limit.allowed)
+		t.Errorf("limit %v with four in use", u.limit.allowed)
 	}
 }
 
--- a/balancer/outcomes.go
+++ b/balancer/outcomes.go
@@ -27,14 +27,14 @@
 
 // recordSuccess takes the latency of a successful answer.
 func (b *Balancer) recordSuccess(a *attempt, latency float64, now time.Duration) {
-	upstream, class := a.upstream, a.request.class
+	upstream, requestClass := a.upstream, a.request.class
 	weight := max(sampleWeight, 1-upstream.limit.allowed) // the rarer its answers, the more each one tells
 	perWork := upstream.latency.observe(latency, a.request.work, weight)
 	updateMean(&b.latency, latency, sampleWeight)
-	updateMean(&class.latency, latency, sampleWeight)
+	updateMean(&requestClass.latency, latency, sampleWeight)
 	b.adjustLimit(upstream, &answer{
 		latency:   latency,
-		objective: float64(class.LatencyObjective),
+		objective: float64(requestClass.LatencyObjective),
 		perWork:   perWork,
 		sparse:    weight > sparseWeight && upstream.band.readings > 0,
 	}, now)
--- a/balancer/outlier_test.go
+++ b/balancer/outlier_test.go
@@ -1,6 +1,7 @@
 package balancer
 
 import (
+	"slices"
 	"testing"
 	"time"
 )
@@ -95,3 +96,102 @@
 		t.Errorf("after a restart: %+v", o)
 	}
 }
+
+// flow sends requests one by one, 5 ms apart, and has each answered after 20 ms, or with an error at once where sick
+// says so. It tells how many came to the first upstream, how many failed and how many were sent.
+func flow(
+	t *testing.T, b *Balancer, from time.Duration, first RequestID, n int, sick func(u *upstreamState) bool,
+) (atFirst, failed, sent int) {
+	t.Helper()
+	f := flowing{b: b, sick: sick, now: from, seen: map[*attempt]bool{}}
+	for i := range n {
+		f.now += 5 * ms
+		for len(f.due) > 0 && f.due[0].at <= f.now {
+			b.AttemptFinished(f.now, f.due[0].o)
+			f.due = f.due[1:]
+		}
+		if i%3 == 0 {
+			b.TimerFired(f.now, tickToken)
+		}
+		b.RequestArrived(f.now, Request{ID: first + RequestID(i), Class: "write", Budget: time.Second})
+		for f.answerNew(i) { // an outcome may send what is queued
+		}
+	}
+	for _, d := range f.due {
+		b.AttemptFinished(f.now+20*ms, d.o)
+	}
+	return f.atFirst, f.failed, f.sent
+}
+
+// flowing is the state of a flow.
+type flowing struct {
+	b                     *Balancer
+	sick                  func(u *upstreamState) bool
+	now                   time.Duration
+	due                   []outcomeDue
+	seen                  map[*attempt]bool
+	atFirst, failed, sent int
+}
+
+// answerNew decides how the attempts end that it has not seen, and reports whether there were any.
+func (f *flowing) answerNew(i int) (found bool) {
+	for _, u := range f.b.upstreams {
+		for _, a := range slices.Clone(u.inFlight) {
+			if f.seen[a] {
+				continue
+			}
+			f.seen[a], found = true, true
+			f.answer(a, i)
+		}
+	}
+	return found
+}
+
+// answer lets an attempt fail at once, or has it answered later.
+func (f *flowing) answer(a *attempt, i int) {
+	f.sent++
+	if a.upstream == f.b.upstreams[0] {
+		f.atFirst++
+	}
+	o := AttemptResult{
+		ID: a.request.ID, Upstream: a.upstream.ID, Latency: 20 * ms, Status: OK, Closed: true,
+		Load: Load{Fields: HasUtil, Util: 0.3 + float64(i%7)/1000},
+	}
+	if f.sick(a.upstream) {
+		o.Status, o.Latency, o.Closed = Error, ms, false
+		f.failed++
+		f.b.AttemptFinished(f.now, o)
+		return
+	}
+	f.due = append(f.due, outcomeDue{f.now + 20*ms, o})
+}
+
+// An upstream that answers every request with an error at once gets trials only, the rarer the longer it lasts, and its
+// share again once it is well.
+func TestErrorsTurnAnUpstreamIntoATrial(t *testing.T) {
+	b, _ := start(t, settings(), fleet(5))
+	none := func(*upstreamState) bool { return false }
+	flow(t, b, time.Hour, 1, 1000, none)
+	first := func(u *upstreamState) bool { return u == b.upstreams[0] }
+	_, failed, sent := flow(t, b, time.Hour+10*time.Second, 10000, 2000, first)
+	if failed == 0 || failed > 20 || sent < 1990 {
+		t.Errorf("%d of %d sent failed within 10 s, want a few trials", failed, sent)
+	}
+	flow(t, b, time.Hour+30*time.Second, 20000, 2000, none)
+	at, _, sent := flow(t, b, time.Hour+50*time.Second, 30000, 1000, none)
+	if at < sent/8 {
+		t.Errorf("%d of %d at it once it is well, want a fifth or so", at, sent)
+	}
+}
+
+// Errors that all upstreams make are of the requests: nobody is cut, and everything is still sent.
+func TestErrorsOfAllCutNobody(t *testing.T) {
+	for _, n := range []int{1, 2, 5} {
+		b, _ := start(t, settings(), fleet(n))
+		flow(t, b, time.Hour, 1, 600, func(*upstreamState) bool { return true })
+		_, _, sent := flow(t, b, time.Hour+10*time.Second, 10000, 600, func(*upstreamState) bool { return true })
+		if sent < 590 {
+			t.Errorf("%d upstreams: %d of 600 sent", n, sent)
+		}
+	}
+}
--- a/balancer/queue_test.go
+++ b/balancer/queue_test.go
@@ -163,17 +163,17 @@
 	}
 }
 
-// A request with a short budget was once held past its deadline, since holds are looked at once a tick.
+// A request with a short budget was once queued past its deadline, since the queue is looked at once a tick.
 func TestShortBudgetIsAnsweredInTime(t *testing.T) {
 	b, h := start(t, settings(), fleet(1))
 	b.upstreams[0].limit.nextSendAt = 2 * time.Hour
 	b.RequestArrived(time.Hour, Request{ID: 1, Class: "write", Budget: 10 * ms})
 	if h.count("refuse id=1") != 1 {
-		t.Errorf("not refused at once: %v", h.lines)
+		t.Errorf("not rejected at once: %v", h.lines)
 	}
 }
 
-func TestHeldRequestsWaitForTheListAndMostWorthGoesFirst(t *testing.T) {
+func TestQueuedRequestsWaitForTheListAndMostWeightGoesFirst(t *testing.T) {
 	b, h := start(t, settings(), nil)
 	for i, class := range []string{"read", "write", "keyed"} {
 		b.RequestArrived(time.Hour, Request{ID: RequestID(i + 1), Class: class, Budget: time.Second})
@@ -190,8 +190,8 @@
 	}
 }
 
-// A refusal tells when to come back, where the settings allow it: later the more is held, and within the bound.
-func TestRefusalsAdviseWhenToComeBack(t *testing.T) {
+// A rejection tells when to come back, where the settings allow it: later the more is queued, and within the limit.
+func TestRejectionsSetRetryAfter(t *testing.T) {
 	for _, allowed := range []bool{true, false} {
 		s := settings()
 		s.Limits.RetryAfter, s.Limits.MaxRetryAfter = allowed, 400*ms
@@ -209,7 +209,7 @@
 		}
 		b.RequestArrived(time.Hour, Request{ID: 900, Class: "write", Budget: 10 * ms}) // all turns are taken
 		if len(told) != 2 {
-			t.Fatalf("%d refusals, want 2: %v", len(told), h.lines)
+			t.Fatalf("%d rejections, want 2: %v", len(told), h.lines)
 		}
 		for i, d := range told {
 			if (d > 0) != allowed || d > s.Limits.MaxRetryAfter {
@@ -219,8 +219,8 @@
 	}
 }
 
-// Once turns are short, held requests stand by worth, and the newest first among equals.
-func TestHeldRequestsStandInOrder(t *testing.T) {
+// Once turns are short, queued requests stand by weight, and the newest first among equals.
+func TestQueuedRequestsStandInOrder(t *testing.T) {
 	s := settings()
 	s.WeightByWork = false
 	b, _ := start(t, s, nil)
@@ -247,12 +247,12 @@
 		return int(y.ID) - int(x.ID)
 	})
 	if len(want) != 60 || !slices.Equal(want, b.queue.waiting) {
-		t.Errorf("%d held, out of order", len(b.queue.waiting))
+		t.Errorf("%d queued, out of order", len(b.queue.waiting))
 	}
 }
 
 // queue is one upstream that takes one request at a time for a while, with requests that come at other times. It
-// returns how long the served ones waited, in order of arrival, 0 for those refused.
+// returns how long the served ones waited, in order of arrival, 0 for those rejected.
 func queue(t *testing.T, work time.Duration, arrivals []time.Duration) (waits []time.Duration, refused int) {
 	list := fleet(1)
 	list[0].MaxInFlight = 1
@@ -295,8 +295,8 @@
 	return waits, refused
 }
 
-// A standing queue that drains within the aim once made the oldest wait until the aim was spent: 64 clients over 32
-// connections saw a 99th percentile of 220 ms beside a median of 8, and 3 % refused.
+// A standing queue that drains within the objective once made the oldest wait until the objective was spent: 64 clients
+// over 32 connections saw a 99th percentile of 220 ms beside a median of 8, and 3 % rejected.
 func TestNobodyIsPassedOverWhileTurnsSuffice(t *testing.T) {
 	var arrivals []time.Duration
 	for i := range 400 { // ten waiting, then one for each that ends
@@ -304,7 +304,7 @@
 	}
 	waits, refused := queue(t, 5*ms, arrivals)
 	if longest := slices.Max(waits); refused > 0 || longest > 70*ms {
-		t.Errorf("%d refused, the longest wait %v", refused, longest)
+		t.Errorf("%d rejected, the longest wait %v", refused, longest)
 	}
 }
 
@@ -319,7 +319,7 @@
 	served := slices.DeleteFunc(waits[200:], func(d time.Duration) bool { return d == 0 })
 	median, longest := served[len(served)/2], served[len(served)-1]
 	if refused < 200 || len(served) < 190 || median > 20*ms || longest > 300*ms {
-		t.Errorf("%d refused, of the last 400 %d served, median %v, longest %v", refused, len(served), median, longest)
+		t.Errorf("%d rejected, of the last 400 %d served, median %v, longest %v", refused, len(served), median, longest)
 	}
 	// And once it is over, order returns: nothing of what comes then is passed over.
 	for i := range 200 {
--- a/balancer/reports_test.go
+++ b/balancer/reports_test.go
@@ -41,7 +41,7 @@
 
 // Nodes that report nothing are judged by their latency: the one that a neighbour slows is cut, as with reports, and
 // the others keep theirs. Once it reports, reports count.
-func TestSilentUpstreamIsCutByItsLatency(t *testing.T) {
+func TestUpstreamWithoutReportsIsCutByItsLatency(t *testing.T) {
 	s := settings()
 	s.Reports = ReportAnswers
 	b, h := start(t, s, fleet(4))
--- a/balancer/requests.go
+++ b/balancer/requests.go
@@ -13,6 +13,9 @@
 	budgetTolerance = 16   // a budget shorter by one in this many is a client's retry
 )
 
+// noAttempt stands for the order of an attempt where none is meant.
+const noAttempt = -1
+
 // class is one kind of request, and what is learnt of it.
 type class struct {
 	Class
@@ -134,7 +137,7 @@
 
 // rejectOrFail gives the final answer to a request that is not served.
 func (b *Balancer) rejectOrFail(req *request, now time.Duration) {
-	b.closeRequest(req, -1)
+	b.closeRequest(req, noAttempt)
 	if req.mayReject() {
 		b.host.Reject(req.ID, b.retryAfter(now))
 	} else {
@@ -158,7 +161,7 @@
 // ClientLeft drops a request whose client has left.
 func (b *Balancer) ClientLeft(now time.Duration, id RequestID) {
 	if req := b.requests[id]; req != nil && !req.done {
-		b.closeRequest(req, -1)
+		b.closeRequest(req, noAttempt)
 	}
 }
 
--- a/balancer/requests_test.go
+++ b/balancer/requests_test.go
@@ -104,9 +104,9 @@
 	}
 }
 
-// A short class was once refused whenever no turn was free: the mean latency of all classes exceeded its aim, so
+// A short class was once rejected whenever no turn was free: the mean latency of all classes exceeded its objective, so
 // there never seemed to be time to hold it.
-func TestShortClassIsHeldByItsOwnLatency(t *testing.T) {
+func TestShortClassIsQueuedByItsOwnLatency(t *testing.T) {
 	s := settings()
 	s.Classes[2].LatencyObjective = 200 * ms
 	b, h := start(t, s, fleet(1))
@@ -125,15 +125,15 @@
 	b.upstreams[0].limit.nextSendAt = now + time.Minute
 	b.RequestArrived(now, Request{ID: 1000, Class: "write", Budget: time.Second})
 	if r := b.requests[1000]; r == nil || !r.queued || r.work > 0.5 {
-		t.Errorf("a request with five times its usual latency left to its aim was not held: %v", h.lines[len(h.lines)-1])
+		t.Errorf("with five times its usual latency left to its objective it was not queued: %v", h.lines[len(h.lines)-1])
 	}
 }
 
-// In overload a third of all turns went to clients' later tries whose aim had passed before they were sent.
-func TestLaterTryWithoutTimeYieldsWhileTurnsAreShort(t *testing.T) {
+// In overload a third of all turns went to clients' retries whose objective had passed before they were sent.
+func TestLateRetryYieldsWhileTurnsAreShort(t *testing.T) {
 	for _, c := range []struct {
 		name   string
-		budget time.Duration // of 1 s; the aim is 300 ms
+		budget time.Duration // of 1 s; the objective is 300 ms
 		tight  bool
 		sent   bool
 	}{
@@ -156,7 +156,8 @@
 }
 
 // The only upstream is taken out while a request's attempt still waits for a connection: that attempt never ran, and
-// the request waits for an upstream as one that has just come. It was refused though one came back well within its aim.
+// the request waits for an upstream as one that has just come. It was rejected though one came back well within its
+// objective.
 func TestDroppedAttemptWaitsForAnUpstream(t *testing.T) {
 	list := fleet(1)
 	b, h := start(t, settings(), list)
--- a/balancer/responsiveness_test.go
+++ b/balancer/responsiveness_test.go
@@ -7,16 +7,16 @@
 
 // A restarted proxy once counted healthy upstreams as silent at their second answer, because usual
 // latency began without a deviation; the rest of the fleet then choked.
-func TestFirstAnswersDoNotMakePatienceShort(t *testing.T) {
+func TestFirstAnswersDoNotShortenResponseTimeout(t *testing.T) {
 	b, _ := start(t, settings(), fleet(2))
 	serve(t, b, time.Hour, 1)
 	serve(t, b, time.Hour, 2)
 	if p := b.responseTimeout(b.upstreams[0], 1); p < 150*ms {
-		t.Errorf("patience %v after an answer in 50ms", p)
+		t.Errorf("timeout %v after an answer in 50ms", p)
 	}
 }
 
-func TestSilentUpstreamIsSkippedAndItsWorkRescued(t *testing.T) {
+func TestUnresponsiveUpstreamIsSkippedAndItsRequestsRestart(t *testing.T) {
 	b, h := start(t, settings(), fleet(4))
 	for i := range 40 {
 		serve(t, b, time.Hour, RequestID(i+1))
@@ -26,7 +26,7 @@
 	now := time.Hour + b.responseTimeout(u, 1) + 20*ms
 	b.TimerFired(now, tickToken)
 	if !u.outlier.unresponsive || h.count("cancel id=100") != 1 {
-		t.Fatalf("silent %v; %v", u.outlier.unresponsive, h.lines[len(h.lines)-4:])
+		t.Fatalf("unresponsive %v; %v", u.outlier.unresponsive, h.lines[len(h.lines)-4:])
 	}
 	b.AttemptFinished(now, AttemptResult{ID: 100, Upstream: u.ID, Latency: 400 * ms, Status: Cancelled})
 	if r := b.requests[100]; r == nil || r.inFlight != 1 || r.attempts[1].upstream == u {
@@ -36,7 +36,7 @@
 
 // Where flows are thin an upstream's mean is about its last answer; one quick answer once made the next, usual one
 // look like silence, and the upstream's turns were skipped.
-func TestOneQuickAnswerDoesNotMakePatienceShort(t *testing.T) {
+func TestOneQuickAnswerDoesNotShortenResponseTimeout(t *testing.T) {
 	s := settings()
 	s.Balancers = 8
 	b, _ := start(t, s, fleet(1))
@@ -45,7 +45,7 @@
 		answerAfter(b, u, lat*ms, time.Hour+time.Duration(i)*time.Second)
 	}
 	if p := b.responseTimeout(u, 1); p < 200*ms {
-		t.Errorf("patience %v where answers take 100ms as a rule", p)
+		t.Errorf("timeout %v where answers take 100ms as a rule", p)
 	}
 }
 
@@ -65,14 +65,14 @@
 	u := b.byID[1]
 	b.checkResponsive(u, at+30*time.Second)
 	if u.outlier.unresponsive {
-		t.Error("silent while the body comes")
+		t.Error("unresponsive while the body comes")
 	}
 	b.BodySent(at+30*time.Second, 100, 0)
 	if b.checkResponsive(u, at+30*time.Second+5*ms); u.outlier.unresponsive {
-		t.Error("silent at once")
+		t.Error("unresponsive at once")
 	}
 	if b.checkResponsive(u, at+40*time.Second); !u.outlier.unresponsive {
-		t.Error("not silent ten seconds after the last byte")
+		t.Error("not unresponsive ten seconds after the last byte")
 	}
 }
 
--- a/balancer/rules_test.go
+++ b/balancer/rules_test.go
@@ -18,25 +18,25 @@
 	tenants  []string // most quota first
 	now      time.Duration
 	requests map[RequestID]*seen
-	open     []*try // attempts out, in order of sending
-	timers   []alarm
+	open     []*sentAttempt // attempts out, in order of sending
+	timers   []timerDue
 	list     map[UpstreamID]Upstream
 	goneAt   map[UpstreamID]time.Duration
 	broken   []string
-	most     int                            // sends that a warm upstream has had in a cold-start window
-	sent     map[UpstreamID][]time.Duration // sends of the last cold-start window
+	most     int                            // sends that a warm upstream has had in a slow-start window
+	sent     map[UpstreamID][]time.Duration // sends of the last slow-start window
 }
 
 type seen struct {
 	id       RequestID
 	class    Class
 	deadline time.Duration
-	tries    []*try
+	attempts []*sentAttempt
 	finals   int
 	ended    time.Duration // when the end was known, 0: open
 }
 
-type try struct {
+type sentAttempt struct {
 	r       *seen
 	n       int
 	up      Upstream
@@ -45,7 +45,7 @@
 	over    bool
 }
 
-type alarm struct {
+type timerDue struct {
 	at    time.Duration
 	token uint64
 }
@@ -55,14 +55,14 @@
 }
 
 // ran tells whether an attempt may have run or may still run.
-func (x *try) ran() bool {
+func (x *sentAttempt) ran() bool {
 	return !x.over || !slices.Contains([]Status{Rejected, ConnectFailed, NotSent}, x.status)
 }
 
 func (c *checker) action(kind string, id RequestID, up UpstreamID, d time.Duration, n uint64) {
 	switch kind {
 	case "timer":
-		c.timers = append(c.timers, alarm{c.now + max(d, ms), n})
+		c.timers = append(c.timers, timerDue{c.now + max(d, ms), n})
 	case "send":
 		c.send(c.requests[id], up, d)
 	case "refuse", "fail":
@@ -90,32 +90,32 @@
 	if at, gone := c.goneAt[up]; gone && c.now > at+c.s.Rules.DrainGrace {
 		c.bad("rule 3: request %d sent to %d, leaving since %v", r.id, up, at)
 	}
-	c.cold(u)
+	c.slowStartRule(u)
 	out := 0
-	for _, x := range r.tries {
+	for _, x := range r.attempts {
 		if !x.over {
 			out++
 		}
 		if x.ran() {
-			c.repeat(r, x, u)
+			c.repeatRule(r, x, u)
 		}
 	}
 	if out > 0 && !c.s.Limits.Hedging {
 		c.bad("rule 2: request %d has two attempts out", r.id)
 	}
-	if len(r.tries) >= c.s.Limits.MaxAttempts {
+	if len(r.attempts) >= c.s.Limits.MaxAttempts {
 		c.bad("request %d has too many attempts", r.id)
 	}
-	x := &try{r: r, n: len(r.tries), up: u, at: c.now, end: r.deadline, status: Timeout}
+	x := &sentAttempt{r: r, n: len(r.attempts), up: u, at: c.now, end: r.deadline, status: Timeout}
 	if d > 0 {
 		x.end = min(r.deadline, c.now+d)
 	}
-	r.tries = append(r.tries, x)
+	r.attempts = append(r.attempts, x)
 	c.open = append(c.open, x)
 }
 
-// repeat holds a send against rule 2: an earlier try may have run.
-func (c *checker) repeat(r *seen, earlier *try, u Upstream) {
+// repeatRule holds a send against rule 2: an earlier try may have run.
+func (c *checker) repeatRule(r *seen, earlier *sentAttempt, u Upstream) {
 	keyed := r.class.Idempotency == IdempotentWithKey
 	otherZone := r.class.KeyScope == KeyScopeZone && earlier.up.Zone != u.Zone
 	otherCell := r.class.KeyScope == KeyScopeCell && earlier.up.Cell != u.Cell
@@ -129,10 +129,10 @@
 	}
 }
 
-// cold holds a send against rule 4: within any window a fresh upstream gets no more than the multiple of what it
-// can do. What a warm one can do is the most that any has been sent in such a window, and at least this balancer's
+// slowStartRule holds a send against rule 4: within any window a fresh upstream gets no more than the multiple of what
+// it can do. What a warm one can do is the most that any has been sent in such a window, and at least this balancer's
 // even share of drive's traffic: 133 requests a second, over two balancers and five upstreams.
-func (c *checker) cold(u Upstream) {
+func (c *checker) slowStartRule(u Upstream) {
 	age, after := c.now-u.StartedAt, c.s.Rules.OverloadWindow
 	c.sent[u.ID] = append(slices.DeleteFunc(c.sent[u.ID], func(at time.Duration) bool {
 		return at <= c.now-after || at < u.StartedAt
@@ -156,7 +156,7 @@
 	if c.now > r.deadline+c.s.Rules.AnswerSlack {
 		c.bad("rule 1: request %d answered %v late", r.id, c.now-r.deadline)
 	}
-	for _, x := range r.tries {
+	for _, x := range r.attempts {
 		keyedEverywhere := r.class.Idempotency == IdempotentWithKey && r.class.KeyScope == KeyScopeAll
 		harmless := r.class.Idempotency == Idempotent || keyedEverywhere
 		if refused && x.ran() && !harmless {
@@ -201,7 +201,7 @@
 
 func (c *checker) request(b *Balancer, rng *rand.Rand, id RequestID) {
 	cl := c.s.Classes[rng.IntN(len(c.s.Classes))]
-	budget := cl.Deadline // a first try; the others are later ones, or of impatient clients
+	budget := cl.Deadline // a first attempt; the others are later ones, or of impatient clients
 	if rng.IntN(2) == 0 {
 		budget = time.Duration(1+rng.Int64N(int64(cl.Deadline/ms))) * ms
 	}
@@ -234,7 +234,7 @@
 			x.status = []Status{OK, OK, OK, OK, Error, Rejected, ConnectFailed, Reset}[rng.IntN(8)]
 		}
 		x.over = true
-		c.open = slices.DeleteFunc(c.open, func(y *try) bool { return y == x })
+		c.open = slices.DeleteFunc(c.open, func(y *sentAttempt) bool { return y == x })
 		r, load := x.r, Load{}
 		if rng.IntN(2) == 0 {
 			load = Load{Fields: HasUtil, Util: rng.Float64()}
@@ -415,6 +415,6 @@
 	}
 	b.TimerFired(now+2*time.Second, tickToken)
 	if len(b.requests)+len(b.queue.waiting) > 0 || len(b.upstreams) != 4 || len(b.byID) != 4 {
-		t.Errorf("kept %d requests, %d held, %d upstreams", len(b.requests), len(b.queue.waiting), len(b.upstreams))
+		t.Errorf("kept %d requests, %d queued, %d upstreams", len(b.requests), len(b.queue.waiting), len(b.upstreams))
 	}
 }
--- a/balancer/settings.go
+++ b/balancer/settings.go
@@ -25,14 +25,14 @@
 	}
 	named := map[string]bool{}
 	for i := range s.Classes {
-		class := &s.Classes[i]
-		if named[class.Name] {
-			return bad("class %q is set twice", class.Name)
+		listed := &s.Classes[i]
+		if named[listed.Name] {
+			return bad("class %q is set twice", listed.Name)
 		}
-		if err := class.validate(); err != nil {
+		if err := listed.validate(); err != nil {
 			return err
 		}
-		named[class.Name] = true
+		named[listed.Name] = true
 	}
 	return s.Tenants.Err()
 }
--- a/balancer/size_test.go
+++ b/balancer/size_test.go
@@ -239,7 +239,7 @@
 	}
 }
 
-// What a cold upstream gets from 1,500 balancers: each has its own even part of the service's requests, by chance in
+// What a warming upstream gets from 1,500 balancers: each has its own even part of the service's requests, by chance in
 // time, and a window of readings when the upstream starts anew. Reported are the seconds until its first call, what it
 // was sent in its ramp as a part of what a warm one gets in that time, and the most in any window as a part of that
 // window's budget; over several starts, the mean and the worst. Of 250 balancers: where one in six has the service.
@@ -254,7 +254,7 @@
 			for b.Loop() {
 				first, part, worst, never = nil, nil, nil, 0
 				for seed := range 5 {
-					f, p, w, u := coldStart(b, x.balancers, x.n, uint64(seed))
+					f, p, w, u := playSlowStart(b, x.balancers, x.n, uint64(seed))
 					users, part, worst = u, append(part, p), append(worst, w)
 					if math.IsInf(f, 1) {
 						never++
@@ -388,7 +388,7 @@
 }
 
 // What becomes of the requests of a service while nothing happens, where each balancer sees few of them: the part that
-// is refused in the first two minutes and in the ten after them, and how long one waits in the mean.
+// is rejected in the first two minutes and in the ten after them, and how long one waits in the mean.
 func BenchmarkThin(b *testing.B) {
 	for _, n := range []int{2, 10, 37, 150, 300} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
@@ -415,8 +415,8 @@
 	}
 }
 
-// coldStart plays one start of an upstream of a service with n.
-func coldStart(b *testing.B, balancers, n int, seed uint64) (first, part, worst float64, users int) {
+// playSlowStart plays one start of an upstream of a service with n.
+func playSlowStart(b *testing.B, balancers, n int, seed uint64) (first, part, worst float64, users int) {
 	const born = 2 * time.Minute // readings come rarely at this size
 	id := UpstreamID(1 + seed%uint64(n))
 	rng := rand.New(rand.NewPCG(seed, 7))
@@ -640,14 +640,14 @@
 	}
 }
 
-// The budget of a cold upstream holds for 1,500 balancers that all have requests for it at the same moments, as it does
-// for 300 (TestColdBudgetHoldsForTheFleet, which plays them more often). The first call comes at once.
+// The budget of a warming upstream holds for 1,500 balancers that all have requests for it at the same moments, as it
+// does for 300 (TestColdBudgetHoldsForTheFleet, which plays them more often). The first call comes at once.
 func TestColdBudgetHoldsFor1500(t *testing.T) {
 	for _, capacity := range []float64{3, 40} { // requests a second of the upstream when it is warm
 		for _, fault := range []string{"", "restart", "late", "all cold"} {
 			t.Run(fmt.Sprint(capacity, fault), func(t *testing.T) {
 				t.Parallel()
-				f := newColdFleet(t, planBalancers, capacity, fault == "all cold")
+				f := newWarmUpFleet(t, planBalancers, capacity, fault == "all cold")
 				f.play(250*ms, fault)
 				most, breach := f.worst(capacity)
 				switch {
--- a/balancer/cold_test.go
+++ b/balancer/slowstart_fleet_test.go
@@ -6,25 +6,25 @@
 	"time"
 )
 
-// coldFleet is many balancers that ramp one cold upstream, each with more requests than it may send there.
-type coldFleet struct {
-	t    *testing.T
-	s    Settings
-	all  []*Balancer
-	born time.Duration
-	cold bool            // so are all others
-	took time.Duration   // by each answer
-	sent []time.Duration // to the cold one
-	seq  int
+// warmUpFleet is many balancers that ramp one warming upstream, each with more requests than it may send there.
+type warmUpFleet struct {
+	t          *testing.T
+	s          Settings
+	all        []*Balancer
+	born       time.Duration
+	allWarming bool            // so are all others
+	took       time.Duration   // by each answer
+	sent       []time.Duration // to the warming one
+	seq        int
 }
 
-const coldID = 3
+const warmingID = 3
 
-// newColdFleet starts balancers that know how much a warm upstream carries, or where all are cold how long an answer
+// newWarmUpFleet starts balancers that know how much a warm upstream carries, or where all warm up how long an answer
 // takes.
-func newColdFleet(t *testing.T, balancers int, capacity float64, cold bool) *coldFleet {
-	f := &coldFleet{
-		t: t, s: settings(), all: make([]*Balancer, balancers), born: time.Hour, cold: cold,
+func newWarmUpFleet(t *testing.T, balancers int, capacity float64, cold bool) *warmUpFleet {
+	f := &warmUpFleet{
+		t: t, s: settings(), all: make([]*Balancer, balancers), born: time.Hour, allWarming: cold,
 		took: time.Duration(float64(time.Second) / capacity),
 	}
 	f.s.Balancers = balancers
@@ -32,7 +32,7 @@
 	for rank := range balancers {
 		f.begin(rank, f.born)
 		for _, u := range f.all[rank].subset.upstreams {
-			if u.ID == coldID && u.inSubset {
+			if u.ID == warmingID && u.inSubset {
 				slices += u.share.subsetPart
 			}
 		}
@@ -46,7 +46,7 @@
 }
 
 // play asks from the upstream's start until it is warm.
-func (f *coldFleet) play(gap time.Duration, fault string) {
+func (f *warmUpFleet) play(gap time.Duration, fault string) {
 	again, heard := f.born+f.s.Rules.SlowStartDuration/2, f.born+2*time.Second
 	for now := f.born + ms; now < f.born+f.s.Rules.SlowStartDuration; now += gap {
 		for rank := range f.all {
@@ -61,10 +61,10 @@
 	}
 }
 
-func (f *coldFleet) list() []Upstream {
+func (f *warmUpFleet) list() []Upstream {
 	list := fleet(3)
 	for i := range list {
-		if f.cold || list[i].ID == coldID {
+		if f.allWarming || list[i].ID == warmingID {
 			list[i].StartedAt = f.born
 		}
 	}
@@ -72,7 +72,7 @@
 }
 
 // begin starts a process, which has learnt nothing.
-func (f *coldFleet) begin(rank int, now time.Duration) {
+func (f *warmUpFleet) begin(rank int, now time.Duration) {
 	s := f.s
 	s.Rank = rank
 	b, err := New(s, uint64(rank)+1, now, &recorder{})
@@ -83,11 +83,11 @@
 	f.all[rank] = b
 }
 
-// ask lets a balancer have a request that only the cold upstream can take now.
-func (f *coldFleet) ask(rank int, now time.Duration) {
+// ask lets a balancer have a request that only the warming upstream can take now.
+func (f *warmUpFleet) ask(rank int, now time.Duration) {
 	b := f.all[rank]
 	for _, u := range b.upstreams {
-		if u.ID != coldID {
+		if u.ID != warmingID {
 			u.limit.nextSendAt = now + time.Hour
 		} else {
 			u.limit.nextSendAt, u.limit.allowed = now, 100 // what binds is the budget
@@ -102,15 +102,15 @@
 	}
 	if r.inFlight > 0 {
 		f.sent = append(f.sent, now)
-		b.AttemptFinished(now, AttemptResult{ID: id, Upstream: coldID, Latency: f.took, Status: OK, Closed: true})
+		b.AttemptFinished(now, AttemptResult{ID: id, Upstream: warmingID, Latency: f.took, Status: OK, Closed: true})
 	} else {
 		b.ClientLeft(now, id)
 		b.dispatchQueued(now)
 	}
 }
 
-// worst is how much of what it bears the cold upstream was sent in any window, and where that is over it.
-func (f *coldFleet) worst(capacity float64) (most float64, breach string) {
+// worst is how much of what it bears the warming upstream was sent in any window, and where that is over it.
+func (f *warmUpFleet) worst(capacity float64) (most float64, breach string) {
 	first, rules := 0, f.s.Rules
 	for i, at := range f.sent {
 		for f.sent[first] <= at-rules.OverloadWindow {
@@ -126,7 +126,7 @@
 	return most, breach
 }
 
-// All balancers' parts of a cold upstream's budget add up to no more than the budget, for any count of balancers and
+// All balancers' parts of a warming upstream's budget add up to no more than the budget, for any count of balancers and
 // any window: also where a part is under one call, where all have requests at the same moments, where a third of the
 // processes are started anew in the middle and have forgotten what they sent and learnt, where a third hear late of the
 // upstream, and where there is no warm one to judge by.
@@ -137,17 +137,17 @@
 			for _, capacity := range []float64{3, 10, 40} { // requests a second of the upstream when it is warm
 				// The gap is between two requests at each balancer, at the same moments everywhere.
 				for _, gap := range []time.Duration{20 * ms, 250 * ms} {
-					checkColdBudget(t, balancers, capacity, gap)
+					checkWarmUpBudget(t, balancers, capacity, gap)
 				}
 			}
 		})
 	}
 }
 
-func checkColdBudget(t *testing.T, balancers int, capacity float64, gap time.Duration) {
+func checkWarmUpBudget(t *testing.T, balancers int, capacity float64, gap time.Duration) {
 	t.Helper()
 	for _, fault := range []string{"", "restart", "late", "all cold"} {
-		f := newColdFleet(t, balancers, capacity, fault == "all cold")
+		f := newWarmUpFleet(t, balancers, capacity, fault == "all cold")
 		f.play(gap, fault)
 		most, breach := f.worst(capacity)
 		name := fmt.Sprintf("%v a second, one each %v, %q", capacity, gap, fault)
--- a/balancer/slowstart_test.go
+++ b/balancer/slowstart_test.go
@@ -196,8 +196,8 @@
 	}
 }
 
-// Many requests of small hinted cost once pushed a cold upstream over.
-func TestColdUpstreamGetsFewRequestsHoweverSmall(t *testing.T) {
+// Many requests of small hinted cost once pushed a warming upstream over.
+func TestWarmingUpstreamGetsFewRequestsHoweverSmall(t *testing.T) {
 	b, h := start(t, settings(), fleet(4))
 	now := time.Hour
 	for i := range 4000 { // warm ones carry work for a while
@@ -224,16 +224,16 @@
 			toCold++
 		}
 	}
-	// A warm one carries 75 in the window at most; a cold one may get the margin of its rule's multiple.
+	// A warm one carries 75 in the window at most; a warming one may get the margin of its rule's multiple.
 	most := 40 // 75 x tipMargin x 3 x the share of capacity reached, 0.45
 	if toCold == 0 || toCold > most || h.count("send")-before < 250 {
-		t.Errorf("a cold upstream got %d of %d sends, at most %d fit", toCold, h.count("send")-before, most)
+		t.Errorf("a warming upstream got %d of %d sends, at most %d fit", toCold, h.count("send")-before, most)
 	}
 }
 
-// At full size a balancer's part of a cold upstream's budget is under one request: none was sent until the ramp
+// At full size a balancer's part of a warming upstream's budget is under one request: none was sent until the ramp
 // had ended, and then all balancers sent their full share at once. Over many balancers it must come to the part.
-func TestColdUpstreamIsUsedAtFullSizeWithinItsBudget(t *testing.T) {
+func TestWarmingUpstreamIsUsedAtFullSizeWithinItsBudget(t *testing.T) {
 	const balancers, window = 200, 1500 * ms
 	s, sent := settings(), 0
 	s.Balancers, s.Rules.OverloadWindow = balancers, window
@@ -249,7 +249,7 @@
 		b.fleet.workPerWeight = 0.2 // requests a second that a warm upstream takes from this balancer
 		for i := range 150 {
 			for _, u := range b.upstreams[:2] {
-				u.limit.nextSendAt = 2 * time.Hour // all the traffic asks for the cold one
+				u.limit.nextSendAt = 2 * time.Hour // all the traffic asks for the warming one
 			}
 			now := time.Hour + time.Duration(i)*10*ms
 			b.RequestArrived(now, Request{ID: RequestID(i + 1), Class: "read", Budget: time.Second})
@@ -261,6 +261,6 @@
 	}
 	// All together may send what a warm one takes times the multiple and the ramp, at most.
 	if most := 0.2 * balancers * 3 * 0.4 * window.Seconds(); sent == 0 || float64(sent) > most {
-		t.Errorf("%d sent to a cold upstream, 1 to %v fit", sent, most)
+		t.Errorf("%d sent to a warming upstream, 1 to %v fit", sent, most)
 	}
 }
--- a/balancer/snapshot_test.go
+++ b/balancer/snapshot_test.go
@@ -1,9 +1,12 @@
 package balancer
 
 import (
+	"encoding/json"
 	"maps"
 	"math"
+	"reflect"
 	"testing"
+	"time"
 )
 
 func TestUpstreamSnapshotIsValid(t *testing.T) {
@@ -42,3 +45,87 @@
 		t.Error("a figure that JSON can't hold is copied")
 	}
 }
+
+// What one Balancer has learnt goes on in another, through JSON, but for an upstream that has been started since.
+func TestSnapshotRestores(t *testing.T) {
+	list := fleet(4)
+	b, _ := start(t, settings(), list)
+	flow(t, b, time.Hour, 1, 2000, func(u *upstreamState) bool { return u == b.upstreams[0] })
+	b.upstreams[1].limit.allowed, b.upstreams[1].share.factor = 7, 0.5
+	text, err := json.Marshal(b.Snapshot())
+	if err != nil {
+		t.Fatal(err)
+	}
+	var m Snapshot
+	if err := json.Unmarshal(text, &m); err != nil {
+		t.Fatal(err)
+	}
+	now := time.Hour + 12*time.Second
+	list[2].StartedAt = now - time.Second
+	next, _ := start(t, settings(), nil)
+	next.EndpointsUpdated(now, ListFull, list)
+	next.Restore(now, m)
+	second := next.upstreams[1]
+	if second.limit.allowed != 7 || second.share.factor != 0.5 ||
+		second.latency.mean != b.upstreams[1].latency.mean || next.latency != b.latency {
+		t.Errorf("limit %v, share left %v: want what was learnt", second.limit.allowed, second.share.factor)
+	}
+	if !next.upstreams[0].outlier.unresponsive {
+		t.Error("one that had trials only has them no more")
+	}
+	if u := next.upstreams[2]; !u.slowStart.warming || u.limit.allowed != next.limits.initial || u.band.readings != 0 {
+		t.Errorf("one that has been started since: warming up %v, limit %v, %d readings",
+			u.slowStart.warming, u.limit.allowed, u.band.readings)
+	}
+	_, failed, sent := flow(t, next, now, 50000, 500, func(u *upstreamState) bool { return u == next.upstreams[0] })
+	if failed > 8 || sent < 490 {
+		t.Errorf("%d of %d failed", failed, sent)
+	}
+}
+
+// Figures from outside poison nothing, whatever they are.
+func FuzzRecall(f *testing.F) {
+	f.Add([]byte(`{"figures":{"lat":-1,"carry":1e300},"classes":{"write":1e999},` +
+		`"upstreams":[{"id":1,"window":[1,2,3,4,5,6,7,8,9],"readings":-4}]}`))
+	f.Add([]byte(`{"upstreams":[{"id":1,"readings":8,"window":[1,1],"wait":-5,"silent":true,"trial_at":9e18,` +
+		`"figures":{"bound":0,"factor":90,"lat":1e18,"units":0}}]}`))
+	f.Fuzz(func(t *testing.T, text []byte) {
+		var m Snapshot
+		if json.Unmarshal(text, &m) != nil {
+			return
+		}
+		b, _ := start(t, settings(), fleet(3))
+		b.Restore(time.Hour, m)
+		now := time.Hour
+		for id := range RequestID(200) {
+			now += 10 * ms
+			b.TimerFired(now, tickToken)
+			b.RequestArrived(now, Request{ID: id + 1, Class: "write", Budget: 500 * ms})
+			if r := b.requests[id+1]; r != nil && len(r.attempts) > 0 {
+				up := r.attempts[0].upstream.ID
+				b.AttemptFinished(now, AttemptResult{ID: id + 1, Upstream: up, Latency: 20 * ms, Status: OK, Closed: true})
+			}
+		}
+		if len(b.requests) > 60 {
+			t.Errorf("%d requests without an answer", len(b.requests))
+		}
+		for _, u := range b.upstreams {
+			for name, x := range u.figures() {
+				if !amount(*x) {
+					t.Errorf("%s is %v", name, *x)
+				}
+			}
+		}
+	})
+}
+
+// Two runs of one memory are alike: it holds no order of a map.
+func TestSnapshotIsTheSameTwice(t *testing.T) {
+	b, _ := start(t, settings(), fleet(4))
+	flow(t, b, time.Hour, 1, 300, func(*upstreamState) bool { return false })
+	one, _ := json.Marshal(b.Snapshot())
+	two, _ := json.Marshal(b.Snapshot())
+	if !reflect.DeepEqual(one, two) {
+		t.Error("they differ")
+	}
+}
--- a/balancer/subset.go
+++ b/balancer/subset.go
@@ -26,7 +26,7 @@
 	inputs     subsetInputs // what the last choice went by
 	size       int          // how many it chose
 	unchanged  bool         // the last choice was left out, as it would have come to the same
-	hasWarm    bool         // some member neither warms upstream nor is unresponsive
+	hasWarm    bool         // some member is neither warming up nor unresponsive
 	loadFactor float64      // this balancer's rate as a multiple of its even part, where that is more
 }
 
@@ -126,7 +126,7 @@
 	remaining float64 // what is left of the stretch; under zero: how far the walk has gone beyond it
 	end       float64 // where the walk ends in any case
 	goodLeft  float64 // how much is still wanted of good upstreams
-	learnFrom float64 // upstreams that warm upstream are left out from here on
+	learnFrom float64 // upstreams that warm up are left out from here on
 	minPart   float64
 }
 
--- a/balancer/subset_test.go
+++ b/balancer/subset_test.go
@@ -177,7 +177,7 @@
 }
 
 // Of sizes from 1 to 100 each gets its part, although each balancer sees a few only.
-func TestStretchesCoverBySize(t *testing.T) {
+func TestSubsetsCoverBySize(t *testing.T) {
 	s := settings()
 	s.Balancers, s.Weights = 100, WeightNominal
 	list, total := fleet(30), 0.0
@@ -249,9 +249,9 @@
 	}
 }
 
-// With ten balancers an upstream, each of which may have one request out, a cold one was crowded. Few learn it, with
+// With ten balancers an upstream, each of which may have one request out, a warming one was crowded. Few learn it, with
 // more of their traffic each, so that all together send it the same.
-func TestColdUpstreamIsLearntByFew(t *testing.T) {
+func TestWarmingUpstreamIsUsedByFew(t *testing.T) {
 	s := settings()
 	s.Balancers, s.Tenants = 300, NewTenants([]Tenant{{Name: "all", Quota: 5000}})
 	users, sum := [2]float64{}, [2]float64{}
@@ -270,12 +270,12 @@
 		}
 	}
 	if users[1] > 0.7*users[0] || users[1] < usualSharers || math.Abs(sum[1]/sum[0]-1) > 0.25 {
-		t.Errorf("%v use it, %v while it is cold; their slices add up to %.2f and %.2f", users[0], users[1], sum[0], sum[1])
+		t.Errorf("%v use it, %v while it warms up; their slices add up to %.2f and %.2f", users[0], users[1], sum[0], sum[1])
 	}
 }
 
 // With most of a small subset gone, a balancer once had nobody to send to while the fleet was well.
-func TestSubsetReachesPastTheSickAndTheCold(t *testing.T) {
+func TestSubsetReachesPastUnresponsiveAndWarmingUpstreams(t *testing.T) {
 	s := settings()
 	s.Balancers = 40
 	b, _ := start(t, s, fleet(40))
@@ -284,7 +284,7 @@
 	before[1].slowStart.warming, before[1].slowStart.since = true, time.Hour
 	b.chooseSubset(time.Hour)
 	if len(b.subset.upstreams) != len(before)+2 {
-		t.Errorf("%d upstreams in use, then %d with one silent and one cold", len(before), len(b.subset.upstreams))
+		t.Errorf("%d upstreams in use, then %d with one unresponsive and one warming", len(before), len(b.subset.upstreams))
 	}
 	gone := before[2].Upstream
 	gone.State = Draining
@@ -300,7 +300,7 @@
 }
 
 // A tenth of the balancers with four times the others' traffic filled their few upstreams while the others' stood idle,
-// and refused half of what came. The turns at first stay as many over all of them, or the heavy ones would crowd the
+// and rejected half of what came. The turns at first stay as many over all of them, or the heavy ones would crowd the
 // others.
 func TestHeavyBalancerUsesMoreUpstreams(t *testing.T) {
 	ask := func(rate int, quota float64, periods int) (near int, turns float64) {
--- a/balancer/tenants_test.go
+++ b/balancer/tenants_test.go
@@ -11,18 +11,18 @@
 	"time"
 )
 
-// keepsAll counts every tenant's requests for ever: what overQuota has to equal.
-type keepsAll struct {
+// countsForEver counts every tenant's requests for ever: what overQuota has to equal.
+type countsForEver struct {
 	s      Settings
 	levels map[string]*tenantLevel
 }
 
-func (k *keepsAll) rate(name string) (float64, bool) {
+func (k *countsForEver) rate(name string) (float64, bool) {
 	quota, known := k.s.Tenants.Quota(name)
 	return quota / float64(k.s.Balancers), known
 }
 
-func (k *keepsAll) over(name string, now time.Duration) bool {
+func (k *countsForEver) over(name string, now time.Duration) bool {
 	rate, known := k.rate(name)
 	if !known {
 		return false
@@ -37,7 +37,7 @@
 }
 
 // configure holds that what is counted stays at what it is by now, and the new rate counts from now on.
-func (k *keepsAll) configure(s Settings, now time.Duration) {
+func (k *countsForEver) configure(s Settings, now time.Duration) {
 	for name, x := range k.levels {
 		rate, _ := k.rate(name)
 		quota, known := s.Tenants.Quota(name)
@@ -61,7 +61,7 @@
 	s := settings()
 	s.Balancers, s.Tenants = 3, NewTenants(list)
 	b, _ := start(t, s, nil)
-	all := &keepsAll{s, map[string]*tenantLevel{}}
+	all := &countsForEver{s, map[string]*tenantLevel{}}
 	now, overs, most := time.Hour, 0, 0
 	for i := range 100000 {
 		now += time.Duration(rng.ExpFloat64() * float64(5*ms))
--- a/balancer/timers.go
+++ b/balancer/timers.go
@@ -1,4 +1,4 @@
-// Timers.
+// Ticks, and the timer after failed discovery calls.
 
 package balancer
 
