--- a/balancer/api.go
+++ b/balancer/api.go
@@ -21,10 +21,21 @@
 //
 // # Where to read on
 //
-// balancer.go puts the parts together, requests.go takes a request from its
-// arrival to its final answer, interleaver.go picks the upstream of an attempt,
-// outcomes.go learns from how it ended, and period.go moves shares and limits
-// once a second. Each other file is one part, a type with its own state.
+// The course of a request:
+//   - requests.go takes it from its arrival to its final answer;
+//   - interleaver.go picks the upstream of an attempt, retry.go says whether
+//     there may be one, and queue.go keeps requests that find no turn;
+//   - outcomes.go, reports.go and limits.go learn from how an attempt ended.
+//
+// What goes on beside them:
+//   - timers.go and period.go move shares and limits once a second, and
+//     responsiveness.go watches for silent upstreams at each tick;
+//   - endpoints.go follows the list, ring.go and subset.go choose from it;
+//   - idle.go leaves ticks out while nothing is open, and snapshot.go hands on
+//     what was learnt.
+//
+// What is kept of an upstream has a type for each rule: share, bollingerBand,
+// latencyStats, concurrencyLimit, outlierDetector, slowStart and workload.
 package balancer
 
 import "time"
--- a/balancer/balancer.go
+++ b/balancer/balancer.go
@@ -119,7 +119,7 @@
 	b.safestIdempotency = NonIdempotent
 	for _, listed := range list {
 		next := &class{Class: listed}
-		if old := b.classes[listed.Name]; old != nil { // its budget may have shrunk with its deadline: that is learnt anew
+		if old := b.classes[listed.Name]; old != nil { // its longest budget may have shrunk: that is learnt anew
 			next.latency = old.latency
 			next.lastRanAt = old.lastRanAt
 		}
--- a/balancer/outcomes.go
+++ b/balancer/outcomes.go
@@ -54,7 +54,7 @@
 	}
 	if !upstream.outlier.unresponsive {
 		upstream.outlier.eject(now, bandWindow*b.tickInterval)
-		b.log(now, "sick", "upstream %d answers with errors, more than others do: trials only", upstream.ID)
+		b.log(now, "outlier", "upstream %d answers with errors, more than others do: trials only", upstream.ID)
 	}
 	upstream.outlier.backoff = min(upstream.outlier.backoff, b.settings.Rules.SlowStartDuration)
 }
--- a/balancer/requests.go
+++ b/balancer/requests.go
@@ -147,10 +147,8 @@
 
 // closeRequest notes that a request has its answer, or its stream from an attempt, and stops the other attempts.
 func (b *Balancer) closeRequest(req *request, answeredBy int) {
-	for i, a := range req.attempts {
-		if i != answeredBy && !a.ended && !req.done && b.settings.Limits.Cancel {
-			b.host.Cancel(req.ID, i)
-		}
+	if b.settings.Limits.Cancel && !req.done {
+		b.cancelOthers(req, answeredBy)
 	}
 	req.done = true
 	if req.inFlight == 0 {
@@ -158,6 +156,15 @@
 	}
 }
 
+// cancelOthers stops all attempts of a request but one.
+func (b *Balancer) cancelOthers(req *request, answeredBy int) {
+	for i, a := range req.attempts {
+		if i != answeredBy && !a.ended {
+			b.host.Cancel(req.ID, i)
+		}
+	}
+}
+
 // ClientLeft drops a request whose client has left.
 func (b *Balancer) ClientLeft(now time.Duration, id RequestID) {
 	if req := b.requests[id]; req != nil && !req.done {
--- a/balancer/responsiveness.go
+++ b/balancer/responsiveness.go
@@ -27,7 +27,7 @@
 		return
 	}
 	upstream.outlier.eject(now, timeout)
-	b.log(now, "silent", "upstream %d owes every answer for %v: turns skipped, trials only", upstream.ID, silence)
+	b.log(now, "unresponsive", "upstream %d owes every answer for %v: turns skipped, trials only", upstream.ID, silence)
 	for _, a := range slices.Clone(upstream.inFlight) {
 		b.restartElsewhere(a, now)
 	}
--- a/balancer/subset.go
+++ b/balancer/subset.go
@@ -26,7 +26,7 @@
 	inputs     subsetInputs // what the last choice went by
 	size       int          // how many it chose
 	unchanged  bool         // the last choice was left out, as it would have come to the same
-	hasWarm    bool         // some member is neither warming up nor unresponsive
+	hasWarm    bool         // some member is healthy
 	loadFactor float64      // this balancer's rate as a multiple of its even part, where that is more
 }
 
@@ -120,12 +120,12 @@
 }
 
 // ringWalk goes along the ring, in units of its length. Warming and unresponsive upstreams stay in the stretch, which
-// goes on until as many are good as the usual number of sharers has.
+// goes on until as many are healthy as the usual number of sharers has.
 type ringWalk struct {
 	offset    float64 // part of the first upstream that lies before the stretch
 	remaining float64 // what is left of the stretch; under zero: how far the walk has gone beyond it
 	end       float64 // where the walk ends in any case
-	goodLeft  float64 // how much is still wanted of good upstreams
+	wanted    float64 // how much is still wanted of healthy upstreams
 	learnFrom float64 // upstreams that warm up are left out from here on
 	minPart   float64
 }
@@ -137,7 +137,7 @@
 		offset:    offset,
 		remaining: length,
 		end:       -length,
-		goodLeft:  length * limitGrowth,
+		wanted:    length * limitGrowth,
 		learnFrom: length * (1 - limitGrowth),
 		minPart:   minSubsetPart * total / max(active, 1),
 	}
@@ -148,20 +148,20 @@
 	if w.remaining <= w.end {
 		return true
 	}
-	return max(w.remaining, w.goodLeft) <= w.minPart/2 && visited >= minSubsetSize
+	return max(w.remaining, w.wanted) <= w.minPart/2 && visited >= minSubsetSize
 }
 
 // pass goes past an upstream of a length, and returns the part of it that the stretch has. Few balancers learn an
 // upstream that warms up, with more of their traffic each, or all crowd it: for the others it is not chosen.
-func (w *ringWalk) pass(length float64, warming, good bool) (part float64, chosen bool) {
-	part = max(0, min(length-w.offset, max(w.remaining, w.goodLeft)))
+func (w *ringWalk) pass(length float64, warming, healthy bool) (part float64, chosen bool) {
+	part = max(0, min(length-w.offset, max(w.remaining, w.wanted)))
 	w.offset = 0
 	w.remaining -= part
 	if warming && w.remaining+part <= w.learnFrom {
 		return 0, false
 	}
-	if good {
-		w.goodLeft -= part
+	if healthy {
+		w.wanted -= part
 	}
 	return part, true
 }
@@ -179,12 +179,11 @@
 	b.subset.hasWarm = false
 	for visited := 0; visited < len(ring) && !walk.done(visited); visited++ {
 		upstream := ring[(first+visited)%len(ring)]
-		good := !upstream.slowStart.warming && !upstream.outlier.unresponsive
-		part, chosen := walk.pass(b.ringLength(upstream), upstream.slowStart.warming, good)
+		part, chosen := walk.pass(b.ringLength(upstream), upstream.slowStart.warming, upstream.isHealthy())
 		if !chosen {
 			continue
 		}
-		b.subset.hasWarm = b.subset.hasWarm || good
+		b.subset.hasWarm = b.subset.hasWarm || upstream.isHealthy()
 		upstream.share.subsetPart = 1
 		if width != active {
 			upstream.share.subsetPart = min(1, max(part, walk.minPart)/b.ringLength(upstream))
--- a/balancer/upstream.go
+++ b/balancer/upstream.go
@@ -27,6 +27,9 @@
 	healthCheckedAt   time.Duration
 }
 
+// isHealthy reports whether the upstream neither warms up nor is unresponsive.
+func (u *upstreamState) isHealthy() bool { return !u.slowStart.warming && !u.outlier.unresponsive }
+
 // nextTurnAt is when the upstream may be tried again.
 func (u *upstreamState) nextTurnAt() time.Duration {
 	if u.outlier.unresponsive {
--- a/balancer/view.go
+++ b/balancer/view.go
@@ -6,17 +6,17 @@
 type UpstreamView struct {
 	ID                      UpstreamID
 	State                   State
-	InSubset                bool    // in the subset that this Balancer uses
+	InSubset                bool    // it is one of those that this Balancer uses
 	Share                   float64 // of the traffic, 0 to 1, over all members
 	ShareFactor             float64 // what is left of its share after cuts, 0 to 1
 	Mean                    float64 // moving average of utilisation
 	Upper, Lower            float64 // the band round it
-	Area                    float64 // band gap integrated since the last step
+	Area                    float64 // band gap integrated since the period began
 	Readings                int
 	Estimated               bool // the readings are estimates by latency: it reports nothing
 	WarmingUp, Unresponsive bool
-	InFlight                int     // attempts out
-	ConcurrencyLimit        float64 // that may be out at once
+	InFlight                int     // attempts
+	ConcurrencyLimit        float64 // attempts that may be in flight at once
 	Latency                 time.Duration
 }
 
--- a/balancer/workload.go
+++ b/balancer/workload.go
@@ -39,7 +39,7 @@
 
 // countsAsWarm tells whether the upstream counts for what warm upstreams carry.
 func (u *upstreamState) countsAsWarm() bool {
-	return u.inSubset && !u.slowStart.warming && !u.outlier.unresponsive && u.workload.mean > 0
+	return u.inSubset && u.isHealthy() && u.workload.mean > 0
 }
 
 // usedCapacity is the part of its capacity by which it counts there: all of it while no reading tells.
