--- a/balancer/api.go
+++ b/balancer/api.go
@@ -24,7 +24,7 @@
 // The course of a request:
 //   - requests.go takes it from its arrival to its final answer;
 //   - interleaver.go picks the upstream of an attempt, retry.go says whether
-//     there may be one, and queue.go keeps requests that find no turn;
+//     there may be one, and queue.go keeps requests that find no slot;
 //   - outcomes.go, reports.go and limits.go learn from how an attempt ended.
 //
 // What goes on beside them:
--- a/balancer/balancer.go
+++ b/balancer/balancer.go
@@ -15,7 +15,7 @@
 //
 // An attempt goes to the upstream that interleaver picks by its share. What an upstream may get follows from its parts:
 // a bollingerBand of its utilisation cuts its share, latencyStats move its concurrencyLimit, an outlierDetector leaves
-// it trial requests only, and slowStart has a budget for it while it warms up. A request that finds no turn waits in
+// it trial requests only, and slowStart has a budget for it while it warms up. A request that finds no slot waits in
 // the admissionQueue.
 type Balancer struct {
 	settings          Settings
--- a/balancer/concurrency.go
+++ b/balancer/concurrency.go
@@ -11,7 +11,7 @@
 	initialLimitTotal    = 3      // attempts in flight at one upstream, over all balancers, at first
 	minLimitTotal        = 0.25   // over all balancers: with pauses, so that a crowded server can rest
 	limitCut             = 0.8    // on a crowded answer; twice on a full queue or a timeout
-	limitGrowth          = 0.02   // on an answer while turns are short, times the square of its spare objectives
+	limitGrowth          = 0.02   // on an answer while slots are short, times the square of its spare objectives
 	uncrowdedRatio       = 1.5    // latency for the work, in multiples of its least: no queue
 	crowdedRatio         = 1.6    // over this multiple: the upstream is crowded or faulty
 	crowdedObjectivePart = 0.5    // and it takes this part of the objective: far under it crowding hurts nobody
@@ -24,7 +24,7 @@
 // attempts. It is cut once for what was in flight together.
 type concurrencyLimit struct {
 	allowed    float64
-	nextSendAt time.Duration // the upstream's turns are skipped until then
+	nextSendAt time.Duration // nothing is sent to the upstream until then
 	periodMax  float64       // it grows no further in this period
 	cutAt      time.Duration
 }
--- a/balancer/idle_test.go
+++ b/balancer/idle_test.go
@@ -406,7 +406,7 @@
 		for j, u := range b.subset.upstreams {
 			v := c.subset.upstreams[j]
 			if u.ID != v.ID || u.inSubset != v.inSubset || u.share.subsetPart != v.share.subsetPart ||
-				u.dueTurn != v.dueTurn || u.limit.nextSendAt != v.limit.nextSendAt {
+				u.dueAt != v.dueAt || u.limit.nextSendAt != v.limit.nextSendAt {
 				t.Fatalf("turn %d: upstream %d is not the same", i, u.ID)
 			}
 		}
--- a/balancer/interleaver.go
+++ b/balancer/interleaver.go
@@ -34,14 +34,14 @@
 			continue
 		}
 		permitted = true
-		first := best == nil || upstream.dueTurn < best.dueTurn
+		first := best == nil || upstream.dueAt < best.dueAt
 		if hasRoom && first && b.isEligible(upstream, req, now) {
 			best = upstream
 		}
 	}
 	if best != nil {
 		round := total / b.trafficShare(best, now)
-		best.dueTurn = b.interleaver.take(best.dueTurn, round)
+		best.dueAt = b.interleaver.take(best.dueAt, round)
 	}
 	return best, permitted
 }
--- a/balancer/limits.go
+++ b/balancer/limits.go
@@ -35,7 +35,7 @@
 	}
 	best := upstream.latency.bestHereOrInFleet(&b.fleet)
 	uncrowded := got.sparse || got.idle() || got.perWork < uncrowdedRatio*best
-	wanted := upstream.limit.halfUsed(len(upstream.inFlight)) && b.lacksTurns(now)
+	wanted := upstream.limit.halfUsed(len(upstream.inFlight)) && b.lacksCapacity(now)
 	if uncrowded && spare && wanted {
 		upstream.limit.grow(got.objective/got.latency-1, b.limits.growth, growthBound(upstream, got))
 	}
@@ -53,8 +53,8 @@
 	return most
 }
 
-// lacksTurns reports whether a request had to wait within the last round trip or tick.
-func (b *Balancer) lacksTurns(now time.Duration) bool {
+// lacksCapacity reports whether a request had to wait within the last round trip or tick.
+func (b *Balancer) lacksCapacity(now time.Duration) bool {
 	return now-b.queue.lastFullAt < max(time.Duration(b.latency), b.tickInterval)
 }
 
--- a/balancer/outcomes.go
+++ b/balancer/outcomes.go
@@ -40,7 +40,7 @@
 	}, now)
 }
 
-// recordAnswer counts an answer. An upstream that fails fast always has a turn free, and two of fifteen once drew an
+// recordAnswer counts an answer. An upstream that fails fast always has a slot free, and two of fifteen once drew an
 // eighth of all requests: with many more errors than the fleet it gets trials only, as one that is silent, and its
 // share is cut by what is lost there.
 func (b *Balancer) recordAnswer(upstream *upstreamState, failed bool, now time.Duration) {
--- a/balancer/queue_test.go
+++ b/balancer/queue_test.go
@@ -58,18 +58,18 @@
 	q := admissionQueue{overloaded: true, lastFullAt: time.Hour}
 	list := queuedRequests([]float64{1, 1}, []time.Duration{time.Hour, time.Hour})
 	q.add(list[0], 2*time.Hour)
-	if q.overloaded || q.lastTurnAt != 2*time.Hour || q.lastFullAt != 2*time.Hour || q.queueingInterval != 0 {
+	if q.overloaded || q.lastDispatchAt != 2*time.Hour || q.lastFullAt != 2*time.Hour || q.queueingInterval != 0 {
 		t.Errorf("the first of a queue: %+v", q)
 	}
 	q.add(list[1], 2*time.Hour+5*ms)
-	if q.lastTurnAt != 2*time.Hour || q.lastFullAt != 2*time.Hour+5*ms || q.queueingInterval != float64(5*ms) {
+	if q.lastDispatchAt != 2*time.Hour || q.lastFullAt != 2*time.Hour+5*ms || q.queueingInterval != float64(5*ms) {
 		t.Errorf("the second: %+v", q)
 	}
 	if r := list[1]; !r.queued || r.queuedAt != 2*time.Hour+5*ms || !slices.Equal(ids(q.waiting), []RequestID{1, 2}) {
 		t.Errorf("queued %v at %v, in order %v", r.queued, r.queuedAt, ids(q.waiting))
 	}
-	q.turnTaken(2*time.Hour + 8*ms)
-	if q.turnInterval != float64(8*ms) || q.lastTurnAt != 2*time.Hour+8*ms {
+	q.dispatched(2*time.Hour + 8*ms)
+	if q.dispatchInterval != float64(8*ms) || q.lastDispatchAt != 2*time.Hour+8*ms {
 		t.Errorf("after a turn: %+v", q)
 	}
 }
@@ -93,8 +93,8 @@
 		{"over: nothing is queued", true, false, ms, 5 * ms, 0, 0, false},
 	} {
 		q := admissionQueue{
-			overloaded: c.before, queueingInterval: float64(c.queueing), turnInterval: float64(c.turns),
-			lastTurnAt: time.Hour, lastFullAt: time.Hour,
+			overloaded: c.before, queueingInterval: float64(c.queueing), dispatchInterval: float64(c.turns),
+			lastDispatchAt: time.Hour, lastFullAt: time.Hour,
 		}
 		for i := range c.queued {
 			q.waiting = append(q.waiting, &request{sendBy: time.Hour + c.firstDue + time.Duration(i)})
@@ -109,9 +109,9 @@
 func TestQueueIsSortedAgain(t *testing.T) {
 	waits := []time.Duration{time.Minute, time.Minute, time.Minute}
 	waiting := queuedRequests([]float64{1, 3, 2}, waits)
-	q := admissionQueue{waiting: waiting, turnInterval: float64(time.Second), queueingInterval: 1}
+	q := admissionQueue{waiting: waiting, dispatchInterval: float64(time.Second), queueingInterval: 1}
 	q.lastFullAt = 4 * time.Second
-	q.lastTurnAt = 4 * time.Second
+	q.lastDispatchAt = 4 * time.Second
 	q.updateOrder(4*time.Second, true)
 	if got := ids(q.waiting); !slices.Equal(got, []RequestID{2, 3, 1}) {
 		t.Errorf("overloaded: %v", got)
--- a/balancer/requests.go
+++ b/balancer/requests.go
@@ -93,14 +93,14 @@
 }
 
 // isLateRetry reports whether a request is a client's retry that can't be answered within the objective: it shows its
-// age by a short budget. Past the objective such once took the turns of those in time.
+// age by a short budget. Past the objective such once took the slots of those in time.
 func (c *class) isLateRetry(budget, margin time.Duration) bool {
 	isRetry := budget < c.maxBudget-c.maxBudget/budgetTolerance
 	age := c.Deadline - budget
 	return isRetry && c.LatencyObjective-age < margin
 }
 
-// sendOrQueue sends a request if a turn allows it, queues it if one may come free in time, and otherwise ends it.
+// sendOrQueue sends a request if a slot allows it, queues it if one may come free in time, and otherwise ends it.
 func (b *Balancer) sendOrQueue(req *request, now time.Duration) {
 	upstream, permitted := b.pickUpstream(req, now)
 	if upstream != nil {
@@ -210,7 +210,7 @@
 	switch {
 	case req.done || o.Closed || o.Status == OK:
 		b.closeRequest(req, o.Attempt)
-	case req.inFlight == 0 && !req.queued: // else another attempt may still answer, or a turn may come free
+	case req.inFlight == 0 && !req.queued: // else another attempt may still answer, or a slot may come free
 		b.sendOrQueue(req, now)
 	}
 	b.dispatchQueued(now)
--- a/balancer/slowstart.go
+++ b/balancer/slowstart.go
@@ -10,7 +10,7 @@
 
 const (
 	overloadMargin      = 0.6 // part of a warming upstream's budget that is used
-	minContinuousBudget = 2.0 // a part of the budget under so many requests is used in turns
+	minContinuousBudget = 2.0 // a part of the budget under so many requests is used in slots
 )
 
 // slowStart is the warming up of an upstream that started lately. sentWork leaks at the rate of the budget, so it is
@@ -56,34 +56,34 @@
 	return s.sentWork <= max(0, burst-max(1, work))
 }
 
-// warmUpTurns are one balancer's turns at a warming upstream of which it may have few requests. A part of few requests
+// warmUpSlots are one balancer's slots at a warming upstream of which it may have few requests. A part of few requests
 // can't be rounded up: over many balancers that came to many times the budget. So each has one request in each of its
-// own turns, which follow each other as its part adds up, and only in the open share at the begin of a turn. The
-// turns of all who use the upstream are spread evenly by their phase, and go by the time since its start: a process
+// own slots, which follow each other as its part adds up, and only in the open share at the begin of a slot. The
+// slots of all who use the upstream are spread evenly by their phase, and go by the time since its start: a process
 // that was started anew has the same, and leaves out its first.
-type warmUpTurns struct {
+type warmUpSlots struct {
 	budget float64 // requests over Rules.OverloadWindow, once the upstream is warm
-	phase  float64 // when this balancer's turns begin, as a part of a turn
-	open   float64 // part of a turn in which it may send
+	phase  float64 // when this balancer's slots begin, as a part of a slot
+	open   float64 // part of a slot in which it may send
 }
 
-// at is how many turns have gone by at an age of the upstream, the present one in part.
-func (t *warmUpTurns) at(age time.Duration, rules *Rules) float64 {
+// at is how many slots have gone by at an age of the upstream, the present one in part.
+func (t *warmUpSlots) at(age time.Duration, rules *Rules) float64 {
 	seconds := max(0, age.Seconds())
 	duration, floor := rules.SlowStartDuration.Seconds(), rules.SlowStartFloor
 	capacitySeconds := t.budget * seconds * (floor + (1-floor)*seconds/duration/2)
 	return capacitySeconds/rules.OverloadWindow.Seconds() + t.phase
 }
 
-// hasTurn reports whether the present turn is open and nothing was sent in it. A balancer that started since knows
+// hasSlot reports whether the present slot is open and nothing was sent in it. A balancer that started since knows
 // nothing of what it sent before.
-func (s *slowStart) hasTurn(turns *warmUpTurns, rules *Rules, balancerStartedAt, now time.Duration) bool {
-	turn, elapsed := math.Modf(turns.at(now-s.since, rules))
-	if elapsed >= turns.open {
+func (s *slowStart) hasSlot(slots *warmUpSlots, rules *Rules, balancerStartedAt, now time.Duration) bool {
+	slot, elapsed := math.Modf(slots.at(now-s.since, rules))
+	if elapsed >= slots.open {
 		return false
 	}
 	last := max(s.lastSentAt, balancerStartedAt)
-	return last <= s.since || math.Floor(turns.at(last-s.since, rules)) < turn
+	return last <= s.since || math.Floor(slots.at(last-s.since, rules)) < slot
 }
 
 // beginWarmUp treats an upstream as freshly started: nothing learnt before holds.
@@ -106,8 +106,8 @@
 		return false
 	}
 	if budget < minContinuousBudget {
-		turns := warmUpTurns{budget: whenWarm, phase: b.turnPhase(upstream), open: budget / 2}
-		return upstream.slowStart.hasTurn(&turns, rules, b.startedAt, now)
+		slots := warmUpSlots{budget: whenWarm, phase: b.slotPhase(upstream), open: budget / 2}
+		return upstream.slowStart.hasSlot(&slots, rules, b.startedAt, now)
 	}
 	return upstream.slowStart.fits(req.work, budget, rules.OverloadWindow, now)
 }
@@ -124,9 +124,9 @@
 	return budget * (b.settings.Rules.OverloadWindow.Seconds() / bandPeriod.Seconds())
 }
 
-// turnPhase is when this balancer's turns begin at an upstream that warms up, as a part of a turn. Those who use it
+// slotPhase is when this balancer's slots begin at an upstream that warms up, as a part of a slot. Those who use it
 // stand side by side on the ring, so steps of the golden ratio spread them.
-func (b *Balancer) turnPhase(upstream *upstreamState) float64 {
+func (b *Balancer) slotPhase(upstream *upstreamState) float64 {
 	balancers := b.settings.Balancers
 	place := math.Round(latticePoint(b.settings.Rank, balancers) * float64(balancers))
 	_, phase := math.Modf(place*(math.Phi-1) + float64(upstream.ringPosition)/(1<<64))
--- a/balancer/slowstart_test.go
+++ b/balancer/slowstart_test.go
@@ -81,12 +81,12 @@
 	}
 }
 
-// One request over two seconds once warm: half a turn a second then, and a third of that at the start.
-func TestWarmUpTurnsFollowCapacity(t *testing.T) {
+// One request over two seconds once warm: half a slot a second then, and a third of that at the start.
+func TestWarmUpSlotsFollowCapacity(t *testing.T) {
 	for _, c := range []struct {
 		budget, phase float64
 		age           time.Duration
-		turns         float64
+		slots         float64
 	}{
 		{1, 0, 0, 0},
 		{1, 0.25, 0, 0.25},
@@ -95,34 +95,34 @@
 		{0.1, 0.5, 10 * time.Second, 0.825},
 		{1, 0, time.Second, 0.1675}, // a half of 0.335
 	} {
-		turns := warmUpTurns{budget: c.budget, phase: c.phase}
-		if got := turns.at(c.age, &warmUpRules); !near(got, c.turns) {
-			t.Errorf("%+v: %v turns", c, got)
+		slots := warmUpSlots{budget: c.budget, phase: c.phase}
+		if got := slots.at(c.age, &warmUpRules); !near(got, c.slots) {
+			t.Errorf("%+v: %v slots", c, got)
 		}
 	}
 }
 
-// The second turn begins 4.40 s after the upstream's start and the third at 7.23 s; a fifth of each is open.
-func TestSlowStartHasTurn(t *testing.T) {
-	turns := &warmUpTurns{budget: 1, open: 0.2}
+// The second slot begins 4.40 s after the upstream's start and the third at 7.23 s; a fifth of each is open.
+func TestSlowStartHasSlot(t *testing.T) {
+	slots := &warmUpSlots{budget: 1, open: 0.2}
 	for _, c := range []struct {
 		name             string
 		age, sent, start time.Duration // of the upstream; when the last was sent and the balancer started, by its age
 		has              bool
 	}{
-		{"the first turn", 500 * ms, -time.Hour, -time.Hour, true},
-		{"the first turn, a balancer that started since the upstream", 500 * ms, -time.Hour, 100 * ms, false},
-		{"in the rest of a turn", 2 * time.Second, -time.Hour, -time.Hour, false},
-		{"the second turn, its open part is over", 5100 * ms, 500 * ms, -time.Hour, false},
-		{"before the second turn", 4 * time.Second, 0, -time.Hour, false},
-		{"the second turn", 4500 * ms, 500 * ms, -time.Hour, true},
-		{"the second turn, a balancer that started in the first", 4500 * ms, -time.Hour, 500 * ms, true},
-		{"the second turn, sent in it", 4600 * ms, 4500 * ms, -time.Hour, false},
-		{"the third turn, sent in the second", 7300 * ms, 4500 * ms, -time.Hour, true},
+		{"the first slot", 500 * ms, -time.Hour, -time.Hour, true},
+		{"the first slot, a balancer that started since the upstream", 500 * ms, -time.Hour, 100 * ms, false},
+		{"in the rest of a slot", 2 * time.Second, -time.Hour, -time.Hour, false},
+		{"the second slot, its open part is over", 5100 * ms, 500 * ms, -time.Hour, false},
+		{"before the second slot", 4 * time.Second, 0, -time.Hour, false},
+		{"the second slot", 4500 * ms, 500 * ms, -time.Hour, true},
+		{"the second slot, a balancer that started in the first", 4500 * ms, -time.Hour, 500 * ms, true},
+		{"the second slot, sent in it", 4600 * ms, 4500 * ms, -time.Hour, false},
+		{"the third slot, sent in the second", 7300 * ms, 4500 * ms, -time.Hour, true},
 	} {
 		s := slowStart{warming: true, since: time.Hour, lastSentAt: time.Hour + c.sent}
-		if s.hasTurn(turns, &warmUpRules, time.Hour+c.start, time.Hour+c.age) != c.has {
-			t.Errorf("%s: has its turn %v", c.name, !c.has)
+		if s.hasSlot(slots, &warmUpRules, time.Hour+c.start, time.Hour+c.age) != c.has {
+			t.Errorf("%s: has its slot %v", c.name, !c.has)
 		}
 	}
 }
--- a/balancer/subset.go
+++ b/balancer/subset.go
@@ -110,7 +110,7 @@
 func (b *Balancer) enterSubset(upstream *upstreamState, firstTurn, width float64, now time.Duration) {
 	upstream.limit.allowed = cmp.Or(upstream.limit.allowed, b.limits.initial)
 	upstream.band.integratedAt = now
-	upstream.dueTurn = b.interleaver.virtualTime + firstTurn*width
+	upstream.dueAt = b.interleaver.virtualTime + firstTurn*width
 	late := min(1, math.Floor(firstTurn*width)/width) // or all crowd it
 	wait := time.Duration(late * float64(b.sendInterval(upstream)))
 	upstream.limit.nextSendAt = max(upstream.limit.nextSendAt, now+wait)
--- a/balancer/upstream.go
+++ b/balancer/upstream.go
@@ -12,7 +12,7 @@
 	ringEntry ringEntry // as of the last choice of the subset
 	outlier   outlierDetector
 	share     share
-	dueTurn   float64 // its next turn in the interleaver's virtual time
+	dueAt     float64 // its next turn in the virtual time of the interleaver
 	inSubset  bool
 	slowStart slowStart
 	limit     concurrencyLimit
@@ -30,8 +30,8 @@
 // isHealthy reports whether the upstream neither warms up nor is unresponsive.
 func (u *upstreamState) isHealthy() bool { return !u.slowStart.warming && !u.outlier.unresponsive }
 
-// nextTurnAt is when the upstream may be tried again.
-func (u *upstreamState) nextTurnAt() time.Duration {
+// nextAttemptAt is when the upstream may be tried again.
+func (u *upstreamState) nextAttemptAt() time.Duration {
 	if u.outlier.unresponsive {
 		return u.outlier.trialAt
 	}
--- a/balancer/view.go
+++ b/balancer/view.go
@@ -20,7 +20,7 @@
 	Latency                 time.Duration
 }
 
-// View returns the upstreams in order of arrival, and how many requests wait for a turn.
+// View returns the upstreams in order of arrival, and how many requests wait for a slot.
 func (b *Balancer) View(now time.Duration) (views []UpstreamView, queued int) {
 	b.catchUp(now)
 	var total float64
