--- a/balancer/slowstart_test.go
+++ b/balancer/slowstart_test.go
@@ -81,7 +81,7 @@
 	}
 }
 
-// One request over two seconds once warm: half a slot a second then, and a third of that at the start.
+// One request over two seconds once warm: half a slot a second then, and 0.3 of that at the start.
 func TestWarmUpSlotsFollowCapacity(t *testing.T) {
 	for _, c := range []struct {
 		budget, phase float64
