--- a/balancer/balancer.go
+++ b/balancer/balancer.go
@@ -15,7 +15,7 @@
 //
 // An attempt goes to the upstream that interleaver picks by its share. What an upstream may get follows from its parts:
 // a bollingerBand of its utilisation cuts its share, latencyStats move its concurrencyLimit, an outlierDetector leaves
-// it trial requests only, and slowStart has a budget for it while it warms up. A request that finds no turn waits in
+// it trial requests only, and slowStart has a budget for it while it warms up. A request that finds no slot waits in
 // the admissionQueue.
 type Balancer struct {
 	settings          Settings
@@ -119,7 +119,7 @@
 	b.safestIdempotency = NonIdempotent
 	for _, listed := range list {
 		next := &class{Class: listed}
-		if old := b.classes[listed.Name]; old != nil { // its budget may have shrunk with its deadline: that is learnt anew
+		if old := b.classes[listed.Name]; old != nil { // its longest budget may have shrunk: that is learnt anew
 			next.latency = old.latency
 			next.lastRanAt = old.lastRanAt
 		}
--- a/balancer/outcomes.go
+++ b/balancer/outcomes.go
@@ -27,20 +27,20 @@
 
 // recordSuccess takes the latency of a successful answer.
 func (b *Balancer) recordSuccess(a *attempt, latency float64, now time.Duration) {
-	upstream, class := a.upstream, a.request.class
+	upstream, requestClass := a.upstream, a.request.class
 	weight := max(sampleWeight, 1-upstream.limit.allowed) // the rarer its answers, the more each one tells
 	perWork := upstream.latency.observe(latency, a.request.work, weight)
 	updateMean(&b.latency, latency, sampleWeight)
-	updateMean(&class.latency, latency, sampleWeight)
+	updateMean(&requestClass.latency, latency, sampleWeight)
 	b.adjustLimit(upstream, &answer{
 		latency:   latency,
-		objective: float64(class.LatencyObjective),
+		objective: float64(requestClass.LatencyObjective),
 		perWork:   perWork,
 		sparse:    weight > sparseWeight && upstream.band.readings > 0,
 	}, now)
 }
 
-// recordAnswer counts an answer. An upstream that fails fast always has a turn free, and two of fifteen once drew an
+// recordAnswer counts an answer. An upstream that fails fast always has a slot free, and two of fifteen once drew an
 // eighth of all requests: with many more errors than the fleet it gets trials only, as one that is silent, and its
 // share is cut by what is lost there.
 func (b *Balancer) recordAnswer(upstream *upstreamState, failed bool, now time.Duration) {
@@ -54,7 +54,7 @@
 	}
 	if !upstream.outlier.unresponsive {
 		upstream.outlier.eject(now, bandWindow*b.tickInterval)
-		b.log(now, "sick", "upstream %d answers with errors, more than others do: trials only", upstream.ID)
+		b.log(now, "outlier", "upstream %d answers with errors, more than others do: trials only", upstream.ID)
 	}
 	upstream.outlier.backoff = min(upstream.outlier.backoff, b.settings.Rules.SlowStartDuration)
 }
--- a/balancer/requests.go
+++ b/balancer/requests.go
@@ -13,6 +13,9 @@
 	budgetTolerance = 16   // a budget shorter by one in this many is a client's retry
 )
 
+// noAttempt stands for the order of an attempt where none is meant.
+const noAttempt = -1
+
 // class is one kind of request, and what is learnt of it.
 type class struct {
 	Class
@@ -90,14 +93,14 @@
 }
 
 // isLateRetry reports whether a request is a client's retry that can't be answered within the objective: it shows its
-// age by a short budget. Past the objective such once took the turns of those in time.
+// age by a short budget. Past the objective such once took the slots of those in time.
 func (c *class) isLateRetry(budget, margin time.Duration) bool {
 	isRetry := budget < c.maxBudget-c.maxBudget/budgetTolerance
 	age := c.Deadline - budget
 	return isRetry && c.LatencyObjective-age < margin
 }
 
-// sendOrQueue sends a request if a turn allows it, queues it if one may come free in time, and otherwise ends it.
+// sendOrQueue sends a request if a slot allows it, queues it if one may come free in time, and otherwise ends it.
 func (b *Balancer) sendOrQueue(req *request, now time.Duration) {
 	upstream, permitted := b.pickUpstream(req, now)
 	if upstream != nil {
@@ -134,7 +137,7 @@
 
 // rejectOrFail gives the final answer to a request that is not served.
 func (b *Balancer) rejectOrFail(req *request, now time.Duration) {
-	b.closeRequest(req, -1)
+	b.closeRequest(req, noAttempt)
 	if req.mayReject() {
 		b.host.Reject(req.ID, b.retryAfter(now))
 	} else {
@@ -144,10 +147,8 @@
 
 // closeRequest notes that a request has its answer, or its stream from an attempt, and stops the other attempts.
 func (b *Balancer) closeRequest(req *request, answeredBy int) {
-	for i, a := range req.attempts {
-		if i != answeredBy && !a.ended && !req.done && b.settings.Limits.Cancel {
-			b.host.Cancel(req.ID, i)
-		}
+	if b.settings.Limits.Cancel && !req.done {
+		b.cancelOthers(req, answeredBy)
 	}
 	req.done = true
 	if req.inFlight == 0 {
@@ -155,10 +156,19 @@
 	}
 }
 
+// cancelOthers stops all attempts of a request but one.
+func (b *Balancer) cancelOthers(req *request, answeredBy int) {
+	for i, a := range req.attempts {
+		if i != answeredBy && !a.ended {
+			b.host.Cancel(req.ID, i)
+		}
+	}
+}
+
 // ClientLeft drops a request whose client has left.
 func (b *Balancer) ClientLeft(now time.Duration, id RequestID) {
 	if req := b.requests[id]; req != nil && !req.done {
-		b.closeRequest(req, -1)
+		b.closeRequest(req, noAttempt)
 	}
 }
 
@@ -200,7 +210,7 @@
 	switch {
 	case req.done || o.Closed || o.Status == OK:
 		b.closeRequest(req, o.Attempt)
-	case req.inFlight == 0 && !req.queued: // else another attempt may still answer, or a turn may come free
+	case req.inFlight == 0 && !req.queued: // else another attempt may still answer, or a slot may come free
 		b.sendOrQueue(req, now)
 	}
 	b.dispatchQueued(now)
