--- /dev/null
+++ b/internal/discovery/listing.go
@@ -0,0 +1,72 @@
+package discovery
+
+import (
+	"errors"
+	"fmt"
+	"net/netip"
+	"time"
+
+	"olivearch/balancer"
+)
+
+// The phases of a Member.
+const (
+	PhaseUp       = "up"
+	PhaseDraining = "draining"
+	// PhaseRemoved is the phase of a Member that is in the list no more. Only listings of changes name such members.
+	PhaseRemoved = "removed"
+)
+
+var stateOfPhase = map[string]balancer.State{
+	PhaseUp:       balancer.Active,
+	PhaseDraining: balancer.Draining,
+	PhaseRemoved:  balancer.Removed,
+}
+
+// Listing is an answer of a discovery service: the complete endpoint list, or the entries that changed.
+type Listing struct {
+	Revision uint64   `json:"revision"`
+	Complete bool     `json:"complete"`
+	Members  []Member `json:"members"`
+}
+
+// Member is an entry of a Listing.
+type Member struct {
+	ID        string  `json:"id"`
+	HostPort  string  `json:"host_port"` // IP address and port
+	Locality  string  `json:"locality"`
+	Cell      int     `json:"cell"`
+	Phase     string  `json:"phase"`
+	Size      float64 `json:"size"`        // weight, compared with the other members
+	UpSinceMS int64   `json:"up_since_ms"` // Unix time in milliseconds; 0: long ago
+}
+
+// Check returns an error that says what makes the entry unusable, or nil.
+func (m *Member) Check() error {
+	state, known := stateOfPhase[m.Phase]
+	switch {
+	case m.ID == "":
+		return errors.New("an entry has no id")
+	case !known:
+		return fmt.Errorf("%s: phase %q is unknown", m.ID, m.Phase)
+	case state == balancer.Removed:
+		return nil
+	}
+	if _, err := netip.ParseAddrPort(m.HostPort); err != nil {
+		return fmt.Errorf("%s: %w", m.ID, err)
+	}
+	return nil
+}
+
+// Upstream returns the entry in the form of the decision module, under the number of its id.
+func (m *Member) Upstream(id balancer.UpstreamID) balancer.Upstream {
+	return balancer.Upstream{
+		ID:     id,
+		Zone:   m.Locality,
+		Cell:   m.Cell,
+		Weight: m.Size,
+		State:  stateOfPhase[m.Phase],
+		// The pool's clock is Unix time at its start, so no conversion is needed and 0 stays 0.
+		StartedAt: time.Duration(m.UpSinceMS) * time.Millisecond,
+	}
+}
--- a/internal/endpointcache/writer.go
+++ b/internal/endpointcache/writer.go
@@ -11,9 +11,6 @@
 	"olivearch/internal/disk"
 )
 
-// phaseRemoved is the phase of an entry that names an endpoint which is no longer in the list.
-const phaseRemoved = "removed"
-
 // Writer writes the endpoint list of one pool to a file. Its methods may be called from many goroutines; one goroutine
 // of its own does all writing, until Close.
 type Writer struct {
@@ -68,7 +65,7 @@
 		named[endpoint.ID] = true
 		before, known := w.endpoints[endpoint.ID]
 		switch {
-		case endpoint.Phase == phaseRemoved:
+		case endpoint.Phase == discovery.PhaseRemoved:
 			delete(w.endpoints, endpoint.ID)
 			changed = changed || known
 		case before != endpoint:
