--- a/internal/endpointlist/folders.go
+++ b/internal/endpointlist/folders.go
@@ -17,54 +17,54 @@
 	Remove(folder string) error
 	WatchList() []string
 	Close() error
-	Words() (<-chan fsnotify.Event, <-chan error)
+	Channels() (<-chan fsnotify.Event, <-chan error)
 }
 
-// inotify is the system's.
-type inotify struct{ *fsnotify.Watcher }
+// inotifyNotifier is the system's.
+type inotifyNotifier struct{ *fsnotify.Watcher }
 
-func (i inotify) Words() (<-chan fsnotify.Event, <-chan error) { return i.Events, i.Errors }
+func (i inotifyNotifier) Channels() (<-chan fsnotify.Event, <-chan error) { return i.Events, i.Errors }
 
 func openInotify() (notifier, error) {
 	w, err := fsnotify.NewWatcher()
 	if err != nil {
 		return nil, err
 	}
-	return inotify{w}, nil
+	return inotifyNotifier{w}, nil
 }
 
-// folder is one in which lists are followed. Its lists are looked at often while the system does not tell of its changes.
-type folder struct {
+// followedFolder is one in which lists are followed. Its lists are looked at often while the system does not tell of its changes.
+type followedFolder struct {
 	path    string
-	lists   map[string][]*Following // by the name there
+	subscriptions   map[string][]*Subscription // by the name there
 	watched fileID                  // what the system watches for it; the zero value: nothing
 }
 
-// round is a round over the folders: each is to be watched, and to be the one that is watched. It runs on a goroutine of its
+// folderCheck is a round over the folders: each is to be watched, and to be the one that is watched. It runs on a goroutine of its
 // own, one at a time: a file system may keep it waiting.
-type round struct {
+type folderCheck struct {
 	notifier notifier // nil: to be opened, if try
-	open     func() (notifier, error)
-	stat     statter
-	try      bool // to watch what is not
-	folders  map[string]fileID
-	dropped  []string // that are not followed any more
+	openNotifier     func() (notifier, error)
+	stat     statFunc
+	mayAdd      bool // to watch what is not
+	followed  map[string]fileID
+	unfollowed  []string // that are not followed any more
 
 	opened  bool
 	watched map[string]fileID // after the round
 	added   []string          // to what is watched
-	refused error             // by the system, the first
+	refusal error             // by the system, the first
 }
 
-func (r *round) run() {
+func (r *folderCheck) run() {
 	r.watched = map[string]fileID{}
 	if r.notifier == nil {
-		if r.notifier, r.refused = r.open(); r.refused != nil {
+		if r.notifier, r.refusal = r.openNotifier(); r.refusal != nil {
 			return
 		}
 		r.opened = true
 	}
-	for _, path := range r.dropped {
+	for _, path := range r.unfollowed {
 		r.notifier.Remove(path) // it may have gone by itself
 	}
 	known := map[string]bool{} // what the notifier watches, by the name that it was given
@@ -74,7 +74,7 @@
 	owner := map[fileID]string{}
 	ids := map[string]fileID{}
 	var fresh []string
-	for path, before := range r.folders {
+	for path, before := range r.followed {
 		s, _, err := r.stat(path)
 		if err == nil && s.id() == before && known[path] {
 			r.watched[path], owner[before] = before, path
@@ -95,12 +95,12 @@
 			r.watched[path] = id
 			continue
 		}
-		if !r.try {
+		if !r.mayAdd {
 			continue
 		}
 		if err := r.notifier.Add(path); err != nil {
-			if r.refused == nil && !errors.Is(err, fs.ErrNotExist) {
-				r.refused = fmt.Errorf("watching %s: %w", path, err)
+			if r.refusal == nil && !errors.Is(err, fs.ErrNotExist) {
+				r.refusal = fmt.Errorf("watching %s: %w", path, err)
 			}
 			continue
 		}
@@ -109,26 +109,26 @@
 	}
 }
 
-// begin starts a round, unless one is under way.
-func (w *Watcher) begin() {
-	if w.rounding {
-		w.roundAgain = true
+// startFolderCheck starts a round, unless one is under way.
+func (w *Watcher) startFolderCheck() {
+	if w.checkingFolders {
+		w.recheckFolders = true
 		return
 	}
-	r := &round{notifier: w.notifier, open: w.open, stat: w.stat, try: !time.Now().Before(w.retryAt), folders: map[string]fileID{}, dropped: w.dropped}
-	if r.notifier == nil && (!r.try || len(w.folders) == 0) {
+	r := &folderCheck{notifier: w.notifier, openNotifier: w.openNotifier, stat: w.stat, mayAdd: !time.Now().Before(w.retryAt), followed: map[string]fileID{}, unfollowed: w.unfollowed}
+	if r.notifier == nil && (!r.mayAdd || len(w.folders) == 0) {
 		return
 	}
-	w.dropped = nil
+	w.unfollowed = nil
 	for path, f := range w.folders {
-		r.folders[path] = f.watched
+		r.followed[path] = f.watched
 	}
-	w.rounding = true
+	w.checkingFolders = true
 	go func() {
 		r.run()
 		select {
-		case w.rounds <- r:
-		case <-w.ended:
+		case w.folderChecks <- r:
+		case <-w.done:
 			if r.opened {
 				r.notifier.Close()
 			}
@@ -136,99 +136,99 @@
 	}()
 }
 
-// rounded takes what a round has found.
-func (w *Watcher) rounded(r *round) {
-	w.rounding = false
+// folderCheckFinished takes what a round has found.
+func (w *Watcher) folderCheckFinished(r *folderCheck) {
+	w.checkingFolders = false
 	if r.opened {
 		w.notifier = r.notifier
-		w.events, w.errors = r.notifier.Words()
+		w.events, w.errors = r.notifier.Channels()
 	}
 	if r.notifier == w.notifier { // else it was lost meanwhile
-		for path := range r.folders {
+		for path := range r.followed {
 			if f := w.folders[path]; f != nil {
 				f.watched = r.watched[path]
 			}
 		}
-		clear(w.names)
+		clear(w.aliases)
 		for path, f := range w.folders {
 			if f.watched != (fileID{}) {
-				w.names[f.watched] = append(w.names[f.watched], path)
+				w.aliases[f.watched] = append(w.aliases[f.watched], path)
 			}
 		}
 		for _, path := range r.added {
 			if f := w.folders[path]; f != nil { // what changed before it was watched
-				w.press(f, "")
+				w.folderChanged(f, "")
 			}
 		}
 		for path, id := range r.watched {
-			if r.folders[path] != id && w.folders[path] != nil {
-				w.press(w.folders[path], "")
+			if r.followed[path] != id && w.folders[path] != nil {
+				w.folderChanged(w.folders[path], "")
 			}
 		}
 	}
 	switch {
 	case r.notifier != w.notifier:
-	case r.refused != nil:
-		w.refuse(r.refused)
-	case r.try:
-		w.delay = 0
+	case r.refusal != nil:
+		w.recordRefusal(r.refusal)
+	case r.mayAdd:
+		w.backoff = 0
 		if w.refused {
 			w.refused = false
-			w.report(nil)
+			w.reportRefusal(nil)
 		}
 	}
-	if w.roundAgain {
-		w.roundAgain = false
-		w.begin()
+	if w.recheckFolders {
+		w.recheckFolders = false
+		w.startFolderCheck()
 	}
 }
 
-// refuse notes that the system refuses to tell of changes: it is said once, and tried again after a pause that grows.
-func (w *Watcher) refuse(why error) {
-	w.delay = min(max(2*w.delay, w.retry), retryMost)
-	w.retryAt = time.Now().Add(w.delay)
+// recordRefusal notes that the system refuses to tell of changes: it is said once, and tried again after a pause that grows.
+func (w *Watcher) recordRefusal(why error) {
+	w.backoff = min(max(2*w.backoff, w.firstBackoff), maxRetryBackoff)
+	w.retryAt = time.Now().Add(w.backoff)
 	if !w.refused {
 		w.refused = true
-		w.report(why)
+		w.reportRefusal(why)
 	}
 }
 
-// failed takes an error of the notifier.
-func (w *Watcher) failed(err error) {
+// notifierFailed takes an error of the notifier.
+func (w *Watcher) notifierFailed(err error) {
 	if !errors.Is(err, fsnotify.ErrEventOverflow) { // else changes came faster than they were taken, and some were not told
-		w.lose(err)
+		w.dropNotifier(err)
 	}
 	for _, f := range w.folders {
-		w.press(f, "")
+		w.folderChanged(f, "")
 	}
 }
 
-// lose gives the notifier up.
-func (w *Watcher) lose(why error) {
+// dropNotifier gives the notifier up.
+func (w *Watcher) dropNotifier(why error) {
 	go w.notifier.Close() // it may wait for a word that nobody takes
 	w.notifier, w.events, w.errors = nil, nil, nil
 	for _, f := range w.folders {
 		f.watched = fileID{}
 	}
-	clear(w.names)
-	w.refuse(why)
+	clear(w.aliases)
+	w.recordRefusal(why)
 }
 
-// told takes an event: it makes the lists be looked at that it may be about.
-func (w *Watcher) told(e fsnotify.Event) {
+// eventArrived takes an event: it makes the lists be looked at that it may be about.
+func (w *Watcher) eventArrived(e fsnotify.Event) {
 	if f := w.folders[e.Name]; f != nil { // itself was removed or renamed, or it stands in another one that is followed
-		w.press(f, "")
-		w.begin()
+		w.folderChanged(f, "")
+		w.startFolderCheck()
 	}
 	f := w.folders[filepath.Dir(e.Name)]
 	if f == nil {
 		return
 	}
 	name := filepath.Base(e.Name)
-	w.press(f, name)
-	for _, path := range w.names[f.watched] {
+	w.folderChanged(f, name)
+	for _, path := range w.aliases[f.watched] {
 		if other := w.folders[path]; other != nil && other != f {
-			w.press(other, name)
+			w.folderChanged(other, name)
 		}
 	}
 }
--- a/internal/endpointlist/list.go
+++ b/internal/endpointlist/list.go
@@ -11,8 +11,8 @@
 	"olivearch/internal/strictyaml"
 )
 
-// maxFile bounds a list's file, in bytes.
-const maxFile = 8 << 20
+// maxFileSize bounds a list's file, in bytes.
+const maxFileSize = 8 << 20
 
 // Phase is what a list says of a node.
 type Phase string
@@ -48,13 +48,13 @@
 
 // Check notes what is wrong with nodes that stand at a path of a document, and fills in what may be left out.
 func Check(d *strictyaml.Doc, path string, nodes []Node) {
-	check(nodes, func(i int, field, format string, args ...any) {
+	checkNodes(nodes, func(i int, field, format string, args ...any) {
 		d.Fail(fmt.Sprintf("%s[%d]%s", path, i, field), format, args...)
 	})
 }
 
-// check is Check with a function that notes what is wrong with the node of a number, or a field of it: ".address".
-func check(nodes []Node, fail func(i int, field, format string, args ...any)) {
+// checkNodes is Check with a function that notes what is wrong with the node of a number, or a field of it: ".address".
+func checkNodes(nodes []Node, fail func(i int, field, format string, args ...any)) {
 	ids, addresses := make(map[string]struct{}, len(nodes)), make(map[netip.AddrPort]int, len(nodes))
 	for i := range nodes {
 		n := &nodes[i]
@@ -99,14 +99,14 @@
 
 // Parse reads a list from the text of a file.
 func Parse(file string, text []byte) (List, error) {
-	if l, ok := plain(text); ok {
+	if l, ok := parseSimple(text); ok {
 		return l, nil
 	}
-	return parse(file, text)
+	return parseAny(file, text)
 }
 
-// parse reads a list of any form.
-func parse(file string, text []byte) (List, error) {
+// parseAny reads a list of any form.
+func parseAny(file string, text []byte) (List, error) {
 	var l List
 	d := strictyaml.Decode(file, text, &l)
 	if d.Err() == nil && l.Nodes == nil { // a file cut behind its first key must not remove every node
@@ -118,7 +118,7 @@
 
 // Load reads a file's list.
 func Load(path string) (List, error) {
-	text, err := strictyaml.ReadFile(path, maxFile)
+	text, err := strictyaml.ReadFile(path, maxFileSize)
 	if err != nil {
 		return List{}, err
 	}
--- a/internal/endpointlist/look.go
+++ b/internal/endpointlist/look.go
@@ -14,7 +14,7 @@
 type stamp struct {
 	dev, ino         uint64
 	size             int64
-	modified, status syscall.Timespec // a replaced or touched file may keep the first, never both
+	modified, statusChanged syscall.Timespec // a replaced or touched file may keep the first, never both
 }
 
 // fileID is what a name stands for.
@@ -36,13 +36,13 @@
 	return stamp{uint64(x.Dev), x.Ino, x.Size, x.Mtim, x.Ctim}, linked, nil
 }
 
-// statter is statFile, or a test's.
-type statter func(path string) (s stamp, linked bool, err error)
+// statFunc is statFile, or a test's.
+type statFunc func(path string) (s stamp, linked bool, err error)
 
-// unsure is how long after a stamp was first seen a file may still change and keep it. The system's clock for files ticks
+// ambiguousFor is how long after a stamp was first seen a file may still change and keep it. The system's clock for files ticks
 // every 10 ms at the slowest; a file system that keeps whole seconds only may keep every other one.
-func (s stamp) unsure() time.Duration {
-	if s.modified.Nsec == 0 && s.status.Nsec == 0 {
+func (s stamp) ambiguousFor() time.Duration {
+	if s.modified.Nsec == 0 && s.statusChanged.Nsec == 0 {
 		return 2100 * time.Millisecond
 	}
 	return 50 * time.Millisecond
@@ -52,8 +52,8 @@
 type Reading struct {
 	stamp  stamp
 	linked bool
-	text   uint64 // a hash
-	at     time.Time
+	hash   uint64 // a hash
+	readAt     time.Time
 }
 
 var seed = maphash.MakeSeed()
@@ -62,59 +62,59 @@
 func Read(path string) (List, Reading, error) {
 	var r Reading
 	var err error
-	r.at = time.Now()
+	r.readAt = time.Now()
 	if r.stamp, r.linked, err = statFile(path); err != nil {
 		return List{}, Reading{}, err
 	}
-	text, err := strictyaml.ReadFile(path, maxFile)
+	text, err := strictyaml.ReadFile(path, maxFileSize)
 	if err != nil {
 		return List{}, Reading{}, err
 	}
-	r.text = maphash.Bytes(seed, text)
+	r.hash = maphash.Bytes(seed, text)
 	l, err := Parse(path, text)
 	return l, r, err
 }
 
-// look is one look at a list's file. It runs on a goroutine of its own: a file system may keep it waiting.
-type look struct {
+// fileCheck is one look at a list's file. It runs on a goroutine of its own: a file system may keep it waiting.
+type fileCheck struct {
 	path   string
 	before Reading
-	read   bool // also if the stamp is the same
+	reread   bool // also if the stamp is the same
 	// settled tells that a change was seen some time ago: else one that is found now may be under way, and is left to a later look.
 	settled bool
 
 	unsettled bool // there is such a change
-	at        time.Time
+	startedAt        time.Time
 	stamp     stamp
 	linked    bool
-	text      uint64
-	differ    bool // in its stamp
-	done      bool // the text was read
+	hash      uint64
+	stampChanged    bool // in its stamp
+	wasRead      bool // the text was read
 	parsed    bool // and is another
 	list      List
 	err       error // of the file, or of its text if that was parsed
 }
 
-func (x *look) run(stat statter, turns chan struct{}) {
-	x.at = time.Now()
+func (x *fileCheck) run(stat statFunc, turns chan struct{}) {
+	x.startedAt = time.Now()
 	if x.stamp, x.linked, x.err = stat(x.path); x.err != nil {
 		return
 	}
-	x.differ = x.stamp != x.before.stamp
-	if !x.differ && !x.read {
+	x.stampChanged = x.stamp != x.before.stamp
+	if !x.stampChanged && !x.reread {
 		return
 	}
-	if x.differ && !x.settled {
+	if x.stampChanged && !x.settled {
 		x.unsettled = true
 		return
 	}
-	text, err := strictyaml.ReadFile(x.path, maxFile)
+	text, err := strictyaml.ReadFile(x.path, maxFileSize)
 	if err != nil {
 		x.err = err
 		return
 	}
-	x.done, x.text = true, maphash.Bytes(seed, text)
-	if !x.before.at.IsZero() && x.text == x.before.text {
+	x.wasRead, x.hash = true, maphash.Bytes(seed, text)
+	if !x.before.readAt.IsZero() && x.hash == x.before.hash {
 		return
 	}
 	turns <- struct{}{} // processors are for requests first
--- a/internal/endpointlist/nodelist_test.go
+++ b/internal/endpointlist/nodelist_test.go
@@ -68,8 +68,8 @@
 	})
 }
 
-// watched follows a file with no regular reading, so that only what the system tells counts.
-func watched(t *testing.T, path string) (lists chan List, errs chan error) {
+// watchByEvents follows a file with no regular reading, so that only what the system tells counts.
+func watchByEvents(t *testing.T, path string) (lists chan List, errs chan error) {
 	lists, errs = make(chan List, 100), make(chan error, 100)
 	ctx, cancel := context.WithCancel(context.Background())
 	ended := make(chan error)
@@ -85,7 +85,7 @@
 	return lists, errs
 }
 
-func write(t *testing.T, path, text string) {
+func writeFile(t *testing.T, path, text string) {
 	t.Helper()
 	if err := os.WriteFile(path, []byte(text), 0o600); err != nil {
 		t.Fatal(err)
@@ -96,8 +96,8 @@
 func TestWatch(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "nodes.yaml")
 	one := "nodes: [{address: '127.0.0.1:1'}]"
-	write(t, path, one)
-	lists, errs := watched(t, path)
+	writeFile(t, path, one)
+	lists, errs := watchByEvents(t, path)
 	until := func(want int) {
 		t.Helper()
 		for l := range lists {
@@ -107,12 +107,12 @@
 		}
 	}
 	until(1)
-	write(t, path+".new", "nodes: [{address: '127.0.0.1:1'}, {address: '127.0.0.1:2'}]")
+	writeFile(t, path+".new", "nodes: [{address: '127.0.0.1:1'}, {address: '127.0.0.1:2'}]")
 	if err := os.Rename(path+".new", path); err != nil {
 		t.Fatal(err)
 	}
 	until(2)
-	write(t, path, "nodes: [{address: '127.0.0.1:1'}, {addr")
+	writeFile(t, path, "nodes: [{address: '127.0.0.1:1'}, {addr")
 	if err := <-errs; !strings.Contains(err.Error(), "nodes.yaml:1:") {
 		t.Errorf("torn: %v", err)
 	}
@@ -127,7 +127,7 @@
 	if len(lists) > 0 {
 		t.Errorf("a torn or missing file gave a list: %v", <-lists)
 	}
-	write(t, path, one)
+	writeFile(t, path, one)
 	until(1)
 }
 
@@ -139,8 +139,8 @@
 			t.Fatal(err)
 		}
 	}
-	write(t, filepath.Join(dir, "v1", "nodes.yaml"), "nodes: [{address: '127.0.0.1:1'}]")
-	write(t, filepath.Join(dir, "v2", "nodes.yaml"), "nodes: []")
+	writeFile(t, filepath.Join(dir, "v1", "nodes.yaml"), "nodes: [{address: '127.0.0.1:1'}]")
+	writeFile(t, filepath.Join(dir, "v2", "nodes.yaml"), "nodes: []")
 	if err := os.Symlink("v1", filepath.Join(dir, "data")); err != nil {
 		t.Fatal(err)
 	}
@@ -148,7 +148,7 @@
 	if err := os.Symlink(filepath.Join("data", "nodes.yaml"), path); err != nil {
 		t.Fatal(err)
 	}
-	lists, _ := watched(t, path)
+	lists, _ := watchByEvents(t, path)
 	if l := <-lists; len(l.Nodes) != 1 {
 		t.Fatal(l)
 	}
--- a/internal/endpointlist/parse_test.go
+++ b/internal/endpointlist/parse_test.go
@@ -7,8 +7,8 @@
 	"testing"
 )
 
-// block is a list of n nodes as an encoder writes it, flow one with a node a line.
-func block(n int) []byte {
+// blockList is a list of n nodes as an encoder writes it, flow one with a node a line.
+func blockList(n int) []byte {
 	var b strings.Builder
 	b.WriteString("nodes:\n")
 	for i := range n {
@@ -17,7 +17,7 @@
 	return []byte(b.String())
 }
 
-func flow(n int) []byte {
+func flowList(n int) []byte {
 	var b strings.Builder
 	b.WriteString("nodes:\n")
 	for i := range n {
@@ -26,9 +26,9 @@
 	return []byte(b.String())
 }
 
-// plainTexts are lists in simple forms, some of which hide something.
-var plainTexts = []string{
-	string(block(3)), string(flow(3)), string(block(3)) + strings.ReplaceAll(string(flow(3)[7:]), "- {", "    - {"),
+// simpleTexts are lists in simple forms, some of which hide something.
+var simpleTexts = []string{
+	string(blockList(3)), string(flowList(3)), string(blockList(3)) + strings.ReplaceAll(string(flowList(3)[7:]), "- {", "    - {"),
 	"nodes:\n- address: 1.2.3.4:5\n", "nodes:\n- {address: 1.2.3.4:5}", "# a\n\nnodes:\n  # b\n  - address: '[::1]:5'\n\n    id: \"a, {b}\"\n",
 	"nodes:\n- {id: 'a, b', address: \"1.2.3.4:5\", weight: 2.5, started: 2026-11-30T10:00:00+01:00, phase: draining}\n",
 	"nodes:\n- id: a\n   b\n  address: 1.2.3.4:5\n", "nodes:\n- id: null\n  address: 1.2.3.4:5\n", "nodes:\n- id: 'null'\n  address: 1.2.3.4:5\n",
@@ -41,22 +41,22 @@
 	"nodes:\n- {address: 1.2.3.4:5, phase: off}\n", "nodes:\n- {address: 1.2.3.4:5, weight: -1}\n", "nodes:\n- {address: 1.2.3.4:5,id: a}\n", "nodes:\n- {address: 1.2.3.4:5, }\n",
 }
 
-// asStrict wants what is read by hand to be what strictyaml reads.
-func asStrict(t *testing.T, text []byte) (taken bool) {
+// wantAsStrict wants what is read by hand to be what strictyaml reads.
+func wantAsStrict(t *testing.T, text []byte) (taken bool) {
 	t.Helper()
-	l, taken := plain(text)
+	l, taken := parseSimple(text)
 	if !taken {
 		return false
 	}
-	if want, err := parse("n", text); err != nil || !reflect.DeepEqual(l, want) {
+	if want, err := parseAny("n", text); err != nil || !reflect.DeepEqual(l, want) {
 		t.Errorf("%q\nby hand: %+v\nstrict:  %+v, %v", text, l, want, err)
 	}
 	return true
 }
 
 func TestPlain(t *testing.T) {
-	for i, text := range plainTexts {
-		if taken := asStrict(t, []byte(text)); !taken && i < 7 {
+	for i, text := range simpleTexts {
+		if taken := wantAsStrict(t, []byte(text)); !taken && i < 7 {
 			t.Errorf("not read by hand: %q", text)
 		}
 	}
@@ -64,15 +64,15 @@
 
 // FuzzPlain: a text that is read by hand means the same to strictyaml.
 func FuzzPlain(f *testing.F) {
-	for _, text := range plainTexts {
+	for _, text := range simpleTexts {
 		f.Add([]byte(text))
 	}
-	f.Fuzz(func(t *testing.T, text []byte) { asStrict(t, text) })
+	f.Fuzz(func(t *testing.T, text []byte) { wantAsStrict(t, text) })
 }
 
 func BenchmarkParse(b *testing.B) {
 	for _, n := range []int{37, 2000} {
-		for name, text := range map[string][]byte{"block": block(n), "flow": flow(n)} {
+		for name, text := range map[string][]byte{"block": blockList(n), "flow": flowList(n)} {
 			b.Run(fmt.Sprintf("%s/%d", name, n), func(b *testing.B) {
 				b.ReportAllocs()
 				for b.Loop() {
--- a/internal/endpointlist/plain.go
+++ b/internal/endpointlist/plain.go
@@ -16,40 +16,40 @@
 //
 // Values are plain words or quoted without escapes, items and keys are indented alike, and comments have a line to themselves.
 
-// plainMost bounds the nodes of a list that is read here, so that strictyaml's own bound is not passed.
-const plainMost = 50_000
+// maxSimpleNodes bounds the nodes of a list that is read here, so that strictyaml's own bound is not passed.
+const maxSimpleNodes = 50_000
 
-// plainLine bounds a line, under the length up to which YAML looks for the end of a key.
-const plainLine = 1000
+// maxSimpleLine bounds a line, under the length up to which YAML looks for the end of a key.
+const maxSimpleLine = 1000
 
-// plain reads a list in a simple form; false: it is not in one, or there is something wrong with it.
-func plain(text []byte) (List, bool) {
-	var p plainReader
+// parseSimple reads a list in a simple form; false: it is not in one, or there is something wrong with it.
+func parseSimple(text []byte) (List, bool) {
+	var p simpleParser
 	p.nodes = make([]Node, 0, bytes.Count(text, []byte("address:")))
 	for len(text) > 0 {
 		var line []byte
 		line, text, _ = bytes.Cut(text, []byte{'\n'})
-		if !p.line(line) {
+		if !p.parseLine(line) {
 			return List{}, false
 		}
 	}
 	sound := len(p.nodes) > 0
-	check(p.nodes, func(int, string, string, ...any) { sound = false })
+	checkNodes(p.nodes, func(int, string, string, ...any) { sound = false })
 	return List{p.nodes}, sound
 }
 
-// plainReader reads line by line.
-type plainReader struct {
-	begun  bool // "nodes:" has come
+// simpleParser reads line by line.
+type simpleParser struct {
+	inNodes  bool // "nodes:" has come
 	indent int  // of the items' dashes
 	nodes  []Node
-	keys   uint // of the last node, as bits
-	open   bool // the last node may go on
-	zone   string
+	seenKeys   uint // of the last node, as bits
+	blockOpen   bool // the last node may go on
+	lastZone   string
 }
 
-func (p *plainReader) line(line []byte) bool {
-	if len(line) > plainLine {
+func (p *simpleParser) parseLine(line []byte) bool {
+	if len(line) > maxSimpleLine {
 		return false
 	}
 	for _, c := range line {
@@ -62,31 +62,31 @@
 	if len(rest) == 0 || rest[0] == '#' {
 		return true
 	}
-	if !p.begun {
-		p.begun = string(line) == "nodes:"
-		return p.begun
+	if !p.inNodes {
+		p.inNodes = string(line) == "nodes:"
+		return p.inNodes
 	}
 	if item, ok := bytes.CutPrefix(rest, []byte("- ")); ok {
 		if len(p.nodes) == 0 {
 			p.indent = indent
 		}
-		if indent != p.indent || len(p.nodes) == plainMost {
+		if indent != p.indent || len(p.nodes) == maxSimpleNodes {
 			return false
 		}
 		p.nodes = append(p.nodes, Node{})
-		p.keys = 0
-		if item, p.open = bytes.CutPrefix(item, []byte{'{'}); p.open {
-			p.open = false
-			return p.flow(item)
+		p.seenKeys = 0
+		if item, p.blockOpen = bytes.CutPrefix(item, []byte{'{'}); p.blockOpen {
+			p.blockOpen = false
+			return p.parseFlow(item)
 		}
-		p.open = true
-		return p.pair(item)
+		p.blockOpen = true
+		return p.parsePair(item)
 	}
-	return p.open && indent == p.indent+2 && p.pair(rest)
+	return p.blockOpen && indent == p.indent+2 && p.parsePair(rest)
 }
 
-// flow reads what stands behind the brace of a mapping in one line.
-func (p *plainReader) flow(text []byte) bool {
+// parseFlow reads what stands behind the brace of a mapping in one line.
+func (p *simpleParser) parseFlow(text []byte) bool {
 	for {
 		end := 0
 		for quote := byte(0); ; end++ {
@@ -106,7 +106,7 @@
 				break
 			}
 		}
-		if !p.pair(text[:end]) {
+		if !p.parsePair(text[:end]) {
 			return false
 		}
 		if text[end] == '}' {
@@ -119,13 +119,13 @@
 	}
 }
 
-// pair reads a key and its value, with one space between.
-func (p *plainReader) pair(text []byte) bool {
+// parsePair reads a key and its value, with one space between.
+func (p *simpleParser) parsePair(text []byte) bool {
 	key, value, ok := bytes.Cut(text, []byte(": "))
 	if !ok {
 		return false
 	}
-	if value, ok = word(value); !ok {
+	if value, ok = parseScalar(value); !ok {
 		return false
 	}
 	n := &p.nodes[len(p.nodes)-1]
@@ -137,10 +137,10 @@
 	case "address":
 		bit, n.Address = 2, string(value)
 	case "zone":
-		if bit = 4; string(value) != p.zone { // most stand next to one of their zone
-			p.zone = string(value)
+		if bit = 4; string(value) != p.lastZone { // most stand next to one of their zone
+			p.lastZone = string(value)
 		}
-		n.Zone = p.zone
+		n.Zone = p.lastZone
 	case "cell":
 		bit = 8
 		n.Cell, err = strconv.Atoi(string(value))
@@ -163,13 +163,13 @@
 	default:
 		return false
 	}
-	twice := p.keys&bit != 0
-	p.keys |= bit
+	twice := p.seenKeys&bit != 0
+	p.seenKeys |= bit
 	return !twice && err == nil
 }
 
-// word returns what a value stands for, if that is certain.
-func word(text []byte) ([]byte, bool) {
+// parseScalar returns what a value stands for, if that is certain.
+func parseScalar(text []byte) ([]byte, bool) {
 	if len(text) == 0 {
 		return nil, false
 	}
--- a/internal/endpointlist/watch.go
+++ b/internal/endpointlist/watch.go
@@ -13,18 +13,18 @@
 )
 
 const (
-	// settle is how long after a change a file is read: a writer that does not replace it at once writes in pieces, and
+	// settleTime is how long after a change a file is read: a writer that does not replace it at once writes in pieces, and
 	// each piece is a change. Under changes without a pause it is read after settleMost.
-	settle     = 20 * time.Millisecond
-	settleMost = 200 * time.Millisecond
-	// pollEvery is how often a list is looked at while the system does not tell of its changes, or it is missing or bad, and
+	settleTime     = 20 * time.Millisecond
+	maxSettleTime = 200 * time.Millisecond
+	// defaultPollInterval is how often a list is looked at while the system does not tell of its changes, or it is missing or bad, and
 	// a folder whether it is still the one that is watched. With the reading it keeps a change in force within 1 s.
-	pollEvery = 500 * time.Millisecond
-	// retryFirst and retryMost bound the pauses between two tries to let the system tell of changes.
-	retryFirst = time.Second
-	retryMost  = time.Minute
-	// slot is what regular looks are put together by: one wake-up serves them all.
-	slot = 250 * time.Millisecond
+	defaultPollInterval = 500 * time.Millisecond
+	// minRetryBackoff and retryMost bound the pauses between two tries to let the system tell of changes.
+	minRetryBackoff = time.Second
+	maxRetryBackoff  = time.Minute
+	// wakeupSlot is what regular looks are put together by: one wake-up serves them all.
+	wakeupSlot = 250 * time.Millisecond
 )
 
 // Word is what following a list has found. With neither a list nor an error the file was looked at and stays as it was.
@@ -42,59 +42,59 @@
 // One goroutine owns it and waits for nothing. Files and folders are looked at from goroutines of their own, one to a list
 // at a time, and a file is read only if its stamp is another, and parsed only if its text is.
 type Watcher struct {
-	every, poll, retry time.Duration
-	report             func(error)
-	open               func() (notifier, error)
-	stat               statter
+	checkInterval, pollInterval, firstBackoff time.Duration
+	reportRefusal             func(error)
+	openNotifier               func() (notifier, error)
+	stat               statFunc
 
-	asks   chan func()
-	looks  chan *seen
-	rounds chan *round
-	ended  <-chan struct{}
-	turns  chan struct{} // held while a text is parsed
+	calls   chan func()
+	checks  chan *checkResult
+	folderChecks chan *folderCheck
+	done  <-chan struct{}
+	parseSlots  chan struct{} // held while a text is parsed
 
-	folders    map[string]*folder
-	names      map[fileID][]string // of folders that are watched
-	dropped    []string            // folders that are watched and not followed
-	followed   int                 // lists, since the start
-	start      time.Time
-	agenda     agenda
+	folders    map[string]*followedFolder
+	aliases      map[fileID][]string // of folders that are watched
+	unfollowed    []string            // folders that are watched and not followed
+	followCount   int                 // lists, since the start
+	startedAt      time.Time
+	queue     checkQueue
 	notifier   notifier // nil: there is none
 	events     <-chan fsnotify.Event
 	errors     <-chan error
-	rounding   bool
-	roundAgain bool
+	checkingFolders   bool
+	recheckFolders bool
 	refused    bool // the system refuses to tell of changes, and it was said
-	delay      time.Duration
+	backoff      time.Duration
 	retryAt    time.Time
 }
 
-// Following is a list that is followed.
-type Following struct {
+// Subscription is a list that is followed.
+type Subscription struct {
 	watcher *Watcher
 	path    string
-	folder  *folder
-	name    string // in the folder
-	tell    func(Word)
+	folder  *followedFolder
+	fileName    string // in the folder
+	notify    func(Word)
 
-	last    Reading // the zero value: the next look reads and parses
-	sure    bool    // the file was read after its stamp could be kept by a change
-	trouble string  // found by the last look
-	failed  int     // looks that have found it
-	begun   bool    // it was looked at
+	lastRead    Reading // the zero value: the next look reads and parses
+	confirmed    bool    // the file was read after its stamp could be kept by a change
+	lastError string  // found by the last look
+	failures  int     // looks that have found it
+	checked   bool    // it was looked at
 	stopped bool
 
-	phase   time.Duration // of its regular looks
+	checkOffset   time.Duration // of its regular looks
 	due     time.Time
-	place   int       // in the agenda; -1: a look is under way
-	pressed time.Time // the first sign of a change since the last look; zero: none
-	again   bool      // one came during the look
+	index   int       // in the agenda; -1: a look is under way
+	changeSeen time.Time // the first sign of a change since the last look; zero: none
+	recheck   bool      // one came during the look
 }
 
-// seen is a look that has ended.
-type seen struct {
-	*Following
-	look
+// checkResult is a look that has ended.
+type checkResult struct {
+	*Subscription
+	fileCheck
 }
 
 // NewWatcher starts a Watcher that ends with the context. Each list is looked at every so often, whatever the system tells.
@@ -107,62 +107,62 @@
 
 func newWatcher(ctx context.Context, every time.Duration, report func(error)) *Watcher {
 	return &Watcher{
-		every: every, poll: min(every, pollEvery), retry: retryFirst, report: report, open: openInotify, stat: statFile,
-		asks: make(chan func()), looks: make(chan *seen), rounds: make(chan *round), ended: ctx.Done(),
-		turns: make(chan struct{}, max(1, runtime.GOMAXPROCS(0)/2)),
-		start: time.Now(), folders: map[string]*folder{}, names: map[fileID][]string{},
+		checkInterval: every, pollInterval: min(every, defaultPollInterval), firstBackoff: minRetryBackoff, reportRefusal: report, openNotifier: openInotify, stat: statFile,
+		calls: make(chan func()), checks: make(chan *checkResult), folderChecks: make(chan *folderCheck), done: ctx.Done(),
+		parseSlots: make(chan struct{}, max(1, runtime.GOMAXPROCS(0)/2)),
+		startedAt: time.Now(), folders: map[string]*followedFolder{}, aliases: map[fileID][]string{},
 	}
 }
 
 // Follow follows the list in a file. tell gets each Word, from the Watcher's goroutine: it must not wait. A file that was read
 // before is told when it differs from then; the zero Reading is of one that was not.
-func (w *Watcher) Follow(path string, read Reading, tell func(Word)) *Following {
-	f := &Following{watcher: w, path: path, name: filepath.Base(path), tell: tell, last: read}
-	w.ask(func() {
+func (w *Watcher) Follow(path string, read Reading, tell func(Word)) *Subscription {
+	f := &Subscription{watcher: w, path: path, fileName: filepath.Base(path), notify: tell, lastRead: read}
+	w.do(func() {
 		dir := filepath.Dir(path)
 		if f.folder = w.folders[dir]; f.folder == nil {
-			f.folder = &folder{path: dir, lists: map[string][]*Following{}}
+			f.folder = &followedFolder{path: dir, subscriptions: map[string][]*Subscription{}}
 			w.folders[dir] = f.folder
-			w.dropped = slices.DeleteFunc(w.dropped, func(x string) bool { return x == dir })
-			w.begin()
+			w.unfollowed = slices.DeleteFunc(w.unfollowed, func(x string) bool { return x == dir })
+			w.startFolderCheck()
 		}
-		f.folder.lists[f.name] = append(f.folder.lists[f.name], f)
-		w.followed++
-		_, part := math.Modf(float64(w.followed) * 0.6180339887) // spread evenly, however many there are
-		f.phase = time.Duration(part * float64(w.every)).Truncate(slot)
+		f.folder.subscriptions[f.fileName] = append(f.folder.subscriptions[f.fileName], f)
+		w.followCount++
+		_, part := math.Modf(float64(w.followCount) * 0.6180339887) // spread evenly, however many there are
+		f.checkOffset = time.Duration(part * float64(w.checkInterval)).Truncate(wakeupSlot)
 		f.due = time.Now()
-		heap.Push(&w.agenda, f)
+		heap.Push(&w.queue, f)
 	})
 	return f
 }
 
 // Stop ends the following. No Word is told once it has returned.
-func (f *Following) Stop() {
+func (f *Subscription) Stop() {
 	w := f.watcher
-	w.ask(func() {
+	w.do(func() {
 		f.stopped = true
-		if f.place >= 0 {
-			heap.Remove(&w.agenda, f.place)
+		if f.index >= 0 {
+			heap.Remove(&w.queue, f.index)
 		}
-		same := slices.DeleteFunc(f.folder.lists[f.name], func(x *Following) bool { return x == f })
-		if f.folder.lists[f.name] = same; len(same) == 0 {
-			delete(f.folder.lists, f.name)
+		same := slices.DeleteFunc(f.folder.subscriptions[f.fileName], func(x *Subscription) bool { return x == f })
+		if f.folder.subscriptions[f.fileName] = same; len(same) == 0 {
+			delete(f.folder.subscriptions, f.fileName)
 		}
-		if len(f.folder.lists) == 0 {
+		if len(f.folder.subscriptions) == 0 {
 			delete(w.folders, f.folder.path)
-			w.dropped = append(w.dropped, f.folder.path)
-			w.begin()
+			w.unfollowed = append(w.unfollowed, f.folder.path)
+			w.startFolderCheck()
 		}
 	})
 }
 
-// ask lets the Watcher's goroutine do something, and returns when it has, or when it has ended.
-func (w *Watcher) ask(f func()) {
+// do lets the Watcher's goroutine do something, and returns when it has, or when it has ended.
+func (w *Watcher) do(f func()) {
 	done := make(chan struct{})
 	select {
-	case w.asks <- func() { f(); close(done) }:
+	case w.calls <- func() { f(); close(done) }:
 		<-done
-	case <-w.ended:
+	case <-w.done:
 	}
 }
 
@@ -173,36 +173,36 @@
 		}
 	}()
 	clock := time.NewTimer(0)
-	rounds := time.NewTicker(w.poll)
+	rounds := time.NewTicker(w.pollInterval)
 	defer rounds.Stop()
 	for {
 		now := time.Now()
-		for len(w.agenda) > 0 && !w.agenda[0].due.After(now) {
-			w.look(heap.Pop(&w.agenda).(*Following))
+		for len(w.queue) > 0 && !w.queue[0].due.After(now) {
+			w.startCheck(heap.Pop(&w.queue).(*Subscription))
 		}
-		if len(w.agenda) > 0 {
-			clock.Reset(time.Until(w.agenda[0].due))
+		if len(w.queue) > 0 {
+			clock.Reset(time.Until(w.queue[0].due))
 		}
 		select {
-		case f := <-w.asks:
+		case f := <-w.calls:
 			f()
-		case x := <-w.looks:
-			w.looked(x)
-		case r := <-w.rounds:
-			w.rounded(r)
+		case x := <-w.checks:
+			w.checkFinished(x)
+		case r := <-w.folderChecks:
+			w.folderCheckFinished(r)
 		case e, open := <-w.events:
 			if !open {
-				w.lose(fsnotify.ErrClosed)
+				w.dropNotifier(fsnotify.ErrClosed)
 				continue
 			}
-			w.told(e)
+			w.eventArrived(e)
 		case err, open := <-w.errors:
 			if !open {
 				err = fsnotify.ErrClosed
 			}
-			w.failed(err)
+			w.notifierFailed(err)
 		case <-rounds.C:
-			w.begin()
+			w.startFolderCheck()
 		case <-clock.C:
 		case <-ctx.Done():
 			return
@@ -210,145 +210,145 @@
 	}
 }
 
-// press lets the lists of a folder be looked at once they have settled: the one of that name, and those that are reached by
+// folderChanged lets the lists of a folder be looked at once they have settled: the one of that name, and those that are reached by
 // a link or are missing or bad, as these hang on other names too. No name: all.
-func (w *Watcher) press(x *folder, name string) {
+func (w *Watcher) folderChanged(x *followedFolder, name string) {
 	now := time.Now()
-	if same := x.lists[name]; same != nil {
+	if same := x.subscriptions[name]; same != nil {
 		for _, f := range same {
-			w.pressOne(f, now)
+			w.fileChanged(f, now)
 		}
 		return
 	}
-	for _, same := range x.lists {
+	for _, same := range x.subscriptions {
 		for _, f := range same {
-			if name == "" || f.last.linked || f.last.at.IsZero() {
-				w.pressOne(f, now)
+			if name == "" || f.lastRead.linked || f.lastRead.readAt.IsZero() {
+				w.fileChanged(f, now)
 			}
 		}
 	}
 }
 
-func (w *Watcher) pressOne(f *Following, now time.Time) {
-	if f.place < 0 {
-		f.again = true
+func (w *Watcher) fileChanged(f *Subscription, now time.Time) {
+	if f.index < 0 {
+		f.recheck = true
 		return
 	}
-	if f.pressed.IsZero() {
-		f.pressed = now
+	if f.changeSeen.IsZero() {
+		f.changeSeen = now
 	}
-	due := now.Add(settle)
-	if most := f.pressed.Add(settleMost); due.After(most) {
+	due := now.Add(settleTime)
+	if most := f.changeSeen.Add(maxSettleTime); due.After(most) {
 		due = most
 	}
 	f.due = due
-	heap.Fix(&w.agenda, f.place)
+	heap.Fix(&w.queue, f.index)
 }
 
-// look begins a look at a list.
-func (w *Watcher) look(f *Following) {
-	settled := !f.pressed.IsZero() || !f.begun
-	f.pressed, f.begun = time.Time{}, true
-	x := &seen{f, look{path: f.path, before: f.last, settled: settled, read: !f.sure && !f.last.at.IsZero() && time.Since(f.last.at) >= f.last.stamp.unsure()}}
+// startCheck begins a look at a list.
+func (w *Watcher) startCheck(f *Subscription) {
+	settled := !f.changeSeen.IsZero() || !f.checked
+	f.changeSeen, f.checked = time.Time{}, true
+	x := &checkResult{f, fileCheck{path: f.path, before: f.lastRead, settled: settled, reread: !f.confirmed && !f.lastRead.readAt.IsZero() && time.Since(f.lastRead.readAt) >= f.lastRead.stamp.ambiguousFor()}}
 	go func() {
-		x.run(w.stat, w.turns)
+		x.run(w.stat, w.parseSlots)
 		select {
-		case w.looks <- x:
-		case <-w.ended:
+		case w.checks <- x:
+		case <-w.done:
 		}
 	}()
 }
 
-// looked takes what a look has found.
-func (w *Watcher) looked(x *seen) {
-	f := x.Following
+// checkFinished takes what a look has found.
+func (w *Watcher) checkFinished(x *checkResult) {
+	f := x.Subscription
 	if f.stopped {
 		return
 	}
 	if x.unsettled {
-		f.pressed = time.Now()
-		f.due = f.pressed.Add(settle)
-		heap.Push(&w.agenda, f)
+		f.changeSeen = time.Now()
+		f.due = f.changeSeen.Add(settleTime)
+		heap.Push(&w.queue, f)
 		return
 	}
-	f.last.linked = x.linked
+	f.lastRead.linked = x.linked
 	switch {
-	case x.done:
-		f.sure = !x.differ && x.read
-		if x.differ {
-			f.last.at = x.at
+	case x.wasRead:
+		f.confirmed = !x.stampChanged && x.reread
+		if x.stampChanged {
+			f.lastRead.readAt = x.startedAt
 		}
-		f.last.stamp, f.last.text = x.stamp, x.text
+		f.lastRead.stamp, f.lastRead.hash = x.stamp, x.hash
 	case x.err != nil:
-		f.last = Reading{} // whatever comes next is read
+		f.lastRead = Reading{} // whatever comes next is read
 	}
 	switch {
 	case x.err != nil:
-		f.fail(x.err)
+		f.recordError(x.err)
 	case x.parsed:
-		failed := f.failed
-		f.trouble, f.failed = "", 0
-		f.tell(Word{List: &x.list, Failed: failed})
-	case f.trouble != "":
-		f.failed++
+		failed := f.failures
+		f.lastError, f.failures = "", 0
+		f.notify(Word{List: &x.list, Failed: failed})
+	case f.lastError != "":
+		f.failures++
 	default:
-		f.tell(Word{})
+		f.notify(Word{})
 	}
-	w.next(f)
+	w.scheduleNextCheck(f)
 }
 
-// fail notes an error, and tells it unless it was the last look's too.
-func (f *Following) fail(err error) {
-	if text := err.Error(); text != f.trouble {
-		f.tell(Word{Err: err, Failed: f.failed})
-		f.trouble, f.failed = text, 0
+// recordError notes an error, and tells it unless it was the last look's too.
+func (f *Subscription) recordError(err error) {
+	if text := err.Error(); text != f.lastError {
+		f.notify(Word{Err: err, Failed: f.failures})
+		f.lastError, f.failures = text, 0
 	}
-	f.failed++
+	f.failures++
 }
 
-// next sets the time of the next look.
-func (w *Watcher) next(f *Following) {
+// scheduleNextCheck sets the time of the next look.
+func (w *Watcher) scheduleNextCheck(f *Subscription) {
 	now := time.Now()
-	every := w.every
-	if f.trouble != "" || f.folder.watched == (fileID{}) {
-		every = w.poll
+	every := w.checkInterval
+	if f.lastError != "" || f.folder.watched == (fileID{}) {
+		every = w.pollInterval
 	}
-	phase := f.phase % every
-	f.due = w.start.Add(phase + (now.Sub(w.start) - phase + every).Truncate(every))
-	if !f.sure && !f.last.at.IsZero() {
-		if at := f.last.at.Add(f.last.stamp.unsure()); at.Before(f.due) {
+	phase := f.checkOffset % every
+	f.due = w.startedAt.Add(phase + (now.Sub(w.startedAt) - phase + every).Truncate(every))
+	if !f.confirmed && !f.lastRead.readAt.IsZero() {
+		if at := f.lastRead.readAt.Add(f.lastRead.stamp.ambiguousFor()); at.Before(f.due) {
 			f.due = at
 		}
 	}
-	heap.Push(&w.agenda, f)
-	if f.again {
-		f.again = false
-		w.pressOne(f, now)
+	heap.Push(&w.queue, f)
+	if f.recheck {
+		f.recheck = false
+		w.fileChanged(f, now)
 	}
 }
 
-// agenda is the lists by the time of their next look.
-type agenda []*Following
+// checkQueue is the lists by the time of their next look.
+type checkQueue []*Subscription
 
-func (a agenda) Len() int           { return len(a) }
-func (a agenda) Less(i, j int) bool { return a[i].due.Before(a[j].due) }
-func (a agenda) Swap(i, j int) {
+func (a checkQueue) Len() int           { return len(a) }
+func (a checkQueue) Less(i, j int) bool { return a[i].due.Before(a[j].due) }
+func (a checkQueue) Swap(i, j int) {
 	a[i], a[j] = a[j], a[i]
-	a[i].place, a[j].place = i, j
+	a[i].index, a[j].index = i, j
 }
 
-func (a *agenda) Push(x any) {
-	f := x.(*Following)
-	f.place = len(*a)
+func (a *checkQueue) Push(x any) {
+	f := x.(*Subscription)
+	f.index = len(*a)
 	*a = append(*a, f)
 }
 
-func (a *agenda) Pop() any {
+func (a *checkQueue) Pop() any {
 	last := len(*a) - 1
 	f := (*a)[last]
 	(*a)[last] = nil
 	*a = (*a)[:last]
-	f.place = -1
+	f.index = -1
 	return f
 }
 
@@ -360,7 +360,7 @@
 			failed(err)
 		}
 	})
-	w.poll = every
+	w.pollInterval = every
 	go w.Follow(path, Reading{}, func(x Word) {
 		if x.Err != nil {
 			failed(x.Err)
--- a/internal/endpointlist/watch_test.go
+++ b/internal/endpointlist/watch_test.go
@@ -19,83 +19,83 @@
 	"golang.org/x/sys/unix"
 )
 
-// system is an inotify that refuses when a test says so.
-type system struct {
+// refusingNotifier is an inotify that refuses when a test says so.
+type refusingNotifier struct {
 	*fsnotify.Watcher
 	errors chan error
 	t      *testing.T
-	refuse *atomic.Pointer[syscall.Errno] // to add
+	refusal *atomic.Pointer[syscall.Errno] // to add
 }
 
-func (s *system) Words() (<-chan fsnotify.Event, <-chan error) { return s.Events, s.errors }
+func (s *refusingNotifier) Channels() (<-chan fsnotify.Event, <-chan error) { return s.Events, s.errors }
 
-func (s *system) Add(path string) error {
-	if e := s.refuse.Load(); e != nil {
+func (s *refusingNotifier) Add(path string) error {
+	if e := s.refusal.Load(); e != nil {
 		return *e
 	}
 	return s.Watcher.Add(path)
 }
 
-// bench is a Watcher with a system that a test can let refuse.
-type bench struct {
+// watcherFixture is a Watcher with a system that a test can let refuse.
+type watcherFixture struct {
 	*Watcher
 	t           *testing.T
 	folder      string
 	reports     chan error
-	open, add   atomic.Pointer[syscall.Errno]
-	opened      chan *system
-	opens, adds atomic.Int64
+	openRefusal, addRefusal   atomic.Pointer[syscall.Errno]
+	opened      chan *refusingNotifier
+	openCount, adds atomic.Int64
 }
 
-// newBench makes a Watcher that is not begun. It looks at lists by time only as often as a test sets.
-func newBench(t *testing.T) *bench {
-	b := &bench{t: t, folder: t.TempDir(), reports: make(chan error, 100), opened: make(chan *system, 100)}
+// newWatcherFixture makes a Watcher that is not begun. It looks at lists by time only as often as a test sets.
+func newWatcherFixture(t *testing.T) *watcherFixture {
+	b := &watcherFixture{t: t, folder: t.TempDir(), reports: make(chan error, 100), opened: make(chan *refusingNotifier, 100)}
 	b.Watcher = newWatcher(t.Context(), time.Hour, func(err error) { b.reports <- err })
-	b.poll, b.retry = 10*time.Millisecond, time.Millisecond
-	b.Watcher.open = func() (notifier, error) {
-		b.opens.Add(1)
-		if e := b.open.Load(); e != nil {
+	b.pollInterval, b.firstBackoff = 10*time.Millisecond, time.Millisecond
+	b.Watcher.openNotifier = func() (notifier, error) {
+		b.openCount.Add(1)
+		if e := b.openRefusal.Load(); e != nil {
 			return nil, *e
 		}
 		w, err := fsnotify.NewWatcher()
 		if err != nil {
 			return nil, err
 		}
-		s := &system{w, make(chan error, 10), t, &b.add}
+		s := &refusingNotifier{w, make(chan error, 10), t, &b.addRefusal}
 		b.opened <- s
 		return s, nil
 	}
 	return b
 }
 
-func (b *bench) begin() *bench {
+func (b *watcherFixture) start() *watcherFixture {
 	ended := make(chan struct{})
 	go func() { b.run(b.t.Context()); close(ended) }()
 	b.t.Cleanup(func() { <-ended })
 	return b
 }
 
-// list is a followed list and what was told of it.
-type list struct {
-	*Following
+// followedList is a followed list and what was told of it.
+type followedList struct {
+	*Subscription
 	t     *testing.T
 	path  string
-	words chan Word
+	updates chan Word
 }
 
-func (b *bench) follow(path string) *list {
-	l := &list{t: b.t, path: path, words: make(chan Word, 10000)}
-	l.Following = b.Follow(path, Reading{}, func(w Word) {
+func (b *watcherFixture) follow(path string) *followedList {
+	l := &followedList{t: b.t, path: path, updates: make(chan Word, 10000)}
+	l.Subscription = b.Follow(path, Reading{}, func(w Word) {
 		if w.List != nil || w.Err != nil {
-			l.words <- w
+			l.updates <- w
 		}
 	})
 	return l
 }
 
-func (b *bench) path(name string) string { return filepath.Join(b.folder, name) }
+func (b *watcherFixture) path(name string) string { return filepath.Join(b.folder, name) }
 
-func text(nodes ...int) string {
+func listText(nodes ...int) string {
 	var b strings.Builder
 	b.WriteString("nodes:\n")
 	for _, n := range nodes {
@@ -104,20 +104,20 @@
 	return b.String()
 }
 
-// replace replaces a file at once.
-func replace(t *testing.T, path, text string) {
+// replaceFile replaces a file at once.
+func replaceFile(t *testing.T, path, text string) {
 	t.Helper()
-	write(t, path+".new", text)
+	writeFile(t, path+".new", text)
 	if err := os.Rename(path+".new", path); err != nil {
 		t.Fatal(err)
 	}
 }
 
-// next is the next word, in 20 s at most.
-func (l *list) next() Word {
+// nextUpdate is the next word, in 20 s at most.
+func (l *followedList) nextUpdate() Word {
 	l.t.Helper()
 	select {
-	case w := <-l.words:
+	case w := <-l.updates:
 		return w
 	case <-time.After(20 * time.Second):
 		l.t.Fatalf("%s: nothing is told", l.path)
@@ -125,22 +125,22 @@
 	}
 }
 
-// until wants the list of one node with a port, next.
-func (l *list) until(port int) Word {
+// wantPort wants the list of one node with a port, next.
+func (l *followedList) wantPort(port int) Word {
 	l.t.Helper()
-	w := l.next()
+	w := l.nextUpdate()
 	if w.Err != nil || len(w.List.Nodes) != 1 || w.List.Nodes[0].Address != fmt.Sprint("127.0.0.1:", port) {
 		l.t.Fatalf("%s: %+v, want node %d", l.path, w, port)
 	}
 	return w
 }
 
-// settled waits until the Watcher's goroutine has seen something hold.
-func (b *bench) settled(what string, seen func() bool) {
+// waitUntil waits until the Watcher's goroutine has seen something hold.
+func (b *watcherFixture) waitUntil(what string, seen func() bool) {
 	b.t.Helper()
 	for end := time.Now().Add(20 * time.Second); ; time.Sleep(time.Millisecond) {
 		ok := false
-		b.ask(func() { ok = seen() })
+		b.do(func() { ok = seen() })
 		if ok {
 			return
 		}
@@ -150,9 +150,9 @@
 	}
 }
 
-func (b *bench) watching(folders ...string) {
+func (b *watcherFixture) waitWatched(folders ...string) {
 	b.t.Helper()
-	b.settled("folders are watched", func() bool {
+	b.waitUntil("folders are watched", func() bool {
 		for _, path := range folders {
 			if f := b.folders[path]; f == nil || f.watched == (fileID{}) {
 				return false
@@ -162,12 +162,12 @@
 	})
 }
 
-// sure waits until only what comes from now on makes lists be looked at.
-func (b *bench) sure(lists ...*list) {
+// waitConfirmed waits until only what comes from now on makes lists be looked at.
+func (b *watcherFixture) waitConfirmed(lists ...*followedList) {
 	b.t.Helper()
-	b.settled("lists are known for sure", func() bool {
+	b.waitUntil("lists are known for sure", func() bool {
 		for _, l := range lists {
-			if !l.sure || l.place < 0 || !l.pressed.IsZero() {
+			if !l.confirmed || l.index < 0 || !l.changeSeen.IsZero() {
 				return false
 			}
 		}
@@ -175,7 +175,7 @@
 	})
 }
 
-func (b *bench) reported(want error) {
+func (b *watcherFixture) wantReport(want error) {
 	b.t.Helper()
 	select {
 	case err := <-b.reports:
@@ -187,8 +187,8 @@
 	}
 }
 
-// quiet wants nothing more to be reported.
-func (b *bench) quiet() {
+// wantNoReport wants nothing more to be reported.
+func (b *watcherFixture) wantNoReport() {
 	b.t.Helper()
 	if len(b.reports) > 0 {
 		b.t.Errorf("reported once more: %v", <-b.reports)
@@ -198,120 +198,120 @@
 // TestTwoListsInAFolder: one watch serves both, each is told its own changes, and one that is not followed any more takes
 // nothing away from the other.
 func TestTwoListsInAFolder(t *testing.T) {
-	b := newBench(t)
-	b.poll = time.Hour // only what the system tells counts
-	write(t, b.path("a"), text(1))
-	write(t, b.path("b"), text(2))
-	b.begin()
+	b := newWatcherFixture(t)
+	b.pollInterval = time.Hour // only what the system tells counts
+	writeFile(t, b.path("a"), listText(1))
+	writeFile(t, b.path("b"), listText(2))
+	b.start()
 	x, y := b.follow(b.path("a")), b.follow(b.path("b"))
-	x.until(1)
-	y.until(2)
-	b.watching(b.folder)
-	if n := len(b.notifier.WatchList()); n != 1 || b.opens.Load() != 1 {
-		t.Errorf("%d watches of %d instances for one folder", n, b.opens.Load())
-	}
-	replace(t, b.path("a"), text(3))
-	x.until(3)
-	replace(t, b.path("b"), text(4))
-	y.until(4)
+	x.wantPort(1)
+	y.wantPort(2)
+	b.waitWatched(b.folder)
+	if n := len(b.notifier.WatchList()); n != 1 || b.openCount.Load() != 1 {
+		t.Errorf("%d watches of %d instances for one folder", n, b.openCount.Load())
+	}
+	replaceFile(t, b.path("a"), listText(3))
+	x.wantPort(3)
+	replaceFile(t, b.path("b"), listText(4))
+	y.wantPort(4)
 	x.Stop()
-	replace(t, b.path("a"), text(5))
-	replace(t, b.path("b"), text(6))
-	y.until(6)
-	if len(x.words)+len(y.words) > 0 {
+	replaceFile(t, b.path("a"), listText(5))
+	replaceFile(t, b.path("b"), listText(6))
+	y.wantPort(6)
+	if len(x.updates)+len(y.updates) > 0 {
 		t.Error("more was told than had changed")
 	}
 	y.Stop()
-	b.settled("nothing is watched", func() bool { return b.notifier == nil || len(b.notifier.WatchList()) == 0 })
+	b.waitUntil("nothing is watched", func() bool { return b.notifier == nil || len(b.notifier.WatchList()) == 0 })
 	z := b.follow(b.path("a"))
-	z.until(5)
-	b.watching(b.folder)
-	replace(t, b.path("a"), text(7))
-	z.until(7)
+	z.wantPort(5)
+	b.waitWatched(b.folder)
+	replaceFile(t, b.path("a"), listText(7))
+	z.wantPort(7)
 }
 
 // TestOneFolderByTwoNames: the system tells of a folder by one name. The list that is followed by the other hears too, and
 // still does when the first is not followed any more.
 func TestOneFolderByTwoNames(t *testing.T) {
-	b := newBench(t)
-	b.poll = 10 * time.Millisecond
+	b := newWatcherFixture(t)
+	b.pollInterval = 10 * time.Millisecond
 	link := filepath.Join(t.TempDir(), "link")
 	if err := os.Symlink(b.folder, link); err != nil {
 		t.Fatal(err)
 	}
-	write(t, b.path("a"), text(1))
-	b.begin()
+	writeFile(t, b.path("a"), listText(1))
+	b.start()
 	x := b.follow(b.path("a"))
-	x.until(1)
-	b.watching(b.folder)
+	x.wantPort(1)
+	b.waitWatched(b.folder)
 	y := b.follow(filepath.Join(link, "a"))
-	y.until(1)
-	b.watching(b.folder, link)
-	b.sure(x, y)
-	replace(t, b.path("a"), text(2))
-	x.until(2)
-	y.until(2)
+	y.wantPort(1)
+	b.waitWatched(b.folder, link)
+	b.waitConfirmed(x, y)
+	replaceFile(t, b.path("a"), listText(2))
+	x.wantPort(2)
+	y.wantPort(2)
 	x.Stop()
-	b.settled("the other name is watched", func() bool {
+	b.waitUntil("the other name is watched", func() bool {
 		return b.notifier != nil && strings.Join(b.notifier.WatchList(), " ") == link
 	})
-	b.sure(y)
-	replace(t, b.path("a"), text(3))
-	y.until(3)
+	b.waitConfirmed(y)
+	replaceFile(t, b.path("a"), listText(3))
+	y.wantPort(3)
 }
 
 // TestFolderLinkSwung: the folder's name is a link to another folder now, of which the old one's events tell nothing.
 func TestFolderLinkSwung(t *testing.T) {
-	b := newBench(t)
+	b := newWatcherFixture(t)
 	for i, v := range []string{"v1", "v2"} {
 		if err := os.Mkdir(b.path(v), 0o700); err != nil {
 			t.Fatal(err)
 		}
-		write(t, b.path(v+"/a"), text(1+i))
+		writeFile(t, b.path(v+"/a"), listText(1+i))
 	}
 	dir := b.path("current")
 	if err := os.Symlink("v1", dir); err != nil {
 		t.Fatal(err)
 	}
-	b.begin()
+	b.start()
 	x := b.follow(filepath.Join(dir, "a"))
-	x.until(1)
-	b.watching(dir)
-	b.sure(x)
+	x.wantPort(1)
+	b.waitWatched(dir)
+	b.waitConfirmed(x)
 	if err := os.Symlink("v2", dir+".new"); err != nil {
 		t.Fatal(err)
 	}
 	if err := os.Rename(dir+".new", dir); err != nil {
 		t.Fatal(err)
 	}
-	x.until(2)
-	b.sure(x)
-	replace(t, b.path("v2/a"), text(3))
-	x.until(3)
+	x.wantPort(2)
+	b.waitConfirmed(x)
+	replaceFile(t, b.path("v2/a"), listText(3))
+	x.wantPort(3)
 }
 
 // TestFolderMadeAgain: the folder goes with its list, which is told once, and comes back.
 func TestFolderMadeAgain(t *testing.T) {
-	b := newBench(t)
+	b := newWatcherFixture(t)
 	dir := b.path("lists")
 	os.Mkdir(dir, 0o700)
-	write(t, filepath.Join(dir, "a"), text(1))
-	b.begin()
+	writeFile(t, filepath.Join(dir, "a"), listText(1))
+	b.start()
 	x := b.follow(filepath.Join(dir, "a"))
-	x.until(1)
+	x.wantPort(1)
 	for round := range 3 {
-		b.watching(dir)
+		b.waitWatched(dir)
 		if err := os.RemoveAll(dir); err != nil {
 			t.Fatal(err)
 		}
-		if w := x.next(); !errors.Is(w.Err, fs.ErrNotExist) {
+		if w := x.nextUpdate(); !errors.Is(w.Err, fs.ErrNotExist) {
 			t.Fatalf("round %d: %+v", round, w)
 		}
-		b.settled("more looks find the same", func() bool { return x.failed > 3 })
+		b.waitUntil("more looks find the same", func() bool { return x.failures > 3 })
 		os.Mkdir(dir, 0o700)
-		write(t, filepath.Join(dir, "b"), text(1))
-		replace(t, filepath.Join(dir, "a"), text(1)) // as it was, and still news: it is good again
-		if w := x.until(1); w.Failed < 3 {
+		writeFile(t, filepath.Join(dir, "b"), listText(1))
+		replaceFile(t, filepath.Join(dir, "a"), listText(1)) // as it was, and still news: it is good again
+		if w := x.wantPort(1); w.Failed < 3 {
 			t.Errorf("%d looks that failed", w.Failed)
 		}
 	}
@@ -323,64 +323,64 @@
 // TestPiecesWithinATick writes twice within one tick of the file system's clock, one length each: the second leaves no trace
 // in the stamp, and there is no event that comes later.
 func TestPiecesWithinATick(t *testing.T) {
-	b := newBench(t)
-	b.poll = time.Hour
+	b := newWatcherFixture(t)
+	b.pollInterval = time.Hour
 	path := b.path("a")
 	var read atomic.Int64
 	b.stat = func(p string) (stamp, bool, error) {
 		s, linked, err := statFile(p)
-		s.modified, s.status = syscall.Timespec{Sec: 1, Nsec: 1}, syscall.Timespec{Sec: 1, Nsec: 1}
+		s.modified, s.statusChanged = syscall.Timespec{Sec: 1, Nsec: 1}, syscall.Timespec{Sec: 1, Nsec: 1}
 		return s, linked, err
 	}
-	b.open.Store(new(syscall.EMFILE)) // no events either
-	write(t, path, text(1))
-	b.begin()
-	x := &list{t: t, path: path, words: make(chan Word, 100)}
-	x.Following = b.Follow(path, Reading{}, func(w Word) {
+	b.openRefusal.Store(new(syscall.EMFILE)) // no events either
+	writeFile(t, path, listText(1))
+	b.start()
+	x := &followedList{t: t, path: path, updates: make(chan Word, 100)}
+	x.Subscription = b.Follow(path, Reading{}, func(w Word) {
 		if read.Add(1) == 1 {
-			write(t, path, text(2)) // behind the reading, and before the next
+			writeFile(t, path, listText(2)) // behind the reading, and before the next
 		}
 		if w.List != nil || w.Err != nil {
-			x.words <- w
+			x.updates <- w
 		}
 	})
-	x.until(1)
-	x.until(2)
-	b.settled("the file is known for sure", func() bool { return x.sure })
-	if len(x.words) > 0 {
+	x.wantPort(1)
+	x.wantPort(2)
+	b.waitUntil("the file is known for sure", func() bool { return x.confirmed })
+	if len(x.updates) > 0 {
 		t.Error("told once more")
 	}
 }
 
 // TestOnlyWhatDiffersIsTold touches a file and replaces it by the same text: it is read, and neither told nor parsed.
 func TestOnlyWhatDiffersIsTold(t *testing.T) {
-	b := newBench(t)
-	b.poll = time.Hour
+	b := newWatcherFixture(t)
+	b.pollInterval = time.Hour
 	path := b.path("a")
-	write(t, path, text(1))
+	writeFile(t, path, listText(1))
 	l, r, err := Read(path)
 	if err != nil || len(l.Nodes) != 1 {
 		t.Fatal(l, err)
 	}
-	b.begin()
+	b.start()
 	words := make(chan Word, 100)
 	f := b.Follow(path, r, func(w Word) { words <- w })
-	b.watching(b.folder)
+	b.waitWatched(b.folder)
 	for i := range 3 {
 		if i == 1 {
 			if err := os.Chtimes(path, time.Time{}, time.Unix(1e9, 0)); err != nil {
 				t.Fatal(err)
 			}
 		} else {
-			replace(t, path, text(1))
+			replaceFile(t, path, listText(1))
 		}
 		s, _, err := statFile(path)
 		if err != nil {
 			t.Fatal(err)
 		}
-		b.settled("the new stamp is known", func() bool { return f.last.stamp == s })
+		b.waitUntil("the new stamp is known", func() bool { return f.lastRead.stamp == s })
 	}
-	replace(t, path, text(2))
+	replaceFile(t, path, listText(2))
 	n := 0
 	for w := range words {
 		n++
@@ -398,37 +398,37 @@
 func TestRefusedAtStart(t *testing.T) {
 	for _, why := range []syscall.Errno{syscall.EMFILE, syscall.ENFILE, syscall.ENOSPC} {
 		t.Run(why.Error(), func(t *testing.T) {
-			b := newBench(t)
-			refuse := &b.open
+			b := newWatcherFixture(t)
+			refuse := &b.openRefusal
 			if why == syscall.ENOSPC { // of watches
-				refuse = &b.add
+				refuse = &b.addRefusal
 			}
 			refuse.Store(&why)
-			var all []*list
+			var all []*followedList
 			for i := range 6 {
-				write(t, b.path(fmt.Sprint(i)), text(1))
+				writeFile(t, b.path(fmt.Sprint(i)), listText(1))
 			}
-			b.begin()
+			b.start()
 			for i := range 6 {
 				all = append(all, b.follow(b.path(fmt.Sprint(i))))
 			}
-			b.reported(why)
+			b.wantReport(why)
 			for i, x := range all {
-				x.until(1)
-				replace(t, b.path(fmt.Sprint(i)), text(2))
-				x.until(2)
+				x.wantPort(1)
+				replaceFile(t, b.path(fmt.Sprint(i)), listText(2))
+				x.wantPort(2)
 			}
-			b.settled("it is tried again", func() bool { return b.delay >= 8*time.Millisecond })
-			b.quiet()
+			b.waitUntil("it is tried again", func() bool { return b.backoff >= 8*time.Millisecond })
+			b.wantNoReport()
 			refuse.Store(nil)
-			b.ask(func() { b.retryAt = time.Time{} })
-			b.reported(nil)
-			b.watching(b.folder)
+			b.do(func() { b.retryAt = time.Time{} })
+			b.wantReport(nil)
+			b.waitWatched(b.folder)
 			for i, x := range all {
-				replace(t, b.path(fmt.Sprint(i)), text(3))
-				x.until(3)
+				replaceFile(t, b.path(fmt.Sprint(i)), listText(3))
+				x.wantPort(3)
 			}
-			b.quiet()
+			b.wantNoReport()
 		})
 	}
 }
@@ -436,64 +436,64 @@
 // TestRefusedInMidRun: watches run out when a second folder comes; then the instance itself fails. The first folder is told of
 // by the system throughout the former, and none of the lists is lost in either.
 func TestRefusedInMidRun(t *testing.T) {
-	b := newBench(t)
+	b := newWatcherFixture(t)
 	other := t.TempDir()
-	write(t, b.path("a"), text(1))
-	write(t, filepath.Join(other, "b"), text(1))
-	b.begin()
+	writeFile(t, b.path("a"), listText(1))
+	writeFile(t, filepath.Join(other, "b"), listText(1))
+	b.start()
 	x := b.follow(b.path("a"))
-	x.until(1)
-	b.watching(b.folder)
-	b.add.Store(new(syscall.ENOSPC))
+	x.wantPort(1)
+	b.waitWatched(b.folder)
+	b.addRefusal.Store(new(syscall.ENOSPC))
 	y := b.follow(filepath.Join(other, "b"))
-	y.until(1)
-	b.reported(syscall.ENOSPC)
-	replace(t, b.path("a"), text(2))
-	x.until(2)
-	replace(t, filepath.Join(other, "b"), text(2))
-	y.until(2)
-	b.watching(b.folder)
-	b.settled("the second folder is looked at by time", func() bool { return b.folders[other].watched == fileID{} })
-	b.quiet()
-	b.add.Store(nil)
-	b.ask(func() { b.retryAt = time.Time{} })
-	b.reported(nil)
-	b.watching(b.folder, other)
-
-	b.open.Store(new(syscall.EMFILE))
+	y.wantPort(1)
+	b.wantReport(syscall.ENOSPC)
+	replaceFile(t, b.path("a"), listText(2))
+	x.wantPort(2)
+	replaceFile(t, filepath.Join(other, "b"), listText(2))
+	y.wantPort(2)
+	b.waitWatched(b.folder)
+	b.waitUntil("the second folder is looked at by time", func() bool { return b.folders[other].watched == fileID{} })
+	b.wantNoReport()
+	b.addRefusal.Store(nil)
+	b.do(func() { b.retryAt = time.Time{} })
+	b.wantReport(nil)
+	b.waitWatched(b.folder, other)
+
+	b.openRefusal.Store(new(syscall.EMFILE))
 	broken := errors.New("broken")
 	(<-b.opened).errors <- broken
-	b.reported(broken)
-	for i, l := range []*list{x, y} {
-		replace(t, l.path, text(3+i))
-		l.until(3 + i)
-	}
-	b.settled("it is tried again", func() bool { return b.delay >= 8*time.Millisecond })
-	b.quiet()
-	b.open.Store(nil)
-	b.ask(func() { b.retryAt = time.Time{} })
-	b.reported(nil)
-	b.watching(b.folder, other)
-	replace(t, x.path, text(5))
-	x.until(5)
+	b.wantReport(broken)
+	for i, l := range []*followedList{x, y} {
+		replaceFile(t, l.path, listText(3+i))
+		l.wantPort(3 + i)
+	}
+	b.waitUntil("it is tried again", func() bool { return b.backoff >= 8*time.Millisecond })
+	b.wantNoReport()
+	b.openRefusal.Store(nil)
+	b.do(func() { b.retryAt = time.Time{} })
+	b.wantReport(nil)
+	b.waitWatched(b.folder, other)
+	replaceFile(t, x.path, listText(5))
+	x.wantPort(5)
 
 	// More came than the system kept: all lists are looked at, and nothing is said.
 	next := <-b.opened
-	b.ask(func() { b.poll = time.Hour })
+	b.do(func() { b.pollInterval = time.Hour })
 	next.errors <- fsnotify.ErrEventOverflow
-	replace(t, y.path, text(6))
-	y.until(6)
-	b.quiet()
+	replaceFile(t, y.path, listText(6))
+	y.wantPort(6)
+	b.wantNoReport()
 }
 
 // TestRetriesArePaced: the pauses grow to their bound.
 func TestRetriesArePaced(t *testing.T) {
-	b := newBench(t)
-	b.retry = retryFirst
+	b := newWatcherFixture(t)
+	b.firstBackoff = minRetryBackoff
 	var pauses []string
 	for range 8 {
-		b.refuse(syscall.EMFILE)
-		pauses = append(pauses, b.delay.String())
+		b.recordRefusal(syscall.EMFILE)
+		pauses = append(pauses, b.backoff.String())
 	}
 	if got := strings.Join(pauses, " "); got != "1s 2s 4s 8s 16s 32s 1m0s 1m0s" || len(b.reports) != 1 {
 		t.Errorf("%s; %d reports", got, len(b.reports))
@@ -503,7 +503,7 @@
 // TestHungFileHarmsNoOther: a file system answers nothing for one list. The others go on, the following of that one ends at
 // once, and what its look finds at last is not told.
 func TestHungFileHarmsNoOther(t *testing.T) {
-	b := newBench(t)
+	b := newWatcherFixture(t)
 	hung, release := make(chan struct{}), make(chan struct{})
 	b.stat = func(p string) (stamp, bool, error) {
 		if p == b.path("hung") {
@@ -512,28 +512,28 @@
 		}
 		return statFile(p)
 	}
-	write(t, b.path("hung"), text(1))
-	write(t, b.path("a"), text(1))
-	b.begin()
+	writeFile(t, b.path("hung"), listText(1))
+	writeFile(t, b.path("a"), listText(1))
+	b.start()
 	x, y := b.follow(b.path("hung")), b.follow(b.path("a"))
 	<-hung
-	y.until(1)
-	replace(t, y.path, text(2))
-	y.until(2)
+	y.wantPort(1)
+	replaceFile(t, y.path, listText(2))
+	y.wantPort(2)
 	x.Stop()
 	close(release)
-	replace(t, y.path, text(3))
-	y.until(3)
-	if len(x.words) > 0 {
-		t.Errorf("told after the end: %+v", <-x.words)
+	replaceFile(t, y.path, listText(3))
+	y.wantPort(3)
+	if len(x.updates) > 0 {
+		t.Errorf("told after the end: %+v", <-x.updates)
 	}
 }
 
 // TestChangeDuringALook: a file changes when a look has seen that it had not. The change is told, and what is told last is
 // what stands there last.
 func TestChangeDuringALook(t *testing.T) {
-	b := newBench(t)
-	b.poll = time.Hour
+	b := newWatcherFixture(t)
+	b.pollInterval = time.Hour
 	var slow atomic.Bool
 	begun, goOn := make(chan struct{}), make(chan struct{})
 	b.stat = func(p string) (stamp, bool, error) {
@@ -544,36 +544,36 @@
 		}
 		return s, linked, err
 	}
-	write(t, b.path("a"), text(1))
-	b.begin()
+	writeFile(t, b.path("a"), listText(1))
+	b.start()
 	x := b.follow(b.path("a"))
-	x.until(1)
-	b.watching(b.folder)
+	x.wantPort(1)
+	b.waitWatched(b.folder)
 	for port := 2; port < 6; port += 2 {
-		b.sure(x)
+		b.waitConfirmed(x)
 		slow.Store(true)
 		if port == 2 {
-			b.ask(func() { b.press(x.folder, "a") }) // and nothing has changed
+			b.do(func() { b.folderChanged(x.folder, "a") }) // and nothing has changed
 		} else {
-			replace(t, x.path, text(port))
+			replaceFile(t, x.path, listText(port))
 		}
 		<-begun
-		replace(t, x.path, text(port+1))
-		b.settled("the event has come", func() bool { return x.again })
+		replaceFile(t, x.path, listText(port+1))
+		b.waitUntil("the event has come", func() bool { return x.recheck })
 		goOn <- struct{}{}
-		w := x.next()
+		w := x.nextUpdate()
 		for w.List.Nodes[0].Address != fmt.Sprint("127.0.0.1:", port+1) {
-			w = x.next()
+			w = x.nextUpdate()
 		}
 	}
-	b.sure(x)
-	if s, _, err := statFile(x.path); err != nil || x.last.stamp != s || len(x.words) > 0 {
-		t.Errorf("told once more, or another stamp: %d, %v", len(x.words), err)
+	b.waitConfirmed(x)
+	if s, _, err := statFile(x.path); err != nil || x.lastRead.stamp != s || len(x.updates) > 0 {
+		t.Errorf("told once more, or another stamp: %d, %v", len(x.updates), err)
 	}
 }
 
-// zipf returns the sizes of so many lists from 2 to 2,000 nodes, nodes in all, as a fleet of services has them.
-func zipf(lists, nodes int) []int {
+// zipfSizes returns the sizes of so many lists from 2 to 2,000 nodes, nodes in all, as a fleet of services has them.
+func zipfSizes(lists, nodes int) []int {
 	sizes := make([]int, lists)
 	for exponent := 0.5; ; exponent += 0.01 {
 		sum := 0
@@ -587,7 +587,7 @@
 	}
 }
 
-func sized(list, n int, mark string) string {
+func markedList(list, n int, mark string) string {
 	var b strings.Builder
 	fmt.Fprintf(&b, "# %s\nnodes:\n", mark)
 	for i := range n {
@@ -598,14 +598,14 @@
 
 // TestAllReplacedAtOnce replaces 490 lists of 18,000 nodes at once. All are told, and the time is shown.
 func TestAllReplacedAtOnce(t *testing.T) {
-	b := newBench(t)
-	b.poll = time.Hour
-	sizes := zipf(490, 18000)
+	b := newWatcherFixture(t)
+	b.pollInterval = time.Hour
+	sizes := zipfSizes(490, 18000)
 	for i, n := range sizes {
-		write(t, b.path(fmt.Sprint(i)), sized(i, n, "first"))
-		write(t, b.path(fmt.Sprint(i, ".next")), sized(i, n, "second")+fmt.Sprintf("- {id: more, address: '10.9.%d.%d:1'}\n", i/250, i%250))
+		writeFile(t, b.path(fmt.Sprint(i)), markedList(i, n, "first"))
+		writeFile(t, b.path(fmt.Sprint(i, ".next")), markedList(i, n, "second")+fmt.Sprintf("- {id: more, address: '10.9.%d.%d:1'}\n", i/250, i%250))
 	}
-	b.begin()
+	b.start()
 	var told sync.WaitGroup
 	var second sync.WaitGroup
 	told.Add(len(sizes))
@@ -623,7 +623,7 @@
 		})
 	}
 	told.Wait()
-	b.watching(b.folder)
+	b.waitWatched(b.folder)
 	began := time.Now()
 	for i := range sizes {
 		if err := os.Rename(b.path(fmt.Sprint(i, ".next")), b.path(fmt.Sprint(i))); err != nil {
@@ -642,34 +642,34 @@
 // TestLongListTorn tears a list of 2,000 nodes in the middle: that is told once, with its place, the others go on, and once
 // it is mended it is told.
 func TestLongListTorn(t *testing.T) {
-	b := newBench(t)
-	long := sized(0, 2000, "long")
-	write(t, b.path("long"), long)
-	write(t, b.path("a"), text(1))
-	b.begin()
+	b := newWatcherFixture(t)
+	long := markedList(0, 2000, "long")
+	writeFile(t, b.path("long"), long)
+	writeFile(t, b.path("a"), listText(1))
+	b.start()
 	x, y := b.follow(b.path("long")), b.follow(b.path("a"))
-	if w := x.next(); w.Err != nil || len(w.List.Nodes) != 2000 {
+	if w := x.nextUpdate(); w.Err != nil || len(w.List.Nodes) != 2000 {
 		t.Fatal(w.Err)
 	}
-	y.until(1)
-	b.watching(b.folder)
+	y.wantPort(1)
+	b.waitWatched(b.folder)
 	cut := strings.Index(long, "n-0-1000") + 20
-	replace(t, x.path, long[:cut])
-	if w := x.next(); w.Err == nil || !strings.Contains(w.Err.Error(), x.path+":1003:") {
+	replaceFile(t, x.path, long[:cut])
+	if w := x.nextUpdate(); w.Err == nil || !strings.Contains(w.Err.Error(), x.path+":1003:") {
 		t.Fatalf("torn: %v", w.Err)
 	}
-	replace(t, y.path, text(2))
-	y.until(2)
-	b.settled("more looks find the same", func() bool { return x.failed > 3 })
-	if len(x.words) > 0 {
-		t.Fatalf("told once more: %+v", <-x.words)
+	replaceFile(t, y.path, listText(2))
+	y.wantPort(2)
+	b.waitUntil("more looks find the same", func() bool { return x.failures > 3 })
+	if len(x.updates) > 0 {
+		t.Fatalf("told once more: %+v", <-x.updates)
 	}
-	replace(t, x.path, long[:cut-30])
-	if w := x.next(); w.Err == nil || w.Failed < 3 {
+	replaceFile(t, x.path, long[:cut-30])
+	if w := x.nextUpdate(); w.Err == nil || w.Failed < 3 {
 		t.Fatalf("torn in another place: %+v", w)
 	}
-	replace(t, x.path, long)
-	if w := x.next(); w.Err != nil || len(w.List.Nodes) != 2000 || w.Failed < 1 {
+	replaceFile(t, x.path, long)
+	if w := x.nextUpdate(); w.Err != nil || len(w.List.Nodes) != 2000 || w.Failed < 1 {
 		t.Fatalf("mended: %v, after %d that failed", w.Err, w.Failed)
 	}
 }
@@ -688,10 +688,10 @@
 	if err := unix.Getrlimit(unix.RLIMIT_NOFILE, &old); err != nil {
 		t.Fatal(err)
 	}
-	b := newBench(t)
-	b.Watcher.open = openInotify
-	write(t, b.path("a"), text(1)) // the runtime has its poller by now
-	write(t, b.path("next"), text(2))
+	b := newWatcherFixture(t)
+	b.Watcher.openNotifier = openInotify
+	writeFile(t, b.path("a"), listText(1)) // the runtime has its poller by now
+	writeFile(t, b.path("next"), listText(2))
 	_, read, err := Read(b.path("a"))
 	if err != nil {
 		t.Fatal(err)
@@ -716,43 +716,43 @@
 		held = held[:len(held)-n]
 	}
 	exhaust()
-	b.begin()
-	x := &list{t: t, path: b.path("a"), words: make(chan Word, 100)}
-	x.Following = b.Follow(x.path, read, func(w Word) {
+	b.start()
+	x := &followedList{t: t, path: b.path("a"), updates: make(chan Word, 100)}
+	x.Subscription = b.Follow(x.path, read, func(w Word) {
 		if w.List != nil || w.Err != nil {
-			x.words <- w
+			x.updates <- w
 		}
 	})
-	b.reported(syscall.EMFILE)
+	b.wantReport(syscall.EMFILE)
 	if err := os.Rename(b.path("next"), x.path); err != nil {
 		t.Fatal(err)
 	}
-	if w := x.next(); !errors.Is(w.Err, syscall.EMFILE) { // the change is seen, and can't be read
+	if w := x.nextUpdate(); !errors.Is(w.Err, syscall.EMFILE) { // the change is seen, and can't be read
 		t.Fatalf("%+v", w)
 	}
-	b.settled("more looks find the same", func() bool { return x.failed > 3 })
-	b.quiet()
-	if len(x.words) > 0 {
-		t.Fatalf("told once more: %+v", <-x.words)
+	b.waitUntil("more looks find the same", func() bool { return x.failures > 3 })
+	b.wantNoReport()
+	if len(x.updates) > 0 {
+		t.Fatalf("told once more: %+v", <-x.updates)
 	}
 	free(10)
-	x.until(2)
-	b.ask(func() { b.retryAt = time.Time{} })
-	b.reported(nil)
-	b.watching(b.folder)
+	x.wantPort(2)
+	b.do(func() { b.retryAt = time.Time{} })
+	b.wantReport(nil)
+	b.waitWatched(b.folder)
 
-	write(t, b.path("next"), text(3))
+	writeFile(t, b.path("next"), listText(3))
 	exhaust() // in mid-run: the system tells on, and the change can't be read
 	if err := os.Rename(b.path("next"), x.path); err != nil {
 		t.Fatal(err)
 	}
-	if w := x.next(); !errors.Is(w.Err, syscall.EMFILE) {
+	if w := x.nextUpdate(); !errors.Is(w.Err, syscall.EMFILE) {
 		t.Fatalf("%+v", w)
 	}
-	b.settled("more looks find the same", func() bool { return x.failed > 3 })
+	b.waitUntil("more looks find the same", func() bool { return x.failures > 3 })
 	free(10)
-	x.until(3)
-	b.quiet()
+	x.wantPort(3)
+	b.wantNoReport()
 	free(len(held))
 	if err := unix.Setrlimit(unix.RLIMIT_NOFILE, &old); err != nil {
 		t.Fatal(err)
@@ -768,12 +768,12 @@
 			var told sync.WaitGroup
 			w := newWatcher(b.Context(), 5*time.Second, func(error) {})
 			if polled {
-				w.open = func() (notifier, error) { return nil, syscall.EMFILE }
+				w.openNotifier = func() (notifier, error) { return nil, syscall.EMFILE }
 			}
 			go w.run(b.Context())
-			for i, n := range zipf(490, 18000) {
+			for i, n := range zipfSizes(490, 18000) {
 				path := filepath.Join(folder, fmt.Sprint(i))
-				if err := os.WriteFile(path, []byte(sized(i, n, "")), 0o600); err != nil {
+				if err := os.WriteFile(path, []byte(markedList(i, n, "")), 0o600); err != nil {
 					b.Fatal(err)
 				}
 				told.Add(1)
@@ -785,17 +785,17 @@
 			}
 			told.Wait()
 			time.Sleep(time.Second) // each is read for the second time
-			before := cpu()
+			before := cpuTime()
 			const length = 10 * time.Second
 			for b.Loop() {
 				time.Sleep(length)
 			}
-			b.ReportMetric(100*(cpu()-before).Seconds()/length.Seconds()/float64(b.N), "%core")
+			b.ReportMetric(100*(cpuTime()-before).Seconds()/length.Seconds()/float64(b.N), "%core")
 		})
 	}
 }
 
-func cpu() time.Duration {
+func cpuTime() time.Duration {
 	var u syscall.Rusage
 	syscall.Getrusage(syscall.RUSAGE_SELF, &u)
 	return time.Duration(u.Utime.Nano() + u.Stime.Nano())
