--- a/internal/endpointlist/parse_test.go
+++ b/internal/endpointlist/parse_test.go
@@ -62,8 +62,8 @@
 	}
 }
 
-// FuzzPlain: a text that is read by hand means the same to strictyaml.
-func FuzzPlain(f *testing.F) {
+// FuzzParseSimple: a text that is read by hand means the same to strictyaml.
+func FuzzParseSimple(f *testing.F) {
 	for _, text := range simpleTexts {
 		f.Add([]byte(text))
 	}
--- /dev/null
+++ b/internal/endpointlist/phase.go
@@ -0,0 +1,10 @@
+package endpointlist
+
+// Phase is what a list says about the lifecycle of a node.
+type Phase string
+
+// The phases. A node that is not listed any more is removed.
+const (
+	Up       Phase = "up"
+	Draining Phase = "draining" // finishes its requests in flight and gets no new ones
+)
--- a/internal/endpointlist/watch_test.go
+++ b/internal/endpointlist/watch_test.go
@@ -22,12 +22,14 @@
 // refusingNotifier is an inotify that refuses when a test says so.
 type refusingNotifier struct {
 	*fsnotify.Watcher
-	errors chan error
-	t      *testing.T
+	errors  chan error
+	t       *testing.T
 	refusal *atomic.Pointer[syscall.Errno] // to add
 }
 
-func (s *refusingNotifier) Channels() (<-chan fsnotify.Event, <-chan error) { return s.Events, s.errors }
+func (s *refusingNotifier) Channels() (<-chan fsnotify.Event, <-chan error) {
+	return s.Events, s.errors
+}
 
 func (s *refusingNotifier) Add(path string) error {
 	if e := s.refusal.Load(); e != nil {
@@ -39,12 +41,12 @@
 // watcherFixture is a Watcher with a system that a test can let refuse.
 type watcherFixture struct {
 	*Watcher
-	t           *testing.T
-	folder      string
-	reports     chan error
-	openRefusal, addRefusal   atomic.Pointer[syscall.Errno]
-	opened      chan *refusingNotifier
-	openCount, adds atomic.Int64
+	t                       *testing.T
+	folder                  string
+	reports                 chan error
+	openRefusal, addRefusal atomic.Pointer[syscall.Errno]
+	opened                  chan *refusingNotifier
+	openCount, adds         atomic.Int64
 }
 
 // newWatcherFixture makes a Watcher that is not begun. It looks at lists by time only as often as a test sets.
@@ -78,8 +80,8 @@
 // followedList is a followed list and what was told of it.
 type followedList struct {
 	*Subscription
-	t     *testing.T
-	path  string
+	t       *testing.T
+	path    string
 	updates chan Word
 }
 
@@ -167,7 +169,7 @@
 	b.t.Helper()
 	b.waitUntil("lists are known for sure", func() bool {
 		for _, l := range lists {
-			if !l.confirmed || l.index < 0 || !l.changeSeen.IsZero() {
+			if !l.confirmed || l.queueIndex < 0 || !l.changeSeen.IsZero() {
 				return false
 			}
 		}
@@ -639,7 +641,7 @@
 	}
 }
 
-// TestLongListTorn tears a list of 2,000 nodes in the middle: that is told once, with its place, the others go on, and once
+// TestLongListTorn tears a list of 2,000 nodes in the middle: that is told once, with its queueIndex, the others go on, and once
 // it is mended it is told.
 func TestLongListTorn(t *testing.T) {
 	b := newWatcherFixture(t)
@@ -666,7 +668,7 @@
 	}
 	replaceFile(t, x.path, long[:cut-30])
 	if w := x.nextUpdate(); w.Err == nil || w.Failed < 3 {
-		t.Fatalf("torn in another place: %+v", w)
+		t.Fatalf("torn in another queueIndex: %+v", w)
 	}
 	replaceFile(t, x.path, long)
 	if w := x.nextUpdate(); w.Err != nil || len(w.List.Nodes) != 2000 || w.Failed < 1 {
