--- a/internal/route/route_test.go
+++ b/internal/route/route_test.go
@@ -192,7 +192,7 @@
 		"[::1]x": "", "a/b": "", "a%2eb": "", strings.Repeat("a", 64): "", strings.Repeat("a.", 127) + "a": "",
 	} {
 		got, err := Host(text)
-		if got != want || (err == nil) != (want != "") || (err != nil && !errors.Is(err, ErrTarget)) {
+		if got != want || (err == nil) != (want != "") || (err != nil && !errors.Is(err, ErrAmbiguous)) {
 			t.Errorf("%q: %q, %v, want %q", text, got, err, want)
 		}
 	}
@@ -215,7 +215,7 @@
 		if err != nil {
 			shown = ""
 		}
-		if shown != want || (err != nil && !errors.Is(err, ErrTarget)) {
+		if shown != want || (err != nil && !errors.Is(err, ErrAmbiguous)) {
 			t.Errorf("%q: %q, %v, want %q", text, shown, err, want)
 		}
 	}
@@ -259,7 +259,7 @@
 		if again, err := Host(host); again != host || err != nil {
 			t.Fatalf("%q reads as %q, and that as %q, %v", text, host, again, err)
 		}
-		if host != strings.ToLower(host) || strings.ContainsAny(host, " /@%\\") || len(host) > maxHost {
+		if host != strings.ToLower(host) || strings.ContainsAny(host, " /@%\\") || len(host) > maxHostLength {
 			t.Errorf("%q reads as %q", text, host)
 		}
 	})
