--- a/internal/route/change_test.go
+++ b/internal/route/builder_test.go
@@ -120,7 +120,7 @@
 	for name := range rules {
 		all = append(all, name)
 	}
-	if table, _ = table.With(all, nil); len(table.exact)+len(table.suffix)+len(table.names) > 0 || table.any != nil {
+	if table, _ = table.With(all, nil); len(table.exactHosts)+len(table.suffixHosts)+len(table.rules) > 0 || table.anyHost != nil {
 		t.Errorf("something is left of an emptied table: %+v", table)
 	}
 }
--- a/internal/route/route_test.go
+++ b/internal/route/route_test.go
@@ -373,10 +373,10 @@
 	for len(rank) < 10 {
 		rank = append(rank, 0)
 	}
-	if !r.fits(q) {
+	if !r.matches(q) {
 		return nil
 	}
-	return append(rank, r.named(), r.wants())
+	return append(rank, r.methodRank(), r.fieldRank())
 }
 
 func many(t testing.TB, n int) (*Table, []*Query) {
--- a/internal/route/target.go
+++ b/internal/route/target.go
@@ -121,15 +121,15 @@
 func decodeUnreserved(path string) (string, error) {
 	var decoded strings.Builder
 	decoded.Grow(len(path))
-	for i := 0; i < len(path); i++ {
-		if path[i] == '\\' {
+	for at := 0; at < len(path); at++ {
+		if path[at] == '\\' {
 			return "", ambiguous("path %q has a backslash", path)
 		}
-		if path[i] != '%' {
-			decoded.WriteByte(path[i])
+		if path[at] != '%' {
+			decoded.WriteByte(path[at])
 			continue
 		}
-		char, err := decodeEscape(path, i)
+		char, err := decodeEscape(path, at)
 		if err != nil {
 			return "", err
 		}
@@ -138,7 +138,7 @@
 		} else {
 			decoded.Write([]byte{'%', upperHexDigits[char>>4], upperHexDigits[char&0xf]})
 		}
-		i += len("%xx") - 1
+		at += len("%xx") - 1
 	}
 	return decoded.String(), nil
 }
