--- a/internal/route/builder.go
+++ b/internal/route/builder.go
@@ -101,21 +101,21 @@
 	}
 }
 
-// without returns a node without the rule at the end of a path below it; nil if nothing else is left.
-func (b *builder) without(at *node, path []pathSegment, rule *Rule) *node {
-	if at == nil {
+// without returns a subtree without the rule at the end of a path below it; nil if nothing else is left.
+func (b *builder) without(subtree *node, path []pathSegment, rule *Rule) *node {
+	if subtree == nil {
 		return nil
 	}
-	at = b.writable(at)
+	subtree = b.writable(subtree)
 	if len(path) == 0 {
-		at.removeRule(rule)
+		subtree.removeRule(rule)
 	} else {
-		at.setChild(path[0], b.without(at.child(path[0]), path[1:], rule))
+		subtree.setChild(path[0], b.without(subtree.child(path[0]), path[1:], rule))
 	}
-	if at.isEmpty() {
+	if subtree.isEmpty() {
 		return nil
 	}
-	return at
+	return subtree
 }
 
 // writable returns a node that may be changed: n itself if the builder made it, otherwise a copy; a new one for nil.
--- a/internal/route/builder_test.go
+++ b/internal/route/builder_test.go
@@ -9,119 +9,167 @@
 	"testing"
 )
 
-// random returns a rule of a few hosts and paths, so that many meet.
-func random(rng *rand.Rand, name string) Rule {
-	pick := func(n int) string { return string(rune('a' + rng.IntN(n))) }
-	r := Rule{Name: name, Kind: PathKind(rng.IntN(3)), Path: "/", Pools: []WeightedPool{{name, 1}}, To: rng.IntN(100)}
-	for range rng.IntN(3) {
-		r.Hosts = append(r.Hosts, []string{"x.org", "y.org", "*.org", "*.x.org"}[rng.IntN(4)])
+// letter draws one of the first n letters.
+func letter(rng *rand.Rand, n int) string { return string(rune('a' + rng.IntN(n))) }
+
+// lettersAtDepth is how many letters are drawn from for each segment of a path: the root has edges enough for a map.
+var lettersAtDepth = []int{20, 3, 2}
+
+// randomRule draws a rule of few hosts and paths, so that many rules meet.
+func randomRule(rng *rand.Rand, name string) Rule {
+	rule := Rule{
+		Name:  name,
+		Kind:  PathKind(rng.IntN(3)),
+		Path:  "/",
+		Pools: []WeightedPool{{name, 1}},
+		To:    rng.IntN(100),
 	}
-	if slices.Sort(r.Hosts); len(r.Hosts) == 2 && r.Hosts[0] == r.Hosts[1] {
-		r.Hosts = r.Hosts[:1]
+	for range rng.IntN(3) {
+		rule.Hosts = append(rule.Hosts, oneOf(rng, "x.org", "y.org", "*.org", "*.x.org"))
 	}
+	slices.Sort(rule.Hosts)
+	rule.Hosts = slices.Compact(rule.Hosts)
 	if depth := rng.IntN(4); depth > 0 {
-		r.Path = ""
-		for i := range depth {
-			if r.Kind == Pattern && rng.IntN(2) == 0 {
-				r.Path += "/{" + pick(3) + "}"
+		rule.Path = ""
+		for _, letters := range lettersAtDepth[:depth] {
+			if rule.Kind == Pattern && rng.IntN(2) == 0 {
+				rule.Path += "/{" + letter(rng, 3) + "}"
 			} else {
-				r.Path += "/" + pick([]int{20, 3, 2}[i])
+				rule.Path += "/" + letter(rng, letters)
 			}
 		}
 	}
 	if rng.IntN(3) == 0 {
-		r.Methods = []string{[]string{"GET", "PUT"}[rng.IntN(2)]}
+		rule.Methods = []string{oneOf(rng, "GET", "PUT")}
 	}
 	if rng.IntN(4) == 0 {
-		r.Class = pick(2)
+		rule.Class = letter(rng, 2)
 	}
-	return r
+	return rule
 }
 
-func asked(rng *rand.Rand) *Query {
-	q := &Query{Host: []string{"x.org", "y.org", "a.x.org", "z"}[rng.IntN(4)], Path: "/", Method: []string{"GET", "PUT"}[rng.IntN(2)], Class: []string{"", "a", "b"}[rng.IntN(3)], Fields: query("GET h /").Fields}
+// randomQuery draws a query that rules of randomRule may match.
+func randomQuery(rng *rand.Rand) *Query {
+	query := &Query{
+		Host:   oneOf(rng, "x.org", "y.org", "a.x.org", "z"),
+		Path:   "/",
+		Method: oneOf(rng, "GET", "PUT"),
+		Class:  oneOf(rng, "", "a", "b"),
+		Fields: parseQuery("GET h /").Fields,
+	}
 	if depth := rng.IntN(4); depth > 0 {
-		q.Path = ""
-		for i := range depth {
-			q.Path += "/" + string(rune('a'+rng.IntN([]int{20, 3, 2}[i])))
+		query.Path = ""
+		for _, letters := range lettersAtDepth[:depth] {
+			query.Path += "/" + letter(rng, letters)
 		}
 	}
-	return q
+	return query
 }
 
-// TestWithIsBuild: a table that comes of many changes finds what one built at once finds and refuses what that refuses; those
-// it came of stay as they are.
-func TestWithIsBuild(t *testing.T) {
-	rng := rand.New(rand.NewPCG(36, 3))
-	rules := map[string]Rule{}
-	table, errs := Build(nil)
+// version is a table and the rules that it should have, by name.
+type version struct {
+	table *Table
+	rules map[string]Rule
+}
+
+// checkEqualsBuilt compares a table that comes of changes with one built at once of the same rules.
+func (v version) checkEqualsBuilt(t *testing.T, rng *rand.Rand) {
+	t.Helper()
+	built, errs := Build(slices.Collect(maps.Values(v.rules)))
 	if errs != nil {
 		t.Fatal(errs)
 	}
-	var old *Table
-	var oldRules map[string]Rule
-	refused := 0
-	same := func(table *Table, rules map[string]Rule) {
-		t.Helper()
-		fresh, errs := Build(slices.Collect(maps.Values(rules)))
-		if errs != nil || table.Len() != len(rules) || len(slices.Collect(table.Rules())) != len(rules) {
-			t.Fatalf("%v, %d rules, want %d", errs, table.Len(), len(rules))
-		}
-		for range 100 {
-			q := asked(rng)
-			x, y := table.Lookup(q), fresh.Lookup(q)
-			if (x == nil) != (y == nil) || x != nil && (x.Name != y.Name || x.To != y.To || table.Rule(x.Name) != x) {
-				t.Fatalf("%+v finds %+v, built at once %+v", q, x, y)
-			}
-		}
+	if v.table.Len() != len(v.rules) || len(slices.Collect(v.table.Rules())) != len(v.rules) {
+		t.Fatalf("%d rules, want %d", v.table.Len(), len(v.rules))
 	}
-	for i := range 500 {
-		next := maps.Clone(rules)
-		var gone []string
-		var added []Rule
-		for range rng.IntN(3) {
-			name := fmt.Sprint(rng.IntN(80))
-			delete(next, name)
-			gone = append(gone, name)
-		}
-		for range rng.IntN(3) {
-			name := fmt.Sprint(rng.IntN(80))
-			if _, there := next[name]; there {
-				continue
-			}
-			r := random(rng, name)
-			next[name], added = r, append(added, r)
+	for range 100 {
+		query := randomQuery(rng)
+		got := v.table.Lookup(query)
+		want := built.Lookup(query)
+		if nameOf(got) != nameOf(want) {
+			t.Fatalf("%+v finds %+v, built at once %+v", query, got, want)
 		}
-		changed, errs := table.With(gone, added)
-		if _, want := Build(slices.Collect(maps.Values(next))); (errs == nil) != (want == nil) {
-			t.Fatalf("change %d: %v, built at once %v", i, errs, want)
+		if got != nil && (got.To != want.To || v.table.Rule(got.Name) != got) {
+			t.Fatalf("%+v finds %+v, built at once %+v", query, got, want)
 		}
-		if errs != nil {
-			if tie := (Conflict{}); !errors.As(errs[0], &tie) {
-				t.Fatal(errs)
-			}
-			refused++
-			same(table, rules)
+	}
+}
+
+// change is a random change of the rules of a version.
+type change struct {
+	removed []string
+	added   []Rule
+	rules   map[string]Rule // that should result
+}
+
+func randomChange(rng *rand.Rand, rules map[string]Rule) change {
+	c := change{rules: maps.Clone(rules)}
+	for range rng.IntN(3) {
+		name := fmt.Sprint(rng.IntN(80))
+		delete(c.rules, name)
+		c.removed = append(c.removed, name)
+	}
+	for range rng.IntN(3) {
+		name := fmt.Sprint(rng.IntN(80))
+		if _, exists := c.rules[name]; exists {
 			continue
 		}
+		rule := randomRule(rng, name)
+		c.rules[name] = rule
+		c.added = append(c.added, rule)
+	}
+	return c
+}
+
+// apply returns the next version and whether the change was accepted: exactly if a table can be built at once of the
+// same rules. Only ties may be rejected.
+func (v version) apply(t *testing.T, c change) (next version, accepted bool) {
+	t.Helper()
+	table, errs := v.table.With(c.removed, c.added)
+	_, buildErrs := Build(slices.Collect(maps.Values(c.rules)))
+	if (errs == nil) != (buildErrs == nil) {
+		t.Fatalf("%v, built at once %v", errs, buildErrs)
+	}
+	if errs == nil {
+		return version{table: table, rules: c.rules}, true
+	}
+	var conflict Conflict
+	if !errors.As(errs[0], &conflict) {
+		t.Fatal(errs)
+	}
+	return v, false
+}
+
+// TestWithIsBuild: a table that comes of many changes finds what one built at once finds and rejects what that rejects;
+// those it came of stay as they are.
+func TestWithIsBuild(t *testing.T) {
+	rng := rand.New(rand.NewPCG(36, 3))
+	empty, errs := Build(nil)
+	if errs != nil {
+		t.Fatal(errs)
+	}
+	current := version{table: empty, rules: map[string]Rule{}}
+	earlier := current
+	rejected := 0
+	for i := range 500 {
+		next, accepted := current.apply(t, randomChange(rng, current.rules))
+		if !accepted {
+			rejected++
+		}
 		if i%10 == 0 {
-			if old != nil {
-				same(old, oldRules)
-			}
-			old, oldRules = table, rules
+			earlier.checkEqualsBuilt(t, rng)
+			earlier = current
 		}
-		table, rules = changed, next
-		same(table, rules)
-	}
-	if refused < 20 || len(rules) < 20 {
-		t.Errorf("%d refused, %d rules at the end: the comparison shows little", refused, len(rules))
+		current = next
+		current.checkEqualsBuilt(t, rng)
 	}
-	var all []string
-	for name := range rules {
-		all = append(all, name)
+	if rejected < 20 || len(current.rules) < 20 {
+		t.Errorf("%d rejected, %d rules at the end: the comparison shows little", rejected, len(current.rules))
 	}
-	if table, _ = table.With(all, nil); len(table.exactHosts)+len(table.suffixHosts)+len(table.rules) > 0 || table.anyHost != nil {
-		t.Errorf("something is left of an emptied table: %+v", table)
+	emptied, _ := current.table.With(slices.Collect(maps.Keys(current.rules)), nil)
+	left := len(emptied.exactHosts) + len(emptied.suffixHosts) + len(emptied.rules)
+	if left > 0 || emptied.anyHost != nil {
+		t.Errorf("something is left of an emptied table: %+v", emptied)
 	}
 }
 
@@ -141,8 +189,8 @@
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
 			b.ReportAllocs()
 			for i := 0; b.Loop(); i++ {
-				r := rules[i%n]
-				if _, errs := table.With([]string{r.Name}, []Rule{r}); errs != nil {
+				rule := rules[i%n]
+				if _, errs := table.With([]string{rule.Name}, []Rule{rule}); errs != nil {
 					b.Fatal(errs)
 				}
 			}
--- /dev/null
+++ b/internal/route/precedence_test.go
@@ -0,0 +1,171 @@
+package route
+
+import (
+	"fmt"
+	"math/rand/v2"
+	"slices"
+	"strings"
+	"testing"
+)
+
+// oneOf draws one of some choices.
+func oneOf[T any](rng *rand.Rand, choices ...T) T { return choices[rng.IntN(len(choices))] }
+
+// scannedRule draws a rule for TestLookupAgainstScan.
+func scannedRule(rng *rand.Rand, name string) Rule {
+	rule := Rule{Name: name, Kind: PathKind(rng.IntN(3)), Pools: onlyPool()}
+	if host := oneOf(rng, "a.x", "b.x", "*.x", "*.a.x", ""); host != "" {
+		rule.Hosts = []string{host}
+	}
+	segments := []string{"p", "q"}
+	if rule.Kind == Pattern {
+		segments = append(segments, "{n}")
+	}
+	for range rng.IntN(4) {
+		rule.Path += "/" + oneOf(rng, segments...)
+	}
+	if rule.Path == "" {
+		rule.Path = "/"
+	}
+	if rng.IntN(3) == 0 {
+		rule.Methods = []string{"GET"}
+	}
+	if rng.IntN(3) == 0 {
+		rule.Class = "c"
+	}
+	return rule
+}
+
+// scannedQuery draws a query for TestLookupAgainstScan.
+func scannedQuery(rng *rand.Rand) *Query {
+	query := &Query{
+		Host:   oneOf(rng, "a.x", "b.x", "c.a.x", "z"),
+		Method: oneOf(rng, "GET", "POST"),
+		Class:  oneOf(rng, "", "c"),
+	}
+	for range rng.IntN(4) {
+		query.Path += "/" + oneOf(rng, "p", "q", "r")
+	}
+	if query.Path == "" {
+		query.Path = "/"
+	}
+	return query
+}
+
+// withoutTies draws rules and keeps those that don't tie with earlier ones.
+func withoutTies(rng *rand.Rand) []Rule {
+	var rules []Rule
+	for i := range 40 {
+		rule := scannedRule(rng, fmt.Sprint(i))
+		if _, errs := Build(append(slices.Clone(rules), rule)); errs == nil {
+			rules = append(rules, rule)
+		}
+	}
+	return rules
+}
+
+func nameOf(rule *Rule) string {
+	if rule == nil {
+		return "no rule"
+	}
+	return rule.Name
+}
+
+// TestLookupAgainstScan compares the table with a plain reading of the precedence rules on random tables.
+func TestLookupAgainstScan(t *testing.T) {
+	rng := rand.New(rand.NewPCG(7, 1))
+	found := 0
+	for round := range 300 {
+		rules := withoutTies(rng)
+		table, errs := Build(rules)
+		if errs != nil {
+			t.Fatal(errs)
+		}
+		for range 200 {
+			query := scannedQuery(rng)
+			want := scan(rules, query)
+			got := table.Lookup(query)
+			if got != nil {
+				found++
+			}
+			if nameOf(got) != nameOf(want) {
+				t.Fatalf("round %d: %+v: got %+v, want %+v", round, query, got, want)
+			}
+		}
+	}
+	if found < 10000 {
+		t.Errorf("only %d lookups found a rule: the test shows little", found)
+	}
+}
+
+// scan reads the precedence from the package comment, rule by rule.
+func scan(rules []Rule, query *Query) *Rule {
+	var best *Rule
+	var bestRank []int
+	for i := range rules {
+		rank := rankOf(&rules[i], query)
+		if rank != nil && (best == nil || slices.Compare(rank, bestRank) > 0) {
+			best = &rules[i]
+			bestRank = rank
+		}
+	}
+	return best
+}
+
+// maxSegments is more than any path of this test has.
+const maxSegments = 8
+
+// rankOf returns what decides precedence, the most significant first; nil: the rule doesn't match.
+func rankOf(rule *Rule, query *Query) []int {
+	host, ok := hostRank(rule, query)
+	if !ok {
+		return nil
+	}
+	path, ok := pathRank(rule, query)
+	if !ok || !rule.matches(query) {
+		return nil
+	}
+	rank := []int{host, 2 - int(rule.Kind)}
+	rank = append(rank, path...)
+	for len(rank) < 2+maxSegments {
+		rank = append(rank, 0)
+	}
+	return append(rank, rule.methodRank(), rule.fieldRank())
+}
+
+func hostRank(rule *Rule, query *Query) (rank int, ok bool) {
+	if len(rule.Hosts) == 0 {
+		return 0, true
+	}
+	suffix, isSuffix := strings.CutPrefix(rule.Hosts[0], "*")
+	if isSuffix {
+		return len(suffix), strings.HasSuffix(query.Host, suffix)
+	}
+	return 1000, rule.Hosts[0] == query.Host
+}
+
+// pathRank returns 1 for each literal segment of the rule's path and 0 for each parameter.
+func pathRank(rule *Rule, query *Query) (rank []int, ok bool) {
+	have := strings.Split(query.Path[1:], "/")
+	want := strings.Split(rule.Path[1:], "/")
+	if rule.Path == "/" && rule.Kind == Prefix {
+		want = nil
+	}
+	if len(have) < len(want) || (len(have) > len(want) && rule.Kind != Prefix) {
+		return nil, false
+	}
+	for i, segment := range want {
+		switch {
+		case segment == "{n}" && rule.Kind == Pattern:
+			if have[i] == "" {
+				return nil, false
+			}
+			rank = append(rank, 0)
+		case segment == have[i]:
+			rank = append(rank, 1)
+		default:
+			return nil, false
+		}
+	}
+	return rank, true
+}
--- a/internal/route/target.go
+++ b/internal/route/target.go
@@ -121,15 +121,15 @@
 func decodeUnreserved(path string) (string, error) {
 	var decoded strings.Builder
 	decoded.Grow(len(path))
-	for at := 0; at < len(path); at++ {
-		if path[at] == '\\' {
+	for index := 0; index < len(path); index++ {
+		if path[index] == '\\' {
 			return "", ambiguous("path %q has a backslash", path)
 		}
-		if path[at] != '%' {
-			decoded.WriteByte(path[at])
+		if path[index] != '%' {
+			decoded.WriteByte(path[index])
 			continue
 		}
-		char, err := decodeEscape(path, at)
+		char, err := decodeEscape(path, index)
 		if err != nil {
 			return "", err
 		}
@@ -138,7 +138,7 @@
 		} else {
 			decoded.Write([]byte{'%', upperHexDigits[char>>4], upperHexDigits[char&0xf]})
 		}
-		at += len("%xx") - 1
+		index += len("%xx") - 1
 	}
 	return decoded.String(), nil
 }
