--- a/cmd/simadapter/main.go
+++ b/cmd/simadapter/main.go
@@ -50,7 +50,7 @@
 			delete(instances, e.Instance)
 		}
 	}()
-	if e.Kind == wire.Attach {
+	if e.Kind == wire.InstanceStarted {
 		port := wire.NewPort(w, e.Instance)
 		b, err := balancer.New(e.Settings, e.Seed, now, port)
 		if err != nil {
@@ -65,21 +65,21 @@
 		return
 	}
 	switch e.Kind {
-	case wire.Exit:
+	case wire.InstanceStopped:
 		delete(instances, e.Instance)
-	case wire.Endpoints:
-		b.EndpointsUpdated(now, e.Mode, e.List)
-	case wire.Inbound:
+	case wire.EndpointsUpdated:
+		b.EndpointsUpdated(now, e.ListMode, e.Endpoints)
+	case wire.RequestArrived:
 		b.RequestArrived(now, e.Request)
-	case wire.Established:
-		b.ResponseStarted(now, e.Outcome.ID, e.Outcome.Attempt)
-	case wire.Verdict:
-		b.AttemptFinished(now, e.Outcome)
-	case wire.Lapsed:
+	case wire.ResponseStarted:
+		b.ResponseStarted(now, e.Attempt.ID, e.Attempt.Attempt)
+	case wire.AttemptFinished:
+		b.AttemptFinished(now, e.Attempt)
+	case wire.ClientLeft:
 		b.ClientLeft(now, e.Request.ID)
-	case wire.Elapsed:
-		b.TimerFired(now, e.Token)
-	case wire.Health:
-		b.HealthCheckFinished(now, e.Probe)
+	case wire.TimerFired:
+		b.TimerFired(now, e.TimerToken)
+	case wire.HealthCheckFinished:
+		b.HealthCheckFinished(now, e.HealthCheck)
 	}
 }
--- /dev/null
+++ b/internal/wire/event.go
@@ -0,0 +1,48 @@
+// Package wire speaks the text protocol between the simulator and its adapter: batches of events in, one reply of
+// actions to each out. It also decodes the settings that this protocol and a platform's configuration share. It decides
+// nothing.
+package wire
+
+import (
+	"time"
+
+	"olivearch/balancer"
+)
+
+// EventKind is the kind of an event.
+type EventKind uint8
+
+// The kinds of events, with the message that carries each.
+const (
+	InstanceStarted     EventKind = iota // attach
+	InstanceStopped                      // exit
+	EndpointsUpdated                     // endpoints
+	RequestArrived                       // inbound
+	ResponseStarted                      // established
+	AttemptFinished                      // verdict
+	ClientLeft                           // lapsed
+	TimerFired                           // elapsed
+	HealthCheckFinished                  // health
+	MessageReceived                      // inbox, from another instance; its text is not read
+)
+
+// Event is one event for one instance of the balancer. Kind tells which of the other fields are set.
+type Event struct {
+	Kind        EventKind
+	Instance    int
+	Seed        uint64            // InstanceStarted: of the instance's random numbers
+	Settings    balancer.Settings // InstanceStarted
+	ListMode    balancer.ListMode // EndpointsUpdated
+	Endpoints   []balancer.Upstream
+	Request     balancer.Request           // RequestArrived; ClientLeft: only its ID
+	Attempt     balancer.AttemptResult     // AttemptFinished; ResponseStarted: ID, Upstream, Attempt, Latency
+	HealthCheck balancer.HealthCheckResult // HealthCheckFinished
+	TimerToken  uint64                     // TimerFired
+}
+
+// Batch is what happened at one moment.
+type Batch struct {
+	At     time.Duration // simulated time
+	Serial uint64        // the reply repeats it
+	Events []Event
+}
--- a/internal/wire/wire_test.go
+++ b/internal/wire/wire_test.go
@@ -73,14 +73,14 @@
 		t.Fatal(err)
 	}
 	want := "[{ID:9 Zone:z1 Cell:2 Weight:1.5 StartedAt:61µs State:1 WarmUpShare:0 MaxInFlight:0}]"
-	if got := fmt.Sprintf("%+v", b.Events[1].List); got != want {
+	if got := fmt.Sprintf("%+v", b.Events[1].Endpoints); got != want {
 		t.Errorf("list %s, want %s (as it was when referred to)", got, want)
 	}
 	q := balancer.Request{ID: 0x912855b15d3a91c4, Budget: 240 * time.Millisecond, Class: "c", Tenant: "t", Key: 0x91f03b7c55d20a64, HasKey: true, Cost: 12 * time.Millisecond}
 	if b.Events[2].Request != q {
 		t.Errorf("request %+v", b.Events[2].Request)
 	}
-	o := b.Events[3].Outcome
+	o := b.Events[3].Attempt
 	if o.Attempt != 1 || o.Status != balancer.Rejected || o.Closed || o.Load.Util != 0.62 || o.Load.Fields != balancer.HasUtil|balancer.HasErrors {
 		t.Errorf("outcome %+v", o)
 	}
