--- a/cmd/simadapter/main.go
+++ b/cmd/simadapter/main.go
@@ -1,5 +1,5 @@
-// Command simadapter hosts instances of the decision module on the simulator's
-// wire, on standard input and output. It translates and decides nothing.
+// Command simadapter connects instances of the decision module with the simulator, over standard input and output. It
+// translates and decides nothing.
 package main
 
 import (
@@ -20,10 +20,10 @@
 	}
 }
 
-// run answers batches until the end of input.
+// run replies to batches until the end of input.
 func run(in io.Reader, out io.Writer) error {
-	reader, writer := wire.NewReader(in), wire.NewWriter(out)
-	instances := map[int]*balancer.Balancer{}
+	reader := wire.NewReader(in)
+	sim := &adapter{writer: wire.NewWriter(out), instances: map[int]*balancer.Balancer{}}
 	var batch wire.Batch
 	for {
 		err := reader.Next(&batch)
@@ -34,52 +34,66 @@
 			return err
 		}
 		for i := range batch.Events {
-			deliver(instances, writer, batch.At, &batch.Events[i])
+			sim.deliver(batch.At, &batch.Events[i])
 		}
-		if err := writer.Done(batch.Serial); err != nil {
+		if err := sim.writer.EndReply(batch.Serial); err != nil {
 			return fmt.Errorf("writing a reply: %w", err)
 		}
 	}
 }
 
-// deliver hands one event to its instance; a panic ends the day with its text.
-func deliver(instances map[int]*balancer.Balancer, w *wire.Writer, now time.Duration, e *wire.Event) {
+// adapter runs the instances that the simulator has started.
+type adapter struct {
+	writer    *wire.Writer
+	instances map[int]*balancer.Balancer
+}
+
+// deliver hands an event to its instance. If that panics, the simulator is told and the instance removed.
+func (a *adapter) deliver(now time.Duration, event *wire.Event) {
 	defer func() {
-		if p := recover(); p != nil {
-			wire.NewPort(w, e.Instance).Crash(fmt.Sprint(p))
-			delete(instances, e.Instance)
+		if cause := recover(); cause != nil {
+			wire.NewInstanceWriter(a.writer, event.Instance).Crash(fmt.Sprint(cause))
+			delete(a.instances, event.Instance)
 		}
 	}()
-	if e.Kind == wire.InstanceStarted {
-		port := wire.NewPort(w, e.Instance)
-		b, err := balancer.New(e.Settings, e.Seed, now, port)
-		if err != nil {
-			port.Crash(err.Error())
-			return
-		}
-		instances[e.Instance] = b
+	if event.Kind == wire.InstanceStarted {
+		a.start(now, event)
 		return
 	}
-	b := instances[e.Instance]
-	if b == nil {
+	if instance := a.instances[event.Instance]; instance != nil {
+		a.dispatch(now, instance, event)
+	}
+}
+
+// start starts an instance, in place of one of the same number if there is one.
+func (a *adapter) start(now time.Duration, event *wire.Event) {
+	host := wire.NewInstanceWriter(a.writer, event.Instance)
+	instance, err := balancer.New(event.Settings, event.Seed, now, host)
+	if err != nil {
+		host.Crash(err.Error())
 		return
 	}
-	switch e.Kind {
+	a.instances[event.Instance] = instance
+}
+
+// dispatch calls what handles an event of a running instance.
+func (a *adapter) dispatch(now time.Duration, instance *balancer.Balancer, event *wire.Event) {
+	switch event.Kind {
 	case wire.InstanceStopped:
-		delete(instances, e.Instance)
+		delete(a.instances, event.Instance)
 	case wire.EndpointsUpdated:
-		b.EndpointsUpdated(now, e.ListMode, e.Endpoints)
+		instance.EndpointsUpdated(now, event.ListMode, event.Endpoints)
 	case wire.RequestArrived:
-		b.RequestArrived(now, e.Request)
+		instance.RequestArrived(now, event.Request)
 	case wire.ResponseStarted:
-		b.ResponseStarted(now, e.Attempt.ID, e.Attempt.Attempt)
+		instance.ResponseStarted(now, event.Attempt.ID, event.Attempt.Attempt)
 	case wire.AttemptFinished:
-		b.AttemptFinished(now, e.Attempt)
+		instance.AttemptFinished(now, event.Attempt)
 	case wire.ClientLeft:
-		b.ClientLeft(now, e.Request.ID)
+		instance.ClientLeft(now, event.Request.ID)
 	case wire.TimerFired:
-		b.TimerFired(now, e.TimerToken)
+		instance.TimerFired(now, event.TimerToken)
 	case wire.HealthCheckFinished:
-		b.HealthCheckFinished(now, e.HealthCheck)
+		instance.HealthCheckFinished(now, event.HealthCheck)
 	}
 }
--- a/internal/wire/writer.go
+++ b/internal/wire/writer.go
@@ -1,6 +1,7 @@
 package wire
 
 import (
+	"encoding/binary"
 	"encoding/hex"
 	"io"
 	"strconv"
@@ -10,153 +11,162 @@
 	"olivearch/balancer"
 )
 
-// Writer gathers the actions of one reply.
+// Writer collects the actions of one reply. One goroutine uses it and its InstanceWriters.
 type Writer struct {
-	out io.Writer
-	buf []byte
+	out   io.Writer
+	reply []byte
 }
 
-// NewWriter returns a Writer to w.
-func NewWriter(w io.Writer) *Writer { return &Writer{out: w} }
+// NewWriter returns a Writer to out.
+func NewWriter(out io.Writer) *Writer { return &Writer{out: out} }
 
-// Done ends the reply to a batch and writes it out.
-func (w *Writer) Done(serial uint64) error {
-	w.buf = append(w.buf, "ok serial="...)
-	w.buf = strconv.AppendUint(w.buf, serial, 10)
-	w.buf = append(w.buf, '\n')
-	_, err := w.out.Write(w.buf)
-	w.buf = w.buf[:0]
+// EndReply ends the reply to the batch of a serial number and writes it out.
+func (w *Writer) EndReply(serial uint64) error {
+	w.reply = append(w.reply, "ok serial="...)
+	w.reply = strconv.AppendUint(w.reply, serial, 10)
+	w.reply = append(w.reply, '\n')
+	_, err := w.out.Write(w.reply)
+	w.reply = w.reply[:0]
 	return err
 }
 
-// Port writes the actions of one instance. It is that instance's Host.
-type Port struct {
-	w    *Writer
-	inst string
+// InstanceWriter writes the actions of one instance as messages. It is that instance's balancer.Host.
+type InstanceWriter struct {
+	writer        *Writer
+	instanceField string
 }
 
-// NewPort returns the Port of an instance.
-func NewPort(w *Writer, instance int) *Port {
-	return &Port{w: w, inst: " balancer_id=" + strconv.Itoa(instance)}
+// NewInstanceWriter returns the InstanceWriter of an instance.
+func NewInstanceWriter(writer *Writer, instance int) *InstanceWriter {
+	return &InstanceWriter{writer: writer, instanceField: " balancer_id=" + strconv.Itoa(instance)}
 }
 
-var _ balancer.Host = (*Port)(nil)
+var _ balancer.Host = (*InstanceWriter)(nil)
 
-func (p *Port) open(name string) {
-	p.w.buf = append(p.w.buf, name...)
-	p.w.buf = append(p.w.buf, p.inst...)
+// begin begins a message with its name and the instance.
+func (w *InstanceWriter) begin(message string) {
+	w.append(message)
+	w.append(w.instanceField)
 }
 
-func (p *Port) end() { p.w.buf = append(p.w.buf, '\n') }
+func (w *InstanceWriter) end() { w.append("\n") }
 
-func (p *Port) num(name string, x uint64) {
-	p.w.buf = append(p.w.buf, name...)
-	p.w.buf = strconv.AppendUint(p.w.buf, x, 10)
+func (w *InstanceWriter) append(text string) {
+	w.writer.reply = append(w.writer.reply, text...)
 }
 
-func (p *Port) span(name string, d time.Duration) {
-	if d != 0 {
-		p.w.buf = append(p.w.buf, name...)
-		p.w.buf = strconv.AppendInt(p.w.buf, d.Microseconds(), 10)
+// The methods below add a field; field is its name with a space before and an equals sign behind.
+
+func (w *InstanceWriter) number(field string, value uint64) {
+	w.append(field)
+	w.writer.reply = strconv.AppendUint(w.writer.reply, value, 10)
+}
+
+// duration adds a time in microseconds, or nothing for 0.
+func (w *InstanceWriter) duration(field string, value time.Duration) {
+	if value == 0 {
+		return
 	}
+	w.append(field)
+	w.writer.reply = strconv.AppendInt(w.writer.reply, value.Microseconds(), 10)
 }
 
-func (p *Port) id(id balancer.RequestID) {
+func (w *InstanceWriter) requestID(id balancer.RequestID) {
 	var raw [8]byte
-	for i := range raw {
-		raw[i] = byte(id >> (56 - 8*i))
-	}
-	p.w.buf = append(p.w.buf, " id="...)
-	p.w.buf = hex.AppendEncode(p.w.buf, raw[:])
+	binary.BigEndian.PutUint64(raw[:], uint64(id))
+	w.append(" id=")
+	w.writer.reply = hex.AppendEncode(w.writer.reply, raw[:])
 }
 
-// text writes s as one line.
-func (p *Port) text(name, s string) {
-	p.w.buf = append(p.w.buf, name...)
-	p.w.buf = append(p.w.buf, strings.Join(strings.Fields(s), " ")...)
+func (w *InstanceWriter) upstream(id balancer.UpstreamID) { w.number(" upstream=", uint64(id)) }
+
+// text adds a text as one line.
+func (w *InstanceWriter) text(field, value string) {
+	w.append(field)
+	w.append(strings.Join(strings.Fields(value), " "))
 }
 
-// Send writes an attempt.
-func (p *Port) Send(id balancer.RequestID, up balancer.UpstreamID, timeout time.Duration) {
-	p.open("submit_to")
-	p.id(id)
-	p.num(" upstream=", uint64(up))
-	p.span(" patience_us=", timeout)
-	p.end()
+// Send writes that an attempt starts.
+func (w *InstanceWriter) Send(id balancer.RequestID, upstream balancer.UpstreamID, timeout time.Duration) {
+	w.begin("submit_to")
+	w.requestID(id)
+	w.upstream(upstream)
+	w.duration(" patience_us=", timeout)
+	w.end()
 }
 
-// Reject writes a refusal.
-func (p *Port) Reject(id balancer.RequestID, retryAfter time.Duration) {
-	p.open("bounce")
-	p.id(id)
-	p.span(" hold_off_us=", retryAfter)
-	p.end()
+// Reject writes that a request is rejected.
+func (w *InstanceWriter) Reject(id balancer.RequestID, retryAfter time.Duration) {
+	w.begin("bounce")
+	w.requestID(id)
+	w.duration(" hold_off_us=", retryAfter)
+	w.end()
 }
 
-// Fail writes a failure.
-func (p *Port) Fail(id balancer.RequestID) {
-	p.open("report_failure")
-	p.id(id)
-	p.end()
+// Fail writes that a request has failed.
+func (w *InstanceWriter) Fail(id balancer.RequestID) {
+	w.begin("report_failure")
+	w.requestID(id)
+	w.end()
 }
 
-// Cancel writes the end of waiting for an attempt.
-func (p *Port) Cancel(id balancer.RequestID, attempt int) {
-	p.open("withdraw")
-	p.id(id)
-	p.num(" go=", uint64(attempt))
-	p.end()
+// Cancel writes that an attempt is cancelled.
+func (w *InstanceWriter) Cancel(id balancer.RequestID, attempt int) {
+	w.begin("withdraw")
+	w.requestID(id)
+	w.number(" go=", uint64(attempt))
+	w.end()
 }
 
-// HealthCheck writes a probe.
-func (p *Port) HealthCheck(up balancer.UpstreamID) {
-	p.open("ping")
-	p.num(" upstream=", uint64(up))
-	p.end()
+// HealthCheck writes that an upstream is checked.
+func (w *InstanceWriter) HealthCheck(upstream balancer.UpstreamID) {
+	w.begin("ping")
+	w.upstream(upstream)
+	w.end()
 }
 
-// CloseIdle writes the closing of idle connections.
-func (p *Port) CloseIdle(up balancer.UpstreamID) {
-	p.open("disconnect")
-	p.num(" upstream=", uint64(up))
-	p.end()
+// CloseIdle writes that idle connections to an upstream are closed.
+func (w *InstanceWriter) CloseIdle(upstream balancer.UpstreamID) {
+	w.begin("disconnect")
+	w.upstream(upstream)
+	w.end()
 }
 
-// WatchEndpoints writes a subscription to discovery, or its end.
-func (p *Port) WatchEndpoints(on bool) {
-	p.open("keep_informed")
+// WatchEndpoints writes that watching the endpoint list begins or ends.
+func (w *InstanceWriter) WatchEndpoints(on bool) {
+	w.begin("keep_informed")
 	if on {
-		p.num(" active=", 1)
+		w.append(" active=1")
 	} else {
-		p.num(" active=", 0)
+		w.append(" active=0")
 	}
-	p.end()
+	w.end()
 }
 
-// FetchEndpoints writes a call for the whole list.
-func (p *Port) FetchEndpoints() {
-	p.open("query_all")
-	p.end()
+// FetchEndpoints writes that the endpoint list is fetched.
+func (w *InstanceWriter) FetchEndpoints() {
+	w.begin("query_all")
+	w.end()
 }
 
-// SetTimer writes a timer.
-func (p *Port) SetTimer(after time.Duration, token uint64) {
-	p.open("timer")
-	p.num(" from_now_us=", uint64(max(after, 0).Microseconds()))
-	p.num(" ctx=", token)
-	p.end()
+// SetTimer writes that a timer is set; a time in the past counts as now.
+func (w *InstanceWriter) SetTimer(after time.Duration, token uint64) {
+	w.begin("timer")
+	w.number(" from_now_us=", uint64(max(after, 0).Microseconds()))
+	w.number(" ctx=", token)
+	w.end()
 }
 
-// Log writes a report line.
-func (p *Port) Log(text string) {
-	p.open("write_log")
-	p.text(" note_text=", text)
-	p.end()
+// Log writes a line of the instance's log.
+func (w *InstanceWriter) Log(text string) {
+	w.begin("write_log")
+	w.text(" note_text=", text)
+	w.end()
 }
 
-// Crash writes that the decision code has failed.
-func (p *Port) Crash(text string) {
-	p.open("crash")
-	p.text(" note_text=", text)
-	p.end()
+// Crash writes that the instance has failed.
+func (w *InstanceWriter) Crash(text string) {
+	w.begin("crash")
+	w.text(" note_text=", text)
+	w.end()
 }
