--- a/benchmarks/capacity/balancer.go
+++ b/benchmarks/capacity/balancer.go
@@ -138,6 +138,12 @@
 	os.RemoveAll(filepath.Dir(b.config))
 }
 
+// Log messages of a balancer at the end of a reload.
+const (
+	configurationReloaded    = "configuration reloaded"
+	configurationNotReloaded = "configuration not reloaded"
+)
+
 // reload lets it read its configuration again, and returns how long it took until that was in force.
 func (b *balancer) reload(within time.Duration) (time.Duration, error) {
 	began, from := time.Now(), b.log.count()
@@ -147,11 +153,11 @@
 	if err := b.signal(syscall.SIGHUP); err != nil {
 		return 0, err
 	}
-	line, err := b.log.await(from, within, "configuration read again", "reading the configuration again")
+	line, err := b.log.await(from, within, configurationReloaded, configurationNotReloaded)
 	if err != nil {
 		return 0, err
 	}
-	if strings.Contains(line, "the old one stays") {
+	if strings.Contains(line, configurationNotReloaded) {
 		return 0, errors.New(line)
 	}
 	return time.Since(began), nil
--- a/cmd/olivearch/demo.go
+++ b/cmd/olivearch/demo.go
@@ -13,30 +13,40 @@
 	"olivearch/internal/demo"
 )
 
-// runDemo plays the demo and ends with an error if a rule broke.
+// Bounds of the demo's length, in seconds.
+const (
+	minDemoSeconds     = 2
+	maxDemoSeconds     = 3600
+	defaultDemoSeconds = 20
+)
+
+const defaultDemoInterval = 4 * time.Second
+
+// runDemo runs the demo and returns an error if a rule was broken.
 func runDemo(args []string, out io.Writer) error {
-	o := demo.Options{}
+	var options demo.Options
 	var seconds float64
-	f, err := flags("demo", "[--seconds N] [--seed N] [--every TIME]", args, func(f *flag.FlagSet) {
-		f.Float64Var(&seconds, "seconds", 20, "length of the run, in seconds: `N`")
-		f.Uint64Var(&o.Seed, "seed", 1, "`N` from which traffic and work are drawn")
-		f.DurationVar(&o.Every, "every", 4*time.Second, "`TIME` between two tables; 0 for none")
+	flagSet, err := parseFlags("demo", "[--seconds N] [--seed N] [--every TIME]", args, func(f *flag.FlagSet) {
+		f.Float64Var(&seconds, "seconds", defaultDemoSeconds, "length of the run, in seconds: `N`")
+		f.Uint64Var(&options.Seed, "seed", 1, "`N` from which traffic and work are drawn")
+		f.DurationVar(&options.Every, "every", defaultDemoInterval, "`TIME` between two tables; 0 for none")
 	})
 	if err != nil {
 		return err
 	}
-	if f.NArg() > 0 || !(seconds >= 2 && seconds <= 3600) {
+	validLength := seconds >= minDemoSeconds && seconds <= maxDemoSeconds // false for NaN
+	if flagSet.NArg() > 0 || !validLength {
 		return fmt.Errorf("%w: demo takes flags only, and from 2 to 3,600 seconds", errUsage)
 	}
-	o.Length = time.Duration(seconds * float64(time.Second))
+	options.Length = time.Duration(seconds * float64(time.Second))
 	ctx, stop := signal.NotifyContext(context.Background(), os.Interrupt)
 	defer stop()
-	r, err := demo.Run(ctx, o, out)
+	report, err := demo.Run(ctx, options, out)
 	if err != nil {
 		return err
 	}
-	r.Write(out)
-	if len(r.Breaches) > 0 {
+	report.Write(out)
+	if len(report.Breaches) > 0 {
 		return errors.New("a rule was broken")
 	}
 	return nil
--- a/cmd/olivearch/main_test.go
+++ b/cmd/olivearch/main_test.go
@@ -88,7 +88,7 @@
 		var once sync.Once
 		for lines := bufio.NewScanner(read); lines.Scan(); {
 			log.WriteString(lines.Text() + "\n")
-			if strings.Contains(lines.Text(), "the old one stays") {
+			if strings.Contains(lines.Text(), "configuration not reloaded") {
 				once.Do(func() { close(badRead) })
 			}
 		}
--- a/cmd/olivearch/platform.go
+++ b/cmd/olivearch/platform.go
@@ -18,79 +18,109 @@
 	"olivearch/internal/proxy"
 )
 
-// platform runs one pool as a platform tells by the RELAY_ environment variables.
+// platform runs the pool that a platform configures by the RELAY_ environment variables, until SIGTERM or SIGINT.
 func platform() error {
 	// Signals are caught before anything slow: one that comes during the start must not end the program.
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGTERM, os.Interrupt)
 	defer stop()
 	hangups := make(chan os.Signal, 1)
 	signal.Notify(hangups, syscall.SIGHUP)
-	c, err := proxy.LoadConfig(os.Getenv)
+	configuration, err := proxy.LoadConfig(os.Getenv)
 	if err != nil {
 		return err
 	}
-	// The machine has one core. Collecting later costs memory, which the soft limit bounds, and saves time.
-	runtime.GOMAXPROCS(1)
-	debug.SetGCPercent(400)
-	debug.SetMemoryLimit(int64(c.MemoryMB) << 20 * 6 / 10)
-	slog.Info("starting", "name", c.Name, "listen", c.Listen, "known", len(c.InitialEndpoints.Members))
-	// An old process of this balancer may still serve: this one then takes its place.
-	var before *proxy.PreviousProcess
-	var listener net.Listener
-	if c.TakeoverPath != "" {
-		if before, err = proxy.TakeOver(c.TakeoverPath, c.Listen); err == nil {
-			slog.Info("taking the place of a process that serves")
-			listener = before.Listener
-		} else if !errors.Is(err, os.ErrNotExist) {
-			slog.Warn("no old process hands over", "why", err)
-		}
-	}
-	if listener == nil {
-		if listener, err = listen(c.Listen); err != nil {
-			return fmt.Errorf("listening for clients: %w", err)
-		}
+	limitResources(configuration.MemoryMB)
+	slog.Info("balancer starting", "name", configuration.Name, "address", configuration.Listen,
+		"endpoints", len(configuration.InitialEndpoints.Members))
+	previous := takeOver(configuration)
+	listener, err := clientListener(configuration.Listen, previous)
+	if err != nil {
+		return fmt.Errorf("listening for clients: %w", err)
 	}
-	b, err := proxy.Start(c, listener, before)
+	balancer, err := proxy.Start(configuration, listener, previous)
 	if err != nil {
 		return err
 	}
-	if c.AdminAddress != "" {
-		calls, err := net.Listen("tcp", c.AdminAddress)
+	if configuration.AdminAddress != "" {
+		operators, err := net.Listen("tcp", configuration.AdminAddress)
 		if err != nil {
 			return fmt.Errorf("listening for the staff's calls: %w", err)
 		}
-		go admincmd.Serve(context.Background(), calls, b) // to the end: staff may ask while what was taken is answered
+		// Until the process ends, since operators may send commands while the last requests are answered. Serve returns
+		// an error at no time.
+		go func() { _ = admincmd.Serve(context.Background(), operators, balancer) }()
 	}
 	reloads := make(chan proxy.Config, 1)
-	go reload(hangups, c, reloads)
-	if err := b.Run(ctx, reloads); err != nil {
+	go forwardReloads(hangups, configuration, reloads)
+	if err := balancer.Run(ctx, reloads); err != nil {
 		return err
 	}
-	slog.Info("stopped", "name", c.Name)
+	slog.Info("balancer stopped", "name", configuration.Name)
 	return nil
 }
 
-// listen listens for clients beside an old process that may still do, where that does not hand its listener over.
-func listen(address string) (net.Listener, error) {
-	c := net.ListenConfig{Control: func(_, _ string, raw syscall.RawConn) error {
-		var set error
-		if err := raw.Control(func(fd uintptr) { set = unix.SetsockoptInt(int(fd), unix.SOL_SOCKET, unix.SO_REUSEPORT, 1) }); err != nil {
+// limitResources adapts the Go runtime to the machine, which has one core. Collecting garbage later costs memory, which
+// the soft limit bounds, and saves time.
+func limitResources(memoryMB int) {
+	const (
+		gcPercent       = 400
+		softLimitTenths = 6 // of the memory
+	)
+	runtime.GOMAXPROCS(1)
+	debug.SetGCPercent(gcPercent)
+	debug.SetMemoryLimit(int64(memoryMB) << 20 * softLimitTenths / 10)
+}
+
+// takeOver takes over from a process of this balancer that still serves; nil: there is none, or it doesn't hand over.
+func takeOver(configuration proxy.Config) *proxy.PreviousProcess {
+	if configuration.TakeoverPath == "" {
+		return nil
+	}
+	previous, err := proxy.TakeOver(configuration.TakeoverPath, configuration.Listen)
+	if errors.Is(err, os.ErrNotExist) {
+		return nil
+	}
+	if err != nil {
+		slog.Warn("previous process not taken over", "err", err)
+		return nil
+	}
+	slog.Info("process taken over")
+	return previous
+}
+
+// clientListener returns the listener of the previous process, or a new one if it hasn't handed one over.
+func clientListener(address string, previous *proxy.PreviousProcess) (net.Listener, error) {
+	if previous != nil && previous.Listener != nil {
+		return previous.Listener, nil
+	}
+	return listenShared(address)
+}
+
+// listenShared listens for clients with SO_REUSEPORT, beside a previous process that may still listen.
+func listenShared(address string) (net.Listener, error) {
+	listenConfig := net.ListenConfig{Control: func(_, _ string, conn syscall.RawConn) error {
+		var optionErr error
+		err := conn.Control(func(descriptor uintptr) {
+			optionErr = unix.SetsockoptInt(int(descriptor), unix.SOL_SOCKET, unix.SO_REUSEPORT, 1)
+		})
+		if err != nil {
 			return err
 		}
-		return set
+		return optionErr
 	}}
-	return c.Listen(context.Background(), "tcp", address)
+	return listenConfig.Listen(context.Background(), "tcp", address)
 }
 
-// reload reads the configuration again on each SIGHUP. A bad one is logged, and the one before stays.
-func reload(hangups <-chan os.Signal, before proxy.Config, reloads chan<- proxy.Config) {
+// forwardReloads loads the configuration at each hang-up and sends it on reloads. If it is invalid, that is logged and
+// the current one stays.
+func forwardReloads(hangups <-chan os.Signal, current proxy.Config, reloads chan<- proxy.Config) {
 	for range hangups {
-		c, err := proxy.ReloadConfig(os.Getenv, before)
+		next, err := proxy.ReloadConfig(os.Getenv, current)
 		if err != nil {
-			slog.Error("reading the configuration again: the old one stays", "err", err)
+			slog.Error("configuration not reloaded", "err", err)
 			continue
 		}
-		before = c
-		reloads <- c
+		current = next
+		reloads <- next
 	}
 }
--- a/cmd/olivearch/refused_test.go
+++ b/cmd/olivearch/refused_test.go
@@ -196,7 +196,7 @@
 			if err := cmd.Wait(); err != nil {
 				t.Errorf("ended with %v\n%s", err, log)
 			}
-			if !strings.Contains(log.String(), "no old process hands over") {
+			if !strings.Contains(log.String(), "previous process not taken over") {
 				t.Errorf("nothing is said of the mute socket: %s", log)
 			}
 		case "fatal":
--- a/cmd/olivearch/reload_test.go
+++ b/cmd/olivearch/reload_test.go
@@ -15,6 +15,18 @@
 	"olivearch/internal/service"
 )
 
+// serveWith runs a service with its signals and what reads its configuration.
+func serveWith(
+	running *service.Service, configuration *config.Loaded, hangups, terminations <-chan os.Signal,
+	reload func(*config.Loaded) (*config.Loaded, error),
+) error {
+	s := &server{
+		service: running, configuration: configuration,
+		hangups: hangups, terminations: terminations, reload: reload,
+	}
+	return s.run()
+}
+
 // TestReloadDuringReload: while a configuration is being read it is written again twice, with a hang-up each; the last text wins, and
 // SIGTERM is not lost behind hang-ups, however many there are.
 func TestReloadDuringReload(t *testing.T) {
@@ -51,7 +63,7 @@
 	n := 0
 	served := make(chan error, 1)
 	go func() {
-		served <- keep(s, c, hangups, ends, func(old *config.Loaded) (*config.Loaded, error) {
+		served <- serveWith(s, c, hangups, ends, func(old *config.Loaded) (*config.Loaded, error) {
 			next, err := config.Reload(path, old)
 			if n++; n == 1 { // it has been read: what comes now is too late for it
 				write(t, path, text("c"))
@@ -133,7 +145,7 @@
 	}
 	hangups, ends, told, served := make(chan os.Signal, 1), make(chan os.Signal, 1), make(chan error), make(chan error, 1)
 	go func() {
-		served <- keep(s, c, hangups, ends, func(old *config.Loaded) (*config.Loaded, error) {
+		served <- serveWith(s, c, hangups, ends, func(old *config.Loaded) (*config.Loaded, error) {
 			if old != c {
 				t.Error("another configuration holds")
 			}
--- a/cmd/olivearch/services_test.go
+++ b/cmd/olivearch/services_test.go
@@ -90,7 +90,7 @@
 		resp.Body.Close()
 		return resp.StatusCode
 	}
-	until("serving")
+	until("balancer serving")
 	if a, b := ask("/one"), ask("/two"); a != 200 || b != 404 {
 		t.Errorf("got %d and %d", a, b)
 	}
@@ -102,7 +102,7 @@
 	}
 	write(t, path, strings.Replace(text, "/one", "/two", 1))
 	cmd.Process.Signal(syscall.SIGHUP)
-	until("configuration read again")
+	until("configuration reloaded")
 	if a, b := ask("/one"), ask("/two"); a != 404 || b != 200 {
 		t.Errorf("after the reload: %d and %d", a, b)
 	}
@@ -111,7 +111,7 @@
 		t.Errorf("top: %v\n%s", err, out)
 	}
 	cmd.Process.Signal(syscall.SIGTERM)
-	until("stopping")
+	until("balancer stopping")
 	for range lines {
 	}
 	if err := cmd.Wait(); err != nil {
