--- a/cmd/olivearch/golden_test.go
+++ b/cmd/olivearch/golden_test.go
@@ -42,4 +42,8 @@
 	golden.Compare(t, "flags.txt", text.String())
 }
 
-var goldenCommands = []string{"--help", "help", "serve --help", "check --help", "top --help", "promises --help", "demo --help", "version", "nothing", "serve --nothing"}
+var goldenCommands = []string{
+	"--help", "help",
+	"serve --help", "check --help", "top --help", "promises --help", "demo --help",
+	"version", "nothing", "serve --nothing",
+}
--- /dev/null
+++ b/cmd/olivearch/helpers_test.go
@@ -0,0 +1,221 @@
+package main
+
+import (
+	"bufio"
+	"fmt"
+	"io"
+	"net"
+	"net/http"
+	"net/http/httptest"
+	"os"
+	"os/exec"
+	"path/filepath"
+	"strings"
+	"syscall"
+	"testing"
+	"time"
+)
+
+const platformConfig = `{"name":"n0","listen":"%s","discovery":"%s","seed":"8c1f30d27a5be964",
+"limits":{"cores":1,"memory_mb":192,"sockets":1024},"known":{"revision":1,"complete":true,"members":[]},
+"settings":{"az":"z1","balancers":1,"membership_mode":"on_request","weights":"nominal","worth_by":"work",
+"limits":{"max_attempts":3,"cancel":true,"connect_timeout_us":100000,"keepalive_us":60000000},
+"obligations":{"ask_within_us":10000000,"cold_from":0.3,"ramp_time_us":9000000,"tip_after_us":1500000,"tip_multiple":3},
+"profiles":[{"name":"c","target_us":250000,"give_up_us":750000,"repeat":"non_idempotent","worth":1}],
+"reporting":{"via":"piggyback"}}}`
+
+// program returns the command to start: the deployed one if RUN names it, from the root, or else one built here.
+func program(t *testing.T) *exec.Cmd {
+	t.Helper()
+	if run := os.Getenv("RUN"); run != "" {
+		cmd := exec.Command("/bin/sh", "-c", run)
+		cmd.Dir = filepath.Join("..", "..")
+		return cmd
+	}
+	return exec.Command(buildProgram(t))
+}
+
+// buildProgram returns the path of the program, built here: RUN names the platform's start, which takes no arguments.
+func buildProgram(t *testing.T) string {
+	t.Helper()
+	path := filepath.Join(t.TempDir(), "olivearch")
+	if out, err := exec.Command("go", "build", "-o", path, ".").CombinedOutput(); err != nil {
+		t.Fatalf("build: %v\n%s", err, out)
+	}
+	return path
+}
+
+// freeAddress returns an address on which nothing listens.
+func freeAddress(t *testing.T) string {
+	t.Helper()
+	listener, err := net.Listen("tcp", "127.0.0.1:0")
+	if err != nil {
+		t.Fatal(err)
+	}
+	defer listener.Close()
+	return listener.Addr().String()
+}
+
+// writeFile replaces a file by a rename, so that nobody reads half of it.
+func writeFile(t *testing.T, path, text string) {
+	t.Helper()
+	if err := os.WriteFile(path+".new", []byte(text), 0o600); err != nil {
+		t.Fatal(err)
+	}
+	if err := os.Rename(path+".new", path); err != nil {
+		t.Fatal(err)
+	}
+}
+
+// waitUntil polls a condition and ends the test if it doesn't hold within a limit.
+func waitUntil(t *testing.T, limit time.Duration, what string, condition func() bool) {
+	t.Helper()
+	for deadline := time.Now().Add(limit); !condition(); time.Sleep(time.Millisecond) {
+		if time.Now().After(deadline) {
+			t.Fatalf("%s: not within %v", what, limit)
+		}
+	}
+}
+
+// isHealthy reports whether a balancer answers its health check with 200.
+func isHealthy(listen string) bool {
+	response, err := http.Get("http://" + listen + "/healthz")
+	if err != nil {
+		return false
+	}
+	response.Body.Close()
+	return response.StatusCode == http.StatusOK
+}
+
+// answer is an HTTP response that has been read to its end.
+type answer struct {
+	status int
+	body   string
+	closes bool // the connection is closed behind it
+}
+
+func readAnswer(reader *bufio.Reader) (answer, error) {
+	response, err := http.ReadResponse(reader, nil)
+	if err != nil {
+		return answer{}, err
+	}
+	defer response.Body.Close()
+	body, err := io.ReadAll(response.Body)
+	return answer{status: response.StatusCode, body: string(body), closes: response.Close}, err
+}
+
+// requestHeader is the header of a request of class c with a body of so many bytes.
+func requestHeader(id string, bodyLength int) string {
+	return fmt.Sprintf("POST /c HTTP/1.1\r\nHost: x\r\nX-Class: c\r\nX-Request-Id: %s\r\nContent-Length: %d\r\n\r\n",
+		id, bodyLength)
+}
+
+// handle starts a server until the test ends and returns its address.
+func handle(t *testing.T, handler http.HandlerFunc) *httptest.Server {
+	t.Helper()
+	server := httptest.NewServer(handler)
+	t.Cleanup(server.Close)
+	return server
+}
+
+// discover starts so many upstreams and a discovery service that lists them, all until the test ends.
+func discover(
+	t *testing.T, upstreams int, respond func(upstream int, w http.ResponseWriter, r *http.Request),
+) *httptest.Server {
+	t.Helper()
+	var members []string
+	for i := range upstreams {
+		server := handle(t, func(w http.ResponseWriter, r *http.Request) { respond(i, w, r) })
+		members = append(members,
+			fmt.Sprintf(`{"id":"s-%08x","host_port":"%s","phase":"up","size":1}`, i+1, server.Listener.Addr()))
+	}
+	list := fmt.Sprintf(`{"revision":7,"complete":true,"members":[%s]}`, strings.Join(members, ","))
+	return handle(t, func(w http.ResponseWriter, r *http.Request) {
+		if r.URL.Query().Get("since") == "7" { // nothing newer
+			select {
+			case <-r.Context().Done():
+			case <-time.After(time.Second):
+			}
+		}
+		respondText(t, w, list)
+	})
+}
+
+// respondText writes a response; an error, such as that the client has gone, is only logged.
+func respondText(t *testing.T, w io.Writer, text string) {
+	if _, err := io.WriteString(w, text); err != nil {
+		t.Log(err)
+	}
+}
+
+// sendSignal sends a signal to a process that the test has started.
+func sendSignal(t *testing.T, cmd *exec.Cmd, signal syscall.Signal) {
+	t.Helper()
+	if err := cmd.Process.Signal(signal); err != nil {
+		t.Errorf("signal %v: %v", signal, err)
+	}
+}
+
+// loggedProcess is a process whose log is read line by line.
+type loggedProcess struct {
+	cmd   *exec.Cmd
+	lines chan string // closed when the log ends
+	seen  []string    // lines that have been taken
+}
+
+// startLogged starts a process, which is killed after a minute or when the test ends.
+func startLogged(t *testing.T, cmd *exec.Cmd) *loggedProcess {
+	t.Helper()
+	log, err := cmd.StderrPipe()
+	if err != nil {
+		t.Fatal(err)
+	}
+	if err := cmd.Start(); err != nil {
+		t.Fatal(err)
+	}
+	p := &loggedProcess{cmd: cmd, lines: make(chan string, 10000)}
+	go func() {
+		defer close(p.lines)
+		for scanner := bufio.NewScanner(log); scanner.Scan(); {
+			p.lines <- scanner.Text()
+		}
+	}()
+	kill := func() { _ = cmd.Process.Kill() } // it may have ended
+	limit := time.AfterFunc(time.Minute, kill)
+	t.Cleanup(func() {
+		limit.Stop()
+		kill()
+		if t.Failed() {
+			p.drain()
+			t.Logf("its log: %q", p.seen)
+		}
+	})
+	return p
+}
+
+func (p *loggedProcess) drain() {
+	for line := range p.lines {
+		p.seen = append(p.seen, line)
+	}
+}
+
+// awaitLog waits for a line with a text in it, from the last line that was taken on.
+func (p *loggedProcess) awaitLog(t *testing.T, text string) {
+	t.Helper()
+	for line := range p.lines {
+		p.seen = append(p.seen, line)
+		if strings.Contains(line, text) {
+			return
+		}
+	}
+	t.Fatalf("%q was not logged", text)
+}
+
+// awaitEnd waits until the process has ended, with status 0.
+func (p *loggedProcess) awaitEnd(t *testing.T) {
+	t.Helper()
+	p.drain()
+	if err := p.cmd.Wait(); err != nil {
+		t.Errorf("ended with %v", err)
+	}
+}
--- a/cmd/olivearch/promises_test.go
+++ b/cmd/olivearch/promises_test.go
@@ -105,7 +105,7 @@
 	cluster := &coordinationCluster{addresses: map[string]string{}}
 	var voters []string
 	for _, name := range []string{"k1", "k2", "k3"} {
-		cluster.addresses[name] = free(t)
+		cluster.addresses[name] = freeAddress(t)
 		voters = append(voters, fmt.Sprintf("%s: '%s'", name, cluster.addresses[name]))
 	}
 	cluster.voters = "{" + strings.Join(voters, ", ") + "}"
@@ -168,7 +168,7 @@
 	if err := os.MkdirAll(own, 0o700); err != nil {
 		t.Fatal(err)
 	}
-	listen := free(t)
+	listen := freeAddress(t)
 	config, promises := filepath.Join(own, "config.json"), filepath.Join(own, "promises.yaml")
 	files := map[string]string{
 		config:   fmt.Sprintf(platformConfig, listen, s.discovery),
@@ -180,7 +180,7 @@
 		}
 	}
 	cmd := &exec.Cmd{Path: s.program.Path, Args: s.program.Args, Dir: s.program.Dir}
-	balancer := &running{cmd: cmd, calls: free(t), log: &bytes.Buffer{}}
+	balancer := &running{cmd: cmd, calls: freeAddress(t), log: &bytes.Buffer{}}
 	cmd.Env = append(os.Environ(),
 		"RELAY_CONFIG="+config, "RELAY_MANAGEMENT="+balancer.calls, "RELAY_PROMISES="+promises, "TMPDIR="+own)
 	cmd.Stderr = balancer.log
--- a/cmd/olivearch/refused_test.go
+++ b/cmd/olivearch/refused_test.go
@@ -10,7 +10,6 @@
 	"io"
 	"net"
 	"net/http"
-	"net/http/httptest"
 	"os"
 	"os/exec"
 	"path/filepath"
@@ -23,190 +22,266 @@
 	"golang.org/x/sys/unix"
 )
 
-// Some places to run refuse system calls that the program would like to use. This test's own binary lays a filter on itself (seccomp(2),
-// which needs no rights) and becomes the program: refused are splice (EINVAL), sendfile, io_uring, fork and the like (ENOSYS).
+// Some environments deny system calls that the program would like to use. This test's own binary installs a filter on
+// itself (seccomp(2), which needs no rights) and becomes the program: denied are splice (EINVAL), sendfile, io_uring,
+// fork and the like (ENOSYS).
 const (
-	refuseVariable = "OLIVEARCH_TEST_REFUSE" // what splice meets: "refused" or "fatal"; "probe": try the calls instead of a program
-	becomeVariable = "OLIVEARCH_TEST_BECOME" // the program
+	filterVariable  = "OLIVEARCH_TEST_REFUSE" // a filterMode
+	programVariable = "OLIVEARCH_TEST_BECOME" // the path of the program
 )
 
+// filterMode says what happens under the filter.
+type filterMode string
+
+const (
+	spliceDenied filterMode = "refused" // splice fails
+	spliceFatal  filterMode = "fatal"   // splice ends the process
+	probeFilter  filterMode = "probe"   // instead of a program, try the calls and print whether they are denied
+)
+
+const exitFilterFailed = 3
+
 func init() {
-	how := os.Getenv(refuseVariable)
-	if how == "" {
+	mode := filterMode(os.Getenv(filterVariable))
+	if mode == "" {
 		return
 	}
-	if err := refuse(how == "fatal"); err != nil {
-		fmt.Fprintln(os.Stderr, "laying the filter:", err)
-		os.Exit(3)
+	if err := installFilter(mode == spliceFatal); err != nil {
+		fmt.Fprintln(os.Stderr, "installing the filter:", err)
+		os.Exit(exitFilterFailed)
 	}
-	if how == "probe" {
-		_, err := unix.Splice(-1, nil, -1, nil, 1, 0)
-		_, _, ring := syscall.RawSyscall(unix.SYS_IO_URING_SETUP, 1, 0, 0)
-		_, file := unix.Sendfile(-1, -1, nil, 1)
-		_, fork := syscall.ForkExec("/proc/self/exe", []string{"x"}, nil)
-		fmt.Println(err == unix.EINVAL, ring == unix.ENOSYS, file == unix.ENOSYS, errors.Is(fork, unix.ENOSYS))
+	if mode == probeFilter {
+		printDenied()
 		os.Exit(0)
 	}
-	program := os.Getenv(becomeVariable)
-	fmt.Fprintln(os.Stderr, syscall.Exec(program, []string{program}, os.Environ()))
-	os.Exit(3)
+	path := os.Getenv(programVariable)
+	fmt.Fprintln(os.Stderr, syscall.Exec(path, []string{path}, os.Environ()))
+	os.Exit(exitFilterFailed)
 }
 
-// refuse lays the filter on all threads of this process and on what it becomes. With fatal, splice ends the process instead.
-func refuse(fatal bool) error {
-	const (
-		auditX86 = 0xc000003e // AUDIT_ARCH_X86_64, <linux/audit.h>
-		allow    = 0x7fff0000 // SECCOMP_RET_ALLOW
-		fail     = 0x00050000 // SECCOMP_RET_ERRNO
-		kill     = 0x80000000 // SECCOMP_RET_KILL_PROCESS
-		setMode  = 1          // SECCOMP_SET_MODE_FILTER
-		threads  = 1          // SECCOMP_FILTER_FLAG_TSYNC
+// printDenied prints for each kind of calls whether it is denied.
+func printDenied() {
+	_, splice := unix.Splice(-1, nil, -1, nil, 1, 0)
+	_, _, ring := syscall.RawSyscall(unix.SYS_IO_URING_SETUP, 1, 0, 0)
+	_, sendfile := unix.Sendfile(-1, -1, nil, 1)
+	_, fork := syscall.ForkExec("/proc/self/exe", []string{"x"}, nil)
+	fmt.Println(
+		errors.Is(splice, unix.EINVAL),
+		errors.Is(ring, unix.ENOSYS),
+		errors.Is(sendfile, unix.ENOSYS),
+		errors.Is(fork, unix.ENOSYS),
 	)
-	load := func(at uint32) unix.SockFilter {
-		return unix.SockFilter{Code: unix.BPF_LD | unix.BPF_W | unix.BPF_ABS, K: at}
-	}
-	jump := func(test uint16, k uint32, yes, no uint8) unix.SockFilter {
-		return unix.SockFilter{Code: unix.BPF_JMP | test | unix.BPF_K, K: k, Jt: yes, Jf: no}
-	}
-	end := func(k uint32) unix.SockFilter { return unix.SockFilter{Code: unix.BPF_RET | unix.BPF_K, K: k} }
-	splice := end(fail | uint32(unix.EINVAL))
-	if fatal {
-		splice = end(kill)
-	}
-	filter := []unix.SockFilter{load(4), jump(unix.BPF_JEQ, auditX86, 1, 0), end(allow), load(0), jump(unix.BPF_JEQ, unix.SYS_SPLICE, 0, 1), splice}
-	for _, call := range []uint32{unix.SYS_SENDFILE, unix.SYS_IO_URING_SETUP, unix.SYS_IO_URING_ENTER, unix.SYS_IO_URING_REGISTER, unix.SYS_FORK, unix.SYS_VFORK, unix.SYS_CLONE3} {
-		filter = append(filter, jump(unix.BPF_JEQ, call, 0, 1), end(fail|uint32(unix.ENOSYS)))
-	}
-	// A new thread is no new process.
-	filter = append(filter, jump(unix.BPF_JEQ, unix.SYS_CLONE, 0, 3), load(16), jump(unix.BPF_JSET, unix.CLONE_THREAD, 1, 0), end(fail|uint32(unix.ENOSYS)), end(allow))
+}
+
+// Constants of <linux/audit.h> and <linux/seccomp.h> that package unix lacks.
+const (
+	auditArchX8664          = 0xc000003e // AUDIT_ARCH_X86_64
+	seccompAllow            = 0x7fff0000 // SECCOMP_RET_ALLOW
+	seccompErrno            = 0x00050000 // SECCOMP_RET_ERRNO
+	seccompKillProcess      = 0x80000000 // SECCOMP_RET_KILL_PROCESS
+	seccompSetModeFilter    = 1          // SECCOMP_SET_MODE_FILTER
+	seccompFilterAllThreads = 1          // SECCOMP_FILTER_FLAG_TSYNC
+
+	// Offsets in struct seccomp_data.
+	offsetCall          = 0
+	offsetArch          = 4
+	offsetFirstArgument = 16
+)
+
+// Instructions of a BPF filter.
+
+func bpfLoad(offset uint32) unix.SockFilter {
+	return unix.SockFilter{Code: unix.BPF_LD | unix.BPF_W | unix.BPF_ABS, K: offset}
+}
+
+// bpfJump skips so many instructions if the test of the loaded word with an operand is true, and so many otherwise.
+func bpfJump(test uint16, operand uint32, ifTrue, ifFalse uint8) unix.SockFilter {
+	return unix.SockFilter{Code: unix.BPF_JMP | test | unix.BPF_K, K: operand, Jt: ifTrue, Jf: ifFalse}
+}
+
+func bpfReturn(result uint32) unix.SockFilter {
+	return unix.SockFilter{Code: unix.BPF_RET | unix.BPF_K, K: result}
+}
+
+// installFilter installs the filter on all threads of this process and on what it becomes.
+func installFilter(spliceIsFatal bool) error {
+	filter := filterProgram(spliceIsFatal)
 	if err := unix.Prctl(unix.PR_SET_NO_NEW_PRIVS, 1, 0, 0, 0); err != nil {
 		return err
 	}
 	program := unix.SockFprog{Len: uint16(len(filter)), Filter: &filter[0]}
-	if _, _, err := syscall.Syscall(unix.SYS_SECCOMP, setMode, threads, uintptr(unsafe.Pointer(&program))); err != 0 {
-		return err
+	_, _, errno := syscall.Syscall(unix.SYS_SECCOMP, seccompSetModeFilter, seccompFilterAllThreads,
+		uintptr(unsafe.Pointer(&program)))
+	if errno != 0 {
+		return errno
 	}
 	return nil
 }
 
-// filtered starts the program under the filter, on its own disk, and returns once it is healthy.
-func filtered(t *testing.T, how, listen, discovery, temporary string) (*exec.Cmd, *bytes.Buffer) {
+func filterProgram(spliceIsFatal bool) []unix.SockFilter {
+	noSuchCall := bpfReturn(seccompErrno | uint32(unix.ENOSYS))
+	splice := bpfReturn(seccompErrno | uint32(unix.EINVAL))
+	if spliceIsFatal {
+		splice = bpfReturn(seccompKillProcess)
+	}
+	filter := []unix.SockFilter{
+		bpfLoad(offsetArch),
+		bpfJump(unix.BPF_JEQ, auditArchX8664, 1, 0),
+		bpfReturn(seccompAllow),
+		bpfLoad(offsetCall),
+		bpfJump(unix.BPF_JEQ, unix.SYS_SPLICE, 0, 1),
+		splice,
+	}
+	for _, call := range []uint32{
+		unix.SYS_SENDFILE,
+		unix.SYS_IO_URING_SETUP, unix.SYS_IO_URING_ENTER, unix.SYS_IO_URING_REGISTER,
+		unix.SYS_FORK, unix.SYS_VFORK, unix.SYS_CLONE3,
+	} {
+		filter = append(filter, bpfJump(unix.BPF_JEQ, call, 0, 1), noSuchCall)
+	}
+	// clone is denied but for new threads.
+	return append(filter,
+		bpfJump(unix.BPF_JEQ, unix.SYS_CLONE, 0, 3),
+		bpfLoad(offsetFirstArgument),
+		bpfJump(unix.BPF_JSET, unix.CLONE_THREAD, 1, 0),
+		noSuchCall,
+		bpfReturn(seccompAllow),
+	)
+}
+
+// filteredProcess is the program under the filter.
+type filteredProcess struct {
+	cmd    *exec.Cmd
+	log    *bytes.Buffer // to be read once the process has ended
+	listen string
+}
+
+// startFiltered starts the program under the filter, with a folder for temporary files of its own, and returns once it
+// is healthy.
+func startFiltered(t *testing.T, mode filterMode, discovery, temporary string) *filteredProcess {
 	t.Helper()
 	self, err := os.Executable()
 	if err != nil {
 		t.Fatal(err)
 	}
+	listen := freeAddress(t)
 	path := filepath.Join(t.TempDir(), "config.json")
-	if err := os.WriteFile(path, []byte(fmt.Sprintf(platformConfig, listen, discovery)), 0o600); err != nil {
+	writeFile(t, path, fmt.Sprintf(platformConfig, listen, discovery))
+	p := &filteredProcess{cmd: exec.Command(self), log: &bytes.Buffer{}, listen: listen}
+	p.cmd.Env = append(os.Environ(),
+		filterVariable+"="+string(mode), programVariable+"="+buildProgram(t),
+		"RELAY_CONFIG="+path, "TMPDIR="+temporary)
+	p.cmd.Stderr = p.log
+	if err := p.cmd.Start(); err != nil {
 		t.Fatal(err)
 	}
-	cmd, log := exec.Command(self), &bytes.Buffer{}
-	cmd.Env = append(os.Environ(), refuseVariable+"="+how, becomeVariable+"="+build(t), "RELAY_CONFIG="+path, "TMPDIR="+temporary)
-	cmd.Stderr = log
-	if err := cmd.Start(); err != nil {
-		t.Fatal(err)
-	}
-	t.Cleanup(func() { cmd.Process.Kill(); cmd.Wait() })
-	for end := time.Now().Add(30 * time.Second); ; time.Sleep(10 * time.Millisecond) {
-		if r, err := http.Get("http://" + listen + "/healthz"); err == nil {
-			r.Body.Close()
-			if r.StatusCode == http.StatusOK {
-				return cmd, log
-			}
-		}
-		if time.Now().After(end) {
-			cmd.Process.Kill()
-			cmd.Wait()
-			t.Fatalf("not healthy in time: %s", log)
+	t.Cleanup(func() {
+		killAndWait(p.cmd)
+		if t.Failed() {
+			t.Logf("its log: %s", p.log)
 		}
-	}
+	})
+	waitUntil(t, 30*time.Second, "healthy", func() bool { return isHealthy(listen) })
+	return p
 }
 
-// send sends a body of so many bytes in two parts, so that some of it comes when its node has been chosen, and returns the answer.
-func send(listen string, size int) (string, error) {
-	c, err := net.Dial("tcp", listen)
+// sendBody sends a body of so many bytes in two parts, so that some of it comes when its upstream has been chosen, and
+// returns the body of the answer.
+func (p *filteredProcess) sendBody(size int) (string, error) {
+	conn, err := net.Dial("tcp", p.listen)
 	if err != nil {
 		return "", err
 	}
-	defer c.Close()
-	c.SetDeadline(time.Now().Add(20 * time.Second))
-	fmt.Fprintf(c, "POST /c HTTP/1.1\r\nHost: x\r\nX-Class: c\r\nX-Request-Id: %016x\r\nContent-Length: %d\r\n\r\n", size, size)
-	body := bytes.Repeat([]byte("0123456789abcdef"), size/16)
-	if _, err := c.Write(body); err != nil {
+	defer conn.Close()
+	if err := conn.SetDeadline(time.Now().Add(20 * time.Second)); err != nil {
 		return "", err
 	}
-	r, err := http.ReadResponse(bufio.NewReader(c), nil)
-	if err != nil {
+	if _, err := io.WriteString(conn, requestHeader(fmt.Sprintf("%016x", size), size)); err != nil {
+		return "", err
+	}
+	if _, err := conn.Write(bytes.Repeat([]byte("0123456789abcdef"), size/16)); err != nil {
 		return "", err
 	}
-	defer r.Body.Close()
-	text, err := io.ReadAll(r.Body)
-	return string(text), err
+	got, err := readAnswer(bufio.NewReader(conn))
+	return got.body, err
 }
 
-// Where splice is refused bodies go on by copying; that they would be spliced shows where splice is fatal. Nothing else that is refused
-// is missed, and a Unix socket at which nobody answers, or nobody is, keeps nothing from starting.
-func TestSystemCallsThatAreRefused(t *testing.T) {
+// listenSilently takes connections where a previous process of the program would answer, and says nothing.
+func listenSilently(t *testing.T, temporary string) {
+	t.Helper()
+	address := &net.UnixAddr{Name: filepath.Join(temporary, "olivearch-n0.sock"), Net: "unixpacket"}
+	listener, err := net.ListenUnix("unixpacket", address)
+	if err != nil {
+		t.Fatal(err)
+	}
+	t.Cleanup(func() { listener.Close() })
+}
+
+func requireFilterWorks(t *testing.T) {
+	t.Helper()
 	self, err := os.Executable()
 	if err != nil {
 		t.Fatal(err)
 	}
 	probe := exec.Command(self)
-	probe.Env = append(os.Environ(), refuseVariable+"=probe")
+	probe.Env = append(os.Environ(), filterVariable+"="+string(probeFilter))
 	if out, err := probe.CombinedOutput(); err != nil || strings.TrimSpace(string(out)) != "true true true true" {
-		t.Fatalf("the filter does not bite: %v %s", err, out)
+		t.Fatalf("the filter doesn't work: %v %s", err, out)
 	}
+}
+
+// TestSystemCallsThatAreRefused: where splice is denied bodies are copied instead; that they would be spliced shows
+// where splice is fatal. Nothing else that is denied is missed, and a Unix socket at which nobody answers, or nobody
+// is, keeps nothing from starting.
+func TestSystemCallsThatAreRefused(t *testing.T) {
+	requireFilterWorks(t)
 	const size = 4 << 20
-	node := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		n, _ := io.Copy(io.Discard, r.Body)
-		fmt.Fprint(w, n)
-	}))
-	defer node.Close()
-	discovery := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		if r.URL.Query().Get("since") == "7" {
-			select {
-			case <-r.Context().Done():
-			case <-time.After(time.Second):
-			}
-		}
-		fmt.Fprintf(w, `{"revision":7,"complete":true,"members":[{"id":"s-00000001","host_port":"%s","phase":"up","size":1}]}`, node.Listener.Addr())
-	}))
-	defer discovery.Close()
-	for _, how := range []string{"refused", "fatal"} {
-		listen, temporary := free(t), t.TempDir()
-		// Where the program's own old process would answer, somebody takes connections and says nothing.
-		mute, err := net.ListenUnix("unixpacket", &net.UnixAddr{Name: filepath.Join(temporary, "olivearch-n0.sock"), Net: "unixpacket"})
+	discovery := discover(t, 1, func(_ int, w http.ResponseWriter, r *http.Request) {
+		received, err := io.Copy(io.Discard, r.Body)
 		if err != nil {
-			t.Fatal(err)
+			t.Log(err)
 		}
-		defer mute.Close()
-		cmd, log := filtered(t, how, listen, discovery.Listener.Addr().String(), temporary)
-		answer := ""
-		for end := time.Now().Add(20 * time.Second); answer == "" && err == nil && time.Now().Before(end); { // until its list has come
-			if answer, err = send(listen, size); answer != fmt.Sprint(size) && how == "refused" {
-				answer = ""
+		respondText(t, w, fmt.Sprint(received))
+	}).Listener.Addr().String()
+
+	t.Run("denied", func(t *testing.T) {
+		temporary := t.TempDir()
+		listenSilently(t, temporary)
+		process := startFiltered(t, spliceDenied, discovery, temporary)
+		waitUntil(t, 20*time.Second, "answered", func() bool { // until its list has come
+			got, err := process.sendBody(size)
+			if err != nil {
+				t.Fatalf("splice is denied: %v", err)
 			}
+			return got == fmt.Sprint(size)
+		})
+		sendSignal(t, process.cmd, syscall.SIGTERM)
+		if err := process.cmd.Wait(); err != nil {
+			t.Errorf("ended with %v", err)
 		}
-		switch how {
-		case "refused":
-			if answer != fmt.Sprint(size) || err != nil {
-				t.Errorf("splice is refused: %q %v\n%s", answer, err, log)
-			}
-			cmd.Process.Signal(syscall.SIGTERM)
-			if err := cmd.Wait(); err != nil {
-				t.Errorf("ended with %v\n%s", err, log)
-			}
-			if !strings.Contains(log.String(), "previous process not taken over") {
-				t.Errorf("nothing is said of the mute socket: %s", log)
-			}
-		case "fatal":
-			if err == nil {
-				t.Error("a body went through where splice is fatal: the other case shows nothing")
-			}
-			cmd.Wait()
-			if status := cmd.ProcessState.Sys().(syscall.WaitStatus); !status.Signaled() || status.Signal() != syscall.SIGSYS {
-				t.Errorf("it ended by %v\n%s", cmd.ProcessState, log)
+		if !strings.Contains(process.log.String(), "previous process not taken over") {
+			t.Error("nothing is logged of the silent socket")
+		}
+	})
+
+	t.Run("fatal", func(t *testing.T) {
+		temporary := t.TempDir()
+		listenSilently(t, temporary)
+		process := startFiltered(t, spliceFatal, discovery, temporary)
+		waitUntil(t, 20*time.Second, "killed at a splice", func() bool {
+			got, err := process.sendBody(size)
+			if got != "" {
+				t.Fatal("a body went through where splice is fatal: the other case shows nothing")
 			}
+			return err != nil
+		})
+		killed := &exec.ExitError{}
+		if err := process.cmd.Wait(); !errors.As(err, &killed) {
+			t.Fatalf("ended with %v", err)
 		}
-	}
+		status, ok := killed.Sys().(syscall.WaitStatus)
+		if !ok || !status.Signaled() || status.Signal() != syscall.SIGSYS {
+			t.Errorf("ended by %v", killed)
+		}
+	})
 }
--- a/cmd/olivearch/reload_test.go
+++ b/cmd/olivearch/reload_test.go
@@ -15,199 +15,279 @@
 	"olivearch/internal/service"
 )
 
-// serveWith runs a service with its signals and what reads its configuration.
-func serveWith(
-	running *service.Service, configuration *config.Loaded, hangups, terminations <-chan os.Signal,
-	reload func(*config.Loaded) (*config.Loaded, error),
-) error {
-	s := &server{
-		service: running, configuration: configuration,
-		hangups: hangups, terminations: terminations, reload: reload,
-	}
-	return s.run()
+const reloadLimit = 20 * time.Second
+
+// reloadable is a server in this process whose signals the test sends.
+type reloadable struct {
+	server       *server
+	hangups      chan os.Signal
+	terminations chan os.Signal
+	ended        chan error // what the server's run returned
+	url          string
 }
 
-// TestReloadDuringReload: while a configuration is being read it is written again twice, with a hang-up each; the last text wins, and
-// SIGTERM is not lost behind hang-ups, however many there are.
-func TestReloadDuringReload(t *testing.T) {
-	path := filepath.Join(t.TempDir(), "c.yaml")
-	text := func(route string) string {
-		return "listeners: [{address: '127.0.0.1:0'}]\nclasses: {c: {aim: 250ms, deadline: 1s}}\npools: {p: {nodes: {static: []}}}\nroutes:\n- {name: one, path: {prefix: /" + route + "}, class: c, pool: p}\n"
-	}
-	write(t, path, text("a"))
-	c, err := config.Load(path)
+// startReloadable starts a server of a configuration file, with what reads the file at a reload.
+func startReloadable(
+	t *testing.T, path string, reload func(current *config.Loaded) (*config.Loaded, error),
+) *reloadable {
+	t.Helper()
+	configuration, err := config.Load(path)
 	if err != nil {
 		t.Fatal(err)
 	}
-	s, err := service.Start(c, "test")
+	running, err := service.Start(configuration, "test")
 	if err != nil {
 		t.Fatal(err)
 	}
-	url := "http://" + s.Address("127.0.0.1:0").String()
-	known := func(route string) bool {
-		t.Helper()
-		resp, err := http.Get(url + "/" + route)
-		if err != nil {
-			t.Fatal(err)
-		}
-		resp.Body.Close()
-		return resp.StatusCode != http.StatusNotFound
+	r := &reloadable{
+		hangups:      make(chan os.Signal, 1),
+		terminations: make(chan os.Signal, 1),
+		ended:        make(chan error, 1),
+		url:          "http://" + running.Address("127.0.0.1:0").String(),
 	}
-	hangups, ends, reads := make(chan os.Signal, 1), make(chan os.Signal, 1), make(chan string)
-	hangup := func() { // as signal.Notify: one that finds no room is dropped
-		select {
-		case hangups <- syscall.SIGHUP:
-		default:
-		}
+	r.server = &server{
+		service: running, configuration: configuration,
+		hangups: r.hangups, terminations: r.terminations, reload: reload,
 	}
-	n := 0
-	served := make(chan error, 1)
-	go func() {
-		served <- serveWith(s, c, hangups, ends, func(old *config.Loaded) (*config.Loaded, error) {
-			next, err := config.Reload(path, old)
-			if n++; n == 1 { // it has been read: what comes now is too late for it
-				write(t, path, text("c"))
-				hangup()
-				write(t, path, text("d"))
-				hangup()
-				hangup()
-			}
-			reads <- next.Table.Rule("one").Path
-			return next, err
-		})
-	}()
-	write(t, path, text("b"))
-	hangup()
+	return r
+}
+
+func (r *reloadable) run() { go func() { r.ended <- r.server.run() }() }
+
+// hangup sends a hang-up as signal.Notify does: one that finds no room is dropped.
+func (r *reloadable) hangup() {
+	select {
+	case r.hangups <- syscall.SIGHUP:
+	default:
+	}
+}
+
+// knows reports whether a route with this path is in force.
+func (r *reloadable) knows(t *testing.T, path string) bool {
+	t.Helper()
+	response, err := http.Get(r.url + path)
+	if err != nil {
+		t.Fatal(err)
+	}
+	response.Body.Close()
+	return response.StatusCode != http.StatusNotFound
+}
+
+func configurationWithRoute(path string) string {
+	return `listeners: [{address: '127.0.0.1:0'}]
+classes: {c: {aim: 250ms, deadline: 1s}}
+pools: {p: {nodes: {static: []}}}
+routes:
+- {name: one, path: {prefix: ` + path + `}, class: c, pool: p}
+`
+}
+
+// TestReloadDuringReload: while a configuration is being read it is written again twice, with a hang-up each; the last
+// text wins, and SIGTERM is not lost behind hang-ups, however many there are.
+func TestReloadDuringReload(t *testing.T) {
+	path := filepath.Join(t.TempDir(), "c.yaml")
+	writeFile(t, path, configurationWithRoute("/a"))
+	reloaded := make(chan string) // paths of the route, as read
+	var r *reloadable
+	reloads := 0
+	r = startReloadable(t, path, func(current *config.Loaded) (*config.Loaded, error) {
+		next, err := config.Reload(path, current)
+		reloads++
+		if reloads == 1 { // it has been read: what comes now is too late for it
+			writeFile(t, path, configurationWithRoute("/c"))
+			r.hangup()
+			writeFile(t, path, configurationWithRoute("/d"))
+			r.hangup()
+			r.hangup()
+		}
+		reloaded <- next.Table.Rule("one").Path
+		return next, err
+	})
+	r.run()
+	writeFile(t, path, configurationWithRoute("/b"))
+	r.hangup()
 	for _, want := range []string{"/b", "/d"} {
 		select {
-		case got := <-reads:
+		case got := <-reloaded:
 			if got != want {
 				t.Errorf("read %s, want %s", got, want)
 			}
-		case <-time.After(20 * time.Second):
+		case <-time.After(reloadLimit):
 			t.Fatal("a hang-up was lost")
 		}
 	}
-	for end := time.Now().Add(20 * time.Second); !known("d"); time.Sleep(time.Millisecond) {
-		if time.Now().After(end) {
-			t.Fatal("the last text does not hold")
+	waitUntil(t, reloadLimit, "the last text is in force", func() bool { return r.knows(t, "/d") })
+	for _, path := range []string{"/a", "/b", "/c"} {
+		if r.knows(t, path) {
+			t.Errorf("an old text is in force: it has %s", path)
 		}
 	}
-	if known("a") || known("b") || known("c") {
-		t.Error("an old text holds")
-	}
 	for range 10 {
-		hangup()
+		r.hangup()
 	}
-	ends <- syscall.SIGTERM
+	r.terminations <- syscall.SIGTERM
+	requireEnds(t, r, reloaded)
+}
+
+// requireEnds waits until a server has ended, whatever it still reloads.
+func requireEnds(t *testing.T, r *reloadable, reloaded <-chan string) {
+	t.Helper()
 	for {
 		select {
-		case <-reads:
-		case err := <-served:
+		case <-reloaded:
+		case err := <-r.ended:
 			if err != nil {
 				t.Error(err)
 			}
 			return
-		case <-time.After(20 * time.Second):
+		case <-time.After(reloadLimit):
 			t.Fatal("SIGTERM was lost")
 		}
 	}
 }
 
-// TestMemoryAtItsLimit: a configuration that the memory does not bear is refused in one line with its place, by check, at the start
-// and by a reload, at which the old one goes on.
+func configurationWithTenants(tenants int) string {
+	var text strings.Builder
+	text.WriteString(`listeners: [{address: '127.0.0.1:0', connections: 20}]
+limits:
+  memory: 40MiB
+  bodies: 1MiB
+classes: {c: {aim: 250ms, deadline: 1s}}
+pools: {p: {nodes: {static: []}, queue: 20}}
+routes:
+- {name: one, class: c, pool: p}
+tenants:
+`)
+	for i := range tenants {
+		fmt.Fprintf(&text, "  tenant-with-a-long-name-%06d: {quota: 5}\n", i)
+	}
+	return text.String()
+}
+
+// TestMemoryAtItsLimit: a configuration that the memory can't hold is rejected in one line with its place, by check, at
+// the start and by a reload, at which the current one stays.
 func TestMemoryAtItsLimit(t *testing.T) {
 	folder := t.TempDir()
-	path, big := filepath.Join(folder, "c.yaml"), filepath.Join(folder, "big.yaml")
-	text := func(tenants int) string {
-		var b strings.Builder
-		b.WriteString("listeners: [{address: '127.0.0.1:0', connections: 20}]\nlimits:\n  memory: 40MiB\n  bodies: 1MiB\nclasses: {c: {aim: 250ms, deadline: 1s}}\npools: {p: {nodes: {static: []}, queue: 20}}\nroutes:\n- {name: one, class: c, pool: p}\ntenants:\n")
-		for i := range tenants {
-			fmt.Fprintf(&b, "  tenant-with-a-long-name-%06d: {quota: 5}\n", i)
-		}
-		return b.String()
-	}
-	write(t, path, text(10))
-	write(t, big, text(80000))
-	if err := check([]string{big}, &strings.Builder{}); err == nil || !strings.HasPrefix(err.Error(), big+":3:11: reading the file takes about") || strings.Contains(err.Error(), "\n") {
+	path := filepath.Join(folder, "c.yaml")
+	large := filepath.Join(folder, "big.yaml")
+	writeFile(t, path, configurationWithTenants(10))
+	writeFile(t, large, configurationWithTenants(80000))
+	err := check([]string{large}, &strings.Builder{})
+	switch {
+	case err == nil:
+		t.Error("check accepts it")
+	case !strings.HasPrefix(err.Error(), large+":3:11: reading the file takes about"):
 		t.Errorf("check: %v", err)
+	case strings.Contains(err.Error(), "\n"):
+		t.Errorf("check: more than one line: %v", err)
 	}
-	if _, err := config.Load(big); err == nil {
-		t.Error("a start takes it")
-	}
-	c, err := config.Load(path)
-	if err != nil {
-		t.Fatal(err)
-	}
-	s, err := service.Start(c, "test")
-	if err != nil {
-		t.Fatal(err)
+	if _, err := config.Load(large); err == nil {
+		t.Error("a start accepts it")
 	}
-	hangups, ends, told, served := make(chan os.Signal, 1), make(chan os.Signal, 1), make(chan error), make(chan error, 1)
-	go func() {
-		served <- serveWith(s, c, hangups, ends, func(old *config.Loaded) (*config.Loaded, error) {
-			if old != c {
-				t.Error("another configuration holds")
-			}
-			next, err := config.Reload(path, old)
-			told <- err
-			return next, err
-		})
-	}()
-	write(t, path, text(80000))
+	reloaded := make(chan error)
+	var r *reloadable
+	var first *config.Loaded
+	r = startReloadable(t, path, func(current *config.Loaded) (*config.Loaded, error) {
+		if current != first {
+			t.Error("another configuration is in force")
+		}
+		next, err := config.Reload(path, current)
+		reloaded <- err
+		return next, err
+	})
+	first = r.server.configuration
+	r.run()
+	writeFile(t, path, configurationWithTenants(80000))
 	for range 2 {
-		hangups <- syscall.SIGHUP
-		if err := <-told; err == nil || !strings.Contains(err.Error(), "12 MiB of it for the configuration that holds") {
+		r.hangups <- syscall.SIGHUP
+		err := <-reloaded
+		if err == nil || !strings.Contains(err.Error(), "12 MiB of it for the configuration that holds") {
 			t.Errorf("reload: %v", err)
 		}
 	}
-	resp, err := http.Get("http://" + s.Address("127.0.0.1:0").String())
+	response, err := http.Get(r.url)
 	if err != nil {
 		t.Fatal(err)
 	}
-	resp.Body.Close()
-	if s.View().Reloads != 0 {
-		t.Error("the old configuration does not go on")
+	response.Body.Close()
+	if r.server.service.View().Reloads != 0 {
+		t.Error("the first configuration is no longer in force")
 	}
-	ends <- syscall.SIGTERM
-	if err := <-served; err != nil {
+	r.terminations <- syscall.SIGTERM
+	if err := <-r.ended; err != nil {
 		t.Error(err)
 	}
 }
 
-// TestCheckAtSize: 490 pools of one of many balancers are checked within a few seconds, with what they cost; with too few descriptors or too
-// little memory for their nodes it says how much is needed.
-func TestCheckAtSize(t *testing.T) {
-	folder := t.TempDir()
-	var pools, routes, list strings.Builder
-	for i := range 490 {
+// poolsAndRoutes returns the pools and routes of a configuration, one route to each pool.
+func poolsAndRoutes(count int) string {
+	var pools, routes strings.Builder
+	for i := range count {
 		fmt.Fprintf(&pools, "  p%03d: {nodes: {file: l.yaml}}\n", i)
 		fmt.Fprintf(&routes, "  - {name: r%03d, path: {prefix: /%d}, class: c, pool: p%03d}\n", i, i, i)
 	}
+	return "pools:\n" + pools.String() + "routes:\n" + routes.String()
+}
+
+// TestCheckAtSize: 490 pools of one of many balancers are checked within a few seconds, with what they cost; with too
+// few descriptors or too little memory for their nodes it says how much is needed.
+func TestCheckAtSize(t *testing.T) {
+	const limit = 5 * time.Second
+	folder := t.TempDir()
+	var list strings.Builder
 	list.WriteString("nodes:\n")
 	for i := range 60 {
 		fmt.Fprintf(&list, "- {address: '127.0.0.1:%d'}\n", i+1)
 	}
-	write(t, filepath.Join(folder, "l.yaml"), list.String())
-	for _, c := range []struct{ limits, want, wrong string }{
-		{"{descriptors: 4096, memory: 512MiB}", "cost: 490 pools, 29400 nodes in lists, 490 routes, 0 tenants: about 75 MiB", ""},
-		{"{descriptors: 1024}", "", "c.yaml:1:23: listeners and pools may take 1050 with a reserve of 48, more than the 1024 there are"},
-		{"{descriptors: 4096}", "", "c.yaml:1:9: pools may hold 1960 requests, which can take 355 MiB"},
-		{"{descriptors: 1200, memory: 160MiB}", "cost: 490 pools", ""},
-		{"{descriptors: 1200, memory: 64MiB, bodies: 1MiB}", "", "pools may hold 490 requests, which can take"},
+	writeFile(t, filepath.Join(folder, "l.yaml"), list.String())
+	path := filepath.Join(folder, "c.yaml")
+	poolsText := poolsAndRoutes(490)
+	for _, c := range []struct{ limits, wantOutput, wantErr string }{
+		{
+			limits:     "{descriptors: 4096, memory: 512MiB}",
+			wantOutput: "cost: 490 pools, 29400 nodes in lists, 490 routes, 0 tenants: about 75 MiB",
+		},
+		{
+			limits:  "{descriptors: 1024}",
+			wantErr: "c.yaml:1:23: listeners and pools may take 1050 with a reserve of 48, more than the 1024 there are",
+		},
+		{
+			limits:  "{descriptors: 4096}",
+			wantErr: "c.yaml:1:9: pools may hold 1960 requests, which can take 355 MiB",
+		},
+		{
+			limits:     "{descriptors: 1200, memory: 160MiB}",
+			wantOutput: "cost: 490 pools",
+		},
+		{
+			limits:  "{descriptors: 1200, memory: 64MiB, bodies: 1MiB}",
+			wantErr: "pools may hold 490 requests, which can take",
+		},
 	} {
-		path := filepath.Join(folder, "c.yaml")
-		write(t, path, "limits: "+c.limits+"\nlisteners: [{address: '127.0.0.1:0'}]\ninstances: {count: 1500, rank: 3}\nclasses: {c: {aim: 250ms, deadline: 1s}}\npools:\n"+pools.String()+"routes:\n"+routes.String())
+		writeFile(t, path, "limits: "+c.limits+`
+listeners: [{address: '127.0.0.1:0'}]
+instances: {count: 1500, rank: 3}
+classes: {c: {aim: 250ms, deadline: 1s}}
+`+poolsText)
 		var out strings.Builder
 		began := time.Now()
 		err := check([]string{path}, &out)
-		took := time.Since(began)
-		if (err == nil) != (c.wrong == "") || err != nil && !strings.Contains(err.Error(), c.wrong) || !strings.Contains(out.String(), c.want) || took > 5*time.Second {
-			t.Errorf("%s: after %v %v\n%.300s", c.limits, took, err, &out)
+		if took := time.Since(began); took > limit {
+			t.Errorf("%s: it took %v", c.limits, took)
+		}
+		if (err == nil) != (c.wantErr == "") {
+			t.Errorf("%s: %v, want %q", c.limits, err, c.wantErr)
+		}
+		if err != nil && !strings.Contains(err.Error(), c.wantErr) {
+			t.Errorf("%s: %v, want %q", c.limits, err, c.wantErr)
+		}
+		if !strings.Contains(out.String(), c.wantOutput) {
+			t.Errorf("%s: %.300s\nwant %q", c.limits, &out, c.wantOutput)
 		}
 	}
-	var e interface{ Unwrap() []error }
-	if err := check([]string{filepath.Join(folder, "c.yaml")}, &strings.Builder{}); errors.As(err, &e) && len(e.Unwrap()) > 1 {
+	err := check([]string{path}, &strings.Builder{})
+	var joined interface{ Unwrap() []error }
+	if errors.As(err, &joined) && len(joined.Unwrap()) > 1 {
 		t.Errorf("more than one line: %v", err)
 	}
 }
--- a/cmd/olivearch/services_test.go
+++ b/cmd/olivearch/services_test.go
@@ -1,50 +1,45 @@
 package main
 
 import (
-	"bufio"
 	"bytes"
 	"errors"
 	"fmt"
 	"net/http"
-	"os"
 	"os/exec"
 	"path/filepath"
 	"strings"
 	"syscall"
 	"testing"
-	"time"
 
 	"olivearch/internal/standin/instant"
 )
 
-// build returns the path of the program, built here: RUN names the platform's start, which takes none.
-func build(t *testing.T) string {
+// requireStatuses posts to paths of a balancer and compares the statuses.
+func requireStatuses(t *testing.T, when, listen string, want map[string]int) {
 	t.Helper()
-	path := filepath.Join(t.TempDir(), "olivearch")
-	if out, err := exec.Command("go", "build", "-o", path, ".").CombinedOutput(); err != nil {
-		t.Fatalf("build: %v\n%s", err, out)
-	}
-	return path
-}
-
-func write(t *testing.T, path, text string) {
-	t.Helper()
-	if err := os.WriteFile(path+".new", []byte(text), 0o600); err != nil {
-		t.Fatal(err)
-	}
-	if err := os.Rename(path+".new", path); err != nil {
-		t.Fatal(err)
+	for path, status := range want {
+		response, err := http.Post("http://"+listen+path, "text/plain", strings.NewReader("x"))
+		if err != nil {
+			t.Fatal(err)
+		}
+		response.Body.Close()
+		if response.StatusCode != status {
+			t.Errorf("%s: %s is answered %d, want %d", when, path, response.StatusCode, status)
+		}
 	}
 }
 
-// TestServe runs a configuration, reads it again with a bad and a good file, looks with top, and ends by SIGTERM.
+// TestServe runs a configuration, reloads it with a bad and a good file, looks with top, and ends by SIGTERM.
 func TestServe(t *testing.T) {
 	node, err := instant.Start(5)
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer node.Close()
-	binary, folder, listen, admin := build(t), t.TempDir(), free(t), free(t)
+	binary := buildProgram(t)
+	folder := t.TempDir()
+	listen := freeAddress(t)
+	admin := freeAddress(t)
 	path := filepath.Join(folder, "c.yaml")
 	text := fmt.Sprintf(`listeners: [{address: '%s'}]
 admin: {address: '%s'}
@@ -52,80 +47,55 @@
 pools: {p: {nodes: {file: nodes.yaml}}}
 routes: [{name: one, path: {prefix: /one}, class: c, pool: p}]
 `, listen, admin)
-	write(t, path, text)
-	write(t, filepath.Join(folder, "nodes.yaml"), fmt.Sprintf("nodes: [{address: '%s'}]\n", node.Address()))
+	writeFile(t, path, text)
+	writeFile(t, filepath.Join(folder, "nodes.yaml"), fmt.Sprintf("nodes: [{address: '%s'}]\n", node.Address()))
 	cmd := exec.Command(binary, "serve", "--config", path)
-	log, err := cmd.StderrPipe()
-	if err != nil {
-		t.Fatal(err)
-	}
-	if err := cmd.Start(); err != nil {
-		t.Fatal(err)
-	}
-	lines := make(chan string, 1000)
-	go func() {
-		for s := bufio.NewScanner(log); s.Scan(); {
-			lines <- s.Text()
-		}
-		close(lines)
-	}()
-	limit := time.AfterFunc(60*time.Second, func() { cmd.Process.Kill() })
-	defer limit.Stop()
-	until := func(part string) {
-		t.Helper()
-		var seen []string
-		for line := range lines {
-			if seen = append(seen, line); strings.Contains(line, part) {
-				return
-			}
-		}
-		t.Fatalf("%q was not logged: %q", part, seen)
-	}
-	ask := func(path string) int {
-		t.Helper()
-		resp, err := http.Post("http://"+listen+path, "text/plain", strings.NewReader("x"))
-		if err != nil {
-			t.Fatal(err)
-		}
-		resp.Body.Close()
-		return resp.StatusCode
-	}
-	until("balancer serving")
-	if a, b := ask("/one"), ask("/two"); a != 200 || b != 404 {
-		t.Errorf("got %d and %d", a, b)
-	}
-	write(t, path, strings.Replace(text, "aim: 250ms", "aim: 250", 1))
-	cmd.Process.Signal(syscall.SIGHUP)
-	until("c.yaml:3:20")
-	if a := ask("/one"); a != 200 {
-		t.Errorf("after a bad file: %d", a)
-	}
-	write(t, path, strings.Replace(text, "/one", "/two", 1))
-	cmd.Process.Signal(syscall.SIGHUP)
-	until("configuration reloaded")
-	if a, b := ask("/one"), ask("/two"); a != 404 || b != 200 {
-		t.Errorf("after the reload: %d and %d", a, b)
-	}
+	process := startLogged(t, cmd)
+	process.awaitLog(t, "balancer serving")
+	requireStatuses(t, "at first", listen, map[string]int{"/one": 200, "/two": 404})
+
+	writeFile(t, path, strings.Replace(text, "aim: 250ms", "aim: 250", 1))
+	sendSignal(t, cmd, syscall.SIGHUP)
+	process.awaitLog(t, "c.yaml:3:20")
+	requireStatuses(t, "after a bad file", listen, map[string]int{"/one": 200})
+
+	writeFile(t, path, strings.Replace(text, "/one", "/two", 1))
+	sendSignal(t, cmd, syscall.SIGHUP)
+	process.awaitLog(t, "configuration reloaded")
+	requireStatuses(t, "after the reload", listen, map[string]int{"/one": 404, "/two": 200})
+
 	out, err := exec.Command(binary, "top", "--once", "--admin", admin).CombinedOutput()
-	if err != nil || !strings.Contains(string(out), "1 reloads") || !strings.Contains(string(out), "pool p: 0 of") || !strings.Contains(string(out), node.Address()) {
+	if err != nil {
 		t.Errorf("top: %v\n%s", err, out)
 	}
-	cmd.Process.Signal(syscall.SIGTERM)
-	until("balancer stopping")
-	for range lines {
-	}
-	if err := cmd.Wait(); err != nil {
-		t.Errorf("after SIGTERM: %v", err)
+	for _, want := range []string{"1 reloads", "pool p: 0 of", node.Address()} {
+		if !strings.Contains(string(out), want) {
+			t.Errorf("top does not show %q:\n%s", want, out)
+		}
 	}
+	sendSignal(t, cmd, syscall.SIGTERM)
+	process.awaitLog(t, "balancer stopping")
+	process.awaitEnd(t)
 }
 
 func TestCommands(t *testing.T) {
-	binary, folder := build(t), t.TempDir()
-	bad, list := filepath.Join(folder, "bad.yaml"), filepath.Join(folder, "list.yaml")
-	write(t, bad, "listners: []\n")
-	write(t, list, "listeners: [{address: '127.0.0.1:0'}]\nclasses: {c: {aim: 1s, deadline: 1s}}\npools: {p: {nodes: {file: none.yaml}}}\nroutes: [{name: r, class: c, pool: p}]\n")
+	binary := buildProgram(t)
+	folder := t.TempDir()
+	unknownKey := filepath.Join(folder, "bad.yaml")
+	writeFile(t, unknownKey, "listenrs: []\n")
+	missingList := filepath.Join(folder, "list.yaml")
+	writeFile(t, missingList, `listeners: [{address: '127.0.0.1:0'}]
+classes: {c: {aim: 1s, deadline: 1s}}
+pools: {p: {nodes: {file: none.yaml}}}
+routes: [{name: r, class: c, pool: p}]
+`)
 	many := filepath.Join(folder, "many.yaml")
-	write(t, many, "listeners: [{address: '127.0.0.1:0'}]\ninstances: {count: 300, rank: 17}\nclasses: {c: {aim: 1s, deadline: 1s}}\npools: {p: {nodes: {discovery: '127.0.0.1:1'}}}\nroutes: [{name: r, class: c, pool: p}]\n")
+	writeFile(t, many, `listeners: [{address: '127.0.0.1:0'}]
+instances: {count: 300, rank: 17}
+classes: {c: {aim: 1s, deadline: 1s}}
+pools: {p: {nodes: {discovery: '127.0.0.1:1'}}}
+routes: [{name: r, class: c, pool: p}]
+`)
 	sample := filepath.Join("..", "..", "deploy", "services.yaml")
 	for _, c := range []struct {
 		args []string
@@ -136,14 +106,14 @@
 		{[]string{"--help"}, 0, "olivearch serve"},
 		{[]string{"top", "--help"}, 0, "-admin"},
 		{[]string{"check", sample}, 0, "1 listeners, 2 routes, 2 pools"},
-		{[]string{"check", sample, bad}, 1, `bad.yaml:1:1: unknown key "listners"; did you mean "listeners"?`},
+		{[]string{"check", sample, unknownKey}, 1, `bad.yaml:1:1: unknown key "listenrs"; did you mean "listeners"?`},
 		{[]string{"check", many}, 0, "balancer 17 of 300 uses at first 3 of 10 nodes, 3 of 100 nodes"},
 		{[]string{"check", many}, 0, "no tenant has bought anything"},
-		{[]string{"check", list}, 1, "none.yaml"},
+		{[]string{"check", missingList}, 1, "none.yaml"},
 		{[]string{"check", filepath.Join(folder, "none")}, 1, "no such file"},
 		{[]string{"check"}, 2, "wants a FILE"},
 		{[]string{"serve"}, 2, "--config"},
-		{[]string{"serve", "--config", bad}, 1, "bad.yaml:1:1"},
+		{[]string{"serve", "--config", unknownKey}, 1, "bad.yaml:1:1"},
 		{[]string{"chek"}, 2, `did you mean "check"`},
 		{[]string{"top", "--every", "0s"}, 2, "a time over 0"},
 		{[]string{"demo", "--seconds", "0"}, 2, "seconds"},
@@ -151,7 +121,8 @@
 	} {
 		var out bytes.Buffer
 		cmd := exec.Command(binary, c.args...)
-		cmd.Stdout, cmd.Stderr = &out, &out
+		cmd.Stdout = &out
+		cmd.Stderr = &out
 		err := cmd.Run()
 		var exit *exec.ExitError
 		if err != nil && !errors.As(err, &exit) {
