--- a/cmd/olivearch/check.go
+++ b/cmd/olivearch/check.go
@@ -147,7 +147,7 @@
 	text     string
 }
 
-// samplePoolSizes are the numbers of upstreams for which the size of the subset is told.
+// samplePoolSizes are the numbers of upstreams for which the size of the subset is printed.
 var samplePoolSizes = []int{10, 100, 1000}
 
 func (d *subsetDescriber) describe(pool string) (string, error) {
--- a/cmd/olivearch/helpers_test.go
+++ b/cmd/olivearch/helpers_test.go
@@ -163,8 +163,8 @@
 	seen  []string    // lines that have been taken
 }
 
-// startLogged starts a process, which is killed after a minute or when the test ends.
-func startLogged(t *testing.T, cmd *exec.Cmd) *loggedProcess {
+// startLogged starts a process, which is killed after a limit, at which the test fails, or when the test ends.
+func startLogged(t *testing.T, cmd *exec.Cmd, limit time.Duration) *loggedProcess {
 	t.Helper()
 	log, err := cmd.StderrPipe()
 	if err != nil {
@@ -181,9 +181,9 @@
 		}
 	}()
 	kill := func() { _ = cmd.Process.Kill() } // it may have ended
-	limit := time.AfterFunc(time.Minute, kill)
+	timer := time.AfterFunc(limit, kill)
 	t.Cleanup(func() {
-		limit.Stop()
+		timer.Stop()
 		kill()
 		if t.Failed() {
 			p.drain()
@@ -211,7 +211,7 @@
 	t.Fatalf("%q was not logged", text)
 }
 
-// awaitEnd waits until the process has ended, with status 0.
+// awaitEnd waits until the process has ended and requires status 0, which one that was killed does not have.
 func (p *loggedProcess) awaitEnd(t *testing.T) {
 	t.Helper()
 	p.drain()
--- a/cmd/olivearch/main_test.go
+++ b/cmd/olivearch/main_test.go
@@ -26,7 +26,7 @@
 	})
 	cmd := program(t)
 	cmd.Env = append(os.Environ(), "RELAY_CONFIG="+path, "RELAY_DISCOVERY="+down)
-	process := startLogged(t, cmd)
+	process := startLogged(t, cmd, limit)
 	waitUntil(t, limit, "healthy", func() bool { return isHealthy(listen) })
 
 	writeFile(t, path, "{")
--- a/cmd/olivearch/services_test.go
+++ b/cmd/olivearch/services_test.go
@@ -10,6 +10,7 @@
 	"strings"
 	"syscall"
 	"testing"
+	"time"
 
 	"olivearch/internal/standin/instant"
 )
@@ -50,7 +51,7 @@
 	writeFile(t, path, text)
 	writeFile(t, filepath.Join(folder, "nodes.yaml"), fmt.Sprintf("nodes: [{address: '%s'}]\n", node.Address()))
 	cmd := exec.Command(binary, "serve", "--config", path)
-	process := startLogged(t, cmd)
+	process := startLogged(t, cmd, time.Minute)
 	process.awaitLog(t, "balancer serving")
 	requireStatuses(t, "at first", listen, map[string]int{"/one": 200, "/two": 404})
 
--- a/cmd/olivearch/upgrade_test.go
+++ b/cmd/olivearch/upgrade_test.go
@@ -173,6 +173,7 @@
 	if err := cmd.Start(); err != nil {
 		t.Fatal(err)
 	}
+	t.Cleanup(func() { killAndWait(cmd) })
 	process.await(t, "status")
 	return process
 }
--- a/cmd/simadapter/main.go
+++ b/cmd/simadapter/main.go
@@ -48,7 +48,7 @@
 	instances map[int]*balancer.Balancer
 }
 
-// deliver hands an event to its instance. If that panics, the simulator is told and the instance removed.
+// deliver hands an event to its instance. If that panics, the simulator is notified and the instance removed.
 func (a *adapter) deliver(now time.Duration, event *wire.Event) {
 	defer func() {
 		if cause := recover(); cause != nil {
