--- a/internal/strictyaml/check.go
+++ b/internal/strictyaml/check.go
@@ -4,17 +4,19 @@
 	"fmt"
 	"slices"
 	"strings"
+
+	"github.com/agnivade/levenshtein"
 )
 
-// Fill sets what was left out.
-func Fill[T comparable](v *T, to T) {
+// Fill sets a value that was left out to its default.
+func Fill[T comparable](value *T, defaultValue T) {
 	var zero T
-	if *v == zero {
-		*v = to
+	if *value == zero {
+		*value = defaultValue
 	}
 }
 
-// One fails unless the word at a path is among those known, with the nearest of them.
+// One records an error unless the word at a path is one of those known, and names the nearest of them.
 func (d *Doc) One(path, what, word string, known ...string) bool {
 	if slices.Contains(known, word) {
 		return true
@@ -28,16 +30,39 @@
 	return false
 }
 
-// Within fails unless low <= x <= high; no number is within.
+// Within records an error unless low <= x <= high; NaN is never within.
 func (d *Doc) Within(path string, x, low, high float64) {
-	if !(x >= low && x <= high) {
+	isWithin := x >= low && x <= high
+	if !isWithin {
 		d.Fail(path, "%v is not from %v to %v", x, low, high)
 	}
 }
 
-// Plain tells whether a name can stand in paths and file names.
+// maxNameLength is the length of a name that can stand in paths and file names, in bytes.
+const maxNameLength = 64
+
+// Plain reports whether a name can stand in paths and file names: ASCII letters, digits and hyphens.
 func Plain(name string) bool {
-	return name != "" && len(name) <= 64 && !strings.ContainsFunc(name, func(r rune) bool {
-		return (r < 'a' || r > 'z') && (r < 'A' || r > 'Z') && (r < '0' || r > '9') && r != '-'
+	if name == "" || len(name) > maxNameLength {
+		return false
+	}
+	return !strings.ContainsFunc(name, func(char rune) bool {
+		isLetter := char >= 'a' && char <= 'z' || char >= 'A' && char <= 'Z'
+		isDigit := char >= '0' && char <= '9'
+		return !isLetter && !isDigit && char != '-'
 	})
 }
+
+// Nearest returns the name that a wrong one was most likely meant to be, by edit distance; empty if none is near.
+func Nearest(wrong string, names []string) string {
+	nearest := ""
+	least := len(wrong)/2 + 1
+	for _, name := range slices.Sorted(slices.Values(names)) {
+		distance := levenshtein.ComputeDistance(strings.ToLower(wrong), name)
+		if distance < least {
+			nearest = name
+			least = distance
+		}
+	}
+	return nearest
+}
--- a/internal/strictyaml/decode.go
+++ b/internal/strictyaml/decode.go
@@ -1,385 +1,252 @@
-// Package strictyaml reads YAML into Go values and tells every error at once, each with its line and column. Unknown and
-// repeated keys are errors, with the nearest known key; so are values of the wrong kind.
 package strictyaml
 
 import (
-	"bytes"
 	"encoding"
-	"errors"
 	"fmt"
-	"io"
 	"maps"
-	"os"
 	"reflect"
 	"slices"
 	"strconv"
 	"strings"
 	"sync"
 
-	"github.com/agnivade/levenshtein"
 	"go.yaml.in/yaml/v3"
 )
 
-// maxNodes and maxDepth bound what a file can stand for: aliases of aliases, or one within itself, grow without bound. 15,000 routes, 140,000
-// tenants and 18,000 nodes in one file are over half a million values.
-const (
-	maxNodes  = 1 << 20
-	maxShared = 1 << 19 // of a file with anchors
-	maxDepth  = 100
-)
-
-// Position is a place in a file, counted from 1.
-type Position struct{ Line, Column int }
-
-// Error is one thing wrong with a file.
-type Error struct {
-	File string
-	Position
-	Text string
-}
-
-func (e Error) Error() string {
-	return fmt.Sprintf("%s:%d:%d: %s", e.File, e.Line, e.Column, e.Text)
-}
-
-// Doc knows where the values of a file stand, by path: "pools.maps.nodes", "routes[2].path".
-type Doc struct {
-	File      string
-	root      *yaml.Node
-	first     int                 // lines before the text that is read
-	positions map[string]Position // made when the first is asked for
-	errs      []error
-	nodes     int
-	depth     int
-	deepest   int
-	full      bool // it stands for too many values
-	shared    bool // something stands in more than one place, or may
+// Decode reads text, which came from the file of that name, into a pointer to a struct. Errors are recorded in the Doc.
+func Decode(file string, text []byte, into any) *Doc {
+	d := &Doc{File: file}
+	if root := d.parse(text); root != nil {
+		d.decodeValue("", root, reflect.ValueOf(into).Elem())
+	}
+	return d
 }
 
-// At returns the place of a value, or of the nearest one around it.
-func (d *Doc) At(path string) Position {
-	if d.positions == nil {
-		d.positions = map[string]Position{"": {d.first + 1, 1}}
-		left := maxShared
-		if !d.shared {
-			left = maxNodes
+// decodeValue reads a node into a value, within the bounds on the number of values and their depth.
+func (d *Doc) decodeValue(path string, node *yaml.Node, into reflect.Value) {
+	d.valueCount++
+	if d.valueCount > d.valueLimit() {
+		if !d.tooManyValues {
+			d.tooManyValues = true
+			d.Fail(path, "the file stands for too many values")
 		}
-		d.locate("", d.root, &left, 0)
+		return
 	}
-	for {
-		if p, ok := d.positions[path]; ok || path == "" {
-			return p
-		}
-		path = path[:max(0, strings.LastIndexAny(path, ".["))]
+	if d.depth == maxDepth {
+		d.Fail(path, "values stand within each other more than %d deep", maxDepth)
+		return
 	}
+	d.depth++
+	defer func() { d.depth-- }()
+	d.deepest = max(d.deepest, d.depth)
+	d.noteAliases(node)
+	if into.Kind() == reflect.Pointer {
+		into.Set(reflect.New(into.Type().Elem()))
+		into = into.Elem()
+	}
+	d.decodeKind(path, resolveAlias(node), into)
 }
 
-// locate notes where the values stand that a node is made of.
-func (d *Doc) locate(path string, n *yaml.Node, left *int, depth int) {
-	if *left--; n == nil || *left < 0 || depth > maxDepth {
-		return
+// noteAliases records whether a node is an alias or can have some.
+func (d *Doc) noteAliases(node *yaml.Node) {
+	if node.Anchor != "" || node.Kind == yaml.AliasNode {
+		d.hasAliases = true
 	}
-	if path != "" {
-		d.positions[path] = Position{d.first + n.Line, n.Column}
-	}
-	for n.Kind == yaml.AliasNode {
-		n = n.Alias
+}
+
+// decodeKind reads a node, no alias, in the way that the kind of the Go value calls for.
+func (d *Doc) decodeKind(path string, node *yaml.Node, into reflect.Value) {
+	if unmarshaler, ok := into.Addr().Interface().(encoding.TextUnmarshaler); ok {
+		d.decodeText(path, node, unmarshaler)
+		return
 	}
-	switch n.Kind {
-	case yaml.MappingNode:
-		seen := make(map[string]bool, len(n.Content)/2)
-		for i := 0; i+1 < len(n.Content); i += 2 {
-			if key := n.Content[i]; key.Kind == yaml.ScalarNode && !seen[key.Value] {
-				seen[key.Value] = true
-				d.locate(join(path, key.Value), n.Content[i+1], left, depth+1)
-			}
+	switch into.Kind() {
+	case reflect.Struct:
+		if d.expectKind(path, node, yaml.MappingNode) {
+			d.decodeStruct(path, node, into)
 		}
-	case yaml.SequenceNode:
-		for i, item := range n.Content {
-			d.locate(path+"["+strconv.Itoa(i)+"]", item, left, depth+1)
+	case reflect.Map:
+		if d.expectKind(path, node, yaml.MappingNode) {
+			d.decodeMap(path, node, into)
+		}
+	case reflect.Slice:
+		if d.expectKind(path, node, yaml.SequenceNode) {
+			d.decodeSlice(path, node, into)
+		}
+	default:
+		if d.expectKind(path, node, yaml.ScalarNode) {
+			d.decodeScalar(path, node, into)
 		}
 	}
 }
 
-// Fail notes an error about the value at a path.
-func (d *Doc) Fail(path, format string, args ...any) {
-	d.errs = append(d.errs, Error{d.File, d.At(path), fmt.Sprintf(format, args...)})
+var kindNames = map[yaml.Kind]string{
+	yaml.SequenceNode: "a list",
+	yaml.MappingNode:  "a mapping",
+	yaml.ScalarNode:   "a single value",
 }
 
-// Failed tells whether an error has been noted.
-func (d *Doc) Failed() bool { return len(d.errs) > 0 }
-
-// Err joins what has been noted, in the order of the file; nil if there is nothing.
-func (d *Doc) Err() error {
-	slices.SortStableFunc(d.errs, func(a, b error) int {
-		x, y := a.(Error), b.(Error)
-		if x.Line != y.Line {
-			return x.Line - y.Line
-		}
-		return x.Column - y.Column
-	})
-	return errors.Join(d.errs...)
+// expectKind reports whether a node is of the wanted kind, and records an error if it is not.
+func (d *Doc) expectKind(path string, node *yaml.Node, want yaml.Kind) bool {
+	isNull := node.Tag == "!!null"
+	if node.Kind == want && !isNull {
+		return true
+	}
+	got := kindNames[node.Kind]
+	if isNull {
+		got = "nothing"
+	}
+	d.Fail(path, "%s stands here; %s is wanted", got, kindNames[want])
+	return false
 }
 
-// ReadFile reads a file of at most so many bytes, a whole number of MiB.
-func ReadFile(path string, most int64) ([]byte, error) { return ReadFileInto(nil, path, most) }
-
-// ReadFileInto is ReadFile into a buffer, where that is long enough.
-func ReadFileInto(buffer []byte, path string, most int64) ([]byte, error) {
-	f, err := os.Open(path)
-	if err != nil {
-		return nil, err
-	}
-	defer f.Close()
-	if info, err := f.Stat(); err == nil && info.Size()+bytes.MinRead > int64(cap(buffer)) { // with room to see the end
-		buffer = make([]byte, 0, min(info.Size()+info.Size()/64, most)+bytes.MinRead)
+// decodeText reads a single value into a type that has a form of its own.
+func (d *Doc) decodeText(path string, node *yaml.Node, into encoding.TextUnmarshaler) {
+	if !d.expectKind(path, node, yaml.ScalarNode) {
+		return
 	}
-	text := bytes.NewBuffer(buffer[:0])
-	_, err = text.ReadFrom(io.LimitReader(f, most+1))
-	if err == nil && int64(text.Len()) > most {
-		err = fmt.Errorf("%s: the file is over %d MiB", path, most>>20)
+	if err := into.UnmarshalText([]byte(node.Value)); err != nil {
+		d.Fail(path, "%v", err)
 	}
-	return text.Bytes(), err
 }
 
-// Decode reads text, which came from the file of that name, into a pointer to a struct. Errors are noted in the Doc.
-func Decode(file string, text []byte, into any) *Doc {
-	d := &Doc{File: file}
-	if root := d.parse(text); root != nil {
-		d.value("", root, reflect.ValueOf(into).Elem())
-	}
-	return d
+func (d *Doc) decodeMap(path string, node *yaml.Node, into reflect.Value) {
+	into.Set(reflect.MakeMapWithSize(into.Type(), len(node.Content)/2))
+	d.eachEntry(path, node, func(key, value *yaml.Node) {
+		element := reflect.New(into.Type().Elem()).Elem()
+		d.decodeValue(join(path, key.Value), value, element)
+		into.SetMapIndex(reflect.ValueOf(key.Value), element)
+	})
 }
 
-// parse returns the root of a text; nil if an error was noted.
-func (d *Doc) parse(text []byte) *yaml.Node {
-	var root yaml.Node
-	reader := yaml.NewDecoder(bytes.NewReader(text))
-	switch err := reader.Decode(&root); {
-	case errors.Is(err, io.EOF):
-		d.Fail("", "the file is empty")
-		return nil
-	case err != nil:
-		d.syntax(err)
-		return nil
-	}
-	if err := reader.Decode(new(yaml.Node)); !errors.Is(err, io.EOF) {
-		if err != nil {
-			d.syntax(err)
-		} else {
-			d.Fail("", "one document is wanted, and another follows")
-		}
-		return nil
+func (d *Doc) decodeSlice(path string, node *yaml.Node, into reflect.Value) {
+	into.Set(reflect.MakeSlice(into.Type(), len(node.Content), len(node.Content)))
+	for i, item := range node.Content {
+		d.decodeValue(itemPath(path, i), item, into.Index(i))
 	}
-	d.root = root.Content[0]
-	return d.root
 }
 
-// syntax notes a parser's error, which names a line and no column.
-func (d *Doc) syntax(err error) {
-	text := strings.TrimPrefix(err.Error(), "yaml: ")
-	at := Position{d.first + 1, 1}
-	if rest, ok := strings.CutPrefix(text, "line "); ok {
-		if number, why, ok := strings.Cut(rest, ": "); ok {
-			if n, err := strconv.Atoi(number); err == nil {
-				at.Line, text = d.first+n, why
-			}
+// decodeStruct reads a mapping into a struct, by its yaml tags.
+func (d *Doc) decodeStruct(path string, node *yaml.Node, into reflect.Value) {
+	fields := fieldsOf(into.Type())
+	d.eachEntry(path, node, func(key, value *yaml.Node) {
+		if field, ok := fields[key.Value]; ok {
+			d.decodeValue(join(path, key.Value), value, into.Field(field))
+			return
 		}
-	}
-	d.errs = append(d.errs, Error{d.File, at, text})
+		d.failAt(d.positionOf(key), join(path, key.Value), unknownKey(key.Value, slices.Sorted(maps.Keys(fields))))
+	})
 }
 
-func join(path, key string) string {
-	if path == "" {
-		return key
+// unknownKey returns the text of an error about a key that is none of those known.
+func unknownKey(key string, known []string) string {
+	text := fmt.Sprintf("unknown key %q", key)
+	if near := Nearest(key, known); near != "" {
+		return text + fmt.Sprintf("; did you mean %q?", near)
 	}
-	return path + "." + key
+	return text + "; known here: " + strings.Join(known, ", ")
 }
 
-var kinds = map[yaml.Kind]string{yaml.SequenceNode: "a list", yaml.MappingNode: "a mapping", yaml.ScalarNode: "a single value"}
+// structFields caches what fieldsOf returns: a map[string]int for each reflect.Type.
+var structFields sync.Map
 
-// value reads n into v.
-func (d *Doc) value(path string, n *yaml.Node, v reflect.Value) {
-	most := maxNodes
-	if d.shared {
-		most = maxShared
-	}
-	if d.nodes++; d.nodes > most {
-		if !d.full {
-			d.full = true
-			d.Fail(path, "the file stands for too many values")
-		}
-		return
-	}
-	if d.depth++; d.depth > maxDepth {
-		d.depth--
-		d.Fail(path, "values stand within each other more than %d deep", maxDepth)
-		return
-	}
-	defer func() { d.depth-- }()
-	d.deepest = max(d.deepest, d.depth)
-	d.shared = d.shared || n.Anchor != "" || n.Kind == yaml.AliasNode
-	for n.Kind == yaml.AliasNode {
-		n = n.Alias
+// fieldsOf returns the indexes of a struct's fields by their yaml tags.
+func fieldsOf(structType reflect.Type) map[string]int {
+	if cached, ok := structFields.Load(structType); ok {
+		return cached.(map[string]int)
 	}
-	if v.Kind() == reflect.Pointer {
-		v.Set(reflect.New(v.Type().Elem()))
-		v = v.Elem()
-	}
-	if text, ok := v.Addr().Interface().(encoding.TextUnmarshaler); ok {
-		if d.kind(path, n, yaml.ScalarNode) {
-			if err := text.UnmarshalText([]byte(n.Value)); err != nil {
-				d.Fail(path, "%v", err)
-			}
-		}
-		return
-	}
-	switch v.Kind() {
-	case reflect.Struct:
-		if d.kind(path, n, yaml.MappingNode) {
-			d.object(path, n, v)
-		}
-	case reflect.Map:
-		if d.kind(path, n, yaml.MappingNode) {
-			v.Set(reflect.MakeMapWithSize(v.Type(), len(n.Content)/2))
-			d.pairs(n, func(key, value *yaml.Node) {
-				x := reflect.New(v.Type().Elem()).Elem()
-				d.value(join(path, key.Value), value, x)
-				v.SetMapIndex(reflect.ValueOf(key.Value), x)
-			})
-		}
-	case reflect.Slice:
-		if d.kind(path, n, yaml.SequenceNode) {
-			v.Set(reflect.MakeSlice(v.Type(), len(n.Content), len(n.Content)))
-			for i, item := range n.Content {
-				d.value(path+"["+strconv.Itoa(i)+"]", item, v.Index(i))
-			}
-		}
-	default:
-		if d.kind(path, n, yaml.ScalarNode) {
-			d.scalar(path, n, v)
+	fields := map[string]int{}
+	for i := range structType.NumField() {
+		name, _, _ := strings.Cut(structType.Field(i).Tag.Get("yaml"), ",")
+		if name != "" && name != "-" {
+			fields[name] = i
 		}
 	}
+	structFields.Store(structType, fields)
+	return fields
 }
 
-// kind tells whether n is of the wanted kind, and notes it if not.
-func (d *Doc) kind(path string, n *yaml.Node, want yaml.Kind) bool {
-	if n.Kind == want && n.Tag != "!!null" {
-		return true
-	}
-	got := kinds[n.Kind]
-	if n.Tag == "!!null" {
-		got = "nothing"
-	}
-	d.Fail(path, "%s stands here; %s is wanted", got, kinds[want])
-	return false
-}
-
-func (d *Doc) scalar(path string, n *yaml.Node, v reflect.Value) {
-	fail := func(want string) { d.Fail(path, "%q is not %s", n.Value, want) }
-	switch v.Kind() {
+// decodeScalar reads a single value into a string, a bool or a number. What does not fit is an error, and the value
+// is set to what could be read of it.
+func (d *Doc) decodeScalar(path string, node *yaml.Node, into reflect.Value) {
+	text := node.Value
+	switch into.Kind() {
 	case reflect.String:
-		v.SetString(n.Value)
+		into.SetString(text)
 	case reflect.Bool:
-		if n.Tag != "!!bool" {
-			fail("true or false")
+		if node.Tag != "!!bool" {
+			d.Fail(path, "%q is not true or false", text)
 		}
-		v.SetBool(strings.EqualFold(n.Value, "true"))
+		into.SetBool(strings.EqualFold(text, "true"))
 	case reflect.Float64:
-		x, err := strconv.ParseFloat(n.Value, 64)
+		number, err := strconv.ParseFloat(text, 64)
 		if err != nil {
-			fail("a number")
+			d.Fail(path, "%q is not a number", text)
 		}
-		v.SetFloat(x)
+		into.SetFloat(number)
 	case reflect.Int, reflect.Int64:
-		x, err := strconv.ParseInt(n.Value, 10, 64)
+		number, err := strconv.ParseInt(text, 10, 64)
 		if err != nil {
-			fail("a whole number")
+			d.Fail(path, "%q is not a whole number", text)
 		}
-		v.SetInt(x)
+		into.SetInt(number)
 	default:
-		panic("strictyaml: no reading for " + v.Type().String())
+		panic("strictyaml: no reading for " + into.Type().String())
 	}
 }
 
-// pairs goes over a mapping's entries once each.
-func (d *Doc) pairs(n *yaml.Node, entry func(key, value *yaml.Node)) {
-	var seen map[string]int // index in n.Content; made for a long mapping
-	if len(n.Content) > 32 {
-		seen = make(map[string]int, len(n.Content)/2)
-	}
-	first := func(i int) int {
-		if seen != nil {
-			if j, ok := seen[n.Content[i].Value]; ok {
-				return j
-			}
-			seen[n.Content[i].Value] = i
-			return i
-		}
-		for j := 0; j < i; j += 2 {
-			if x := n.Content[j]; x.Kind == yaml.ScalarNode && x.Value == n.Content[i].Value {
-				return j
-			}
-		}
-		return i
-	}
-	for i := 0; i+1 < len(n.Content); i += 2 {
-		key := n.Content[i]
-		d.shared = d.shared || key.Anchor != "" || key.Kind == yaml.AliasNode
+// eachEntry calls entry for each entry of a mapping. A repeated key and one that is not a single value are errors.
+func (d *Doc) eachEntry(path string, node *yaml.Node, entry func(key, value *yaml.Node)) {
+	keys := newKeyIndex(node)
+	for i := 0; i+1 < len(node.Content); i += 2 {
+		key := node.Content[i]
+		d.noteAliases(key)
 		if key.Kind != yaml.ScalarNode {
-			d.errs = append(d.errs, Error{d.File, d.place(key), "a key is a single value"})
-		} else if j := first(i); j != i {
-			d.errs = append(d.errs, Error{d.File, d.place(key), fmt.Sprintf("%q stands here for a second time, first in line %d", key.Value, d.place(n.Content[j]).Line)})
-		} else {
-			entry(key, n.Content[i+1])
+			d.failAt(d.positionOf(key), path, "a key is a single value")
+			continue
 		}
+		if first := keys.firstWith(i); first != i {
+			firstLine := d.positionOf(node.Content[first]).Line
+			text := fmt.Sprintf("%q stands here for a second time, first in line %d", key.Value, firstLine)
+			d.failAt(d.positionOf(key), join(path, key.Value), text)
+			continue
+		}
+		entry(key, node.Content[i+1])
 	}
 }
 
-func (d *Doc) place(n *yaml.Node) Position { return Position{d.first + n.Line, n.Column} }
+// maxScannedContent is the length of a mapping's content, keys and values, up to which its keys are compared one by
+// one: that takes less time than a map.
+const maxScannedContent = 32
 
-// fieldsOf are a struct's fields by their yaml tags; they are found once for each type.
-func fieldsOf(t reflect.Type) map[string]int {
-	if known, ok := structs.Load(t); ok {
-		return known.(map[string]int)
-	}
-	fields := map[string]int{}
-	for i := range t.NumField() {
-		if name, _, _ := strings.Cut(t.Field(i).Tag.Get("yaml"), ","); name != "" && name != "-" {
-			fields[name] = i
-		}
-	}
-	structs.Store(t, fields)
-	return fields
+// keyIndex finds the repeated keys of a mapping.
+type keyIndex struct {
+	content []*yaml.Node   // keys and values in turn
+	seen    map[string]int // indexes in content by key; nil for a short mapping
 }
 
-var structs sync.Map // of reflect.Type to map[string]int
-
-// object reads a mapping into a struct, by its yaml tags.
-func (d *Doc) object(path string, n *yaml.Node, v reflect.Value) {
-	fields := fieldsOf(v.Type())
-	d.pairs(n, func(key, value *yaml.Node) {
-		if i, ok := fields[key.Value]; ok {
-			d.value(join(path, key.Value), value, v.Field(i))
-			return
-		}
-		text, names := fmt.Sprintf("unknown key %q", key.Value), slices.Sorted(maps.Keys(fields))
-		if near := Nearest(key.Value, names); near != "" {
-			text += fmt.Sprintf("; did you mean %q?", near)
-		} else {
-			text += "; known here: " + strings.Join(names, ", ")
-		}
-		d.errs = append(d.errs, Error{d.File, d.place(key), text})
-	})
+func newKeyIndex(mapping *yaml.Node) *keyIndex {
+	index := &keyIndex{content: mapping.Content}
+	if len(mapping.Content) > maxScannedContent {
+		index.seen = make(map[string]int, len(mapping.Content)/2)
+	}
+	return index
 }
 
-// Nearest returns the name that a wrong one was most likely meant to be, or nothing.
-func Nearest(wrong string, names []string) string {
-	best, least := "", len(wrong)/2+1
-	for _, name := range slices.Sorted(slices.Values(names)) {
-		if n := levenshtein.ComputeDistance(strings.ToLower(wrong), name); n < least {
-			best, least = name, n
+// firstWith returns the first index with the same key as the one at index i. It is called with growing indexes.
+func (x *keyIndex) firstWith(i int) int {
+	key := x.content[i].Value
+	if x.seen != nil {
+		if first, repeated := x.seen[key]; repeated {
+			return first
+		}
+		x.seen[key] = i
+		return i
+	}
+	for j := 0; j < i; j += 2 {
+		if other := x.content[j]; other.Kind == yaml.ScalarNode && other.Value == key {
+			return j
 		}
 	}
-	return best
+	return i
 }
--- /dev/null
+++ b/internal/strictyaml/doc.go
@@ -0,0 +1,186 @@
+// Package strictyaml reads YAML into Go values and reports every error at once, each with its line and column. Unknown
+// and repeated keys are errors, with the nearest known key; so are values of the wrong kind.
+package strictyaml
+
+import (
+	"cmp"
+	"errors"
+	"fmt"
+	"slices"
+	"strconv"
+	"strings"
+
+	"go.yaml.in/yaml/v3"
+)
+
+// maxValues, maxValuesWithAliases and maxDepth bound what a file can expand to: aliases of aliases, or one within
+// itself, grow without bound. A file with 15,000 routes, 140,000 tenants and 18,000 nodes has over half a million
+// values.
+const (
+	maxValues            = 1 << 20
+	maxValuesWithAliases = 1 << 19
+	maxDepth             = 100
+)
+
+// MaxValues bounds the number of values in a file; see Doc.Values.
+const MaxValues = maxValues
+
+// Position is a place in a file; lines and columns count from 1.
+type Position struct{ Line, Column int }
+
+// Error is one thing wrong with a file. A Doc's errors are of this type: errors.As finds the first of a file.
+type Error struct {
+	File string
+	Position
+	// Key is the path of the value, such as "pools.maps.nodes" or "routes[2].path"; empty for an error of syntax and
+	// for one about the file as a whole.
+	Key  string
+	Text string
+}
+
+func (e Error) Error() string {
+	return fmt.Sprintf("%s:%d:%d: %s", e.File, e.Line, e.Column, e.Text)
+}
+
+// Doc is a file, or a part of one, that has been read: the positions of its values, by path ("pools.maps.nodes",
+// "routes[2].path"), and the errors found so far. It is for one goroutine at a time.
+type Doc struct {
+	File string
+
+	root       *yaml.Node
+	lineOffset int                 // lines of the file before the text that was read
+	section    sectionEntries      // which entries of the file the text holds, if it is a part of a section
+	positions  map[string]Position // built when a position is first asked for
+	errs       []Error
+
+	valueCount    int
+	depth         int // of the value being read
+	deepest       int // the greatest depth so far
+	tooManyValues bool
+	hasAliases    bool // the text has anchors or aliases, so a value may stand in more than one place
+}
+
+// sectionEntries identifies the entries of a section that were read without the rest of the file. Paths in such a
+// Doc start below the section's key.
+type sectionEntries struct {
+	key        string // of the section; empty if the whole file was read, or if the section isn't known
+	list       bool
+	firstIndex int // of the first entry that was read, if the section is a list
+}
+
+// fullKey returns the path in the whole file of a path in the Doc.
+func (s sectionEntries) fullKey(path string) string {
+	if s.key == "" || path == "" {
+		return path
+	}
+	if !s.list {
+		return join(s.key, path)
+	}
+	index, rest, isIndex := strings.Cut(strings.TrimPrefix(path, "["), "]")
+	n, err := strconv.Atoi(index)
+	if !isIndex || err != nil {
+		return s.key
+	}
+	return s.key + "[" + strconv.Itoa(s.firstIndex+n) + "]" + rest
+}
+
+// At returns the position of a value, or of the nearest one around it.
+func (d *Doc) At(path string) Position {
+	if d.positions == nil {
+		d.positions = map[string]Position{"": {d.lineOffset + 1, 1}}
+		remaining := d.valueLimit()
+		d.locate("", d.root, &remaining, 0)
+	}
+	for {
+		if position, ok := d.positions[path]; ok || path == "" {
+			return position
+		}
+		path = path[:max(0, strings.LastIndexAny(path, ".["))]
+	}
+}
+
+// valueLimit returns how many values the file may expand to.
+func (d *Doc) valueLimit() int {
+	if d.hasAliases {
+		return maxValuesWithAliases
+	}
+	return maxValues
+}
+
+// locate records the positions of a node and of those within it; remaining bounds how many nodes are still visited.
+func (d *Doc) locate(path string, node *yaml.Node, remaining *int, depth int) {
+	*remaining--
+	if node == nil || *remaining < 0 || depth > maxDepth {
+		return
+	}
+	if path != "" {
+		d.positions[path] = d.positionOf(node)
+	}
+	node = resolveAlias(node)
+	switch node.Kind {
+	case yaml.MappingNode:
+		seen := make(map[string]bool, len(node.Content)/2)
+		for i := 0; i+1 < len(node.Content); i += 2 {
+			if key := node.Content[i]; key.Kind == yaml.ScalarNode && !seen[key.Value] {
+				seen[key.Value] = true
+				d.locate(join(path, key.Value), node.Content[i+1], remaining, depth+1)
+			}
+		}
+	case yaml.SequenceNode:
+		for i, item := range node.Content {
+			d.locate(itemPath(path, i), item, remaining, depth+1)
+		}
+	}
+}
+
+// positionOf returns a node's position in the file.
+func (d *Doc) positionOf(node *yaml.Node) Position {
+	return Position{d.lineOffset + node.Line, node.Column}
+}
+
+// Fail records an error about the value at a path.
+func (d *Doc) Fail(path, format string, args ...any) {
+	d.failAt(d.At(path), path, fmt.Sprintf(format, args...))
+}
+
+// failAt records an error at a position.
+func (d *Doc) failAt(position Position, path, text string) {
+	d.errs = append(d.errs, Error{File: d.File, Position: position, Key: d.section.fullKey(path), Text: text})
+}
+
+// Failed reports whether an error has been recorded.
+func (d *Doc) Failed() bool { return len(d.errs) > 0 }
+
+// Err joins the recorded errors, each an Error, in the order of the file; it is nil if there is none.
+func (d *Doc) Err() error {
+	slices.SortStableFunc(d.errs, func(a, b Error) int {
+		return cmp.Or(cmp.Compare(a.Line, b.Line), cmp.Compare(a.Column, b.Column))
+	})
+	errs := make([]error, len(d.errs))
+	for i, err := range d.errs {
+		errs[i] = err
+	}
+	return errors.Join(errs...)
+}
+
+// Values returns the number of values read so far, which MaxValues bounds.
+func (d *Doc) Values() int { return d.valueCount }
+
+// join returns the path of an entry of a mapping.
+func join(path, key string) string {
+	if path == "" {
+		return key
+	}
+	return path + "." + key
+}
+
+// itemPath returns the path of an item of a list.
+func itemPath(path string, index int) string { return path + "[" + strconv.Itoa(index) + "]" }
+
+// resolveAlias returns the node that an alias stands for, and any other node itself.
+func resolveAlias(node *yaml.Node) *yaml.Node {
+	for node.Kind == yaml.AliasNode {
+		node = node.Alias
+	}
+	return node
+}
--- a/internal/strictyaml/near.go
+++ b/internal/strictyaml/near.go
@@ -13,11 +13,11 @@
 	if e == nil {
 		return nil
 	}
-	d := &Doc{File: file, first: bytes.Count(text[:from], []byte("\n")) + e.Starts[0].Line}
+	d := &Doc{File: file, lineOffset: bytes.Count(text[:from], []byte("\n")) + e.Starts[0].Line}
 	if d.parse(e.Text[e.From(0):]) == nil {
 		return nearSyntax(file, text, p, from, to, e.Column)
 	}
-	d.value("", d.root, reflect.ValueOf(into).Elem())
+	d.decodeValue("", d.root, reflect.ValueOf(into).Elem())
 	if !e.fits(d, 0, len(e.Starts)) {
 		return nil
 	}
@@ -44,7 +44,7 @@
 func syntaxOf(file string, text []byte, p Part, from, to, above int) *Doc {
 	lines := bytes.Repeat([]byte("#\n"), above)
 	lines = append(append(lines, text[p.From:p.Body]...), text[from:to]...)
-	d := &Doc{File: file, first: bytes.Count(text[:from], []byte("\n")) - above - 1}
+	d := &Doc{File: file, lineOffset: bytes.Count(text[:from], []byte("\n")) - above - 1}
 	d.parse(lines)
 	return d
 }
--- a/internal/strictyaml/parts.go
+++ b/internal/strictyaml/parts.go
@@ -169,12 +169,12 @@
 // Read reads entries from one to another into a pointer to a map or a slice. Errors are noted in the Doc, with lines counted from the
 // body's first as line+1. whole tells whether these are the same entries as in a reading of the whole.
 func (e *Entries) Read(file string, line, from, to int, into any) (d *Doc, whole bool) {
-	d = &Doc{File: file, first: line + e.Starts[from].Line}
+	d = &Doc{File: file, lineOffset: line + e.Starts[from].Line}
 	root := d.parse(e.Text[e.From(from):e.From(to)])
 	if root == nil {
 		return d, false
 	}
-	d.value("", root, reflect.ValueOf(into).Elem())
+	d.decodeValue("", root, reflect.ValueOf(into).Elem())
 	return d, len(d.errs) == 0 && e.fits(d, from, to)
 }
 
@@ -184,7 +184,7 @@
 	if e.List {
 		step, kind = 1, yaml.SequenceNode
 	}
-	if d.shared || d.deepest > maxDepth/2 || root.Kind != kind || root.Style&yaml.FlowStyle != 0 || root.Column != e.Column+1 ||
+	if d.hasAliases || d.deepest > maxDepth/2 || root.Kind != kind || root.Style&yaml.FlowStyle != 0 || root.Column != e.Column+1 ||
 		len(root.Content) != step*(to-from) {
 		return false
 	}
@@ -199,18 +199,12 @@
 
 // ReadPart reads a part into a pointer to a struct that has its key. whole is as for Entries.Read.
 func ReadPart(file string, text []byte, p Part, into any) (d *Doc, whole bool) {
-	d = &Doc{File: file, first: bytes.Count(text[:p.From], []byte("\n"))}
+	d = &Doc{File: file, lineOffset: bytes.Count(text[:p.From], []byte("\n"))}
 	root := d.parse(text[p.From:p.To])
 	if root == nil {
 		return d, false
 	}
-	d.value("", root, reflect.ValueOf(into).Elem())
-	return d, !d.shared && len(d.errs) == 0 && d.deepest <= maxDepth/2 && root.Kind == yaml.MappingNode && root.Style&yaml.FlowStyle == 0 &&
+	d.decodeValue("", root, reflect.ValueOf(into).Elem())
+	return d, !d.hasAliases && len(d.errs) == 0 && d.deepest <= maxDepth/2 && root.Kind == yaml.MappingNode && root.Style&yaml.FlowStyle == 0 &&
 		len(root.Content) == 2 && root.Content[0].Line == 1 && root.Content[0].Column == 1
 }
-
-// Values counts what has been read, against the bound on what a file may stand for.
-func (d *Doc) Values() int { return d.nodes }
-
-// MaxValues is that bound.
-const MaxValues = maxNodes
