--- a/internal/config/read.go
+++ b/internal/config/read.go
@@ -20,7 +20,7 @@
 // held is the text that a configuration was read from in parts. It is what the next text is compared with.
 type held struct {
 	text   []byte
-	parts  []strictyaml.Part
+	parts  []strictyaml.Section
 	values int // that it stands for, within a few
 }
 
@@ -52,17 +52,18 @@
 	var tenants []balancer.Tenant
 	for _, p := range h.parts {
 		if !long[p.Key] || !p.Block {
-			d, whole := strictyaml.ReadPart(path, text, p, &c.File)
+			d, whole := strictyaml.ReadSection(path, text, p, &c.File)
 			if h.values += d.Values(); !whole {
 				return nil, d.Err()
 			}
 			continue
 		}
 		before := bytes.Count(text[:p.Body], []byte("\n"))
-		e := strictyaml.Divide(text[p.Body:p.To])
+		e := strictyaml.SplitEntries(text[p.Body:p.End])
 		if e == nil || e.List != (p.Key == "routes") {
 			return nil, nil
 		}
+		e.Section = p.Key
 		var whole bool
 		var values int
 		switch p.Key {
@@ -111,12 +112,12 @@
 }
 
 // limit is the memory that a text gives, and where it says so.
-func limit(path string, text []byte, parts []strictyaml.Part) (Size, strictyaml.Position) {
+func limit(path string, text []byte, parts []strictyaml.Section) (Size, strictyaml.Position) {
 	var f File
 	at := strictyaml.Position{Line: 1, Column: 1}
 	for _, p := range parts {
 		if p.Key == "limits" {
-			d, _ := strictyaml.ReadPart(path, text, p, &f)
+			d, _ := strictyaml.ReadSection(path, text, p, &f)
 			at = d.At("limits.memory")
 		}
 	}
--- a/internal/config/reload.go
+++ b/internal/config/reload.go
@@ -61,9 +61,9 @@
 	next.held = &held{text: text, values: c.held.values}
 	k := checker{Doc: &strictyaml.Doc{File: path}, Loaded: next}
 	from, end := compare(c.held.text, text)
-	if by := len(text) - len(c.held.text); len(c.held.text)-end <= c.held.parts[0].From && strictyaml.Bare(text[from:len(text)-end]) {
+	if by := len(text) - len(c.held.text); len(c.held.text)-end <= c.held.parts[0].Start && strictyaml.OnlyComments(text[from:len(text)-end]) {
 		next.held.parts = c.held.moved(-1, by) // comments before all else
-	} else if p, within := c.held.around(from, end); within && strictyaml.Inner(c.held.text[from:len(c.held.text)-end]) && strictyaml.Inner(text[from:len(text)-end]) {
+	} else if p, within := c.held.around(from, end); within && strictyaml.OnlyIndented(c.held.text[from:len(c.held.text)-end]) && strictyaml.OnlyIndented(text[from:len(text)-end]) {
 		next.held.parts = c.held.moved(p, by)
 		if ok := k.change(path, c.held, p, next.held.parts[p], from, end); !ok {
 			return nil, k.Failed(), k.mistake
@@ -72,16 +72,16 @@
 		return nil, false, nil
 	} else {
 		for _, now := range next.held.parts {
-			p := slices.IndexFunc(c.held.parts, func(x strictyaml.Part) bool { return x.Key == now.Key })
+			p := slices.IndexFunc(c.held.parts, func(x strictyaml.Section) bool { return x.Key == now.Key })
 			if p < 0 {
 				return nil, false, nil
 			}
 			was := c.held.parts[p]
-			if bytes.Equal(c.held.text[was.From:was.To], text[now.From:now.To]) {
+			if bytes.Equal(c.held.text[was.Start:was.End], text[now.Start:now.End]) {
 				continue
 			}
-			from, end := compare(c.held.text[was.From:was.To], text[now.From:now.To])
-			if ok := k.change(path, c.held, p, now, was.From+from, len(c.held.text)-was.To+end); !ok {
+			from, end := compare(c.held.text[was.Start:was.End], text[now.Start:now.End])
+			if ok := k.change(path, c.held, p, now, was.Start+from, len(c.held.text)-was.End+end); !ok {
 				return nil, k.Failed(), nil
 			}
 		}
@@ -124,7 +124,7 @@
 // around returns the part in whose body all of the text is but so much at its beginning and its end.
 func (h *held) around(from, end int) (part int, within bool) {
 	for i, p := range h.parts {
-		if p.Block && p.Body <= from && len(h.text)-end <= p.To {
+		if p.Block && p.Body <= from && len(h.text)-end <= p.End {
 			return i, true
 		}
 	}
@@ -132,37 +132,37 @@
 }
 
 // moved are the parts of a text in which one has become longer; -1: what stands before them.
-func (h *held) moved(part, by int) []strictyaml.Part {
+func (h *held) moved(part, by int) []strictyaml.Section {
 	parts := slices.Clone(h.parts)
 	for i := range parts {
 		if i > part {
-			parts[i].From, parts[i].Body = parts[i].From+by, parts[i].Body+by
+			parts[i].Start, parts[i].Body = parts[i].Start+by, parts[i].Body+by
 		}
 		if i >= part {
-			parts[i].To += by
+			parts[i].End += by
 		}
 	}
 	return parts
 }
 
 // change takes a part that differs, but for so much of the old text before and behind it; false if that is in doubt.
-func (k *checker) change(path string, old *held, part int, now strictyaml.Part, from, end int) bool {
+func (k *checker) change(path string, old *held, part int, now strictyaml.Section, from, end int) bool {
 	was := old.parts[part]
 	if was.Block != now.Block {
 		return false
 	}
 	if !long[now.Key] || !now.Block { // a comment
 		var before, after File
-		_, ok := strictyaml.ReadPart(path, old.text, was, &before)
-		d, whole := strictyaml.ReadPart(path, k.held.text, now, &after)
+		_, ok := strictyaml.ReadSection(path, old.text, was, &before)
+		d, whole := strictyaml.ReadSection(path, k.held.text, now, &after)
 		return ok && whole && !d.Failed() && reflect.DeepEqual(before, after)
 	}
-	before, after, begin := differing(old.text[was.Body:was.To], k.held.text[now.Body:now.To], max(0, from-was.Body), max(0, was.To-(len(old.text)-end)))
+	before, after, begin := differing(old.text[was.Body:was.End], k.held.text[now.Body:now.End], max(0, from-was.Body), max(0, was.End-(len(old.text)-end)))
 	if before == nil || after == nil {
 		return false
 	}
 	k.near = func(into any) *strictyaml.Doc {
-		return strictyaml.Near(path, k.held.text, now, now.Body+begin, now.Body+begin+len(after.Text), into)
+		return strictyaml.DiagnoseEntries(path, k.held.text, now, now.Body+begin, now.Body+begin+len(after.Text), into)
 	}
 	ok := false
 	switch now.Key {
@@ -182,8 +182,8 @@
 // differing returns the entries in which two bodies differ, with one before where there is one, whose line both have; nil if they can't be
 // compared so. They have whole lines in common, so much at the beginning and at the end. begin is where the entries' text begins in both.
 func differing(was, is []byte, from, end int) (x, y *strictyaml.Entries, begin int) {
-	first := strictyaml.Divide(head(was))
-	if other := strictyaml.Divide(head(is)); first == nil || other == nil || first.Column != other.Column || first.List != other.List {
+	first := strictyaml.SplitEntries(head(was))
+	if other := strictyaml.SplitEntries(head(is)); first == nil || other == nil || first.Column != other.Column || first.List != other.List {
 		return nil, nil, 0
 	}
 	at := first.Column
@@ -209,10 +209,10 @@
 	if end > 0 && !begins(was[len(was)-end:]) {
 		next()
 	}
-	x, y = strictyaml.Divide(was[from:len(was)-end]), strictyaml.Divide(is[from:len(is)-end])
+	x, y = strictyaml.SplitEntries(was[from:len(was)-end]), strictyaml.SplitEntries(is[from:len(is)-end])
 	if end > 0 && (x == nil || y == nil) { // before the first entry one stands in but one of them
 		next()
-		x, y = strictyaml.Divide(was[from:len(was)-end]), strictyaml.Divide(is[from:len(is)-end])
+		x, y = strictyaml.SplitEntries(was[from:len(was)-end]), strictyaml.SplitEntries(is[from:len(is)-end])
 	}
 	return x, y, from
 }
--- a/internal/strictyaml/decode.go
+++ b/internal/strictyaml/decode.go
@@ -198,20 +198,20 @@
 // eachEntry calls entry for each entry of a mapping. A repeated key and one that is not a single value are errors.
 func (d *Doc) eachEntry(path string, node *yaml.Node, entry func(key, value *yaml.Node)) {
 	keys := newKeyIndex(node)
-	for i := 0; i+1 < len(node.Content); i += 2 {
-		key := node.Content[i]
+	for index := 0; index+1 < len(node.Content); index += 2 {
+		key := node.Content[index]
 		d.noteAliases(key)
 		if key.Kind != yaml.ScalarNode {
 			d.failAt(d.positionOf(key), path, "a key is a single value")
 			continue
 		}
-		if first := keys.firstWith(i); first != i {
+		if first := keys.firstWith(index); first != index {
 			firstLine := d.positionOf(node.Content[first]).Line
 			text := fmt.Sprintf("%q stands here for a second time, first in line %d", key.Value, firstLine)
 			d.failAt(d.positionOf(key), join(path, key.Value), text)
 			continue
 		}
-		entry(key, node.Content[i+1])
+		entry(key, node.Content[index+1])
 	}
 }
 
@@ -233,20 +233,20 @@
 	return index
 }
 
-// firstWith returns the first index with the same key as the one at index i. It is called with growing indexes.
-func (x *keyIndex) firstWith(i int) int {
-	key := x.content[i].Value
+// firstWith returns the first index with the same key as the one at an index. It is called with growing indexes.
+func (x *keyIndex) firstWith(index int) int {
+	key := x.content[index].Value
 	if x.seen != nil {
 		if first, repeated := x.seen[key]; repeated {
 			return first
 		}
-		x.seen[key] = i
-		return i
+		x.seen[key] = index
+		return index
 	}
-	for j := 0; j < i; j += 2 {
-		if other := x.content[j]; other.Kind == yaml.ScalarNode && other.Value == key {
-			return j
+	for i := 0; i < index; i += 2 {
+		if other := x.content[i]; other.Kind == yaml.ScalarNode && other.Value == key {
+			return i
 		}
 	}
-	return i
+	return index
 }
--- a/internal/strictyaml/decode_test.go
+++ b/internal/strictyaml/decode_test.go
@@ -1,6 +1,8 @@
 package strictyaml
 
 import (
+	"errors"
+	"reflect"
 	"strings"
 	"testing"
 )
@@ -21,8 +23,12 @@
 	if err := d.Err(); err != nil {
 		t.Fatal(err)
 	}
-	if s.Name != "12" || !s.On || s.Part != 0.1 || s.Inner.Count != 3 || len(s.List) != 2 || s.List[0].Count != 3 || s.Map["a"] != 1 {
-		t.Errorf("%+v", s)
+	want := sample{
+		Name: "12", On: true, Part: 0.1, Inner: &sample{Count: 3},
+		List: []sample{{Count: 3}, {}}, Map: map[string]int{"a": 1},
+	}
+	if !reflect.DeepEqual(s, want) {
+		t.Errorf("got %+v, want %+v", s, want)
 	}
 	if p := d.At("inner.count"); p != (Position{4, 19}) {
 		t.Errorf("inner.count is at %v", p)
@@ -66,7 +72,31 @@
 		text += "- &" + next + " {list: [" + strings.TrimSuffix(strings.Repeat("*"+last+", ", 10), ", ") + "]}\n"
 		last = next
 	}
-	if err := Decode("f", []byte(text), new(sample)).Err(); err == nil || !strings.Contains(err.Error(), "too many values") {
+	err := Decode("f", []byte(text), new(sample)).Err()
+	if err == nil || !strings.Contains(err.Error(), "too many values") {
 		t.Errorf("got %v", err)
 	}
 }
+
+// TestErrorHasFileLineColumnAndKey: errors.As finds the first error of a file, with its place and the path of the
+// value.
+func TestErrorHasFileLineColumnAndKey(t *testing.T) {
+	for _, c := range []struct {
+		text string
+		want Error
+	}{
+		{"count: 1.5", Error{"f", Position{1, 8}, "count", `"1.5" is not a whole number`}},
+		{
+			"list: [{}, {inner: {nme: x}}]",
+			Error{"f", Position{1, 21}, "list[1].inner.nme", `unknown key "nme"; did you mean "name"?`},
+		},
+		{"name: a\nname: b", Error{"f", Position{2, 1}, "name", `"name" stands here for a second time, first in line 1`}},
+		{"name: a\n---\n{}", Error{"f", Position{1, 1}, "", "one document is wanted, and another follows"}},
+		{"on: maybe\ncount: x", Error{"f", Position{1, 5}, "on", `"maybe" is not true or false`}},
+	} {
+		var got Error
+		if err := Decode("f", []byte(c.text), new(sample)).Err(); !errors.As(err, &got) || got != c.want {
+			t.Errorf("%q: got %+v, want %+v", c.text, got, c.want)
+		}
+	}
+}
--- a/internal/strictyaml/doc.go
+++ b/internal/strictyaml/doc.go
@@ -63,25 +63,28 @@
 // sectionEntries identifies the entries of a section that were read without the rest of the file. Paths in such a
 // Doc start below the section's key.
 type sectionEntries struct {
-	key        string // of the section; empty if the whole file was read, or if the section isn't known
+	partial    bool   // false if whole sections were read: paths are those of the file
+	key        string // of the section; empty if it isn't known
 	list       bool
 	firstIndex int // of the first entry that was read, if the section is a list
 }
 
-// fullKey returns the path in the whole file of a path in the Doc.
+// fullKey returns the path in the whole file of a path in the Doc; empty if it isn't known.
 func (s sectionEntries) fullKey(path string) string {
-	if s.key == "" || path == "" {
+	switch {
+	case !s.partial || path == "":
 		return path
-	}
-	if !s.list {
+	case s.key == "":
+		return ""
+	case !s.list:
 		return join(s.key, path)
 	}
-	index, rest, isIndex := strings.Cut(strings.TrimPrefix(path, "["), "]")
-	n, err := strconv.Atoi(index)
-	if !isIndex || err != nil {
+	index, rest, _ := strings.Cut(strings.TrimPrefix(path, "["), "]")
+	offset, err := strconv.Atoi(index)
+	if err != nil {
 		return s.key
 	}
-	return s.key + "[" + strconv.Itoa(s.firstIndex+n) + "]" + rest
+	return itemPath(s.key, s.firstIndex+offset) + rest
 }
 
 // At returns the position of a value, or of the nearest one around it.
