--- a/internal/config/check.go
+++ b/internal/config/check.go
@@ -19,16 +19,16 @@
 )
 
 const (
-	// maxFile bounds a configuration file, in bytes.
-	maxFile = 16 << 20
-	// reserve is what is kept of the descriptors for listeners, logs, lists and connections that are being closed.
-	reserve = 48
-	// perRequest is the memory that a request may take while a pool holds it: a body each way, and its heads.
-	perRequest = 160 << 10
-	// baseMemory is what the process takes without requests.
-	baseMemory = 24 << 20
-	// usualMemory is that of a configuration that names none.
-	usualMemory = 192 << 20
+	// maxFileSize bounds a configuration file, in bytes.
+	maxFileSize = 16 << 20
+	// reservedDescriptors is what is kept of the descriptors for listeners, logs, lists and connections that are being closed.
+	reservedDescriptors = 48
+	// memoryPerRequest is the memory that a request may take while a pool holds it: a body each way, and its heads.
+	memoryPerRequest = 160 << 10
+	// memoryWithoutRequests is what the process takes without requests.
+	memoryWithoutRequests = 24 << 20
+	// defaultMemory is that of a configuration that names none.
+	defaultMemory = 192 << 20
 )
 
 // Loaded is a configuration that has been checked, with what was left out filled in. It never changes. Routes and tenants
@@ -42,23 +42,23 @@
 	Tenants *balancer.Tenants
 
 	targets  map[targetKey]int
-	held     *held                     // nil: it was read as a whole
-	texts    *texts                    // of this one and those that it came from
-	textIn   int                       // where in texts its text is
-	read     int                       // bytes that were read anew
-	size     int                       // of the file, bytes
-	memoryAt strictyaml.Error          // where it says what memory there is
-	used     map[string]map[string]int // by pool: how many of its routes have each class
-	told     *basis                    // of all that pools are told but the tenants
+	source     *sourceText                     // nil: it was read as a whole
+	buffers    *textBuffers                    // of this one and those that it came from
+	bufferIndex   int                       // where in texts its text is
+	bytesRead     int                       // bytes that were read anew
+	fileSize     int                       // of the file, bytes
+	memoryLimitError strictyaml.Error          // where it says what memory there is
+	routesByClass     map[string]map[string]int // by pool: how many of its routes have each class
+	poolSettings     *settingsIdentity                    // of all that pools are told but the tenants
 }
 
-// basis is the identity of what pools are told: two configurations with one in common tell them the same. It has a size, or all would
+// settingsIdentity is the identity of what pools are told: two configurations with one in common tell them the same. It has a size, or all would
 // have one address.
-type basis struct{ _ byte }
+type settingsIdentity struct{ _ byte }
 
 // SamePools reports whether pools are told the same by c as by another, but for the tenants. It is certain where c was made of what
 // differs from the other; of configurations that were read apart it says no.
-func (c *Loaded) SamePools(other *Loaded) bool { return other != nil && c.told == other.told }
+func (c *Loaded) SamePools(other *Loaded) bool { return other != nil && c.poolSettings == other.poolSettings }
 
 // Target is what requests of a route meet beside its pools. Most routes have one in common with others.
 type Target struct {
@@ -82,7 +82,7 @@
 
 // Load reads and checks a file. The error joins one strictyaml.Error for each thing wrong.
 func Load(path string) (*Loaded, error) {
-	text, err := strictyaml.ReadFile(path, maxFile)
+	text, err := strictyaml.ReadFile(path, maxFileSize)
 	if err != nil {
 		return nil, err
 	}
@@ -96,22 +96,22 @@
 
 // parse is Parse in a process that holds so many bytes already.
 func parse(path string, text []byte, already int64) (*Loaded, error) {
-	c, err := inParts(path, text, already)
+	c, err := parseInSections(path, text, already)
 	switch err.(type) {
-	case known, tooLarge:
+	case partialDiagnosis, memoryExceeded:
 		return nil, err
 	}
 	if c != nil {
 		return c, nil
 	}
-	return atOnce(path, text)
+	return parseWhole(path, text)
 }
 
-// atOnce reads the whole text, and knows the place of each mistake.
-func atOnce(path string, text []byte) (*Loaded, error) {
-	c := &Loaded{targets: map[targetKey]int{}, read: len(text), size: len(text), told: new(basis), texts: newTexts(), textIn: heap}
-	_, at := limit(path, text, strictyaml.Outline(text))
-	c.memoryAt = strictyaml.Error{File: path, Position: at}
+// parseWhole reads the whole text, and knows the place of each mistake.
+func parseWhole(path string, text []byte) (*Loaded, error) {
+	c := &Loaded{targets: map[targetKey]int{}, bytesRead: len(text), fileSize: len(text), poolSettings: new(settingsIdentity), buffers: newTextBuffers(), bufferIndex: notBuffered}
+	_, at := memoryLimit(path, text, strictyaml.Outline(text))
+	c.memoryLimitError = strictyaml.Error{File: path, Position: at}
 	d := strictyaml.Decode(path, text, &c.File)
 	if err := d.Err(); err != nil { // what could not be read would only bring errors that follow from it
 		return nil, err
@@ -145,19 +145,19 @@
 	}
 	k.bulkheads()
 	k.Routes = nil
-	k.uses()
+	k.countClasses()
 }
 
 // checker goes over a configuration, notes what is wrong and fills in what was left out.
 type checker struct {
 	*strictyaml.Doc
 	*Loaded
-	near    func(into any) *strictyaml.Doc // reads the entries that differ once more, for what is wrong with them
-	mistake error                          // what that is
+	diagnose    func(into any) *strictyaml.Doc // reads the entries that differ once more, for what is wrong with them
+	diagnosis error                          // what that is
 }
 
-// wrongQuota is what is said of a quota that is not fair.
-const wrongQuota = "the quota is a rate of requests a second, 0 or more"
+// invalidQuota is what is said of a quota that is not fair.
+const invalidQuota = "the quota is a rate of requests a second, 0 or more"
 
 func (k *checker) address(path, text string) (netip.AddrPort, bool) {
 	a, err := netip.ParseAddrPort(text)
@@ -196,7 +196,7 @@
 
 func (k *checker) limits() {
 	l := &k.Limits
-	strictyaml.Fill(&l.Memory, usualMemory)
+	strictyaml.Fill(&l.Memory, defaultMemory)
 	strictyaml.Fill(&l.Descriptors, 1024)
 	strictyaml.Fill(&l.NodeConnections, 64)
 	if l.Memory < 32<<20 {
@@ -241,13 +241,13 @@
 		if c.Worth == nil {
 			c.Worth = new(1.0)
 		}
-		_, known := repeats[c.Repeat]
+		_, known := idempotencies[c.Repeat]
 		switch {
 		case !known:
 			k.Fail(at+".repeat", "%q is none of safe, keyed and unsafe", c.Repeat)
 		case c.Repeat == "keyed":
 			strictyaml.Fill(&c.Group, "all")
-			if _, ok := groups[c.Group]; !ok {
+			if _, ok := keyScopes[c.Group]; !ok {
 				k.Fail(at+".group", "%q is none of all, zone and cell", c.Group)
 			}
 			if c.Memory == 0 {
@@ -265,8 +265,8 @@
 		k.Classes[name] = c
 	}
 	for name, t := range k.Loaded.File.Tenants {
-		if !fair(t.Quota) {
-			k.Fail("tenants."+name+".quota", wrongQuota)
+		if !isValidQuota(t.Quota) {
+			k.Fail("tenants."+name+".quota", invalidQuota)
 		}
 	}
 	if k.OverQuotaWorth == nil {
@@ -277,8 +277,8 @@
 	}
 }
 
-// fair tells whether a quota is one.
-func fair(quota float64) bool { return quota >= 0 && quota < 1e9 }
+// isValidQuota tells whether a quota is one.
+func isValidQuota(quota float64) bool { return quota >= 0 && quota < 1e9 }
 
 func (k *checker) rules() {
 	r := &k.Rules
@@ -308,7 +308,7 @@
 
 // pool checks one pool and fills in what was left out.
 func (k *checker) pool(folder, name string, p *Pool) {
-	at, queue, descriptors := "pools."+name, k.Limits.Descriptors, k.Limits.Descriptors-reserve
+	at, queue, descriptors := "pools."+name, k.Limits.Descriptors, k.Limits.Descriptors-reservedDescriptors
 	for _, l := range k.Listeners {
 		queue, descriptors = min(queue, l.Connections), descriptors-l.Connections
 	}
@@ -341,7 +341,7 @@
 	if p.Rest != "always" && p.Rest != "after_stray" {
 		k.Fail(at+".rest", "%q is neither always nor after_stray", p.Rest)
 	}
-	if _, ok := reports[p.Reports]; !ok {
+	if _, ok := reportSources[p.Reports]; !ok {
 		k.Fail(at+".reports", "%q is none of answers, probes and none", p.Reports)
 	}
 	k.nodes(at+".nodes", &p.Nodes, folder)
@@ -391,10 +391,10 @@
 	for i := range k.Routes {
 		r := &k.Routes[i]
 		if _, twice := places[r.Name]; r.Name == "" || twice {
-			k.Fail(routeAt(i), "a route needs a name of its own; %q is not", r.Name)
+			k.Fail(routePath(i), "a route needs a name of its own; %q is not", r.Name)
 			continue
 		}
-		if rule, ok := k.route(routeAt(i), r); ok {
+		if rule, ok := k.route(routePath(i), r); ok {
 			places[r.Name] = i
 			rules = append(rules, rule)
 		}
@@ -404,22 +404,22 @@
 		at, tie, bad := "routes", route.Conflict{}, route.Malformed{}
 		switch {
 		case errors.As(err, &tie):
-			at = routeAt(places[tie.Second])
+			at = routePath(places[tie.Second])
 		case errors.As(err, &bad):
-			at = routeAt(places[bad.Name])
+			at = routePath(places[bad.Name])
 		}
 		k.Fail(at, "%v", err)
 	}
 	k.Table = table
 }
 
-func routeAt(i int) string { return "routes[" + strconv.Itoa(i) + "]" }
+func routePath(i int) string { return "routes[" + strconv.Itoa(i) + "]" }
 
 // route checks one route, fills in what was left out and returns its rule.
 func (k *checker) route(at string, r *Route) (route.Rule, bool) {
 	class, ok := k.Classes[r.Class]
 	if !ok {
-		k.Fail(at+".class", "%s", unknown("class", r.Class, slices.Collect(maps.Keys(k.Classes))))
+		k.Fail(at+".class", "%s", unknownName("class", r.Class, slices.Collect(maps.Keys(k.Classes))))
 	}
 	strictyaml.Fill(&r.Deadline, class.Deadline)
 	r.Deadline = min(r.Deadline, class.Deadline)
@@ -457,7 +457,7 @@
 			if r.Pool == "" {
 				where = fmt.Sprintf("%s.pools[%d].pool", at, j)
 			}
-			k.Fail(where, "%s", unknown("pool", p.Pool, slices.Collect(maps.Keys(k.Pools))))
+			k.Fail(where, "%s", unknownName("pool", p.Pool, slices.Collect(maps.Keys(k.Pools))))
 		}
 		rule.Pools = append(rule.Pools, route.WeightedPool(p))
 	}
@@ -499,7 +499,7 @@
 	return len(k.Targets) - 1
 }
 
-func unknown(kind, name string, known []string) string {
+func unknownName(kind, name string, known []string) string {
 	if near := strictyaml.Nearest(name, known); near != "" {
 		return fmt.Sprintf("there is no %s %q; did you mean %q?", kind, name, near)
 	}
@@ -508,7 +508,7 @@
 
 // bulkheads checks that what pools may take together is there, so that no pool can take what is another's.
 func (k *checker) bulkheads() {
-	connections, queues := reserve, 0
+	connections, queues := reservedDescriptors, 0
 	for _, l := range k.Listeners {
 		connections += l.Connections
 	}
@@ -517,7 +517,7 @@
 	}
 	if connections > k.Limits.Descriptors {
 		k.Fail("limits.descriptors", "listeners and pools may take %d with a reserve of %d, more than the %d there are: lower their connections or give more",
-			connections, reserve, k.Limits.Descriptors)
+			connections, reservedDescriptors, k.Limits.Descriptors)
 	}
 	for i, l := range k.Listeners {
 		if queues > l.Connections {
@@ -525,7 +525,7 @@
 				queues, l.Connections)
 		}
 	}
-	if most := int64(baseMemory+queues*perRequest) + int64(k.Limits.Bodies); most > int64(k.Limits.Memory) {
+	if most := int64(memoryWithoutRequests+queues*memoryPerRequest) + int64(k.Limits.Bodies); most > int64(k.Limits.Memory) {
 		k.Fail("limits.memory", "pools may hold %d requests, which can take %d MiB with the %d MiB of limits.bodies; lower their queues or give more", queues, (most+1<<20-1)>>20, k.Limits.Bodies>>20)
 	}
 }
--- a/internal/config/cost.go
+++ b/internal/config/cost.go
@@ -29,11 +29,11 @@
 
 // Cost estimates what the configuration takes with so many nodes over all its lists.
 func (c *Loaded) Cost(nodes int) Cost {
-	x := Cost{Pools: len(c.Pools), Nodes: nodes, Routes: c.Table.Len(), Tenants: c.Tenants.Len(), AtMost: reserve}
-	text := c.size
-	x.Resident = resident(x.Pools, nodes, x.Routes, x.Tenants, text)
-	x.Reading = processBytes + reading(c.held != nil, text)
-	x.AtRest = atRest + len(c.Listeners)
+	x := Cost{Pools: len(c.Pools), Nodes: nodes, Routes: c.Table.Len(), Tenants: c.Tenants.Len(), AtMost: reservedDescriptors}
+	text := c.fileSize
+	x.Resident = residentBytes(x.Pools, nodes, x.Routes, x.Tenants, text)
+	x.Reading = processBytes + readingBytes(c.source != nil, text)
+	x.AtRest = descriptorsAtRest + len(c.Listeners)
 	if c.Admin != nil {
 		x.AtRest++
 	}
@@ -55,40 +55,40 @@
 	if x.Resident <= int64(c.Limits.Memory) {
 		return nil
 	}
-	wrong := c.memoryAt
+	wrong := c.memoryLimitError
 	wrong.Text = fmt.Sprintf("%d pools, %d nodes, %d routes and %d tenants take about %d MiB without any request, more than the %d MiB of limits.memory",
 		x.Pools, x.Nodes, x.Routes, x.Tenants, (x.Resident+1<<20-1)>>20, c.Limits.Memory>>20)
 	return wrong
 }
 
-// atRest is how many descriptors a process has open beside its listeners and connections to discovery: the standard ones, the system's
+// descriptorsAtRest is how many descriptors a process has open beside its listeners and connections to discovery: the standard ones, the system's
 // poller with its event, the watch of the lists.
-const atRest = 6
+const descriptorsAtRest = 6
 
-func resident(pools, nodes, routes, tenants, text int) int64 {
+func residentBytes(pools, nodes, routes, tenants, text int) int64 {
 	return processBytes + int64(pools)*poolBytes + int64(nodes)*nodeBytes + int64(routes)*routeBytes + int64(tenants)*tenantBytes + int64(text)*textCopies
 }
 
-func reading(parts bool, text int) int64 {
+func readingBytes(parts bool, text int) int64 {
 	if parts {
 		return partsFactor * int64(text)
 	}
 	return wholeFactor * int64(text)
 }
 
-// tooLarge is a configuration that the memory can't bear.
-type tooLarge struct{ error }
+// memoryExceeded is a configuration that the memory can't bear.
+type memoryExceeded struct{ error }
 
-func (t tooLarge) Unwrap() error { return t.error }
+func (t memoryExceeded) Unwrap() error { return t.error }
 
-// known is what a reading in parts has found wrong, where reading the whole is more than the memory bears: there may be more.
-type known struct{ error }
+// partialDiagnosis is what a reading in parts has found wrong, where reading the whole is more than the memory bears: there may be more.
+type partialDiagnosis struct{ error }
 
-func (k known) Unwrap() error { return k.error }
+func (k partialDiagnosis) Unwrap() error { return k.error }
 
-// bears fails if the memory that a text gives does not bear reading it, and holding it, beside what the process holds already.
-func bears(path string, at strictyaml.Position, memory Size, already int64, text int, parts bool, what string) error {
-	need := max(processBytes, already) + reading(parts, text)
+// checkReadingMemory fails if the memory that a text gives does not bear reading it, and holding it, beside what the process holds already.
+func checkReadingMemory(path string, at strictyaml.Position, memory Size, already int64, text int, parts bool, what string) error {
+	need := max(processBytes, already) + readingBytes(parts, text)
 	if need <= int64(memory) {
 		return nil
 	}
@@ -96,6 +96,6 @@
 	if already > 0 {
 		beside = fmt.Sprintf(", %d MiB of it for the configuration that holds", already>>20)
 	}
-	return tooLarge{strictyaml.Error{File: path, Position: at, Text: fmt.Sprintf("reading %s takes about %d MiB%s, more than the %d MiB of limits.memory",
+	return memoryExceeded{strictyaml.Error{File: path, Position: at, Text: fmt.Sprintf("reading %s takes about %d MiB%s, more than the %d MiB of limits.memory",
 		what, (need+1<<20-1)>>20, beside, memory>>20)}}
 }
--- a/internal/config/cost_test.go
+++ b/internal/config/cost_test.go
@@ -28,7 +28,7 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			c.held = nil
+			c.source = nil
 			return c
 		}
 	}
--- a/internal/config/promises.go
+++ b/internal/config/promises.go
@@ -46,11 +46,11 @@
 	Within Duration `yaml:"within,omitempty"`
 }
 
-const maxSmallFile = 1 << 20
+const maxCoordinationFileSize = 1 << 20
 
 // OfVoter tells whether a file is that of a voter: it has the key folder, which nobody else's has.
 func OfVoter(path string) bool {
-	text, err := strictyaml.ReadFile(path, maxSmallFile)
+	text, err := strictyaml.ReadFile(path, maxCoordinationFileSize)
 	if err != nil {
 		return false
 	}
@@ -64,7 +64,7 @@
 
 // LoadVoter reads and checks a voter's file.
 func LoadVoter(path string) (*Voter, error) {
-	text, err := strictyaml.ReadFile(path, maxSmallFile)
+	text, err := strictyaml.ReadFile(path, maxCoordinationFileSize)
 	if err != nil {
 		return nil, err
 	}
@@ -91,7 +91,7 @@
 	}
 	own, ok := v.Voters[v.Name]
 	if !ok {
-		d.Fail("name", "%s", unknown("voter", v.Name, slices.Collect(maps.Keys(v.Voters))))
+		d.Fail("name", "%s", unknownName("voter", v.Name, slices.Collect(maps.Keys(v.Voters))))
 	}
 	strictyaml.Fill(&v.Listen, own)
 	if a, err := netip.ParseAddrPort(v.Listen); err != nil {
@@ -138,7 +138,7 @@
 
 // LoadPromises reads and checks the file of a platform's balancer.
 func LoadPromises(path string) (*Promises, error) {
-	text, err := strictyaml.ReadFile(path, maxSmallFile)
+	text, err := strictyaml.ReadFile(path, maxCoordinationFileSize)
 	if err != nil {
 		return nil, err
 	}
@@ -192,13 +192,13 @@
 		if first == "" {
 			first = path
 		}
-		if mine, theirs := named(v.Voters), named(files[first].Voters); mine != theirs {
+		if mine, theirs := joinedNames(v.Voters), joinedNames(files[first].Voters); mine != theirs {
 			errs = append(errs, fmt.Errorf("%s and %s: one has the voters %s, the other %s", first, path, theirs, mine))
 		}
 	}
 	return errors.Join(errs...)
 }
 
-func named(voters map[string]string) string {
+func joinedNames(voters map[string]string) string {
 	return strings.Join(slices.Sorted(maps.Keys(voters)), ", ")
 }
--- a/internal/config/reload.go
+++ b/internal/config/reload.go
@@ -16,84 +16,84 @@
 // few entries differ, the work is in proportion to them, beside reading and comparing the text. It is for one goroutine at a time, and
 // of what it has returned only the last, or old, can be reloaded.
 func Reload(path string, old *Loaded) (*Loaded, error) {
-	text, in, err := old.texts.read(path, old.textIn)
+	text, in, err := old.buffers.read(path, old.bufferIndex)
 	if err != nil {
-		old.texts.release(in)
+		old.buffers.release(in)
 		return nil, err
 	}
 	next, err := old.reparse(path, text)
 	if err != nil {
-		old.texts.release(in)
+		old.buffers.release(in)
 		return nil, err
 	}
 	if next.Tenants.Equal(old.Tenants) { // read as a whole: pools need not look
 		next.Tenants = old.Tenants
 	}
-	if next.texts, next.textIn = old.texts, in; next.held == nil {
-		old.texts.release(in)
-		next.textIn = heap
+	if next.buffers, next.bufferIndex = old.buffers, in; next.source == nil {
+		old.buffers.release(in)
+		next.bufferIndex = notBuffered
 	}
 	return next, nil // old is in hand up to here, and with it the memory of its text
 }
 
 func (c *Loaded) reparse(path string, text []byte) (*Loaded, error) {
-	next, mistaken, mistake := c.changed(path, text)
+	next, mistaken, mistake := c.parseChanges(path, text)
 	switch {
 	case next != nil:
 		return next, nil
 	case mistake != nil:
 		return nil, mistake
-	case mistaken && bears(path, strictyaml.Position{}, c.Limits.Memory, c.Cost(0).Resident, len(text), false, "") == nil:
-		return atOnce(path, text)
+	case mistaken && checkReadingMemory(path, strictyaml.Position{}, c.Limits.Memory, c.Cost(0).Resident, len(text), false, "") == nil:
+		return parseWhole(path, text)
 	}
 	return parse(path, text, c.Cost(0).Resident)
 }
 
-// changed returns the configuration of a text of which few entries differ from the one held; nil if that is in doubt or there is a
+// parseChanges returns the configuration of a text of which few entries differ from the one held; nil if that is in doubt or there is a
 // mistake. mistake is what reading the whole would tell of that, nil if that has to be read.
-func (c *Loaded) changed(path string, text []byte) (next *Loaded, mistaken bool, mistake error) {
-	if c.held == nil {
+func (c *Loaded) parseChanges(path string, text []byte) (next *Loaded, mistaken bool, mistake error) {
+	if c.source == nil {
 		return nil, false, nil
 	}
 	copied := *c
 	next = &copied
-	next.read, next.size = 0, len(text)
-	next.held = &held{text: text, values: c.held.values}
+	next.bytesRead, next.fileSize = 0, len(text)
+	next.source = &sourceText{text: text, valueCount: c.source.valueCount}
 	k := checker{Doc: &strictyaml.Doc{File: path}, Loaded: next}
-	from, end := compare(c.held.text, text)
-	if by := len(text) - len(c.held.text); len(c.held.text)-end <= c.held.parts[0].Start && strictyaml.OnlyComments(text[from:len(text)-end]) {
-		next.held.parts = c.held.moved(-1, by) // comments before all else
-	} else if p, within := c.held.around(from, end); within && strictyaml.OnlyIndented(c.held.text[from:len(c.held.text)-end]) && strictyaml.OnlyIndented(text[from:len(text)-end]) {
-		next.held.parts = c.held.moved(p, by)
-		if ok := k.change(path, c.held, p, next.held.parts[p], from, end); !ok {
-			return nil, k.Failed(), k.mistake
+	from, end := commonLines(c.source.text, text)
+	if by := len(text) - len(c.source.text); len(c.source.text)-end <= c.source.sections[0].Start && strictyaml.OnlyComments(text[from:len(text)-end]) {
+		next.source.sections = c.source.shiftedSections(-1, by) // comments before all else
+	} else if p, within := c.source.sectionAround(from, end); within && strictyaml.OnlyIndented(c.source.text[from:len(c.source.text)-end]) && strictyaml.OnlyIndented(text[from:len(text)-end]) {
+		next.source.sections = c.source.shiftedSections(p, by)
+		if ok := k.applySection(path, c.source, p, next.source.sections[p], from, end); !ok {
+			return nil, k.Failed(), k.diagnosis
 		}
-	} else if next.held.parts = strictyaml.Outline(text); len(next.held.parts) != len(c.held.parts) {
+	} else if next.source.sections = strictyaml.Outline(text); len(next.source.sections) != len(c.source.sections) {
 		return nil, false, nil
 	} else {
-		for _, now := range next.held.parts {
-			p := slices.IndexFunc(c.held.parts, func(x strictyaml.Section) bool { return x.Key == now.Key })
+		for _, now := range next.source.sections {
+			p := slices.IndexFunc(c.source.sections, func(x strictyaml.Section) bool { return x.Key == now.Key })
 			if p < 0 {
 				return nil, false, nil
 			}
-			was := c.held.parts[p]
-			if bytes.Equal(c.held.text[was.Start:was.End], text[now.Start:now.End]) {
+			was := c.source.sections[p]
+			if bytes.Equal(c.source.text[was.Start:was.End], text[now.Start:now.End]) {
 				continue
 			}
-			from, end := compare(c.held.text[was.Start:was.End], text[now.Start:now.End])
-			if ok := k.change(path, c.held, p, now, was.Start+from, len(c.held.text)-was.End+end); !ok {
+			from, end := commonLines(c.source.text[was.Start:was.End], text[now.Start:now.End])
+			if ok := k.applySection(path, c.source, p, now, was.Start+from, len(c.source.text)-was.End+end); !ok {
 				return nil, k.Failed(), nil
 			}
 		}
 	}
-	if next.held.values > strictyaml.MaxValues/2 || len(next.Targets) > 2*next.Table.Len()+256 { // those that no rule leads to any more are dropped
+	if next.source.valueCount > strictyaml.MaxValues/2 || len(next.Targets) > 2*next.Table.Len()+256 { // those that no rule leads to any more are dropped
 		return nil, false, nil
 	}
 	return next, false, nil
 }
 
-// compare returns how much two texts have in common at their beginning and, beyond that, at their end, in whole lines.
-func compare(was, is []byte) (from, end int) {
+// commonLines returns how much two texts have in common at their beginning and, beyond that, at their end, in whole lines.
+func commonLines(was, is []byte) (from, end int) {
 	const block = 1 << 12
 	least := min(len(was), len(is))
 	for from+block <= least && bytes.Equal(was[from:from+block], is[from:from+block]) {
@@ -121,9 +121,9 @@
 	return from, 0
 }
 
-// around returns the part in whose body all of the text is but so much at its beginning and its end.
-func (h *held) around(from, end int) (part int, within bool) {
-	for i, p := range h.parts {
+// sectionAround returns the part in whose body all of the text is but so much at its beginning and its end.
+func (h *sourceText) sectionAround(from, end int) (part int, within bool) {
+	for i, p := range h.sections {
 		if p.Block && p.Body <= from && len(h.text)-end <= p.End {
 			return i, true
 		}
@@ -131,9 +131,9 @@
 	return 0, false
 }
 
-// moved are the parts of a text in which one has become longer; -1: what stands before them.
-func (h *held) moved(part, by int) []strictyaml.Section {
-	parts := slices.Clone(h.parts)
+// shiftedSections are the parts of a text in which one has become longer; -1: what stands before them.
+func (h *sourceText) shiftedSections(part, by int) []strictyaml.Section {
+	parts := slices.Clone(h.sections)
 	for i := range parts {
 		if i > part {
 			parts[i].Start, parts[i].Body = parts[i].Start+by, parts[i].Body+by
@@ -145,45 +145,45 @@
 	return parts
 }
 
-// change takes a part that differs, but for so much of the old text before and behind it; false if that is in doubt.
-func (k *checker) change(path string, old *held, part int, now strictyaml.Section, from, end int) bool {
-	was := old.parts[part]
+// applySection takes a part that differs, but for so much of the old text before and behind it; false if that is in doubt.
+func (k *checker) applySection(path string, old *sourceText, part int, now strictyaml.Section, from, end int) bool {
+	was := old.sections[part]
 	if was.Block != now.Block {
 		return false
 	}
-	if !long[now.Key] || !now.Block { // a comment
+	if !batchedSections[now.Key] || !now.Block { // a comment
 		var before, after File
 		_, ok := strictyaml.ReadSection(path, old.text, was, &before)
-		d, whole := strictyaml.ReadSection(path, k.held.text, now, &after)
+		d, whole := strictyaml.ReadSection(path, k.source.text, now, &after)
 		return ok && whole && !d.Failed() && reflect.DeepEqual(before, after)
 	}
-	before, after, begin := differing(old.text[was.Body:was.End], k.held.text[now.Body:now.End], max(0, from-was.Body), max(0, was.End-(len(old.text)-end)))
+	before, after, begin := changedEntries(old.text[was.Body:was.End], k.source.text[now.Body:now.End], max(0, from-was.Body), max(0, was.End-(len(old.text)-end)))
 	if before == nil || after == nil {
 		return false
 	}
-	k.near = func(into any) *strictyaml.Doc {
-		return strictyaml.DiagnoseEntries(path, k.held.text, now, now.Body+begin, now.Body+begin+len(after.Text), into)
+	k.diagnose = func(into any) *strictyaml.Doc {
+		return strictyaml.DiagnoseEntries(path, k.source.text, now, now.Body+begin, now.Body+begin+len(after.Text), into)
 	}
 	ok := false
 	switch now.Key {
 	case "tenants":
-		ok = k.changeTenants(path, before, after)
+		ok = k.applyTenants(path, before, after)
 	case "routes":
-		ok = k.changeRoutes(path, before, after)
+		ok = k.applyRoutes(path, before, after)
 	case "pools":
-		ok = k.changePools(path, before, after)
+		ok = k.applyPools(path, before, after)
 	}
 	return ok && !k.Failed()
 }
 
 // Read is how much was read anew for the configuration, in bytes of its file.
-func (c *Loaded) Read() int { return c.read }
+func (c *Loaded) Read() int { return c.bytesRead }
 
-// differing returns the entries in which two bodies differ, with one before where there is one, whose line both have; nil if they can't be
+// changedEntries returns the entries in which two bodies differ, with one before where there is one, whose line both have; nil if they can't be
 // compared so. They have whole lines in common, so much at the beginning and at the end. begin is where the entries' text begins in both.
-func differing(was, is []byte, from, end int) (x, y *strictyaml.Entries, begin int) {
-	first := strictyaml.SplitEntries(head(was))
-	if other := strictyaml.SplitEntries(head(is)); first == nil || other == nil || first.Column != other.Column || first.List != other.List {
+func changedEntries(was, is []byte, from, end int) (x, y *strictyaml.Entries, begin int) {
+	first := strictyaml.SplitEntries(throughFirstEntryLine(was))
+	if other := strictyaml.SplitEntries(throughFirstEntryLine(is)); first == nil || other == nil || first.Column != other.Column || first.List != other.List {
 		return nil, nil, 0
 	}
 	at := first.Column
@@ -217,8 +217,8 @@
 	return x, y, from
 }
 
-// head is a body to the end of its first entry's first line.
-func head(body []byte) []byte {
+// throughFirstEntryLine is a body to the end of its first entry's first line.
+func throughFirstEntryLine(body []byte) []byte {
 	for at := 0; at < len(body); {
 		line := body[at:]
 		if end := bytes.IndexByte(line, '\n'); end >= 0 {
@@ -232,34 +232,34 @@
 	return nil
 }
 
-// mostFew is how many entries may differ: more are read faster side by side.
-const mostFew = 4096
+// maxChangedEntries is how many entries may differ: more are read faster side by side.
+const maxChangedEntries = 4096
 
-// few reads what differs, as it was and as it is; false if it is much or in doubt. taken tells whether what is read has a name that another
+// readChanged reads what differs, as it was and as it is; false if it is much or in doubt. taken tells whether what is read has a name that another
 // entry has.
-func few[T any](k *checker, path string, was, is *strictyaml.Entries, old, next *T, taken func(old, next T) bool) bool {
-	if len(was.Starts) > mostFew || len(is.Starts) > mostFew {
+func readChanged[T any](k *checker, path string, was, is *strictyaml.Entries, old, next *T, taken func(old, next T) bool) bool {
+	if len(was.Starts) > maxChangedEntries || len(is.Starts) > maxChangedEntries {
 		return false
 	}
 	d, ok := was.Read(path, 0, 0, len(was.Starts), old)
 	if !ok {
 		return false
 	}
-	k.held.values -= d.Values()
+	k.source.valueCount -= d.Values()
 	d, ok = is.Read(path, 0, 0, len(is.Starts), next)
-	k.read += len(is.Text)
-	if k.held.values += d.Values(); d.Failed() {
+	k.bytesRead += len(is.Text)
+	if k.source.valueCount += d.Values(); d.Failed() {
 		k.Fail("", "it has mistakes")
 		var read T
-		if near := k.near(&read); near != nil && !taken(*old, read) {
-			k.mistake = near.Err()
+		if near := k.diagnose(&read); near != nil && !taken(*old, read) {
+			k.diagnosis = near.Err()
 		}
 	}
 	return ok
 }
 
-// newName tells whether a name is new among those that differ, and there among all.
-func newName[T any](old, next map[string]T, there func(string) bool) bool {
+// reusesName tells whether a name is new among those that differ, and there among all.
+func reusesName[T any](old, next map[string]T, there func(string) bool) bool {
 	for name := range next {
 		if _, known := old[name]; !known && there(name) {
 			return true
@@ -268,12 +268,12 @@
 	return false
 }
 
-func (k *checker) changeTenants(path string, was, is *strictyaml.Entries) bool {
+func (k *checker) applyTenants(path string, was, is *strictyaml.Entries) bool {
 	var old, next map[string]Tenant
 	taken := func(old, next map[string]Tenant) bool {
-		return newName(old, next, func(name string) bool { _, there := k.Tenants.Quota(name); return there })
+		return reusesName(old, next, func(name string) bool { _, there := k.Tenants.Quota(name); return there })
 	}
-	if !few(k, path, was, is, &old, &next, taken) {
+	if !readChanged(k, path, was, is, &old, &next, taken) {
 		return false
 	}
 	if taken(old, next) {
@@ -284,7 +284,7 @@
 	var gone []string
 	var unfair []string
 	for name, t := range next {
-		if !fair(t.Quota) {
+		if !isValidQuota(t.Quota) {
 			unfair = append(unfair, name)
 		}
 		if before, known := old[name]; !known || before != t {
@@ -293,11 +293,11 @@
 	}
 	if len(unfair) > 0 {
 		k.Fail("", "there is no such quota")
-		if near := k.near(new(map[string]Tenant)); near != nil {
+		if near := k.diagnose(new(map[string]Tenant)); near != nil {
 			for _, name := range unfair {
-				near.Fail(name+".quota", wrongQuota)
+				near.Fail(name+".quota", invalidQuota)
 			}
-			k.mistake = near.Err()
+			k.diagnosis = near.Err()
 		}
 		return false
 	}
@@ -312,9 +312,9 @@
 	return true
 }
 
-func (k *checker) changeRoutes(path string, was, is *strictyaml.Entries) bool {
+func (k *checker) applyRoutes(path string, was, is *strictyaml.Entries) bool {
 	var old, next []Route
-	if !few(k, path, was, is, &old, &next, func(_, _ []Route) bool { return false }) { // names are looked at once all can be read
+	if !readChanged(k, path, was, is, &old, &next, func(_, _ []Route) bool { return false }) { // names are looked at once all can be read
 		return false
 	}
 	before := make(map[string]*Route, len(old))
@@ -352,33 +352,33 @@
 	if errs != nil || table.Len() == 0 {
 		return false
 	}
-	classes := k.used
-	k.used = maps.Clone(classes)
+	classes := k.routesByClass
+	k.routesByClass = maps.Clone(classes)
 	own := map[string]bool{}
 	for _, name := range gone {
-		k.use(before[name].Class, k.Table.Rule(name).Pools, -1, own)
+		k.addRoutes(before[name].Class, k.Table.Rule(name).Pools, -1, own)
 	}
 	for _, rule := range added {
-		k.use(k.Targets[rule.To].Class, rule.Pools, 1, own)
+		k.addRoutes(k.Targets[rule.To].Class, rule.Pools, 1, own)
 	}
 	for pool := range own { // a pool is told its classes, however many routes have them
-		if !maps.EqualFunc(classes[pool], k.used[pool], func(int, int) bool { return true }) {
-			k.told = new(basis)
+		if !maps.EqualFunc(classes[pool], k.routesByClass[pool], func(int, int) bool { return true }) {
+			k.poolSettings = new(settingsIdentity)
 		}
 	}
 	k.Table = table
 	return true
 }
 
-func (k *checker) changePools(path string, was, is *strictyaml.Entries) bool {
+func (k *checker) applyPools(path string, was, is *strictyaml.Entries) bool {
 	var old, next map[string]Pool
 	taken := func(old, next map[string]Pool) bool {
-		return newName(old, next, func(name string) bool { _, there := k.Pools[name]; return there })
+		return reusesName(old, next, func(name string) bool { _, there := k.Pools[name]; return there })
 	}
-	if !few(k, path, was, is, &old, &next, taken) || len(old) != len(next) { // what is left out depends on their number
+	if !readChanged(k, path, was, is, &old, &next, taken) || len(old) != len(next) { // what is left out depends on their number
 		return false
 	}
-	k.Pools, k.told = maps.Clone(k.Pools), new(basis)
+	k.Pools, k.poolSettings = maps.Clone(k.Pools), new(settingsIdentity)
 	for name, p := range next {
 		before, known := k.Pools[name]
 		if _, there := old[name]; !there || !known {
--- a/internal/config/reload_test.go
+++ b/internal/config/reload_test.go
@@ -196,21 +196,21 @@
 // agrees compares the small ways with reading the whole, and returns what holds then and whether a small way was taken.
 func agrees(t *testing.T, before *Loaded, text string) (next *Loaded, small bool) {
 	t.Helper()
-	want, wrong := atOnce("/c/c.yaml", []byte(text))
-	parts, _ := inParts("/c/c.yaml", []byte(text), 0)
+	want, wrong := parseWhole("/c/c.yaml", []byte(text))
+	parts, _ := parseInSections("/c/c.yaml", []byte(text), 0)
 	if parts != nil && (wrong != nil || told(parts) != told(want)) {
 		t.Fatalf("in parts another configuration than at once (%v): %s\n%s", wrong, differ(parts, want), text)
 	}
-	changed, mistaken, mistake := before.changed("/c/c.yaml", []byte(text))
+	changed, mistaken, mistake := before.parseChanges("/c/c.yaml", []byte(text))
 	if mistake != nil && (wrong == nil || mistake.Error() != wrong.Error()) {
-		t.Fatalf("by the difference another mistake than at once:\n%v\nnot\n%v\n%s\n--- from\n%s", mistake, wrong, text, before.held.text)
+		t.Fatalf("by the difference another mistake than at once:\n%v\nnot\n%v\n%s\n--- from\n%s", mistake, wrong, text, before.source.text)
 	}
 	if mistake != nil {
 		nearby++
 	}
 	if changed != nil {
 		if wrong != nil || told(changed) != told(want) {
-			t.Fatalf("by the difference another configuration than at once (%v): %s\n%s\n--- from\n%s", wrong, differ(changed, want), text, before.held.text)
+			t.Fatalf("by the difference another configuration than at once (%v): %s\n%s\n--- from\n%s", wrong, differ(changed, want), text, before.source.text)
 		}
 		if changed.SamePools(before) {
 			samePools(t, before, changed)
@@ -236,9 +236,9 @@
 	for seed := range rounds {
 		rng := rand.New(rand.NewPCG(36, uint64(seed)))
 		text := shaped(rng)
-		c, _ := inParts("/c/c.yaml", []byte(text), 0)
+		c, _ := parseInSections("/c/c.yaml", []byte(text), 0)
 		if c == nil {
-			_, err := atOnce("/c/c.yaml", []byte(text))
+			_, err := parseWhole("/c/c.yaml", []byte(text))
 			t.Fatalf("a right text is not read in parts (%v):\n%s", err, text)
 		}
 		for range 40 {
@@ -279,7 +279,7 @@
 - {name: one, class: c, pool: p}
 - {name: two, class: c, pool: q, path: {prefix: /two}}
 `
-	c, _ := inParts("/c/c.yaml", []byte(text), 0)
+	c, _ := parseInSections("/c/c.yaml", []byte(text), 0)
 	if c == nil {
 		t.Fatal("the text is not read in parts")
 	}
@@ -315,7 +315,7 @@
 		{"file: p.yaml}", "file: p.yaml}\n    rest: >-\n      always\n    # not always", true}, // a block of text
 	} {
 		edit := strings.Replace(text, x.old, x.new, 1)
-		if _, err := atOnce("/c/c.yaml", []byte(edit)); edit == text || (err == nil) != x.right {
+		if _, err := parseWhole("/c/c.yaml", []byte(edit)); edit == text || (err == nil) != x.right {
 			t.Errorf("%q for %q: the whole says %v", x.new, x.old, err)
 		}
 		agrees(t, c, edit)
@@ -329,7 +329,7 @@
 	}
 	f.Fuzz(func(t *testing.T, seed uint64, from, n int, put string) {
 		text := shaped(rand.New(rand.NewPCG(seed, 0)))
-		c, _ := inParts("/c/c.yaml", []byte(text), 0)
+		c, _ := parseInSections("/c/c.yaml", []byte(text), 0)
 		if c == nil || from < 0 || n < 0 {
 			return
 		}
@@ -429,7 +429,7 @@
 		{"another name", strings.Replace(moved, last, strings.ReplaceAll(last, "019", "020"), 1), 20},
 		{"in another's place", strings.Replace(strings.Replace(moved, last, "", 1), "pools:\n", "pools:\n"+strings.ReplaceAll(last, "019", "first"), 1), 20},
 	} {
-		if next, mistaken, _ := c.changed("/c/c.yaml", []byte(x.text)); next != nil || mistaken {
+		if next, mistaken, _ := c.parseChanges("/c/c.yaml", []byte(x.text)); next != nil || mistaken {
 			t.Errorf("%s: by the difference: %v, a mistake: %v", x.name, next != nil, mistaken)
 		}
 		next, err := c.reparse("/c/c.yaml", []byte(x.text))
@@ -437,7 +437,7 @@
 			t.Errorf("%s: %v", x.name, err)
 			continue
 		}
-		if want, _ := atOnce("/c/c.yaml", []byte(x.text)); told(next) != told(want) {
+		if want, _ := parseWhole("/c/c.yaml", []byte(x.text)); told(next) != told(want) {
 			t.Errorf("%s: %s", x.name, differ(next, want))
 		}
 	}
@@ -463,7 +463,7 @@
 		wrong := slices.Clone(lines)
 		wrong[154999] = strings.Replace(wrong[154999], x.from, x.to, 1)
 		edit := []byte(strings.Join(wrong, ""))
-		if _, _, mistake := c.changed("c.yaml", edit); mistake == nil {
+		if _, _, mistake := c.parseChanges("c.yaml", edit); mistake == nil {
 			t.Errorf("%q for %q: the whole is read for it", x.to, x.from)
 		}
 		began := time.Now()
@@ -530,7 +530,7 @@
 		b.Run(x.name, func(b *testing.B) {
 			b.ReportAllocs()
 			for b.Loop() {
-				if next, _, _ := c.changed("c.yaml", edit); next == nil {
+				if next, _, _ := c.parseChanges("c.yaml", edit); next == nil {
 					b.Fatal("not by the difference")
 				}
 			}
--- a/internal/config/texts_test.go
+++ b/internal/config/texts_test.go
@@ -12,7 +12,7 @@
 func TestTextsInTurns(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "c.yaml")
 	small, large := string(generated(10, 200, 300)), string(generated(20, 2000, 9000))
-	if len(small) >= pageFrom || len(large) <= pageFrom {
+	if len(small) >= minBufferedSize || len(large) <= minBufferedSize {
 		t.Fatalf("texts of %d and %d bytes", len(small), len(large))
 	}
 	write := func(text string) {
@@ -26,7 +26,7 @@
 		t.Fatal(err)
 	}
 	empty := func(where int) bool {
-		for _, b := range c.texts.in[where] {
+		for _, b := range c.buffers.memory[where] {
 			if b != 0 {
 				return false
 			}
@@ -65,18 +65,18 @@
 		if err == nil && x.adopted {
 			c = next
 			c.Adopted()
-			in[c.textIn]++
+			in[c.bufferIndex]++
 		}
-		if held := c.held; held != nil && (len(held.text) == 0 || held.text[0] != 'l') {
+		if held := c.source; held != nil && (len(held.text) == 0 || held.text[0] != 'l') {
 			t.Fatalf("%d: the text that holds is gone", i)
 		}
-		for where := range c.texts.in {
-			if where != c.textIn && (err != nil || x.adopted) && !empty(where) {
-				t.Errorf("%d: the text in %d is still held, the one in %d holds", i, where, c.textIn)
+		for where := range c.buffers.memory {
+			if where != c.bufferIndex && (err != nil || x.adopted) && !empty(where) {
+				t.Errorf("%d: the text in %d is still held, the one in %d holds", i, where, c.bufferIndex)
 			}
 		}
 	}
-	if in[0] < 2 || in[1] < 2 || in[heap] < 2 {
+	if in[0] < 2 || in[1] < 2 || in[notBuffered] < 2 {
 		t.Errorf("texts were held in %v", in)
 	}
 }
