--- /dev/null
+++ b/internal/config/check_classes.go
@@ -0,0 +1,93 @@
+package config
+
+import (
+	"time"
+
+	"olivearch/internal/strictyaml"
+)
+
+const (
+	minAim   = Duration(10 * time.Millisecond)
+	maxWorth = 1e6
+	maxQuota = 1e9 // requests a second; quotas are below it
+	// invalidQuota is the text of an error about a quota.
+	invalidQuota = "the quota is a rate of requests a second, 0 or more"
+)
+
+// classes checks the kinds of request.
+func (k *checker) classes() {
+	if len(k.Classes) == 0 {
+		k.Fail("classes", "at least one class is wanted")
+	}
+	for name, class := range k.Classes {
+		path := "classes." + name
+		strictyaml.Fill(&class.Repeat, "unsafe")
+		if class.Worth == nil {
+			class.Worth = new(1.0)
+		}
+		k.repeat(path, &class)
+		if class.Aim < minAim || class.Deadline < class.Aim {
+			k.Fail(path, "aim is at least 10ms, and deadline no shorter than aim")
+		}
+		if !isWithin(*class.Worth, 0, maxWorth) || !isWithin(class.LateWorth, 0, 1) {
+			k.Fail(path, "worth is from 0 to 1,000,000, and late_worth from 0 to 1")
+		}
+		k.Classes[name] = class
+	}
+}
+
+// repeat checks whether requests of a class may run more than once, and what belongs to that.
+func (k *checker) repeat(path string, class *Class) {
+	_, known := idempotencies[class.Repeat]
+	switch {
+	case !known:
+		k.Fail(path+".repeat", "%q is none of safe, keyed and unsafe", class.Repeat)
+	case class.Repeat == "keyed":
+		strictyaml.Fill(&class.Group, "all")
+		if _, ok := keyScopes[class.Group]; !ok {
+			k.Fail(path+".group", "%q is none of all, zone and cell", class.Group)
+		}
+		if class.Memory == 0 {
+			k.Fail(path, "a keyed class needs memory: how long nodes drop repeats")
+		}
+	case class.Group != "" || class.Memory != 0:
+		k.Fail(path, "group and memory belong to keyed classes")
+	}
+}
+
+// tenants checks the quotas of the tenants in the file's struct, and the weight of what exceeds a quota.
+func (k *checker) tenants() {
+	for name, tenant := range k.Loaded.File.Tenants {
+		if !isValidQuota(tenant.Quota) {
+			k.Fail("tenants."+name+".quota", invalidQuota)
+		}
+	}
+	if k.OverQuotaWorth == nil {
+		k.OverQuotaWorth = new(0.1)
+	}
+	if !isWithin(*k.OverQuotaWorth, 0, 1) {
+		k.Fail("over_quota_worth", "the part is from 0 to 1")
+	}
+}
+
+// isValidQuota reports whether a number can be a quota; NaN can't.
+func isValidQuota(quota float64) bool { return quota >= 0 && quota < maxQuota }
+
+// isWithin reports whether low <= number <= high; NaN is never within.
+func isWithin(number, low, high float64) bool { return number >= low && number <= high }
+
+// rules checks the drain and slow-start rules.
+func (k *checker) rules() {
+	rules := &k.Rules
+	strictyaml.Fill(&rules.DrainGrace, Duration(time.Second))
+	strictyaml.Fill(&rules.ColdFrom, 0.33)
+	strictyaml.Fill(&rules.RampTime, Duration(9*time.Second))
+	strictyaml.Fill(&rules.TipMultiple, 3)
+	strictyaml.Fill(&rules.TipAfter, Duration(1500*time.Millisecond))
+	if rules.ColdFrom == 0 || !isWithin(rules.ColdFrom, 0, 1) {
+		k.Fail("rules.cold_from", "the part is over 0 and at most 1")
+	}
+	if !isWithin(rules.TipMultiple, 1, 1000) {
+		k.Fail("rules.tip_multiple", "the multiple is from 1 to 1,000")
+	}
+}
--- /dev/null
+++ b/internal/config/check_routes.go
@@ -0,0 +1,216 @@
+package config
+
+import (
+	"errors"
+	"fmt"
+	"maps"
+	"slices"
+	"strconv"
+	"strings"
+	"time"
+
+	"olivearch/internal/route"
+	"olivearch/internal/strictyaml"
+)
+
+// Target is what applies to requests of a route beside its pools. Most routes share one with others.
+type Target struct {
+	Class     string
+	Deadline  Duration
+	KeyCookie string
+	Body      Body
+	Answer    Answer
+	Upgrades  []string
+	Tunnels   Tunnels // of its first pool
+}
+
+// targetKey is a Target in a form that can be compared.
+type targetKey struct {
+	class, cookie, upgrades string
+	deadline                Duration
+	body                    Body
+	answer                  Answer
+	tunnels                 Tunnels
+}
+
+// routes checks the routes and builds their table.
+func (k *checker) routes() {
+	if len(k.Routes) == 0 {
+		k.Fail("routes", "at least one route is wanted")
+	}
+	rules := make([]route.Rule, 0, len(k.Routes))
+	indexes := make(map[string]int, len(k.Routes)) // in the file, by name
+	for i := range k.Routes {
+		r := &k.Routes[i]
+		if _, repeated := indexes[r.Name]; r.Name == "" || repeated {
+			k.Fail(routePath(i), "a route needs a name of its own; %q is not", r.Name)
+			continue
+		}
+		if rule, ok := k.route(routePath(i), r); ok {
+			indexes[r.Name] = i
+			rules = append(rules, rule)
+		}
+	}
+	table, errs := route.Build(rules)
+	for _, err := range errs {
+		path := "routes"
+		if name, ok := routeNamedBy(err); ok {
+			path = routePath(indexes[name])
+		}
+		k.Fail(path, "%v", err)
+	}
+	k.Table = table
+}
+
+// routeNamedBy returns the name of the route that an error of the table is about.
+func routeNamedBy(err error) (name string, ok bool) {
+	var conflict route.Conflict
+	if errors.As(err, &conflict) {
+		return conflict.Second, true
+	}
+	var malformed route.Malformed
+	if errors.As(err, &malformed) {
+		return malformed.Name, true
+	}
+	return "", false
+}
+
+// routePath returns the path of a route in the file.
+func routePath(index int) string { return "routes[" + strconv.Itoa(index) + "]" }
+
+// route checks one route, fills in what was left out and returns its rule.
+func (k *checker) route(path string, r *Route) (rule route.Rule, ok bool) {
+	k.routeClass(path, r)
+	if (r.Pool == "") == (len(r.Pools) == 0) {
+		k.Fail(path, "exactly one of pool and pools is wanted")
+		return route.Rule{}, false
+	}
+	if r.Pool != "" {
+		r.Pools = []WeightedPool{{r.Pool, 1}}
+	}
+	k.routeLimits(path, r)
+	k.upgrades(path+".upgrades", r.Upgrades)
+	rule = route.Rule{Name: r.Name, Hosts: r.Hosts, Methods: r.Methods, Class: r.RequestClass}
+	rule.Pools = k.routePools(path, r)
+	k.methods(path+".methods", r.Methods)
+	for _, name := range slices.Sorted(maps.Keys(r.Headers)) {
+		rule.Headers = append(rule.Headers, route.Header{Name: name, Value: r.Headers[name]})
+	}
+	rule.Kind, rule.Path = k.pathMatch(path+".path", r.Path)
+	rule.To = k.target(r)
+	return rule, true
+}
+
+// routeClass checks the class of a route and cuts its deadline to that of the class.
+func (k *checker) routeClass(path string, r *Route) {
+	class, known := k.Classes[r.Class]
+	if !known {
+		k.Fail(path+".class", "%s", unknownName("class", r.Class, slices.Collect(maps.Keys(k.Classes))))
+	}
+	strictyaml.Fill(&r.Deadline, class.Deadline)
+	r.Deadline = min(r.Deadline, class.Deadline)
+	if r.RequestClass != "" && r.RequestClass != r.Class {
+		k.Fail(path+".request_class", "clients that name %q would get the class %q: the two are the same",
+			r.RequestClass, r.Class)
+	}
+}
+
+// routeLimits checks the limits of a route's requests and responses.
+func (k *checker) routeLimits(path string, r *Route) {
+	strictyaml.Fill(&r.KeyCookie, "obj")
+	strictyaml.Fill(&r.Body.Max, 1<<30)
+	strictyaml.Fill(&r.Body.Buffer, 1<<20)
+	strictyaml.Fill(&r.Body.Within, Duration(time.Hour))
+	strictyaml.Fill(&r.Answer.Max, 1<<40)
+	strictyaml.Fill(&r.Answer.Idle, Duration(30*time.Second))
+	if r.Body.Buffer > k.Limits.Bodies {
+		k.Fail(path+".body.buffer", "%d MiB for one request, and limits.bodies is %d MiB for all",
+			r.Body.Buffer>>20, k.Limits.Bodies>>20)
+	}
+	if r.Answer.Total != 0 && r.Answer.Total < r.Answer.Idle {
+		k.Fail(path+".answer.total", "it is shorter than idle")
+	}
+}
+
+// upgrades checks the protocols that connections may change to, and brings their names to lower case.
+func (k *checker) upgrades(path string, protocols []string) {
+	for i, name := range protocols {
+		protocols[i] = strings.ToLower(name)
+		isToken := name != "" && !strings.ContainsAny(name, " ,\t")
+		if !isToken || strings.HasPrefix(protocols[i], "h2") {
+			k.Fail(path, "%q is not a protocol that a connection may change to, such as websocket", name)
+		}
+	}
+}
+
+// routePools checks the pools of a route.
+func (k *checker) routePools(path string, r *Route) []route.WeightedPool {
+	pools := make([]route.WeightedPool, 0, len(r.Pools))
+	for i, pool := range r.Pools {
+		if _, known := k.Pools[pool.Pool]; !known {
+			poolPath := path + ".pool"
+			if r.Pool == "" {
+				poolPath = fmt.Sprintf("%s.pools[%d].pool", path, i)
+			}
+			k.Fail(poolPath, "%s", unknownName("pool", pool.Pool, slices.Collect(maps.Keys(k.Pools))))
+		}
+		pools = append(pools, route.WeightedPool(pool))
+	}
+	return pools
+}
+
+// methods checks the methods of a route.
+func (k *checker) methods(path string, methods []string) {
+	isNoCapital := func(char rune) bool { return char < 'A' || char > 'Z' }
+	for _, method := range methods {
+		if method == "" || method == "CONNECT" || strings.ContainsFunc(method, isNoCapital) {
+			k.Fail(path, "%q is not a method that is served, in capitals", method)
+		}
+	}
+}
+
+// pathMatch returns how a route matches paths: any path if none of the three forms is given.
+func (k *checker) pathMatch(path string, match Path) (kind route.PathKind, text string) {
+	forms := [...]string{route.Exact: match.Exact, route.Pattern: match.Pattern, route.Prefix: match.Prefix}
+	given := 0
+	for i, form := range forms {
+		if form != "" {
+			given++
+			kind = route.PathKind(i)
+			text = form
+		}
+	}
+	if given == 0 {
+		return route.Prefix, "/"
+	}
+	if given > 1 {
+		k.Fail(path, "at most one of exact, pattern and prefix is wanted")
+	}
+	return kind, text
+}
+
+// target returns the index of a route's target, which is added if no route has had it.
+func (k *checker) target(r *Route) int {
+	key := targetKey{
+		class: r.Class, cookie: r.KeyCookie, upgrades: strings.Join(r.Upgrades, "\n"),
+		deadline: r.Deadline, body: r.Body, answer: r.Answer, tunnels: k.Pools[r.Pools[0].Pool].Tunnels,
+	}
+	if index, known := k.targets[key]; known {
+		return index
+	}
+	index := len(k.Targets)
+	k.Targets = append(k.Targets, Target{
+		Class: r.Class, Deadline: r.Deadline, KeyCookie: r.KeyCookie, Body: r.Body, Answer: r.Answer,
+		Upgrades: r.Upgrades, Tunnels: key.tunnels,
+	})
+	k.targets[key] = index
+	return index
+}
+
+// unknownName returns the text of an error about a name that nothing of its kind has.
+func unknownName(kind, name string, known []string) string {
+	if near := strictyaml.Nearest(name, known); near != "" {
+		return fmt.Sprintf("there is no %s %q; did you mean %q?", kind, name, near)
+	}
+	return fmt.Sprintf("there is no %s %q", kind, name)
+}
--- a/internal/config/reload.go
+++ b/internal/config/reload.go
@@ -43,12 +43,18 @@
 		return next, nil
 	case mistake != nil:
 		return nil, mistake
-	case mistaken && checkReadingMemory(path, strictyaml.Position{}, c.Limits.Memory, c.Cost(0).Resident, len(text), false, "") == nil:
+	case mistaken && c.allowsReadingWhole(text):
 		return parseWhole(path, text)
 	}
 	return parse(path, text, c.Cost(0).Resident)
 }
 
+// allowsReadingWhole reports whether the memory allows for reading a text at once while c is in force.
+func (c *Loaded) allowsReadingWhole(text []byte) bool {
+	need := readingNeed{limit: c.Limits.Memory, inUse: c.Cost(0).Resident, textSize: len(text)}
+	return need.check() == nil
+}
+
 // parseChanges returns the configuration of a text of which few entries differ from the one held; nil if that is in doubt or there is a
 // mistake. mistake is what reading the whole would tell of that, nil if that has to be read.
 func (c *Loaded) parseChanges(path string, text []byte) (next *Loaded, mistaken bool, mistake error) {
@@ -176,9 +182,6 @@
 	return ok && !k.Failed()
 }
 
-// Read is how much was read anew for the configuration, in bytes of its file.
-func (c *Loaded) Read() int { return c.bytesRead }
-
 // changedEntries returns the entries in which two bodies differ, with one before where there is one, whose line both have; nil if they can't be
 // compared so. They have whole lines in common, so much at the beginning and at the end. begin is where the entries' text begins in both.
 func changedEntries(was, is []byte, from, end int) (x, y *strictyaml.Entries, begin int) {
--- a/internal/config/settings.go
+++ b/internal/config/settings.go
@@ -11,7 +11,7 @@
 
 var (
 	idempotencies = map[string]balancer.Idempotency{"safe": balancer.Idempotent, "keyed": balancer.IdempotentWithKey, "unsafe": balancer.NonIdempotent}
-	keyScopes  = map[string]balancer.KeyScope{"all": balancer.KeyScopeAll, "zone": balancer.KeyScopeZone, "cell": balancer.KeyScopeCell}
+	keyScopes     = map[string]balancer.KeyScope{"all": balancer.KeyScopeAll, "zone": balancer.KeyScopeZone, "cell": balancer.KeyScopeCell}
 	reportSources = map[string]balancer.ReportVia{"answers": balancer.ReportAnswers, "probes": balancer.ReportHealthChecks, "none": balancer.ReportNone}
 )
 
--- a/internal/config/texts.go
+++ b/internal/config/textbuffers.go
@@ -33,7 +33,7 @@
 	notBuffered = -1 // a text in no memory of texts
 	// minBufferedSize is the size of a file from which its text is kept in pages of its own, in bytes.
 	minBufferedSize = 256 << 10
-	bufferUnit     = 64 << 10
+	bufferUnit      = 64 << 10
 )
 
 // read reads a file into the memory that is not another text's. where is what it is in.
