--- a/internal/config/schema/golden_test.go
+++ b/internal/config/schema/golden_test.go
@@ -15,9 +15,8 @@
 // TestGoldenKeys pins the keys of each published schema by their paths, whatever the Go types are called.
 func TestGoldenKeys(t *testing.T) {
 	for _, file := range slices.Sorted(maps.Keys(published)) {
-		x := published[file]
 		t.Run(filepath.Base(file), func(t *testing.T) {
-			text, err := schemaFromRoot(t, x.title, x.of)
+			text, err := schemaFromRoot(t, published[file])
 			if err != nil {
 				t.Fatal(err)
 			}
@@ -34,13 +33,13 @@
 }
 
 // schemaFromRoot makes a schema from the module's root and returns to this folder.
-func schemaFromRoot(t *testing.T, title string, of any) ([]byte, error) {
+func schemaFromRoot(t *testing.T, source schemaSource) ([]byte, error) {
 	t.Helper()
 	var text []byte
 	var err error
 	t.Run("made", func(t *testing.T) {
 		t.Chdir("../../..")
-		text, err = schema(".", title, of)
+		text, err = schema(".", source)
 	})
 	return text, err
 }
--- a/internal/config/schema/main.go
+++ b/internal/config/schema/main.go
@@ -1,5 +1,5 @@
-// Command schema writes the JSON Schemas of the configuration, of scenarios and of ground scripts into docs/, made from their Go types. Run it
-// from the root: go run ./internal/config/schema
+// Command schema writes the JSON Schemas of the configuration, of scenarios and of fault scripts into docs/, made from
+// their Go types and the doc comments of these. Run it from the root of the module: go run ./internal/config/schema
 package main
 
 import (
@@ -15,11 +15,14 @@
 	"olivearch/internal/scenario"
 )
 
-// published are the schemas, by their file.
-var published = map[string]struct {
+// schemaSource is what a schema is made from.
+type schemaSource struct {
 	title string
-	of    any
-}{
+	value any // a pointer to a value of the type that the schema describes
+}
+
+// published are the schemas, by their file.
+var published = map[string]schemaSource{
 	"docs/olivearch.schema.json": {"olivearch serve", &config.File{}},
 	"docs/scenario.schema.json":  {"olivearch-bench scenario", &scenario.File{}},
 	"docs/ground.schema.json":    {"olivearch-bench ground", &script.File{}},
@@ -27,9 +30,14 @@
 	"docs/promises.schema.json":  {"RELAY_PROMISES", &config.Promises{}},
 }
 
+// commentedPackages are the folders of the packages whose doc comments describe the keys.
+var commentedPackages = []string{
+	"./internal/config", "./internal/endpointlist", "./internal/scenario", "./internal/faulttest/script",
+}
+
 func main() {
-	for file, x := range published {
-		text, err := schema(".", x.title, x.of)
+	for file, source := range published {
+		text, err := schema(".", source)
 		if err == nil {
 			err = os.WriteFile(file, text, 0o644)
 		}
@@ -40,29 +48,34 @@
 	}
 }
 
-// schema makes the schema of a type; root is the folder of the module, where the types' comments are read.
-func schema(root, title string, of any) ([]byte, error) {
-	r := jsonschema.Reflector{FieldNameTag: "yaml", Mapper: func(t reflect.Type) *jsonschema.Schema {
-		switch t {
-		case reflect.TypeFor[config.Duration]():
-			return &jsonschema.Schema{Type: "string", Description: "A time with its unit, such as 250ms or 1.5s."}
-		case reflect.TypeFor[script.Signed]():
-			return &jsonschema.Schema{Type: "string", Description: "A time with its unit, such as 90s or -1h."}
-		case reflect.TypeFor[config.Size]():
-			return &jsonschema.Schema{Type: "string", Pattern: "^[0-9]+(KiB|MiB|GiB)$"}
-		}
-		return nil
-	}}
-	if err := os.Chdir(root); err != nil { // comments are found by the import path's folders
+// schema returns the JSON Schema of a type. It changes to the root of the module, where comments are found by the
+// folders of import paths.
+func schema(root string, source schemaSource) ([]byte, error) {
+	if err := os.Chdir(root); err != nil {
 		return nil, err
 	}
-	for _, folder := range []string{"./internal/config", "./internal/endpointlist", "./internal/scenario", "./internal/faulttest/script"} {
-		if err := r.AddGoComments("olivearch", folder); err != nil {
+	reflector := jsonschema.Reflector{FieldNameTag: "yaml", Mapper: textTypeSchema}
+	for _, folder := range commentedPackages {
+		if err := reflector.AddGoComments("olivearch", folder); err != nil {
 			return nil, err
 		}
 	}
-	s := r.Reflect(of)
-	s.ID, s.Title = "", title
-	text, err := json.MarshalIndent(s, "", "  ")
+	described := reflector.Reflect(source.value)
+	described.ID = ""
+	described.Title = source.title
+	text, err := json.MarshalIndent(described, "", "  ")
 	return append(text, '\n'), err
 }
+
+// textTypeSchema returns the schema of a type that is written as a text of its own form; nil for other types.
+func textTypeSchema(goType reflect.Type) *jsonschema.Schema {
+	switch goType {
+	case reflect.TypeFor[config.Duration]():
+		return &jsonschema.Schema{Type: "string", Description: "A time with its unit, such as 250ms or 1.5s."}
+	case reflect.TypeFor[script.Signed]():
+		return &jsonschema.Schema{Type: "string", Description: "A time with its unit, such as 90s or -1h."}
+	case reflect.TypeFor[config.Size]():
+		return &jsonschema.Schema{Type: "string", Pattern: "^[0-9]+(KiB|MiB|GiB)$"}
+	}
+	return nil
+}
--- a/internal/config/schema/main_test.go
+++ b/internal/config/schema/main_test.go
@@ -9,8 +9,8 @@
 // TestPublished: the schemas in docs are the ones that the types give.
 func TestPublished(t *testing.T) {
 	t.Chdir("../../..")
-	for file, x := range published {
-		want, err := schema(".", x.title, x.of)
+	for file, source := range published {
+		want, err := schema(".", source)
 		if err != nil {
 			t.Fatal(err)
 		}
--- a/internal/config/settings.go
+++ b/internal/config/settings.go
@@ -9,69 +9,114 @@
 	"olivearch/internal/route"
 )
 
+// What the words of the file stand for in the decision module.
 var (
-	idempotencies = map[string]balancer.Idempotency{"safe": balancer.Idempotent, "keyed": balancer.IdempotentWithKey, "unsafe": balancer.NonIdempotent}
-	keyScopes     = map[string]balancer.KeyScope{"all": balancer.KeyScopeAll, "zone": balancer.KeyScopeZone, "cell": balancer.KeyScopeCell}
-	reportSources = map[string]balancer.ReportVia{"answers": balancer.ReportAnswers, "probes": balancer.ReportHealthChecks, "none": balancer.ReportNone}
+	idempotencies = map[string]balancer.Idempotency{
+		"safe":   balancer.Idempotent,
+		"keyed":  balancer.IdempotentWithKey,
+		"unsafe": balancer.NonIdempotent,
+	}
+	keyScopes = map[string]balancer.KeyScope{
+		"all":  balancer.KeyScopeAll,
+		"zone": balancer.KeyScopeZone,
+		"cell": balancer.KeyScopeCell,
+	}
+	reportSources = map[string]balancer.ReportVia{
+		"answers": balancer.ReportAnswers,
+		"probes":  balancer.ReportHealthChecks,
+		"none":    balancer.ReportNone,
+	}
 )
 
-// Class returns a class in the module's form.
+// Class returns a class in the form of the decision module.
 func (c *Loaded) Class(name string) balancer.Class {
-	x := c.Classes[name]
+	class := c.Classes[name]
 	return balancer.Class{
-		Name: name, LatencyObjective: time.Duration(x.Aim), Deadline: time.Duration(x.Deadline), Idempotency: idempotencies[x.Repeat],
-		KeyScope: keyScopes[x.Group], DeduplicationWindow: time.Duration(x.Memory), PriorityWeight: *x.Worth, LateWeightFactor: x.LateWorth,
+		Name:                name,
+		LatencyObjective:    time.Duration(class.Aim),
+		Deadline:            time.Duration(class.Deadline),
+		Idempotency:         idempotencies[class.Repeat],
+		KeyScope:            keyScopes[class.Group],
+		DeduplicationWindow: time.Duration(class.Memory),
+		PriorityWeight:      *class.Worth,
+		LateWeightFactor:    class.LateWorth,
 	}
 }
 
-// countClasses notes the classes of the routes to each pool.
+// countClasses counts the routes to each pool by class.
 func (c *Loaded) countClasses() {
 	c.routesByClass = make(map[string]map[string]int, len(c.Pools))
-	own := map[string]bool{}
-	for r := range c.Table.Rules() {
-		c.addRoutes(c.Targets[r.To].Class, r.Pools, 1, own)
+	changedPools := map[string]bool{}
+	for rule := range c.Table.Rules() {
+		c.addRoutes(c.Targets[rule.To].Class, rule.Pools, 1, changedPools)
 	}
 }
 
-// addRoutes counts a route of a class to some pools. own are the pools whose counts are not shared with another configuration.
-func (c *Loaded) addRoutes(class string, pools []route.WeightedPool, n int, own map[string]bool) {
+// addRoutes adds n routes of a class to the counts of some pools; n may be negative. changedPools are the pools whose
+// counts are no longer shared with another configuration; a pool that is not among them gets a copy, and is added.
+func (c *Loaded) addRoutes(class string, pools []route.WeightedPool, n int, changedPools map[string]bool) {
 	for _, to := range pools {
-		if !own[to.Pool] {
-			own[to.Pool] = true
-			if c.routesByClass[to.Pool] = maps.Clone(c.routesByClass[to.Pool]); c.routesByClass[to.Pool] == nil {
-				c.routesByClass[to.Pool] = map[string]int{}
-			}
+		if !changedPools[to.Pool] {
+			changedPools[to.Pool] = true
+			own := map[string]int{}
+			maps.Copy(own, c.routesByClass[to.Pool])
+			c.routesByClass[to.Pool] = own
 		}
 		counts := c.routesByClass[to.Pool]
-		if counts[class] += n; counts[class] == 0 {
+		counts[class] += n
+		if counts[class] == 0 {
 			delete(counts, class)
 		}
 	}
 }
 
+// pollInterval is how often the decision module polls for the endpoint list, if nothing is told meanwhile.
+const pollInterval = 20 * time.Second
+
 // Settings returns what a pool's decision module is told: the classes of the routes to the pool and no others, so that
-// what changes elsewhere does not reach it.
+// it does not notice changes elsewhere.
 func (c *Loaded) Settings(pool string) balancer.Settings {
-	p, r := c.Pools[pool], c.Rules
-	used := slices.Sorted(maps.Keys(c.routesByClass[pool]))
-	if len(used) == 0 { // the module wants a class; a pool that no route names gets no request
-		used = slices.Sorted(maps.Keys(c.Classes))
-	}
-	s := balancer.Settings{
+	settings := balancer.Settings{
 		Zone: c.Instances.Zone, Balancers: c.Instances.Count, Rank: c.Instances.Rank,
-		OverQuotaWeightFactor: *c.OverQuotaWorth, Granularity: time.Millisecond, SuspendWhenIdle: true, Weights: balancer.WeightNominal, Reports: reportSources[p.Reports],
-		Limits: balancer.Limits{
-			Cancel: true, HealthChecks: p.Reports == "probes", RetryAfter: true, MaxRetryAfter: time.Duration(p.MaxRetryAfter),
-			MaxAttempts: p.MaxAttempts, MaxInFlight: p.Connections,
-		},
-		Rules: balancer.Rules{
-			PollInterval: 20 * time.Second, SlowStartFloor: r.ColdFrom, SlowStartDuration: time.Duration(r.RampTime),
-			OverloadMultiple: r.TipMultiple, OverloadWindow: time.Duration(r.TipAfter), DrainGrace: time.Duration(r.DrainGrace),
-		},
+		OverQuotaWeightFactor: *c.OverQuotaWorth,
+		Granularity:           time.Millisecond,
+		SuspendWhenIdle:       true,
+		Weights:               balancer.WeightNominal,
+		Reports:               reportSources[c.Pools[pool].Reports],
+		Limits:                c.Pools[pool].limits(),
+		Rules:                 c.Rules.settings(),
+		Tenants:               c.Tenants,
+	}
+	names := slices.Sorted(maps.Keys(c.routesByClass[pool]))
+	if len(names) == 0 { // the module wants a class; a pool that no route names gets no request
+		names = slices.Sorted(maps.Keys(c.Classes))
 	}
-	for _, name := range used {
-		s.Classes = append(s.Classes, c.Class(name))
+	for _, name := range names {
+		settings.Classes = append(settings.Classes, c.Class(name))
+	}
+	return settings
+}
+
+// limits returns the limits of a pool in the form of the decision module.
+func (p Pool) limits() balancer.Limits {
+	return balancer.Limits{
+		Cancel:        true,
+		HealthChecks:  p.Reports == "probes",
+		RetryAfter:    true,
+		MaxRetryAfter: time.Duration(p.MaxRetryAfter),
+		MaxAttempts:   p.MaxAttempts,
+		MaxInFlight:   p.Connections,
+	}
+}
+
+// settings returns the drain and slow-start rules in the form of the decision module.
+func (r Rules) settings() balancer.Rules {
+	return balancer.Rules{
+		PollInterval:      pollInterval,
+		SlowStartFloor:    r.ColdFrom,
+		SlowStartDuration: time.Duration(r.RampTime),
+		OverloadMultiple:  r.TipMultiple,
+		OverloadWindow:    time.Duration(r.TipAfter),
+		DrainGrace:        time.Duration(r.DrainGrace),
 	}
-	s.Tenants = c.Tenants
-	return s
 }
--- a/internal/config/types.go
+++ b/internal/config/types.go
@@ -1,5 +1,9 @@
-// Package config is the file that "olivearch serve" is configured by: its types, how it is read and checked, and what of
-// it each pool's decision module is told. Every error names file, line and column.
+// Package config reads the file that "olivearch serve" is configured by: its types, how it is read, checked and reloaded,
+// what it takes in memory and descriptors, and what each pool's decision module is told of it. It also reads the files
+// of the coordination servers. An error about a file's content joins values of type strictyaml.Error, each with file,
+// line, column and key, which errors.As finds.
+//
+// The doc comments of the types with yaml tags are the descriptions of docs/*.schema.json: see the command in schema.
 package config
 
 import (
--- /dev/null
+++ b/internal/config/voter.go
@@ -0,0 +1,180 @@
+package config
+
+import (
+	"errors"
+	"fmt"
+	"maps"
+	"net/netip"
+	"path/filepath"
+	"slices"
+	"strings"
+	"time"
+
+	"go.yaml.in/yaml/v3"
+
+	"olivearch/internal/strictyaml"
+)
+
+// Voter is the configuration of one voter of the ledger of promises: a file for "olivearch-coordinator".
+type Voter struct {
+	// This voter's name: a key of voters.
+	Name string `yaml:"name"`
+	// IP address and port at which it listens; that of voters if left out. Only loopback addresses are taken unless open is set.
+	Listen string `yaml:"listen,omitempty"`
+	// Whether an address that others can reach is meant: voters ask for no password.
+	Open bool `yaml:"open,omitempty"`
+	// The folder with its log and snapshots, on a disk of its own. It must exist; no two voters may have the same.
+	Folder string `yaml:"folder"`
+	// All voters, this one among them: names with IP addresses and ports. 3, 5 or 7; 1 keeps nothing when it is lost, and is for trials.
+	Voters map[string]string `yaml:"voters"`
+	// How many voters must have a promise on their disks before it is answered; a majority if left out, and never less.
+	Copies int `yaml:"copies,omitempty" jsonschema:"minimum=1"`
+	// A voter that has not been heard for so long may be replaced by one with its name and an empty folder; 10s if left out.
+	ReplaceAfter Duration `yaml:"replace_after,omitempty"`
+}
+
+// minReplaceAfter bounds Voter.ReplaceAfter: a voter that is elected anew is silent for longer than less.
+const minReplaceAfter = Duration(2 * time.Second)
+
+// OfVoter reports whether a file is that of a coordination server: it has the key folder, which no other has.
+func OfVoter(path string) bool {
+	text, err := strictyaml.ReadFile(path, maxCoordinationFileSize)
+	if err != nil {
+		return false
+	}
+	var keys map[string]yaml.Node
+	if yaml.Unmarshal(text, &keys) != nil {
+		return false
+	}
+	_, ok := keys["folder"]
+	return ok
+}
+
+// LoadVoter reads and checks the file of a coordination server. The error is as for ParseVoter.
+func LoadVoter(path string) (*Voter, error) {
+	text, err := strictyaml.ReadFile(path, maxCoordinationFileSize)
+	if err != nil {
+		return nil, err
+	}
+	return ParseVoter(path, text)
+}
+
+// ParseVoter checks the text of a coordination server's file. The error joins one strictyaml.Error for each thing wrong.
+func ParseVoter(path string, text []byte) (*Voter, error) {
+	voter := &Voter{}
+	doc := strictyaml.Decode(path, text, voter)
+	if err := doc.Err(); err != nil {
+		return nil, err
+	}
+	if !strictyaml.Plain(voter.Name) {
+		doc.Fail("name", "a name of letters, digits and hyphens is wanted, at most 64 characters")
+	}
+	checkVoters(doc, "voters", voter.Voters)
+	checkVoterCount(doc, len(voter.Voters))
+	voter.checkListen(doc)
+	if voter.Folder == "" {
+		doc.Fail("folder", "a folder is wanted")
+	} else {
+		voter.Folder = absolute(voter.Folder, filepath.Dir(path))
+	}
+	strictyaml.Fill(&voter.ReplaceAfter, Duration(10*time.Second))
+	if voter.ReplaceAfter < minReplaceAfter {
+		doc.Fail("replace_after", "at least 2s: a voter that is elected anew is silent for longer than less")
+	}
+	if voter.Copies > len(voter.Voters) || voter.Copies < 0 {
+		doc.Fail("copies", "from 1 to the number of voters")
+	}
+	return voter, doc.Err()
+}
+
+// checkVoterCount checks the number of voters.
+func checkVoterCount(doc *strictyaml.Doc, count int) {
+	switch count {
+	case 1, 3, 5, 7:
+	case 2:
+		doc.Fail("voters", "two voters hold nothing that one of them would not: if either is lost, "+
+			"no promise can be given. 3, 5 or 7 are wanted")
+	default:
+		doc.Fail("voters", "%d voters: 3, 5 or 7 are wanted", count)
+	}
+}
+
+// checkListen checks that a voter is one of the voters, and the address at which it listens.
+func (v *Voter) checkListen(doc *strictyaml.Doc) {
+	own, ok := v.Voters[v.Name]
+	if !ok {
+		doc.Fail("name", "%s", unknownName("voter", v.Name, slices.Collect(maps.Keys(v.Voters))))
+	}
+	strictyaml.Fill(&v.Listen, own)
+	address, err := netip.ParseAddrPort(v.Listen)
+	switch {
+	case err != nil:
+		doc.Fail("listen", "%q is not an IP address and a port, such as 127.0.0.1:7101", v.Listen)
+	case !address.Addr().IsLoopback() && !v.Open:
+		doc.Fail("listen", "%s can be reached by others, and voters ask for no password: if that is meant, "+
+			"add \"open: true\"", address)
+	}
+}
+
+// checkVoters checks a list of voters: addresses by name.
+func checkVoters(doc *strictyaml.Doc, path string, voters map[string]string) {
+	if len(voters) == 0 {
+		doc.Fail(path, "names and addresses of voters are wanted")
+	}
+	names := map[netip.AddrPort]string{}
+	for _, name := range slices.Sorted(maps.Keys(voters)) {
+		voterPath := path + "." + name
+		if !strictyaml.Plain(name) {
+			doc.Fail(voterPath, "a name of letters, digits and hyphens is wanted, at most 64 characters")
+		}
+		address, err := netip.ParseAddrPort(voters[name])
+		if err != nil {
+			doc.Fail(voterPath, "%q is not an IP address and a port, such as 127.0.0.1:7101", voters[name])
+			continue
+		}
+		if other := names[address]; other != "" {
+			doc.Fail(voterPath, "%s and %s have the same address %s", other, name, address)
+		}
+		names[address] = name
+	}
+}
+
+// AgreeVoters checks the files of several voters, by their paths, for what each of them alone can't show: folders and
+// names that two have, and lists of voters that differ.
+func AgreeVoters(files map[string]*Voter) error {
+	var errs []error
+	pathByFolder := map[string]string{}
+	pathByName := map[string]string{}
+	paths := slices.Sorted(maps.Keys(files))
+	for _, path := range paths {
+		voter := files[path]
+		folder := resolvedFolder(voter.Folder)
+		if other := pathByFolder[folder]; other != "" {
+			errs = append(errs, fmt.Errorf("%s and %s: both have the folder %s", other, path, folder))
+		}
+		if other := pathByName[voter.Name]; other != "" {
+			errs = append(errs, fmt.Errorf("%s and %s: both are %s", other, path, voter.Name))
+		}
+		pathByFolder[folder] = path
+		pathByName[voter.Name] = path
+		first := paths[0]
+		names := joinedNames(voter.Voters)
+		if firstNames := joinedNames(files[first].Voters); names != firstNames {
+			errs = append(errs, fmt.Errorf("%s and %s: one has the voters %s, the other %s", first, path, firstNames, names))
+		}
+	}
+	return errors.Join(errs...)
+}
+
+// resolvedFolder returns a folder without symbolic links; as it is if it can't be looked at.
+func resolvedFolder(folder string) string {
+	if resolved, err := filepath.EvalSymlinks(folder); err == nil {
+		return resolved
+	}
+	return folder
+}
+
+// joinedNames returns the names of voters as a text.
+func joinedNames(voters map[string]string) string {
+	return strings.Join(slices.Sorted(maps.Keys(voters)), ", ")
+}
