--- a/internal/config/changes.go
+++ b/internal/config/changes.go
@@ -24,26 +24,27 @@
 	}
 	oldBody := r.old.text[before.Body:before.End]
 	newBody := r.source.text[after.Body:after.End]
-	change, ok := changedEntries(oldBody, newBody, commonText{
+	change, isComparable := changedEntries(oldBody, newBody, commonText{
 		prefix: max(0, common.prefix-before.Body),
 		suffix: max(0, before.End-(len(r.old.text)-common.suffix)),
 	})
-	if !ok {
+	if !isComparable {
 		return false
 	}
 	r.diagnose = func(into any) *strictyaml.Doc {
 		from := after.Body + change.start
 		return strictyaml.DiagnoseEntries(r.path, r.source.text, after, from, from+len(change.after.Text), into)
 	}
+	applied := false
 	switch after.Key {
 	case "tenants":
-		ok = r.applyTenants(change)
+		applied = r.applyTenants(change)
 	case "routes":
-		ok = r.applyRoutes(change)
+		applied = r.applyRoutes(change)
 	case "pools":
-		ok = r.applyPools(change)
+		applied = r.applyPools(change)
 	}
-	return ok && !r.Failed()
+	return applied && !r.Failed()
 }
 
 // meansTheSame reports whether a section differs by comments and the like alone.
@@ -57,25 +58,27 @@
 // readChanged reads the entries that differ, as they were and as they are. ok is false if they are many, if that is in
 // doubt or if there is a mistake. reusesName reports whether one of the new entries has the name of an entry that does
 // not differ.
-func readChanged[T any](r *reloader, change sectionChange, reusesName func(before, after T) bool) (before, after T, ok bool) {
+func readChanged[T any](
+	reload *reloader, change sectionChange, reusesName func(before, after T) bool,
+) (before, after T, ok bool) {
 	oldCount := len(change.before.Starts)
 	newCount := len(change.after.Starts)
 	if oldCount > maxChangedEntries || newCount > maxChangedEntries {
 		return before, after, false
 	}
-	doc, ok := change.before.Read(r.path, 0, 0, oldCount, &before)
+	doc, ok := change.before.Read(reload.path, 0, 0, oldCount, &before)
 	if !ok {
 		return before, after, false
 	}
-	r.source.valueCount -= doc.Values()
-	doc, ok = change.after.Read(r.path, 0, 0, newCount, &after)
-	r.source.valueCount += doc.Values()
-	r.bytesRead += len(change.after.Text)
+	reload.source.valueCount -= doc.Values()
+	doc, ok = change.after.Read(reload.path, 0, 0, newCount, &after)
+	reload.source.valueCount += doc.Values()
+	reload.bytesRead += len(change.after.Text)
 	if doc.Failed() {
-		r.Fail("", "it has mistakes")
+		reload.Fail("", "it has mistakes")
 		var diagnosed T
-		if found := r.diagnose(&diagnosed); found != nil && !reusesName(before, diagnosed) {
-			r.diagnosis = found.Err()
+		if found := reload.diagnose(&diagnosed); found != nil && !reusesName(before, diagnosed) {
+			reload.diagnosis = found.Err()
 		}
 	}
 	return before, after, ok
--- a/internal/config/check_routes.go
+++ b/internal/config/check_routes.go
@@ -79,25 +79,25 @@
 func routePath(index int) string { return "routes[" + strconv.Itoa(index) + "]" }
 
 // route checks one route, fills in what was left out and returns its rule.
-func (k *checker) route(path string, r *Route) (rule route.Rule, ok bool) {
-	k.routeClass(path, r)
-	if (r.Pool == "") == (len(r.Pools) == 0) {
+func (k *checker) route(path string, entry *Route) (rule route.Rule, ok bool) {
+	k.routeClass(path, entry)
+	if (entry.Pool == "") == (len(entry.Pools) == 0) {
 		k.Fail(path, "exactly one of pool and pools is wanted")
 		return route.Rule{}, false
 	}
-	if r.Pool != "" {
-		r.Pools = []WeightedPool{{r.Pool, 1}}
+	if entry.Pool != "" {
+		entry.Pools = []WeightedPool{{entry.Pool, 1}}
 	}
-	k.routeLimits(path, r)
-	k.upgrades(path+".upgrades", r.Upgrades)
-	rule = route.Rule{Name: r.Name, Hosts: r.Hosts, Methods: r.Methods, Class: r.RequestClass}
-	rule.Pools = k.routePools(path, r)
-	k.methods(path+".methods", r.Methods)
-	for _, name := range slices.Sorted(maps.Keys(r.Headers)) {
-		rule.Headers = append(rule.Headers, route.Header{Name: name, Value: r.Headers[name]})
+	k.routeLimits(path, entry)
+	k.upgrades(path+".upgrades", entry.Upgrades)
+	rule = route.Rule{Name: entry.Name, Hosts: entry.Hosts, Methods: entry.Methods, Class: entry.RequestClass}
+	rule.Pools = k.routePools(path, entry)
+	k.methods(path+".methods", entry.Methods)
+	for _, name := range slices.Sorted(maps.Keys(entry.Headers)) {
+		rule.Headers = append(rule.Headers, route.Header{Name: name, Value: entry.Headers[name]})
 	}
-	rule.Kind, rule.Path = k.pathMatch(path+".path", r.Path)
-	rule.To = k.target(r)
+	rule.Kind, rule.Path = k.pathMatch(path+".path", entry.Path)
+	rule.To = k.target(entry)
 	return rule, true
 }
 
--- a/internal/config/cost.go
+++ b/internal/config/cost.go
@@ -51,8 +51,13 @@
 
 // residentBytes returns the memory that the numbers of entries and a text of so many bytes take.
 func (c Cost) residentBytes(textSize int) int64 {
-	entries := int64(c.Pools)*poolBytes + int64(c.Nodes)*nodeBytes + int64(c.Routes)*routeBytes + int64(c.Tenants)*tenantBytes
-	return processBytes + entries + int64(textSize)*textCopies
+	total := int64(processBytes)
+	total += int64(c.Pools) * poolBytes
+	total += int64(c.Nodes) * nodeBytes
+	total += int64(c.Routes) * routeBytes
+	total += int64(c.Tenants) * tenantBytes
+	total += int64(textSize) * textCopies
+	return total
 }
 
 // Bears returns an error, a strictyaml.Error at limits.memory, if the memory is too little for the configuration with
--- a/internal/config/promises.go
+++ b/internal/config/promises.go
@@ -16,13 +16,13 @@
 	maxWithin = Duration(30 * time.Second)
 )
 
-// Promises says where a balancer takes part in the ledger of promises: a part of the configuration of "olivearch serve", and a file of its
-// own for a platform's balancer (RELAY_PROMISES).
+// Promises says where a balancer takes part in the ledger of promises: a part of the configuration of "olivearch
+// serve", and a file of its own for a platform's balancer (RELAY_PROMISES).
 type Promises struct {
 	// The voters: names with IP addresses and ports.
 	Voters map[string]string `yaml:"voters"`
-	// A file in which what is held is kept, so that a process that starts while no voter can be reached begins with it; left out: none. A
-	// relative path starts at the configuration's folder.
+	// A file in which what is held is kept, so that a process that starts while no voter can be reached begins with it;
+	// left out: none. A relative path starts at the configuration's folder.
 	Copy string `yaml:"copy,omitempty"`
 	// Within what time a call of staff's is answered, held or not; 1s if left out.
 	Within Duration `yaml:"within,omitempty"`
--- a/internal/config/reload_test.go
+++ b/internal/config/reload_test.go
@@ -225,8 +225,8 @@
 	return nil, false
 }
 
-// TestSmallWaysAreTheWhole: over random edits of random configurations, each from what the one before it has come to, reading in parts
-// and reading the difference give what reading the whole gives, or give way to it.
+// TestSmallWaysAreTheWhole: over random edits of random configurations, each from what the one before it has come to,
+// reading in parts and reading the difference give what reading the whole gives, or give way to it.
 func TestSmallWaysAreTheWhole(t *testing.T) {
 	rounds, taken, edits := 20, 0, 0
 	nearby = 0
@@ -410,8 +410,8 @@
 	}
 }
 
-// TestPoolsThatComeAndGo: a pool taken out, put in or given another name, alone or with its routes, is never passed over by the small way:
-// the whole is read, and pools are told anew.
+// TestPoolsThatComeAndGo: a pool taken out, put in or given another name, alone or with its routes, is never passed
+// over by the small way: the whole is read, and pools are told anew.
 func TestPoolsThatComeAndGo(t *testing.T) {
 	text := string(generated(20, 300, 500))
 	c, err := Parse("/c/c.yaml", []byte(text))
@@ -474,7 +474,8 @@
 	}
 }
 
-// TestMistakeWithLittleMemory: where the memory does not bear reading the whole at once, the batch with the mistake tells its place.
+// TestMistakeWithLittleMemory: where the memory does not bear reading the whole at once, the batch with the mistake
+// tells its place.
 func TestMistakeWithLittleMemory(t *testing.T) {
 	text := strings.Replace(string(generated(10, 100, 40000)), "memory: 1GiB", "memory: 64MiB", 1)
 	if _, err := Parse("c.yaml", []byte(text)); err != nil {
@@ -491,7 +492,8 @@
 	}
 }
 
-// TestMistakesOfLongTexts: of random mistakes among many entries, what is told by what stands around them is what reading the whole tells.
+// TestMistakesOfLongTexts: of random mistakes among many entries, what is told by what stands around them is what
+// reading the whole tells.
 func TestMistakesOfLongTexts(t *testing.T) {
 	text := string(generated(40, 80, 120))
 	c, err := Parse("/c/c.yaml", []byte(text))
--- a/internal/config/size_test.go
+++ b/internal/config/size_test.go
@@ -13,8 +13,9 @@
 	"olivearch/internal/discovery"
 )
 
-// What a whole picture of the planned size takes: 18,000 nodes as a discovery service tells them, 15,000 routes and 140,000 tenants as they
-// stand in a configuration, names and addresses by chance. Plain, packed, and the CPU of packing and of a digest for each part.
+// What a whole picture of the planned size takes: 18,000 nodes as a discovery service tells them, 15,000 routes and
+// 140,000 tenants as they stand in a configuration, names and addresses by chance. Plain, packed, and the CPU of
+// packing and of a digest for each part.
 func BenchmarkPicture(b *testing.B) {
 	rng := rand.New(rand.NewPCG(1, 1))
 	var nodes discovery.Listing
--- a/internal/config/textbuffers_test.go
+++ b/internal/config/textbuffers_test.go
@@ -7,8 +7,8 @@
 	"testing"
 )
 
-// TestTextsInTurns: over reloads that are adopted, that are not, that have mistakes and of files that grow and shrink, what is read is what
-// a reading of the file alone gives, and what is not the text that holds is given back.
+// TestTextsInTurns: over reloads that are adopted, that are not, that have mistakes and of files that grow and shrink,
+// what is read is what a reading of the file alone gives, and what is not the text that holds is given back.
 func TestTextsInTurns(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "c.yaml")
 	small, large := string(generated(10, 200, 300)), string(generated(20, 2000, 9000))
--- a/internal/config/types.go
+++ b/internal/config/types.go
@@ -1,7 +1,7 @@
-// Package config reads the file that "olivearch serve" is configured by: its types, how it is read, checked and reloaded,
-// what it takes in memory and descriptors, and what each pool's decision module is told of it. It also reads the files
-// of the coordination servers. An error about a file's content joins values of type strictyaml.Error, each with file,
-// line, column and key, which errors.As finds.
+// Package config reads the file that "olivearch serve" is configured by: its types, how it is read, checked and
+// reloaded, what it takes in memory and descriptors, and what each pool's decision module is told of it. It also reads
+// the files of the coordination servers. An error about a file's content joins values of type strictyaml.Error, each
+// with file, line, column and key, which errors.As finds.
 //
 // The doc comments of the types with yaml tags are the descriptions of docs/*.schema.json: see the command in schema.
 package config
@@ -136,9 +136,9 @@
 	// Whose word counts on a node that drains: any (every list of this process that has the node; also if left out) or
 	// own (only this pool's list, where nodes are moved from pool to pool by draining them in one).
 	Drains string `yaml:"drains,omitempty" jsonschema:"enum=any,enum=own"`
-	// When a connection rests for 1ms between two requests. Answers in HTTP/1.1 do not name their request: a second copy
-	// of one that comes late would pass for the next one's answer, and in a rest it is seen instead. always, or after_stray
-	// (also if left out): only for nodes that have once sent what nobody asked for.
+	// When a connection rests for 1ms between two requests. Answers in HTTP/1.1 do not name their request: a second
+	// copy of one that comes late would pass for the next one's answer, and in a rest it is seen instead. always, or
+	// after_stray (also if left out): only for nodes that have once sent what nobody asked for.
 	Rest string `yaml:"rest,omitempty" jsonschema:"enum=always,enum=after_stray"`
 	// How nodes report their load: answers (an X-Load field in answers; also if left out), probes (GET /load) or none.
 	Reports string `yaml:"reports,omitempty" jsonschema:"enum=answers,enum=probes,enum=none"`
@@ -176,8 +176,8 @@
 	Static []endpointlist.Node `yaml:"static,omitempty"`
 	// IP address and port of a discovery service.
 	Discovery string `yaml:"discovery,omitempty"`
-	// For discovery: a file in which the last list is kept, so that a process that starts while discovery is down begins with it. A
-	// relative path starts at the configuration's folder. Looked at when the pool starts.
+	// For discovery: a file in which the last list is kept, so that a process that starts while discovery is down
+	// begins with it. A relative path starts at the configuration's folder. Looked at when the pool starts.
 	Keep string `yaml:"keep,omitempty"`
 	// How long the last list holds while its source is silent or bad: from then on the pool refuses what comes. Left
 	// out: for ever. Its age is shown in the live view.
@@ -221,8 +221,8 @@
 type Body struct {
 	// Bytes at most; 1GiB if left out. More is answered 413.
 	Max Size `yaml:"max,omitempty"`
-	// How much is read before a node is taken, so that a slow client holds none; 1MiB if left out. What is whole within it may be
-	// sent again where its class allows; of more, what has gone to a node is bound to that.
+	// How much is read before a node is taken, so that a slow client holds none; 1MiB if left out. What is whole within
+	// it may be sent again where its class allows; of more, what has gone to a node is bound to that.
 	Buffer Size `yaml:"buffer,omitempty"`
 	// Within what time a body that goes on as it comes must have come; 1h if left out.
 	Within Duration `yaml:"within,omitempty"`
--- a/internal/config/units.go
+++ b/internal/config/units.go
@@ -10,7 +10,8 @@
 // Duration is a time with its unit, as in 250ms.
 type Duration time.Duration
 
-// UnmarshalText reads a duration in the form of time.ParseDuration. A bare number is refused: its unit would be a guess.
+// UnmarshalText reads a duration in the form of time.ParseDuration. A bare number is refused: its unit would be a
+// guess.
 func (d *Duration) UnmarshalText(text []byte) error {
 	duration, err := time.ParseDuration(string(text))
 	if err != nil || duration < 0 {
--- a/internal/config/voter.go
+++ b/internal/config/voter.go
@@ -19,17 +19,20 @@
 type Voter struct {
 	// This voter's name: a key of voters.
 	Name string `yaml:"name"`
-	// IP address and port at which it listens; that of voters if left out. Only loopback addresses are taken unless open is set.
+	// IP address and port at which it listens; that of voters if left out. Only loopback addresses are taken unless
+	// open is set.
 	Listen string `yaml:"listen,omitempty"`
 	// Whether an address that others can reach is meant: voters ask for no password.
 	Open bool `yaml:"open,omitempty"`
 	// The folder with its log and snapshots, on a disk of its own. It must exist; no two voters may have the same.
 	Folder string `yaml:"folder"`
-	// All voters, this one among them: names with IP addresses and ports. 3, 5 or 7; 1 keeps nothing when it is lost, and is for trials.
+	// All voters, this one among them: names with IP addresses and ports. 3, 5 or 7; 1 keeps nothing when it is lost,
+	// and is for trials.
 	Voters map[string]string `yaml:"voters"`
 	// How many voters must have a promise on their disks before it is answered; a majority if left out, and never less.
 	Copies int `yaml:"copies,omitempty" jsonschema:"minimum=1"`
-	// A voter that has not been heard for so long may be replaced by one with its name and an empty folder; 10s if left out.
+	// A voter that has not been heard for so long may be replaced by one with its name and an empty folder; 10s if left
+	// out.
 	ReplaceAfter Duration `yaml:"replace_after,omitempty"`
 }
 
@@ -59,7 +62,8 @@
 	return ParseVoter(path, text)
 }
 
-// ParseVoter checks the text of a coordination server's file. The error joins one strictyaml.Error for each thing wrong.
+// ParseVoter checks the text of a coordination server's file. The error joins one strictyaml.Error for each thing
+// wrong.
 func ParseVoter(path string, text []byte) (*Voter, error) {
 	voter := &Voter{}
 	doc := strictyaml.Decode(path, text, voter)
