--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -1,6 +1,7 @@
 package config
 
 import (
+	"errors"
 	"os"
 	"path/filepath"
 	"strings"
@@ -9,6 +10,7 @@
 
 	"olivearch/balancer"
 	"olivearch/internal/route"
+	"olivearch/internal/strictyaml"
 )
 
 const small = `listeners: [{address: '127.0.0.1:0'}]
@@ -105,18 +107,89 @@
 
 // TestAllErrorsAtOnce: one run of check shows all there is to mend.
 func TestAllErrorsAtOnce(t *testing.T) {
-	text := strings.NewReplacer("pool: p, dead", "pool: x, dead", "aim: 100ms, deadline: 2s", "aim: 5s, deadline: 2s", "127.0.0.1:9001", "nowhere").Replace(small)
+	text := strings.NewReplacer(
+		"pool: p, dead", "pool: x, dead",
+		"aim: 100ms, deadline: 2s", "aim: 5s, deadline: 2s",
+		"127.0.0.1:9001", "nowhere",
+	).Replace(small)
 	_, err := Parse("c.yaml", []byte(text))
 	if err == nil || strings.Count(err.Error(), "c.yaml:") != 3 {
 		t.Errorf("three errors wanted, got %v", err)
 	}
 }
 
+// TestErrorHasFileLineColumnAndKey: errors.As finds the first error of a file with its place and the key.
+func TestErrorHasFileLineColumnAndKey(t *testing.T) {
+	for _, c := range []struct {
+		name, old, new string
+		line, column   int
+		key            string
+	}{
+		{"unknown key", "aim: 100ms, deadline: 1s", "aim: 100ms, deadlin: 1s", 3, 19, "classes.c.deadlin"},
+		{"wrong form", "aim: 100ms, deadline: 1s", "aim: 100, deadline: 1s", 3, 12, "classes.c.aim"},
+		{"wrong value", "repeat: safe", "repeat: often", 4, 15, "classes.r.repeat"},
+		{"item of a list", "127.0.0.1:9001", "localhost:9001", 6, 34, "pools.p.nodes.static[0].address"},
+		{"unknown pool", "pool: p, deadline", "pool: pp, deadline", 9, 55, "routes[0].pool"},
+		{"conflict", "{prefix: /two}", "{prefix: /one/}", 10, 5, "routes[1]"},
+		{"too little memory", "listeners:", "limits: {memory: 32MiB}\nlisteners:", 1, 18, "limits.memory"},
+	} {
+		t.Run(c.name, func(t *testing.T) {
+			_, err := Parse("c.yaml", []byte(strings.Replace(small, c.old, c.new, 1)))
+			checkErrorPlace(t, err, strictyaml.Error{
+				File: "c.yaml", Position: strictyaml.Position{Line: c.line, Column: c.column}, Key: c.key,
+			})
+		})
+	}
+}
+
+// checkErrorPlace fails unless errors.As finds an error with the wanted place and key; its text is not compared.
+func checkErrorPlace(t *testing.T, err error, want strictyaml.Error) {
+	t.Helper()
+	var got strictyaml.Error
+	if !errors.As(err, &got) {
+		t.Fatalf("no strictyaml.Error in %v", err)
+	}
+	want.Text = got.Text
+	if got != want {
+		t.Errorf("got %+v, want %+v", got, want)
+	}
+}
+
+// TestReloadErrorHasFileLineColumnAndKey: an error in one of the entries that differ has the key that it has when the
+// whole is read.
+func TestReloadErrorHasFileLineColumnAndKey(t *testing.T) {
+	text := string(generated(3, 30, 50))
+	loaded, err := Parse("c.yaml", []byte(text))
+	if err != nil {
+		t.Fatal(err)
+	}
+	for _, c := range []struct{ old, new, key string }{
+		{"quota: 3}", "quota: -4}", "tenants.tenant-000002.quota"},
+		{"quota: 3}", "qouta: 3}", "tenants.tenant-000002.qouta"},
+		{"route-00003, hosts", "route-00003, hsts", "routes[3].hsts"},
+		{"pool-001.yaml}, queue", "pool-001.yaml}, queeu", "pools.pool-001.queeu"},
+	} {
+		t.Run(c.key, func(t *testing.T) {
+			edit := []byte(strings.Replace(text, c.old, c.new, 1))
+			_, _, diagnosis := loaded.parseChanges("c.yaml", edit)
+			_, err := parseWhole("c.yaml", edit)
+			var want strictyaml.Error
+			if !errors.As(err, &want) || want.Key != c.key {
+				t.Fatalf("reading the whole: %+v, want the key %s", want, c.key)
+			}
+			checkErrorPlace(t, diagnosis, want)
+		})
+	}
+}
+
 // FuzzParse: no text may end the program, and what is taken can be handed to the module.
 func FuzzParse(f *testing.F) {
 	f.Add([]byte(small))
 	f.Add([]byte("a: &a [*a]"))
-	f.Add([]byte("listeners: [{address: '[::1]:0'}]\nclasses: {c: &c {aim: 1s, deadline: 1s}, d: *c}\npools: {p: {nodes: {discovery: '1.2.3.4:5'}}}\nroutes: [{name: r, class: d, pool: p}]"))
+	f.Add([]byte(`listeners: [{address: '[::1]:0'}]
+classes: {c: &c {aim: 1s, deadline: 1s}, d: *c}
+pools: {p: {nodes: {discovery: '1.2.3.4:5'}}}
+routes: [{name: r, class: d, pool: p}]`))
 	f.Fuzz(func(t *testing.T, text []byte) {
 		c, err := Parse("c.yaml", text)
 		if err != nil {
--- a/internal/config/cost_test.go
+++ b/internal/config/cost_test.go
@@ -5,17 +5,17 @@
 	"testing"
 )
 
-// lives is how much heap a value takes, in bytes.
-func lives[T any](make func() T) (value T, bytes int64) {
+// heapBytes returns a value and how much of the heap it takes, in bytes.
+func heapBytes[T any](create func() T) (value T, bytes int64) {
 	var before, after runtime.MemStats
 	runtime.GC()
 	runtime.GC()
 	runtime.ReadMemStats(&before)
-	value = make()
+	value = create()
 	runtime.GC()
 	runtime.GC()
 	runtime.ReadMemStats(&after)
-	runtime.KeepAlive(make) // it holds the text
+	runtime.KeepAlive(create) // it holds the text
 	return value, int64(after.HeapAlloc) - int64(before.HeapAlloc)
 }
 
@@ -33,9 +33,9 @@
 		}
 	}
 	parse(10, 1)() // what is made once
-	few, base := lives(parse(500, 1))
-	routes, withRoutes := lives(parse(15500, 1))
-	tenants, withTenants := lives(parse(500, 140001))
+	few, base := heapBytes(parse(500, 1))
+	routes, withRoutes := heapBytes(parse(15500, 1))
+	tenants, withTenants := heapBytes(parse(500, 140001))
 	perRoute, perTenant := (withRoutes-base)/15000, (withTenants-base)/140000
 	t.Logf("%d bytes a route, %d a tenant", perRoute, perTenant)
 	if perRoute > routeBytes || perTenant > tenantBytes {
--- a/internal/config/generated_test.go
+++ b/internal/config/generated_test.go
@@ -9,7 +9,8 @@
 // generated is a configuration of a size, in block style: one route or tenant a line.
 func generated(pools, routes, tenants int) []byte {
 	var b strings.Builder
-	fmt.Fprintf(&b, "listeners: [{address: '127.0.0.1:0', connections: 2000}]\nlimits: {memory: 1GiB, descriptors: 20000}\n")
+	b.WriteString("listeners: [{address: '127.0.0.1:0', connections: 2000}]\n")
+	b.WriteString("limits: {memory: 1GiB, descriptors: 20000}\n")
 	b.WriteString("classes:\n  read: {repeat: safe, aim: 250ms, deadline: 1s}\n  write: {aim: 250ms, deadline: 1s}\n")
 	b.WriteString("pools:\n")
 	for i := range pools {
@@ -17,8 +18,9 @@
 	}
 	b.WriteString("routes:\n")
 	for i := range routes {
-		fmt.Fprintf(&b, "  - {name: route-%05d, hosts: [s%03d.example.org], path: {prefix: /r%05d}, class: %s, pool: pool-%03d}\n",
-			i, i%pools, i, []string{"read", "write"}[i%2], i%pools)
+		class := []string{"read", "write"}[i%2]
+		fmt.Fprintf(&b, "  - {name: route-%05d, hosts: [s%03d.example.org], ", i, i%pools)
+		fmt.Fprintf(&b, "path: {prefix: /r%05d}, class: %s, pool: pool-%03d}\n", i, class, i%pools)
 	}
 	if tenants > 0 {
 		b.WriteString("tenants:\n")
--- a/internal/config/promises_test.go
+++ b/internal/config/promises_test.go
@@ -9,8 +9,9 @@
 
 func TestVoterFiles(t *testing.T) {
 	const good = "name: a\nfolder: x\nvoters: {a: 127.0.0.1:1, b: 127.0.0.1:2, c: 127.0.0.1:3}\n"
-	if v, err := ParseVoter("dir/v.yaml", []byte(good)); err != nil || v.Listen != "127.0.0.1:1" || v.Folder != filepath.Join("dir", "x") {
-		t.Fatalf("%+v %v", v, err)
+	voter, err := ParseVoter("dir/v.yaml", []byte(good))
+	if err != nil || voter.Listen != "127.0.0.1:1" || voter.Folder != filepath.Join("dir", "x") {
+		t.Fatalf("%+v %v", voter, err)
 	}
 	for _, c := range []struct{ from, to, want string }{
 		{", c: 127.0.0.1:3", "", "v.yaml:3:9: two voters hold nothing"},
@@ -24,7 +25,8 @@
 		{"folder: x", "folder: x\nreplace_after: 1s", "at least 2s"},
 		{"folder: x", "foldr: x", `unknown key "foldr"; did you mean "folder"?`},
 	} {
-		if _, err := ParseVoter("v.yaml", []byte(strings.Replace(good, c.from, c.to, 1))); err == nil || !strings.Contains(err.Error(), c.want) {
+		_, err := ParseVoter("v.yaml", []byte(strings.Replace(good, c.from, c.to, 1)))
+		if err == nil || !strings.Contains(err.Error(), c.want) {
 			t.Errorf("%s -> %s: %v, want %q", c.from, c.to, err, c.want)
 		}
 	}
@@ -43,7 +45,10 @@
 		{parsed("name: a\nfolder: x", "name: b\nfolder: y"), ""},
 		{parsed("name: a", "name: b"), "both have the folder"},
 		{parsed("folder: x", "folder: y"), "both are a"},
-		{parsed("name: a\nfolder: x\nvoters: {a: 127.0.0.1:1, b", "name: d\nfolder: y\nvoters: {d: 127.0.0.1:1, b"), "one has the voters"},
+		{
+			parsed("name: a\nfolder: x\nvoters: {a: 127.0.0.1:1, b", "name: d\nfolder: y\nvoters: {d: 127.0.0.1:1, b"),
+			"one has the voters",
+		},
 	} {
 		err := AgreeVoters(map[string]*Voter{"1.yaml": a, "2.yaml": c.other})
 		if (err == nil) != (c.want == "") || (err != nil && !strings.Contains(err.Error(), c.want)) {
@@ -64,7 +69,8 @@
 		if err := os.WriteFile(path, []byte(text), 0o600); err != nil {
 			t.Fatal(err)
 		}
-		if _, err := LoadPromises(path); (err == nil) != (want == "") || (err != nil && !strings.Contains(err.Error(), want)) {
+		_, err := LoadPromises(path)
+		if (err == nil) != (want == "") || (err != nil && !strings.Contains(err.Error(), want)) {
 			t.Errorf("%q: %v, want %q", text, err, want)
 		}
 	}
--- a/internal/config/size_test.go
+++ b/internal/config/size_test.go
@@ -21,8 +21,13 @@
 	var nodes discovery.Listing
 	for range 18_000 {
 		nodes.Members = append(nodes.Members, discovery.Member{
-			ID: fmt.Sprintf("s-%08x", rng.Uint32()), HostPort: fmt.Sprintf("10.%d.%d.%d:7070", rng.IntN(19), rng.IntN(64), rng.IntN(256)),
-			Locality: fmt.Sprintf("r%d-z%02d", 1+rng.IntN(6), 1+rng.IntN(19)), Cell: rng.IntN(8), Phase: "up", Size: 1, UpSinceMS: 1_764_600_000_000 + rng.Int64N(864e5),
+			ID:        fmt.Sprintf("s-%08x", rng.Uint32()),
+			HostPort:  fmt.Sprintf("10.%d.%d.%d:7070", rng.IntN(19), rng.IntN(64), rng.IntN(256)),
+			Locality:  fmt.Sprintf("r%d-z%02d", 1+rng.IntN(6), 1+rng.IntN(19)),
+			Cell:      rng.IntN(8),
+			Phase:     "up",
+			Size:      1,
+			UpSinceMS: 1_764_600_000_000 + rng.Int64N(864e5),
 		})
 	}
 	listed, err := json.Marshal(nodes)
@@ -31,7 +36,9 @@
 	}
 	var routes, tenants bytes.Buffer
 	for i := range 15_000 {
-		fmt.Fprintf(&routes, "  - {name: route-%05d, hosts: [service-%03d.plano.example.org], path: {prefix: /v%d/%08x}, class: c%d, pool: service-%03d}\n", i, i%490, 1+i%3, rng.Uint32(), i%4, i%490)
+		fmt.Fprintf(&routes, "  - {name: route-%05d, hosts: [service-%03d.plano.example.org], ", i, i%490)
+		fmt.Fprintf(&routes, "path: {prefix: /v%d/%08x}, ", 1+i%3, rng.Uint32())
+		fmt.Fprintf(&routes, "class: c%d, pool: service-%03d}\n", i%4, i%490)
 	}
 	for range 140_000 {
 		fmt.Fprintf(&tenants, "  customer-%08x: {quota: %d}\n", rng.Uint32(), 1+rng.IntN(20))
@@ -46,7 +53,9 @@
 			for b.Loop() {
 				packed.Reset()
 				w := gzip.NewWriter(&packed)
-				w.Write(x.text)
+				if _, err := w.Write(x.text); err != nil {
+					b.Fatal(err)
+				}
 				if err := w.Close(); err != nil {
 					b.Fatal(err)
 				}
