--- a/internal/config/textbuffers_test.go
+++ b/internal/config/textbuffers_test.go
@@ -3,41 +3,40 @@
 import (
 	"os"
 	"path/filepath"
+	"slices"
 	"strings"
 	"testing"
 )
 
+// bufferedReload is a reload of a text, which is taken into force or not.
+type bufferedReload struct {
+	text    string
+	adopted bool
+}
+
+// bufferTest reloads a file over and over.
+type bufferTest struct {
+	path    string
+	inForce *Loaded
+	used    map[int]int // how often a text in force was in which buffer
+}
+
 // TestTextsInTurns: over reloads that are adopted, that are not, that have mistakes and of files that grow and shrink,
 // what is read is what a reading of the file alone gives, and what is not the text that holds is given back.
 func TestTextsInTurns(t *testing.T) {
-	path := filepath.Join(t.TempDir(), "c.yaml")
-	small, large := string(generated(10, 200, 300)), string(generated(20, 2000, 9000))
+	small := string(generated(10, 200, 300))
+	large := string(generated(20, 2000, 9000))
 	if len(small) >= minBufferedSize || len(large) <= minBufferedSize {
 		t.Fatalf("texts of %d and %d bytes", len(small), len(large))
 	}
-	write := func(text string) {
-		if err := os.WriteFile(path, []byte(text), 0o600); err != nil {
-			t.Fatal(err)
-		}
-	}
-	write(large)
-	c, err := Load(path)
+	test := bufferTest{path: filepath.Join(t.TempDir(), "c.yaml"), used: map[int]int{}}
+	test.write(t, large)
+	loaded, err := Load(test.path)
 	if err != nil {
 		t.Fatal(err)
 	}
-	empty := func(where int) bool {
-		for _, b := range c.buffers.memory[where] {
-			if b != 0 {
-				return false
-			}
-		}
-		return true
-	}
-	in := map[int]int{}
-	for i, x := range []struct {
-		text    string
-		adopted bool
-	}{
+	test.inForce = loaded
+	for i, reload := range []bufferedReload{
 		{strings.Replace(large, "quota: 7}", "quota: 8}", 1), true},
 		{strings.Replace(large, "quota: 7}", "quota: 9}", 1), true},
 		{strings.Replace(large, "/r00003", "/other", 1), false},
@@ -51,32 +50,63 @@
 		{large, true},
 		{strings.Replace(large, "quota: 7}", "quota: 8}", 1), true},
 	} {
-		write(x.text)
-		want, wrong := Parse(path, []byte(x.text))
-		next, err := Reload(path, c)
-		if (err == nil) != (wrong == nil) {
-			t.Fatalf("%d: %v, want %v", i, err, wrong)
-		}
-		if err == nil {
-			if differs := differ(next, want); told(next) != told(want) {
-				t.Fatalf("%d: %s", i, differs)
-			}
-		}
-		if err == nil && x.adopted {
-			c = next
-			c.Adopted()
-			in[c.bufferIndex]++
-		}
-		if held := c.source; held != nil && (len(held.text) == 0 || held.text[0] != 'l') {
-			t.Fatalf("%d: the text that holds is gone", i)
-		}
-		for where := range c.buffers.memory {
-			if where != c.bufferIndex && (err != nil || x.adopted) && !empty(where) {
-				t.Errorf("%d: the text in %d is still held, the one in %d holds", i, where, c.bufferIndex)
-			}
+		test.write(t, reload.text)
+		err := test.reload(t, i, reload)
+		test.checkTextInForce(t, i)
+		if err != nil || reload.adopted {
+			test.checkOthersReleased(t, i)
 		}
 	}
-	if in[0] < 2 || in[1] < 2 || in[notBuffered] < 2 {
-		t.Errorf("texts were held in %v", in)
+	if test.used[0] < 2 || test.used[1] < 2 || test.used[notBuffered] < 2 {
+		t.Errorf("texts were held in %v", test.used)
+	}
+}
+
+func (b *bufferTest) write(t *testing.T, text string) {
+	t.Helper()
+	if err := os.WriteFile(b.path, []byte(text), 0o600); err != nil {
+		t.Fatal(err)
+	}
+}
+
+// reload reloads the file, compares the result with parsing the text alone, and adopts it if that is asked for.
+func (b *bufferTest) reload(t *testing.T, i int, reload bufferedReload) error {
+	t.Helper()
+	want, wrong := Parse(b.path, []byte(reload.text))
+	next, err := Reload(b.path, b.inForce)
+	if (err == nil) != (wrong == nil) {
+		t.Fatalf("%d: %v, want %v", i, err, wrong)
+	}
+	if err != nil {
+		return err
+	}
+	if contentOf(next) != contentOf(want) {
+		t.Fatalf("%d: %s", i, firstDifference(next, want))
+	}
+	if reload.adopted {
+		b.inForce = next
+		next.Adopted()
+		b.used[next.bufferIndex]++
+	}
+	return nil
+}
+
+// checkTextInForce fails if the text of the configuration in force is gone.
+func (b *bufferTest) checkTextInForce(t *testing.T, i int) {
+	t.Helper()
+	source := b.inForce.source
+	if source != nil && (len(source.text) == 0 || source.text[0] != 'l') {
+		t.Fatalf("%d: the text that holds is gone", i)
+	}
+}
+
+// checkOthersReleased fails if a buffer holds a text that is not in force.
+func (b *bufferTest) checkOthersReleased(t *testing.T, i int) {
+	t.Helper()
+	isNotZero := func(r byte) bool { return r != 0 }
+	for index, buffer := range b.inForce.buffers.memory {
+		if index != b.inForce.bufferIndex && slices.ContainsFunc(buffer, isNotZero) {
+			t.Errorf("%d: the text in %d is still held, the one in %d holds", i, index, b.inForce.bufferIndex)
+		}
 	}
 }
