--- a/internal/config/check_routes.go
+++ b/internal/config/check_routes.go
@@ -89,14 +89,14 @@
 		entry.Pools = []WeightedPool{{entry.Pool, 1}}
 	}
 	k.routeLimits(path, entry)
-	k.upgrades(path+".upgrades", entry.Upgrades)
+	k.upgrades(path, entry.Upgrades)
 	rule = route.Rule{Name: entry.Name, Hosts: entry.Hosts, Methods: entry.Methods, Class: entry.RequestClass}
 	rule.Pools = k.routePools(path, entry)
-	k.methods(path+".methods", entry.Methods)
+	k.methods(path, entry.Methods)
 	for _, name := range slices.Sorted(maps.Keys(entry.Headers)) {
 		rule.Headers = append(rule.Headers, route.Header{Name: name, Value: entry.Headers[name]})
 	}
-	rule.Kind, rule.Path = k.pathMatch(path+".path", entry.Path)
+	rule.Kind, rule.Path = k.pathMatch(path, entry.Path)
 	rule.To = k.target(entry)
 	return rule, true
 }
@@ -132,13 +132,13 @@
 	}
 }
 
-// upgrades checks the protocols that connections may change to, and brings their names to lower case.
+// upgrades checks the protocols that connections of a route may change to, and brings their names to lower case.
 func (k *checker) upgrades(path string, protocols []string) {
 	for i, name := range protocols {
 		protocols[i] = strings.ToLower(name)
 		isToken := name != "" && !strings.ContainsAny(name, " ,\t")
 		if !isToken || strings.HasPrefix(protocols[i], "h2") {
-			k.Fail(path, "%q is not a protocol that a connection may change to, such as websocket", name)
+			k.Fail(path+".upgrades", "%q is not a protocol that a connection may change to, such as websocket", name)
 		}
 	}
 }
@@ -164,12 +164,12 @@
 	isNoCapital := func(char rune) bool { return char < 'A' || char > 'Z' }
 	for _, method := range methods {
 		if method == "" || method == "CONNECT" || strings.ContainsFunc(method, isNoCapital) {
-			k.Fail(path, "%q is not a method that is served, in capitals", method)
+			k.Fail(path+".methods", "%q is not a method that is served, in capitals", method)
 		}
 	}
 }
 
-// pathMatch returns how a route matches paths: any path if none of the three forms is given.
+// pathMatch checks and returns how a route matches paths: any path if none of the three forms is given.
 func (k *checker) pathMatch(path string, match Path) (kind route.PathKind, text string) {
 	forms := [...]string{route.Exact: match.Exact, route.Pattern: match.Pattern, route.Prefix: match.Prefix}
 	given := 0
@@ -184,7 +184,7 @@
 		return route.Prefix, "/"
 	}
 	if given > 1 {
-		k.Fail(path, "at most one of exact, pattern and prefix is wanted")
+		k.Fail(path+".path", "at most one of exact, pattern and prefix is wanted")
 	}
 	return kind, text
 }
