--- a/internal/config/promises.go
+++ b/internal/config/promises.go
@@ -16,15 +16,15 @@
 	maxWithin = Duration(30 * time.Second)
 )
 
-// Promises says where a balancer takes part in the ledger of promises: a part of the configuration of "olivearch
-// serve", and a file of its own for a platform's balancer (RELAY_PROMISES).
+// Promises makes a balancer a client of the coordination cluster: a part of the configuration of "olivearch serve", and
+// a file of its own for a platform's balancer (RELAY_PROMISES).
 type Promises struct {
 	// The voters: names with IP addresses and ports.
 	Voters map[string]string `yaml:"voters"`
-	// A file in which what is held is kept, so that a process that starts while no voter can be reached begins with it;
-	// left out: none. A relative path starts at the configuration's folder.
+	// A file in which the grants are cached, so that a process that starts while no voter can be reached begins with
+	// them; left out: none. A relative path starts at the configuration's folder.
 	Copy string `yaml:"copy,omitempty"`
-	// Within what time a call of staff's is answered, held or not; 1s if left out.
+	// Within what time an operator's call is answered, stored by the voters or not; 1s if left out.
 	Within Duration `yaml:"within,omitempty"`
 }
 
--- a/internal/config/types.go
+++ b/internal/config/types.go
@@ -32,7 +32,7 @@
 	Pools map[string]Pool `yaml:"pools"`
 	// Which request goes to which pool.
 	Routes []Route `yaml:"routes"`
-	// The ledger of promises in which this process takes part; left out: none.
+	// The coordination cluster that this process is a client of; left out: none.
 	Promises *Promises `yaml:"promises,omitempty"`
 }
 
--- a/internal/config/voter.go
+++ b/internal/config/voter.go
@@ -15,7 +15,7 @@
 	"olivearch/internal/strictyaml"
 )
 
-// Voter is the configuration of one voter of the ledger of promises: a file for "olivearch-coordinator".
+// Voter is the configuration of one server of the coordination cluster: a file for "olivearch-coordinator".
 type Voter struct {
 	// This voter's name: a key of voters.
 	Name string `yaml:"name"`
@@ -29,7 +29,7 @@
 	// All voters, this one among them: names with IP addresses and ports. 3, 5 or 7; 1 keeps nothing when it is lost,
 	// and is for trials.
 	Voters map[string]string `yaml:"voters"`
-	// How many voters must have a promise on their disks before it is answered; a majority if left out, and never less.
+	// How many voters must have a grant on their disks before it is answered; a majority if left out, and never less.
 	Copies int `yaml:"copies,omitempty" jsonschema:"minimum=1"`
 	// A voter that has not been heard for so long may be replaced by one with its name and an empty folder; 10s if left
 	// out.
