--- a/internal/service/admin.go
+++ b/internal/service/admin.go
@@ -12,21 +12,52 @@
 	"olivearch/internal/metrics"
 )
 
-// admin is the listener for operators.
-type admin struct {
-	configured string
+// Limits of the admin listener's connections.
+const (
+	adminReadHeaderTimeout = 5 * time.Second
+	adminWriteTimeout      = 10 * time.Second
+	adminIdleTimeout       = time.Minute
+	adminMaxHeaderBytes    = 8 << 10
+)
+
+// adminListener serves operators: GET /v1/live answers the live view as JSON, all of it or a part; GET /metrics the
+// counters and gauges in Prometheus's text format.
+type adminListener struct {
+	configured string // address in the configuration
 	address    net.Addr
 	server     *http.Server
 }
 
-// newAdmin starts it. GET /v1/live answers the live view as JSON, all of it or a part; GET /metrics counters and levels, for what gathers them.
-func newAdmin(address string, view func(live.Part) (live.View, error), snapshot func() metrics.Snapshot) (*admin, error) {
-	l, err := net.Listen("tcp", address)
+// startAdmin listens at an address, and serves from a goroutine of its own until stop.
+func startAdmin(
+	address string, view func(live.Part) (live.View, error), snapshot func() metrics.Snapshot,
+) (*adminListener, error) {
+	socket, err := net.Listen("tcp", address)
 	if err != nil {
 		return nil, err
 	}
 	mux := http.NewServeMux()
-	mux.HandleFunc("GET /v1/live", func(w http.ResponseWriter, r *http.Request) {
+	mux.HandleFunc("GET /v1/live", liveHandler(view))
+	mux.Handle("GET /metrics", metrics.Handler(snapshot))
+	server := &http.Server{
+		Handler:           mux,
+		ReadHeaderTimeout: adminReadHeaderTimeout,
+		WriteTimeout:      adminWriteTimeout,
+		IdleTimeout:       adminIdleTimeout,
+		MaxHeaderBytes:    adminMaxHeaderBytes,
+	}
+	go func() {
+		if err := server.Serve(socket); !errors.Is(err, http.ErrServerClosed) {
+			slog.Error("admin listener failed", "err", err)
+		}
+	}()
+	return &adminListener{configured: address, address: socket.Addr(), server: server}, nil
+}
+
+// liveHandler answers the part of the live view that the query asks for: 400 if it cannot be read, 404 if it names a
+// pool that does not exist.
+func liveHandler(view func(live.Part) (live.View, error)) http.HandlerFunc {
+	return func(w http.ResponseWriter, r *http.Request) {
 		part, err := live.ParsePart(r.URL.RawQuery)
 		if err != nil {
 			http.Error(w, err.Error(), http.StatusBadRequest)
@@ -38,23 +69,12 @@
 			return
 		}
 		w.Header().Set("Content-Type", "application/json")
-		out := json.NewEncoder(w)
-		out.SetIndent("", "  ")
-		if err := out.Encode(v); err != nil {
-			slog.Debug("live view", "err", err) // the reader has gone
+		encoder := json.NewEncoder(w)
+		encoder.SetIndent("", "  ")
+		if err := encoder.Encode(v); err != nil {
+			slog.Debug("live view not written", "err", err) // the reader has gone
 		}
-	})
-	mux.Handle("GET /metrics", metrics.Handler(snapshot))
-	a := &admin{configured: address, address: l.Addr(), server: &http.Server{
-		Handler: mux, ReadHeaderTimeout: 5 * time.Second,
-		WriteTimeout: 10 * time.Second, IdleTimeout: time.Minute, MaxHeaderBytes: 8 << 10,
-	}}
-	go func() {
-		if err := a.server.Serve(l); !errors.Is(err, http.ErrServerClosed) {
-			slog.Error("admin listener", "err", err)
-		}
-	}()
-	return a, nil
+	}
 }
 
-func (a *admin) stop() { a.server.Close() }
+func (a *adminListener) stop() { a.server.Close() }
--- /dev/null
+++ b/internal/service/client_listeners.go
@@ -0,0 +1,93 @@
+package service
+
+import (
+	"cmp"
+	"fmt"
+	"net"
+	"slices"
+	"time"
+
+	"olivearch/internal/config"
+	"olivearch/internal/frontend"
+	"olivearch/internal/live"
+)
+
+// clientListener accepts clients' connections at one address.
+type clientListener struct {
+	*frontend.Server
+	name    string
+	address net.Addr
+}
+
+// updateListeners starts the listeners that a plan has opened, sets the limits of those that stay and stops the others.
+func (s *Service) updateListeners(now *runtimeState, p *plan) {
+	next := p.next
+	spoolBytes := int64(next.config.Limits.Bodies) / int64(len(next.config.Listeners))
+	for _, l := range next.config.Listeners {
+		listener := now.listeners[l.Address]
+		if listener != nil {
+			listener.Limit(clientLimits(l))
+			listener.Spool(spoolBytes)
+		} else {
+			listener = s.startListener(l, p.listeners[l.Address], spoolBytes)
+		}
+		next.listeners[l.Address] = listener
+	}
+	for address, old := range now.listeners {
+		if next.listeners[address] == nil {
+			s.retiring.Go(old.Stop)
+		}
+	}
+	if now.admin != nil && now.admin != next.admin {
+		now.admin.stop()
+	}
+}
+
+// startListener serves the connections of a socket from a goroutine of its own. Failed receives the error that ends it.
+func (s *Service) startListener(l config.Listener, socket net.Listener, spoolBytes int64) *clientListener {
+	listener := &clientListener{
+		Server:  frontend.New(s.routeTable, socket, clientLimits(l)),
+		name:    l.Name,
+		address: socket.Addr(),
+	}
+	listener.Spool(spoolBytes)
+	go func() {
+		err := listener.Serve()
+		if err == nil {
+			return
+		}
+		select {
+		case s.failed <- fmt.Errorf("listener %s: %w", listener.name, err):
+		default: // an earlier failure has not been received yet
+		}
+	}()
+	return listener
+}
+
+// clientLimits returns the limits of a listener's clients.
+func clientLimits(l config.Listener) frontend.Limits {
+	return frontend.Limits{
+		Connections: l.Connections,
+		Head:        int(l.Head),
+		Within:      time.Duration(l.Within),
+		Rate:        int(l.Rate),
+		Floor:       true,
+		HTTP10:      true,
+	}
+}
+
+// listenerViews returns the client listeners' part of the live view, by name.
+func (state *runtimeState) listenerViews() []live.Listener {
+	views := []live.Listener{}
+	for _, l := range state.listeners {
+		open, limit := l.Connections()
+		views = append(views, live.Listener{
+			Name:        l.name,
+			Address:     l.address.String(),
+			Connections: open,
+			Limit:       limit,
+		})
+	}
+	slices.SortFunc(views, func(a, b live.Listener) int { return cmp.Compare(a.Name, b.Name) })
+	return views
+}
--- a/internal/service/memory.go
+++ b/internal/service/memory.go
@@ -8,41 +8,46 @@
 	"olivearch/internal/config"
 )
 
-// headroom is what the heap may grow by over what lives before the collector runs, in bytes: the least heap of 4 MiB times the percentage
-// that a small configuration has. More of a large heap would be as many times more, and is not needed to collect as seldom.
 const (
-	headroom    = 16 << 20
-	mostPercent = 400
-	leastLive   = headroom * 100 / mostPercent
-	// large is from what size of a configuration's file on what reading it took is given back at once, in bytes.
-	large = 256 << 10
+	// heapHeadroom is what the heap may grow by over the live heap before the collector runs, in bytes: the least heap
+	// of 4 MiB times the percentage that a small configuration has. A percentage of a large heap would allow more, which
+	// is not needed to collect as seldom.
+	heapHeadroom = 16 << 20
+	// maxGCPercent is the percentage of a live heap of minLiveHeap and less.
+	maxGCPercent = 400
+	// minLiveHeap is the least live heap that the percentage is computed for, in bytes.
+	minLiveHeap = heapHeadroom * 100 / maxGCPercent
+	// largeConfig is the size of a configuration's file from which the memory that reading it took is returned to the
+	// system at once, in bytes.
+	largeConfig = 256 << 10
 )
 
-// LimitMemory tells the collector how much memory the configuration gives. Collecting later costs memory, which the soft
-// limit bounds. It is for a process that runs one service and nothing else.
+// LimitMemory sets the collector's soft limit to 80 % of the memory that the configuration gives. It bounds the cost of
+// collecting less often. It is for a process that runs one service and nothing else.
 func LimitMemory(c *config.Loaded) {
 	debug.SetMemoryLimit(int64(c.Limits.Memory) / 10 * 8)
 }
 
-// BeforeReading keeps what reading a configuration leaves behind from piling up. It is for the start: later the percentage is by what lives.
+// BeforeReading keeps garbage from piling up while a configuration is read. It is for the start of a process: later
+// AfterReading has set the percentage by the live heap.
 func BeforeReading() { debug.SetGCPercent(100) }
 
-// AfterReading gives back what reading a configuration took, if that was much, which takes one collection; and bounds what the heap may
-// grow by over what lives.
+// AfterReading returns the memory that reading a configuration took to the system if that was much, which takes one
+// collection, and bounds the growth of the heap over the live heap.
 func AfterReading(c *config.Loaded) {
-	if c.Read() >= large {
+	if c.Read() >= largeConfig {
 		debug.FreeOSMemory()
 	}
-	debug.SetGCPercent(percent(heap()))
+	debug.SetGCPercent(gcPercent(liveHeap()))
 }
 
-// percent gives the headroom over what lives, as debug.SetGCPercent wants it.
-func percent(live uint64) int {
-	return int(math.Ceil(float64(headroom) / float64(max(live, leastLive)) * 100))
+// gcPercent returns the headroom over the live heap as a percentage of it, for debug.SetGCPercent.
+func gcPercent(liveBytes uint64) int {
+	return int(math.Ceil(float64(heapHeadroom) / float64(max(liveBytes, minLiveHeap)) * 100))
 }
 
-// heap is what lived at the end of the last collection, in bytes.
-func heap() uint64 {
+// liveHeap returns what was live at the end of the last collection, in bytes.
+func liveHeap() uint64 {
 	sample := []metrics.Sample{{Name: "/gc/heap/live:bytes"}}
 	metrics.Read(sample)
 	return sample[0].Value.Uint64()
--- /dev/null
+++ b/internal/service/pools.go
@@ -0,0 +1,136 @@
+package service
+
+import (
+	"fmt"
+	"log/slog"
+	"math/rand/v2"
+	"reflect"
+	"slices"
+	"time"
+
+	"olivearch/internal/config"
+	"olivearch/internal/endpointcache"
+	"olivearch/internal/pool"
+	"olivearch/internal/wire"
+)
+
+// Values of a pool's keys in the configuration.
+const (
+	drainsOwnOnly    = "own"         // of drains
+	restsAfterStrays = "after_stray" // of rest
+)
+
+// runningPool is a pool with what follows its endpoint list.
+type runningPool struct {
+	*pool.Pool
+	spec       pool.Spec
+	source     config.NodeSource
+	stopFollow func() // returns when the list is no longer followed
+}
+
+// newPoolSpec returns the specification of a pool in a configuration.
+func newPoolSpec(c *config.Loaded, name string) pool.Spec {
+	p := c.Pools[name]
+	return pool.Spec{
+		Name:           name,
+		Settings:       c.Settings(name),
+		Discovery:      p.Nodes.Discovery,
+		MaxEndpointAge: time.Duration(p.Nodes.Hold),
+		Links: wire.Links{
+			KeepAlive:      time.Duration(p.IdleTimeout),
+			ConnectTimeout: time.Duration(p.ConnectTimeout),
+		},
+		MaxConnections:                 p.Connections,
+		MaxRequests:                    p.Queue,
+		SharedWeight:                   p.Share,
+		IgnoreDrainsOfOthers:           p.Drains == drainsOwnOnly,
+		ReuseDelayOnlyAfterUnsolicited: p.Rest == restsAfterStrays,
+		Tunnels:                        pool.TunnelLimits{Total: p.Tunnels.Most, PerEndpoint: p.Tunnels.PerNode},
+		FullResponses:                  true,
+	}
+}
+
+// sameSpec tells whether a pool that has the old specification needs nothing to follow the next. A table of tenants that
+// was made anew counts as another: comparing its entries for each pool would take too long.
+func sameSpec(old, next *pool.Spec) bool {
+	if old.Settings.Tenants != next.Settings.Tenants {
+		return false
+	}
+	a, b := *old, *next
+	a.Settings.Tenants, b.Settings.Tenants = nil, nil
+	// These are for the start of a pool only.
+	a.Seed = b.Seed
+	a.InitialEndpoints = b.InitialEndpoints
+	a.EndpointStore = b.EndpointStore
+	return reflect.DeepEqual(a, b)
+}
+
+// openPool starts a pool of a plan, and gives it its endpoint list and overrides.
+func (s *Service) openPool(p *plan, name string) error {
+	spec := p.specs[name]
+	source := p.next.config.Pools[name].Nodes
+	spec.Seed = rand.Uint64()
+	if source.Keep != "" {
+		cached, err := endpointcache.Load(source.Keep)
+		if err != nil { // a damaged cache must not keep the process from serving
+			slog.Warn("cached endpoint list not loaded", "pool", name, "err", err)
+		}
+		spec.InitialEndpoints = cached
+		spec.EndpointStore = endpointcache.NewWriter(source.Keep, cached)
+	}
+	opened, err := pool.New(s.ctx, spec, s.endpoints, nil)
+	if err != nil {
+		if spec.EndpointStore != nil {
+			spec.EndpointStore.Close()
+		}
+		return fmt.Errorf("pool %s: %w", name, err)
+	}
+	list := p.lists[name]
+	if source.Discovery == "" {
+		opened.UpdateEndpoints(list.endpoints)
+	}
+	next := &runningPool{
+		Pool:       opened,
+		spec:       spec,
+		source:     source,
+		stopFollow: s.followList(name, opened, source, list.reading),
+	}
+	p.next.pools[name] = next
+	s.sharedOverrides.applyTo(name, next)
+	return nil
+}
+
+// updatePool brings a pool that stays to the configuration of a plan.
+func (s *Service) updatePool(p *plan, name string, old *runningPool) {
+	list := p.lists[name]
+	next := *old
+	next.spec = p.specs[name]
+	next.source = p.next.config.Pools[name].Nodes
+	p.next.pools[name] = &next
+
+	usedDiscovery := old.source.Discovery != ""
+	usesDiscovery := next.source.Discovery != ""
+	moved := old.source.File != next.source.File || usedDiscovery != usesDiscovery
+	if moved { // so that a late update from the old source is not taken for one from the new
+		old.stopFollow()
+	}
+	if !p.unchanged[name] {
+		if err := old.Configure(next.spec); err != nil { // its settings are valid: it has ended
+			slog.Error("pool configuration not changed", "pool", name, "err", err)
+		}
+	}
+	staticChanged := next.source.File == "" && !slices.Equal(old.source.Static, next.source.Static)
+	if !usesDiscovery && (moved || staticChanged) {
+		old.UpdateEndpoints(list.endpoints)
+	}
+	if moved {
+		next.stopFollow = s.followList(name, old.Pool, next.source, list.reading)
+	}
+}
+
+// retirePool ends a pool once its requests are answered. It does not wait for that.
+func (s *Service) retirePool(p *runningPool) {
+	p.stopFollow()
+	p.Shutdown()
+	s.retiring.Go(func() { <-p.Done() })
+}
--- a/internal/service/service_test.go
+++ b/internal/service/service_test.go
@@ -251,7 +251,7 @@
 	if status := <-answered; status != 200 {
 		t.Errorf("the held request got %d", status)
 	}
-	x.leaving.Wait() // the removed pool ends
+	x.retiring.Wait() // the removed pool ends
 	x.clean()
 }
 
@@ -856,12 +856,12 @@
 		if c.Tenants.Equal(x.state.Load().config.Tenants) { // as config.Reload has it
 			c.Tenants = x.state.Load().config.Tenants
 		}
-		p, err := x.plan(x.state.Load(), c)
+		p, err := x.newPlan(x.state.Load(), c)
 		if err != nil {
 			t.Fatal(err)
 		}
-		p.drop()
-		names = slices.Sorted(maps.Keys(p.stay))
+		p.closeListeners()
+		names = slices.Sorted(maps.Keys(p.unchanged))
 		if err := x.Apply(c); err != nil {
 			t.Fatal(err)
 		}
