--- a/internal/service/apply.go
+++ b/internal/service/apply.go
@@ -2,10 +2,11 @@
 
 import "olivearch/internal/config"
 
-// Apply moves to a configuration. Pools and listeners that stay go on with all that they hold. An error changes nothing.
+// Apply moves to a configuration. Pools and listeners that stay go on with all that they hold. An error changes
+// nothing.
 func (s *Service) Apply(c *config.Loaded) error {
 	now := s.state.Load()
-	p, err := s.newPlan(now, c)
+	plan, err := s.newPlan(now, c)
 	if err != nil {
 		return err
 	}
@@ -13,15 +14,15 @@
 		s.endpoints.SetConnectionLimit(c.Limits.NodeConnections)
 	}
 	s.sharedOverrides.configure(c.Promises)
-	if err := s.openPools(now, p); err != nil {
+	if err := s.openPools(now, plan); err != nil {
 		return err
 	}
-	s.updatePools(now, p)
-	s.updateRouting(p.next)
-	s.updateListeners(now, p)
-	s.state.Store(p.next)
-	s.applyOverridesToNewPools(now, p.next)
-	s.retireRemovedPools(now, p.next)
+	s.updatePools(now, plan)
+	s.updateRouting(plan.next)
+	s.updateListeners(now, plan)
+	s.state.Store(plan.next)
+	s.applyOverridesToNewPools(now, plan.next)
+	s.retireRemovedPools(now, plan.next)
 	return nil
 }
 
--- a/internal/service/endpoint_lists.go
+++ b/internal/service/endpoint_lists.go
@@ -52,21 +52,21 @@
 
 // CheckLists reads the endpoint lists that a configuration names, as a start would. It returns the number of endpoints
 // in them and in the configuration itself.
-func CheckLists(c *config.Loaded) (nodes int, err error) {
+func CheckLists(loaded *config.Loaded) (nodes int, err error) {
 	var names []string
-	for name, p := range c.Pools {
-		nodes += len(p.Nodes.Static)
-		if p.Nodes.File != "" {
+	for name, settings := range loaded.Pools {
+		nodes += len(settings.Nodes.Static)
+		if settings.Nodes.File != "" {
 			names = append(names, name)
 		}
 	}
 	var errs []error
-	lists := readLists(c, names)
+	lists := readLists(loaded, names)
 	for _, name := range slices.Sorted(maps.Keys(lists)) {
 		nodes += len(lists[name].endpoints)
 		errs = append(errs, lists[name].err)
 	}
-	errs = append(errs, c.Bears(nodes))
+	errs = append(errs, loaded.Bears(nodes))
 	return nodes, errors.Join(errs...)
 }
 
@@ -82,7 +82,7 @@
 // followList gives a pool the changes of its list's file, if it has one, from how the file stood at a reading. It stops
 // when stop returns.
 func (s *Service) followList(
-	name string, p *pool.Pool, source config.NodeSource, since endpointlist.Reading,
+	name string, target *pool.Pool, source config.NodeSource, since endpointlist.Reading,
 ) (stop func()) {
 	if source.File == "" {
 		return func() {}
@@ -91,14 +91,14 @@
 		switch {
 		case update.Err != nil:
 			slog.Warn("endpoint list not updated", "pool", name, "err", update.Err, "failed_reads", update.Failed)
-			p.ListSourceFailed(update.Err)
+			target.ListSourceFailed(update.Err)
 		case update.List != nil:
 			if update.Failed > 0 {
 				slog.Info("endpoint list recovered", "pool", name, "failed_reads", update.Failed)
 			}
-			p.UpdateEndpoints(update.List.Nodes)
+			target.UpdateEndpoints(update.List.Nodes)
 		default:
-			p.ConfirmEndpoints()
+			target.ConfirmEndpoints()
 		}
 	}).Stop
 }
--- a/internal/service/plan.go
+++ b/internal/service/plan.go
@@ -31,7 +31,7 @@
 
 // newPlan checks and opens what a configuration needs.
 func (s *Service) newPlan(now *runtimeState, c *config.Loaded) (*plan, error) {
-	m := &planner{
+	planning := &planner{
 		service: s,
 		now:     now,
 		config:  c,
@@ -42,15 +42,15 @@
 			unchanged: make(map[string]bool, len(c.Pools)),
 		},
 	}
-	m.readNewLists()
-	m.planPools()
-	m.openListeners()
-	m.openAdmin()
-	if err := errors.Join(m.errs...); err != nil {
-		m.discard()
+	planning.readNewLists()
+	planning.planPools()
+	planning.openListeners()
+	planning.openAdmin()
+	if err := errors.Join(planning.errs...); err != nil {
+		planning.discard()
 		return nil, err
 	}
-	return m.plan, nil
+	return planning.plan, nil
 }
 
 func (m *planner) fail(err error) { m.errs = append(m.errs, err) }
@@ -94,8 +94,8 @@
 	}
 }
 
-// poolSpec returns the specification of a pool, and whether it is that of the pool which runs under this name (nil: none
-// does). With samePools, which only holds if all pools run, nothing but the table of tenants can have changed.
+// poolSpec returns the specification of a pool, and whether it is that of the pool that runs under this name (nil:
+// none does). With samePools, which only holds if all pools run, only the table of tenants can have changed.
 func (m *planner) poolSpec(name string, old *runningPool, samePools bool) (spec pool.Spec, unchanged bool) {
 	if samePools {
 		spec = old.spec
--- a/internal/service/pools.go
+++ b/internal/service/pools.go
@@ -30,28 +30,31 @@
 
 // newPoolSpec returns the specification of a pool in a configuration.
 func newPoolSpec(c *config.Loaded, name string) pool.Spec {
-	p := c.Pools[name]
+	settings := c.Pools[name]
 	return pool.Spec{
 		Name:           name,
 		Settings:       c.Settings(name),
-		Discovery:      p.Nodes.Discovery,
-		MaxEndpointAge: time.Duration(p.Nodes.Hold),
+		Discovery:      settings.Nodes.Discovery,
+		MaxEndpointAge: time.Duration(settings.Nodes.Hold),
 		Links: wire.Links{
-			KeepAlive:      time.Duration(p.IdleTimeout),
-			ConnectTimeout: time.Duration(p.ConnectTimeout),
+			KeepAlive:      time.Duration(settings.IdleTimeout),
+			ConnectTimeout: time.Duration(settings.ConnectTimeout),
 		},
-		MaxConnections:                 p.Connections,
-		MaxRequests:                    p.Queue,
-		SharedWeight:                   p.Share,
-		IgnoreDrainsOfOthers:           p.Drains == drainsOwnOnly,
-		ReuseDelayOnlyAfterUnsolicited: p.Rest == restsAfterStrays,
-		Tunnels:                        pool.TunnelLimits{Total: p.Tunnels.Most, PerEndpoint: p.Tunnels.PerNode},
-		FullResponses:                  true,
+		MaxConnections:                 settings.Connections,
+		MaxRequests:                    settings.Queue,
+		SharedWeight:                   settings.Share,
+		IgnoreDrainsOfOthers:           settings.Drains == drainsOwnOnly,
+		ReuseDelayOnlyAfterUnsolicited: settings.Rest == restsAfterStrays,
+		Tunnels: pool.TunnelLimits{
+			Total:       settings.Tunnels.Most,
+			PerEndpoint: settings.Tunnels.PerNode,
+		},
+		FullResponses: true,
 	}
 }
 
-// sameSpec tells whether a pool that has the old specification needs nothing to follow the next. A table of tenants that
-// was made anew counts as another: comparing its entries for each pool would take too long.
+// sameSpec tells whether a pool that has the old specification needs nothing to follow the next. A table of tenants
+// that was made anew counts as another: comparing its entries for each pool would take too long.
 func sameSpec(old, next *pool.Spec) bool {
 	if old.Settings.Tenants != next.Settings.Tenants {
 		return false
@@ -66,9 +69,9 @@
 }
 
 // openPool starts a pool of a plan, and gives it its endpoint list and overrides.
-func (s *Service) openPool(p *plan, name string) error {
-	spec := p.specs[name]
-	source := p.next.config.Pools[name].Nodes
+func (s *Service) openPool(plan *plan, name string) error {
+	spec := plan.specs[name]
+	source := plan.next.config.Pools[name].Nodes
 	spec.Seed = rand.Uint64()
 	if source.Keep != "" {
 		cached, err := endpointcache.Load(source.Keep)
@@ -85,7 +88,7 @@
 		}
 		return fmt.Errorf("pool %s: %w", name, err)
 	}
-	list := p.lists[name]
+	list := plan.lists[name]
 	if source.Discovery == "" {
 		opened.UpdateEndpoints(list.endpoints)
 	}
@@ -95,18 +98,18 @@
 		source:     source,
 		stopFollow: s.followList(name, opened, source, list.reading),
 	}
-	p.next.pools[name] = next
+	plan.next.pools[name] = next
 	s.sharedOverrides.applyTo(name, next)
 	return nil
 }
 
 // updatePool brings a pool that stays to the configuration of a plan.
-func (s *Service) updatePool(p *plan, name string, old *runningPool) {
-	list := p.lists[name]
+func (s *Service) updatePool(plan *plan, name string, old *runningPool) {
+	list := plan.lists[name]
 	next := *old
-	next.spec = p.specs[name]
-	next.source = p.next.config.Pools[name].Nodes
-	p.next.pools[name] = &next
+	next.spec = plan.specs[name]
+	next.source = plan.next.config.Pools[name].Nodes
+	plan.next.pools[name] = &next
 
 	usedDiscovery := old.source.Discovery != ""
 	usesDiscovery := next.source.Discovery != ""
@@ -114,7 +117,7 @@
 	if moved { // so that a late update from the old source is not taken for one from the new
 		old.stopFollow()
 	}
-	if !p.unchanged[name] {
+	if !plan.unchanged[name] {
 		if err := old.Configure(next.spec); err != nil { // its settings are valid: it has ended
 			slog.Error("pool configuration not changed", "pool", name, "err", err)
 		}
--- a/internal/service/shared_overrides.go
+++ b/internal/service/shared_overrides.go
@@ -30,22 +30,22 @@
 	config    config.Promises  // of the follower
 }
 
-// configure follows the cluster of a configuration; nil: none. Overrides of the cluster before hold until the follower of
-// the next has its own.
-func (o *sharedOverrides) configure(c *config.Promises) {
-	old, done := o.followsAlready(c)
+// configure follows the cluster of a configuration; nil: none. Overrides of the cluster before hold until the follower
+// of the next has its own.
+func (o *sharedOverrides) configure(cluster *config.Promises) {
+	old, done := o.followsAlready(cluster)
 	if done {
 		return
 	}
 	if old != nil {
 		old.Close()
 	}
-	if c == nil {
+	if cluster == nil {
 		o.setFollower(nil, config.Promises{})
 		o.overridesChanged(nil)
 		return
 	}
-	o.setFollower(client.StartFollower(followerName(), c.Voters, c.Copy, o.overridesChanged), *c)
+	o.setFollower(client.StartFollower(followerName(), cluster.Voters, cluster.Copy, o.overridesChanged), *cluster)
 }
 
 // followsAlready returns the follower that runs, and whether a configuration leaves all as it is.
@@ -77,8 +77,8 @@
 	o.config = c
 }
 
-// overridesChanged gives each pool its part of the shared overrides. The follower calls it from its goroutine, and while
-// it starts.
+// overridesChanged gives each pool its part of the shared overrides. The follower calls it from its goroutine, and
+// while it starts.
 func (o *sharedOverrides) overridesChanged(overrides []state.Override) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
@@ -114,22 +114,22 @@
 	if o.follower == nil {
 		return nil
 	}
-	v := o.follower.View()
+	copied := o.follower.View()
 	view := &live.Promises{
-		Cluster:  fmt.Sprintf("%x", v.Cluster),
-		Voter:    v.Voter,
-		Leader:   v.Leader,
-		Voters:   v.Voters,
-		Up:       v.ReachableVoters,
-		Revision: v.Index,
+		Cluster:  fmt.Sprintf("%x", copied.Cluster),
+		Voter:    copied.Voter,
+		Leader:   copied.Leader,
+		Voters:   copied.Voters,
+		Up:       copied.ReachableVoters,
+		Revision: copied.Index,
 		AgeMS:    -1,
 		Words:    map[string]int{},
-		Trouble:  v.Fault,
+		Trouble:  copied.Fault,
 	}
-	if age := v.Age(time.Now()); age < live.Ages {
+	if age := copied.Age(time.Now()); age < live.Ages {
 		view.AgeMS = age.Milliseconds()
 	}
-	for _, shared := range v.Overrides {
+	for _, shared := range copied.Overrides {
 		view.Words[shared.Kind.String()]++
 	}
 	return view
