--- /dev/null
+++ b/internal/service/admin_test.go
@@ -0,0 +1,159 @@
+package service
+
+import (
+	"context"
+	"encoding/json"
+	"io"
+	"net/http"
+	"strings"
+	"sync"
+	"testing"
+	"time"
+
+	"olivearch/internal/endpointlist"
+	"olivearch/internal/live"
+	"olivearch/internal/standin/fleet"
+)
+
+// TestAdmin reads the live view as top does.
+func TestAdmin(t *testing.T) {
+	j, folder := fleet.NewJudge(time.Second), t.TempDir()
+	all := nodes(t, j, 1, fleet.Spec{})
+	write(t, j, folder, "a.yaml", all[0].Entry("up"))
+	write(t, j, folder, "b.yaml", all[0].Entry("up"))
+	x := begin(t, j, folder, twoPools)
+	x.until("shares are told", func(live.View) bool { p := x.pool("a"); return len(p.Nodes) == 1 && p.Nodes[0].Part == 0.5 })
+	resp, err := http.Get("http://" + x.AdminAddress().String() + "/v1/live")
+	if err != nil {
+		t.Fatal(err)
+	}
+	defer resp.Body.Close()
+	var v live.View
+	if err := json.NewDecoder(resp.Body).Decode(&v); err != nil {
+		t.Fatal(err)
+	}
+	var table strings.Builder
+	if err := v.Write(&table); err != nil {
+		t.Fatal(err)
+	}
+	for _, want := range []string{"pool a: 0 of 100 open", "n0", "0.50"} {
+		if !strings.Contains(table.String(), want) {
+			t.Errorf("%q is not in\n%s", want, &table)
+		}
+	}
+}
+
+// TestMetricsAndParts: counters by service are told without asking any pool, one that nobody asked has no series; a part of the live view has what was
+// asked for and names what there is not.
+func TestMetricsAndParts(t *testing.T) {
+	j, folder := fleet.NewJudge(time.Second), t.TempDir()
+	all := nodes(t, j, 2, fleet.Spec{})
+	write(t, j, folder, "a.yaml", all[0].Entry("up"), all[1].Entry("draining"))
+	write(t, j, folder, "b.yaml", all[0].Entry("up"))
+	x := begin(t, j, folder, twoPools)
+	x.until("lists and shares are told", func(live.View) bool {
+		p := x.pool("a")
+		return len(p.Nodes) == 2 && p.Nodes[0].Phase == "up" && len(x.pool("b").Nodes) == 1
+	})
+	get := func(path string) (int, string) {
+		t.Helper()
+		resp, err := http.Get("http://" + x.AdminAddress().String() + path)
+		if err != nil {
+			t.Fatal(err)
+		}
+		defer resp.Body.Close()
+		text, err := io.ReadAll(resp.Body)
+		if err != nil {
+			t.Fatal(err)
+		}
+		return resp.StatusCode, string(text)
+	}
+	if status := x.clients("a.example.org", "/", "x", fleet.Unsafe, 1).Ask("1"); status != 200 {
+		t.Fatal(status)
+	}
+	var text string
+	for end := time.Now().Add(5 * time.Second); !strings.Contains(text, `olivearch_pools{state="made"} 1`); time.Sleep(10 * time.Millisecond) { // levels are up to a second old
+		if _, text = get("/metrics"); time.Now().After(end) {
+			break
+		}
+	}
+	for _, want := range []string{
+		`olivearch_requests_total{pool="a",result="served"} 1`, `olivearch_pool_nodes{pool="a",phase="up"} 1`, `olivearch_pool_nodes{pool="a",phase="draining"} 1`,
+		`olivearch_nodes{phase="up"} 2`, `olivearch_pools_never_asked 1`, `olivearch_pools{state="made"} 1`, `olivearch_pools{state="unmade"} 1`, `olivearch_listener_connections_limit{`,
+	} {
+		if !strings.Contains(text, want) {
+			t.Errorf("%s is not in\n%s", want, text)
+		}
+	}
+	if strings.Contains(text, `pool="b"`) {
+		t.Error("pool b, which nobody has asked, has series of its own")
+	}
+	part := func(query string) (v live.View) {
+		t.Helper()
+		status, text := get("/v1/live?" + query)
+		if err := json.Unmarshal([]byte(text), &v); err != nil || status != http.StatusOK {
+			t.Fatalf("%s: %d, %v\n%s", query, status, err, text)
+		}
+		return v
+	}
+	if v := part("pool=b&pool=a"); len(v.Pools) != 2 || v.Pools[0].Name != "b" || len(v.Pools[1].Nodes) != 2 {
+		t.Errorf("%+v", v.Pools)
+	}
+	if v := part("pool=a&nodes=none"); len(v.Pools) != 1 || len(v.Pools[0].Nodes) != 0 || v.Pools[0].Served != 1 || len(v.Listeners) != 1 {
+		t.Errorf("%+v", v)
+	}
+	if v := part("nodes=used"); len(v.Pools[0].Nodes) != 2 || len(v.Pools[1].Nodes) != 0 { // nothing of b is used
+		t.Errorf("%+v", v.Pools)
+	}
+	if status, text := get("/v1/live?pool=c"); status != http.StatusNotFound || !strings.Contains(text, `no pool "c"`) {
+		t.Errorf("%d, %s", status, text)
+	}
+	if status, text := get("/v1/live?nodes=some"); status != http.StatusBadRequest || !strings.Contains(text, "used") {
+		t.Errorf("%d, %s", status, text)
+	}
+	x.apply(strings.Replace(twoPools, "queue: 100}\n  b", "queue: 101}\n  b", 1))
+	if _, text := get("/metrics"); !strings.Contains(text, `olivearch_requests_total{pool="a",result="served"} 1`) || !strings.Contains(text, "olivearch_reloads_total 1") {
+		t.Errorf("a reload begins counters anew:\n%s", text)
+	}
+}
+
+// TestWhoReports: the live view and its table tell which node reports its load, which one is estimated, and what is wrong with
+// reports that can't be read.
+func TestWhoReports(t *testing.T) {
+	j, folder := fleet.NewJudge(time.Second), t.TempDir()
+	var entries []endpointlist.Node
+	for id, says := range map[string]string{"speaks": "util=0.3", "silent": "", "mumbles": "cpu=30%"} {
+		n, err := fleet.NewNode(fleet.Spec{ID: id, Cores: 2, Queue: 50, Says: says}, j)
+		if err != nil {
+			t.Fatal(err)
+		}
+		t.Cleanup(n.Close)
+		entries = append(entries, n.Entry("up"))
+	}
+	write(t, j, folder, "a.yaml", entries...)
+	write(t, j, folder, "b.yaml", entries...)
+	x := begin(t, j, folder, twoPools)
+	ctx, cancel := context.WithCancel(t.Context())
+	var wg sync.WaitGroup
+	wg.Go(func() { x.clients("a.example.org", "/", "a", fleet.Unsafe, 400).Run(ctx) })
+	x.until("each node's load is told", func(v live.View) bool {
+		loads := map[string]string{}
+		for _, n := range x.pool("a").Nodes {
+			loads[n.ID] = n.Load
+		}
+		return loads["speaks"] == live.Reported && loads["silent"] == live.Estimated && loads["mumbles"] == live.Estimated
+	})
+	cancel()
+	wg.Wait()
+	var table strings.Builder
+	v := x.View()
+	if err := v.Write(&table); err != nil {
+		t.Fatal(err)
+	}
+	for _, want := range []string{"load estimated", `reports unreadable ("cpu=30%" is not NAME=NUMBER)`} {
+		if !strings.Contains(table.String(), want) {
+			t.Errorf("%q is not in\n%s", want, &table)
+		}
+	}
+	x.clean()
+}
--- /dev/null
+++ b/internal/service/reload_test.go
@@ -0,0 +1,210 @@
+package service
+
+import (
+	"context"
+	"fmt"
+	"maps"
+	"net"
+	"net/http"
+	"os"
+	"path/filepath"
+	"slices"
+	"strings"
+	"sync"
+	"testing"
+	"time"
+
+	"olivearch/internal/config"
+	"olivearch/internal/live"
+	"olivearch/internal/standin/fleet"
+)
+
+// TestReloadsUnderLoad reloads ten times a second: the route of b moves to and fro between pools, the pool "extra" comes and
+// goes, and pool a does not change: it keeps its windows. No request is lost, none runs twice.
+func TestReloadsUnderLoad(t *testing.T) {
+	j, folder := fleet.NewJudge(time.Second), t.TempDir()
+	all := nodes(t, j, 3, fleet.Spec{Work: 5 * time.Millisecond})
+	for _, name := range []string{"a.yaml", "b.yaml"} {
+		write(t, j, folder, name, all[0].Entry("up"), all[1].Entry("up"), all[2].Entry("up"))
+	}
+	moved := strings.NewReplacer("class: r, pool: b", "class: r, pool: extra", "routes:", "  extra: {nodes: {file: b.yaml}, queue: 50}\nroutes:").Replace(twoPools)
+	x := begin(t, j, folder, twoPools)
+	a, b := x.clients("a.example.org", "/", "a", fleet.Unsafe, 100), x.clients("b.example.org", "/", "b", fleet.Safe, 100)
+	ctx, cancel := context.WithTimeout(t.Context(), 3*time.Second)
+	defer cancel()
+	var wg sync.WaitGroup
+	wg.Go(func() { a.Run(ctx) })
+	wg.Go(func() { b.Run(ctx) })
+	readings, reloads := 0, 0
+	for tick := time.NewTicker(100 * time.Millisecond); ctx.Err() == nil; <-tick.C {
+		reloads++
+		if reloads%2 == 1 {
+			x.apply(moved)
+		} else {
+			x.apply(twoPools)
+		}
+		n := 0
+		for _, node := range x.pool("a").Nodes {
+			n += node.Readings
+		}
+		if n < readings {
+			t.Errorf("pool a had %d readings before a reload and %d after it", readings, n)
+		}
+		readings = n
+	}
+	wg.Wait()
+	s := x.clean()
+	if s.Failed > 0 || s.Served < s.Asked*9/10 || reloads < 15 || readings < 10 {
+		t.Errorf("%d of %d served, %d failed, %d refused, in %d reloads; %d readings", s.Served, s.Asked, s.Failed, s.Refused, reloads, readings)
+	}
+	if got := x.View().Reloads; got != reloads {
+		t.Errorf("%d reloads shown, %d made", got, reloads)
+	}
+}
+
+// TestRemovedPoolAnswersWhatItHolds: a reload moves the route away and removes the pool while a request waits at a node.
+func TestRemovedPoolAnswersWhatItHolds(t *testing.T) {
+	j, folder := fleet.NewJudge(time.Second), t.TempDir()
+	all := nodes(t, j, 2, fleet.Spec{})
+	write(t, j, folder, "a.yaml", all[0].Entry("up"))
+	write(t, j, folder, "b.yaml", all[1].Entry("up"))
+	x := begin(t, j, folder, twoPools)
+	all[0].Stall(true)
+	answered := make(chan int)
+	go func() { answered <- x.clients("a.example.org", "/", "x", fleet.Unsafe, 1).Ask("held") }()
+	x.until("the request is at the node", func(live.View) bool {
+		for _, n := range x.pool("a").Nodes {
+			if n.Out == 1 {
+				return true
+			}
+		}
+		return false
+	})
+	x.apply(`
+classes: {c: {aim: 250ms, deadline: 1s}}
+pools: {b: {nodes: {file: b.yaml}, queue: 100}}
+routes: [{name: a, hosts: [a.example.org], class: c, pool: b}]
+`)
+	if status := x.clients("a.example.org", "/", "x", fleet.Unsafe, 1).Ask("next"); status != 200 || all[1].Runs() != 1 {
+		t.Errorf("after the move: %d, %d runs at the new pool's node", status, all[1].Runs())
+	}
+	all[0].Stall(false)
+	if status := <-answered; status != 200 {
+		t.Errorf("the held request got %d", status)
+	}
+	x.retiring.Wait() // the removed pool ends
+	x.clean()
+}
+
+// TestBadReloadChangesNothing: a listener that can't be had, or a new pool whose list is torn, stop the whole reload.
+func TestBadReloadChangesNothing(t *testing.T) {
+	j, folder := fleet.NewJudge(time.Second), t.TempDir()
+	all := nodes(t, j, 1, fleet.Spec{})
+	write(t, j, folder, "a.yaml", all[0].Entry("up"))
+	write(t, j, folder, "b.yaml", all[0].Entry("up"))
+	x := begin(t, j, folder, twoPools)
+	taken, err := net.Listen("tcp", "127.0.0.1:0")
+	if err != nil {
+		t.Fatal(err)
+	}
+	defer taken.Close()
+	if err := os.WriteFile(filepath.Join(folder, "torn.yaml"), []byte("nodes: ["), 0o600); err != nil {
+		t.Fatal(err)
+	}
+	for _, text := range []string{
+		strings.Replace(twoPools, "routes:", "  c: {nodes: {file: torn.yaml}}\nroutes:", 1),
+		strings.Replace(twoPools, "routes:", "  c: {nodes: {file: none.yaml}}\nroutes:", 1),
+	} {
+		if err := x.Apply(x.parse(strings.Replace(text, "pool: b}", "pool: c}", 1))); err == nil {
+			t.Error("a bad reload was taken")
+		}
+	}
+	c := x.parse(strings.Replace(twoPools, "pool: b}", "pool: a}", 1))
+	c.Listeners = append(c.Listeners, config.Listener{Name: "second", Address: taken.Addr().String(), Connections: 10})
+	if err := x.Apply(c); err == nil || !strings.Contains(err.Error(), "second") {
+		t.Errorf("a listener that is taken: %v", err)
+	}
+	if v := x.View(); v.Reloads != 0 || len(v.Pools) != 2 || len(v.Listeners) != 1 {
+		t.Errorf("%+v", v)
+	}
+	if status := x.clients("b.example.org", "/", "x", fleet.Safe, 1).Ask("1"); status != 200 || x.pool("b").Served != 1 {
+		t.Errorf("%d, %+v", status, x.pool("b"))
+	}
+	x.clean()
+}
+
+// TestFailedListsChangeNothing: a reload that moves a pool, adds another whose list can't be read, drops a route and changes a quota is
+// refused as a whole: routes, lists, listeners and settings are those that held.
+func TestFailedListsChangeNothing(t *testing.T) {
+	j, folder := fleet.NewJudge(time.Second), t.TempDir()
+	all := nodes(t, j, 2, fleet.Spec{Work: time.Millisecond})
+	write(t, j, folder, "a.yaml", all[0].Entry("up"))
+	write(t, j, folder, "b.yaml", all[1].Entry("up"))
+	x := begin(t, j, folder, twoPools+"tenants: {t: {quota: 5}}\n")
+	before, routing, view := x.state.Load(), x.state.Load().config.Table, x.View()
+	err := x.Apply(x.parse(strings.NewReplacer("  b: {nodes: {file: b.yaml}", "  c: {nodes: {file: none.yaml}}\n  b: {nodes: {file: a.yaml}", "name: a,", "name: other,").Replace(twoPools) + "tenants: {t: {quota: 6}}\n"))
+	if err == nil || !strings.Contains(err.Error(), "none.yaml") {
+		t.Fatalf("got %v", err)
+	}
+	if x.state.Load() != before || x.state.Load().config.Table != routing || x.View().Reloads != view.Reloads || len(x.View().Pools) != 2 {
+		t.Errorf("something changed: %+v", x.View())
+	}
+	for _, host := range []string{"a.example.org", "b.example.org"} {
+		r, err := http.NewRequest("POST", x.url+"/x", strings.NewReader("b"))
+		if err != nil {
+			t.Fatal(err)
+		}
+		r.Host = host
+		resp, err := http.DefaultClient.Do(r)
+		if err != nil {
+			t.Fatal(err)
+		}
+		if resp.Body.Close(); resp.StatusCode == http.StatusNotFound {
+			t.Errorf("%s: the route has gone", host)
+		}
+	}
+}
+
+// TestReloadLeavesOthersAlone: of three pools a reload changes one; the others are not told anything, and a quota reaches all.
+func TestReloadLeavesOthersAlone(t *testing.T) {
+	text := func(queue, quota int, path string) string {
+		return fmt.Sprintf(`classes: {c: {aim: 250ms, deadline: 1s}}
+tenants: {t: {quota: %d}}
+pools:
+  a: {nodes: {static: [{address: '127.0.0.1:1'}]}, queue: 10}
+  b: {nodes: {static: [{address: '127.0.0.1:2'}]}, queue: %d}
+  c: {nodes: {static: [{address: '127.0.0.1:3'}]}, queue: 10}
+routes: [{name: r, path: {prefix: %s}, class: c, pools: [{pool: a, weight: 1}, {pool: b, weight: 1}, {pool: c, weight: 1}]}]
+`, quota, queue, path)
+	}
+	x := begin(t, fleet.NewJudge(time.Second), t.TempDir(), text(10, 5, "/x"))
+	stay := func(text string) (names []string) {
+		t.Helper()
+		c := x.parse(text)
+		if c.Tenants.Equal(x.state.Load().config.Tenants) { // as config.Reload has it
+			c.Tenants = x.state.Load().config.Tenants
+		}
+		p, err := x.newPlan(x.state.Load(), c)
+		if err != nil {
+			t.Fatal(err)
+		}
+		p.closeListeners()
+		names = slices.Sorted(maps.Keys(p.unchanged))
+		if err := x.Apply(c); err != nil {
+			t.Fatal(err)
+		}
+		return names
+	}
+	for _, step := range []struct {
+		text string
+		want []string
+	}{
+		{text(11, 5, "/x"), []string{"a", "c"}},
+		{text(11, 5, "/y"), []string{"a", "b", "c"}},
+		{text(11, 6, "/y"), nil},
+	} {
+		if got := stay(step.text); !slices.Equal(got, step.want) {
+			t.Errorf("left alone: %q, want %q", got, step.want)
+		}
+	}
+}
