--- a/internal/service/client_conn_test.go
+++ b/internal/service/client_conn_test.go
@@ -2,10 +2,12 @@
 
 import (
 	"bufio"
+	"errors"
 	"fmt"
 	"io"
 	"net"
 	"net/http"
+	"os"
 	"strings"
 	"testing"
 	"time"
@@ -37,26 +39,75 @@
 `, strings.Join(list, ", "), pool, more)
 }
 
-// dial opens a connection and says something.
-func (x *site) dial(text string) (*net.TCPConn, *bufio.Reader) {
+// clientConn is a client's connection to the service, with 20 s for all that is done on it.
+type clientConn struct {
+	*net.TCPConn
+	t      *testing.T
+	reader *bufio.Reader
+	bodies []io.Closer // of the responses that were read
+}
+
+// response is a response whose body is closed with its connection.
+type response struct{ *http.Response }
+
+// dial opens a connection and sends something. It is closed at the end of the test.
+func (x *site) dial(text string) *clientConn {
 	x.t.Helper()
-	c, err := net.Dial("tcp", strings.TrimPrefix(x.url, "http://"))
+	opened, err := net.Dial("tcp", strings.TrimPrefix(x.url, "http://"))
 	if err != nil {
 		x.t.Fatal(err)
 	}
-	x.t.Cleanup(func() { c.Close() })
-	c.SetDeadline(time.Now().Add(20 * time.Second))
-	if _, err := io.WriteString(c, text); err != nil {
+	c := &clientConn{TCPConn: opened.(*net.TCPConn), t: x.t, reader: bufio.NewReader(opened)}
+	x.t.Cleanup(c.closeAll)
+	if err := c.SetDeadline(time.Now().Add(20 * time.Second)); err != nil {
+		x.t.Fatal(err)
+	}
+	if _, err := io.WriteString(c.TCPConn, text); err != nil {
 		x.t.Fatal(err)
 	}
-	return c.(*net.TCPConn), bufio.NewReader(c)
+	return c
 }
 
-func answer(t *testing.T, in *bufio.Reader) *http.Response {
-	t.Helper()
-	resp, err := http.ReadResponse(in, nil)
+// closeAll closes the connection before the bodies: closing a body reads what is left of it.
+func (c *clientConn) closeAll() {
+	c.Close()
+	for _, body := range c.bodies {
+		body.Close()
+	}
+}
+
+func (c *clientConn) send(text string) {
+	c.t.Helper()
+	if _, err := io.WriteString(c.TCPConn, text); err != nil {
+		c.t.Errorf("sending %d bytes: %v", len(text), err)
+	}
+}
+
+// readResponse reads the head of a response.
+func (c *clientConn) readResponse() response {
+	c.t.Helper()
+	resp, err := http.ReadResponse(c.reader, nil)
 	if err != nil {
-		t.Fatal(err)
+		c.t.Fatal(err)
+	}
+	c.bodies = append(c.bodies, resp.Body)
+	return response{resp}
+}
+
+// wantEcho sends something and wants it back.
+func (c *clientConn) wantEcho(text string) {
+	c.t.Helper()
+	c.send(text)
+	got := make([]byte, len(text))
+	if _, err := io.ReadFull(c.reader, got); err != nil || string(got) != text {
+		c.t.Fatalf("got %q, %v, want %q", got, err, text)
+	}
+}
+
+// wantEnd waits for the end of a connection on which nothing more is said.
+func (c *clientConn) wantEnd() {
+	c.t.Helper()
+	if rest, err := io.ReadAll(c.reader); len(rest) > 0 || errors.Is(err, os.ErrDeadlineExceeded) {
+		c.t.Errorf("%q, %v: want the end", rest, err)
 	}
-	return resp
 }
--- a/internal/service/differential_test.go
+++ b/internal/service/differential_test.go
@@ -105,7 +105,7 @@
 		if i < x.pieces-1 {
 			n /= 2
 		}
-		w.Write(rest[:n])
+		_, _ = w.Write(rest[:n]) // what the client got is compared in play
 		rest = rest[n:]
 		if x.framing == "chunked" {
 			w.(http.Flusher).Flush()
--- a/internal/service/endpoint_lists_test.go
+++ b/internal/service/endpoint_lists_test.go
@@ -53,9 +53,12 @@
 	}
 }
 
-func processorTime() time.Duration {
+func processorTime(t *testing.T) time.Duration {
+	t.Helper()
 	var u syscall.Rusage
-	syscall.Getrusage(syscall.RUSAGE_SELF, &u)
+	if err := syscall.Getrusage(syscall.RUSAGE_SELF, &u); err != nil {
+		t.Fatal(err)
+	}
 	return time.Duration(u.Utime.Nano() + u.Stime.Nano())
 }
 
@@ -76,7 +79,7 @@
 	text, sizes := fleetOfLists(t, folder, 490)
 	x := &site{t: t, folder: folder}
 	c := x.parse(text)
-	began, cpu := time.Now(), processorTime()
+	began, cpu := time.Now(), processorTime(t)
 	s, err := Start(c, "test")
 	if err != nil {
 		t.Fatal(err)
@@ -111,7 +114,7 @@
 	for _, n := range sizes {
 		total += n
 	}
-	t.Logf("490 pools, %d nodes: all up after %v, %v of CPU", total, time.Since(began), processorTime()-cpu)
+	t.Logf("490 pools, %d nodes: all up after %v, %v of CPU", total, time.Since(began), processorTime(t)-cpu)
 	if n := inotifyInstances(); n > 1 {
 		t.Errorf("%d inotify instances", n)
 	}
--- a/internal/service/harness_test.go
+++ b/internal/service/harness_test.go
@@ -2,7 +2,6 @@
 
 import (
 	"fmt"
-	"net/http"
 	"path/filepath"
 	"sync"
 	"testing"
@@ -133,8 +132,7 @@
 `
 
 // raw sends bytes and reads one answer.
-func (x *site) raw(text string) *http.Response {
+func (x *site) raw(text string) response {
 	x.t.Helper()
-	_, in := x.dial(text)
-	return answer(x.t, in)
+	return x.dial(text).readResponse()
 }
--- a/internal/service/requests_test.go
+++ b/internal/service/requests_test.go
@@ -115,37 +115,37 @@
 			if r.URL.Path == "/cut" {
 				return false
 			}
-			io.WriteString(c, "0\r\nX-T: 1\r\n\r\n")
+			fmt.Fprint(c, "0\r\nX-T: 1\r\n\r\n")
 			return true
 		}
 		return scripted.Done(c, r)
 	})
 	x := sockets(t, "", "", n)
-	_, in := x.dial("GET /a HTTP/1.0\r\nHost: x\r\n\r\n")
-	if resp := answer(t, in); resp.StatusCode != http.StatusOK || !resp.Close {
+	c := x.dial("GET /a HTTP/1.0\r\nHost: x\r\n\r\n")
+	if resp := c.readResponse(); resp.StatusCode != http.StatusOK || !resp.Close {
 		t.Errorf("without keep-alive: %d, closes: %v", resp.StatusCode, resp.Close)
 	}
-	c, in := x.dial("GET /a HTTP/1.0\r\nHost: x\r\nConnection: Keep-Alive\r\n\r\n")
+	c = x.dial("GET /a HTTP/1.0\r\nHost: x\r\nConnection: Keep-Alive\r\n\r\n")
 	for range 2 {
-		resp := answer(t, in)
+		resp := c.readResponse()
 		body, err := io.ReadAll(resp.Body)
 		if resp.Header.Get("Connection") != "keep-alive" || string(body) != "done" || err != nil {
 			t.Errorf("with keep-alive: %v, %q, %v", resp.Header, body, err)
 		}
-		io.WriteString(c, "GET /a HTTP/1.0\r\nHost: x\r\nConnection: keep-alive\r\n\r\n")
+		c.send("GET /a HTTP/1.0\r\nHost: x\r\nConnection: keep-alive\r\n\r\n")
 	}
-	_, in = x.dial("GET /chunks HTTP/1.0\r\nHost: x\r\nConnection: keep-alive\r\n\r\n")
-	resp := answer(t, in)
+	c = x.dial("GET /chunks HTTP/1.0\r\nHost: x\r\nConnection: keep-alive\r\n\r\n")
+	resp := c.readResponse()
 	body, err := io.ReadAll(resp.Body)
 	if len(resp.TransferEncoding) > 0 || resp.ContentLength >= 0 || string(body) != long || err != nil {
 		t.Errorf("no known length: %v, %d bytes, %v", resp.Header, len(body), err)
 	}
-	_, in = x.dial("GET /cut HTTP/1.0\r\nHost: x\r\n\r\n")
-	if body, err = io.ReadAll(answer(t, in).Body); err == nil {
+	c = x.dial("GET /cut HTTP/1.0\r\nHost: x\r\n\r\n")
+	if body, err = io.ReadAll(c.readResponse().Body); err == nil {
 		t.Errorf("a cut answer passes for whole, with %d bytes", len(body))
 	}
-	_, in = x.dial("POST /a HTTP/1.0\r\nHost: x\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n")
-	if resp := answer(t, in); resp.StatusCode != http.StatusBadRequest {
+	c = x.dial("POST /a HTTP/1.0\r\nHost: x\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n")
+	if resp := c.readResponse(); resp.StatusCode != http.StatusBadRequest {
 		t.Errorf("chunks in HTTP/1.0: %d", resp.StatusCode)
 	}
 }
@@ -153,8 +153,8 @@
 // Trailers and early hints go on, in both framings and directions.
 func TestTrailersAndHints(t *testing.T) {
 	n := scripted.Start(t, func(c net.Conn, r *http.Request) bool {
-		io.WriteString(c, "HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 103 Early Hints\r\nLink: </a.css>\r\n\r\nHTTP/1.1 103 Early Hints\r\nLink: </b.css>\r\n\r\n")
-		io.WriteString(c, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n")
+		fmt.Fprint(c, "HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 103 Early Hints\r\nLink: </a.css>\r\n\r\nHTTP/1.1 103 Early Hints\r\nLink: </b.css>\r\n\r\n")
+		fmt.Fprint(c, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n")
 		for range 1 + len(r.Trailer.Get("X-Long")) { // long ones go on as they come
 			fmt.Fprintf(c, "%x\r\n%s\r\n", 40<<10, strings.Repeat("x", 40<<10))
 		}
@@ -164,13 +164,13 @@
 	x := sockets(t, "", "", n)
 	for _, long := range []string{"", "11"} {
 		for _, part := range []int{10, 70 << 10, 2 << 20} { // whole, read ahead, goes on as it comes
-			c, in := x.dial("POST /u HTTP/1.1\r\nHost: x\r\nTransfer-Encoding: chunked\r\nTrailer: X-Sum, X-Long\r\n\r\n")
+			c := x.dial("POST /u HTTP/1.1\r\nHost: x\r\nTransfer-Encoding: chunked\r\nTrailer: X-Sum, X-Long\r\n\r\n")
 			go fmt.Fprintf(c, "%x\r\n%s\r\n0\r\nX-Sum: 7\r\nX-Long: %s\r\n\r\n", part, strings.Repeat("y", part), long)
-			hint := answer(t, in)
+			hint := c.readResponse()
 			if hint.StatusCode != http.StatusEarlyHints || hint.Header.Get("Link") != "</a.css>" {
 				t.Fatalf("%d bytes: got %d, %v, want the first hint", part, hint.StatusCode, hint.Header)
 			}
-			resp := answer(t, in)
+			resp := c.readResponse()
 			got, err := io.ReadAll(resp.Body)
 			if err != nil || len(got) != (1+len(long))*40<<10 || resp.Trailer.Get("X-Sum") != "7" {
 				t.Errorf("%d bytes, %q: got %d bytes, trailer %v, %v", part, long, len(got), resp.Trailer, err)
@@ -203,8 +203,7 @@
 		"two framings":          {"POST / HTTP/1.1\r\nHost: x\r\nTransfer-Encoding: chunked\r\nContent-Length: 5\r\n\r\n0\r\n\r\n", 400},
 		"HTTP/2":                {"PRI * HTTP/2.0\r\n\r\nSM\r\n\r\n", 505},
 	} {
-		_, in := x.dial(c.text)
-		if resp := answer(t, in); resp.StatusCode != c.status {
+		if resp := x.dial(c.text).readResponse(); resp.StatusCode != c.status {
 			t.Errorf("%s: got %d, want %d", name, resp.StatusCode, c.status)
 		}
 	}
@@ -224,11 +223,11 @@
 			t.Parallel()
 			for cut := k; cut <= len(says); cut += sites {
 				n := scripted.Start(t, func(c net.Conn, r *http.Request) bool {
-					io.WriteString(c, says[:cut])
+					fmt.Fprint(c, says[:cut])
 					return cut == len(says)
 				})
-				_, in := sockets(t, "", "", n).dial(asks)
-				resp := answer(t, in)
+				c := sockets(t, "", "", n).dial(asks)
+				resp := c.readResponse()
 				body, err := io.ReadAll(resp.Body)
 				whole := resp.StatusCode == http.StatusOK && err == nil
 				if whole != (cut == len(says)) || (whole && string(body) != "helloyou") {
@@ -243,9 +242,9 @@
 	n := scripted.Start(t, scripted.Done)
 	x := sockets(t, "", "", n)
 	for at := range asks {
-		c, in := x.dial(asks[:at])
-		c.CloseWrite()
-		if resp, err := http.ReadResponse(in, nil); err == nil && resp.StatusCode < 400 {
+		c := x.dial(asks[:at])
+		_ = c.CloseWrite() // fails if the service has closed already
+		if resp, err := http.ReadResponse(c.reader, nil); err == nil && resp.StatusCode < 400 {
 			t.Errorf("a request that ends at %d: %d", at, resp.StatusCode)
 		}
 		c.Close()
--- a/internal/service/streams_test.go
+++ b/internal/service/streams_test.go
@@ -33,11 +33,11 @@
 			if free := x.state.Load().listeners[listener].SpoolFree(); free != 8<<20 {
 				t.Errorf("%d bytes for bodies after a reload that gives them %d", free, 8<<20)
 			}
-			c, in := x.dial("POST /u HTTP/1.1\r\nHost: x\r\n" + framing + "\r\n\r\n")
+			c := x.dial("POST /u HTTP/1.1\r\nHost: x\r\n" + framing + "\r\n\r\n")
 			if strings.HasPrefix(framing, "Transfer") {
-				io.WriteString(c, "4000000\r\n")
+				c.send("4000000\r\n")
 			}
-			c.Write(make([]byte, 2<<20)) // over the buffer: it is on its way
+			c.send(strings.Repeat("\x00", 2<<20)) // over the buffer: it is on its way
 			done := make(chan struct{})
 			go func() {
 				defer close(done)
@@ -48,7 +48,7 @@
 					time.Sleep(10 * time.Millisecond) // a slow line is what is tried
 				}
 			}()
-			if resp := answer(t, in); resp.StatusCode != http.StatusRequestTimeout {
+			if resp := c.readResponse(); resp.StatusCode != http.StatusRequestTimeout {
 				t.Errorf("got %d", resp.StatusCode)
 			}
 			c.Close()
@@ -73,15 +73,15 @@
 		return err == nil
 	})
 	x := sockets(t, "", "", n)
-	var streams []*http.Response
+	var streams []response
 	for range downloads {
-		_, in := x.dial("GET /long HTTP/1.1\r\nHost: x\r\nConnection: close\r\n\r\n")
-		streams = append(streams, answer(t, in))
+		c := x.dial("GET /long HTTP/1.1\r\nHost: x\r\nConnection: close\r\n\r\n")
+		streams = append(streams, c.readResponse())
 		<-n.Arrivals
 	}
 	for i := range 50 {
-		_, in := x.dial("GET /a HTTP/1.1\r\nHost: x\r\nConnection: close\r\n\r\n")
-		if resp := answer(t, in); resp.StatusCode != http.StatusOK {
+		c := x.dial("GET /a HTTP/1.1\r\nHost: x\r\nConnection: close\r\n\r\n")
+		if resp := c.readResponse(); resp.StatusCode != http.StatusOK {
 			t.Fatalf("query %d beside them: %d", i, resp.StatusCode)
 		}
 		<-n.Arrivals
@@ -106,27 +106,27 @@
 routes: [{name: unsafe, path: {prefix: /u}, class: u, pool: p}, {name: all, class: c, pool: p}]
 `, n.Addr))
 	const size = 4 << 20
-	up, reply := x.dial(fmt.Sprintf("POST /u HTTP/1.1\r\nHost: x\r\nContent-Length: %d\r\n\r\n", size))
-	up.Write(make([]byte, size/2)) // over the buffer: it is on its way
+	up := x.dial(fmt.Sprintf("POST /u HTTP/1.1\r\nHost: x\r\nContent-Length: %d\r\n\r\n", size))
+	up.send(strings.Repeat("\x00", size/2)) // over the buffer: it is on its way
 	x.until("it is out", func(v live.View) bool {
 		return len(v.Pools) == 1 && len(v.Pools[0].Nodes) == 1 && v.Pools[0].Nodes[0].Out == 1
 	})
 	for i := range 20 {
 		time.Sleep(100 * time.Millisecond) // a slow client is what is tried
-		up.Write([]byte("x"))
+		up.send("x")
 		if x.pool("p").Nodes[0].Silent {
 			t.Fatal("the node counts as silent, and owes nothing")
 		}
 		if i%10 != 9 { // an answer would show that it lives
 			continue
 		}
-		_, in := x.dial("GET /a HTTP/1.1\r\nHost: x\r\nConnection: close\r\n\r\n")
-		if resp := answer(t, in); resp.StatusCode != http.StatusOK {
+		c := x.dial("GET /a HTTP/1.1\r\nHost: x\r\nConnection: close\r\n\r\n")
+		if resp := c.readResponse(); resp.StatusCode != http.StatusOK {
 			t.Errorf("a query beside it: %d", resp.StatusCode)
 		}
 	}
-	up.Write(make([]byte, size-size/2-20))
-	if resp := answer(t, reply); resp.StatusCode != http.StatusOK {
+	up.send(strings.Repeat("\x00", size-size/2-20))
+	if resp := up.readResponse(); resp.StatusCode != http.StatusOK {
 		t.Errorf("the upload: %d", resp.StatusCode)
 	}
 }
@@ -140,26 +140,26 @@
 				if r.Method == http.MethodPost {
 					return scripted.Done(c, r)
 				}
-				io.WriteString(c, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n5\r\nfirst\r\n")
+				fmt.Fprint(c, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n5\r\nfirst\r\n")
 				<-release
-				io.WriteString(c, "4\r\nlast\r\n0\r\n\r\n")
+				fmt.Fprint(c, "4\r\nlast\r\n0\r\n\r\n")
 				return true
 			})
 			other := scripted.Start(t, scripted.Done)
 			x := sockets(t, "", "", n)
-			_, in := x.dial("GET /a HTTP/1.1\r\nHost: x\r\nConnection: close\r\n\r\n")
-			down := answer(t, in)
+			c := x.dial("GET /a HTTP/1.1\r\nHost: x\r\nConnection: close\r\n\r\n")
+			down := c.readResponse()
 			const size = 4 << 20
-			up, reply := x.dial(fmt.Sprintf("POST /u HTTP/1.1\r\nHost: x\r\nConnection: close\r\nContent-Length: %d\r\n\r\n", size))
-			up.Write(make([]byte, size/2)) // more than is read ahead: it is on its way to the node
+			up := x.dial(fmt.Sprintf("POST /u HTTP/1.1\r\nHost: x\r\nConnection: close\r\nContent-Length: %d\r\n\r\n", size))
+			up.send(strings.Repeat("\x00", size/2)) // more than is read ahead: it is on its way to the node
 			x.until("both are there", func(v live.View) bool { return v.Pools[0].Connections >= 2 })
 			if how == "stop" {
 				go x.stop()
 			} else {
 				x.apply(strings.NewReplacer("pools: {p:", "pools: {q:", "pool: p", "pool: q").Replace(streamed("", "", other)))
 			}
-			up.Write(make([]byte, size-size/2))
-			if resp := answer(t, reply); resp.StatusCode != http.StatusOK {
+			up.send(strings.Repeat("\x00", size-size/2))
+			if resp := up.readResponse(); resp.StatusCode != http.StatusOK {
 				t.Errorf("the body: %d", resp.StatusCode)
 			}
 			close(release)
@@ -191,10 +191,10 @@
 					}
 					go func() {
 						defer c.Close()
-						io.CopyN(io.Discard, c, 200<<10)
-						io.WriteString(c, "HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nearly")
+						_, _ = io.CopyN(io.Discard, c, 200<<10)
+						fmt.Fprint(c, "HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nearly")
 						if readsOn {
-							io.Copy(io.Discard, c)
+							_, _ = io.Copy(io.Discard, c)
 						}
 						<-done
 					}()
@@ -202,13 +202,13 @@
 			}()
 			const size = 40 << 20 // more than all sockets on the way hold
 			x := sockets(t, "", "", &scripted.Node{Addr: l.Addr().String()})
-			c, in := x.dial(fmt.Sprintf("POST /u HTTP/1.1\r\nHost: x\r\nContent-Length: %d\r\n\r\n", size))
+			c := x.dial(fmt.Sprintf("POST /u HTTP/1.1\r\nHost: x\r\nContent-Length: %d\r\n\r\n", size))
 			sent := make(chan error, 1)
 			go func() {
 				_, err := c.Write(make([]byte, size))
 				sent <- err
 			}()
-			resp := answer(t, in)
+			resp := c.readResponse()
 			if body, err := io.ReadAll(resp.Body); resp.StatusCode != http.StatusOK || string(body) != "early" || err != nil {
 				t.Errorf("got %d, %q, %v", resp.StatusCode, body, err)
 			}
--- a/internal/service/tunnels_test.go
+++ b/internal/service/tunnels_test.go
@@ -1,12 +1,10 @@
 package service
 
 import (
-	"bufio"
-	"errors"
+	"fmt"
 	"io"
 	"net"
 	"net/http"
-	"os"
 	"strings"
 	"testing"
 	"time"
@@ -22,61 +20,46 @@
 	if r.Header.Get("Upgrade") == "" {
 		return scripted.Done(c, r)
 	}
-	io.WriteString(c, "HTTP/1.1 101 Switching Protocols\r\nConnection: Upgrade\r\nUpgrade: echo\r\nX-Node: 1\r\n\r\n")
-	io.Copy(c, c)
+	fmt.Fprint(c, "HTTP/1.1 101 Switching Protocols\r\nConnection: Upgrade\r\nUpgrade: echo\r\nX-Node: 1\r\n\r\n")
+	_, _ = io.Copy(c, c)
 	return false
 }
 
-// echoes says something and wants it back.
-func echoes(t *testing.T, c net.Conn, in *bufio.Reader, text string) {
-	t.Helper()
-	io.WriteString(c, text)
-	got := make([]byte, len(text))
-	if _, err := io.ReadFull(in, got); err != nil || string(got) != text {
-		t.Fatalf("got %q, %v, want %q", got, err, text)
-	}
-}
-
-// ended waits for the end of a connection on which nothing more is said.
-func ended(t *testing.T, in *bufio.Reader) {
-	t.Helper()
-	if rest, err := io.ReadAll(in); len(rest) > 0 || errors.Is(err, os.ErrDeadlineExceeded) {
-		t.Errorf("%q, %v: want the end", rest, err)
-	}
-}
-
 func TestTunnel(t *testing.T) {
 	n := scripted.Start(t, echo)
 	x := sockets(t, ", tunnels: {most: 2, per_node: 2, idle: 300ms, grace: 100ms}", ", upgrades: [ECHO]", n)
-	c, in := x.dial(wantsEcho + "early") // what is said with the request is the new protocol's... and not taken: it is ahead
-	if resp := answer(t, in); resp.StatusCode != http.StatusBadRequest {
+	c := x.dial(wantsEcho + "early") // what is said with the request is the new protocol's... and not taken: it is ahead
+	if resp := c.readResponse(); resp.StatusCode != http.StatusBadRequest {
 		t.Errorf("bytes ahead of the answer: %d", resp.StatusCode)
 	}
 	c.Close()
 
-	c, in = x.dial(wantsEcho)
-	resp := answer(t, in)
+	c = x.dial(wantsEcho)
+	resp := c.readResponse()
 	if resp.StatusCode != http.StatusSwitchingProtocols || resp.Header.Get("Upgrade") != "echo" || resp.Header.Get("X-Node") != "1" {
 		t.Fatalf("got %d, %v", resp.StatusCode, resp.Header)
 	}
-	echoes(t, c, in, "one")
+	c.wantEcho("one")
 	big := strings.Repeat("0123456789abcdef", 8<<10)
-	go io.WriteString(c, big)
+	go c.send(big)
 	got := make([]byte, len(big))
-	if _, err := io.ReadFull(in, got); err != nil || string(got) != big {
+	if _, err := io.ReadFull(c.reader, got); err != nil || string(got) != big {
 		t.Fatalf("%d bytes came back another, %v", len(big), err)
 	}
-	c.CloseWrite() // half of it ends, and the rest is still heard
-	ended(t, in)
+	if err := c.CloseWrite(); err != nil {
+		t.Fatal(err)
+	}
+	// Half of it has ended, and the rest is still heard.
+	c.wantEnd()
 
-	c, in = x.dial(wantsEcho) // kept alive beyond its idle limit, then left alone
-	answer(t, in)
+	c = x.dial(wantsEcho) // kept alive beyond its idle limit, then left alone
+	c.readResponse()
 	for range 5 {
 		time.Sleep(100 * time.Millisecond) // the idle limit is what is tried
-		echoes(t, c, in, "still here")
+		c.wantEcho("still here")
 	}
 	last := time.Now()
-	ended(t, in)
+	c.wantEnd()
 	if idle := time.Since(last); idle < 200*time.Millisecond {
 		t.Errorf("ended %v after the last word", idle)
 	}
@@ -89,16 +72,16 @@
 		n := scripted.Start(t, echo)
 		x := sockets(t, ", tunnels: "+caps, ", upgrades: [echo]", n)
 		for range 2 {
-			c, in := x.dial(wantsEcho)
-			answer(t, in)
-			echoes(t, c, in, "x")
+			c := x.dial(wantsEcho)
+			c.readResponse()
+			c.wantEcho("x")
 		}
-		_, in := x.dial(wantsEcho)
-		if resp := answer(t, in); resp.StatusCode != http.StatusServiceUnavailable || resp.Header.Get("Retry-After") == "" {
+		c := x.dial(wantsEcho)
+		if resp := c.readResponse(); resp.StatusCode != http.StatusServiceUnavailable || resp.Header.Get("Retry-After") == "" {
 			t.Errorf("%s: a third tunnel: %d, Retry-After %q", caps, resp.StatusCode, resp.Header.Get("Retry-After"))
 		}
-		_, in = x.dial("GET /a HTTP/1.1\r\nHost: x\r\n\r\n")
-		if resp := answer(t, in); resp.StatusCode != http.StatusOK {
+		c = x.dial("GET /a HTTP/1.1\r\nHost: x\r\n\r\n")
+		if resp := c.readResponse(); resp.StatusCode != http.StatusOK {
 			t.Errorf("%s: an ordinary request beside them: %d", caps, resp.StatusCode)
 		}
 	}
@@ -108,11 +91,11 @@
 func TestTunnelGoesToAnotherNode(t *testing.T) {
 	x := sockets(t, ", tunnels: {per_node: 1}", ", upgrades: [echo]", scripted.Start(t, echo), scripted.Start(t, echo))
 	for i := range 2 {
-		c, in := x.dial(wantsEcho)
-		if resp := answer(t, in); resp.StatusCode != http.StatusSwitchingProtocols {
+		c := x.dial(wantsEcho)
+		if resp := c.readResponse(); resp.StatusCode != http.StatusSwitchingProtocols {
 			t.Fatalf("tunnel %d: %d", i, resp.StatusCode)
 		}
-		echoes(t, c, in, "x")
+		c.wantEcho("x")
 	}
 }
 
@@ -131,13 +114,13 @@
 		t.Run(name, func(t *testing.T) {
 			n := scripted.Start(t, echo)
 			x := sockets(t, ", tunnels: {grace: 300ms}", ", upgrades: [echo]", n)
-			c, in := x.dial(wantsEcho)
-			answer(t, in)
-			echoes(t, c, in, "before")
+			c := x.dial(wantsEcho)
+			c.readResponse()
+			c.wantEcho("before")
 			began := time.Now()
 			end(x, n)
-			echoes(t, c, in, "in its grace")
-			ended(t, in)
+			c.wantEcho("in its grace")
+			c.wantEnd()
 			if took := time.Since(began); took > 5*time.Second { // less than the longest deadline, after which a stop gives up
 				t.Errorf("it ended after %v", took)
 			}
@@ -150,18 +133,18 @@
 func TestNoTunnel(t *testing.T) {
 	n := scripted.Start(t, echo)
 	x := sockets(t, "", "", n)
-	_, in := x.dial(wantsEcho)
-	if resp := answer(t, in); resp.StatusCode != http.StatusOK {
+	c := x.dial(wantsEcho)
+	if resp := c.readResponse(); resp.StatusCode != http.StatusOK {
 		t.Errorf("no route lets it through: %d", resp.StatusCode)
 	}
 	unasked := scripted.Start(t, func(c net.Conn, r *http.Request) bool {
-		io.WriteString(c, "HTTP/1.1 101 Switching Protocols\r\nConnection: Upgrade\r\nUpgrade: other\r\n\r\n")
+		fmt.Fprint(c, "HTTP/1.1 101 Switching Protocols\r\nConnection: Upgrade\r\nUpgrade: other\r\n\r\n")
 		return false
 	})
 	x = sockets(t, "", ", upgrades: [echo]", unasked)
 	for _, text := range []string{wantsEcho, "GET /a HTTP/1.1\r\nHost: x\r\n\r\n"} {
-		_, in = x.dial(text)
-		if resp := answer(t, in); resp.StatusCode < 500 {
+		c = x.dial(text)
+		if resp := c.readResponse(); resp.StatusCode < 500 {
 			t.Errorf("another protocol than was asked for: %d", resp.StatusCode)
 		}
 	}
