--- a/internal/service/admin_test.go
+++ b/internal/service/admin_test.go
@@ -22,7 +22,10 @@
 	write(t, j, folder, "a.yaml", all[0].Entry("up"))
 	write(t, j, folder, "b.yaml", all[0].Entry("up"))
 	x := begin(t, j, folder, twoPools)
-	x.until("shares are told", func(live.View) bool { p := x.pool("a"); return len(p.Nodes) == 1 && p.Nodes[0].Part == 0.5 })
+	x.until(
+		"shares are told",
+		func(live.View) bool { p := x.pool("a"); return len(p.Nodes) == 1 && p.Nodes[0].Part == 0.5 },
+	)
 	resp, err := http.Get("http://" + x.AdminAddress().String() + "/v1/live")
 	if err != nil {
 		t.Fatal(err)
@@ -43,8 +46,44 @@
 	}
 }
 
-// TestMetricsAndParts: counters by service are told without asking any pool, one that nobody asked has no series; a part of the live view has what was
-// asked for and names what there is not.
+// getAdmin asks the admin listener.
+func (x *site) getAdmin(path string) (status int, text string) {
+	x.t.Helper()
+	resp, err := http.Get("http://" + x.AdminAddress().String() + path)
+	if err != nil {
+		x.t.Fatal(err)
+	}
+	defer resp.Body.Close()
+	body, err := io.ReadAll(resp.Body)
+	if err != nil {
+		x.t.Fatal(err)
+	}
+	return resp.StatusCode, string(body)
+}
+
+// livePart asks the admin listener for a part of the live view.
+func (x *site) livePart(query string) (v live.View) {
+	x.t.Helper()
+	status, text := x.getAdmin("/v1/live?" + query)
+	if err := json.Unmarshal([]byte(text), &v); err != nil || status != http.StatusOK {
+		x.t.Fatalf("%s: %d, %v\n%s", query, status, err, text)
+	}
+	return v
+}
+
+// metricsWith returns the metrics once they have a line, or as they are after 5 s: gauges are up to a second old.
+func (x *site) metricsWith(line string) string {
+	x.t.Helper()
+	for end := time.Now().Add(5 * time.Second); ; time.Sleep(10 * time.Millisecond) {
+		_, text := x.getAdmin("/metrics")
+		if strings.Contains(text, line) || time.Now().After(end) {
+			return text
+		}
+	}
+}
+
+// TestMetricsAndParts: counters by service are told without asking any pool, one that nobody asked has no series; a
+// part of the live view has what was asked for and names what there is not.
 func TestMetricsAndParts(t *testing.T) {
 	j, folder := fleet.NewJudge(time.Second), t.TempDir()
 	all := nodes(t, j, 2, fleet.Spec{})
@@ -55,28 +94,10 @@
 		p := x.pool("a")
 		return len(p.Nodes) == 2 && p.Nodes[0].Phase == "up" && len(x.pool("b").Nodes) == 1
 	})
-	get := func(path string) (int, string) {
-		t.Helper()
-		resp, err := http.Get("http://" + x.AdminAddress().String() + path)
-		if err != nil {
-			t.Fatal(err)
-		}
-		defer resp.Body.Close()
-		text, err := io.ReadAll(resp.Body)
-		if err != nil {
-			t.Fatal(err)
-		}
-		return resp.StatusCode, string(text)
-	}
-	if status := x.clients("a.example.org", "/", "x", fleet.Unsafe, 1).Ask("1"); status != 200 {
+	if status := x.clients("a.example.org", "x", fleet.Unsafe, 1).Ask("1"); status != 200 {
 		t.Fatal(status)
 	}
-	var text string
-	for end := time.Now().Add(5 * time.Second); !strings.Contains(text, `olivearch_pools{state="made"} 1`); time.Sleep(10 * time.Millisecond) { // levels are up to a second old
-		if _, text = get("/metrics"); time.Now().After(end) {
-			break
-		}
-	}
+	text := x.metricsWith(`olivearch_pools{state="made"} 1`)
 	for _, want := range []string{
 		`olivearch_requests_total{pool="a",result="served"} 1`, `olivearch_pool_nodes{pool="a",phase="up"} 1`, `olivearch_pool_nodes{pool="a",phase="draining"} 1`,
 		`olivearch_nodes{phase="up"} 2`, `olivearch_pools_never_asked 1`, `olivearch_pools{state="made"} 1`, `olivearch_pools{state="unmade"} 1`, `olivearch_listener_connections_limit{`,
@@ -88,37 +109,41 @@
 	if strings.Contains(text, `pool="b"`) {
 		t.Error("pool b, which nobody has asked, has series of its own")
 	}
-	part := func(query string) (v live.View) {
-		t.Helper()
-		status, text := get("/v1/live?" + query)
-		if err := json.Unmarshal([]byte(text), &v); err != nil || status != http.StatusOK {
-			t.Fatalf("%s: %d, %v\n%s", query, status, err, text)
-		}
-		return v
-	}
-	if v := part("pool=b&pool=a"); len(v.Pools) != 2 || v.Pools[0].Name != "b" || len(v.Pools[1].Nodes) != 2 {
+	if v := x.livePart("pool=b&pool=a"); len(v.Pools) != 2 || v.Pools[0].Name != "b" || len(v.Pools[1].Nodes) != 2 {
 		t.Errorf("%+v", v.Pools)
 	}
-	if v := part("pool=a&nodes=none"); len(v.Pools) != 1 || len(v.Pools[0].Nodes) != 0 || v.Pools[0].Served != 1 || len(v.Listeners) != 1 {
+	if v := x.livePart(
+		"pool=a&nodes=none",
+	); len(v.Pools) != 1 || len(v.Pools[0].Nodes) != 0 || v.Pools[0].Served != 1 ||
+		len(v.Listeners) != 1 {
 		t.Errorf("%+v", v)
 	}
-	if v := part("nodes=used"); len(v.Pools[0].Nodes) != 2 || len(v.Pools[1].Nodes) != 0 { // nothing of b is used
+	if v := x.livePart("nodes=used"); len(v.Pools[0].Nodes) != 2 || len(v.Pools[1].Nodes) != 0 { // nothing of b is used
 		t.Errorf("%+v", v.Pools)
 	}
-	if status, text := get("/v1/live?pool=c"); status != http.StatusNotFound || !strings.Contains(text, `no pool "c"`) {
+	if status, text := x.getAdmin(
+		"/v1/live?pool=c",
+	); status != http.StatusNotFound ||
+		!strings.Contains(text, `no pool "c"`) {
 		t.Errorf("%d, %s", status, text)
 	}
-	if status, text := get("/v1/live?nodes=some"); status != http.StatusBadRequest || !strings.Contains(text, "used") {
+	if status, text := x.getAdmin(
+		"/v1/live?nodes=some",
+	); status != http.StatusBadRequest ||
+		!strings.Contains(text, "used") {
 		t.Errorf("%d, %s", status, text)
 	}
 	x.apply(strings.Replace(twoPools, "queue: 100}\n  b", "queue: 101}\n  b", 1))
-	if _, text := get("/metrics"); !strings.Contains(text, `olivearch_requests_total{pool="a",result="served"} 1`) || !strings.Contains(text, "olivearch_reloads_total 1") {
+	if _, text := x.getAdmin(
+		"/metrics",
+	); !strings.Contains(text, `olivearch_requests_total{pool="a",result="served"} 1`) ||
+		!strings.Contains(text, "olivearch_reloads_total 1") {
 		t.Errorf("a reload begins counters anew:\n%s", text)
 	}
 }
 
-// TestWhoReports: the live view and its table tell which node reports its load, which one is estimated, and what is wrong with
-// reports that can't be read.
+// TestWhoReports: the live view and its table tell which node reports its load, which one is estimated, and what is
+// wrong with reports that can't be read.
 func TestWhoReports(t *testing.T) {
 	j, folder := fleet.NewJudge(time.Second), t.TempDir()
 	var entries []endpointlist.Node
@@ -135,7 +160,7 @@
 	x := begin(t, j, folder, twoPools)
 	ctx, cancel := context.WithCancel(t.Context())
 	var wg sync.WaitGroup
-	wg.Go(func() { x.clients("a.example.org", "/", "a", fleet.Unsafe, 400).Run(ctx) })
+	wg.Go(func() { x.clients("a.example.org", "a", fleet.Unsafe, 400).Run(ctx) })
 	x.until("each node's load is told", func(v live.View) bool {
 		loads := map[string]string{}
 		for _, n := range x.pool("a").Nodes {
--- a/internal/service/apply_test.go
+++ b/internal/service/apply_test.go
@@ -10,12 +10,14 @@
 	"olivearch/internal/config"
 )
 
-// BenchmarkApply moves a service of the planned size to a configuration in which one thing differs, and back.
-func BenchmarkApply(b *testing.B) {
+// plannedSizeConfig returns a configuration of the planned size, and writes the lists that it names.
+func plannedSizeConfig(b *testing.B, folder string) string {
+	b.Helper()
 	const pools, routes, tenants = 490, 15000, 140000
-	folder := b.TempDir()
 	var t strings.Builder
-	t.WriteString("# head\nlisteners: [{address: '127.0.0.1:0', connections: 1500}]\nlimits: {memory: 1GiB, descriptors: 6000, bodies: 16MiB}\nclasses: {c: {aim: 250ms, deadline: 1s}}\ntenants:\n")
+	t.WriteString(
+		"# head\nlisteners: [{address: '127.0.0.1:0', connections: 1500}]\nlimits: {memory: 1GiB, descriptors: 6000, bodies: 16MiB}\nclasses: {c: {aim: 250ms, deadline: 1s}}\ntenants:\n",
+	)
 	for i := range tenants {
 		fmt.Fprintf(&t, "  t%06d: {quota: 5}\n", i)
 	}
@@ -32,9 +34,22 @@
 	}
 	t.WriteString("routes:\n")
 	for i := range routes {
-		fmt.Fprintf(&t, "  - {name: r%05d, hosts: [s%03d.example.org], path: {prefix: /r%05d}, class: c, pool: p%03d}\n", i, i%pools, i, i%pools)
+		fmt.Fprintf(
+			&t,
+			"  - {name: r%05d, hosts: [s%03d.example.org], path: {prefix: /r%05d}, class: c, pool: p%03d}\n",
+			i,
+			i%pools,
+			i,
+			i%pools,
+		)
 	}
-	path, text := filepath.Join(folder, "c.yaml"), t.String()
+	return t.String()
+}
+
+// BenchmarkApply moves a service of the planned size to a configuration in which one thing differs, and back.
+func BenchmarkApply(b *testing.B) {
+	folder := b.TempDir()
+	path, text := filepath.Join(folder, "c.yaml"), plannedSizeConfig(b, folder)
 	put := func(text string) {
 		if err := os.WriteFile(path, []byte(text), 0o600); err != nil {
 			b.Fatal(err)
--- a/internal/service/client_conn_test.go
+++ b/internal/service/client_conn_test.go
@@ -44,7 +44,6 @@
 	*net.TCPConn
 	t      *testing.T
 	reader *bufio.Reader
-	bodies []io.Closer // of the responses that were read
 }
 
 // response is a response whose body is closed with its connection.
@@ -58,7 +57,7 @@
 		x.t.Fatal(err)
 	}
 	c := &clientConn{TCPConn: opened.(*net.TCPConn), t: x.t, reader: bufio.NewReader(opened)}
-	x.t.Cleanup(c.closeAll)
+	x.t.Cleanup(func() { c.Close() })
 	if err := c.SetDeadline(time.Now().Add(20 * time.Second)); err != nil {
 		x.t.Fatal(err)
 	}
@@ -68,14 +67,6 @@
 	return c
 }
 
-// closeAll closes the connection before the bodies: closing a body reads what is left of it.
-func (c *clientConn) closeAll() {
-	c.Close()
-	for _, body := range c.bodies {
-		body.Close()
-	}
-}
-
 func (c *clientConn) send(text string) {
 	c.t.Helper()
 	if _, err := io.WriteString(c.TCPConn, text); err != nil {
@@ -90,7 +81,10 @@
 	if err != nil {
 		c.t.Fatal(err)
 	}
-	c.bodies = append(c.bodies, resp.Body)
+	c.t.Cleanup(func() {
+		c.Close() // first, since closing a body reads what is left of it
+		resp.Body.Close()
+	})
 	return response{resp}
 }
 
--- a/internal/service/differential_test.go
+++ b/internal/service/differential_test.go
@@ -19,7 +19,11 @@
 	"olivearch/internal/standin/fleet"
 )
 
-var exchanges = flag.Int("exchanges", 4000, "how many random exchanges the differential run has; 100,000 before a landing that changes the data path")
+var exchanges = flag.Int(
+	"exchanges",
+	4000,
+	"how many random exchanges the differential run has; 100,000 before a landing that changes the data path",
+)
 
 // exchange is a random request with the answer that it is to get.
 type exchange struct {
@@ -58,8 +62,14 @@
 		return b
 	}
 	x := &exchange{
-		method: []string{"GET", "HEAD", "POST", "PUT", "DELETE"}[r.IntN(5)], status: []int{200, 200, 200, 201, 204, 304, 404}[r.IntN(7)],
-		answer: fill(size()), framing: []string{"length", "chunked", "close"}[r.IntN(3)], pieces: 1 + r.IntN(4), cut: r.IntN(200) == 0,
+		method: []string{"GET", "HEAD", "POST", "PUT", "DELETE"}[r.IntN(5)],
+		status: []int{200, 200, 200, 201, 204, 304, 404}[r.IntN(7)],
+		answer: fill(
+			size(),
+		),
+		framing: []string{"length", "chunked", "close"}[r.IntN(3)],
+		pieces:  1 + r.IntN(4),
+		cut:     r.IntN(200) == 0,
 	}
 	if x.method == "POST" || x.method == "PUT" {
 		x.body, x.chunked = fill(size()), r.IntN(2) == 0
@@ -81,8 +91,11 @@
 func (x *exchange) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	x.seen.Add(1)
 	body, err := io.ReadAll(r.Body)
-	if err != nil || r.Method != x.method || !bytes.Equal(body, x.body) || (x.trailer != "" && r.Trailer.Get("X-T") != x.trailer) {
-		x.wrong.Store(fmt.Sprintf("the node got %s with %d of %d bytes, trailer %v, %v", r.Method, len(body), len(x.body), r.Trailer, err))
+	if err != nil || r.Method != x.method || !bytes.Equal(body, x.body) ||
+		(x.trailer != "" && r.Trailer.Get("X-T") != x.trailer) {
+		x.wrong.Store(
+			fmt.Sprintf("the node got %s with %d of %d bytes, trailer %v, %v", r.Method, len(body), len(x.body), r.Trailer, err),
+		)
 	}
 	h := w.Header()
 	h.Set("X-Sum", fmt.Sprintf("%x", sha256.Sum256(x.answer)))
@@ -120,8 +133,8 @@
 	}
 }
 
-// Go's own client and server, at both ends, see the same bytes as without the balancer between them, or an answer that looks cut
-// where the node cut it, and no request runs twice.
+// Go's own client and server, at both ends, see the same bytes as without the balancer between them, or an answer
+// that looks cut where the node cut it, and no request runs twice.
 func TestDifferential(t *testing.T) {
 	var all sync.Map
 	node := httptest.NewUnstartedServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
@@ -139,7 +152,10 @@
 pools: {p: {nodes: {static: [{id: n0, address: '%s'}]}}}
 routes: [{name: all, class: u, pool: p}]
 `, node.Listener.Addr()))
-	client := &http.Client{Timeout: 20 * time.Second, Transport: &http.Transport{MaxIdleConnsPerHost: 16, DisableCompression: true}}
+	client := &http.Client{
+		Timeout:   20 * time.Second,
+		Transport: &http.Transport{MaxIdleConnsPerHost: 16, DisableCompression: true},
+	}
 	defer client.CloseIdleConnections()
 	var wg sync.WaitGroup
 	for worker := range 8 {
@@ -150,8 +166,18 @@
 				path := fmt.Sprintf("/%d/%d", worker, i)
 				all.Store(path, e)
 				if err := e.play(client, x.url+path); err != nil {
-					t.Errorf("exchange %s: %s of %d bytes (chunked %v), %d with %d bytes by %s, cut %v: %v", path, e.method, len(e.body), e.chunked,
-						e.status, len(e.answer), e.framing, e.cut, err)
+					t.Errorf(
+						"exchange %s: %s of %d bytes (chunked %v), %d with %d bytes by %s, cut %v: %v",
+						path,
+						e.method,
+						len(e.body),
+						e.chunked,
+						e.status,
+						len(e.answer),
+						e.framing,
+						e.cut,
+						err,
+					)
 				}
 				all.Delete(path)
 			}
@@ -160,11 +186,11 @@
 	wg.Wait()
 }
 
-// play asks, and tells what is not as it should be.
-func (x *exchange) play(client *http.Client, url string) error {
+// request makes the request of an exchange.
+func (x *exchange) request(url string) (*http.Request, error) {
 	r, err := http.NewRequestWithContext(context.Background(), x.method, url, nil)
 	if err != nil {
-		return err
+		return nil, err
 	}
 	if x.method == "POST" || x.method == "PUT" {
 		r.Body, r.ContentLength = io.NopCloser(bytes.NewReader(x.body)), int64(len(x.body))
@@ -178,6 +204,15 @@
 			r.Trailer = http.Header{"X-T": {x.trailer}}
 		}
 	}
+	return r, nil
+}
+
+// play sends the request, and tells what is not as it should be.
+func (x *exchange) play(client *http.Client, url string) error {
+	r, err := x.request(url)
+	if err != nil {
+		return err
+	}
 	resp, err := client.Do(r)
 	for tries := 0; err == nil && resp.StatusCode == http.StatusServiceUnavailable && x.seen.Load() == 0 && tries < 500; tries++ {
 		resp.Body.Close() // refused: it never ran, and another try is harmless
--- a/internal/service/endpoint_lists_test.go
+++ b/internal/service/endpoint_lists_test.go
@@ -13,8 +13,8 @@
 	"olivearch/internal/live"
 )
 
-// fleetOfLists writes so many lists, the longest of 2,000 nodes and the shortest of 2, and returns the pools that follow
-// them, as text of a configuration.
+// fleetOfLists writes so many lists, the longest of 2,000 nodes and the shortest of 2, and returns the pools that
+// follow them, as text of a configuration.
 func fleetOfLists(t *testing.T, folder string, pools int) (text string, sizes []int) {
 	t.Helper()
 	var b strings.Builder
@@ -38,7 +38,16 @@
 		if i == drains {
 			phase = "draining"
 		}
-		fmt.Fprintf(&b, "- {id: n%d, address: '127.%d.%d.%d:%d', phase: %s}\n", i, 1+list/200, list%200, 1+i%200, 8000+i/200, phase)
+		fmt.Fprintf(
+			&b,
+			"- {id: n%d, address: '127.%d.%d.%d:%d', phase: %s}\n",
+			i,
+			1+list/200,
+			list%200,
+			1+i%200,
+			8000+i/200,
+			phase,
+		)
 	}
 	return b.String()
 }
@@ -72,8 +81,25 @@
 	return n
 }
 
-// TestManyLists starts 490 pools, each with a list of its own, which are more than there are inotify instances, and drains a
-// node in a short list and in the longest: each is in force within a second. The times are shown.
+// awaitPhases waits up to 20 s until a pool has so many nodes by phase.
+func (x *site) awaitPhases(pool string, want map[string]int) {
+	x.t.Helper()
+	for end := time.Now().Add(20 * time.Second); ; time.Sleep(time.Millisecond) {
+		phases := map[string]int{}
+		for _, n := range x.state.Load().pools[pool].View().Nodes {
+			phases[n.Phase]++
+		}
+		if phases["up"] == want["up"] && phases["draining"] == want["draining"] {
+			return
+		}
+		if time.Now().After(end) {
+			x.t.Fatalf("pool %s: %v, want %v", pool, phases, want)
+		}
+	}
+}
+
+// TestManyLists starts 490 pools, each with a list of its own, which are more than there are inotify instances, and
+// drains a node in a short list and in the longest: each is in force within a second. The times are shown.
 func TestManyLists(t *testing.T) {
 	folder := t.TempDir()
 	text, sizes := fleetOfLists(t, folder, 490)
@@ -92,20 +118,9 @@
 			short = i
 		}
 	}
-	phases := func(list int) map[string]int {
-		phases := map[string]int{}
-		for _, n := range s.state.Load().pools[fmt.Sprintf("p%03d", list)].View().Nodes {
-			phases[n.Phase]++
-		}
-		return phases
-	}
 	await := func(list, draining int) {
 		t.Helper()
-		for end := time.Now().Add(20 * time.Second); phases(list)["draining"] != draining || phases(list)["up"] != sizes[list]-draining; time.Sleep(time.Millisecond) {
-			if time.Now().After(end) {
-				t.Fatalf("list %d: %v, want %d draining", list, phases(list), draining)
-			}
-		}
+		x.awaitPhases(fmt.Sprintf("p%03d", list), map[string]int{"up": sizes[list] - draining, "draining": draining})
 	}
 	for i := range sizes {
 		await(i, 0)
@@ -133,7 +148,8 @@
 	}
 }
 
-// TestErrorsOfManyLists: lists are read on many goroutines, and all that is wrong is told in the order of the pools' names.
+// TestErrorsOfManyLists: lists are read on many goroutines, and all that is wrong is told in the order of the pools'
+// names.
 func TestErrorsOfManyLists(t *testing.T) {
 	folder := t.TempDir()
 	text, _ := fleetOfLists(t, folder, 40)
@@ -150,8 +166,10 @@
 				t.Fatal("taken")
 			}
 			lines := strings.Split(err.Error(), "\n")
-			if len(lines) != 4 || !strings.HasPrefix(lines[0], "pool p002: nodes: ") || !strings.Contains(lines[1], "p007.yaml:2:13:") ||
-				!strings.HasPrefix(lines[2], "pool p019: nodes: ") || !strings.HasPrefix(lines[3], "pool p031: nodes: ") {
+			if len(lines) != 4 || !strings.HasPrefix(lines[0], "pool p002: nodes: ") ||
+				!strings.Contains(lines[1], "p007.yaml:2:13:") ||
+				!strings.HasPrefix(lines[2], "pool p019: nodes: ") ||
+				!strings.HasPrefix(lines[3], "pool p031: nodes: ") {
 				t.Fatalf("%q", lines)
 			}
 		}
@@ -163,7 +181,12 @@
 	folder := t.TempDir()
 	writeText(t, filepath.Join(folder, "a.yaml"), listText(0, 2, -1))
 	x := &site{t: t, folder: folder}
-	s, err := Start(x.parse("classes: {c: {aim: 250ms, deadline: 1s}}\npools: {a: {nodes: {file: a.yaml, hold: 10s}, connections: 4, queue: 4}}\nroutes: [{name: r, hosts: [a.example.org], class: c, pool: a}]\n"), "test")
+	s, err := Start(
+		x.parse(
+			"classes: {c: {aim: 250ms, deadline: 1s}}\npools: {a: {nodes: {file: a.yaml, hold: 10s}, connections: 4, queue: 4}}\nroutes: [{name: r, hosts: [a.example.org], class: c, pool: a}]\n",
+		),
+		"test",
+	)
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/service/endpoint_sources_test.go
+++ b/internal/service/endpoint_sources_test.go
@@ -21,8 +21,13 @@
 	all := nodes(t, j, 2, fleet.Spec{})
 	write(t, j, folder, "a.yaml", all[0].Entry("up"))
 	write(t, j, folder, "b.yaml", all[1].Entry("up"))
-	x := begin(t, j, folder, strings.Replace(twoPools, "a: {nodes: {file: a.yaml}", "a: {nodes: {file: a.yaml, hold: 500ms}", 1))
-	ask := func(host, id string) int { return x.clients(host, "/", "x", fleet.Unsafe, 1).Ask(id) }
+	x := begin(
+		t,
+		j,
+		folder,
+		strings.Replace(twoPools, "a: {nodes: {file: a.yaml}", "a: {nodes: {file: a.yaml, hold: 500ms}", 1),
+	)
+	ask := func(host, id string) int { return x.clients(host, "x", fleet.Unsafe, 1).Ask(id) }
 	if err := os.WriteFile(filepath.Join(folder, "a.yaml"), []byte("nodes: [{addr"), 0o600); err != nil {
 		t.Fatal(err)
 	}
@@ -59,7 +64,11 @@
 			}
 			return
 		}
-		fmt.Fprintf(w, `{"revision":7,"complete":true,"members":[{"id":"d0","host_port":"%s","phase":"up","size":1}]}`, all[0].Address())
+		fmt.Fprintf(
+			w,
+			`{"revision":7,"complete":true,"members":[{"id":"d0","host_port":"%s","phase":"up","size":1}]}`,
+			all[0].Address(),
+		)
 	}))
 	t.Cleanup(func() { close(stop); discovery.Close() })
 	write(t, j, folder, "a.yaml", all[1].Entry("up"))
@@ -81,7 +90,7 @@
 			}
 			return up == want
 		})
-		if status := x.clients("a.example.org", "/", "x", fleet.Unsafe, 1).Ask(fmt.Sprint(i)); status != 200 {
+		if status := x.clients("a.example.org", "x", fleet.Unsafe, 1).Ask(fmt.Sprint(i)); status != 200 {
 			t.Errorf("by source %d: %d", i, status)
 		}
 	}
--- a/internal/service/harness_test.go
+++ b/internal/service/harness_test.go
@@ -41,7 +41,10 @@
 
 func (x *site) parse(text string) *config.Loaded {
 	x.t.Helper()
-	c, err := config.Parse(filepath.Join(x.folder, "c.yaml"), []byte("listeners: [{address: '127.0.0.1:0'}]\nadmin: {address: '127.0.0.1:0'}\n"+text))
+	c, err := config.Parse(
+		filepath.Join(x.folder, "c.yaml"),
+		[]byte("listeners: [{address: '127.0.0.1:0'}]\nadmin: {address: '127.0.0.1:0'}\n"+text),
+	)
 	if err != nil {
 		x.t.Fatal(err)
 	}
@@ -85,9 +88,9 @@
 	}
 }
 
-func (x *site) clients(host, path, prefix string, effect fleet.Effect, rate float64) *fleet.Clients {
+func (x *site) clients(host, prefix string, effect fleet.Effect, rate float64) *fleet.Clients {
 	return fleet.NewClients(fleet.Traffic{
-		URL: x.url + path, Host: host, Method: "POST", Body: "b", Effect: effect, Deadline: time.Second, Rate: rate,
+		URL: x.url + "/", Host: host, Method: "POST", Body: "b", Effect: effect, Deadline: time.Second, Rate: rate,
 		Seed: 5, Prefix: prefix,
 	}, x.judge)
 }
--- a/internal/service/pools_test.go
+++ b/internal/service/pools_test.go
@@ -13,24 +13,29 @@
 	"olivearch/internal/standin/fleet"
 )
 
-// TestStalledPoolHarmsNoOther: every node of pool a takes requests and answers none, and its aim is so long that the module
-// goes on holding what comes: without the queue bound pool a would hold all of the listener's connections. Pool b goes on
-// in time, and each request of a gets one final answer.
+// TestStalledPoolHarmsNoOther: every node of pool a takes requests and answers none, and its aim is so long that the
+// module goes on holding what comes: without the queue bound pool a would hold all of the listener's connections.
+// Pool b goes on in time, and each request of a gets one final answer.
 func TestStalledPoolHarmsNoOther(t *testing.T) {
 	const connections = 150
 	j, folder := fleet.NewJudge(time.Second), t.TempDir()
 	all := nodes(t, j, 4, fleet.Spec{Work: 5 * time.Millisecond})
 	write(t, j, folder, "a.yaml", all[0].Entry("up"), all[1].Entry("up"))
 	write(t, j, folder, "b.yaml", all[2].Entry("up"), all[3].Entry("up"))
-	x := begin(t, j, folder, "limits: {descriptors: 300}\n"+strings.NewReplacer("c: {aim: 250ms, deadline: 1s}", "c: {aim: 3s, deadline: 3s}",
-		"a.yaml}, queue: 100", "a.yaml}, queue: 80", "b.yaml}, queue: 100", "b.yaml}, queue: 60").Replace(twoPools))
+	x := begin(
+		t,
+		j,
+		folder,
+		"limits: {descriptors: 300}\n"+strings.NewReplacer("c: {aim: 250ms, deadline: 1s}", "c: {aim: 3s, deadline: 3s}",
+			"a.yaml}, queue: 100", "a.yaml}, queue: 80", "b.yaml}, queue: 100", "b.yaml}, queue: 60").Replace(twoPools),
+	)
 	all[0].Stall(true)
 	all[1].Stall(true)
 	a := fleet.NewClients(fleet.Traffic{
 		URL: x.url, Host: "a.example.org", Method: "POST", Effect: fleet.Unsafe, Deadline: 3 * time.Second, Rate: 300,
 		Seed: 5, Prefix: "a",
 	}, j)
-	b := x.clients("b.example.org", "/", "b", fleet.Safe, 100)
+	b := x.clients("b.example.org", "b", fleet.Safe, 100)
 	ctx, cancel := context.WithTimeout(t.Context(), 2500*time.Millisecond)
 	defer cancel()
 	var wg sync.WaitGroup
@@ -50,8 +55,18 @@
 	}
 }
 
-// TestDrains: a node drains in the list of a and not in that of b. By default no pool sends there; where b goes by its own
-// list, b does.
+// firstNodePhase is the phase of node n0 in a pool; "none" if it is not listed.
+func (x *site) firstNodePhase(pool string) string {
+	for _, n := range x.pool(pool).Nodes {
+		if n.ID == "n0" {
+			return n.Phase
+		}
+	}
+	return "none"
+}
+
+// TestDrains: a node drains in the list of a and not in that of b. By default no pool sends there; where b goes by
+// its own list, b does.
 func TestDrains(t *testing.T) {
 	for _, own := range []bool{false, true} {
 		j, folder := fleet.NewJudge(time.Second), t.TempDir()
@@ -63,31 +78,26 @@
 			text = strings.Replace(text, "b: {nodes: {file: b.yaml}", "b: {drains: own, nodes: {file: b.yaml}", 1)
 		}
 		x := begin(t, j, folder, text)
-		phase := func(pool, node string) string {
-			for _, n := range x.pool(pool).Nodes {
-				if n.ID == node {
-					return n.Phase
-				}
-			}
-			return "none"
-		}
-		x.until("both nodes are up", func(live.View) bool { return phase("a", "n0") == "up" && phase("b", "n0") == "up" })
+		x.until(
+			"both nodes are up",
+			func(live.View) bool { return x.firstNodePhase("a") == "up" && x.firstNodePhase("b") == "up" },
+		)
 		write(t, fleet.NewJudge(0), folder, "a.yaml", all[0].Entry(endpointlist.Draining), all[1].Entry("up"))
-		x.until("the drain in a", func(live.View) bool { return phase("a", "n0") == "draining" })
+		x.until("the drain in a", func(live.View) bool { return x.firstNodePhase("a") == "draining" })
 		if own {
-			x.until("b keeps the node", func(live.View) bool { return phase("b", "n0") == "up" })
+			x.until("b keeps the node", func(live.View) bool { return x.firstNodePhase("b") == "up" })
 		} else {
-			x.until("b has heard", func(live.View) bool { return phase("b", "n0") == "draining" })
+			x.until("b has heard", func(live.View) bool { return x.firstNodePhase("b") == "draining" })
 		}
 		before := all[0].Runs()
 		for i := range 20 {
-			x.clients("a.example.org", "/", "a", fleet.Unsafe, 1).Ask(fmt.Sprint("a", i))
+			x.clients("a.example.org", "a", fleet.Unsafe, 1).Ask(fmt.Sprint("a", i))
 		}
 		if got := all[0].Runs(); got != before {
 			t.Errorf("own %v: pool a sent %d to a node that drains", own, got-before)
 		}
 		for i := range 20 {
-			x.clients("b.example.org", "/", "b", fleet.Safe, 1).Ask(fmt.Sprint("b", i))
+			x.clients("b.example.org", "b", fleet.Safe, 1).Ask(fmt.Sprint("b", i))
 		}
 		if got := all[0].Runs() - before; (got > 0) != own {
 			t.Errorf("own %v: pool b sent %d to a node that drains by a's list", own, got)
@@ -96,18 +106,23 @@
 	}
 }
 
-// TestQueueBound: a pool that holds as many requests as it may turns the next one away at once, with when to come back in
-// whole seconds, and does not close the connection.
+// TestQueueBound: a pool that holds as many requests as it may turns the next one away at once, with when to come
+// back in whole seconds, and does not close the connection.
 func TestQueueBound(t *testing.T) {
 	j, folder := fleet.NewJudge(time.Second), t.TempDir()
 	all := nodes(t, j, 1, fleet.Spec{})
 	write(t, j, folder, "a.yaml", all[0].Entry("up"))
 	write(t, j, folder, "b.yaml", all[0].Entry("up"))
-	x := begin(t, j, folder, strings.Replace(twoPools, "a: {nodes: {file: a.yaml}, queue: 100}", "a: {nodes: {file: a.yaml}, queue: 2}", 1))
+	x := begin(
+		t,
+		j,
+		folder,
+		strings.Replace(twoPools, "a: {nodes: {file: a.yaml}, queue: 100}", "a: {nodes: {file: a.yaml}, queue: 2}", 1),
+	)
 	all[0].Stall(true)
 	var wg sync.WaitGroup
 	for i := range 2 {
-		wg.Go(func() { x.clients("a.example.org", "/", "x", fleet.Unsafe, 1).Ask(fmt.Sprint(i)) })
+		wg.Go(func() { x.clients("a.example.org", "x", fleet.Unsafe, 1).Ask(fmt.Sprint(i)) })
 	}
 	x.until("the pool is full", func(live.View) bool { return x.pool("a").Open == 2 })
 	resp := x.raw("POST / HTTP/1.1\r\nHost: a.example.org\r\nContent-Length: 0\r\n\r\n")
@@ -122,21 +137,34 @@
 	x.clean()
 }
 
-// TestAllConnectionsOfANodeServe: a pool uses all connections that a node gives it, also those that it may once need for late
-// answers; when some are needed for these, the others go on.
+// TestAllConnectionsOfANodeServe: a pool uses all connections that a node gives it, also those that it may once need
+// for late answers; when some are needed for these, the others go on.
 func TestAllConnectionsOfANodeServe(t *testing.T) {
 	const connections = 8
 	j, folder := fleet.NewJudge(time.Second), t.TempDir()
 	all := nodes(t, j, 2, fleet.Spec{Cores: 2 * connections, Queue: 50})
 	write(t, j, folder, "a.yaml", all[0].Entry("up"))
 	write(t, j, folder, "b.yaml", all[1].Entry("up"))
-	x := begin(t, j, folder, fmt.Sprintf("limits: {node_connections: %d}\n", connections)+strings.Replace(twoPools, "c: {aim: 250ms", "c: {aim: 1s", 1))
+	x := begin(
+		t,
+		j,
+		folder,
+		fmt.Sprintf(
+			"limits: {node_connections: %d}\n",
+			connections,
+		)+strings.Replace(
+			twoPools,
+			"c: {aim: 250ms",
+			"c: {aim: 1s",
+			1,
+		),
+	)
 	ask := func(n int, prefix string) (served int) {
 		var mu sync.Mutex
 		var wg sync.WaitGroup
 		for i := range n {
 			wg.Go(func() {
-				if x.clients("a.example.org", "/", "x", fleet.Unsafe, 1).Ask(fmt.Sprint(prefix, i)) == 200 {
+				if x.clients("a.example.org", "x", fleet.Unsafe, 1).Ask(fmt.Sprint(prefix, i)) == 200 {
 					mu.Lock()
 					served++
 					mu.Unlock()
--- a/internal/service/reload_test.go
+++ b/internal/service/reload_test.go
@@ -19,17 +19,18 @@
 	"olivearch/internal/standin/fleet"
 )
 
-// TestReloadsUnderLoad reloads ten times a second: the route of b moves to and fro between pools, the pool "extra" comes and
-// goes, and pool a does not change: it keeps its windows. No request is lost, none runs twice.
+// TestReloadsUnderLoad reloads ten times a second: the route of b moves to and fro between pools, the pool "extra"
+// comes and goes, and pool a does not change: it keeps its windows. No request is lost, none runs twice.
 func TestReloadsUnderLoad(t *testing.T) {
 	j, folder := fleet.NewJudge(time.Second), t.TempDir()
 	all := nodes(t, j, 3, fleet.Spec{Work: 5 * time.Millisecond})
 	for _, name := range []string{"a.yaml", "b.yaml"} {
 		write(t, j, folder, name, all[0].Entry("up"), all[1].Entry("up"), all[2].Entry("up"))
 	}
-	moved := strings.NewReplacer("class: r, pool: b", "class: r, pool: extra", "routes:", "  extra: {nodes: {file: b.yaml}, queue: 50}\nroutes:").Replace(twoPools)
+	moved := strings.NewReplacer("class: r, pool: b", "class: r, pool: extra", "routes:", "  extra: {nodes: {file: b.yaml}, queue: 50}\nroutes:").
+		Replace(twoPools)
 	x := begin(t, j, folder, twoPools)
-	a, b := x.clients("a.example.org", "/", "a", fleet.Unsafe, 100), x.clients("b.example.org", "/", "b", fleet.Safe, 100)
+	a, b := x.clients("a.example.org", "a", fleet.Unsafe, 100), x.clients("b.example.org", "b", fleet.Safe, 100)
 	ctx, cancel := context.WithTimeout(t.Context(), 3*time.Second)
 	defer cancel()
 	var wg sync.WaitGroup
@@ -55,14 +56,23 @@
 	wg.Wait()
 	s := x.clean()
 	if s.Failed > 0 || s.Served < s.Asked*9/10 || reloads < 15 || readings < 10 {
-		t.Errorf("%d of %d served, %d failed, %d refused, in %d reloads; %d readings", s.Served, s.Asked, s.Failed, s.Refused, reloads, readings)
+		t.Errorf(
+			"%d of %d served, %d failed, %d refused, in %d reloads; %d readings",
+			s.Served,
+			s.Asked,
+			s.Failed,
+			s.Refused,
+			reloads,
+			readings,
+		)
 	}
 	if got := x.View().Reloads; got != reloads {
 		t.Errorf("%d reloads shown, %d made", got, reloads)
 	}
 }
 
-// TestRemovedPoolAnswersWhatItHolds: a reload moves the route away and removes the pool while a request waits at a node.
+// TestRemovedPoolAnswersWhatItHolds: a reload moves the route away and removes the pool while a request waits at a
+// node.
 func TestRemovedPoolAnswersWhatItHolds(t *testing.T) {
 	j, folder := fleet.NewJudge(time.Second), t.TempDir()
 	all := nodes(t, j, 2, fleet.Spec{})
@@ -71,7 +81,7 @@
 	x := begin(t, j, folder, twoPools)
 	all[0].Stall(true)
 	answered := make(chan int)
-	go func() { answered <- x.clients("a.example.org", "/", "x", fleet.Unsafe, 1).Ask("held") }()
+	go func() { answered <- x.clients("a.example.org", "x", fleet.Unsafe, 1).Ask("held") }()
 	x.until("the request is at the node", func(live.View) bool {
 		for _, n := range x.pool("a").Nodes {
 			if n.Out == 1 {
@@ -85,7 +95,7 @@
 pools: {b: {nodes: {file: b.yaml}, queue: 100}}
 routes: [{name: a, hosts: [a.example.org], class: c, pool: b}]
 `)
-	if status := x.clients("a.example.org", "/", "x", fleet.Unsafe, 1).Ask("next"); status != 200 || all[1].Runs() != 1 {
+	if status := x.clients("a.example.org", "x", fleet.Unsafe, 1).Ask("next"); status != 200 || all[1].Runs() != 1 {
 		t.Errorf("after the move: %d, %d runs at the new pool's node", status, all[1].Runs())
 	}
 	all[0].Stall(false)
@@ -127,14 +137,14 @@
 	if v := x.View(); v.Reloads != 0 || len(v.Pools) != 2 || len(v.Listeners) != 1 {
 		t.Errorf("%+v", v)
 	}
-	if status := x.clients("b.example.org", "/", "x", fleet.Safe, 1).Ask("1"); status != 200 || x.pool("b").Served != 1 {
+	if status := x.clients("b.example.org", "x", fleet.Safe, 1).Ask("1"); status != 200 || x.pool("b").Served != 1 {
 		t.Errorf("%d, %+v", status, x.pool("b"))
 	}
 	x.clean()
 }
 
-// TestFailedListsChangeNothing: a reload that moves a pool, adds another whose list can't be read, drops a route and changes a quota is
-// refused as a whole: routes, lists, listeners and settings are those that held.
+// TestFailedListsChangeNothing: a reload that moves a pool, adds another whose list can't be read, drops a route and
+// changes a quota is refused as a whole: routes, lists, listeners and settings are those that held.
 func TestFailedListsChangeNothing(t *testing.T) {
 	j, folder := fleet.NewJudge(time.Second), t.TempDir()
 	all := nodes(t, j, 2, fleet.Spec{Work: time.Millisecond})
@@ -142,11 +152,18 @@
 	write(t, j, folder, "b.yaml", all[1].Entry("up"))
 	x := begin(t, j, folder, twoPools+"tenants: {t: {quota: 5}}\n")
 	before, routing, view := x.state.Load(), x.state.Load().config.Table, x.View()
-	err := x.Apply(x.parse(strings.NewReplacer("  b: {nodes: {file: b.yaml}", "  c: {nodes: {file: none.yaml}}\n  b: {nodes: {file: a.yaml}", "name: a,", "name: other,").Replace(twoPools) + "tenants: {t: {quota: 6}}\n"))
+	err := x.Apply(
+		x.parse(
+			strings.NewReplacer("  b: {nodes: {file: b.yaml}", "  c: {nodes: {file: none.yaml}}\n  b: {nodes: {file: a.yaml}", "name: a,", "name: other,").
+				Replace(twoPools) +
+				"tenants: {t: {quota: 6}}\n",
+		),
+	)
 	if err == nil || !strings.Contains(err.Error(), "none.yaml") {
 		t.Fatalf("got %v", err)
 	}
-	if x.state.Load() != before || x.state.Load().config.Table != routing || x.View().Reloads != view.Reloads || len(x.View().Pools) != 2 {
+	if x.state.Load() != before || x.state.Load().config.Table != routing || x.View().Reloads != view.Reloads ||
+		len(x.View().Pools) != 2 {
 		t.Errorf("something changed: %+v", x.View())
 	}
 	for _, host := range []string{"a.example.org", "b.example.org"} {
@@ -165,7 +182,8 @@
 	}
 }
 
-// TestReloadLeavesOthersAlone: of three pools a reload changes one; the others are not told anything, and a quota reaches all.
+// TestReloadLeavesOthersAlone: of three pools a reload changes one; the others are not told anything, and a quota
+// reaches all.
 func TestReloadLeavesOthersAlone(t *testing.T) {
 	text := func(queue, quota int, path string) string {
 		return fmt.Sprintf(`classes: {c: {aim: 250ms, deadline: 1s}}
--- a/internal/service/requests_test.go
+++ b/internal/service/requests_test.go
@@ -15,8 +15,8 @@
 	"olivearch/internal/standin/scripted"
 )
 
-// TestOneReading: however host and path are spelt, a request comes to the route of its canonical reading or is turned away,
-// and the node gets that reading.
+// TestOneReading: however host and path are spelt, a request comes to the route of its canonical reading or is turned
+// away, and the node gets that reading.
 func TestOneReading(t *testing.T) {
 	type got struct{ host, target string }
 	arrived := make(chan got, 1)
@@ -32,7 +32,7 @@
 		w.Header().Set("Connection", "X-Hop")
 		w.WriteHeader(http.StatusCreated)
 	})}
-	go node.Serve(l)
+	go func() { _ = node.Serve(l) }() // until it is closed
 	t.Cleanup(func() { node.Close() })
 	x := begin(t, fleet.NewJudge(0), t.TempDir(), fmt.Sprintf(`
 classes: {c: {aim: 250ms, deadline: 5s}, k: {repeat: keyed, memory: 1m, aim: 250ms, deadline: 5s}, d: {aim: 250ms, deadline: 5s}}
@@ -73,7 +73,9 @@
 			t.Errorf("%s, %q: %d, want %d", c.line, c.fields, resp.StatusCode, c.status)
 		}
 		if c.status == 201 {
-			if g := <-arrived; g != (got{c.host, c.target}) || resp.Header.Get("X-Kept") != "yes" || resp.Header.Get("X-Load") != "" || resp.Header.Get("X-Hop") != "" {
+			if g := <-arrived; g != (got{c.host, c.target}) || resp.Header.Get("X-Kept") != "yes" ||
+				resp.Header.Get("X-Load") != "" ||
+				resp.Header.Get("X-Hop") != "" {
 				t.Errorf("%s: the node got %+v; fields %v", c.line, g, resp.Header)
 			}
 		}
@@ -98,14 +100,17 @@
 `)
 	for path, client := range map[string]int{"/long": 300, "/short": 20000} {
 		at := time.Now()
-		resp := x.raw(fmt.Sprintf("POST %s HTTP/1.1\r\nHost: x\r\nX-Deadline-Ms: %d\r\nContent-Length: 0\r\n\r\n", path, client))
+		resp := x.raw(
+			fmt.Sprintf("POST %s HTTP/1.1\r\nHost: x\r\nX-Deadline-Ms: %d\r\nContent-Length: 0\r\n\r\n", path, client),
+		)
 		if took := time.Since(at); resp.StatusCode < 500 || took > 10*time.Second {
 			t.Errorf("%s with a client that waits %d ms: %d after %v", path, client, resp.StatusCode, took)
 		}
 	}
 }
 
-// Clients of HTTP/1.0 get no chunks: an answer of no known length ends with the connection, and one that was cut with a reset.
+// Clients of HTTP/1.0 get no chunks: an answer of no known length ends with the connection, and one that was cut with
+// a reset.
 func TestHTTP10(t *testing.T) {
 	long := strings.Repeat("x", 100<<10)
 	n := scripted.Start(t, func(c net.Conn, r *http.Request) bool {
@@ -153,7 +158,10 @@
 // Trailers and early hints go on, in both framings and directions.
 func TestTrailersAndHints(t *testing.T) {
 	n := scripted.Start(t, func(c net.Conn, r *http.Request) bool {
-		fmt.Fprint(c, "HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 103 Early Hints\r\nLink: </a.css>\r\n\r\nHTTP/1.1 103 Early Hints\r\nLink: </b.css>\r\n\r\n")
+		fmt.Fprint(
+			c,
+			"HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 103 Early Hints\r\nLink: </a.css>\r\n\r\nHTTP/1.1 103 Early Hints\r\nLink: </b.css>\r\n\r\n",
+		)
 		fmt.Fprint(c, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n")
 		for range 1 + len(r.Trailer.Get("X-Long")) { // long ones go on as they come
 			fmt.Fprintf(c, "%x\r\n%s\r\n", 40<<10, strings.Repeat("x", 40<<10))
@@ -212,11 +220,13 @@
 	}
 }
 
-// A cut at each byte of an exchange, on either side of the balancer, ends in exactly one answer that is whole or looks cut, or in a
+// unsafeRequest is a whole request of an unsafe class, the last of its connection.
+const unsafeRequest = "POST /u HTTP/1.1\r\nHost: x\r\nTransfer-Encoding: chunked\r\nConnection: close\r\n\r\n4\r\nbody\r\n0\r\n\r\n"
+
+// A cut at each byte of a response ends in exactly one answer that is whole or looks cut, or in a
 // close; never in a hang, and an unsafe request never runs twice.
 func TestCutsAtEveryByte(t *testing.T) {
 	const says = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\nX-A: b\r\n\r\n5\r\nhello\r\n3;x=y\r\nyou\r\n0\r\nX-T: 1\r\n\r\n"
-	const asks = "POST /u HTTP/1.1\r\nHost: x\r\nTransfer-Encoding: chunked\r\nConnection: close\r\n\r\n4\r\nbody\r\n0\r\n\r\n"
 	const sites = 30 // a node that fails often is tried now and then only, so each has few cuts
 	for k := range sites {
 		t.Run(fmt.Sprint("part ", k), func(t *testing.T) {
@@ -226,7 +236,7 @@
 					fmt.Fprint(c, says[:cut])
 					return cut == len(says)
 				})
-				c := sockets(t, "", "", n).dial(asks)
+				c := sockets(t, "", "", n).dial(unsafeRequest)
 				resp := c.readResponse()
 				body, err := io.ReadAll(resp.Body)
 				whole := resp.StatusCode == http.StatusOK && err == nil
@@ -239,15 +249,24 @@
 			}
 		})
 	}
+}
+
+// TestRequestCutsAtEveryByte: a request that its client cuts at any byte is never written to a node.
+func TestRequestCutsAtEveryByte(t *testing.T) {
 	n := scripted.Start(t, scripted.Done)
 	x := sockets(t, "", "", n)
-	for at := range asks {
-		c := x.dial(asks[:at])
+	for at := range unsafeRequest {
+		c := x.dial(unsafeRequest[:at])
 		_ = c.CloseWrite() // fails if the service has closed already
-		if resp, err := http.ReadResponse(c.reader, nil); err == nil && resp.StatusCode < 400 {
+		resp, err := http.ReadResponse(c.reader, nil)
+		c.Close()
+		if err != nil {
+			continue
+		}
+		resp.Body.Close()
+		if resp.StatusCode < 400 {
 			t.Errorf("a request that ends at %d: %d", at, resp.StatusCode)
 		}
-		c.Close()
 	}
 	if runs := len(n.Arrivals); runs != 0 {
 		t.Errorf("%d requests that never ended were written", runs)
--- a/internal/service/shared_endpoint_test.go
+++ b/internal/service/shared_endpoint_test.go
@@ -11,9 +11,9 @@
 	"olivearch/internal/standin/fleet"
 )
 
-// TestSharedColdNode restarts a node that six pools list, each beside a busy node of its own by which it judges what a whole
-// one can do. The fleet's judge sees what comes to it from all of them. The node bears a quarter of what the configuration
-// says, so that the module's own margins do not hide the parts: without them it falls over.
+// TestSharedColdNode restarts a node that six pools list, each beside a busy node of its own by which it judges what
+// a whole one can do. The fleet's judge sees what comes to it from all of them. The node bears a quarter of what the
+// configuration says, so that the module's own margins do not hide the parts: without them it falls over.
 func TestSharedColdNode(t *testing.T) {
 	x, all := sharedNode(t, 64)
 	shared := all[len(all)-1]
@@ -54,10 +54,19 @@
 	t.Helper()
 	j, folder := fleet.NewJudge(time.Second), t.TempDir()
 	all := nodes(t, j, sharers+1, fleet.Spec{
-		Cores: 2, Queue: 200, Work: 20 * time.Millisecond, Reports: 100 * time.Millisecond, ColdFrom: 0.33, Ramp: 20 * time.Second,
-		Multiple: 0.75, Window: 1500 * time.Millisecond,
+		Cores:    2,
+		Queue:    200,
+		Work:     20 * time.Millisecond,
+		Reports:  100 * time.Millisecond,
+		ColdFrom: 0.33,
+		Ramp:     20 * time.Second,
+		Multiple: 0.75,
+		Window:   1500 * time.Millisecond,
 	})
-	text := fmt.Sprintf("classes: {c: {aim: 250ms, deadline: 1s}}\nrules: {ramp_time: 20s}\nlimits: {node_connections: %d}\npools:\n", connections)
+	text := fmt.Sprintf(
+		"classes: {c: {aim: 250ms, deadline: 1s}}\nrules: {ramp_time: 20s}\nlimits: {node_connections: %d}\npools:\n",
+		connections,
+	)
 	routes := "routes:\n"
 	for i := range sharers {
 		text += fmt.Sprintf("  p%d: {nodes: {file: p%d.yaml}}\n", i, i)
@@ -80,7 +89,7 @@
 	x.t.Helper()
 	var wg sync.WaitGroup
 	for i := range sharers {
-		wg.Go(func() { x.clients(fmt.Sprint("h", i), "/", fmt.Sprint("p", i), fleet.Unsafe, 90).Run(ctx) })
+		wg.Go(func() { x.clients(fmt.Sprint("h", i), fmt.Sprint("p", i), fleet.Unsafe, 90).Run(ctx) })
 	}
 	x.until("all pools have learnt", func(v live.View) bool {
 		for _, p := range v.Pools {
--- a/internal/service/streams_test.go
+++ b/internal/service/streams_test.go
@@ -15,50 +15,57 @@
 	"olivearch/internal/standin/scripted"
 )
 
-// A client that is slower than its listener's rate in a body that goes on as it comes is given up, in both framings, and its node
-// is free again; a reload gives bodies other memory.
+// A client that is slower than its listener's rate in a body that goes on as it comes is given up, in both framings,
+// and its node is free again; a reload gives bodies other memory.
 func TestSlowBodyIsGivenUp(t *testing.T) {
 	for _, framing := range []string{"Content-Length: 90000000", "Transfer-Encoding: chunked"} {
-		t.Run(framing, func(t *testing.T) {
-			n := scripted.Start(t, scripted.Done)
-			x := sockets(t, "", "", n)
-			text := strings.Replace(streamed("", "", n), "classes:", "limits: {bodies: 8MiB}\nclasses:", 1)
-			slow, err := config.Parse("c.yaml", []byte("listeners: [{address: '127.0.0.1:0', within: 1s, rate: 1MiB}]\nadmin: {address: '127.0.0.1:0'}\n"+text))
-			if err != nil {
-				t.Fatal(err)
-			}
-			if err := x.Apply(slow); err != nil {
-				t.Fatal(err)
-			}
-			if free := x.state.Load().listeners[listener].SpoolFree(); free != 8<<20 {
-				t.Errorf("%d bytes for bodies after a reload that gives them %d", free, 8<<20)
-			}
-			c := x.dial("POST /u HTTP/1.1\r\nHost: x\r\n" + framing + "\r\n\r\n")
-			if strings.HasPrefix(framing, "Transfer") {
-				c.send("4000000\r\n")
-			}
-			c.send(strings.Repeat("\x00", 2<<20)) // over the buffer: it is on its way
-			done := make(chan struct{})
-			go func() {
-				defer close(done)
-				for { // never silent for long
-					if _, err := c.Write([]byte("x")); err != nil {
-						return
-					}
-					time.Sleep(10 * time.Millisecond) // a slow line is what is tried
-				}
-			}()
-			if resp := c.readResponse(); resp.StatusCode != http.StatusRequestTimeout {
-				t.Errorf("got %d", resp.StatusCode)
+		t.Run(framing, func(t *testing.T) { testSlowBody(t, framing) })
+	}
+}
+
+func testSlowBody(t *testing.T, framing string) {
+	t.Helper()
+	n := scripted.Start(t, scripted.Done)
+	x := sockets(t, "", "", n)
+	text := strings.Replace(streamed("", "", n), "classes:", "limits: {bodies: 8MiB}\nclasses:", 1)
+	slow, err := config.Parse(
+		"c.yaml",
+		[]byte("listeners: [{address: '127.0.0.1:0', within: 1s, rate: 1MiB}]\nadmin: {address: '127.0.0.1:0'}\n"+text),
+	)
+	if err != nil {
+		t.Fatal(err)
+	}
+	if err := x.Apply(slow); err != nil {
+		t.Fatal(err)
+	}
+	if free := x.state.Load().listeners[listener].SpoolFree(); free != 8<<20 {
+		t.Errorf("%d bytes for bodies after a reload that gives them %d", free, 8<<20)
+	}
+	c := x.dial("POST /u HTTP/1.1\r\nHost: x\r\n" + framing + "\r\n\r\n")
+	if strings.HasPrefix(framing, "Transfer") {
+		c.send("4000000\r\n")
+	}
+	c.send(strings.Repeat("\x00", 2<<20)) // over the buffer: it is on its way
+	done := make(chan struct{})
+	go func() {
+		defer close(done)
+		for { // never silent for long
+			if _, err := c.Write([]byte("x")); err != nil {
+				return
 			}
-			c.Close()
-			<-done
-			x.until("its connection is free", func(v live.View) bool { return v.Pools[0].Nodes[0].Out == 0 })
-		})
+			time.Sleep(10 * time.Millisecond) // a slow line is what is tried
+		}
+	}()
+	if resp := c.readResponse(); resp.StatusCode != http.StatusRequestTimeout {
+		t.Errorf("got %d", resp.StatusCode)
 	}
+	c.Close()
+	<-done
+	x.until("its connection is free", func(v live.View) bool { return v.Pools[0].Nodes[0].Out == 0 })
 }
 
-// Long answers that clients read slowly hold connections and are no load: the node looks as busy as it says, and queries go on.
+// Long answers that clients read slowly hold connections and are no load: the node looks as busy as it says, and
+// queries go on.
 func TestSlowDownloadsAreNoLoad(t *testing.T) {
 	const downloads = 40
 	release := make(chan struct{})
@@ -88,7 +95,12 @@
 	}
 	x.until("the load that the node tells", func(v live.View) bool { return v.Pools[0].Nodes[0].Mean > 0.8 })
 	if v := x.pool("p"); v.Nodes[0].Out != 0 || v.Connections < downloads {
-		t.Errorf("%d out, %d connections; want none out and at least %d connections", v.Nodes[0].Out, v.Connections, downloads)
+		t.Errorf(
+			"%d out, %d connections; want none out and at least %d connections",
+			v.Nodes[0].Out,
+			v.Connections,
+			downloads,
+		)
 	}
 	close(release)
 	for _, resp := range streams {
@@ -98,13 +110,19 @@
 	}
 }
 
-// A body that goes on as it comes, however long that takes, is nothing that its node owes: queries beside it are served.
+// A body that goes on as it comes, however long that takes, is nothing that its node owes: queries beside it are
+// served.
 func TestSlowUploadsAreNoSilence(t *testing.T) {
 	n := scripted.Start(t, scripted.Done)
-	x := begin(t, fleet.NewJudge(time.Second), t.TempDir(), fmt.Sprintf(`classes: {c: {aim: 200ms, deadline: 5s, repeat: safe}, u: {aim: 200ms, deadline: 5s}}
+	x := begin(
+		t,
+		fleet.NewJudge(time.Second),
+		t.TempDir(),
+		fmt.Sprintf(`classes: {c: {aim: 200ms, deadline: 5s, repeat: safe}, u: {aim: 200ms, deadline: 5s}}
 pools: {p: {nodes: {static: [{id: n0, address: '%s'}]}}}
 routes: [{name: unsafe, path: {prefix: /u}, class: u, pool: p}, {name: all, class: c, pool: p}]
-`, n.Addr))
+`, n.Addr),
+	)
 	const size = 4 << 20
 	up := x.dial(fmt.Sprintf("POST /u HTTP/1.1\r\nHost: x\r\nContent-Length: %d\r\n\r\n", size))
 	up.send(strings.Repeat("\x00", size/2)) // over the buffer: it is on its way
@@ -170,38 +188,49 @@
 	}
 }
 
-// A node that answers in full while the client still sends is heard: at the end of the body if it reads on, and once it has taken
-// nothing for a while if it does not.
+// startEarlyNode starts a node that answers in full after 200 KiB of what is sent, and reads the rest of it or no more.
+func startEarlyNode(t *testing.T, readsOn bool) (address string, stop func()) {
+	t.Helper()
+	l, err := net.Listen("tcp", "127.0.0.1:0")
+	if err != nil {
+		t.Fatal(err)
+	}
+	done := make(chan struct{})
+	answerEarly := func(c net.Conn) {
+		defer c.Close()
+		_, _ = io.CopyN(io.Discard, c, 200<<10)
+		fmt.Fprint(c, "HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nearly")
+		if readsOn {
+			_, _ = io.Copy(io.Discard, c)
+		}
+		<-done
+	}
+	go func() {
+		for {
+			c, err := l.Accept()
+			if err != nil {
+				return
+			}
+			go answerEarly(c)
+		}
+	}()
+	stop = func() {
+		close(done)
+		l.Close()
+	}
+	return l.Addr().String(), stop
+}
+
+// A node that answers in full while the client still sends is heard: at the end of the body if it reads on, and once
+// it has taken nothing for a while if it does not.
 func TestNodeAnswersWhileTheClientSends(t *testing.T) {
 	for name, readsOn := range map[string]bool{"and reads on": true, "and reads no more": false} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			l, err := net.Listen("tcp", "127.0.0.1:0")
-			if err != nil {
-				t.Fatal(err)
-			}
-			defer l.Close()
-			done := make(chan struct{})
-			defer close(done)
-			go func() {
-				for {
-					c, err := l.Accept()
-					if err != nil {
-						return
-					}
-					go func() {
-						defer c.Close()
-						_, _ = io.CopyN(io.Discard, c, 200<<10)
-						fmt.Fprint(c, "HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nearly")
-						if readsOn {
-							_, _ = io.Copy(io.Discard, c)
-						}
-						<-done
-					}()
-				}
-			}()
+			address, stop := startEarlyNode(t, readsOn)
+			defer stop()
 			const size = 40 << 20 // more than all sockets on the way hold
-			x := sockets(t, "", "", &scripted.Node{Addr: l.Addr().String()})
+			x := sockets(t, "", "", &scripted.Node{Addr: address})
 			c := x.dial(fmt.Sprintf("POST /u HTTP/1.1\r\nHost: x\r\nContent-Length: %d\r\n\r\n", size))
 			sent := make(chan error, 1)
 			go func() {
--- a/internal/service/tunnels_test.go
+++ b/internal/service/tunnels_test.go
@@ -36,7 +36,8 @@
 
 	c = x.dial(wantsEcho)
 	resp := c.readResponse()
-	if resp.StatusCode != http.StatusSwitchingProtocols || resp.Header.Get("Upgrade") != "echo" || resp.Header.Get("X-Node") != "1" {
+	if resp.StatusCode != http.StatusSwitchingProtocols || resp.Header.Get("Upgrade") != "echo" ||
+		resp.Header.Get("X-Node") != "1" {
 		t.Fatalf("got %d, %v", resp.StatusCode, resp.Header)
 	}
 	c.wantEcho("one")
@@ -77,7 +78,8 @@
 			c.wantEcho("x")
 		}
 		c := x.dial(wantsEcho)
-		if resp := c.readResponse(); resp.StatusCode != http.StatusServiceUnavailable || resp.Header.Get("Retry-After") == "" {
+		if resp := c.readResponse(); resp.StatusCode != http.StatusServiceUnavailable ||
+			resp.Header.Get("Retry-After") == "" {
 			t.Errorf("%s: a third tunnel: %d, Retry-After %q", caps, resp.StatusCode, resp.Header.Get("Retry-After"))
 		}
 		c = x.dial("GET /a HTTP/1.1\r\nHost: x\r\n\r\n")
@@ -128,8 +130,8 @@
 	}
 }
 
-// Where no route lets it through, and where the node does not agree, the request is an ordinary one. A node that changes the
-// protocol unasked has failed.
+// Where no route lets it through, and where the node does not agree, the request is an ordinary one. A node that
+// changes the protocol unasked has failed.
 func TestNoTunnel(t *testing.T) {
 	n := scripted.Start(t, echo)
 	x := sockets(t, "", "", n)
