--- /dev/null
+++ b/internal/metrics/families.go
@@ -0,0 +1,140 @@
+package metrics
+
+import (
+	"os"
+	"time"
+
+	"olivearch/internal/live"
+	"olivearch/internal/procstat"
+)
+
+// append appends all metric families to a text, each once with all its series.
+func (s *Snapshot) append(text []byte) []byte {
+	out := &familyWriter{text: text}
+	out.startFamily(gauge, "info", "The version that runs; always 1.")
+	out.sample(1, "version", s.Version)
+	out.startFamily(counter, "reloads_total", "Configurations taken since the start.")
+	out.sample(float64(s.Reloads))
+	s.appendListeners(out)
+	s.appendSums(out)
+	s.appendPools(out)
+	if s.Promises != nil {
+		appendCoordination(out, s.Promises)
+	}
+	appendProcess(out, s.Started)
+	return out.text
+}
+
+func (s *Snapshot) appendListeners(out *familyWriter) {
+	out.startFamily(gauge, "listener_connections", "Clients' connections.")
+	for _, l := range s.Listeners {
+		out.sample(float64(l.Connections), "listener", l.Name)
+	}
+	out.startFamily(gauge, "listener_connections_limit", "Clients' connections at most.")
+	for _, l := range s.Listeners {
+		out.sample(float64(l.Limit), "listener", l.Name)
+	}
+}
+
+// appendCoordination appends what this process knows of the coordination cluster.
+func appendCoordination(out *familyWriter, p *live.Promises) {
+	out.startFamily(gauge, "promises_voter_reached",
+		"1 while a voter of the ledger is followed; what is known holds without one.")
+	out.sample(oneIf(p.Voter != ""))
+	out.startFamily(gauge, "promises_age_seconds",
+		"The time since a quorum confirmed that nothing newer was promised; absent if it never has.")
+	if p.AgeMS >= 0 {
+		out.sample(float64(p.AgeMS) / 1000)
+	}
+	out.startFamily(gauge, "promises_words", "Words of operators that hold, by kind.")
+	for kind, n := range p.Words {
+		out.sample(float64(n), "kind", kind)
+	}
+}
+
+// appendSums appends the families that are sums over all pools.
+func (s *Snapshot) appendSums(out *familyWriter) {
+	var withBalancer, withoutRequests, expired, active, draining float64
+	for i := range s.Pools {
+		p := &s.Pools[i]
+		withBalancer += oneIf(p.HasBalancer)
+		withoutRequests += oneIf(!p.HasRequests())
+		expired += oneIf(p.Expired)
+		active += float64(p.Active)
+		draining += float64(p.Draining)
+	}
+	out.startFamily(gauge, "pools", "Pools by what they hold: made ones have their nodes' state, others a list.")
+	out.sample(withBalancer, "state", "made")
+	out.sample(float64(len(s.Pools))-withBalancer, "state", "unmade")
+	out.startFamily(gauge, "pools_never_asked", "Pools that no request has come to; they have no series of their own.")
+	out.sample(withoutRequests)
+	out.startFamily(gauge, "pools_expired", "Pools whose list is older than it may become: all is refused.")
+	out.sample(expired)
+	out.startFamily(gauge, "nodes", "Nodes listed, over all pools, by what holds at this balancer.")
+	out.sample(active, "phase", "up")
+	out.sample(draining, "phase", "draining")
+}
+
+// appendPools appends the families of single pools: of those that have had requests or whose endpoint list is expired.
+func (s *Snapshot) appendPools(out *familyWriter) {
+	each := func(appendSamples func(p *Pool)) {
+		for i := range s.Pools {
+			p := &s.Pools[i]
+			if p.HasRequests() || p.Expired {
+				appendSamples(p)
+			}
+		}
+	}
+	out.startFamily(counter, "requests_total",
+		"Requests by their final answer; turned_away are those that found the queue full.")
+	each(func(p *Pool) {
+		out.sample(float64(p.Served), "pool", p.Name, "result", "served")
+		out.sample(float64(p.Refused), "pool", p.Name, "result", "refused")
+		out.sample(float64(p.Failed), "pool", p.Name, "result", "failed")
+		out.sample(float64(p.QueueFull), "pool", p.Name, "result", "turned_away")
+	})
+	out.startFamily(counter, "served_seconds_total",
+		"The time that served requests took, from their coming to the head of their answer, in sum.")
+	each(func(p *Pool) { out.sample(p.ServedFor.Seconds(), "pool", p.Name) })
+	out.startFamily(gauge, "requests_open", "Requests that a pool holds, sent or waiting.")
+	each(func(p *Pool) { out.sample(float64(p.Open), "pool", p.Name) })
+	out.startFamily(gauge, "requests_held", "Of these, the ones that wait for a turn.")
+	each(func(p *Pool) { out.sample(float64(p.Queued), "pool", p.Name) })
+	out.startFamily(gauge, "connections", "Connections to nodes.")
+	each(func(p *Pool) { out.sample(float64(p.Connections), "pool", p.Name) })
+	out.startFamily(gauge, "tunnels", "Connections that have changed their protocol.")
+	each(func(p *Pool) { out.sample(float64(p.Tunnels), "pool", p.Name) })
+	out.startFamily(gauge, "pool_nodes", "Nodes listed, by what holds at this balancer.")
+	each(func(p *Pool) {
+		out.sample(float64(p.Active), "pool", p.Name, "phase", "up")
+		out.sample(float64(p.Draining), "pool", p.Name, "phase", "draining")
+	})
+	out.startFamily(gauge, "list_age_seconds", "The time since the last good word from the list's source.")
+	each(func(p *Pool) { out.sample(p.ListAge.Seconds(), "pool", p.Name) })
+}
+
+// appendProcess appends what the operating system knows of this process, under the names of Prometheus's client
+// libraries. A family that cannot be read is left out.
+func appendProcess(out *familyWriter, started time.Time) {
+	out.startProcessFamily("process_start_time_seconds", gauge, "Start of the process since the Unix epoch.")
+	out.sample(float64(started.UnixMilli()) / 1000)
+	if cpu, err := procstat.CPU(os.Getpid()); err == nil {
+		out.startProcessFamily("process_cpu_seconds_total", counter,
+			"Processor time that the threads of the process have used.")
+		out.sample(cpu.Seconds())
+	}
+	if usage, err := procstat.Of(os.Getpid()); err == nil {
+		out.startProcessFamily("process_resident_memory_bytes", gauge, "Resident memory.")
+		out.sample(usage.ResidentMB * (1 << 20))
+		out.startProcessFamily("process_open_fds", gauge, "Open descriptors.")
+		out.sample(float64(usage.Descriptors))
+	}
+}
+
+// oneIf is the value of a gauge that is 1 or 0.
+func oneIf(condition bool) float64 {
+	if condition {
+		return 1
+	}
+	return 0
+}
--- a/internal/metrics/metrics_test.go
+++ b/internal/metrics/metrics_test.go
@@ -46,29 +46,74 @@
 }
 
 func sample() Snapshot {
-	return Snapshot{Version: "1.2", Reloads: 3, Listeners: []live.Listener{{Name: "in", Connections: 4, Limit: 500}}, Pools: []Pool{
-		{"checkin", pool.Stats{Served: 10, Refused: 2, Failed: 1, QueueFull: 7, ServedFor: 2500 * time.Millisecond, Open: 3, Queued: 1, Connections: 2, Tunnels: 1, Active: 5, Draining: 1, HasBalancer: true, ListAge: time.Second}},
-		{"never", pool.Stats{Active: 37}},
-		{"old", pool.Stats{Active: 2, Expired: true, ListAge: time.Minute}},
-		{`odd "name"` + "\n\\", pool.Stats{Served: 1, Active: 1, HasBalancer: true}},
-	}, Promises: &live.Promises{Voter: "v1", AgeMS: 250, Words: map[string]int{"out": 2}}}
+	used := pool.Stats{
+		Served:      10,
+		Refused:     2,
+		Failed:      1,
+		QueueFull:   7,
+		ServedFor:   2500 * time.Millisecond,
+		Open:        3,
+		Queued:      1,
+		Connections: 2,
+		Tunnels:     1,
+		Active:      5,
+		Draining:    1,
+		HasBalancer: true,
+		ListAge:     time.Second,
+	}
+	return Snapshot{
+		Version:   "1.2",
+		Reloads:   3,
+		Listeners: []live.Listener{{Name: "in", Connections: 4, Limit: 500}},
+		Pools: []Pool{
+			{"checkin", used},
+			{"never", pool.Stats{Active: 37}},
+			{"old", pool.Stats{Active: 2, Expired: true, ListAge: time.Minute}},
+			{`odd "name"` + "\n\\", pool.Stats{Served: 1, Active: 1, HasBalancer: true}},
+		},
+		Promises: &live.Promises{Voter: "v1", AgeMS: 250, Words: map[string]int{"out": 2}},
+	}
 }
 
+// sampleLines are lines, or the beginnings of lines, that the metrics of sample have.
+var sampleLines = []string{
+	`olivearch_info{version="1.2"} 1`,
+	`olivearch_reloads_total 3`,
+	`olivearch_listener_connections{listener="in"} 4`,
+	`olivearch_listener_connections_limit{listener="in"} 500`,
+	`olivearch_pools{state="made"} 2`,
+	`olivearch_pools{state="unmade"} 2`,
+	`olivearch_pools_never_asked 2`,
+	`olivearch_pools_expired 1`,
+	`olivearch_nodes{phase="up"} 45`,
+	`olivearch_nodes{phase="draining"} 1`,
+	`olivearch_requests_total{pool="checkin",result="served"} 10`,
+	`olivearch_requests_total{pool="checkin",result="refused"} 2`,
+	`olivearch_requests_total{pool="checkin",result="failed"} 1`,
+	`olivearch_requests_total{pool="checkin",result="turned_away"} 7`,
+	`olivearch_served_seconds_total{pool="checkin"} 2.5`,
+	`olivearch_requests_open{pool="checkin"} 3`,
+	`olivearch_requests_held{pool="checkin"} 1`,
+	`olivearch_connections{pool="checkin"} 2`,
+	`olivearch_tunnels{pool="checkin"} 1`,
+	`olivearch_pool_nodes{pool="checkin",phase="draining"} 1`,
+	`olivearch_list_age_seconds{pool="checkin"} 1`,
+	`olivearch_list_age_seconds{pool="old"} 60`,
+	`olivearch_requests_total{pool="odd \"name\"\n\\",result="served"} 1`,
+	`olivearch_promises_voter_reached 1`,
+	`olivearch_promises_age_seconds 0.25`,
+	`olivearch_promises_words{kind="out"} 2`,
+	"process_resident_memory_bytes",
+}
+
+// TestWhatIsTold: the metrics have all values, pass Prometheus's linter and are read by its parser.
 func TestWhatIsTold(t *testing.T) {
 	h := Handler(sample)
 	status, text, _ := read(t, h)
 	if status != http.StatusOK {
 		t.Fatal(status)
 	}
-	for _, want := range []string{
-		`olivearch_info{version="1.2"} 1`, `olivearch_reloads_total 3`, `olivearch_listener_connections{listener="in"} 4`, `olivearch_listener_connections_limit{listener="in"} 500`,
-		`olivearch_pools{state="made"} 2`, `olivearch_pools{state="unmade"} 2`, `olivearch_pools_never_asked 2`, `olivearch_pools_expired 1`, `olivearch_nodes{phase="up"} 45`, `olivearch_nodes{phase="draining"} 1`,
-		`olivearch_requests_total{pool="checkin",result="served"} 10`, `olivearch_requests_total{pool="checkin",result="refused"} 2`, `olivearch_requests_total{pool="checkin",result="failed"} 1`,
-		`olivearch_requests_total{pool="checkin",result="turned_away"} 7`, `olivearch_served_seconds_total{pool="checkin"} 2.5`, `olivearch_requests_open{pool="checkin"} 3`,
-		`olivearch_requests_held{pool="checkin"} 1`, `olivearch_connections{pool="checkin"} 2`, `olivearch_tunnels{pool="checkin"} 1`, `olivearch_pool_nodes{pool="checkin",phase="draining"} 1`,
-		`olivearch_list_age_seconds{pool="checkin"} 1`, `olivearch_list_age_seconds{pool="old"} 60`, `olivearch_requests_total{pool="odd \"name\"\n\\",result="served"} 1`,
-		`olivearch_promises_voter_reached 1`, `olivearch_promises_age_seconds 0.25`, `olivearch_promises_words{kind="out"} 2`, "process_resident_memory_bytes",
-	} {
+	for _, want := range sampleLines {
 		if !strings.Contains(text, want+"\n") && !strings.Contains(text, "\n"+want) {
 			t.Errorf("not told: %s", want)
 		}
@@ -89,19 +134,31 @@
 		t.Fatal(err)
 	}
 	requests := families["olivearch_requests_total"]
-	if len(requests.GetMetric()) != 12 || requests.GetMetric()[8].GetLabel()[0].GetValue() != "odd \"name\"\n\\" || requests.GetMetric()[0].GetCounter().GetValue() != 10 {
-		t.Errorf("%v", requests)
+	samples := requests.GetMetric()
+	if len(samples) != 12 {
+		t.Fatalf("%d samples, want 12: %v", len(samples), requests)
+	}
+	if name := samples[8].GetLabel()[0].GetValue(); name != "odd \"name\"\n\\" {
+		t.Errorf("escaped name is read as %q", name)
+	}
+	if served := samples[0].GetCounter().GetValue(); served != 10 {
+		t.Errorf("%v served, want 10", served)
 	}
 }
 
-// TestBytes: 490 pools that are all used are told in a tenth of the 29 KB a second that a balancer may spend on control, at one reading each 15 s;
-// pools that nobody asks cost nothing.
+// TestBytes: 490 pools that are all used take a tenth of the 29 KB a second that a balancer may spend on control, at
+// one scrape each 15 s. Pools without requests take next to nothing.
 func TestBytes(t *testing.T) {
 	var s Snapshot
 	for i := range 490 {
 		s.Pools = append(s.Pools, Pool{fmt.Sprintf("service-%03d", i), pool.Stats{
-			Served: uint64(i*i*7919 + 1), Refused: uint64(i % 7), ServedFor: time.Duration(i*i*104729 + 1), Connections: i % 40, Active: 37, HasBalancer: true,
-			ListAge: time.Duration(i) * 7 * time.Millisecond,
+			Served:      uint64(i*i*7919 + 1),
+			Refused:     uint64(i % 7),
+			ServedFor:   time.Duration(i*i*104729 + 1),
+			Connections: i % 40,
+			Active:      37,
+			HasBalancer: true,
+			ListAge:     time.Duration(i) * 7 * time.Millisecond,
 		}})
 	}
 	h := Handler(func() Snapshot { return s })
@@ -124,22 +181,22 @@
 func TestTooManyReaders(t *testing.T) {
 	come, goOn := make(chan struct{}), make(chan struct{})
 	h := Handler(func() Snapshot { come <- struct{}{}; <-goOn; return Snapshot{} })
-	done := make(chan int, atOnce)
-	for range atOnce {
+	done := make(chan int, maxScrapes)
+	for range maxScrapes {
 		go func() {
 			w := httptest.NewRecorder()
 			h.ServeHTTP(w, httptest.NewRequest(http.MethodGet, "/metrics", nil))
 			done <- w.Code
 		}()
 	}
-	for range atOnce {
+	for range maxScrapes {
 		<-come
 	}
 	if status, _, _ := read(t, h); status != http.StatusServiceUnavailable {
 		t.Errorf("one more is answered %d", status)
 	}
 	close(goOn)
-	for range atOnce {
+	for range maxScrapes {
 		if status := <-done; status != http.StatusOK {
 			t.Errorf("answered %d", status)
 		}
@@ -148,7 +205,16 @@
 
 // TestEncodings: gzip for whom accepts it, and for nobody else.
 func TestEncodings(t *testing.T) {
-	for accepts, want := range map[string]bool{"": false, "gzip": true, "deflate, GZIP;q=0.5": true, "gzip;q=0": false, "gzip; q=0.000": false, "br": false, "gzip;q=1.0, identity": true, "xgzip": false} {
+	for accepts, want := range map[string]bool{
+		"":                     false,
+		"gzip":                 true,
+		"deflate, GZIP;q=0.5":  true,
+		"gzip;q=0":             false,
+		"gzip; q=0.000":        false,
+		"br":                   false,
+		"gzip;q=1.0, identity": true,
+		"xgzip":                false,
+	} {
 		w, r := httptest.NewRecorder(), httptest.NewRequest(http.MethodGet, "/metrics", nil)
 		if accepts != "" {
 			r.Header.Set("Accept-Encoding", accepts)
@@ -167,7 +233,12 @@
 func BenchmarkScrape(b *testing.B) {
 	var s Snapshot
 	for i := range 490 {
-		s.Pools = append(s.Pools, Pool{fmt.Sprintf("service-%03d", i), pool.Stats{Served: uint64(i*i*7919 + 1), Connections: i % 40, Active: 37, HasBalancer: true}})
+		s.Pools = append(s.Pools, Pool{fmt.Sprintf("service-%03d", i), pool.Stats{
+			Served:      uint64(i*i*7919 + 1),
+			Connections: i % 40,
+			Active:      37,
+			HasBalancer: true,
+		}})
 	}
 	h := Handler(func() Snapshot { return s })
 	r := httptest.NewRequest(http.MethodGet, "/metrics", nil)
@@ -185,7 +256,8 @@
 		t.Fatal(err)
 	}
 	_, text, _ := read(t, Handler(sample))
-	for _, m := range regexp.MustCompile(`(?m)^# TYPE (olivearch_\w+) `).FindAllStringSubmatch(text, -1) {
+	typeLine := regexp.MustCompile(`(?m)^# TYPE (olivearch_\w+) `)
+	for _, m := range typeLine.FindAllStringSubmatch(text, -1) {
 		if !bytes.Contains(page, []byte("`"+m[1]+"`")) {
 			t.Errorf("%s is not on the page", m[1])
 		}
--- a/internal/metrics/text.go
+++ b/internal/metrics/text.go
@@ -5,56 +5,61 @@
 	"strings"
 )
 
-// The kinds of families.
+// namePrefix begins the names of this program's metrics.
+const namePrefix = "olivearch_"
+
+// Types of metric families.
 const (
 	counter = "counter"
 	gauge   = "gauge"
 )
 
-// writer writes families, one after the other.
-type writer struct {
+// familyWriter appends metric families to a text, one after the other.
+type familyWriter struct {
 	text []byte
-	name string // of the family
+	name string // of the family that its samples belong to
 }
 
-// family begins one of ours.
-func (w *writer) family(kind, name, help string) { w.of("olivearch_"+name, kind, help) }
+// startFamily starts a family of this program, whose names all begin with namePrefix.
+func (w *familyWriter) startFamily(kind, name, help string) {
+	w.startProcessFamily(namePrefix+name, kind, help)
+}
 
-// of begins a family by its whole name.
-func (w *writer) of(name, kind, help string) {
+// startProcessFamily starts a family by its whole name.
+func (w *familyWriter) startProcessFamily(name, kind, help string) {
 	w.name = name
-	w.add("# HELP ", name, " ", help, "\n# TYPE ", name, " ", kind, "\n")
+	w.write("# HELP ", name, " ", help, "\n# TYPE ", name, " ", kind, "\n")
 }
 
-// line tells a value with its labels: names and values in turn.
-func (w *writer) line(x float64, labels ...string) {
-	w.add(w.name)
+// sample appends a value of the family with its labels: names and values in turn.
+func (w *familyWriter) sample(value float64, labels ...string) {
+	w.write(w.name)
 	for i := 0; i+1 < len(labels); i += 2 {
-		before := ","
+		separator := ","
 		if i == 0 {
-			before = "{"
+			separator = "{"
 		}
-		w.add(before, labels[i], `="`, escaped(labels[i+1]), `"`)
+		w.write(separator, labels[i], `="`, escapeLabel(labels[i+1]), `"`)
 	}
 	if len(labels) > 0 {
-		w.add("}")
+		w.write("}")
 	}
-	w.add(" ")
-	w.text = append(strconv.AppendFloat(w.text, x, 'g', -1, 64), '\n')
+	w.write(" ")
+	w.text = append(strconv.AppendFloat(w.text, value, 'g', -1, 64), '\n')
 }
 
-func (w *writer) add(parts ...string) {
-	for _, x := range parts {
-		w.text = append(w.text, x...)
+func (w *familyWriter) write(parts ...string) {
+	for _, part := range parts {
+		w.text = append(w.text, part...)
 	}
 }
 
-var escapes = strings.NewReplacer(`\`, `\\`, `"`, `\"`, "\n", `\n`)
+var labelEscapes = strings.NewReplacer(`\`, `\\`, `"`, `\"`, "\n", `\n`)
 
-// escaped is a label's value as it stands between quotes.
-func escaped(value string) string {
+// escapeLabel returns a label's value as it stands between quotes.
+func escapeLabel(value string) string {
 	if !strings.ContainsAny(value, "\\\"\n") {
 		return value
 	}
-	return escapes.Replace(value)
+	return labelEscapes.Replace(value)
 }
--- a/internal/service/admin_test.go
+++ b/internal/service/admin_test.go
@@ -99,8 +99,14 @@
 	}
 	text := x.metricsWith(`olivearch_pools{state="made"} 1`)
 	for _, want := range []string{
-		`olivearch_requests_total{pool="a",result="served"} 1`, `olivearch_pool_nodes{pool="a",phase="up"} 1`, `olivearch_pool_nodes{pool="a",phase="draining"} 1`,
-		`olivearch_nodes{phase="up"} 2`, `olivearch_pools_never_asked 1`, `olivearch_pools{state="made"} 1`, `olivearch_pools{state="unmade"} 1`, `olivearch_listener_connections_limit{`,
+		`olivearch_requests_total{pool="a",result="served"} 1`,
+		`olivearch_pool_nodes{pool="a",phase="up"} 1`,
+		`olivearch_pool_nodes{pool="a",phase="draining"} 1`,
+		`olivearch_nodes{phase="up"} 2`,
+		`olivearch_pools_never_asked 1`,
+		`olivearch_pools{state="made"} 1`,
+		`olivearch_pools{state="unmade"} 1`,
+		`olivearch_listener_connections_limit{`,
 	} {
 		if !strings.Contains(text, want) {
 			t.Errorf("%s is not in\n%s", want, text)
--- a/internal/service/apply_test.go
+++ b/internal/service/apply_test.go
@@ -16,7 +16,9 @@
 	const pools, routes, tenants = 490, 15000, 140000
 	var t strings.Builder
 	t.WriteString(
-		"# head\nlisteners: [{address: '127.0.0.1:0', connections: 1500}]\nlimits: {memory: 1GiB, descriptors: 6000, bodies: 16MiB}\nclasses: {c: {aim: 250ms, deadline: 1s}}\ntenants:\n",
+		"# head\nlisteners: [{address: '127.0.0.1:0', connections: 1500}]\n" +
+			"limits: {memory: 1GiB, descriptors: 6000, bodies: 16MiB}\n" +
+			"classes: {c: {aim: 250ms, deadline: 1s}}\ntenants:\n",
 	)
 	for i := range tenants {
 		fmt.Fprintf(&t, "  t%06d: {quota: 5}\n", i)
@@ -66,7 +68,9 @@
 	}
 	defer s.Stop()
 	for _, x := range []struct{ name, old, new string }{
-		{"head", "# head", "# other"}, {"quota", "t070000: {quota: 5}", "t070000: {quota: 6}"}, {"route", "prefix: /r07000}", "prefix: /other}"},
+		{"head", "# head", "# other"},
+		{"quota", "t070000: {quota: 5}", "t070000: {quota: 6}"},
+		{"route", "prefix: /r07000}", "prefix: /other}"},
 	} {
 		texts := []string{strings.Replace(text, x.old, x.new, 1), text}
 		b.Run(x.name, func(b *testing.B) {
--- a/internal/service/differential_test.go
+++ b/internal/service/differential_test.go
@@ -207,6 +207,9 @@
 	return r, nil
 }
 
+// maxRetries is how often a request that was refused is sent again.
+const maxRetries = 500
+
 // play sends the request, and tells what is not as it should be.
 func (x *exchange) play(client *http.Client, url string) error {
 	r, err := x.request(url)
@@ -214,7 +217,11 @@
 		return err
 	}
 	resp, err := client.Do(r)
-	for tries := 0; err == nil && resp.StatusCode == http.StatusServiceUnavailable && x.seen.Load() == 0 && tries < 500; tries++ {
+	for retries := 0; retries < maxRetries; retries++ {
+		refused := err == nil && resp.StatusCode == http.StatusServiceUnavailable
+		if !refused || x.seen.Load() > 0 {
+			break
+		}
 		resp.Body.Close() // refused: it never ran, and another try is harmless
 		time.Sleep(5 * time.Millisecond)
 		if r.Body != nil && r.Body != http.NoBody {
--- a/internal/service/endpoint_lists_test.go
+++ b/internal/service/endpoint_lists_test.go
@@ -183,7 +183,9 @@
 	x := &site{t: t, folder: folder}
 	s, err := Start(
 		x.parse(
-			"classes: {c: {aim: 250ms, deadline: 1s}}\npools: {a: {nodes: {file: a.yaml, hold: 10s}, connections: 4, queue: 4}}\nroutes: [{name: r, hosts: [a.example.org], class: c, pool: a}]\n",
+			"classes: {c: {aim: 250ms, deadline: 1s}}\n"+
+				"pools: {a: {nodes: {file: a.yaml, hold: 10s}, connections: 4, queue: 4}}\n"+
+				"routes: [{name: r, hosts: [a.example.org], class: c, pool: a}]\n",
 		),
 		"test",
 	)
--- a/internal/service/reload_test.go
+++ b/internal/service/reload_test.go
@@ -27,7 +27,10 @@
 	for _, name := range []string{"a.yaml", "b.yaml"} {
 		write(t, j, folder, name, all[0].Entry("up"), all[1].Entry("up"), all[2].Entry("up"))
 	}
-	moved := strings.NewReplacer("class: r, pool: b", "class: r, pool: extra", "routes:", "  extra: {nodes: {file: b.yaml}, queue: 50}\nroutes:").
+	moved := strings.NewReplacer(
+		"class: r, pool: b", "class: r, pool: extra",
+		"routes:", "  extra: {nodes: {file: b.yaml}, queue: 50}\nroutes:",
+	).
 		Replace(twoPools)
 	x := begin(t, j, folder, twoPools)
 	a, b := x.clients("a.example.org", "a", fleet.Unsafe, 100), x.clients("b.example.org", "b", fleet.Safe, 100)
@@ -154,7 +157,10 @@
 	before, routing, view := x.state.Load(), x.state.Load().config.Table, x.View()
 	err := x.Apply(
 		x.parse(
-			strings.NewReplacer("  b: {nodes: {file: b.yaml}", "  c: {nodes: {file: none.yaml}}\n  b: {nodes: {file: a.yaml}", "name: a,", "name: other,").
+			strings.NewReplacer(
+				"  b: {nodes: {file: b.yaml}", "  c: {nodes: {file: none.yaml}}\n  b: {nodes: {file: a.yaml}",
+				"name: a,", "name: other,",
+			).
 				Replace(twoPools) +
 				"tenants: {t: {quota: 6}}\n",
 		),
@@ -192,7 +198,8 @@
   a: {nodes: {static: [{address: '127.0.0.1:1'}]}, queue: 10}
   b: {nodes: {static: [{address: '127.0.0.1:2'}]}, queue: %d}
   c: {nodes: {static: [{address: '127.0.0.1:3'}]}, queue: 10}
-routes: [{name: r, path: {prefix: %s}, class: c, pools: [{pool: a, weight: 1}, {pool: b, weight: 1}, {pool: c, weight: 1}]}]
+routes:
+  - {name: r, path: {prefix: %s}, class: c, pools: [{pool: a, weight: 1}, {pool: b, weight: 1}, {pool: c, weight: 1}]}
 `, quota, queue, path)
 	}
 	x := begin(t, fleet.NewJudge(time.Second), t.TempDir(), text(10, 5, "/x"))
--- a/internal/service/requests_test.go
+++ b/internal/service/requests_test.go
@@ -15,17 +15,18 @@
 	"olivearch/internal/standin/scripted"
 )
 
-// TestOneReading: however host and path are spelt, a request comes to the route of its canonical reading or is turned
-// away, and the node gets that reading.
-func TestOneReading(t *testing.T) {
-	type got struct{ host, target string }
-	arrived := make(chan got, 1)
+// arrival is a request as a node got it.
+type arrival struct{ host, target string }
+
+// startRecordingNode starts a node that sends what arrives, and answers 201 with fields of which the client gets X-Kept.
+func startRecordingNode(t *testing.T, arrived chan<- arrival) net.Addr {
+	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
 	node := &http.Server{Handler: http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		arrived <- got{r.Host, r.RequestURI}
+		arrived <- arrival{r.Host, r.RequestURI}
 		w.Header().Set("X-Kept", "yes")
 		w.Header().Set("X-Load", "util=0.5") // for the balancer, as is what Connection names
 		w.Header().Set("X-Hop", "1")
@@ -34,14 +35,25 @@
 	})}
 	go func() { _ = node.Serve(l) }() // until it is closed
 	t.Cleanup(func() { node.Close() })
+	return l.Addr()
+}
+
+// TestOneReading: however host and path are spelt, a request comes to the route of its canonical reading or is turned
+// away, and the node gets that reading.
+func TestOneReading(t *testing.T) {
+	arrived := make(chan arrival, 1)
+	address := startRecordingNode(t, arrived)
 	x := begin(t, fleet.NewJudge(0), t.TempDir(), fmt.Sprintf(`
-classes: {c: {aim: 250ms, deadline: 5s}, k: {repeat: keyed, memory: 1m, aim: 250ms, deadline: 5s}, d: {aim: 250ms, deadline: 5s}}
+classes:
+  c: {aim: 250ms, deadline: 5s}
+  k: {repeat: keyed, memory: 1m, aim: 250ms, deadline: 5s}
+  d: {aim: 250ms, deadline: 5s}
 pools: {p: {nodes: {static: [{address: '%s'}]}}}
 routes:
   - {name: open, hosts: [a.example.org], path: {prefix: /open}, class: c, pool: p}
   - {name: key, hosts: [a.example.org], path: {prefix: /key}, class: k, pool: p}
   - {name: field, hosts: [a.example.org], path: {exact: /field}, headers: {X-Gate: '7'}, class: d, pool: p}
-`, l.Addr()))
+`, address))
 	for _, c := range []struct {
 		line, fields string
 		status       int
@@ -73,7 +85,7 @@
 			t.Errorf("%s, %q: %d, want %d", c.line, c.fields, resp.StatusCode, c.status)
 		}
 		if c.status == 201 {
-			if g := <-arrived; g != (got{c.host, c.target}) || resp.Header.Get("X-Kept") != "yes" ||
+			if g := <-arrived; g != (arrival{c.host, c.target}) || resp.Header.Get("X-Kept") != "yes" ||
 				resp.Header.Get("X-Load") != "" ||
 				resp.Header.Get("X-Hop") != "" {
 				t.Errorf("%s: the node got %+v; fields %v", c.line, g, resp.Header)
@@ -160,7 +172,9 @@
 	n := scripted.Start(t, func(c net.Conn, r *http.Request) bool {
 		fmt.Fprint(
 			c,
-			"HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 103 Early Hints\r\nLink: </a.css>\r\n\r\nHTTP/1.1 103 Early Hints\r\nLink: </b.css>\r\n\r\n",
+			"HTTP/1.1 100 Continue\r\n\r\n"+
+				"HTTP/1.1 103 Early Hints\r\nLink: </a.css>\r\n\r\n"+
+				"HTTP/1.1 103 Early Hints\r\nLink: </b.css>\r\n\r\n",
 		)
 		fmt.Fprint(c, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n")
 		for range 1 + len(r.Trailer.Get("X-Long")) { // long ones go on as they come
@@ -190,6 +204,8 @@
 
 // Each limit has its status, and a client that is turned away can read it.
 func TestLimitsHaveTheirStatus(t *testing.T) {
+	const chunkedPost = "POST / HTTP/1.1\r\nHost: x\r\nTransfer-Encoding: chunked\r\n\r\n"
+	longField := "X-A: " + strings.Repeat("b", 1000) + "\r\n"
 	n := scripted.Start(t, scripted.Done)
 	x := sockets(t, "", ", body: {max: 100KiB}", n)
 	for name, c := range map[string]struct {
@@ -197,19 +213,20 @@
 		status int
 	}{
 		"a long target":         {"GET /" + strings.Repeat("a", 20<<10) + " HTTP/1.1\r\nHost: x\r\n\r\n", 414},
-		"a long head":           {"GET / HTTP/1.1\r\nHost: x\r\n" + strings.Repeat("X-A: "+strings.Repeat("b", 1000)+"\r\n", 20) + "\r\n", 431},
+		"a long head":           {"GET / HTTP/1.1\r\nHost: x\r\n" + strings.Repeat(longField, 20) + "\r\n", 431},
 		"many fields":           {"GET / HTTP/1.1\r\nHost: x\r\n" + strings.Repeat("X-A: b\r\n", 200) + "\r\n", 431},
 		"a long body":           {"POST / HTTP/1.1\r\nHost: x\r\nContent-Length: 200000\r\n\r\n", 413},
-		"a long body in chunks": {"POST / HTTP/1.1\r\nHost: x\r\nTransfer-Encoding: chunked\r\n\r\n30D40\r\n" + strings.Repeat("x", 200000) + "\r\n0\r\n\r\n", 413},
-		"a chunk of 2^64":       {"POST / HTTP/1.1\r\nHost: x\r\nTransfer-Encoding: chunked\r\n\r\n10000000000000000\r\nx", 400},
+		"a long body in chunks": {chunkedPost + "30D40\r\n" + strings.Repeat("x", 200000) + "\r\n0\r\n\r\n", 413},
+		"a chunk of 2^64":       {chunkedPost + "10000000000000000\r\nx", 400},
 		"no length":             {"POST / HTTP/1.1\r\nHost: x\r\n\r\n", 411},
 		"an expectation":        {"POST / HTTP/1.1\r\nHost: x\r\nExpect: miracles\r\nContent-Length: 1\r\n\r\nx", 417},
 		"another coding":        {"POST / HTTP/1.1\r\nHost: x\r\nTransfer-Encoding: gzip\r\n\r\n", 501},
 		"a bare LF":             {"GET / HTTP/1.1\nHost: x\r\n\r\n", 400},
 		"a folded line":         {"GET / HTTP/1.1\r\nHost: x\r\nX-A: b\r\n c\r\n\r\n", 400},
-		"a length in a trailer": {"POST / HTTP/1.1\r\nHost: x\r\nTransfer-Encoding: chunked\r\n\r\n0\r\nContent-Length: 5\r\n\r\n", 400},
-		"two framings":          {"POST / HTTP/1.1\r\nHost: x\r\nTransfer-Encoding: chunked\r\nContent-Length: 5\r\n\r\n0\r\n\r\n", 400},
-		"HTTP/2":                {"PRI * HTTP/2.0\r\n\r\nSM\r\n\r\n", 505},
+		"a length in a trailer": {chunkedPost + "0\r\nContent-Length: 5\r\n\r\n", 400},
+		"two framings": {"POST / HTTP/1.1\r\nHost: x\r\nTransfer-Encoding: chunked\r\n" +
+			"Content-Length: 5\r\n\r\n0\r\n\r\n", 400},
+		"HTTP/2": {"PRI * HTTP/2.0\r\n\r\nSM\r\n\r\n", 505},
 	} {
 		if resp := x.dial(c.text).readResponse(); resp.StatusCode != c.status {
 			t.Errorf("%s: got %d, want %d", name, resp.StatusCode, c.status)
@@ -221,12 +238,14 @@
 }
 
 // unsafeRequest is a whole request of an unsafe class, the last of its connection.
-const unsafeRequest = "POST /u HTTP/1.1\r\nHost: x\r\nTransfer-Encoding: chunked\r\nConnection: close\r\n\r\n4\r\nbody\r\n0\r\n\r\n"
+const unsafeRequest = "POST /u HTTP/1.1\r\nHost: x\r\nTransfer-Encoding: chunked\r\nConnection: close\r\n\r\n" +
+	"4\r\nbody\r\n0\r\n\r\n"
 
 // A cut at each byte of a response ends in exactly one answer that is whole or looks cut, or in a
 // close; never in a hang, and an unsafe request never runs twice.
 func TestCutsAtEveryByte(t *testing.T) {
-	const says = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\nX-A: b\r\n\r\n5\r\nhello\r\n3;x=y\r\nyou\r\n0\r\nX-T: 1\r\n\r\n"
+	const says = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\nX-A: b\r\n\r\n" +
+		"5\r\nhello\r\n3;x=y\r\nyou\r\n0\r\nX-T: 1\r\n\r\n"
 	const sites = 30 // a node that fails often is tried now and then only, so each has few cuts
 	for k := range sites {
 		t.Run(fmt.Sprint("part ", k), func(t *testing.T) {
--- a/internal/service/subset_size_test.go
+++ b/internal/service/subset_size_test.go
@@ -19,7 +19,9 @@
 		{"{count: 300, rank: 17}", "", 1, 1, 1},
 	} {
 		text := "listeners: [{address: \"127.0.0.1:1\"}]\ninstances: " + c.instances + "\n" + c.tenants +
-			"\nclasses: {c: {repeat: unsafe, aim: 250ms, deadline: 1s}}\npools: {p: {nodes: {discovery: \"127.0.0.1:2\"}}}\nroutes: [{name: r, path: {prefix: /}, class: c, pool: p}]\n"
+			"\nclasses: {c: {repeat: unsafe, aim: 250ms, deadline: 1s}}\n" +
+			"pools: {p: {nodes: {discovery: \"127.0.0.1:2\"}}}\n" +
+			"routes: [{name: r, path: {prefix: /}, class: c, pool: p}]\n"
 		f, err := config.Parse("uses.yaml", []byte(text))
 		if err != nil {
 			t.Fatal(err)
