--- a/internal/live/part.go
+++ b/internal/live/part.go
@@ -6,37 +6,37 @@
 	"slices"
 )
 
-// Part says what of a view is wanted.
+// Part selects a part of a view.
 type Part struct {
-	Pools []string // by name; none: all
+	Pools []string // by name, each once; empty: all
 	Nodes string   // AllNodes, UsedNodes or NoNodes; empty: all
 }
 
-// The nodes that a part has.
+// Values of Part.Nodes.
 const (
 	AllNodes  = "all"
-	UsedNodes = "used" // those that this balancer uses, and others with something out, cold, silent or draining
+	UsedNodes = "used" // in the subset, or with requests in flight, warming up, unresponsive or draining
 	NoNodes   = "none"
 )
 
-// ParsePart reads the query of a call: pool=NAME, any number of times, and nodes=all, used or none.
+// phaseUp is the phase of a node that is neither draining nor gone.
+const phaseUp = "up"
+
+// ParsePart reads a part from the query of a URL: pool=NAME, any number of times, and nodes=all, used or none.
 func ParsePart(query string) (p Part, err error) {
-	values, err := url.ParseQuery(query)
+	parameters, err := url.ParseQuery(query)
 	if err != nil {
 		return p, err
 	}
-	for key, x := range values {
-		switch {
-		case key == "pool":
-			for _, name := range x { // each once, in the order asked for
-				if !slices.Contains(p.Pools, name) {
-					p.Pools = append(p.Pools, name)
-				}
+	for key, values := range parameters {
+		switch key {
+		case "pool":
+			p.addPools(values)
+		case "nodes":
+			if len(values) != 1 || !slices.Contains([]string{AllNodes, UsedNodes, NoNodes}, values[0]) {
+				return p, fmt.Errorf("nodes is %q, %q or %q, once", AllNodes, UsedNodes, NoNodes)
 			}
-		case key == "nodes" && len(x) == 1 && slices.Contains([]string{AllNodes, UsedNodes, NoNodes}, x[0]):
-			p.Nodes = x[0]
-		case key == "nodes":
-			return p, fmt.Errorf("nodes is %q, %q or %q, once", AllNodes, UsedNodes, NoNodes)
+			p.Nodes = values[0]
 		default:
 			return p, fmt.Errorf("there is no parameter %.64q; known: pool, nodes", key)
 		}
@@ -44,27 +44,42 @@
 	return p, nil
 }
 
-// Query is what ParsePart reads.
+// addPools adds pools that the part does not have yet, in their order.
+func (p *Part) addPools(names []string) {
+	for _, name := range names {
+		if !slices.Contains(p.Pools, name) {
+			p.Pools = append(p.Pools, name)
+		}
+	}
+}
+
+// Query returns the query that ParsePart reads this part from.
 func (p Part) Query() string {
-	v := url.Values{}
+	parameters := url.Values{}
 	for _, name := range p.Pools {
-		v.Add("pool", name)
+		parameters.Add("pool", name)
 	}
 	if p.Nodes != "" {
-		v.Set("nodes", p.Nodes)
+		parameters.Set("nodes", p.Nodes)
 	}
-	return v.Encode()
+	return parameters.Encode()
 }
 
-// Of returns what is wanted of a pool.
-func (p Part) Of(x Pool) Pool {
+// Of returns a pool with the nodes that are selected. It may change the given pool's slice of nodes.
+func (p Part) Of(pool Pool) Pool {
 	switch p.Nodes {
 	case NoNodes:
-		x.Nodes = []Node{}
+		pool.Nodes = []Node{}
 	case UsedNodes:
-		x.Nodes = slices.DeleteFunc(x.Nodes, func(n Node) bool {
-			return !n.Member && n.Out == 0 && !n.Cold && !n.Silent && n.Phase == "up"
-		})
+		pool.Nodes = slices.DeleteFunc(pool.Nodes, func(n Node) bool { return !n.isUsed() })
+	}
+	return pool
+}
+
+// isUsed tells whether a node is one of UsedNodes.
+func (n *Node) isUsed() bool {
+	if n.Member || n.Out != 0 {
+		return true
 	}
-	return x
+	return n.Cold || n.Silent || n.Phase != phaseUp
 }
--- a/internal/live/part_test.go
+++ b/internal/live/part_test.go
@@ -6,6 +6,8 @@
 	"testing"
 )
 
+// TestParts: a part is the same after it was written as a query and read, bad queries are errors, and each choice of
+// nodes has its nodes.
 func TestParts(t *testing.T) {
 	for query, want := range map[string]Part{
 		"":                            {},
@@ -22,7 +24,12 @@
 			t.Errorf("%s: said as %s and read as %+v, %v", query, got.Query(), again, err)
 		}
 	}
-	for query, want := range map[string]string{"nodes=some": "nodes is", "nodes=all&nodes=none": "nodes is", "pools=a": "no parameter \"pools\"", "pool=%zz": "escape"} {
+	for query, want := range map[string]string{
+		"nodes=some":           "nodes is",
+		"nodes=all&nodes=none": "nodes is",
+		"pools=a":              "no parameter \"pools\"",
+		"pool=%zz":             "escape",
+	} {
 		if _, err := ParsePart(query); err == nil || !strings.Contains(err.Error(), want) {
 			t.Errorf("%s: %v", query, err)
 		}
@@ -38,8 +45,13 @@
 	for which, want := range map[string]int{"": 6, AllNodes: 6, UsedNodes: 5, NoNodes: 0} {
 		of := x
 		of.Nodes = append([]Node{}, x.Nodes...)
-		if got := (Part{Nodes: which}).Of(of); len(got.Nodes) != want || got.Nodes == nil || want == 5 && got.Nodes[0].ID != "used" {
-			t.Errorf("%q: %+v", which, got.Nodes)
+		got := Part{Nodes: which}.Of(of)
+		if len(got.Nodes) != want || got.Nodes == nil {
+			t.Errorf("%q: %+v, want %d nodes", which, got.Nodes, want)
+			continue
+		}
+		if want == 5 && got.Nodes[0].ID != "used" {
+			t.Errorf("%q: the first is %+v", which, got.Nodes[0])
 		}
 	}
 }
--- a/internal/live/size_test.go
+++ b/internal/live/size_test.go
@@ -7,7 +7,7 @@
 	"testing"
 )
 
-// What a live view takes, by its nodes: the admin listener's answer, indented as it writes it, and the same without.
+// BenchmarkView measures the size of a live view by its nodes, indented as the admin listener writes it and plain.
 func BenchmarkView(b *testing.B) {
 	for _, n := range []int{40, 1800, 18_000} {
 		v := View{Version: "1"}
@@ -17,8 +17,20 @@
 			}
 			p := &v.Pools[len(v.Pools)-1]
 			p.Nodes = append(p.Nodes, Node{
-				ID: fmt.Sprintf("s-%08x", i), Address: fmt.Sprintf("10.1.%d.%d:7070", i>>8, i&255), Phase: "up", Load: Reported, Bound: 0.0741, Part: 1, Cut: 1,
-				Member: i%37 < 2, LatencyMS: 41.873, Mean: 0.51234, Upper: 0.6012, Lower: 0.4234, Readings: 1234, Share: 0.5,
+				ID:        fmt.Sprintf("s-%08x", i),
+				Address:   fmt.Sprintf("10.1.%d.%d:7070", i>>8, i&255),
+				Phase:     "up",
+				Load:      Reported,
+				Bound:     0.0741,
+				Part:      1,
+				Cut:       1,
+				Member:    i%37 < 2,
+				LatencyMS: 41.873,
+				Mean:      0.51234,
+				Upper:     0.6012,
+				Lower:     0.4234,
+				Readings:  1234,
+				Share:     0.5,
 			})
 		}
 		plain, err := json.Marshal(&v)
--- /dev/null
+++ b/internal/live/table.go
@@ -0,0 +1,98 @@
+package live
+
+import (
+	"cmp"
+	"fmt"
+	"io"
+	"slices"
+	"strings"
+	"text/tabwriter"
+)
+
+const tableHeader = "node\tphase\tshare\tcut\tlower\tmean\tupper\tarea\tout\tbound\tms\tconns\tpart\tnotes\t"
+
+// Write prints a view: listeners, the coordination cluster if there is one, and a table of nodes for each pool.
+func (v *View) Write(w io.Writer) error {
+	for _, l := range v.Listeners {
+		fmt.Fprintf(w, "listener %s at %s: %d of %d connections\n", l.Name, l.Address, l.Connections, l.Limit)
+	}
+	if v.Promises != nil {
+		v.Promises.write(w)
+	}
+	for i := range v.Pools {
+		if err := v.Pools[i].write(w); err != nil {
+			return err
+		}
+	}
+	return nil
+}
+
+func (p *Promises) write(w io.Writer) {
+	age := "never confirmed"
+	if p.AgeMS >= 0 {
+		age = fmt.Sprintf("confirmed %.1f s ago", float64(p.AgeMS)/1000)
+	}
+	follows := "follows " + p.Voter
+	if p.Voter == "" {
+		follows = "NO VOTER REACHED (" + p.Trouble + ")"
+	}
+	fmt.Fprintf(w, "promises: %s, leader %s, %d voters, revision %d, %s; words %v\n",
+		follows, cmp.Or(p.Leader, "unknown"), p.Voters, p.Revision, age, p.Words)
+}
+
+// write prints a line on the pool and the table of its nodes, by ID.
+func (p *Pool) write(w io.Writer) error {
+	fmt.Fprintf(w, "\npool %s: %d of %d open, %d held, %d of %d connections, %d tunnels, ",
+		p.Name, p.Open, p.Queue, p.Held, p.Connections, p.Limit, p.Tunnels)
+	fmt.Fprintf(w, "%d served, %d refused, %d failed, %d turned away; list %.1f s old%s\n",
+		p.Served, p.Refused, p.Failed, p.TurnedAway, float64(p.ListAgeMS)/1000, p.listNote())
+	table := tabwriter.NewWriter(w, 0, 0, 2, ' ', tabwriter.AlignRight)
+	fmt.Fprintln(table, tableHeader)
+	nodes := slices.SortedFunc(slices.Values(p.Nodes), func(a, b Node) int { return cmp.Compare(a.ID, b.ID) })
+	for i := range nodes {
+		nodes[i].writeRow(table)
+	}
+	return table.Flush()
+}
+
+// listNote tells what is wrong with the pool's endpoint list; empty: nothing.
+func (p *Pool) listNote() string {
+	switch {
+	case p.Expired:
+		return ", EXPIRED: all is refused (" + cmp.Or(p.Trouble, "its source is silent") + ")"
+	case p.Trouble != "":
+		return " (" + p.Trouble + ")"
+	}
+	return ""
+}
+
+// writeRow prints the columns of tableHeader.
+func (n *Node) writeRow(w io.Writer) {
+	fmt.Fprintf(w, "%s\t%s\t%.3f\t%.2f\t%.2f\t%.2f\t%.2f\t%.2f\t%d\t%.1f\t%.1f\t%d\t%.2f\t%s\t\n",
+		n.ID, n.Phase, n.Share, n.Cut, n.Lower, n.Mean, n.Upper, n.Area,
+		n.Out, n.Bound, n.LatencyMS, n.Connections, n.Part, n.notes())
+}
+
+// notes are what an operator should know of a node beyond its numbers.
+func (n *Node) notes() string {
+	var notes []string
+	if n.Cold {
+		notes = append(notes, "cold")
+	}
+	if n.Silent {
+		notes = append(notes, "silent")
+	}
+	if !n.Member {
+		notes = append(notes, "not used")
+	}
+	if n.Load != Reported {
+		notes = append(notes, "load "+n.Load)
+	}
+	if n.Unreadable > 0 {
+		notes = append(notes, fmt.Sprintf("%d reports unreadable (%s)", n.Unreadable, n.UnreadableWhy))
+	}
+	if n.Strays > 0 {
+		notes = append(notes, fmt.Sprintf("%d strays", n.Strays))
+	}
+	return strings.Join(notes, ", ")
+}
--- a/internal/metrics/metrics_test.go
+++ b/internal/metrics/metrics_test.go
@@ -223,7 +223,8 @@
 		if got := w.Header().Get("Content-Encoding") == "gzip"; got != want || w.Header().Get("Vary") != "Accept-Encoding" {
 			t.Errorf("%q: packed %v", accepts, got)
 		}
-		if _, text, _ := read(t, Handler(sample), "Accept-Encoding", accepts); !strings.Contains(text, "olivearch_reloads_total 3\n") {
+		_, text, _ := read(t, Handler(sample), "Accept-Encoding", accepts)
+		if !strings.Contains(text, "olivearch_reloads_total 3\n") {
 			t.Errorf("%q: %.80q", accepts, text)
 		}
 	}
--- a/internal/service/requests_test.go
+++ b/internal/service/requests_test.go
@@ -18,7 +18,8 @@
 // arrival is a request as a node got it.
 type arrival struct{ host, target string }
 
-// startRecordingNode starts a node that sends what arrives, and answers 201 with fields of which the client gets X-Kept.
+// startRecordingNode starts a node that sends what arrives, and answers 201 with fields of which the client gets
+// X-Kept only.
 func startRecordingNode(t *testing.T, arrived chan<- arrival) net.Addr {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
--- a/internal/service/shared_overrides.go
+++ b/internal/service/shared_overrides.go
@@ -126,7 +126,7 @@
 		Words:    map[string]int{},
 		Trouble:  copied.Fault,
 	}
-	if age := copied.Age(time.Now()); age < live.Ages {
+	if age := copied.Age(time.Now()); age < live.MaxAge {
 		view.AgeMS = age.Milliseconds()
 	}
 	for _, shared := range copied.Overrides {
