--- /dev/null
+++ b/internal/service/client_conn_test.go
@@ -0,0 +1,107 @@
+package service
+
+import (
+	"bufio"
+	"errors"
+	"fmt"
+	"io"
+	"net"
+	"net/http"
+	"os"
+	"strings"
+	"testing"
+	"time"
+
+	"olivearch/internal/live"
+	"olivearch/internal/standin/fleet"
+	"olivearch/internal/standin/scripted"
+)
+
+// sockets starts a service on scripted nodes, which list "list" has. more goes behind the route's name.
+func sockets(t *testing.T, pool, more string, nodes ...*scripted.Node) *site {
+	t.Helper()
+	x := begin(t, fleet.NewJudge(time.Second), t.TempDir(), streamed(pool, more, nodes...))
+	x.until("all nodes", func(v live.View) bool { return len(v.Pools) == 1 && len(v.Pools[0].Nodes) == len(nodes) })
+	return x
+}
+
+// streamed is a configuration with one pool and a safe class c.
+func streamed(pool, more string, nodes ...*scripted.Node) string {
+	var list []string
+	for i, n := range nodes {
+		list = append(list, fmt.Sprintf("{id: n%d, address: '%s'}", i, n.Addr))
+	}
+	return fmt.Sprintf(`classes: {c: {aim: 2s, deadline: 8s, repeat: safe}, u: {aim: 2s, deadline: 8s}}
+pools: {p: {nodes: {static: [%s]} %s}}
+routes:
+  - {name: unsafe, path: {prefix: /u}, class: u, pool: p}
+  - {name: all, class: c, pool: p %s}
+`, strings.Join(list, ", "), pool, more)
+}
+
+// clientConn is a client's connection to the service, with 20 s for all that is done on it.
+type clientConn struct {
+	*net.TCPConn
+	t      *testing.T
+	reader *bufio.Reader
+}
+
+// response is a response whose body is closed with its connection.
+type response struct{ *http.Response }
+
+// dial opens a connection and sends something. It is closed at the end of the test.
+func (x *site) dial(text string) *clientConn {
+	x.t.Helper()
+	opened, err := net.Dial("tcp", strings.TrimPrefix(x.url, "http://"))
+	if err != nil {
+		x.t.Fatal(err)
+	}
+	c := &clientConn{TCPConn: opened.(*net.TCPConn), t: x.t, reader: bufio.NewReader(opened)}
+	x.t.Cleanup(func() { c.Close() })
+	if err := c.SetDeadline(time.Now().Add(20 * time.Second)); err != nil {
+		x.t.Fatal(err)
+	}
+	if _, err := io.WriteString(c.TCPConn, text); err != nil {
+		x.t.Fatal(err)
+	}
+	return c
+}
+
+func (c *clientConn) send(text string) {
+	c.t.Helper()
+	if _, err := io.WriteString(c.TCPConn, text); err != nil {
+		c.t.Errorf("sending %d bytes: %v", len(text), err)
+	}
+}
+
+// readResponse reads the head of a response.
+func (c *clientConn) readResponse() response {
+	c.t.Helper()
+	resp, err := http.ReadResponse(c.reader, nil)
+	if err != nil {
+		c.t.Fatal(err)
+	}
+	c.t.Cleanup(func() {
+		c.Close() // first, since closing a body reads what is left of it
+		resp.Body.Close()
+	})
+	return response{resp}
+}
+
+// wantEcho sends something and wants it back.
+func (c *clientConn) wantEcho(text string) {
+	c.t.Helper()
+	c.send(text)
+	got := make([]byte, len(text))
+	if _, err := io.ReadFull(c.reader, got); err != nil || string(got) != text {
+		c.t.Fatalf("got %q, %v, want %q", got, err, text)
+	}
+}
+
+// wantEnd waits for the end of a connection on which nothing more is said.
+func (c *clientConn) wantEnd() {
+	c.t.Helper()
+	if rest, err := io.ReadAll(c.reader); len(rest) > 0 || errors.Is(err, os.ErrDeadlineExceeded) {
+		c.t.Errorf("%q, %v: want the end", rest, err)
+	}
+}
