--- a/internal/service/admin_test.go
+++ b/internal/service/admin_test.go
@@ -18,11 +18,11 @@
 // TestAdmin reads the live view as top does.
 func TestAdmin(t *testing.T) {
 	j, folder := fleet.NewJudge(time.Second), t.TempDir()
-	all := nodes(t, j, 1, fleet.Spec{})
-	write(t, j, folder, "a.yaml", all[0].Entry("up"))
-	write(t, j, folder, "b.yaml", all[0].Entry("up"))
-	x := begin(t, j, folder, twoPools)
-	x.until(
+	all := startNodes(t, j, 1, fleet.Spec{})
+	writeEndpoints(t, j, folder, "a.yaml", all[0].Entry("up"))
+	writeEndpoints(t, j, folder, "b.yaml", all[0].Entry("up"))
+	x := startService(t, j, folder, twoPools)
+	x.waitFor(
 		"shares are told",
 		func(live.View) bool { p := x.pool("a"); return len(p.Nodes) == 1 && p.Nodes[0].Part == 0.5 },
 	)
@@ -47,7 +47,7 @@
 }
 
 // getAdmin asks the admin listener.
-func (x *site) getAdmin(path string) (status int, text string) {
+func (x *testService) getAdmin(path string) (status int, text string) {
 	x.t.Helper()
 	resp, err := http.Get("http://" + x.AdminAddress().String() + path)
 	if err != nil {
@@ -62,7 +62,7 @@
 }
 
 // livePart asks the admin listener for a part of the live view.
-func (x *site) livePart(query string) (v live.View) {
+func (x *testService) livePart(query string) (v live.View) {
 	x.t.Helper()
 	status, text := x.getAdmin("/v1/live?" + query)
 	if err := json.Unmarshal([]byte(text), &v); err != nil || status != http.StatusOK {
@@ -72,7 +72,7 @@
 }
 
 // metricsWith returns the metrics once they have a line, or as they are after 5 s: gauges are up to a second old.
-func (x *site) metricsWith(line string) string {
+func (x *testService) metricsWith(line string) string {
 	x.t.Helper()
 	for end := time.Now().Add(5 * time.Second); ; time.Sleep(10 * time.Millisecond) {
 		_, text := x.getAdmin("/metrics")
@@ -86,11 +86,11 @@
 // part of the live view has what was asked for and names what there is not.
 func TestMetricsAndParts(t *testing.T) {
 	j, folder := fleet.NewJudge(time.Second), t.TempDir()
-	all := nodes(t, j, 2, fleet.Spec{})
-	write(t, j, folder, "a.yaml", all[0].Entry("up"), all[1].Entry("draining"))
-	write(t, j, folder, "b.yaml", all[0].Entry("up"))
-	x := begin(t, j, folder, twoPools)
-	x.until("lists and shares are told", func(live.View) bool {
+	all := startNodes(t, j, 2, fleet.Spec{})
+	writeEndpoints(t, j, folder, "a.yaml", all[0].Entry("up"), all[1].Entry("draining"))
+	writeEndpoints(t, j, folder, "b.yaml", all[0].Entry("up"))
+	x := startService(t, j, folder, twoPools)
+	x.waitFor("lists and shares are told", func(live.View) bool {
 		p := x.pool("a")
 		return len(p.Nodes) == 2 && p.Nodes[0].Phase == "up" && len(x.pool("b").Nodes) == 1
 	})
@@ -161,13 +161,13 @@
 		t.Cleanup(n.Close)
 		entries = append(entries, n.Entry("up"))
 	}
-	write(t, j, folder, "a.yaml", entries...)
-	write(t, j, folder, "b.yaml", entries...)
-	x := begin(t, j, folder, twoPools)
+	writeEndpoints(t, j, folder, "a.yaml", entries...)
+	writeEndpoints(t, j, folder, "b.yaml", entries...)
+	x := startService(t, j, folder, twoPools)
 	ctx, cancel := context.WithCancel(t.Context())
 	var wg sync.WaitGroup
 	wg.Go(func() { x.clients("a.example.org", "a", fleet.Unsafe, 400).Run(ctx) })
-	x.until("each node's load is told", func(v live.View) bool {
+	x.waitFor("each node's load is told", func(v live.View) bool {
 		loads := map[string]string{}
 		for _, n := range x.pool("a").Nodes {
 			loads[n.ID] = n.Load
@@ -186,5 +186,5 @@
 			t.Errorf("%q is not in\n%s", want, &table)
 		}
 	}
-	x.clean()
+	x.wantNoBreaches()
 }
--- a/internal/service/client_conn_test.go
+++ b/internal/service/client_conn_test.go
@@ -17,16 +17,17 @@
 	"olivearch/internal/standin/scripted"
 )
 
-// sockets starts a service on scripted nodes, which list "list" has. more goes behind the route's name.
-func sockets(t *testing.T, pool, more string, nodes ...*scripted.Node) *site {
+// startWithNodes starts a service with the configuration of streamConfig, and waits until its pool has all nodes.
+func startWithNodes(t *testing.T, pool, more string, nodes ...*scripted.Node) *testService {
 	t.Helper()
-	x := begin(t, fleet.NewJudge(time.Second), t.TempDir(), streamed(pool, more, nodes...))
-	x.until("all nodes", func(v live.View) bool { return len(v.Pools) == 1 && len(v.Pools[0].Nodes) == len(nodes) })
+	x := startService(t, fleet.NewJudge(time.Second), t.TempDir(), streamConfig(pool, more, nodes...))
+	x.waitFor("all nodes", func(v live.View) bool { return len(v.Pools) == 1 && len(v.Pools[0].Nodes) == len(nodes) })
 	return x
 }
 
-// streamed is a configuration with one pool and a safe class c.
-func streamed(pool, more string, nodes ...*scripted.Node) string {
+// streamConfig returns a configuration with one pool p of the nodes, and two classes: u (unsafe) for the path /u and c
+// (safe) for all others. The texts pool and more are added to the keys of the pool and of the route for all others.
+func streamConfig(pool, more string, nodes ...*scripted.Node) string {
 	var list []string
 	for i, n := range nodes {
 		list = append(list, fmt.Sprintf("{id: n%d, address: '%s'}", i, n.Addr))
@@ -50,7 +51,7 @@
 type response struct{ *http.Response }
 
 // dial opens a connection and sends something. It is closed at the end of the test.
-func (x *site) dial(text string) *clientConn {
+func (x *testService) dial(text string) *clientConn {
 	x.t.Helper()
 	opened, err := net.Dial("tcp", strings.TrimPrefix(x.url, "http://"))
 	if err != nil {
@@ -67,6 +68,7 @@
 	return c
 }
 
+// send writes a text, in full.
 func (c *clientConn) send(text string) {
 	c.t.Helper()
 	if _, err := io.WriteString(c.TCPConn, text); err != nil {
@@ -88,7 +90,7 @@
 	return response{resp}
 }
 
-// wantEcho sends something and wants it back.
+// wantEcho sends a text and wants the same back.
 func (c *clientConn) wantEcho(text string) {
 	c.t.Helper()
 	c.send(text)
@@ -98,7 +100,7 @@
 	}
 }
 
-// wantEnd waits for the end of a connection on which nothing more is said.
+// wantEnd waits for the end of the connection, before which nothing more may arrive.
 func (c *clientConn) wantEnd() {
 	c.t.Helper()
 	if rest, err := io.ReadAll(c.reader); len(rest) > 0 || errors.Is(err, os.ErrDeadlineExceeded) {
--- a/internal/service/differential_test.go
+++ b/internal/service/differential_test.go
@@ -133,8 +133,8 @@
 	}
 }
 
-// Go's own client and server, at both ends, see the same bytes as without the balancer between them, or an answer
-// that looks cut where the node cut it, and no request runs twice.
+// TestDifferential: Go's own client and server, at both ends, see the same bytes as without the balancer between
+// them, or an answer that looks cut where the node cut it, and no request runs twice.
 func TestDifferential(t *testing.T) {
 	var all sync.Map
 	node := httptest.NewUnstartedServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
@@ -148,7 +148,7 @@
 	node.Config.ErrorLog = nil
 	node.Start()
 	defer node.Close()
-	x := begin(t, fleet.NewJudge(time.Second), t.TempDir(), fmt.Sprintf(`classes: {u: {aim: 5s, deadline: 20s}}
+	x := startService(t, fleet.NewJudge(time.Second), t.TempDir(), fmt.Sprintf(`classes: {u: {aim: 5s, deadline: 20s}}
 pools: {p: {nodes: {static: [{id: n0, address: '%s'}]}}}
 routes: [{name: all, class: u, pool: p}]
 `, node.Listener.Addr()))
--- a/internal/service/endpoint_lists_test.go
+++ b/internal/service/endpoint_lists_test.go
@@ -82,7 +82,7 @@
 }
 
 // awaitPhases waits up to 20 s until a pool has so many nodes by phase.
-func (x *site) awaitPhases(pool string, want map[string]int) {
+func (x *testService) awaitPhases(pool string, want map[string]int) {
 	x.t.Helper()
 	for end := time.Now().Add(20 * time.Second); ; time.Sleep(time.Millisecond) {
 		phases := map[string]int{}
@@ -103,7 +103,7 @@
 func TestManyLists(t *testing.T) {
 	folder := t.TempDir()
 	text, sizes := fleetOfLists(t, folder, 490)
-	x := &site{t: t, folder: folder}
+	x := &testService{t: t, folder: folder}
 	c := x.parse(text)
 	began, cpu := time.Now(), processorTime(t)
 	s, err := Start(c, "test")
@@ -157,7 +157,7 @@
 		writeText(t, filepath.Join(folder, fmt.Sprintf("p%03d.yaml", i)), "nodes:\n- {address: nowhere}\n")
 	}
 	os.Remove(filepath.Join(folder, "p002.yaml"))
-	c := (&site{t: t, folder: folder}).parse(text)
+	c := (&testService{t: t, folder: folder}).parse(text)
 	for range 5 {
 		_, err := Start(c, "test")
 		_, checked := CheckLists(c)
@@ -180,7 +180,7 @@
 func TestUnchangedListHolds(t *testing.T) {
 	folder := t.TempDir()
 	writeText(t, filepath.Join(folder, "a.yaml"), listText(0, 2, -1))
-	x := &site{t: t, folder: folder}
+	x := &testService{t: t, folder: folder}
 	s, err := Start(
 		x.parse(
 			"classes: {c: {aim: 250ms, deadline: 1s}}\n"+
@@ -194,9 +194,9 @@
 	}
 	x.Service = s
 	defer s.Stop()
-	x.until("the list was told", func(live.View) bool { return len(x.pool("a").Nodes) == 2 })
+	x.waitFor("the list was told", func(live.View) bool { return len(x.pool("a").Nodes) == 2 })
 	age := x.pool("a").ListAgeMS
-	x.until("a look that found nothing new", func(live.View) bool {
+	x.waitFor("a look that found nothing new", func(live.View) bool {
 		before := age
 		age = x.pool("a").ListAgeMS
 		return age < before
--- a/internal/service/endpoint_sources_test.go
+++ b/internal/service/endpoint_sources_test.go
@@ -18,10 +18,10 @@
 // after its hold the pool refuses at once; a whole list ends that.
 func TestSilentList(t *testing.T) {
 	j, folder := fleet.NewJudge(time.Second), t.TempDir()
-	all := nodes(t, j, 2, fleet.Spec{})
-	write(t, j, folder, "a.yaml", all[0].Entry("up"))
-	write(t, j, folder, "b.yaml", all[1].Entry("up"))
-	x := begin(
+	all := startNodes(t, j, 2, fleet.Spec{})
+	writeEndpoints(t, j, folder, "a.yaml", all[0].Entry("up"))
+	writeEndpoints(t, j, folder, "b.yaml", all[1].Entry("up"))
+	x := startService(
 		t,
 		j,
 		folder,
@@ -31,11 +31,11 @@
 	if err := os.WriteFile(filepath.Join(folder, "a.yaml"), []byte("nodes: [{addr"), 0o600); err != nil {
 		t.Fatal(err)
 	}
-	x.until("the trouble", func(live.View) bool { return strings.Contains(x.pool("a").Trouble, "a.yaml:1:") })
+	x.waitFor("the trouble", func(live.View) bool { return strings.Contains(x.pool("a").Trouble, "a.yaml:1:") })
 	if p := x.pool("a"); len(p.Nodes) != 1 || p.Nodes[0].Phase != "up" {
 		t.Errorf("a torn list changed something: %+v", p.Nodes)
 	}
-	x.until("the hold is over", func(live.View) bool { return x.pool("a").Expired })
+	x.waitFor("the hold is over", func(live.View) bool { return x.pool("a").Expired })
 	before := time.Now()
 	if status := ask("a.example.org", "1"); status != 503 || time.Since(before) > 500*time.Millisecond {
 		t.Errorf("with an expired list: %d after %v", status, time.Since(before))
@@ -43,18 +43,18 @@
 	if status := ask("b.example.org", "2"); status != 200 {
 		t.Errorf("the other pool: %d", status)
 	}
-	x.list("a.yaml", all[0].Entry("up"))
-	x.until("the list is whole", func(live.View) bool { return !x.pool("a").Expired })
+	x.writeList("a.yaml", all[0].Entry("up"))
+	x.waitFor("the list is whole", func(live.View) bool { return !x.pool("a").Expired })
 	if status := ask("a.example.org", "3"); status != 200 {
 		t.Errorf("with a whole list: %d", status)
 	}
-	x.clean()
+	x.wantNoBreaches()
 }
 
 // TestDiscoverySource: a pool's list comes from a discovery service, and a reload moves it to a file and back.
 func TestDiscoverySource(t *testing.T) {
 	j, folder := fleet.NewJudge(time.Second), t.TempDir()
-	all := nodes(t, j, 2, fleet.Spec{})
+	all := startNodes(t, j, 2, fleet.Spec{})
 	stop := make(chan struct{})
 	discovery := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		if r.URL.Query().Has("since") {
@@ -71,17 +71,17 @@
 		)
 	}))
 	t.Cleanup(func() { close(stop); discovery.Close() })
-	write(t, j, folder, "a.yaml", all[1].Entry("up"))
-	write(t, j, folder, "b.yaml", all[1].Entry("up"))
+	writeEndpoints(t, j, folder, "a.yaml", all[1].Entry("up"))
+	writeEndpoints(t, j, folder, "b.yaml", all[1].Entry("up"))
 	byFile := twoPools
 	byDiscovery := strings.Replace(twoPools, "file: a.yaml", fmt.Sprintf("discovery: '%s'", discovery.Listener.Addr()), 1)
-	x := begin(t, j, folder, byDiscovery)
+	x := startService(t, j, folder, byDiscovery)
 	for i, text := range []string{byDiscovery, byFile, byDiscovery, byFile} {
 		want := []string{"d0", "n1"}[i%2]
 		if i > 0 {
 			x.apply(text)
 		}
-		x.until(want+" is the pool's only node", func(live.View) bool {
+		x.waitFor(want+" is the pool's only node", func(live.View) bool {
 			up := ""
 			for _, n := range x.pool("a").Nodes {
 				if n.Phase == "up" {
@@ -97,5 +97,5 @@
 	if a, b := all[0].Runs(), all[1].Runs(); a != 2 || b != 2 {
 		t.Errorf("%d and %d runs, want 2 each", a, b)
 	}
-	x.clean()
+	x.wantNoBreaches()
 }
--- a/internal/service/harness_test.go
+++ b/internal/service/harness_test.go
@@ -13,22 +13,24 @@
 	"olivearch/internal/standin/fleet"
 )
 
-// site is a running service on a fleet.
-type site struct {
+// testService is a running service with simulated nodes.
+type testService struct {
 	*Service
 	t      *testing.T
-	judge  *fleet.Judge
-	folder string
-	url    string
-	stop   func()
+	judge  *fleet.Judge // checks each request and its response
+	folder string       // of configuration and endpoint lists
+	url    string       // of the listener for clients
+	stop   func()       // may be called more than once
 }
 
+// listener is the address that test configurations have for clients: the system chooses the port.
 const listener = "127.0.0.1:0"
 
-// begin starts a service. Lists are files in its folder, named list(NAME) in the text.
-func begin(t *testing.T, j *fleet.Judge, folder, text string) *site {
+// startService starts a service with a configuration, to which parse adds the listeners. It is stopped at the end of
+// the test.
+func startService(t *testing.T, j *fleet.Judge, folder, text string) *testService {
 	t.Helper()
-	x := &site{t: t, judge: j, folder: folder}
+	x := &testService{t: t, judge: j, folder: folder}
 	s, err := Start(x.parse(text), "test")
 	if err != nil {
 		t.Fatal(err)
@@ -39,7 +41,8 @@
 	return x
 }
 
-func (x *site) parse(text string) *config.Loaded {
+// parse reads a configuration, with a listener for clients and one for operators before the text.
+func (x *testService) parse(text string) *config.Loaded {
 	x.t.Helper()
 	c, err := config.Parse(
 		filepath.Join(x.folder, "c.yaml"),
@@ -51,14 +54,16 @@
 	return c
 }
 
-func (x *site) apply(text string) {
+// apply reloads with a configuration, which must be accepted.
+func (x *testService) apply(text string) {
 	x.t.Helper()
 	if err := x.Apply(x.parse(text)); err != nil {
 		x.t.Fatal(err)
 	}
 }
 
-func nodes(t *testing.T, j *fleet.Judge, n int, spec fleet.Spec) []*fleet.Node {
+// startNodes starts nodes n0, n1 and so on.
+func startNodes(t *testing.T, j *fleet.Judge, n int, spec fleet.Spec) []*fleet.Node {
 	t.Helper()
 	var all []*fleet.Node
 	for i := range n {
@@ -76,27 +81,29 @@
 	return all
 }
 
-func (x *site) list(name string, entries ...endpointlist.Node) {
+// writeList writes an endpoint list into the service's folder.
+func (x *testService) writeList(name string, entries ...endpointlist.Node) {
 	x.t.Helper()
-	write(x.t, x.judge, x.folder, name, entries...)
+	writeEndpoints(x.t, x.judge, x.folder, name, entries...)
 }
 
-func write(t *testing.T, j *fleet.Judge, folder, name string, entries ...endpointlist.Node) {
+func writeEndpoints(t *testing.T, j *fleet.Judge, folder, name string, entries ...endpointlist.Node) {
 	t.Helper()
 	if err := fleet.WriteList(filepath.Join(folder, name), j, entries); err != nil {
 		t.Fatal(err)
 	}
 }
 
-func (x *site) clients(host, prefix string, effect fleet.Effect, rate float64) *fleet.Clients {
+// clients returns clients of a host that send requests per second, with IDs that begin with the prefix.
+func (x *testService) clients(host, prefix string, effect fleet.Effect, rate float64) *fleet.Clients {
 	return fleet.NewClients(fleet.Traffic{
 		URL: x.url + "/", Host: host, Method: "POST", Body: "b", Effect: effect, Deadline: time.Second, Rate: rate,
 		Seed: 5, Prefix: prefix,
 	}, x.judge)
 }
 
-// until waits for the live view to show something.
-func (x *site) until(what string, seen func(live.View) bool) {
+// waitFor waits up to 20 s for the live view to show something.
+func (x *testService) waitFor(what string, seen func(live.View) bool) {
 	x.t.Helper()
 	for end := time.Now().Add(20 * time.Second); !seen(x.View()); time.Sleep(2 * time.Millisecond) {
 		if time.Now().After(end) {
@@ -105,7 +112,8 @@
 	}
 }
 
-func (x *site) pool(name string) live.Pool {
+// pool returns a pool's part of the live view; the zero value if there is none.
+func (x *testService) pool(name string) live.Pool {
 	for _, p := range x.View().Pools {
 		if p.Name == name {
 			return p
@@ -114,8 +122,8 @@
 	return live.Pool{}
 }
 
-// clean wants no rule broken.
-func (x *site) clean() fleet.Summary {
+// wantNoBreaches fails the test if a request broke one of the judge's rules, and returns the counts.
+func (x *testService) wantNoBreaches() fleet.Summary {
 	x.t.Helper()
 	s := x.judge.Verdict(250 * time.Millisecond)
 	for _, b := range s.Breaches {
@@ -134,8 +142,8 @@
   - {name: b, hosts: [b.example.org], class: r, pool: b}
 `
 
-// raw sends bytes and reads one answer.
-func (x *site) raw(text string) response {
+// roundTrip sends bytes on a new connection and reads one response.
+func (x *testService) roundTrip(text string) response {
 	x.t.Helper()
 	return x.dial(text).readResponse()
 }
--- a/internal/service/pools_test.go
+++ b/internal/service/pools_test.go
@@ -19,10 +19,10 @@
 func TestStalledPoolHarmsNoOther(t *testing.T) {
 	const connections = 150
 	j, folder := fleet.NewJudge(time.Second), t.TempDir()
-	all := nodes(t, j, 4, fleet.Spec{Work: 5 * time.Millisecond})
-	write(t, j, folder, "a.yaml", all[0].Entry("up"), all[1].Entry("up"))
-	write(t, j, folder, "b.yaml", all[2].Entry("up"), all[3].Entry("up"))
-	x := begin(
+	all := startNodes(t, j, 4, fleet.Spec{Work: 5 * time.Millisecond})
+	writeEndpoints(t, j, folder, "a.yaml", all[0].Entry("up"), all[1].Entry("up"))
+	writeEndpoints(t, j, folder, "b.yaml", all[2].Entry("up"), all[3].Entry("up"))
+	x := startService(
 		t,
 		j,
 		folder,
@@ -40,10 +40,10 @@
 	defer cancel()
 	var wg sync.WaitGroup
 	wg.Go(func() { a.Run(ctx) })
-	x.until("pool a holds all that it may", func(live.View) bool { return x.pool("a").Open == 80 })
+	x.waitFor("pool a holds all that it may", func(live.View) bool { return x.pool("a").Open == 80 })
 	wg.Go(func() { b.Run(ctx) })
 	wg.Wait()
-	s := x.clean()
+	s := x.wantNoBreaches()
 	if most := x.View().Listeners[0].Limit; most != connections {
 		t.Errorf("the listener takes %d connections, the test is made for %d", most, connections)
 	}
@@ -56,7 +56,7 @@
 }
 
 // firstNodePhase is the phase of node n0 in a pool; "none" if it is not listed.
-func (x *site) firstNodePhase(pool string) string {
+func (x *testService) firstNodePhase(pool string) string {
 	for _, n := range x.pool(pool).Nodes {
 		if n.ID == "n0" {
 			return n.Phase
@@ -70,24 +70,24 @@
 func TestDrains(t *testing.T) {
 	for _, own := range []bool{false, true} {
 		j, folder := fleet.NewJudge(time.Second), t.TempDir()
-		all := nodes(t, j, 2, fleet.Spec{})
-		write(t, j, folder, "a.yaml", all[0].Entry("up"), all[1].Entry("up"))
-		write(t, j, folder, "b.yaml", all[0].Entry("up"), all[1].Entry("up"))
+		all := startNodes(t, j, 2, fleet.Spec{})
+		writeEndpoints(t, j, folder, "a.yaml", all[0].Entry("up"), all[1].Entry("up"))
+		writeEndpoints(t, j, folder, "b.yaml", all[0].Entry("up"), all[1].Entry("up"))
 		text := twoPools
 		if own {
 			text = strings.Replace(text, "b: {nodes: {file: b.yaml}", "b: {drains: own, nodes: {file: b.yaml}", 1)
 		}
-		x := begin(t, j, folder, text)
-		x.until(
+		x := startService(t, j, folder, text)
+		x.waitFor(
 			"both nodes are up",
 			func(live.View) bool { return x.firstNodePhase("a") == "up" && x.firstNodePhase("b") == "up" },
 		)
-		write(t, fleet.NewJudge(0), folder, "a.yaml", all[0].Entry(endpointlist.Draining), all[1].Entry("up"))
-		x.until("the drain in a", func(live.View) bool { return x.firstNodePhase("a") == "draining" })
+		writeEndpoints(t, fleet.NewJudge(0), folder, "a.yaml", all[0].Entry(endpointlist.Draining), all[1].Entry("up"))
+		x.waitFor("the drain in a", func(live.View) bool { return x.firstNodePhase("a") == "draining" })
 		if own {
-			x.until("b keeps the node", func(live.View) bool { return x.firstNodePhase("b") == "up" })
+			x.waitFor("b keeps the node", func(live.View) bool { return x.firstNodePhase("b") == "up" })
 		} else {
-			x.until("b has heard", func(live.View) bool { return x.firstNodePhase("b") == "draining" })
+			x.waitFor("b has heard", func(live.View) bool { return x.firstNodePhase("b") == "draining" })
 		}
 		before := all[0].Runs()
 		for i := range 20 {
@@ -102,7 +102,7 @@
 		if got := all[0].Runs() - before; (got > 0) != own {
 			t.Errorf("own %v: pool b sent %d to a node that drains by a's list", own, got)
 		}
-		x.clean()
+		x.wantNoBreaches()
 	}
 }
 
@@ -110,10 +110,10 @@
 // back in whole seconds, and does not close the connection.
 func TestQueueBound(t *testing.T) {
 	j, folder := fleet.NewJudge(time.Second), t.TempDir()
-	all := nodes(t, j, 1, fleet.Spec{})
-	write(t, j, folder, "a.yaml", all[0].Entry("up"))
-	write(t, j, folder, "b.yaml", all[0].Entry("up"))
-	x := begin(
+	all := startNodes(t, j, 1, fleet.Spec{})
+	writeEndpoints(t, j, folder, "a.yaml", all[0].Entry("up"))
+	writeEndpoints(t, j, folder, "b.yaml", all[0].Entry("up"))
+	x := startService(
 		t,
 		j,
 		folder,
@@ -124,8 +124,8 @@
 	for i := range 2 {
 		wg.Go(func() { x.clients("a.example.org", "x", fleet.Unsafe, 1).Ask(fmt.Sprint(i)) })
 	}
-	x.until("the pool is full", func(live.View) bool { return x.pool("a").Open == 2 })
-	resp := x.raw("POST / HTTP/1.1\r\nHost: a.example.org\r\nContent-Length: 0\r\n\r\n")
+	x.waitFor("the pool is full", func(live.View) bool { return x.pool("a").Open == 2 })
+	resp := x.roundTrip("POST / HTTP/1.1\r\nHost: a.example.org\r\nContent-Length: 0\r\n\r\n")
 	if resp.StatusCode != 503 || resp.Header.Get("Retry-After") != "1" || resp.Close {
 		t.Errorf("%d, %v, close %v", resp.StatusCode, resp.Header, resp.Close)
 	}
@@ -134,7 +134,7 @@
 	if got := x.pool("a").TurnedAway; got != 1 {
 		t.Errorf("%d turned away", got)
 	}
-	x.clean()
+	x.wantNoBreaches()
 }
 
 // TestAllConnectionsOfANodeServe: a pool uses all connections that a node gives it, also those that it may once need
@@ -142,10 +142,10 @@
 func TestAllConnectionsOfANodeServe(t *testing.T) {
 	const connections = 8
 	j, folder := fleet.NewJudge(time.Second), t.TempDir()
-	all := nodes(t, j, 2, fleet.Spec{Cores: 2 * connections, Queue: 50})
-	write(t, j, folder, "a.yaml", all[0].Entry("up"))
-	write(t, j, folder, "b.yaml", all[1].Entry("up"))
-	x := begin(
+	all := startNodes(t, j, 2, fleet.Spec{Cores: 2 * connections, Queue: 50})
+	writeEndpoints(t, j, folder, "a.yaml", all[0].Entry("up"))
+	writeEndpoints(t, j, folder, "b.yaml", all[1].Entry("up"))
+	x := startService(
 		t,
 		j,
 		folder,
@@ -189,5 +189,5 @@
 	if most, _ := all[0].Connections(); most > connections {
 		t.Errorf("%d connections at once, %d are allowed", most, connections)
 	}
-	x.clean()
+	x.wantNoBreaches()
 }
--- a/internal/service/reload_test.go
+++ b/internal/service/reload_test.go
@@ -23,16 +23,16 @@
 // comes and goes, and pool a does not change: it keeps its windows. No request is lost, none runs twice.
 func TestReloadsUnderLoad(t *testing.T) {
 	j, folder := fleet.NewJudge(time.Second), t.TempDir()
-	all := nodes(t, j, 3, fleet.Spec{Work: 5 * time.Millisecond})
+	all := startNodes(t, j, 3, fleet.Spec{Work: 5 * time.Millisecond})
 	for _, name := range []string{"a.yaml", "b.yaml"} {
-		write(t, j, folder, name, all[0].Entry("up"), all[1].Entry("up"), all[2].Entry("up"))
+		writeEndpoints(t, j, folder, name, all[0].Entry("up"), all[1].Entry("up"), all[2].Entry("up"))
 	}
 	moved := strings.NewReplacer(
 		"class: r, pool: b", "class: r, pool: extra",
 		"routes:", "  extra: {nodes: {file: b.yaml}, queue: 50}\nroutes:",
 	).
 		Replace(twoPools)
-	x := begin(t, j, folder, twoPools)
+	x := startService(t, j, folder, twoPools)
 	a, b := x.clients("a.example.org", "a", fleet.Unsafe, 100), x.clients("b.example.org", "b", fleet.Safe, 100)
 	ctx, cancel := context.WithTimeout(t.Context(), 3*time.Second)
 	defer cancel()
@@ -57,7 +57,7 @@
 		readings = n
 	}
 	wg.Wait()
-	s := x.clean()
+	s := x.wantNoBreaches()
 	if s.Failed > 0 || s.Served < s.Asked*9/10 || reloads < 15 || readings < 10 {
 		t.Errorf(
 			"%d of %d served, %d failed, %d refused, in %d reloads; %d readings",
@@ -78,14 +78,14 @@
 // node.
 func TestRemovedPoolAnswersWhatItHolds(t *testing.T) {
 	j, folder := fleet.NewJudge(time.Second), t.TempDir()
-	all := nodes(t, j, 2, fleet.Spec{})
-	write(t, j, folder, "a.yaml", all[0].Entry("up"))
-	write(t, j, folder, "b.yaml", all[1].Entry("up"))
-	x := begin(t, j, folder, twoPools)
+	all := startNodes(t, j, 2, fleet.Spec{})
+	writeEndpoints(t, j, folder, "a.yaml", all[0].Entry("up"))
+	writeEndpoints(t, j, folder, "b.yaml", all[1].Entry("up"))
+	x := startService(t, j, folder, twoPools)
 	all[0].Stall(true)
 	answered := make(chan int)
 	go func() { answered <- x.clients("a.example.org", "x", fleet.Unsafe, 1).Ask("held") }()
-	x.until("the request is at the node", func(live.View) bool {
+	x.waitFor("the request is at the node", func(live.View) bool {
 		for _, n := range x.pool("a").Nodes {
 			if n.Out == 1 {
 				return true
@@ -106,16 +106,16 @@
 		t.Errorf("the held request got %d", status)
 	}
 	x.retiring.Wait() // the removed pool ends
-	x.clean()
+	x.wantNoBreaches()
 }
 
 // TestBadReloadChangesNothing: a listener that can't be had, or a new pool whose list is torn, stop the whole reload.
 func TestBadReloadChangesNothing(t *testing.T) {
 	j, folder := fleet.NewJudge(time.Second), t.TempDir()
-	all := nodes(t, j, 1, fleet.Spec{})
-	write(t, j, folder, "a.yaml", all[0].Entry("up"))
-	write(t, j, folder, "b.yaml", all[0].Entry("up"))
-	x := begin(t, j, folder, twoPools)
+	all := startNodes(t, j, 1, fleet.Spec{})
+	writeEndpoints(t, j, folder, "a.yaml", all[0].Entry("up"))
+	writeEndpoints(t, j, folder, "b.yaml", all[0].Entry("up"))
+	x := startService(t, j, folder, twoPools)
 	taken, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -143,17 +143,17 @@
 	if status := x.clients("b.example.org", "x", fleet.Safe, 1).Ask("1"); status != 200 || x.pool("b").Served != 1 {
 		t.Errorf("%d, %+v", status, x.pool("b"))
 	}
-	x.clean()
+	x.wantNoBreaches()
 }
 
 // TestFailedListsChangeNothing: a reload that moves a pool, adds another whose list can't be read, drops a route and
 // changes a quota is refused as a whole: routes, lists, listeners and settings are those that held.
 func TestFailedListsChangeNothing(t *testing.T) {
 	j, folder := fleet.NewJudge(time.Second), t.TempDir()
-	all := nodes(t, j, 2, fleet.Spec{Work: time.Millisecond})
-	write(t, j, folder, "a.yaml", all[0].Entry("up"))
-	write(t, j, folder, "b.yaml", all[1].Entry("up"))
-	x := begin(t, j, folder, twoPools+"tenants: {t: {quota: 5}}\n")
+	all := startNodes(t, j, 2, fleet.Spec{Work: time.Millisecond})
+	writeEndpoints(t, j, folder, "a.yaml", all[0].Entry("up"))
+	writeEndpoints(t, j, folder, "b.yaml", all[1].Entry("up"))
+	x := startService(t, j, folder, twoPools+"tenants: {t: {quota: 5}}\n")
 	before, routing, view := x.state.Load(), x.state.Load().config.Table, x.View()
 	err := x.Apply(
 		x.parse(
@@ -202,7 +202,7 @@
   - {name: r, path: {prefix: %s}, class: c, pools: [{pool: a, weight: 1}, {pool: b, weight: 1}, {pool: c, weight: 1}]}
 `, quota, queue, path)
 	}
-	x := begin(t, fleet.NewJudge(time.Second), t.TempDir(), text(10, 5, "/x"))
+	x := startService(t, fleet.NewJudge(time.Second), t.TempDir(), text(10, 5, "/x"))
 	stay := func(text string) (names []string) {
 		t.Helper()
 		c := x.parse(text)
--- a/internal/service/requests_test.go
+++ b/internal/service/requests_test.go
@@ -44,7 +44,7 @@
 func TestOneReading(t *testing.T) {
 	arrived := make(chan arrival, 1)
 	address := startRecordingNode(t, arrived)
-	x := begin(t, fleet.NewJudge(0), t.TempDir(), fmt.Sprintf(`
+	x := startService(t, fleet.NewJudge(0), t.TempDir(), fmt.Sprintf(`
 classes:
   c: {aim: 250ms, deadline: 5s}
   k: {repeat: keyed, memory: 1m, aim: 250ms, deadline: 5s}
@@ -81,7 +81,7 @@
 		{"POST /opened", "Host: a.example.org", 404, "", ""},
 		{"CONNECT a.example.org:80", "Host: a.example.org", 501, "", ""},
 	} {
-		resp := x.raw(c.line + " HTTP/1.1\r\n" + c.fields + "\r\nContent-Length: 0\r\n\r\n")
+		resp := x.roundTrip(c.line + " HTTP/1.1\r\n" + c.fields + "\r\nContent-Length: 0\r\n\r\n")
 		if resp.StatusCode != c.status {
 			t.Errorf("%s, %q: %d, want %d", c.line, c.fields, resp.StatusCode, c.status)
 		}
@@ -101,10 +101,10 @@
 // TestClientsDeadlineWins: of client, route and class the shortest wait counts.
 func TestClientsDeadlineWins(t *testing.T) {
 	j, folder := fleet.NewJudge(time.Second), t.TempDir()
-	all := nodes(t, j, 1, fleet.Spec{})
-	write(t, j, folder, "a.yaml", all[0].Entry("up"))
+	all := startNodes(t, j, 1, fleet.Spec{})
+	writeEndpoints(t, j, folder, "a.yaml", all[0].Entry("up"))
 	all[0].Stall(true)
-	x := begin(t, j, folder, `
+	x := startService(t, j, folder, `
 classes: {c: {aim: 100ms, deadline: 30s}}
 pools: {p: {nodes: {file: a.yaml}}}
 routes:
@@ -113,7 +113,7 @@
 `)
 	for path, client := range map[string]int{"/long": 300, "/short": 20000} {
 		at := time.Now()
-		resp := x.raw(
+		resp := x.roundTrip(
 			fmt.Sprintf("POST %s HTTP/1.1\r\nHost: x\r\nX-Deadline-Ms: %d\r\nContent-Length: 0\r\n\r\n", path, client),
 		)
 		if took := time.Since(at); resp.StatusCode < 500 || took > 10*time.Second {
@@ -122,8 +122,8 @@
 	}
 }
 
-// Clients of HTTP/1.0 get no chunks: an answer of no known length ends with the connection, and one that was cut with
-// a reset.
+// TestHTTP10: clients of HTTP/1.0 get no chunks: an answer of no known length ends with the connection, and one that
+// was cut with a reset.
 func TestHTTP10(t *testing.T) {
 	long := strings.Repeat("x", 100<<10)
 	n := scripted.Start(t, func(c net.Conn, r *http.Request) bool {
@@ -138,7 +138,7 @@
 		}
 		return scripted.Done(c, r)
 	})
-	x := sockets(t, "", "", n)
+	x := startWithNodes(t, "", "", n)
 	c := x.dial("GET /a HTTP/1.0\r\nHost: x\r\n\r\n")
 	if resp := c.readResponse(); resp.StatusCode != http.StatusOK || !resp.Close {
 		t.Errorf("without keep-alive: %d, closes: %v", resp.StatusCode, resp.Close)
@@ -168,7 +168,7 @@
 	}
 }
 
-// Trailers and early hints go on, in both framings and directions.
+// TestTrailersAndHints: trailers and early hints go on, in both framings and directions.
 func TestTrailersAndHints(t *testing.T) {
 	n := scripted.Start(t, func(c net.Conn, r *http.Request) bool {
 		fmt.Fprint(
@@ -184,7 +184,7 @@
 		fmt.Fprintf(c, "0\r\nX-Sum: %s\r\n\r\n", r.Trailer.Get("X-Sum"))
 		return true
 	})
-	x := sockets(t, "", "", n)
+	x := startWithNodes(t, "", "", n)
 	for _, long := range []string{"", "11"} {
 		for _, part := range []int{10, 70 << 10, 2 << 20} { // whole, read ahead, goes on as it comes
 			c := x.dial("POST /u HTTP/1.1\r\nHost: x\r\nTransfer-Encoding: chunked\r\nTrailer: X-Sum, X-Long\r\n\r\n")
@@ -203,12 +203,12 @@
 	}
 }
 
-// Each limit has its status, and a client that is turned away can read it.
+// TestLimitsHaveTheirStatus: each limit has its status, and a client that is turned away can read it.
 func TestLimitsHaveTheirStatus(t *testing.T) {
 	const chunkedPost = "POST / HTTP/1.1\r\nHost: x\r\nTransfer-Encoding: chunked\r\n\r\n"
 	longField := "X-A: " + strings.Repeat("b", 1000) + "\r\n"
 	n := scripted.Start(t, scripted.Done)
-	x := sockets(t, "", ", body: {max: 100KiB}", n)
+	x := startWithNodes(t, "", ", body: {max: 100KiB}", n)
 	for name, c := range map[string]struct {
 		text   string
 		status int
@@ -242,8 +242,8 @@
 const unsafeRequest = "POST /u HTTP/1.1\r\nHost: x\r\nTransfer-Encoding: chunked\r\nConnection: close\r\n\r\n" +
 	"4\r\nbody\r\n0\r\n\r\n"
 
-// A cut at each byte of a response ends in exactly one answer that is whole or looks cut, or in a
-// close; never in a hang, and an unsafe request never runs twice.
+// TestCutsAtEveryByte: a cut at each byte of a response ends in exactly one answer that is whole or looks cut, or in
+// a close; never in a hang, and an unsafe request never runs twice.
 func TestCutsAtEveryByte(t *testing.T) {
 	const says = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\nX-A: b\r\n\r\n" +
 		"5\r\nhello\r\n3;x=y\r\nyou\r\n0\r\nX-T: 1\r\n\r\n"
@@ -256,7 +256,7 @@
 					fmt.Fprint(c, says[:cut])
 					return cut == len(says)
 				})
-				c := sockets(t, "", "", n).dial(unsafeRequest)
+				c := startWithNodes(t, "", "", n).dial(unsafeRequest)
 				resp := c.readResponse()
 				body, err := io.ReadAll(resp.Body)
 				whole := resp.StatusCode == http.StatusOK && err == nil
@@ -274,7 +274,7 @@
 // TestRequestCutsAtEveryByte: a request that its client cuts at any byte is never written to a node.
 func TestRequestCutsAtEveryByte(t *testing.T) {
 	n := scripted.Start(t, scripted.Done)
-	x := sockets(t, "", "", n)
+	x := startWithNodes(t, "", "", n)
 	for at := range unsafeRequest {
 		c := x.dial(unsafeRequest[:at])
 		_ = c.CloseWrite() // fails if the service has closed already
@@ -293,10 +293,11 @@
 	}
 }
 
-// Many clients that send a byte now and then do not keep ordinary ones out, and none of them takes a node.
+// TestSlowClientsHoldNobodyUp: many clients that send a byte now and then do not keep ordinary ones out, and none of
+// them takes a node.
 func TestSlowClientsHoldNobodyUp(t *testing.T) {
 	n := scripted.Start(t, scripted.Done)
-	x := sockets(t, "", "", n)
+	x := startWithNodes(t, "", "", n)
 	ctx, stop := context.WithCancel(t.Context())
 	defer stop()
 	const slow = 300 // more than the listener takes at once with the ordinary ones
--- a/internal/service/shared_endpoint_test.go
+++ b/internal/service/shared_endpoint_test.go
@@ -30,7 +30,7 @@
 		t.Errorf("the cold node: fallen %v, %d runs", shared.Fallen(), shared.Runs())
 	}
 	t.Logf("the cold node was sent %.2f of what pushes it over", shared.ColdPeak())
-	x.clean()
+	x.wantNoBreaches()
 }
 
 // TestSharedNodesConnections: six pools hold no more connections to a node together than it takes, by the node's count.
@@ -44,16 +44,16 @@
 	if n, _ := shared.Connections(); n > most || shared.Runs() < 50 {
 		t.Errorf("the shared node had %d connections at once, %d are allowed over all pools; %d runs", n, most, shared.Runs())
 	}
-	x.clean()
+	x.wantNoBreaches()
 }
 
-const sharers = 6
+const sharingPools = 6
 
 // sharedNode starts a service with pools that list a node of their own each, and the last one all together.
-func sharedNode(t *testing.T, connections int) (*site, []*fleet.Node) {
+func sharedNode(t *testing.T, connections int) (*testService, []*fleet.Node) {
 	t.Helper()
 	j, folder := fleet.NewJudge(time.Second), t.TempDir()
-	all := nodes(t, j, sharers+1, fleet.Spec{
+	all := startNodes(t, j, sharingPools+1, fleet.Spec{
 		Cores:    2,
 		Queue:    200,
 		Work:     20 * time.Millisecond,
@@ -68,30 +68,30 @@
 		connections,
 	)
 	routes := "routes:\n"
-	for i := range sharers {
+	for i := range sharingPools {
 		text += fmt.Sprintf("  p%d: {nodes: {file: p%d.yaml}}\n", i, i)
 		routes += fmt.Sprintf("  - {name: r%d, hosts: [h%d], class: c, pool: p%d}\n", i, i, i)
 	}
-	x := &site{t: t, judge: j, folder: folder}
+	x := &testService{t: t, judge: j, folder: folder}
 	x.sharedLists(all)
-	return begin(t, j, folder, text+routes), all
+	return startService(t, j, folder, text+routes), all
 }
 
-func (x *site) sharedLists(all []*fleet.Node) {
+func (x *testService) sharedLists(all []*fleet.Node) {
 	x.t.Helper()
-	for i := range sharers {
-		x.list(fmt.Sprintf("p%d.yaml", i), all[i].Entry("up"), all[sharers].Entry("up"))
+	for i := range sharingPools {
+		x.writeList(fmt.Sprintf("p%d.yaml", i), all[i].Entry("up"), all[sharingPools].Entry("up"))
 	}
 }
 
 // drive sends to all pools, and returns once they have learnt how long nodes take. What it returns waits for the end.
-func (x *site) drive(ctx context.Context) (wait func()) {
+func (x *testService) drive(ctx context.Context) (wait func()) {
 	x.t.Helper()
 	var wg sync.WaitGroup
-	for i := range sharers {
+	for i := range sharingPools {
 		wg.Go(func() { x.clients(fmt.Sprint("h", i), fmt.Sprint("p", i), fleet.Unsafe, 90).Run(ctx) })
 	}
-	x.until("all pools have learnt", func(v live.View) bool {
+	x.waitFor("all pools have learnt", func(v live.View) bool {
 		for _, p := range v.Pools {
 			if p.Served < 100 {
 				return false
--- a/internal/service/streams_test.go
+++ b/internal/service/streams_test.go
@@ -15,8 +15,8 @@
 	"olivearch/internal/standin/scripted"
 )
 
-// A client that is slower than its listener's rate in a body that goes on as it comes is given up, in both framings,
-// and its node is free again; a reload gives bodies other memory.
+// TestSlowBodyIsGivenUp: a client that is slower than its listener's rate in a body that goes on as it comes is given
+// up, in both framings, and its node is free again; a reload gives bodies other memory.
 func TestSlowBodyIsGivenUp(t *testing.T) {
 	for _, framing := range []string{"Content-Length: 90000000", "Transfer-Encoding: chunked"} {
 		t.Run(framing, func(t *testing.T) { testSlowBody(t, framing) })
@@ -26,8 +26,8 @@
 func testSlowBody(t *testing.T, framing string) {
 	t.Helper()
 	n := scripted.Start(t, scripted.Done)
-	x := sockets(t, "", "", n)
-	text := strings.Replace(streamed("", "", n), "classes:", "limits: {bodies: 8MiB}\nclasses:", 1)
+	x := startWithNodes(t, "", "", n)
+	text := strings.Replace(streamConfig("", "", n), "classes:", "limits: {bodies: 8MiB}\nclasses:", 1)
 	slow, err := config.Parse(
 		"c.yaml",
 		[]byte("listeners: [{address: '127.0.0.1:0', within: 1s, rate: 1MiB}]\nadmin: {address: '127.0.0.1:0'}\n"+text),
@@ -61,11 +61,11 @@
 	}
 	c.Close()
 	<-done
-	x.until("its connection is free", func(v live.View) bool { return v.Pools[0].Nodes[0].Out == 0 })
+	x.waitFor("its connection is free", func(v live.View) bool { return v.Pools[0].Nodes[0].Out == 0 })
 }
 
-// Long answers that clients read slowly hold connections and are no load: the node looks as busy as it says, and
-// queries go on.
+// TestSlowDownloadsAreNoLoad: long answers that clients read slowly hold connections and are no load: the node looks
+// as busy as it says, and queries go on.
 func TestSlowDownloadsAreNoLoad(t *testing.T) {
 	const downloads = 40
 	release := make(chan struct{})
@@ -79,7 +79,7 @@
 		_, err := c.Write(make([]byte, 1<<20-len("first")))
 		return err == nil
 	})
-	x := sockets(t, "", "", n)
+	x := startWithNodes(t, "", "", n)
 	var streams []response
 	for range downloads {
 		c := x.dial("GET /long HTTP/1.1\r\nHost: x\r\nConnection: close\r\n\r\n")
@@ -93,7 +93,7 @@
 		}
 		<-n.Arrivals
 	}
-	x.until("the load that the node tells", func(v live.View) bool { return v.Pools[0].Nodes[0].Mean > 0.8 })
+	x.waitFor("the load that the node tells", func(v live.View) bool { return v.Pools[0].Nodes[0].Mean > 0.8 })
 	if v := x.pool("p"); v.Nodes[0].Out != 0 || v.Connections < downloads {
 		t.Errorf(
 			"%d out, %d connections; want none out and at least %d connections",
@@ -110,11 +110,11 @@
 	}
 }
 
-// A body that goes on as it comes, however long that takes, is nothing that its node owes: queries beside it are
-// served.
+// TestSlowUploadsAreNoSilence: a body that goes on as it comes, however long that takes, is nothing that its node
+// owes: queries beside it are served.
 func TestSlowUploadsAreNoSilence(t *testing.T) {
 	n := scripted.Start(t, scripted.Done)
-	x := begin(
+	x := startService(
 		t,
 		fleet.NewJudge(time.Second),
 		t.TempDir(),
@@ -126,7 +126,7 @@
 	const size = 4 << 20
 	up := x.dial(fmt.Sprintf("POST /u HTTP/1.1\r\nHost: x\r\nContent-Length: %d\r\n\r\n", size))
 	up.send(strings.Repeat("\x00", size/2)) // over the buffer: it is on its way
-	x.until("it is out", func(v live.View) bool {
+	x.waitFor("it is out", func(v live.View) bool {
 		return len(v.Pools) == 1 && len(v.Pools[0].Nodes) == 1 && v.Pools[0].Nodes[0].Out == 1
 	})
 	for i := range 20 {
@@ -149,7 +149,8 @@
 	}
 }
 
-// A reload that takes away route and pool, and a stop, let a long answer and a long body come to their end.
+// TestStreamsOutliveTheirRoute: a reload that takes away route and pool, and a stop, let a long answer and a long
+// body come to their end.
 func TestStreamsOutliveTheirRoute(t *testing.T) {
 	for _, how := range []string{"reload", "stop"} {
 		t.Run(how, func(t *testing.T) {
@@ -164,17 +165,17 @@
 				return true
 			})
 			other := scripted.Start(t, scripted.Done)
-			x := sockets(t, "", "", n)
+			x := startWithNodes(t, "", "", n)
 			c := x.dial("GET /a HTTP/1.1\r\nHost: x\r\nConnection: close\r\n\r\n")
 			down := c.readResponse()
 			const size = 4 << 20
 			up := x.dial(fmt.Sprintf("POST /u HTTP/1.1\r\nHost: x\r\nConnection: close\r\nContent-Length: %d\r\n\r\n", size))
 			up.send(strings.Repeat("\x00", size/2)) // more than is read ahead: it is on its way to the node
-			x.until("both are there", func(v live.View) bool { return v.Pools[0].Connections >= 2 })
+			x.waitFor("both are there", func(v live.View) bool { return v.Pools[0].Connections >= 2 })
 			if how == "stop" {
 				go x.stop()
 			} else {
-				x.apply(strings.NewReplacer("pools: {p:", "pools: {q:", "pool: p", "pool: q").Replace(streamed("", "", other)))
+				x.apply(strings.NewReplacer("pools: {p:", "pools: {q:", "pool: p", "pool: q").Replace(streamConfig("", "", other)))
 			}
 			up.send(strings.Repeat("\x00", size-size/2))
 			if resp := up.readResponse(); resp.StatusCode != http.StatusOK {
@@ -221,8 +222,8 @@
 	return l.Addr().String(), stop
 }
 
-// A node that answers in full while the client still sends is heard: at the end of the body if it reads on, and once
-// it has taken nothing for a while if it does not.
+// TestNodeAnswersWhileTheClientSends: a node that answers in full while the client still sends is heard: at the end
+// of the body if it reads on, and once it has taken nothing for a while if it does not.
 func TestNodeAnswersWhileTheClientSends(t *testing.T) {
 	for name, readsOn := range map[string]bool{"and reads on": true, "and reads no more": false} {
 		t.Run(name, func(t *testing.T) {
@@ -230,7 +231,7 @@
 			address, stop := startEarlyNode(t, readsOn)
 			defer stop()
 			const size = 40 << 20 // more than all sockets on the way hold
-			x := sockets(t, "", "", &scripted.Node{Addr: address})
+			x := startWithNodes(t, "", "", &scripted.Node{Addr: address})
 			c := x.dial(fmt.Sprintf("POST /u HTTP/1.1\r\nHost: x\r\nContent-Length: %d\r\n\r\n", size))
 			sent := make(chan error, 1)
 			go func() {
--- a/internal/service/subset_size_test.go
+++ b/internal/service/subset_size_test.go
@@ -6,7 +6,7 @@
 	"olivearch/internal/config"
 )
 
-// What check tells: few balancers use all nodes; many a few, and more with more traffic.
+// TestUses: what check tells: few balancers use all nodes; many a few, and more with more traffic.
 func TestUses(t *testing.T) {
 	for _, c := range []struct {
 		instances, tenants string
--- a/internal/service/tunnels_test.go
+++ b/internal/service/tunnels_test.go
@@ -27,7 +27,7 @@
 
 func TestTunnel(t *testing.T) {
 	n := scripted.Start(t, echo)
-	x := sockets(t, ", tunnels: {most: 2, per_node: 2, idle: 300ms, grace: 100ms}", ", upgrades: [ECHO]", n)
+	x := startWithNodes(t, ", tunnels: {most: 2, per_node: 2, idle: 300ms, grace: 100ms}", ", upgrades: [ECHO]", n)
 	c := x.dial(wantsEcho + "early") // what is said with the request is the new protocol's... and not taken: it is ahead
 	if resp := c.readResponse(); resp.StatusCode != http.StatusBadRequest {
 		t.Errorf("bytes ahead of the answer: %d", resp.StatusCode)
@@ -64,14 +64,16 @@
 	if idle := time.Since(last); idle < 200*time.Millisecond {
 		t.Errorf("ended %v after the last word", idle)
 	}
-	x.until("no tunnel is left", func(v live.View) bool { return v.Pools[0].Tunnels == 0 && v.Pools[0].Nodes[0].Out == 0 })
+	x.waitFor("no tunnel is left", func(v live.View) bool {
+		return v.Pools[0].Tunnels == 0 && v.Pools[0].Nodes[0].Out == 0
+	})
 }
 
-// At either cap another is refused at once, and ordinary requests go on.
+// TestTunnelCaps: at either cap another is refused at once, and ordinary requests go on.
 func TestTunnelCaps(t *testing.T) {
 	for _, caps := range []string{"{most: 2, per_node: 20}", "{most: 20, per_node: 2}"} {
 		n := scripted.Start(t, echo)
-		x := sockets(t, ", tunnels: "+caps, ", upgrades: [echo]", n)
+		x := startWithNodes(t, ", tunnels: "+caps, ", upgrades: [echo]", n)
 		for range 2 {
 			c := x.dial(wantsEcho)
 			c.readResponse()
@@ -89,9 +91,10 @@
 	}
 }
 
-// A node at its cap is passed over for another.
+// TestTunnelGoesToAnotherNode: a node at its cap is passed over for another.
 func TestTunnelGoesToAnotherNode(t *testing.T) {
-	x := sockets(t, ", tunnels: {per_node: 1}", ", upgrades: [echo]", scripted.Start(t, echo), scripted.Start(t, echo))
+	first, second := scripted.Start(t, echo), scripted.Start(t, echo)
+	x := startWithNodes(t, ", tunnels: {per_node: 1}", ", upgrades: [echo]", first, second)
 	for i := range 2 {
 		c := x.dial(wantsEcho)
 		if resp := c.readResponse(); resp.StatusCode != http.StatusSwitchingProtocols {
@@ -101,21 +104,22 @@
 	}
 }
 
-// A tunnel ends within its grace when its node drains, when its route has gone, and when the process stops; not before.
+// TestTunnelEndsInGrace: a tunnel ends within its grace when its node drains, when its route has gone, and when the
+// process stops; not before.
 func TestTunnelEndsInGrace(t *testing.T) {
-	for name, end := range map[string]func(x *site, n *scripted.Node){
-		"the node drains": func(x *site, n *scripted.Node) {
-			text := streamed(", tunnels: {grace: 300ms}", ", upgrades: [echo]", n)
+	for name, end := range map[string]func(x *testService, n *scripted.Node){
+		"the node drains": func(x *testService, n *scripted.Node) {
+			text := streamConfig(", tunnels: {grace: 300ms}", ", upgrades: [echo]", n)
 			x.apply(strings.Replace(text, "{id: n0,", "{id: n0, phase: draining,", 1))
 		},
-		"the route lets it through no more": func(x *site, n *scripted.Node) {
-			x.apply(streamed(", tunnels: {grace: 300ms}", "", n))
+		"the route lets it through no more": func(x *testService, n *scripted.Node) {
+			x.apply(streamConfig(", tunnels: {grace: 300ms}", "", n))
 		},
-		"the process stops": func(x *site, _ *scripted.Node) { go x.stop() },
+		"the process stops": func(x *testService, _ *scripted.Node) { go x.stop() },
 	} {
 		t.Run(name, func(t *testing.T) {
 			n := scripted.Start(t, echo)
-			x := sockets(t, ", tunnels: {grace: 300ms}", ", upgrades: [echo]", n)
+			x := startWithNodes(t, ", tunnels: {grace: 300ms}", ", upgrades: [echo]", n)
 			c := x.dial(wantsEcho)
 			c.readResponse()
 			c.wantEcho("before")
@@ -130,11 +134,11 @@
 	}
 }
 
-// Where no route lets it through, and where the node does not agree, the request is an ordinary one. A node that
-// changes the protocol unasked has failed.
+// TestNoTunnel: where no route lets it through, and where the node does not agree, the request is an ordinary one. A
+// node that changes the protocol unasked has failed.
 func TestNoTunnel(t *testing.T) {
 	n := scripted.Start(t, echo)
-	x := sockets(t, "", "", n)
+	x := startWithNodes(t, "", "", n)
 	c := x.dial(wantsEcho)
 	if resp := c.readResponse(); resp.StatusCode != http.StatusOK {
 		t.Errorf("no route lets it through: %d", resp.StatusCode)
@@ -143,7 +147,7 @@
 		fmt.Fprint(c, "HTTP/1.1 101 Switching Protocols\r\nConnection: Upgrade\r\nUpgrade: other\r\n\r\n")
 		return false
 	})
-	x = sockets(t, "", ", upgrades: [echo]", unasked)
+	x = startWithNodes(t, "", ", upgrades: [echo]", unasked)
 	for _, text := range []string{wantsEcho, "GET /a HTTP/1.1\r\nHost: x\r\n\r\n"} {
 		c = x.dial(text)
 		if resp := c.readResponse(); resp.StatusCode < 500 {
