--- a/benchmarks/services/main.go
+++ b/benchmarks/services/main.go
@@ -117,7 +117,7 @@
 		}
 		defer n.Close()
 		list := []string{"checkin", "maps"}[i/3]
-		lists[list] = append(lists[list], n.Entry(endpointlist.Up))
+		lists[list] = append(lists[list], n.Entry(endpointlist.PhaseUp))
 		if stalled && list == "checkin" {
 			n.Stall(true)
 		}
--- a/cmd/olivearch/check.go
+++ b/cmd/olivearch/check.go
@@ -26,7 +26,7 @@
 	}
 	c := &checker{out: out, voters: map[string]*config.Voter{}}
 	for _, path := range flagSet.Args() {
-		if config.OfVoter(path) {
+		if config.IsVoterFile(path) {
 			c.checkVoter(path)
 		} else {
 			c.checkService(path)
@@ -162,7 +162,7 @@
 	}
 	var sizes []string
 	for _, upstreams := range samplePoolSizes {
-		used, err := service.Uses(settings, upstreams)
+		used, err := service.SubsetSize(settings, upstreams)
 		if err != nil {
 			return "", err
 		}
--- a/cmd/olivearch/serve.go
+++ b/cmd/olivearch/serve.go
@@ -31,7 +31,7 @@
 	signal.Notify(hangups, syscall.SIGHUP)
 	signal.Notify(terminations, syscall.SIGTERM, os.Interrupt)
 
-	service.BeforeReading()
+	service.PrepareConfigLoad()
 	configuration, err := config.Load(path)
 	if err != nil {
 		return err
@@ -41,7 +41,7 @@
 	if err != nil {
 		return err
 	}
-	service.AfterReading(configuration)
+	service.FinishConfigLoad(configuration)
 	slog.Info("balancer serving",
 		"config", path, "pools", len(configuration.Pools), "routes", configuration.Table.Len())
 	s := &server{
@@ -93,8 +93,8 @@
 		return
 	}
 	s.configuration = next
-	next.Adopted()
+	next.Commit()
 	service.LimitMemory(next)
-	service.AfterReading(next)
+	service.FinishConfigLoad(next)
 	slog.Info("configuration reloaded", "pools", len(next.Pools), "routes", next.Table.Len())
 }
--- a/internal/body/download.go
+++ b/internal/body/download.go
@@ -10,8 +10,8 @@
 )
 
 const (
-	// Whole bounds, in bytes, a body that is buffered to its end before anything of it is forwarded.
-	Whole = 64 << 10
+	// MaxBuffered bounds, in bytes, a body that is buffered to its end before anything of it is forwarded.
+	MaxBuffered = 64 << 10
 	// bufferingTime is how long the body of a response is buffered before what there is of it is forwarded. One that is
 	// complete in that time, and no longer than Whole, can be judged first: cut or malformed, another attempt may take its
 	// place where its class allows.
@@ -21,7 +21,7 @@
 // part is a piece of a response that is streamed. The last one has an error, which is io.EOF if the response is
 // complete.
 type part struct {
-	block *[Block]byte
+	block *[BlockSize]byte
 	n     int // bytes of the block that are used
 	err   error
 }
@@ -88,7 +88,7 @@
 func (d *Download) Length() uint64 { return d.framing.Length }
 
 // Framed tells whether the client gets chunks: the length is not known.
-func (d *Download) Framed() bool { return d.framing.Chunked || d.framing.ToClose }
+func (d *Download) Framed() bool { return d.framing.Chunked || d.framing.UntilClose }
 
 // Trailer returns the trailer of a response that Receive has returned complete.
 func (d *Download) Trailer() http1.Fields { return d.limits.Trailer(d.body) }
@@ -140,7 +140,7 @@
 			return d.buffered, nil
 		case next.err != nil:
 			return nil, next.err
-		case len(d.buffered) > Whole:
+		case len(d.buffered) > MaxBuffered:
 			start()
 		}
 	}
@@ -162,7 +162,7 @@
 }
 
 func (d *Download) readPart() part {
-	block := blocks.Get().(*[Block]byte)
+	block := blocks.Get().(*[BlockSize]byte)
 	n, err := d.body.Read(block[:])
 	return part{block, n, err}
 }
--- a/internal/body/download_test.go
+++ b/internal/body/download_test.go
@@ -22,7 +22,7 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			here, there := net.Pipe()
-			d := NewDownload(http1.NewStream(here, 2<<10), http1.Framing{Chunked: true}, &Usual)
+			d := NewDownload(http1.NewStream(here, 2<<10), http1.Framing{Chunked: true}, &DefaultLimits)
 			beginCalled, letBeginReturn := make(chan struct{}), make(chan struct{})
 			received := make(chan error, 1)
 			go func() {
--- a/internal/body/limits.go
+++ b/internal/body/limits.go
@@ -29,8 +29,8 @@
 	return b.Trailer()
 }
 
-// Usual are the limits where nothing else is set.
-var Usual = Limits{
+// DefaultLimits are the limits where nothing else is set.
+var DefaultLimits = Limits{
 	Request: 48 << 20,
 	Ahead:   1 << 20,
 	Within:  5 * time.Minute,
--- a/internal/body/spool.go
+++ b/internal/body/spool.go
@@ -5,11 +5,11 @@
 	"sync/atomic"
 )
 
-// Block is the size in bytes of the blocks that bodies are copied and read ahead in.
-const Block = 32 << 10
+// BlockSize is the size in bytes of the blocks that bodies are copied and read ahead in.
+const BlockSize = 32 << 10
 
 // blocks holds unused blocks, as *[Block]byte.
-var blocks = sync.Pool{New: func() any { return new([Block]byte) }}
+var blocks = sync.Pool{New: func() any { return new([BlockSize]byte) }}
 
 // Spool counts the memory, in bytes, that request bodies together may take beyond what each may have for itself. Any
 // goroutine may use it.
--- a/internal/body/tunnel.go
+++ b/internal/body/tunnel.go
@@ -98,8 +98,8 @@
 // Grace is the time that the tunnel has once it is to end.
 func (t *Tunnel) Grace() time.Duration { return t.limits.Grace }
 
-// EndSoon ends the tunnel once its grace is over, unless it ends before.
-func (t *Tunnel) EndSoon() { t.endSoon() }
+// CloseGracefully ends the tunnel once its grace is over, unless it ends before.
+func (t *Tunnel) CloseGracefully() { t.endSoon() }
 
 // Close ends the tunnel at once. A nil one has nothing to end.
 func (t *Tunnel) Close() {
@@ -174,7 +174,7 @@
 
 // copyAvailable moves what has come.
 func copyAvailable(to net.Conn, src *http1.Stream) error {
-	block := blocks.Get().(*[Block]byte)
+	block := blocks.Get().(*[BlockSize]byte)
 	defer blocks.Put(block)
 	for {
 		n, err := src.Read(block[:])
@@ -185,7 +185,7 @@
 		if _, err := to.Write(block[:n]); err != nil {
 			return err
 		}
-		if n < Block && src.Buffered() == 0 {
+		if n < BlockSize && src.Buffered() == 0 {
 			return nil
 		}
 	}
--- a/internal/body/upload.go
+++ b/internal/body/upload.go
@@ -11,8 +11,8 @@
 	"olivearch/internal/http1"
 )
 
-// ErrSlow says that a client did not send its body in the time that one may take.
-var ErrSlow = errors.New("the body did not come whole in time")
+// ErrClientTooSlow says that a client did not send its body in the time that one may take.
+var ErrClientTooSlow = errors.New("the body did not come whole in time")
 
 // ClientFailed says that a body did not come whole from its client.
 type ClientFailed struct{ error }
@@ -71,11 +71,11 @@
 
 // Fill reads ahead. It returns once the body is complete, or there is no more memory for it.
 func (u *Upload) Fill(src *http1.Body) error {
-	for range u.limits.Ahead / Block {
-		if !u.spool.take(Block) {
+	for range u.limits.Ahead / BlockSize {
+		if !u.spool.take(BlockSize) {
 			break
 		}
-		block := blocks.Get().(*[Block]byte)
+		block := blocks.Get().(*[BlockSize]byte)
 		n, err := io.ReadFull(src, block[:])
 		u.blocks = append(u.blocks, block[:n])
 		endsInBlock := errors.Is(err, io.EOF) || (errors.Is(err, io.ErrUnexpectedEOF) && src.Ended())
@@ -91,10 +91,10 @@
 	return nil
 }
 
-// Settle gives a chunked body that was read to its end the length that it turned out to have: before is how many bytes
-// of it stand elsewhere.
-func (u *Upload) Settle(before int) {
-	if !u.Live() && !u.known && len(u.trailer) == 0 { // a trailer needs chunks
+// FixLength gives a chunked body that was read to its end the length that it turned out to have: before is how many
+// bytes of it stand elsewhere.
+func (u *Upload) FixLength(before int) {
+	if !u.Streaming() && !u.known && len(u.trailer) == 0 { // a trailer needs chunks
 		u.length = uint64(before) + u.Ahead()
 		u.known = true
 	}
@@ -133,18 +133,18 @@
 		return
 	}
 	for _, block := range u.blocks {
-		blocks.Put((*[Block]byte)(block[:Block]))
-		u.spool.giveBack(Block)
+		blocks.Put((*[BlockSize]byte)(block[:BlockSize]))
+		u.spool.giveBack(BlockSize)
 	}
 	u.blocks = nil
 }
 
-// Live tells whether a part of the body is still with the client. A nil Upload has none.
-func (u *Upload) Live() bool { return u != nil && u.src != nil }
+// Streaming tells whether a part of the body is still with the client. A nil Upload has none.
+func (u *Upload) Streaming() bool { return u != nil && u.src != nil }
 
 // Unread tells whether the client has still something of the body to send.
 func (u *Upload) Unread() bool {
-	if !u.Live() {
+	if !u.Streaming() {
 		return false
 	}
 	u.mu.Lock()
@@ -154,7 +154,7 @@
 
 // Failed tells whether the client has not sent the body that it began.
 func (u *Upload) Failed() bool {
-	if !u.Live() {
+	if !u.Streaming() {
 		return false
 	}
 	u.mu.Lock()
@@ -162,9 +162,9 @@
 	return u.clientFailed
 }
 
-// Spent tells whether the body can't be sent once more.
-func (u *Upload) Spent() bool {
-	if !u.Live() {
+// Consumed tells whether the body can't be sent once more.
+func (u *Upload) Consumed() bool {
+	if !u.Streaming() {
 		return false
 	}
 	u.mu.Lock()
--- a/internal/body/upload_send.go
+++ b/internal/body/upload_send.go
@@ -24,7 +24,7 @@
 			return err
 		}
 	}
-	if !u.Live() {
+	if !u.Streaming() {
 		return u.sendEnd(upstream, u.trailer)
 	}
 	if !u.start() {
@@ -62,7 +62,7 @@
 	var waited time.Duration // for the client
 	for {
 		if time.Since(started) > u.limits.Within || u.tooSlow(sent, waited) {
-			return ClientFailed{ErrSlow}
+			return ClientFailed{ErrClientTooSlow}
 		}
 		partSent, partWaited, err := u.sendPart(upstream)
 		if errors.Is(err, io.EOF) {
@@ -130,7 +130,7 @@
 	if err == nil || errors.Is(err, io.EOF) {
 		return false
 	}
-	return errors.Is(err, io.ErrUnexpectedEOF) || http1.Ended(u.conn)
+	return errors.Is(err, io.ErrUnexpectedEOF) || http1.PeerClosed(u.conn)
 }
 
 // copyNext moves a part of a body whose length is not known.
@@ -138,7 +138,7 @@
 	if err := u.setReadTimeout(uploadReadTimeout); err != nil {
 		return 0, 0, err
 	}
-	block := blocks.Get().(*[Block]byte)
+	block := blocks.Get().(*[BlockSize]byte)
 	defer blocks.Put(block)
 	waitStart := time.Now()
 	n, err := u.src.Read(block[:])
--- a/internal/capacity/capacity_test.go
+++ b/internal/capacity/capacity_test.go
@@ -187,7 +187,7 @@
 		t.Fatalf("%d nodes: %v", len(l.Nodes), err)
 	}
 	for _, n := range l.Nodes {
-		if want := n.ID == "n-"+pad(first); (n.Phase == endpointlist.Draining) != want {
+		if want := n.ID == "n-"+pad(first); (n.Phase == endpointlist.PhaseDraining) != want {
 			t.Errorf("%s is %s", n.ID, n.Phase)
 		}
 	}
--- a/internal/capacity/hollow/hollow.go
+++ b/internal/capacity/hollow/hollow.go
@@ -92,7 +92,7 @@
 	some := h.all
 	switch c.Do {
 	case Start:
-		service.BeforeReading()
+		service.PrepareConfigLoad()
 		for _, file := range c.Files {
 			h.all = append(h.all, &balancer{file: file})
 		}
@@ -121,7 +121,7 @@
 	return r
 }
 
-// headroom is what the heap may grow by for each balancer before the collector runs, as service.AfterReading has it for one.
+// headroom is what the heap may grow by for each balancer before the collector runs, as service.FinishConfigLoad has it for one.
 const headroom = 16 << 20
 
 // collect gives back what reading configurations took, once for all balancers, and bounds what the heap may grow by.
@@ -154,7 +154,7 @@
 	return took, ""
 }
 
-// large is from how many bytes of a configuration on service.AfterReading collects what reading it took.
+// large is from how many bytes of a configuration on service.FinishConfigLoad collects what reading it took.
 const large = 256 << 10
 
 func (b *balancer) readMuch() bool { return b.config != nil && b.config.Read() >= large }
@@ -176,7 +176,7 @@
 	}
 	if err == nil {
 		b.config = c
-		c.Adopted()
+		c.Commit()
 	}
 	return err
 }
--- a/internal/config/check_routes.go
+++ b/internal/config/check_routes.go
@@ -64,11 +64,11 @@
 
 // routeNamedBy returns the name of the route that an error of the table is about.
 func routeNamedBy(err error) (name string, ok bool) {
-	var conflict route.Conflict
+	var conflict route.ConflictError
 	if errors.As(err, &conflict) {
 		return conflict.Second, true
 	}
-	var malformed route.Malformed
+	var malformed route.InvalidRuleError
 	if errors.As(err, &malformed) {
 		return malformed.Name, true
 	}
--- a/internal/config/cost.go
+++ b/internal/config/cost.go
@@ -60,9 +60,9 @@
 	return total
 }
 
-// Bears returns an error, a strictyaml.Error at limits.memory, if the memory is too little for the configuration with
-// so many nodes.
-func (c *Loaded) Bears(nodes int) error {
+// CheckCapacity returns an error, a strictyaml.Error at limits.memory, if the memory is too little for the
+// configuration with so many nodes.
+func (c *Loaded) CheckCapacity(nodes int) error {
 	cost := c.Cost(nodes)
 	if cost.Resident <= int64(c.Limits.Memory) {
 		return nil
--- a/internal/config/textbuffers.go
+++ b/internal/config/textbuffers.go
@@ -103,9 +103,9 @@
 	}
 }
 
-// Adopted is to be called once c is in force: the text of the configuration before it, which was kept in case that one
+// Commit is to be called once c is in force: the text of the configuration before it, which was kept in case that one
 // had to stay, is given back. From then on only c can be reloaded.
-func (c *Loaded) Adopted() {
+func (c *Loaded) Commit() {
 	for index := range c.buffers.memory {
 		if index != c.bufferIndex {
 			c.buffers.release(index)
--- a/internal/config/textbuffers_test.go
+++ b/internal/config/textbuffers_test.go
@@ -85,7 +85,7 @@
 	}
 	if reload.adopted {
 		b.inForce = next
-		next.Adopted()
+		next.Commit()
 		b.used[next.bufferIndex]++
 	}
 	return nil
--- a/internal/config/voter.go
+++ b/internal/config/voter.go
@@ -39,8 +39,8 @@
 // minReplaceAfter bounds Voter.ReplaceAfter: a voter that is elected anew is silent for longer than less.
 const minReplaceAfter = Duration(2 * time.Second)
 
-// OfVoter reports whether a file is that of a coordination server: it has the key folder, which no other has.
-func OfVoter(path string) bool {
+// IsVoterFile reports whether a file is that of a coordination server: it has the key folder, which no other has.
+func IsVoterFile(path string) bool {
 	text, err := strictyaml.ReadFile(path, maxCoordinationFileSize)
 	if err != nil {
 		return false
--- a/internal/coordination/client/frame.go
+++ b/internal/coordination/client/frame.go
@@ -24,7 +24,7 @@
 var ErrMalformedFrame = errors.New("not a frame of the ledger's")
 
 // WriteFrame writes a body behind its header: length and CRC-32C (RFC 9260, appendix A), both big-endian. It calls
-// Write once. The error wraps ErrFrame if the body exceeds MaxFrame, and is the writer's otherwise.
+// Write once. The error wraps ErrMalformedFrame if the body exceeds MaxFrame, and is the writer's otherwise.
 func WriteFrame(w io.Writer, body []byte) error {
 	if len(body) > MaxFrame {
 		return fmt.Errorf("%w: %d bytes, at most %d", ErrMalformedFrame, len(body), MaxFrame)
@@ -36,8 +36,8 @@
 	return err
 }
 
-// ReadFrame reads a frame and returns its body, which may have limit bytes. The error wraps ErrFrame if the length or
-// the checksum is wrong, and is the reader's otherwise.
+// ReadFrame reads a frame and returns its body, which may have limit bytes. The error wraps ErrMalformedFrame if the
+// length or the checksum is wrong, and is the reader's otherwise.
 func ReadFrame(r io.Reader, limit int) ([]byte, error) {
 	var header [headerSize]byte
 	if _, err := io.ReadFull(r, header[:]); err != nil {
--- a/internal/demo/demo.go
+++ b/internal/demo/demo.go
@@ -114,7 +114,7 @@
 			return err
 		}
 		s.nodes = append(s.nodes, n)
-		s.phases[n.ID] = endpointlist.Up
+		s.phases[n.ID] = endpointlist.PhaseUp
 	}
 	if err := s.list(); err != nil {
 		return err
@@ -178,7 +178,7 @@
 			}
 			return s.list()
 		}},
-		{0.45, "shared node-4 drains", func() error { s.phases["node-4"] = endpointlist.Draining; return s.list() }},
+		{0.45, "shared node-4 drains", func() error { s.phases["node-4"] = endpointlist.PhaseDraining; return s.list() }},
 		{0.55, "node-4 has left the lists", func() error { delete(s.phases, "node-4"); return s.list() }},
 		{0.60, "the list of maps is torn: the last one holds", func() error {
 			return os.WriteFile(s.path("maps"), []byte("nodes: [{id: node-5, addr"), 0o600)
@@ -195,7 +195,7 @@
 			if err := s.nodes[4].Restart(); err != nil {
 				return err
 			}
-			s.phases["node-4"] = endpointlist.Up
+			s.phases["node-4"] = endpointlist.PhaseUp
 			return s.list()
 		}},
 		{0.80, "twice the check-ins", func() error { s.checkins.SetRate(300); return nil }},
--- a/internal/discovery/client.go
+++ b/internal/discovery/client.go
@@ -29,12 +29,12 @@
 	ctx      context.Context // ends all calls
 	cancel   context.CancelFunc
 	revision atomic.Pointer[uint64] // of the newest listing that was posted; nil: none yet
-	post     func(Heard)
+	post     func(Event)
 }
 
-// Heard is an event: an answer of the service, or the failure of a call. It names its client, as a late event of a
+// Event is an event: an answer of the service, or the failure of a call. It names its client, as a late event of a
 // service that a new configuration has replaced must be ignored.
-type Heard struct {
+type Event struct {
 	From *Client
 	Listing
 	Err error
@@ -42,7 +42,7 @@
 
 // New returns a Client of the service at an address. It calls post with each event, from the goroutine that runs Watch
 // or Fetch.
-func New(ctx context.Context, address string, post func(Heard)) *Client {
+func New(ctx context.Context, address string, post func(Event)) *Client {
 	c := &Client{
 		Address: address,
 		url:     "http://" + address + "/v1/servers",
@@ -53,8 +53,8 @@
 	return c
 }
 
-// End cancels all calls and closes the idle connections.
-func (c *Client) End() {
+// Close cancels all calls and closes the idle connections.
+func (c *Client) Close() {
 	c.cancel()
 	c.client.CloseIdleConnections()
 }
@@ -79,14 +79,14 @@
 		}
 		switch {
 		case err == nil:
-			c.post(Heard{From: c, Listing: listing})
-			c.Hold(listing.Revision)
+			c.post(Event{From: c, Listing: listing})
+			c.SetRevision(listing.Revision)
 		case !pushed:
 			<-nextCall // the decision module may retry at once
-			c.post(Heard{From: c, Listing: listing, Err: err})
+			c.post(Event{From: c, Listing: listing, Err: err})
 			return
 		case !failedBefore: // there is nothing to decide, so the first failure is enough
-			c.post(Heard{From: c, Listing: listing, Err: err})
+			c.post(Event{From: c, Listing: listing, Err: err})
 		}
 		failedBefore = err != nil
 		<-nextCall
@@ -110,15 +110,15 @@
 	if c.ctx.Err() != nil {
 		return
 	}
-	c.post(Heard{From: c, Listing: listing, Err: err})
+	c.post(Event{From: c, Listing: listing, Err: err})
 	if err == nil {
-		c.Hold(listing.Revision)
+		c.SetRevision(listing.Revision)
 	}
 }
 
-// Hold records the revision of a listing that has been posted, from which later watches go on. An older revision than
-// the recorded one has no effect.
-func (c *Client) Hold(revision uint64) {
+// SetRevision records the revision of a listing that has been posted, from which later watches go on. An older
+// revision than the recorded one has no effect.
+func (c *Client) SetRevision(revision uint64) {
 	for {
 		newest := c.revision.Load()
 		if newest != nil && revision <= *newest {
--- a/internal/discovery/client_test.go
+++ b/internal/discovery/client_test.go
@@ -55,7 +55,7 @@
 // unresponsiveWatch is a watch whose first call is not answered.
 type unresponsiveWatch struct {
 	service    *testService
-	events     chan Heard
+	events     chan Event
 	ended      chan struct{} // closed when the watch has ended
 	firstQuery string
 	started    time.Time
@@ -66,12 +66,12 @@
 	t.Helper()
 	watch := &unresponsiveWatch{
 		service: newTestService(t),
-		events:  make(chan Heard, 100),
+		events:  make(chan Event, 100),
 		ended:   make(chan struct{}),
 	}
-	client := New(t.Context(), watch.service.Listener.Addr().String(), func(event Heard) { watch.events <- event })
-	t.Cleanup(client.End)
-	client.Hold(servedRevision - 1)
+	client := New(t.Context(), watch.service.Listener.Addr().String(), func(event Event) { watch.events <- event })
+	t.Cleanup(client.Close)
+	client.SetRevision(servedRevision - 1)
 	watch.service.unresponsive.Store(true)
 	ctx, cancel := context.WithCancel(t.Context())
 	t.Cleanup(cancel)
--- a/internal/discovery/listing_bench_test.go
+++ b/internal/discovery/listing_bench_test.go
@@ -51,8 +51,8 @@
 	server.Listener = listener
 	server.Start()
 	defer server.Close()
-	client := New(b.Context(), server.Listener.Addr().String(), func(Heard) {})
-	defer client.End()
+	client := New(b.Context(), server.Listener.Addr().String(), func(Event) {})
+	defer client.Close()
 	b.ReportAllocs()
 	for b.Loop() {
 		listing, err := client.call(b.Context(), client.url, 10*time.Second)
--- a/internal/discovery/numbering_test.go
+++ b/internal/discovery/numbering_test.go
@@ -8,7 +8,7 @@
 
 // TestNames: hex ids have the number that they spell, others their hash, and no two ids ever have the same number.
 func TestNames(t *testing.T) {
-	names := NewNames()
+	names := NewNumbering()
 	const hexNumber balancer.UpstreamID = 0x5be2a07c
 	for _, test := range []struct {
 		name, id string
@@ -16,7 +16,7 @@
 	}{
 		{"hex", "s-5be2a07c", hexNumber},
 		{"the same id again", "s-5be2a07c", hexNumber},
-		{"another form", "5be2a07c.example", Hashed("5be2a07c.example")},
+		{"another form", "5be2a07c.example", HashID("5be2a07c.example")},
 	} {
 		if got := names.ID(test.id); got != test.want {
 			t.Errorf("%s: got %v, want %v", test.name, got, test.want)
--- a/internal/endpointlist/filecheck.go
+++ b/internal/endpointlist/filecheck.go
@@ -10,7 +10,7 @@
 // fileCheck is one check of a list's file. It runs on a goroutine of its own, as a file system may block it.
 type fileCheck struct {
 	path   string
-	before Reading
+	before FileState
 	reread bool // read the file also if its stamp is the same
 	// settled is that a change was seen some time ago. Else one that is found now may be in progress, and is left to a
 	// later check.
@@ -114,7 +114,7 @@
 		s.lastRead.stamp = check.stamp
 		s.lastRead.hash = check.hash
 	case check.err != nil:
-		s.lastRead = Reading{} // so that the next check reads whatever is there
+		s.lastRead = FileState{} // so that the next check reads whatever is there
 	}
 }
 
@@ -127,11 +127,11 @@
 		failures := s.failures
 		s.lastError = ""
 		s.failures = 0
-		s.notify(Word{List: &check.list, Failed: failures})
+		s.notify(Update{List: &check.list, Failed: failures})
 	case s.lastError != "":
 		s.failures++
 	default:
-		s.notify(Word{})
+		s.notify(Update{})
 	}
 }
 
@@ -139,7 +139,7 @@
 func (s *Subscription) recordError(err error) {
 	text := err.Error()
 	if text != s.lastError {
-		s.notify(Word{Err: err, Failed: s.failures})
+		s.notify(Update{Err: err, Failed: s.failures})
 		s.lastError = text
 		s.failures = 0
 	}
--- a/internal/endpointlist/filestate.go
+++ b/internal/endpointlist/filestate.go
@@ -62,8 +62,8 @@
 	return s, linked, nil
 }
 
-// Reading is the state of a list's file when it was read. The zero value is that of a file that was not read.
-type Reading struct {
+// FileState is the state of a list's file when it was read. The zero value is that of a file that was not read.
+type FileState struct {
 	stamp  stamp
 	linked bool   // the path is a symbolic link
 	hash   uint64 // of the text
@@ -74,16 +74,16 @@
 var hashSeed = maphash.MakeSeed()
 
 // Read reads and checks the list in a file, and returns the file's state too.
-func Read(path string) (List, Reading, error) {
-	reading := Reading{readAt: time.Now()}
+func Read(path string) (List, FileState, error) {
+	reading := FileState{readAt: time.Now()}
 	var err error
 	reading.stamp, reading.linked, err = statFile(path)
 	if err != nil {
-		return List{}, Reading{}, err
+		return List{}, FileState{}, err
 	}
 	text, err := strictyaml.ReadFile(path, maxFileSize)
 	if err != nil {
-		return List{}, Reading{}, err
+		return List{}, FileState{}, err
 	}
 	reading.hash = maphash.Bytes(hashSeed, text)
 	list, err := Parse(path, text)
--- a/internal/endpointlist/fixture_test.go
+++ b/internal/endpointlist/fixture_test.go
@@ -102,17 +102,17 @@
 	*Subscription
 	t       *testing.T
 	path    string
-	updates chan Word
+	updates chan Update
 }
 
 func (f *watcherFixture) follow(path string) *followedList {
-	return f.followFrom(path, Reading{}, func() {})
+	return f.followFrom(path, FileState{}, func() {})
 }
 
 // followFrom follows a list that may have been read before. beforeUpdate is called first in each notification.
-func (f *watcherFixture) followFrom(path string, read Reading, beforeUpdate func()) *followedList {
-	list := &followedList{t: f.t, path: path, updates: make(chan Word, 10000)}
-	list.Subscription = f.Follow(path, read, func(update Word) {
+func (f *watcherFixture) followFrom(path string, read FileState, beforeUpdate func()) *followedList {
+	list := &followedList{t: f.t, path: path, updates: make(chan Update, 10000)}
+	list.Subscription = f.Follow(path, read, func(update Update) {
 		beforeUpdate()
 		if update.List != nil || update.Err != nil {
 			list.updates <- update
@@ -122,19 +122,19 @@
 }
 
 // nextUpdate waits for the next update.
-func (l *followedList) nextUpdate() Word {
+func (l *followedList) nextUpdate() Update {
 	l.t.Helper()
 	select {
 	case update := <-l.updates:
 		return update
 	case <-time.After(testTimeout):
 		l.t.Fatalf("%s: no update in time", l.path)
-		return Word{}
+		return Update{}
 	}
 }
 
 // wantPort waits for the next update, and wants a list of one node with this port.
-func (l *followedList) wantPort(port int) Word {
+func (l *followedList) wantPort(port int) Update {
 	l.t.Helper()
 	update := l.nextUpdate()
 	if update.Err != nil || len(update.List.Nodes) != 1 || update.List.Nodes[0].Address != localAddress(port) {
--- a/internal/endpointlist/fleet_test.go
+++ b/internal/endpointlist/fleet_test.go
@@ -61,7 +61,7 @@
 	first.Add(len(sizes))
 	second.Add(len(sizes))
 	for i, size := range sizes {
-		fixture.Follow(fixture.path(fmt.Sprint(i)), Reading{}, func(update Word) {
+		fixture.Follow(fixture.path(fmt.Sprint(i)), FileState{}, func(update Update) {
 			switch {
 			case update.Err != nil:
 				t.Error(update.Err)
@@ -111,7 +111,7 @@
 			b.Fatal(err)
 		}
 		notified.Add(1)
-		watcher.Follow(path, Reading{}, func(update Word) {
+		watcher.Follow(path, FileState{}, func(update Update) {
 			if update.List != nil {
 				notified.Done()
 			}
--- a/internal/endpointlist/list_test.go
+++ b/internal/endpointlist/list_test.go
@@ -13,11 +13,11 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if node := list.Nodes[0]; node.ID != "127.0.0.1:1" || node.Weight != 1 || node.Phase != Up {
+	if node := list.Nodes[0]; node.ID != "127.0.0.1:1" || node.Weight != 1 || node.Phase != PhaseUp {
 		t.Errorf("defaults: %+v", node)
 	}
 	node := list.Nodes[1]
-	if node.Phase != Draining || node.Cell != 2 || node.Weight != 2.5 || node.Started.Year() != 2026 {
+	if node.Phase != PhaseDraining || node.Cell != 2 || node.Weight != 2.5 || node.Started.Year() != 2026 {
 		t.Errorf("all fields: %+v", node)
 	}
 	if list, err := Parse("n.yaml", []byte("nodes: []")); err != nil || len(list.Nodes) != 0 {
--- a/internal/endpointlist/phase.go
+++ b/internal/endpointlist/phase.go
@@ -5,6 +5,6 @@
 
 // The phases. A node that is not listed any more is removed.
 const (
-	Up       Phase = "up"
-	Draining Phase = "draining" // finishes its requests in flight and gets no new ones
+	PhaseUp       Phase = "up"
+	PhaseDraining Phase = "draining" // finishes its requests in flight and gets no new ones
 )
--- a/internal/endpointlist/simpleyaml.go
+++ b/internal/endpointlist/simpleyaml.go
@@ -191,10 +191,10 @@
 	case "phase":
 		field = fieldPhase
 		switch string(value) {
-		case string(Up):
-			node.Phase = Up
-		case string(Draining):
-			node.Phase = Draining
+		case string(PhaseUp):
+			node.Phase = PhaseUp
+		case string(PhaseDraining):
+			node.Phase = PhaseDraining
 		default:
 			return 0, false
 		}
--- a/internal/endpointlist/validate.go
+++ b/internal/endpointlist/validate.go
@@ -47,7 +47,7 @@
 			fail(index, ".address", "nodes %q and %q have the same address", nodes[other].ID, node.ID)
 		case !validWeight:
 			fail(index, ".weight", "the weight is over 0 and at most 1,000,000")
-		case node.Phase != Up && node.Phase != Draining:
+		case node.Phase != PhaseUp && node.Phase != PhaseDraining:
 			fail(index, ".phase", "%q is neither up nor draining", node.Phase)
 		case strings.ContainsFunc(node.ID, isControl):
 			fail(index, "", "the id has a control character")
@@ -67,11 +67,11 @@
 	if node.ID == "" {
 		node.ID = node.Address
 	}
-	if node.Weight == 0 && node.Phase != Draining {
+	if node.Weight == 0 && node.Phase != PhaseDraining {
 		node.Weight = 1
 	}
 	if node.Phase == "" {
-		node.Phase = Up
+		node.Phase = PhaseUp
 	}
 }
 
--- a/internal/endpointlist/watcher.go
+++ b/internal/endpointlist/watcher.go
@@ -16,9 +16,9 @@
 // brings a change into force within 1 s.
 const defaultPollInterval = 500 * time.Millisecond
 
-// Word is an update of a list that is followed. With neither a list nor an error, the file was checked and has not
+// Update is an update of a list that is followed. With neither a list nor an error, the file was checked and has not
 // changed.
-type Word struct {
+type Update struct {
 	List   *List // differs in its text from the one before
 	Err    error // why the list before stays in force; notified once, until it is another
 	Failed int   // how many checks in a row, before this one, failed with another error
@@ -68,13 +68,13 @@
 	path     string
 	folder   *followedFolder
 	fileName string // in the folder
-	notify   func(Word)
+	notify   func(Update)
 
-	lastRead  Reading // the zero value: the next check reads and parses
-	confirmed bool    // the file was read again when its stamp was not ambiguous any more
-	lastError string  // of the last check
-	failures  int     // checks in a row that found it
-	checked   bool    // a check was started
+	lastRead  FileState // the zero value: the next check reads and parses
+	confirmed bool      // the file was read again when its stamp was not ambiguous any more
+	lastError string    // of the last check
+	failures  int       // checks in a row that found it
+	checked   bool      // a check was started
 	stopped   bool
 
 	checkOffset time.Duration // of its periodic checks
@@ -114,7 +114,7 @@
 
 // Follow follows the list in a file. notify gets each update, on the Watcher's goroutine: it must not block. A file
 // that was read before is notified when it differs from that reading; the zero Reading is of one that was not.
-func (w *Watcher) Follow(path string, read Reading, notify func(Word)) *Subscription {
+func (w *Watcher) Follow(path string, read FileState, notify func(Update)) *Subscription {
 	subscription := &Subscription{
 		watcher:  w,
 		path:     path,
@@ -244,7 +244,7 @@
 		}
 	})
 	watcher.pollInterval = interval
-	go watcher.Follow(path, Reading{}, func(update Word) {
+	go watcher.Follow(path, FileState{}, func(update Update) {
 		switch {
 		case update.Err != nil:
 			failed(update.Err)
--- a/internal/endpointlist/watcher_test.go
+++ b/internal/endpointlist/watcher_test.go
@@ -107,7 +107,7 @@
 	writeFile(t, path, listText(1))
 	fixture.start()
 	var notifications atomic.Int64
-	list := fixture.followFrom(path, Reading{}, func() {
+	list := fixture.followFrom(path, FileState{}, func() {
 		if notifications.Add(1) == 1 {
 			writeFile(t, path, listText(2)) // after the first read, and before the second
 		}
@@ -130,8 +130,8 @@
 		t.Fatal(list, err)
 	}
 	fixture.start()
-	updates := make(chan Word, 100)
-	subscription := fixture.Follow(path, read, func(update Word) { updates <- update })
+	updates := make(chan Update, 100)
+	subscription := fixture.Follow(path, read, func(update Update) { updates <- update })
 	fixture.waitWatched(fixture.folder)
 	touch := func() {
 		if err := os.Chtimes(path, time.Time{}, time.Unix(1e9, 0)); err != nil {
--- a/internal/experiment/contender.go
+++ b/internal/experiment/contender.go
@@ -81,7 +81,7 @@
 		return err
 	}
 	service.LimitMemory(c)
-	service.AfterReading(c)
+	service.FinishConfigLoad(c)
 	s, err := service.Start(c, "experiment")
 	if err != nil {
 		return err
--- a/internal/experiment/experiment.go
+++ b/internal/experiment/experiment.go
@@ -179,7 +179,7 @@
 				return err
 			}
 			s.nodes = append(s.nodes, n)
-			s.phases[n.ID] = endpointlist.Up
+			s.phases[n.ID] = endpointlist.PhaseUp
 		}
 	}
 	return s.list()
@@ -256,7 +256,7 @@
 			}
 		case x.Kind == "drain":
 			s.mu.Lock()
-			s.phases[n.ID] = map[bool]endpointlist.Phase{true: endpointlist.Draining, false: endpointlist.Up}[x.on]
+			s.phases[n.ID] = map[bool]endpointlist.Phase{true: endpointlist.PhaseDraining, false: endpointlist.PhaseUp}[x.on]
 			s.mu.Unlock()
 		}
 	}
--- a/internal/frontend/client.go
+++ b/internal/frontend/client.go
@@ -81,7 +81,7 @@
 
 // releaseExchange gives back the memory of the request's body, and counts the exchange out.
 func (c *clientConn) releaseExchange() {
-	if upload := c.exchange.PoolRequest().Message.Rest; upload != nil {
+	if upload := c.exchange.PoolRequest().Message.Upload; upload != nil {
 		upload.Release()
 	}
 	c.exchange.Done()
@@ -106,7 +106,7 @@
 
 // closeBeforeBodyEnd ends a connection whose response was written before the client had sent its body to the end.
 func (c *clientConn) closeBeforeBodyEnd() {
-	upload := c.exchange.PoolRequest().Message.Rest
+	upload := c.exchange.PoolRequest().Message.Upload
 	if upload.Unread() {
 		upload.Stop()
 		c.lingeringClose(requestTimeout, lingerBodyBytes)
--- a/internal/frontend/deadlines.go
+++ b/internal/frontend/deadlines.go
@@ -93,7 +93,7 @@
 	if d.requestDeadline.IsZero() {
 		return d.Conn.Read(b)
 	}
-	deadline := time.Now().Add(StalledClient)
+	deadline := time.Now().Add(ReadStallTimeout)
 	if d.requestDeadline.Before(deadline) {
 		deadline = d.requestDeadline
 	}
--- a/internal/frontend/drain.go
+++ b/internal/frontend/drain.go
@@ -66,7 +66,7 @@
 	s.listener.Close()
 	for c := range s.clients {
 		if c.tunnel != nil {
-			c.tunnel.EndSoon()
+			c.tunnel.CloseGracefully()
 		}
 	}
 	s.retireIdle()
--- a/internal/frontend/fuzz_test.go
+++ b/internal/frontend/fuzz_test.go
@@ -26,7 +26,7 @@
 		return nil, BadRequest("the target is no path")
 	}
 	exchange := &echoExchange{router: r}
-	exchange.Message = upstream.Message{Line: method + " " + target, Header: *h, Bodied: method == http.MethodPost}
+	exchange.Message = upstream.Message{RequestLine: method + " " + target, Header: *h, Bodied: method == http.MethodPost}
 	return exchange, nil
 }
 func (r *echoRouter) Ping()                      {}
@@ -81,11 +81,11 @@
 	}
 	f.Fuzz(func(t *testing.T, text []byte) {
 		router := &echoRouter{}
-		limits := Usual(10)
+		limits := DefaultLimits(10)
 		limits.HTTP10 = true
 		server := New(router, nil, limits)
 		conn := scripted.Saying(text)
-		server.Take(conn)
+		server.ServeConn(conn)
 		server.connections.Wait()
 		if bytes.Contains(text, []byte("HTTP/1.1 ")) { // it came back as a body
 			return
--- a/internal/frontend/hooked_server_test.go
+++ b/internal/frontend/hooked_server_test.go
@@ -27,7 +27,7 @@
 
 func (r *heldRouter) Check(method, target string, h *http1.Fields) (Exchange, error) {
 	exchange := &heldExchange{router: r}
-	exchange.Message = upstream.Message{Line: method + " " + target, Header: *h, Bodied: method == http.MethodPost}
+	exchange.Message = upstream.Message{RequestLine: method + " " + target, Header: *h, Bodied: method == http.MethodPost}
 	return exchange, nil
 }
 func (r *heldRouter) Ping()                      {}
@@ -124,7 +124,7 @@
 	}
 	listener := &hookedListener{tcpListener, make(chan *hookedConn)}
 	router := &heldRouter{make(chan *pool.Request, 10)}
-	server := New(router, listener, Usual(100))
+	server := New(router, listener, DefaultLimits(100))
 	served := make(chan error, 1)
 	go func() { served <- server.Serve() }()
 	t.Cleanup(func() {
--- a/internal/frontend/limits.go
+++ b/internal/frontend/limits.go
@@ -27,8 +27,8 @@
 	HTTP10      bool          // HTTP/1.0 is served too
 }
 
-// Usual returns the limits where nothing but the number of connections is set.
-func Usual(connections int) Limits {
+// DefaultLimits returns the limits where nothing but the number of connections is set.
+func DefaultLimits(connections int) Limits {
 	return Limits{
 		Connections: connections,
 		Head:        http1.MaxHead,
--- a/internal/frontend/reader.go
+++ b/internal/frontend/reader.go
@@ -76,7 +76,7 @@
 		return false
 	}
 	if client.hasPendingBytes() {
-		_ = client.SetReadDeadline(time.Now().Add(SilentClient)) // if it fails, so does the read
+		_ = client.SetReadDeadline(time.Now().Add(FirstByteTimeout)) // if it fails, so does the read
 		return true
 	}
 	client.closeGracefully = true
@@ -109,8 +109,8 @@
 	if !s.enterStage(client, stageActive) {
 		return connectionEnds
 	}
-	closesByDefault := client.http10 && !header.Lists("Connection", "keep-alive")
-	client.closeRequested = client.closeAfterResponse || http1.Closes(header) || closesByDefault
+	closesByDefault := client.http10 && !header.HasListElement("Connection", "keep-alive")
+	client.closeRequested = client.closeAfterResponse || http1.ClosesConnection(header) || closesByDefault
 	if exchange == nil {
 		if s.respond(client, s.healthResponse(), client.closeRequested) {
 			return responseWritten
@@ -131,8 +131,8 @@
 	if err != nil || rejected.Status != 0 {
 		return s.answerRejected(client, rejected, err)
 	}
-	upload := request.Message.Rest
-	if upload.Live() && !s.waitForUpload(client, upload) {
+	upload := request.Message.Upload
+	if upload.Streaming() && !s.waitForUpload(client, upload) {
 		return connectionEnds
 	}
 	return responsePending
@@ -141,7 +141,7 @@
 // answerRejected answers a request that its pool has rejected, by an error or a response.
 func (s *Server) answerRejected(client *clientConn, rejected pool.Response, err error) requestOutcome {
 	client.setExchangeState(exchangeNone)
-	upload := client.exchange.PoolRequest().Message.Rest
+	upload := client.exchange.PoolRequest().Message.Upload
 	if upload != nil {
 		defer upload.Release()
 	}
@@ -149,7 +149,7 @@
 		s.reject(client, err)
 		return connectionEnds
 	}
-	if !s.respond(client, rejected, client.closeRequested || upload.Live()) {
+	if !s.respond(client, rejected, client.closeRequested || upload.Streaming()) {
 		client.closeBeforeBodyEnd()
 		return connectionEnds
 	}
--- a/internal/frontend/rejection.go
+++ b/internal/frontend/rejection.go
@@ -14,10 +14,10 @@
 // Rejection is the error of a request that never reaches a pool, and what its client gets.
 type Rejection struct {
 	Status int
-	Why    string
+	Reason string
 }
 
-func (r *Rejection) Error() string { return r.Why }
+func (r *Rejection) Error() string { return r.Reason }
 
 // BadRequest returns a Rejection with status 400.
 func BadRequest(format string, args ...any) error {
@@ -40,17 +40,17 @@
 	switch {
 	case isTimeout(err):
 		return &Rejection{http.StatusRequestTimeout, "the request did not come whole in time"}
-	case errors.Is(err, body.ErrSlow):
+	case errors.Is(err, body.ErrClientTooSlow):
 		return &Rejection{http.StatusRequestTimeout, err.Error()}
-	case errors.Is(err, http1.ErrLine):
+	case errors.Is(err, http1.ErrStartLineTooLong):
 		return &Rejection{http.StatusRequestURITooLong, err.Error()}
-	case errors.Is(err, http1.ErrLong):
+	case errors.Is(err, http1.ErrHeadTooLong):
 		return &Rejection{http.StatusRequestHeaderFieldsTooLarge, err.Error()}
-	case errors.Is(err, http1.ErrLarge):
+	case errors.Is(err, http1.ErrBodyTooLarge):
 		return &Rejection{http.StatusRequestEntityTooLarge, err.Error()}
 	case errors.As(err, &rejection):
 		return rejection
-	case errors.Is(err, http1.ErrHead), errors.Is(err, http1.ErrFrame):
+	case errors.Is(err, http1.ErrMalformedHead), errors.Is(err, http1.ErrFraming):
 		return &Rejection{http.StatusBadRequest, err.Error()}
 	default:
 		return nil
@@ -69,7 +69,7 @@
 	}
 	response := pool.Response{
 		Status:      rejection.Status,
-		Body:        []byte(rejection.Why + "\n"),
+		Body:        []byte(rejection.Reason + "\n"),
 		ContentType: "text/plain",
 	}
 	if client.writeResponse(response, true) != nil {
--- a/internal/frontend/request.go
+++ b/internal/frontend/request.go
@@ -24,8 +24,8 @@
 	continueResponse = "HTTP/1.1 100 Continue\r\n\r\n"
 )
 
-// Once names the fields of which a second one would leave open which of them counts.
-var Once = []string{
+// SingletonFields names the fields of which a second one would leave open which of them counts.
+var SingletonFields = []string{
 	"Host", "Content-Length", "X-Request-Id", "X-Class", "X-Tenant", "X-Deadline-Ms", "Idempotency-Key",
 	"X-Retry", "X-Cost-Hint", "X-Extras", "Cookie",
 }
@@ -35,14 +35,14 @@
 func ReadRequest(router Router, conn net.Conn) (Exchange, error) {
 	c := &clientConn{Stream: http1.NewStream(conn, readBufferBytes)}
 	c.Limit(http1.MaxHead)
-	exchange, _, err := New(router, nil, Usual(1)).readRequest(c)
+	exchange, _, err := New(router, nil, DefaultLimits(1)).readRequest(c)
 	return exchange, err
 }
 
 // readRequest reads a client's request. A nil Exchange is a health check of this balancer. What is malformed never
 // reaches a pool.
 func (s *Server) readRequest(client *clientConn) (Exchange, http1.Fields, error) {
-	line, header, err := client.Head()
+	line, header, err := client.ReadHead()
 	if err != nil {
 		return nil, nil, err
 	}
@@ -79,7 +79,7 @@
 			return nil, nil, err
 		}
 	}
-	if client.Buffered() > 0 && !request.Message.Rest.Live() {
+	if client.Buffered() > 0 && !request.Message.Upload.Streaming() {
 		return nil, nil, errPipelined
 	}
 	request.ReceivedAt = s.router.Now() // after its last byte
@@ -99,7 +99,7 @@
 
 // checkRepeatedFields rejects a second one of the fields that Once names.
 func checkRepeatedFields(header http1.Fields) error {
-	for _, name := range Once {
+	for _, name := range SingletonFields {
 		if header.Count(name) > 1 {
 			return BadRequest("%s stands there more than once", name)
 		}
@@ -142,7 +142,7 @@
 	}
 	notEmpty := framing.Chunked || framing.Length > 0
 	switch {
-	case framing.Length > uint64(message.Most().Request):
+	case framing.Length > uint64(message.BodyLimits().Request):
 		err = errBodyTooLarge
 	case !hasBody && message.Bodied:
 		err = &Rejection{http.StatusLengthRequired, "a Content-Length or chunks are wanted"}
@@ -158,7 +158,7 @@
 func framingRejection(err error, header http1.Fields) *Rejection {
 	badRequest := func(why string) *Rejection { return &Rejection{http.StatusBadRequest, why} }
 	switch {
-	case errors.Is(err, http1.ErrLarge):
+	case errors.Is(err, http1.ErrBodyTooLarge):
 		return errBodyTooLarge
 	case !header.Has("Content-Length"): // RFC 9112, section 6.1
 		return &Rejection{http.StatusNotImplemented, "of transfer codings, chunked is known"}
@@ -173,11 +173,11 @@
 // readBody reads a body, or the part of it that is read ahead.
 func (s *Server) readBody(client *clientConn, request *pool.Request, framing http1.Framing) error {
 	message := &request.Message
-	limits := message.Most()
+	limits := message.BodyLimits()
 	source := client.Body(framing, limits.Request)
 	client.conn.allowBody(bufferedBodyBytes)
 	var err error
-	message.Body, err = source.UpTo(bufferedBodyBytes)
+	message.Body, err = source.ReadUpTo(bufferedBodyBytes)
 	if err != nil || source.Ended() {
 		message.Trailer = limits.Trailer(source)
 		return err
@@ -188,10 +188,10 @@
 		upload.Release()
 		return err
 	}
-	upload.Settle(len(message.Body))
+	upload.FixLength(len(message.Body))
 	if serverLimits := s.limits.Load(); serverLimits.Floor {
 		upload.Hurry(body.Floor{Rate: serverLimits.Rate, Grace: serverLimits.Within})
 	}
-	message.Rest = upload
+	message.Upload = upload
 	return nil
 }
--- a/internal/frontend/server.go
+++ b/internal/frontend/server.go
@@ -48,15 +48,15 @@
 	return s
 }
 
-// Spare has the connection that idles longest closed whenever more than so many are active or idle. It is called before
-// Serve.
-func (s *Server) Spare(connections int) { s.keepAliveLimit = connections }
+// SetKeepAliveLimit has the connection that idles longest closed whenever more than so many are active or idle. It is
+// called before Serve.
+func (s *Server) SetKeepAliveLimit(connections int) { s.keepAliveLimit = connections }
 
-// Spool gives clients' bodies so many bytes to be read ahead into.
-func (s *Server) Spool(bytes int64) { s.spool.Set(bytes) }
+// SetSpoolBytes gives clients' bodies so many bytes to be read ahead into.
+func (s *Server) SetSpoolBytes(bytes int64) { s.spool.Set(bytes) }
 
-// SpoolFree returns how much of that is free, in bytes.
-func (s *Server) SpoolFree() int64 { return s.spool.Free() }
+// FreeSpoolBytes returns how much of that is free, in bytes.
+func (s *Server) FreeSpoolBytes() int64 { return s.spool.Free() }
 
 // Listener is where connections are accepted.
 func (s *Server) Listener() net.Listener { return s.listener }
@@ -78,7 +78,7 @@
 		conn, err := s.listener.Accept()
 		switch {
 		case err == nil:
-			s.Take(conn)
+			s.ServeConn(conn)
 		case errors.Is(err, net.ErrClosed):
 			return nil
 		default: // out of descriptors, or a connection that broke in the queue: neither ends the service
@@ -89,13 +89,13 @@
 	}
 }
 
-// Take begins to serve a connection, once there is room for it.
-func (s *Server) Take(raw net.Conn) {
+// ServeConn begins to serve a connection, once there is room for it.
+func (s *Server) ServeConn(raw net.Conn) {
 	for !s.makeRoom() {
 		time.Sleep(acceptRetryPause)
 	}
 	client := newClientConn(raw)
-	_ = client.SetReadDeadline(time.Now().Add(SilentClient)) // if it fails, so does the read
+	_ = client.SetReadDeadline(time.Now().Add(FirstByteTimeout)) // if it fails, so does the read
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.clients[client] = struct{}{}
--- a/internal/frontend/stage_test.go
+++ b/internal/frontend/stage_test.go
@@ -36,7 +36,7 @@
 		}, "idle"},
 	} {
 		t.Run(test.name, func(t *testing.T) {
-			server := New(nil, nil, Usual(1))
+			server := New(nil, nil, DefaultLimits(1))
 			names := map[*clientConn]string{}
 			for _, connection := range test.connections {
 				client := &clientConn{stage: connection.stage, stageSince: time.Now().Add(-connection.age)}
--- a/internal/frontend/timing.go
+++ b/internal/frontend/timing.go
@@ -5,10 +5,10 @@
 // Limits of time towards clients. The platform sets two of them: within 3 s of connecting, a
 // client must get a response or see the connection closed; and 4 s after a drain began no connection may be idle.
 const (
-	// SilentClient is how long a new connection may send nothing, within the platform's 3 s.
-	SilentClient = 2500 * time.Millisecond
-	// StalledClient is how long a client may send nothing in the middle of a request, within the platform's 3 s.
-	StalledClient = 2300 * time.Millisecond
+	// FirstByteTimeout is how long a new connection may send nothing, within the platform's 3 s.
+	FirstByteTimeout = 2500 * time.Millisecond
+	// ReadStallTimeout is how long a client may send nothing in the middle of a request, within the platform's 3 s.
+	ReadStallTimeout = 2300 * time.Millisecond
 	// requestTimeout is how long a client that never stalls may take over a request: it may have a slow line.
 	requestTimeout = 10 * time.Second
 	// responseWriteTimeout is how long a client may take over reading a response.
--- a/internal/frontend/writer.go
+++ b/internal/frontend/writer.go
@@ -22,7 +22,7 @@
 			client.writeEarlyHints(response)
 			continue
 		}
-		upload := client.exchange.PoolRequest().Message.Rest
+		upload := client.exchange.PoolRequest().Message.Upload
 		if upload.Failed() || !client.claim(exchangeAnswered) { // the reader ends the connection
 			response.Stream.Abandon()
 			response.Tunnel.Close()
@@ -73,7 +73,7 @@
 	defer s.mu.Unlock()
 	client.tunnel = tunnel
 	if s.listenerClosed {
-		tunnel.EndSoon()
+		tunnel.CloseGracefully()
 	}
 }
 
--- a/internal/http1/body.go
+++ b/internal/http1/body.go
@@ -9,7 +9,7 @@
 	"net/http/httputil"
 )
 
-// preallocated is the length in bytes of the longest body that UpTo reserves memory for before it has come.
+// preallocated is the length in bytes of the longest body that ReadUpTo reserves memory for before it has come.
 const preallocated = 4 << 10
 
 // Body reads a message's body to its end and no byte further. Only a body that is certain to be complete ends with
@@ -25,7 +25,7 @@
 }
 
 // Body returns the reader of a message's body, whose head has been read. One whose length is not known may have up to
-// most bytes; a longer one ends with ErrLarge.
+// most bytes; a longer one ends with ErrBodyTooLarge.
 func (s *Stream) Body(f Framing, most int64) *Body {
 	b := &Body{stream: s, framing: f, remaining: f.Length}
 	s.bound.N = math.MaxInt64 // bounded by what remains of the body
@@ -33,14 +33,14 @@
 	case f.Chunked:
 		b.chunks = httputil.NewChunkedReader(s.in)
 		b.remaining = uint64(most)
-	case f.ToClose:
+	case f.UntilClose:
 		b.remaining = uint64(most)
 	}
 	return b
 }
 
 // Read implements io.Reader. A body that is cut short ends with io.ErrUnexpectedEOF, one with malformed chunks or a
-// forbidden trailer with ErrFrame.
+// forbidden trailer with ErrFraming.
 func (b *Body) Read(p []byte) (int, error) {
 	if b.err != nil {
 		return 0, b.err
@@ -56,7 +56,7 @@
 	switch {
 	case b.chunked():
 		n, err = b.readChunks(p)
-	case b.framing.ToClose:
+	case b.framing.UntilClose:
 		n, err = b.stream.in.Read(p)
 	case b.remaining == 0:
 		return 0, io.EOF
@@ -65,7 +65,7 @@
 		err = cutShort(err)
 	}
 	if uint64(n) > b.remaining {
-		return int(b.remaining), ErrLarge
+		return int(b.remaining), ErrBodyTooLarge
 	}
 	return n, err
 }
@@ -81,7 +81,7 @@
 	case errors.Is(err, io.ErrUnexpectedEOF) || isNetworkError(err):
 		return n, err
 	default:
-		return n, ErrFrame
+		return n, ErrFraming
 	}
 }
 
@@ -109,7 +109,7 @@
 
 func (b *Body) chunked() bool { return b.chunks != nil }
 
-func (b *Body) hasKnownLength() bool { return !b.chunked() && !b.framing.ToClose }
+func (b *Body) hasKnownLength() bool { return !b.chunked() && !b.framing.UntilClose }
 
 // Wait returns when the next byte of a body of known length has come, and takes none; io.EOF: there is none.
 func (b *Body) Wait() error {
@@ -160,8 +160,8 @@
 // Trailer returns the fields behind the last chunk, once the body has ended.
 func (b *Body) Trailer() Fields { return b.trailer }
 
-// UpTo reads limit bytes, or fewer if the body ends there. Memory grows with what comes, not with what was claimed.
-func (b *Body) UpTo(limit int) ([]byte, error) {
+// ReadUpTo reads limit bytes, or fewer if the body ends there. Memory grows with what comes, not with what was claimed.
+func (b *Body) ReadUpTo(limit int) ([]byte, error) {
 	size := b.remaining
 	if b.hasKnownLength() && size <= preallocated && size <= uint64(limit) {
 		content := make([]byte, size)
--- a/internal/http1/fields.go
+++ b/internal/http1/fields.go
@@ -42,8 +42,8 @@
 // Has tells whether there is a field of a name.
 func (h Fields) Has(name string) bool { return h.Count(name) > 0 }
 
-// Only returns the value of a field; ok tells whether there is exactly one of the name.
-func (h Fields) Only(name string) (value string, ok bool) {
+// Single returns the value of a field; ok tells whether there is exactly one of the name.
+func (h Fields) Single(name string) (value string, ok bool) {
 	return h.Get(name), h.Count(name) == 1
 }
 
@@ -65,8 +65,9 @@
 	*h = slices.DeleteFunc(*h, func(f Field) bool { return strings.EqualFold(f.Name, name) })
 }
 
-// Lists tells whether the values of a name's fields, as comma-separated lists (RFC 9110, section 5.6.1), hold a word.
-func (h Fields) Lists(name, word string) bool {
+// HasListElement tells whether the values of a name's fields, as comma-separated lists (RFC 9110, section 5.6.1),
+// hold a word.
+func (h Fields) HasListElement(name, word string) bool {
 	for i := range h {
 		if !h[i].named(name) {
 			continue
@@ -80,9 +81,9 @@
 	return false
 }
 
-// Digits reads a number that is written in digits and nothing else: no sign, no blanks. It fails too if no uint64 holds
-// the number.
-func Digits(text string) (uint64, bool) {
+// ParseDigits reads a number that is written in digits and nothing else: no sign, no blanks. It fails too if no
+// uint64 holds the number.
+func ParseDigits(text string) (uint64, bool) {
 	if !isDigits(text) {
 		return 0, false
 	}
--- a/internal/http1/forwarding.go
+++ b/internal/http1/forwarding.go
@@ -36,12 +36,12 @@
 	return true
 }
 
-// Closes tells whether the sender closes the connection after this message (RFC 9112, section 9.6).
-func Closes(h Fields) bool { return h.Lists("Connection", "close") }
+// ClosesConnection tells whether the sender closes the connection after this message (RFC 9112, section 9.6).
+func ClosesConnection(h Fields) bool { return h.HasListElement("Connection", "close") }
 
-// DropNamed takes out the fields that a message's Connection field names: they were meant for that connection only (RFC
-// 9110, section 7.6.1). Those named in except stay.
-func DropNamed(h *Fields, except []string) {
+// DropConnectionFields takes out the fields that a message's Connection field names: they were meant for that
+// connection only (RFC 9110, section 7.6.1). Those named in except stay.
+func DropConnectionFields(h *Fields, except []string) {
 	for _, list := range h.Values("Connection") {
 		for name := range strings.SplitSeq(list, ",") {
 			name = strings.TrimSpace(name)
--- a/internal/http1/head.go
+++ b/internal/http1/head.go
@@ -21,25 +21,25 @@
 // notInTrailer names the fields that frame or route a message.
 var notInTrailer = []string{"Transfer-Encoding", "Content-Length", "Host", "Trailer", "TE", "Connection"}
 
-// Head reads a start line and the fields behind it; the caller sets the limit. A message has one reading: a line ends
-// in CRLF, a name is a token with the colon right behind it, no line is folded, no value has a control character but
-// the tab (RFC 9112, sections 2.2 and 5). What recipients might read in different ways is an ErrHead, since the next
-// hop may read it the other way.
-func (s *Stream) Head() (line string, header Fields, err error) {
+// ReadHead reads a start line and the fields behind it; the caller sets the limit. A message has one reading: a line
+// ends in CRLF, a name is a token with the colon right behind it, no line is folded, no value has a control character
+// but the tab (RFC 9112, sections 2.2 and 5). What recipients might read in different ways is an ErrMalformedHead,
+// since the next hop may read it the other way.
+func (s *Stream) ReadHead() (line string, header Fields, err error) {
 	text, err := s.readLines(true)
 	if err != nil {
 		return "", nil, err
 	}
 	line, text, _ = strings.Cut(text, "\r\n")
 	if hasControl(line) {
-		return "", nil, fmt.Errorf("%w: a control character in the first line", ErrHead)
+		return "", nil, fmt.Errorf("%w: a control character in the first line", ErrMalformedHead)
 	}
 	header, err = parseFields(text)
 	return line, header, err
 }
 
 // trailer reads the fields behind the last chunk (RFC 9112, section 7.1.2). One that frames or routes a message is an
-// ErrFrame (RFC 9110, section 6.5.1): another recipient may merge it into the head.
+// ErrFraming (RFC 9110, section 6.5.1): another recipient may merge it into the head.
 func (s *Stream) trailer() (Fields, error) {
 	text, err := s.readLines(false)
 	if err != nil {
@@ -51,7 +51,7 @@
 	}
 	for i := range fields {
 		if slices.ContainsFunc(notInTrailer, func(name string) bool { return strings.EqualFold(fields[i].Name, name) }) {
-			return nil, fmt.Errorf("%w: %s in a trailer", ErrFrame, fields[i].Name)
+			return nil, fmt.Errorf("%w: %s in a trailer", ErrFraming, fields[i].Name)
 		}
 	}
 	return fields, nil
@@ -69,7 +69,7 @@
 		case err != nil:
 			return "", s.boundError(err, atStart)
 		case !bytes.HasSuffix(s.head[begin:], crlf):
-			return "", fmt.Errorf("%w: a line that does not end in CRLF", ErrHead)
+			return "", fmt.Errorf("%w: a line that does not end in CRLF", ErrMalformedHead)
 		case len(s.head)-begin > len(crlf): // not empty
 		case atStart:
 			s.head = s.head[:0]
@@ -101,9 +101,9 @@
 	case s.bound.N > 0:
 		return err
 	case inStartLine:
-		return ErrLine
+		return ErrStartLineTooLong
 	default:
-		return ErrLong
+		return ErrHeadTooLong
 	}
 }
 
@@ -114,7 +114,7 @@
 		return nil, nil
 	}
 	if count > maxFields {
-		return nil, fmt.Errorf("%w: %d fields", ErrLong, count)
+		return nil, fmt.Errorf("%w: %d fields", ErrHeadTooLong, count)
 	}
 	fields := make(Fields, 0, count+1) // the router may add one
 	for text != "" {
@@ -123,11 +123,11 @@
 		text = text[end+1:]
 		colon := tokenLength(line)
 		if colon == 0 || colon == len(line) || line[colon] != ':' {
-			return nil, fmt.Errorf("%w: %.40q is no field", ErrHead, line)
+			return nil, fmt.Errorf("%w: %.40q is no field", ErrMalformedHead, line)
 		}
 		value := strings.Trim(line[colon+1:], " \t")
 		if hasControl(value) {
-			return nil, fmt.Errorf("%w: a control character in %.40s", ErrHead, line[:colon])
+			return nil, fmt.Errorf("%w: a control character in %.40s", ErrMalformedHead, line[:colon])
 		}
 		fields = append(fields, Field{line[:colon], value})
 	}
--- a/internal/http1/response.go
+++ b/internal/http1/response.go
@@ -13,23 +13,24 @@
 	Hint    func(Fields) // takes the fields of an interim response with status 103 (RFC 8297); nil: they are dropped
 }
 
-// Answer reads the head of an upstream's final response and its framing; one without a body has a length of 0. Interim
-// responses (RFC 9110, section 15.2) are dropped, except early hints and a change to the protocol that was asked for.
-// It wraps ErrHead, ErrLine, ErrLong, ErrFrame or ErrLarge, or returns the connection's error.
-func (s *Stream) Answer(asked Asked) (status int, header Fields, framing Framing, err error) {
+// ReadResponseHead reads the head of an upstream's final response and its framing; one without a body has a length of
+// 0. Interim responses (RFC 9110, section 15.2) are dropped, except early hints and a change to the protocol that was
+// asked for. It wraps ErrMalformedHead, ErrStartLineTooLong, ErrHeadTooLong, ErrFraming or ErrBodyTooLarge, or
+// returns the connection's error.
+func (s *Stream) ReadResponseHead(asked Asked) (status int, header Fields, framing Framing, err error) {
 	s.bound.N = MaxHead
 	for range MaxInterim + 1 {
-		line, header, err := s.Head()
+		line, header, err := s.ReadHead()
 		if err != nil {
 			return 0, nil, Framing{}, err
 		}
 		status, ok := parseStatusLine(line)
 		switch {
 		case !ok:
-			return 0, nil, Framing{}, ErrHead
+			return 0, nil, Framing{}, ErrMalformedHead
 		case status == http.StatusSwitchingProtocols:
 			if !asked.allowsUpgrade(header) {
-				return 0, nil, Framing{}, fmt.Errorf("%w: another protocol, which nobody asked for", ErrHead)
+				return 0, nil, Framing{}, fmt.Errorf("%w: another protocol, which nobody asked for", ErrMalformedHead)
 			}
 			return status, header, Framing{}, nil
 		case status == http.StatusEarlyHints && asked.Hint != nil:
@@ -39,7 +40,7 @@
 			return status, header, framing, err
 		}
 	}
-	return 0, nil, Framing{}, ErrLong
+	return 0, nil, Framing{}, ErrHeadTooLong
 }
 
 // parseStatusLine returns the status code of a status line (RFC 9112, section 4).
@@ -49,12 +50,12 @@
 		return 0, false
 	}
 	code, _, _ := strings.Cut(rest, " ")
-	number, ok := Digits(code)
+	number, ok := ParseDigits(code)
 	return int(number), ok && len(code) == 3 && number >= 100
 }
 
 // allowsUpgrade tells whether the fields of a response with status 101 name the protocol that was asked for (RFC 9110,
 // section 7.8).
 func (a *Asked) allowsUpgrade(header Fields) bool {
-	return a.Upgrade != "" && header.Lists("Connection", "upgrade") && header.Lists("Upgrade", a.Upgrade)
+	return a.Upgrade != "" && header.HasListElement("Connection", "upgrade") && header.HasListElement("Upgrade", a.Upgrade)
 }
--- a/internal/http1/socket.go
+++ b/internal/http1/socket.go
@@ -6,9 +6,9 @@
 	"syscall"
 )
 
-// Ended looks, without waiting and without taking anything, whether the other side has closed or broken a connection.
-// A connection that is no socket counts as open.
-func Ended(c net.Conn) bool {
+// PeerClosed looks, without waiting and without taking anything, whether the other side has closed or broken a
+// connection. A connection that is no socket counts as open.
+func PeerClosed(c net.Conn) bool {
 	socket, ok := Under(c).(syscall.Conn)
 	if !ok {
 		return false
--- a/internal/http1/stream.go
+++ b/internal/http1/stream.go
@@ -22,11 +22,11 @@
 
 // What is wrong with a message that came. Any other error is the connection's.
 var (
-	ErrHead  = errors.New("a head that can't be read")
-	ErrLine  = errors.New("a first line over the bound")
-	ErrLong  = errors.New("a head over the bound")
-	ErrFrame = errors.New("framing that is not certain")
-	ErrLarge = errors.New("a body over the bound")
+	ErrMalformedHead    = errors.New("a head that can't be read")
+	ErrStartLineTooLong = errors.New("a first line over the bound")
+	ErrHeadTooLong      = errors.New("a head over the bound")
+	ErrFraming          = errors.New("framing that is not certain")
+	ErrBodyTooLarge     = errors.New("a body over the bound")
 )
 
 // Stream is a connection from which messages are read, each within its bounds. One goroutine at a time reads from it.
--- a/internal/http1/stream_test.go
+++ b/internal/http1/stream_test.go
@@ -26,7 +26,7 @@
 	}
 	f.Fuzz(func(t *testing.T, text []byte) {
 		s := NewStream(scripted.Saying(text), 2<<10)
-		status, _, framed, err := s.Answer(Asked{})
+		status, _, framed, err := s.ReadResponseHead(Asked{})
 		if err != nil {
 			return
 		}
--- a/internal/pool/attempt.go
+++ b/internal/pool/attempt.go
@@ -40,10 +40,14 @@
 	upstream.Gate
 } = (*attempt)(nil)
 
-// Written, Hint and Began are upstream.Observer's, called from the connection's goroutine.
-func (a *attempt) Written()                       { a.loop.enqueue(bodyWritten{a}) }
-func (a *attempt) Hint(fields http1.Fields)       { a.loop.enqueue(earlyHintsReceived{a, fields}) }
-func (a *attempt) Began(response upstream.Result) { a.loop.enqueue(responseStarted{a, response}) }
+// RequestWritten, InterimResponse and ResponseStarted are upstream.Observer's, called from the connection's goroutine.
+func (a *attempt) RequestWritten() { a.loop.enqueue(bodyWritten{a}) }
+
+func (a *attempt) InterimResponse(fields http1.Fields) { a.loop.enqueue(earlyHintsReceived{a, fields}) }
+
+func (a *attempt) ResponseStarted(response upstream.Result) {
+	a.loop.enqueue(responseStarted{a, response})
+}
 
 // Open is upstream.Gate's, called from the connection's goroutine: whether the client still waits.
 func (a *attempt) Open() bool { return a.request.clientPresent() }
@@ -61,8 +65,8 @@
 	if l.mayConnect(attempt) {
 		attempt.connection = l.acquireConnection(endpoint, now)
 	}
-	if request.Message.Rest.Live() {
-		attempt.Wait = min(attempt.Wait, request.Budget) // from its last byte
+	if request.Message.Upload.Streaming() {
+		attempt.Timeout = min(attempt.Timeout, request.Budget) // from its last byte
 	}
 	if attempt.connection == nil { // no fault of the endpoint's
 		attempt.Drop()
@@ -73,7 +77,7 @@
 	attempt.Conn = attempt.connection.transportConn
 	if attempt.Conn != nil {
 		idleFor := now - attempt.connection.idleSince
-		attempt.Rest = l.connections.reuseDelay(endpoint) - idleFor
+		attempt.ReuseDelay = l.connections.reuseDelay(endpoint) - idleFor
 	}
 	attempt.connection.start(l, attempt)
 }
@@ -90,16 +94,16 @@
 	}
 	made.Message = &request.Message
 	made.Address = endpoint.address
-	made.Told = made
+	made.Observer = made
 	made.Gate = made
 	if until := l.balancer.SendDeadline(request.ID); until > 0 {
-		made.Until = time.Now().Add(until - now)
+		made.WriteDeadline = time.Now().Add(until - now)
 	}
 	request.attempts = append(request.attempts, made)
 	request.unreported++
-	made.Wait = request.deadline - now
-	if timeout > 0 && timeout < made.Wait {
-		made.Wait = timeout
+	made.Timeout = request.deadline - now
+	if timeout > 0 && timeout < made.Timeout {
+		made.Timeout = timeout
 		made.timer = timer{at: now + timeout, attempt: made}
 		l.timers.schedule(&made.timer)
 	}
@@ -112,7 +116,7 @@
 	if isTunnel && a.endpoint.tunnelCount >= l.tunnelLimits.PerEndpoint {
 		return false
 	}
-	return a.request.isOpen() && a.Wait > 0 && a.endpoint.state == balancer.Active
+	return a.request.isOpen() && a.Timeout > 0 && a.endpoint.state == balancer.Active
 }
 
 // bodyWritten is an attempt that has written the last byte of a body that went on as it came. Its time counts from then
@@ -137,7 +141,7 @@
 
 func (e responseStarted) apply(l *loop) {
 	if e.attempt.state.reported() || !e.attempt.request.isOpen() {
-		e.response.More.Abandon()
+		e.response.Download.Abandon()
 		e.response.Tunnel.Close()
 		return
 	}
@@ -152,7 +156,7 @@
 		l.tunnels[attempt] = struct{}{}
 		endpoint.tunnelCount++
 	}
-	endpoint.countUnreadableReport(response.Spoilt)
+	endpoint.countUnreadableReport(response.LoadReportError)
 	l.reportOutcome(attempt, responseHeadReceived, response)
 	l.countAbandoned(endpoint, 1) // its connection is held until the last byte
 }
@@ -241,15 +245,15 @@
 		l.respond(request, Response{
 			Status:      result.Code,
 			Body:        result.Body,
-			ContentType: result.Kind,
+			ContentType: result.ContentType,
 			Header:      result.Header,
 			Trailer:     result.Trailer,
-			Stream:      result.More,
+			Stream:      result.Download,
 			Tunnel:      result.Tunnel,
 		})
 		return
 	}
-	if !request.Message.Rest.Spent() {
+	if !request.Message.Upload.Consumed() {
 		return
 	}
 	switch result.Status {
--- a/internal/pool/dormant.go
+++ b/internal/pool/dormant.go
@@ -39,7 +39,7 @@
 
 	count := len(dormant.members)
 	l.endpoints = make(map[balancer.UpstreamID]*endpoint, count)
-	l.names = discovery.NewNamesFor(count)
+	l.names = discovery.NewNumberingWithCapacity(count)
 	l.preallocated = make([]endpoint, count)
 	if l.source.hasList {
 		l.applyListing(balancer.ListCached, discovery.Listing{Revision: l.source.revision, Members: dormant.members})
@@ -80,7 +80,7 @@
 	l.balancer = nil
 	l.suspension.dormant = dormant
 	l.endpoints = map[balancer.UpstreamID]*endpoint{}
-	l.names = discovery.NewNames()
+	l.names = discovery.NewNumbering()
 	l.requests = map[balancer.RequestID]*Request{}
 	l.clientRequestIDs = map[string]bool{}
 	l.tunnels = map[*attempt]struct{}{}
--- a/internal/pool/endpoint.go
+++ b/internal/pool/endpoint.go
@@ -50,8 +50,8 @@
 
 // countFaults counts what was wrong with the answer to an attempt or health check.
 func (e *endpoint) countFaults(result *upstream.Result) {
-	e.countUnreadableReport(result.Spoilt)
-	if result.Stray {
+	e.countUnreadableReport(result.LoadReportError)
+	if result.Unsolicited {
 		e.faults.unsolicited++
 	}
 }
@@ -181,7 +181,7 @@
 func (l *loop) endTunnels(endpoint *endpoint) {
 	for attempt := range l.tunnels {
 		if endpoint == nil || attempt.endpoint == endpoint {
-			attempt.tunnel.EndSoon()
+			attempt.tunnel.CloseGracefully()
 		}
 	}
 }
--- a/internal/pool/endpoint_list.go
+++ b/internal/pool/endpoint_list.go
@@ -6,7 +6,7 @@
 )
 
 // endpointsUpdated is an answer of discovery, or a list that was given to Pool.UpdateEndpoints, or why there is none.
-type endpointsUpdated discovery.Heard
+type endpointsUpdated discovery.Event
 
 func (e endpointsUpdated) apply(l *loop) {
 	switch {
--- a/internal/pool/list_source.go
+++ b/internal/pool/list_source.go
@@ -27,7 +27,7 @@
 // others'.
 func (s *listSource) endClient() {
 	if s.client != nil {
-		s.client.End()
+		s.client.Close()
 	}
 }
 
@@ -58,7 +58,7 @@
 	if address == "" {
 		return
 	}
-	l.source.client = discovery.New(l.ctx, address, func(heard discovery.Heard) {
+	l.source.client = discovery.New(l.ctx, address, func(heard discovery.Event) {
 		l.enqueueUrgent(endpointsUpdated(heard))
 	})
 }
--- a/internal/pool/loop.go
+++ b/internal/pool/loop.go
@@ -44,7 +44,7 @@
 
 	source         listSource
 	endpointStore  EndpointStore // nil: lists are not stored
-	names          *discovery.Names
+	names          *discovery.Numbering
 	endpoints      map[balancer.UpstreamID]*endpoint
 	preallocated   []endpoint     // memory for the endpoints of the list with which a balancer is created
 	listGeneration uint64         // counts the lists that were applied to endpoints
@@ -67,7 +67,7 @@
 		mailbox:          newMailbox(),
 		origin:           time.Now(),
 		suspension:       newSuspension(spec.Seed),
-		names:            discovery.NewNames(),
+		names:            discovery.NewNumbering(),
 		requests:         map[balancer.RequestID]*Request{},
 		clientRequestIDs: map[string]bool{},
 		endpoints:        map[balancer.UpstreamID]*endpoint{},
@@ -89,7 +89,7 @@
 	l.source.maxAge = spec.MaxEndpointAge
 	l.fullResponses = spec.FullResponses
 	l.tunnelLimits = spec.Tunnels
-	l.connections.transport = upstream.HTTP1{Timeout: spec.Links.ConnectTimeout, Whole: spec.FullResponses}
+	l.connections.transport = upstream.HTTP1{ConnectTimeout: spec.Links.ConnectTimeout, FullResponses: spec.FullResponses}
 	l.connections.max = spec.MaxConnections
 	l.connections.idleTimeout = max(spec.Links.KeepAlive-idleMargin, spec.Links.KeepAlive/2)
 	l.connections.delayOnlyAfterUnsolicited = spec.ReuseDelayOnlyAfterUnsolicited
@@ -114,7 +114,7 @@
 	// others.
 	hasRevision := known != nil && (known.Revision > 0 || len(known.Members) > 0)
 	if hasRevision && l.source.client != nil {
-		l.source.client.Hold(known.Revision)
+		l.source.client.SetRevision(known.Revision)
 	}
 	if err := l.createOrValidate(); err != nil {
 		return err
--- a/internal/pool/manual_loop_test.go
+++ b/internal/pool/manual_loop_test.go
@@ -31,7 +31,7 @@
 		Discovery:        "127.0.0.1:9",
 		MaxConnections:   400,
 		InitialEndpoints: &discovery.Listing{},
-		Links:            wire.Links{KeepAlive: time.Minute, ConnectTimeout: 500 * time.Millisecond},
+		Links:            wire.ConnectionSettings{KeepAlive: time.Minute, ConnectTimeout: 500 * time.Millisecond},
 		Settings: balancer.Settings{
 			Zone:          "z1",
 			Balancers:     1,
@@ -83,7 +83,7 @@
 	request := &Request{ClientRequestID: name, ReceivedAt: at, Responses: make(chan Response, 1)}
 	request.Class = "checkin"
 	request.Budget = budget
-	request.Message = upstream.Message{Line: "POST /checkin", Host: "x"}
+	request.Message = upstream.Message{RequestLine: "POST /checkin", Host: "x"}
 	return request
 }
 
@@ -129,7 +129,7 @@
 	request := newRequest(name, h.now(), 4*time.Second)
 	request.Client = client
 	request.Class = class
-	request.Message.Line = "POST /" + class
+	request.Message.RequestLine = "POST /" + class
 	request.Message.Bodied = true
 	request.Message.Header = requestIDHeader(name)
 	h.accept(request)
--- a/internal/pool/request.go
+++ b/internal/pool/request.go
@@ -118,8 +118,8 @@
 	request.ID = balancer.RequestID(l.lastRequestID) // of the pool's own: clients' ids need not be unique
 	request.deadline = request.ReceivedAt + request.Budget
 	request.Budget = max(0, request.deadline-now)
-	if request.Message.Rest.Live() { // the budget counts from the last byte, which the client has not sent yet
-		request.deadline = now + request.Message.Most().Within
+	if request.Message.Upload.Streaming() { // the budget counts from the last byte, which the client has not sent yet
+		request.deadline = now + request.Message.BodyLimits().Within
 		request.BodyStreaming = true
 	}
 }
--- a/internal/pool/spec.go
+++ b/internal/pool/spec.go
@@ -12,7 +12,7 @@
 type Spec struct {
 	Name     string
 	Settings balancer.Settings
-	Links    wire.Links
+	Links    wire.ConnectionSettings
 	Seed     uint64 // of the balancer's random choices
 
 	// InitialEndpoints is the list that discovery gave last, which may be stale; nil: none.
--- a/internal/pool/suspend_test.go
+++ b/internal/pool/suspend_test.go
@@ -329,7 +329,7 @@
 	p := startPool(t, spec, releaseDelay, nil)
 	p.setEndpoints(listEntry("a", server))
 	request := newRequest("1", p.Now(), time.Second)
-	request.Message.Line = "GET /"
+	request.Message.RequestLine = "GET /"
 	request.Message.Upgrade = "echo"
 	request.Message.Tunnel = &body.TunnelLimits{Idle: time.Minute, Grace: time.Minute}
 	p.Submit(request)
@@ -468,7 +468,7 @@
 		b.Run(fmt.Sprintf("%d of %d", c.endpoints, c.balancers), func(b *testing.B) {
 			spec := suspendableSpec()
 			spec.Settings.Balancers = c.balancers
-			spec.Links = wire.Links{KeepAlive: time.Minute, ConnectTimeout: time.Second}
+			spec.Links = wire.ConnectionSettings{KeepAlive: time.Minute, ConnectTimeout: time.Second}
 			l := newLoop(b.Context(), spec)
 			if err := l.start(nil); err != nil {
 				b.Fatal(err)
--- a/internal/proxy/balancer.go
+++ b/internal/proxy/balancer.go
@@ -50,9 +50,9 @@
 		started.sharedOverrides.attach(started.applySharedOverrides, upstreams.ReleaseLocalOverride)
 		context.AfterFunc(ctx, started.sharedOverrides.close)
 	}
-	started.server = frontend.New(started.router, listener, frontend.Usual(config.clientConns()))
-	started.server.Spare(config.requestConns())
-	started.server.Spool(config.bodyBufferBytes())
+	started.server = frontend.New(started.router, listener, frontend.DefaultLimits(config.clientConns()))
+	started.server.SetKeepAliveLimit(config.requestConns())
+	started.server.SetSpoolBytes(config.bodyBufferBytes())
 	started.server.Drain(standby)
 	return started, nil
 }
--- a/internal/proxy/client_connections_test.go
+++ b/internal/proxy/client_connections_test.go
@@ -42,7 +42,7 @@
 		status, _ := b.do(t, c.r)
 		want(t, c.name, status, c.status)
 	}
-	tooLong := fmt.Sprintf("X-Request-Id: 1\r\nContent-Length: %d\r\n", body.Usual.Request+1)
+	tooLong := fmt.Sprintf("X-Request-Id: 1\r\nContent-Length: %d\r\n", body.DefaultLimits.Request+1)
 	large := b.rawClient(t, checkinHead(tooLong)+"x")
 	want(t, "body too large", strings.HasPrefix(large, "HTTP/1.1 413"), true)
 	want(t, "requests at the upstream", len(s.Arrivals), 0)
@@ -122,9 +122,9 @@
 		if _, err := io.WriteString(c, text[:min(piece, len(text))]); err != nil {
 			t.Fatal(err)
 		}
-		time.Sleep(frontend.StalledClient / 2) // a slow line is what is tried
+		time.Sleep(frontend.ReadStallTimeout / 2) // a slow line is what is tried
 	}
-	if time.Since(start) < frontend.SilentClient {
+	if time.Since(start) < frontend.FirstByteTimeout {
 		t.Fatal("not slow enough to tell")
 	}
 	want(t, "status", readStatus(t, bufio.NewReader(c)), 200)
--- a/internal/proxy/config.go
+++ b/internal/proxy/config.go
@@ -42,8 +42,8 @@
 	AdminAddress     string            // host:port for operators' commands; empty: none
 	Coordination     *config.Promises  // of the coordination cluster; nil: no shared overrides
 	Settings         balancer.Settings
-	Links            wire.Links // timeouts of upstream connections
-	keys             keySet     // of the file, to find on a reload what is missing
+	Links            wire.ConnectionSettings // timeouts of upstream connections
+	keys             keySet                  // of the file, to find on a reload what is missing
 }
 
 // LoadConfig reads the file that RELAY_CONFIG names. An error names the variable, or the file and the key.
--- a/internal/proxy/hotrestart.go
+++ b/internal/proxy/hotrestart.go
@@ -218,7 +218,7 @@
 		slog.Warn("client connection not taken over", "err", err)
 		return
 	}
-	b.server.Take(conn)
+	b.server.ServeConn(conn)
 }
 
 // hotRestartState is the message with what operators have set in this process so far.
--- a/internal/proxy/platform_router_test.go
+++ b/internal/proxy/platform_router_test.go
@@ -54,7 +54,7 @@
 			t.Fatalf("the upstream can't read %q: %v", q.Message.Bytes(time.Second), err)
 		}
 		body, err := io.ReadAll(r.Body)
-		if q.Message.Rest != nil {
+		if q.Message.Upload != nil {
 			return // longer than the fuzzer's texts
 		}
 		if err != nil || !bytes.Equal(body, q.Message.Body) || in.Buffered() > 0 || len(r.TransferEncoding) > 0 {
@@ -62,7 +62,7 @@
 				q.Message.Bytes(time.Second), body, err, in.Buffered())
 		}
 		sameID := r.Header.Get("X-Request-Id") == q.ClientRequestID
-		if !sameID || !strings.HasPrefix(q.Message.Line, r.Method+" "+r.RequestURI) {
+		if !sameID || !strings.HasPrefix(q.Message.RequestLine, r.Method+" "+r.RequestURI) {
 			t.Errorf("passed on %q", q.Message.Bytes(time.Second))
 		}
 	})
--- a/internal/proxy/request.go
+++ b/internal/proxy/request.go
@@ -51,20 +51,21 @@
 	r.Tenant = fields.Get(fieldTenant)
 	r.Retry = fields.Get(fieldRetry) == "1"
 	if fields.Has(fieldDeadline) {
-		milliseconds, ok := http1.Digits(fields.Get(fieldDeadline))
+		milliseconds, ok := http1.ParseDigits(fields.Get(fieldDeadline))
 		if !ok || milliseconds == 0 {
 			return frontend.BadRequest("X-Deadline-Ms is no time")
 		}
 		r.clientDeadline = time.Duration(min(milliseconds, maxClientNumber)) * time.Millisecond
 	}
 	if fields.Has(fieldCostHint) {
-		microseconds, ok := http1.Digits(fields.Get(fieldCostHint))
+		microseconds, ok := http1.ParseDigits(fields.Get(fieldCostHint))
 		if !ok {
 			return frontend.BadRequest("X-Cost-Hint is no number")
 		}
 		r.Cost = time.Duration(min(microseconds, maxClientNumber)) * time.Microsecond
 	}
-	http1.DropNamed(fields, frontend.Once) // a client can't drop the fields that the balancer goes by
+	// A client can't drop the fields that the balancer goes by.
+	http1.DropConnectionFields(fields, frontend.SingletonFields)
 	return nil
 }
 
@@ -82,7 +83,7 @@
 	}
 	r.HasKey = true
 	if r.Key, err = strconv.ParseUint(cookie.Value, 16, 64); err != nil {
-		r.Key = uint64(discovery.Hashed(cookie.Value))
+		r.Key = uint64(discovery.HashID(cookie.Value))
 	}
 }
 
--- a/internal/proxy/route_table.go
+++ b/internal/proxy/route_table.go
@@ -117,7 +117,7 @@
 // finds the route.
 func (t *RouteTable) Check(method, target string, fields *http1.Fields) (frontend.Exchange, error) {
 	if !isServed(method) {
-		return nil, &frontend.Rejection{Status: http.StatusNotImplemented, Why: "the method is not served"}
+		return nil, &frontend.Rejection{Status: http.StatusNotImplemented, Reason: "the method is not served"}
 	}
 	parsedTarget, err := route.ParseTarget(target)
 	if err != nil {
@@ -148,12 +148,12 @@
 		return nil, err
 	}
 	exchange.Message = upstream.Message{
-		Line:   method + " " + parsedTarget.String(),
-		Header: *fields,
-		Host:   host,
-		Bodied: mayHaveBody(method),
-		Limits: exchange.destination.BodyLimits,
-		Hints:  true,
+		RequestLine: method + " " + parsedTarget.String(),
+		Header:      *fields,
+		Host:        host,
+		Bodied:      mayHaveBody(method),
+		Limits:      exchange.destination.BodyLimits,
+		Hints:       true,
 	}
 	exchange.allowUpgrade(upgrade)
 	return exchange, nil
@@ -196,7 +196,7 @@
 
 // requestedUpgrade returns the protocol that a client asks to change to, in small letters, or "".
 func requestedUpgrade(method string, fields *http1.Fields) string {
-	if method != http.MethodGet || !fields.Lists(fieldConnection, "upgrade") {
+	if method != http.MethodGet || !fields.HasListElement(fieldConnection, "upgrade") {
 		return ""
 	}
 	return strings.ToLower(fields.Get(fieldUpgrade))
@@ -221,7 +221,7 @@
 	routing := t.routing.Load()
 	rule := routing.Table.Lookup(&exchange.query)
 	if rule == nil {
-		return &frontend.Rejection{Status: http.StatusNotFound, Why: "no route leads there"}
+		return &frontend.Rejection{Status: http.StatusNotFound, Reason: "no route leads there"}
 	}
 	destination := &routing.Destinations[rule.To]
 	exchange.routeName, exchange.destination = rule.Name, destination
@@ -282,7 +282,7 @@
 	by := upgradedBy{e.routeName, e.Message.Upgrade}
 	e.table.tunnels.add(tunnel, by)
 	if !e.table.routing.Load().allows(by) { // the routes were replaced meanwhile
-		tunnel.EndSoon()
+		tunnel.CloseGracefully()
 	}
 }
 
--- a/internal/proxy/route_table_test.go
+++ b/internal/proxy/route_table_test.go
@@ -27,7 +27,7 @@
 	t.Cleanup(cancel)
 	p, err := pool.New(ctx, pool.Spec{
 		Name: name, MaxRequests: queue, SharedWeight: 1, MaxConnections: 10,
-		Links:    wire.Links{KeepAlive: time.Minute, ConnectTimeout: time.Second},
+		Links:    wire.ConnectionSettings{KeepAlive: time.Minute, ConnectTimeout: time.Second},
 		Settings: oneClassSettings(),
 	}, pool.NewEndpointRegistry(ctx, 10), nil)
 	if err != nil {
--- a/internal/proxy/streaming_test.go
+++ b/internal/proxy/streaming_test.go
@@ -20,8 +20,8 @@
 
 // Bodies and answers of any size and framing come through unchanged, and the connections serve again.
 func TestAnySizeComesThrough(t *testing.T) {
-	readAhead := body.Whole + body.Usual.Ahead
-	for _, size := range []int{0, 1, body.Whole, body.Whole + 1, readAhead, readAhead + 1, 6 << 20} {
+	readAhead := body.MaxBuffered + body.DefaultLimits.Ahead
+	for _, size := range []int{0, 1, body.MaxBuffered, body.MaxBuffered + 1, readAhead, readAhead + 1, 6 << 20} {
 		body := randomBytes(size)
 		s := scripted.Start(t, func(c net.Conn, r *http.Request) bool {
 			switch r.Header.Get("X-Framing") {
@@ -52,7 +52,7 @@
 				t.Errorf("%d bytes, %s: the body is another, of %d bytes", size, framing, len(sent))
 			}
 		}
-		free := b.server.SpoolFree()
+		free := b.server.FreeSpoolBytes()
 		want(t, "memory for bodies, taken", int64(b.config.MemoryMB)<<20/8-free, int64(0))
 	}
 }
@@ -93,7 +93,7 @@
 
 // An upstream fails in the middle of an answer: the client gets one that is visibly cut, and nothing is retried.
 func TestCutAnswerLooksCut(t *testing.T) {
-	body := randomBytes(3 * body.Whole)
+	body := randomBytes(3 * body.MaxBuffered)
 	withLength := fmt.Sprintf("Content-Length: %d", len(body))
 	for _, head := range []string{withLength, "Transfer-Encoding: chunked", "X-To: close"} {
 		for _, share := range []int{0, 1, 2} {
@@ -146,7 +146,7 @@
 func TestSlowBodyTakesNoUpstream(t *testing.T) {
 	s := scripted.Start(t, scripted.Done)
 	b := startBalancer(t, upMember("s-00000001", s))
-	body := randomBytes(body.Whole + body.Usual.Ahead/2)
+	body := randomBytes(body.MaxBuffered + body.DefaultLimits.Ahead/2)
 	c, in := b.sendHead(t, fmt.Sprintf("Content-Length: %d\r\n", len(body)))
 	mustWrite(t, c, string(body[:len(body)-1]))
 	status, _ := b.do(t, b.newRequest("checkin", "")) // it came later, and is served first
@@ -162,7 +162,7 @@
 	begun := make(chan struct{})
 	s := scripted.Start(t, scripted.Done)
 	b := startBalancer(t, upMember("s-00000001", s))
-	body := randomBytes(body.Whole + body.Usual.Ahead + 3*body.Block)
+	body := randomBytes(body.MaxBuffered + body.DefaultLimits.Ahead + 3*body.BlockSize)
 	c, in := b.sendHead(t, fmt.Sprintf("X-Deadline-Ms: 400\r\nContent-Length: %d\r\n", len(body)))
 	mustWrite(t, c, string(body[:len(body)-4]))
 	go func() { // the attempt begins before the last byte has come
@@ -193,7 +193,7 @@
 		if strings.HasPrefix(framing, "Transfer") {
 			mustWrite(t, c, "3d0900\r\n")
 		}
-		mustWrite(t, c, string(randomBytes(2*body.Usual.Ahead)))
+		mustWrite(t, c, string(randomBytes(2*body.DefaultLimits.Ahead)))
 		if err := c.(*net.TCPConn).CloseWrite(); err != nil {
 			t.Fatal(err)
 		}
@@ -229,7 +229,7 @@
 				if err != nil {
 					return
 				}
-				_, _ = io.CopyN(io.Discard, c, body.Whole) // fewer bytes come where the balancer gives up
+				_, _ = io.CopyN(io.Discard, c, body.MaxBuffered) // fewer bytes come where the balancer gives up
 				writeIfOpen(c, x.says)
 				c.Close()
 			}
@@ -252,7 +252,7 @@
 	b := startBalancer(t)
 	<-b.registry.calls
 	c, in := b.sendHead(t, "Content-Length: 8000000\r\n")
-	writeIfOpen(c, string(randomBytes(body.Whole+body.Usual.Ahead+body.Block)))
+	writeIfOpen(c, string(randomBytes(body.MaxBuffered+body.DefaultLimits.Ahead+body.BlockSize)))
 	want(t, "status", readStatus(t, in), 503)
 	writeIfOpen(c, string(randomBytes(1<<20)))
 	if _, err := c.Read(make([]byte, 1)); !errors.Is(err, io.EOF) && !errors.Is(err, os.ErrDeadlineExceeded) {
--- a/internal/proxy/tunnels.go
+++ b/internal/proxy/tunnels.go
@@ -33,7 +33,7 @@
 	defer s.mu.Unlock()
 	for tunnel, by := range s.open {
 		if !allowed(by) {
-			tunnel.EndSoon()
+			tunnel.CloseGracefully()
 		}
 	}
 }
--- a/internal/route/builder.go
+++ b/internal/route/builder.go
@@ -57,7 +57,7 @@
 	for i := range rules {
 		rule := rules[i] // the table keeps a copy: callers may change theirs
 		if err := rule.normalize(); err != nil {
-			errs = append(errs, Malformed{Name: rule.Name, Why: err})
+			errs = append(errs, InvalidRuleError{Name: rule.Name, Why: err})
 			continue
 		}
 		for _, p := range rule.Pools {
@@ -65,7 +65,7 @@
 		}
 		for _, host := range rule.hostsOrAny() {
 			if other := b.insert(host, &rule); other != nil {
-				errs = append(errs, Conflict{First: other.Name, Second: rule.Name, Where: host + " " + rule.Path})
+				errs = append(errs, ConflictError{First: other.Name, Second: rule.Name, Where: host + " " + rule.Path})
 			}
 		}
 		b.table.rules[rule.Name] = &rule
--- a/internal/route/builder_test.go
+++ b/internal/route/builder_test.go
@@ -133,7 +133,7 @@
 	if errs == nil {
 		return version{table: table, rules: c.rules}, true
 	}
-	var conflict Conflict
+	var conflict ConflictError
 	if !errors.As(errs[0], &conflict) {
 		t.Fatal(errs)
 	}
--- a/internal/route/rule.go
+++ b/internal/route/rule.go
@@ -44,23 +44,23 @@
 	totalWeight uint64 // of Pools
 }
 
-// Malformed is a rule that can't be used.
-type Malformed struct {
+// InvalidRuleError is a rule that can't be used.
+type InvalidRuleError struct {
 	Name string
 	Why  error
 }
 
 // Error names the rule and tells what is wrong with it.
-func (m Malformed) Error() string { return fmt.Sprintf("route %q: %v", m.Name, m.Why) }
+func (m InvalidRuleError) Error() string { return fmt.Sprintf("route %q: %v", m.Name, m.Why) }
 
-// Conflict is a pair of rules of which neither takes precedence over the other.
-type Conflict struct {
+// ConflictError is a pair of rules of which neither takes precedence over the other.
+type ConflictError struct {
 	First, Second string // names
 	Where         string // host and path on which they meet
 }
 
 // Error names both rules.
-func (c Conflict) Error() string {
+func (c ConflictError) Error() string {
 	return fmt.Sprintf("routes %q and %q match the same requests on %s and neither is more specific",
 		c.First, c.Second, c.Where)
 }
@@ -224,7 +224,7 @@
 		return false
 	}
 	for i := range r.Headers {
-		value, once := query.Fields.Only(r.Headers[i].Name)
+		value, once := query.Fields.Single(r.Headers[i].Name)
 		if !once || value != r.Headers[i].Value { // of two values a server may read the other
 			return false
 		}
--- a/internal/route/rule_test.go
+++ b/internal/route/rule_test.go
@@ -35,7 +35,7 @@
 			c.second.Name = "two"
 			c.second.Pools = onlyPool()
 			_, errs := Build([]Rule{c.first, c.second})
-			var conflict Conflict
+			var conflict ConflictError
 			got := len(errs) == 1 && errors.As(errs[0], &conflict)
 			if got != c.ties {
 				t.Fatalf("%v, want a tie: %v", errs, c.ties)
--- a/internal/route/table.go
+++ b/internal/route/table.go
@@ -21,8 +21,8 @@
 
 // Fields are a request's header fields.
 type Fields interface {
-	// Only returns the value of a field that the request has exactly once. Names are compared without regard to case.
-	Only(name string) (value string, ok bool)
+	// Single returns the value of a field that the request has exactly once. Names are compared without regard to case.
+	Single(name string) (value string, ok bool)
 }
 
 // Query is what a request is matched by. Host and Path are in canonical form.
--- a/internal/service/client_listeners.go
+++ b/internal/service/client_listeners.go
@@ -27,7 +27,7 @@
 		listener := now.listeners[l.Address]
 		if listener != nil {
 			listener.Limit(clientLimits(l))
-			listener.Spool(spoolBytes)
+			listener.SetSpoolBytes(spoolBytes)
 		} else {
 			listener = s.startListener(l, p.listeners[l.Address], spoolBytes)
 		}
@@ -50,7 +50,7 @@
 		name:    l.Name,
 		address: socket.Addr(),
 	}
-	listener.Spool(spoolBytes)
+	listener.SetSpoolBytes(spoolBytes)
 	go func() {
 		err := listener.Serve()
 		if err == nil {
--- a/internal/service/endpoint_lists.go
+++ b/internal/service/endpoint_lists.go
@@ -18,7 +18,7 @@
 // initialList is the endpoint list of a pool as it was when its source was new.
 type initialList struct {
 	endpoints []endpointlist.Node
-	reading   endpointlist.Reading // from which a file is followed
+	reading   endpointlist.FileState // from which a file is followed
 	err       error
 }
 
@@ -66,7 +66,7 @@
 		nodes += len(lists[name].endpoints)
 		errs = append(errs, lists[name].err)
 	}
-	errs = append(errs, loaded.Bears(nodes))
+	errs = append(errs, loaded.CheckCapacity(nodes))
 	return nodes, errors.Join(errs...)
 }
 
@@ -82,12 +82,12 @@
 // followList gives a pool the changes of its list's file, if it has one, from how the file stood at a reading. It stops
 // when stop returns.
 func (s *Service) followList(
-	name string, target *pool.Pool, source config.NodeSource, since endpointlist.Reading,
+	name string, target *pool.Pool, source config.NodeSource, since endpointlist.FileState,
 ) (stop func()) {
 	if source.File == "" {
 		return func() {}
 	}
-	return s.listWatcher.Follow(source.File, since, func(update endpointlist.Word) {
+	return s.listWatcher.Follow(source.File, since, func(update endpointlist.Update) {
 		switch {
 		case update.Err != nil:
 			slog.Warn("endpoint list not updated", "pool", name, "err", update.Err, "failed_reads", update.Failed)
--- a/internal/service/memory.go
+++ b/internal/service/memory.go
@@ -28,13 +28,13 @@
 	debug.SetMemoryLimit(int64(c.Limits.Memory) / 10 * 8)
 }
 
-// BeforeReading keeps garbage from piling up while a configuration is read. It is for the start of a process: later
-// AfterReading has set the percentage by the live heap.
-func BeforeReading() { debug.SetGCPercent(100) }
+// PrepareConfigLoad keeps garbage from piling up while a configuration is read. It is for the start of a process: later
+// FinishConfigLoad has set the percentage by the live heap.
+func PrepareConfigLoad() { debug.SetGCPercent(100) }
 
-// AfterReading returns the memory that reading a configuration took to the system if that was much, which takes one
+// FinishConfigLoad returns the memory that reading a configuration took to the system if that was much, which takes one
 // collection, and bounds the growth of the heap over the live heap.
-func AfterReading(c *config.Loaded) {
+func FinishConfigLoad(c *config.Loaded) {
 	if c.Read() >= largeConfig {
 		debug.FreeOSMemory()
 	}
--- a/internal/service/plan.go
+++ b/internal/service/plan.go
@@ -70,7 +70,7 @@
 	for _, list := range m.plan.lists {
 		endpoints += len(list.endpoints)
 	}
-	m.fail(m.config.Bears(endpoints))
+	m.fail(m.config.CheckCapacity(endpoints))
 }
 
 // planPools finds the specification of each pool, and checks those that are new or change.
@@ -131,7 +131,7 @@
 		m.plan.next.admin = m.now.admin
 		return
 	}
-	admin, err := startAdmin(address, m.service.Part, m.service.Metrics)
+	admin, err := startAdmin(address, m.service.PartialView, m.service.Metrics)
 	if err != nil {
 		m.fail(fmt.Errorf("admin: %w", err))
 		return
--- a/internal/service/pools_test.go
+++ b/internal/service/pools_test.go
@@ -82,7 +82,7 @@
 			"both nodes are up",
 			func(live.View) bool { return x.firstNodePhase("a") == "up" && x.firstNodePhase("b") == "up" },
 		)
-		writeEndpoints(t, fleet.NewJudge(0), folder, "a.yaml", all[0].Entry(endpointlist.Draining), all[1].Entry("up"))
+		writeEndpoints(t, fleet.NewJudge(0), folder, "a.yaml", all[0].Entry(endpointlist.PhaseDraining), all[1].Entry("up"))
 		x.waitFor("the drain in a", func(live.View) bool { return x.firstNodePhase("a") == "draining" })
 		if own {
 			x.waitFor("b keeps the node", func(live.View) bool { return x.firstNodePhase("b") == "up" })
--- a/internal/service/streams_test.go
+++ b/internal/service/streams_test.go
@@ -38,7 +38,7 @@
 	if err := x.Apply(slow); err != nil {
 		t.Fatal(err)
 	}
-	if free := x.state.Load().listeners[listener].SpoolFree(); free != 8<<20 {
+	if free := x.state.Load().listeners[listener].FreeSpoolBytes(); free != 8<<20 {
 		t.Errorf("%d bytes for bodies after a reload that gives them %d", free, 8<<20)
 	}
 	c := x.dial("POST /u HTTP/1.1\r\nHost: x\r\n" + framing + "\r\n\r\n")
--- a/internal/service/subset_size.go
+++ b/internal/service/subset_size.go
@@ -20,9 +20,9 @@
 func (idleHost) FetchEndpoints()                                             {}
 func (idleHost) Log(string)                                                  {}
 
-// Uses returns how many of so many upstreams, all of one weight, a balancer with these settings has in its first
+// SubsetSize returns how many of so many upstreams, all of one weight, a balancer with these settings has in its first
 // subset.
-func Uses(s balancer.Settings, nodes int) (int, error) {
+func SubsetSize(s balancer.Settings, nodes int) (int, error) {
 	const now = time.Hour // any time
 	b, err := balancer.New(s, 1, now, idleHost{})
 	if err != nil {
--- a/internal/service/subset_size_test.go
+++ b/internal/service/subset_size_test.go
@@ -26,7 +26,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		if n, err := Uses(f.Settings("p"), c.nodes); err != nil || n < c.least || n > c.most {
+		if n, err := SubsetSize(f.Settings("p"), c.nodes); err != nil || n < c.least || n > c.most {
 			t.Errorf("%s %s: %d of %d nodes, %v; want %d to %d", c.instances, c.tenants, n, c.nodes, err, c.least, c.most)
 		}
 	}
--- a/internal/service/view.go
+++ b/internal/service/view.go
@@ -12,13 +12,13 @@
 
 // View returns the state of all listeners and pools.
 func (s *Service) View() live.View {
-	v, _ := s.Part(live.Part{}) // fails only for a pool that was asked for
+	v, _ := s.PartialView(live.Part{}) // fails only for a pool that was asked for
 	return v
 }
 
-// Part returns a part of the state. The goroutines of pools that are not asked for are not disturbed. The error names a
-// pool that does not exist.
-func (s *Service) Part(part live.Part) (live.View, error) {
+// PartialView returns a part of the state. The goroutines of pools that are not asked for are not disturbed. The
+// error names a pool that does not exist.
+func (s *Service) PartialView(part live.Part) (live.View, error) {
 	now := s.state.Load()
 	view := live.View{
 		Version:   s.version,
--- a/internal/standin/fleet/clients.go
+++ b/internal/standin/fleet/clients.go
@@ -146,7 +146,7 @@
 	}
 	j.Told(gone...)
 	for _, n := range nodes {
-		if n.Phase == endpointlist.Draining {
+		if n.Phase == endpointlist.PhaseDraining {
 			j.Told(n.ID)
 		} else {
 			j.Back(n.ID)
--- a/internal/standin/fleet/fleet_test.go
+++ b/internal/standin/fleet/fleet_test.go
@@ -219,10 +219,10 @@
 	j := NewJudge(100 * time.Millisecond)
 	n := node(t, j, Spec{})
 	path := filepath.Join(t.TempDir(), "nodes.yaml")
-	if err := WriteList(path, j, []endpointlist.Node{n.Entry(endpointlist.Draining)}); err != nil {
+	if err := WriteList(path, j, []endpointlist.Node{n.Entry(endpointlist.PhaseDraining)}); err != nil {
 		t.Fatal(err)
 	}
-	if l, err := endpointlist.Load(path); err != nil || l.Nodes[0].Phase != endpointlist.Draining {
+	if l, err := endpointlist.Load(path); err != nil || l.Nodes[0].Phase != endpointlist.PhaseDraining {
 		t.Fatal(l, err)
 	}
 	j.Asked("early", Safe, time.Second)
--- a/internal/standin/plainproxy/plainproxy.go
+++ b/internal/standin/plainproxy/plainproxy.go
@@ -104,7 +104,7 @@
 	defer p.mu.Unlock()
 	var up []string
 	for _, n := range l.Nodes {
-		if n.Phase != endpointlist.Draining {
+		if n.Phase != endpointlist.PhaseDraining {
 			up = append(up, n.Address)
 		}
 	}
--- a/internal/upstream/attempt.go
+++ b/internal/upstream/attempt.go
@@ -21,14 +21,14 @@
 // Attempt is one send of a message to an upstream. Its creator fills in the fields, and may then call Drop
 // and GiveUp from any goroutine while a Transport carries it.
 type Attempt struct {
-	Message *Message
-	Address string        // host:port of the upstream
-	Wait    time.Duration // sent to the upstream as its time limit; also bounds the writing of the request
-	Rest    time.Duration // delay before the connection is reused
-	Conn    Conn          // idle connection to reuse; nil: a new one is opened
-	Until   time.Time     // the request must be written before then; zero: only Wait bounds it
-	Gate    Gate          // nil: always open
-	Told    Observer      // nil: responses are not streamed
+	Message       *Message
+	Address       string        // host:port of the upstream
+	Timeout       time.Duration // sent to the upstream as its time limit; also bounds the writing of the request
+	ReuseDelay    time.Duration // delay before the connection is reused
+	Conn          Conn          // idle connection to reuse; nil: a new one is opened
+	WriteDeadline time.Time     // the request must be written before then; zero: only Wait bounds it
+	Gate          Gate          // nil: always open
+	Observer      Observer      // nil: responses are not streamed
 
 	stage  atomic.Int32       // an attemptStage
 	giveUp func(at time.Time) // set before the attempt is claimed
@@ -52,7 +52,7 @@
 
 // MaySend returns whether the request may still be sent: its time has not passed and its gate is open.
 func (a *Attempt) MaySend() bool {
-	if !a.Until.IsZero() && !time.Now().Before(a.Until) {
+	if !a.WriteDeadline.IsZero() && !time.Now().Before(a.WriteDeadline) {
 		return false
 	}
 	return a.Gate == nil || a.Gate.Open()
--- a/internal/upstream/conformance_test.go
+++ b/internal/upstream/conformance_test.go
@@ -86,7 +86,7 @@
 // TestContract tests the HTTP/1.1 transport against the contract of upstream.Transport.
 func TestContract(t *testing.T) {
 	upstreamtest.Test(t, upstreamtest.Suite{
-		Transport: func() upstream.Transport { return upstream.HTTP1{Timeout: 5 * time.Second, Whole: true} },
+		Transport: func() upstream.Transport { return upstream.HTTP1{ConnectTimeout: 5 * time.Second, FullResponses: true} },
 		Server:    func(t *testing.T) upstreamtest.Server { return startServer(t) },
 	})
 }
--- a/internal/upstream/connect_bench_test.go
+++ b/internal/upstream/connect_bench_test.go
@@ -22,13 +22,13 @@
 				for range server.Arrivals {
 				}
 			}()
-			transport := HTTP1{Timeout: time.Second}
+			transport := HTTP1{ConnectTimeout: time.Second}
 			header := http1.Fields{{Name: "X-Request-Id", Value: "1"}}
-			message := Message{Line: "GET /x", Host: "x", Header: header}
+			message := Message{RequestLine: "GET /x", Host: "x", Header: header}
 			var connection Conn
 			before := cpuTime(b)
 			for b.Loop() {
-				result := transport.Do(&Attempt{Message: &message, Address: server.Addr, Conn: connection, Wait: time.Second})
+				result := transport.Do(&Attempt{Message: &message, Address: server.Addr, Conn: connection, Timeout: time.Second})
 				if result.Status != balancer.OK {
 					b.Fatal(result)
 				}
--- a/internal/upstream/give_up_test.go
+++ b/internal/upstream/give_up_test.go
@@ -21,7 +21,7 @@
 func TestGivenUpConnectionIsNotUsedAgain(t *testing.T) {
 	server := scripted.Start(t, scripted.Done)
 	attempt := newPatientAttempt(server.Addr)
-	result := HTTP1{Timeout: time.Minute}.Do(attempt)
+	result := HTTP1{ConnectTimeout: time.Minute}.Do(attempt)
 	if result.Conn == nil || !attempt.GiveUp(longAgo) {
 		t.Fatalf("got %v", result)
 	}
@@ -42,7 +42,7 @@
 	defer listener.Close()
 	attempt := newPatientAttempt(listener.Addr().String())
 	ended := make(chan Result, 1)
-	go func() { ended <- HTTP1{Timeout: time.Minute}.Do(attempt) }()
+	go func() { ended <- HTTP1{ConnectTimeout: time.Minute}.Do(attempt) }()
 	accepted, err := listener.Accept()
 	if err != nil {
 		t.Fatal(err)
@@ -75,7 +75,7 @@
 // newPatientAttempt returns an attempt that does not time out within a test.
 func newPatientAttempt(address string) *Attempt {
 	attempt := newAttempt(address, nil, http1.Field{Name: "X-Request-Id", Value: "1"})
-	attempt.Message.Line = "GET /x"
-	attempt.Wait = time.Minute
+	attempt.Message.RequestLine = "GET /x"
+	attempt.Timeout = time.Minute
 	return attempt
 }
--- a/internal/upstream/http1.go
+++ b/internal/upstream/http1.go
@@ -25,24 +25,24 @@
 // may write a request again by itself when an idle connection breaks, closes the connection of an attempt
 // that is given up, and does not tell whether the last byte was written.
 type HTTP1 struct {
-	Timeout time.Duration // for opening a connection, and for a health check
-	Whole   bool          // clients get full responses: statuses under 500 and their fields, not 200 and its body only
+	ConnectTimeout time.Duration // for opening a connection, and for a health check
+	FullResponses  bool          // clients get statuses under 500 and their fields too, not 200 and its body only
 }
 
 var _ Transport = HTTP1{}
 
 // Do makes the attempt. It writes the request at most once, whatever happens.
 func (d HTTP1) Do(a *Attempt) Result {
-	if a.Rest > 0 {
-		time.Sleep(a.Rest)
+	if a.ReuseDelay > 0 {
+		time.Sleep(a.ReuseDelay)
 	}
 	idle, _ := a.Conn.(*conn)
 	c, unsolicited, err := d.connect(idle, a.Address)
 	if err != nil {
-		return Result{Status: balancer.ConnectFailed, Stray: unsolicited}
+		return Result{Status: balancer.ConnectFailed, Unsolicited: unsolicited}
 	}
 	result := d.send(a, c)
-	result.Stray = result.Stray || unsolicited
+	result.Unsolicited = result.Unsolicited || unsolicited
 	return result
 }
 
@@ -56,7 +56,7 @@
 		unsolicited = idle.hasUnsolicited()
 		idle.Close() // nothing was written on it: another connection serves as well
 	}
-	socket, err := net.DialTimeout("tcp", address, d.Timeout)
+	socket, err := net.DialTimeout("tcp", address, d.ConnectTimeout)
 	if err != nil {
 		return nil, unsolicited, err
 	}
@@ -69,14 +69,14 @@
 		return Result{Status: balancer.NotSent, Conn: connection}
 	}
 	connection.limitAttemptWrites(attempt)
-	upload := attempt.Message.Rest
+	upload := attempt.Message.Upload
 	if upload != nil {
 		if !upload.Hold() { // the client's side has ended
 			return Result{Status: balancer.NotSent, Conn: connection}
 		}
 		defer upload.Release()
 	}
-	complete, err := connection.writeMessage(attempt.Message, attempt.Wait)
+	complete, err := connection.writeMessage(attempt.Message, attempt.Timeout)
 	if err != nil {
 		connection.Close()
 		if complete && upload == nil {
@@ -87,8 +87,8 @@
 	response := responseReader{
 		conn:          connection,
 		message:       attempt.Message,
-		fullResponses: d.Whole,
-		observer:      attempt.Told,
+		fullResponses: d.FullResponses,
+		observer:      attempt.Observer,
 	}
 	if upload == nil {
 		return response.read()
@@ -96,8 +96,8 @@
 	if err := upload.Send(connection); err != nil {
 		return response.readEarly(err)
 	}
-	if upload.Live() && attempt.Told != nil {
-		attempt.Told.Written()
+	if upload.Streaming() && attempt.Observer != nil {
+		attempt.Observer.RequestWritten()
 	}
 	return response.read()
 }
@@ -105,9 +105,9 @@
 // limitAttemptWrites bounds the writing of an attempt: a machine that has gone silent takes bytes until its
 // buffers are full, and then none for ever.
 func (c *conn) limitAttemptWrites(a *Attempt) {
-	c.limitWrites(a.Wait)
-	if !a.Until.IsZero() && a.Until.Before(c.writeDeadline) {
-		_ = c.SetWriteDeadline(a.Until) // if it fails so does the write
+	c.limitWrites(a.Timeout)
+	if !a.WriteDeadline.IsZero() && a.WriteDeadline.Before(c.writeDeadline) {
+		_ = c.SetWriteDeadline(a.WriteDeadline) // if it fails so does the write
 	}
 }
 
@@ -147,10 +147,10 @@
 	idle, _ := p.Conn.(*conn)
 	c, unsolicited, err := d.connect(idle, p.Address)
 	if err != nil {
-		return Result{Status: balancer.ConnectFailed, Stray: unsolicited}
+		return Result{Status: balancer.ConnectFailed, Unsolicited: unsolicited}
 	}
 	result := d.sendProbe(p, c)
-	result.Stray = result.Stray || unsolicited
+	result.Unsolicited = result.Unsolicited || unsolicited
 	return result
 }
 
@@ -159,8 +159,8 @@
 	if probe.Load {
 		path = loadPath
 	}
-	_ = c.SetReadDeadline(time.Now().Add(d.Timeout)) // if it fails so does the read
-	c.limitWrites(d.Timeout)
+	_ = c.SetReadDeadline(time.Now().Add(d.ConnectTimeout)) // if it fails so does the read
+	c.limitWrites(d.ConnectTimeout)
 	request := "GET " + path + " HTTP/1.1\r\nHost: " + probe.Address + "\r\n\r\n"
 	if _, err := io.WriteString(c, request); err != nil {
 		c.Close()
@@ -172,7 +172,7 @@
 	}
 	load, err := parseLoadReport([]string{strings.TrimSpace(string(result.Body))})
 	if err != nil {
-		result.Spoilt = err.Error()
+		result.LoadReportError = err.Error()
 		return result
 	}
 	result.Load = load
--- a/internal/upstream/http1_test.go
+++ b/internal/upstream/http1_test.go
@@ -20,8 +20,8 @@
 
 // newAttempt returns an attempt of a request that is read completely before its response is written.
 func newAttempt(address string, connection Conn, header ...http1.Field) *Attempt {
-	message := &Message{Line: "POST /x", Host: "x", Header: header}
-	return &Attempt{Message: message, Address: address, Conn: connection, Wait: time.Second}
+	message := &Message{RequestLine: "POST /x", Host: "x", Header: header}
+	return &Attempt{Message: message, Address: address, Conn: connection, Timeout: time.Second}
 }
 
 // http.Transport writes a GET, or a request with an idempotency key, again by itself when an idle connection
@@ -41,7 +41,7 @@
 				requests++ // one connection at a time
 				return requests == 1 && scripted.Done(connection, r)
 			})
-			transport := HTTP1{Timeout: time.Second}
+			transport := HTTP1{ConnectTimeout: time.Second}
 			first := transport.Do(newAttempt(server.Addr, nil, c.header...))
 			want(t, "first", first.Status, balancer.OK)
 			second := transport.Do(newAttempt(server.Addr, first.Conn, c.header...))
@@ -61,7 +61,7 @@
 		closed <- struct{}{}
 		return false
 	})
-	transport := HTTP1{Timeout: time.Second}
+	transport := HTTP1{ConnectTimeout: time.Second}
 	connection, _, err := transport.connect(nil, server.Addr)
 	if err != nil {
 		t.Fatal(err)
@@ -77,13 +77,13 @@
 }
 
 func TestConnectFailedAndNotSentWriteNothing(t *testing.T) {
-	transport := HTTP1{Timeout: time.Second}
+	transport := HTTP1{ConnectTimeout: time.Second}
 	refused := transport.Do(&Attempt{Message: &Message{}, Address: scripted.Refusing(t)})
 	want(t, "refused", refused.Status, balancer.ConnectFailed)
 
 	// An attempt whose request ends, or whose upstream leaves, before it is connected is not written.
 	server := scripted.Start(t, scripted.Done)
-	attempt := &Attempt{Message: &Message{Line: "POST /x"}, Address: server.Addr, Wait: time.Second}
+	attempt := &Attempt{Message: &Message{RequestLine: "POST /x"}, Address: server.Addr, Timeout: time.Second}
 	want(t, "dropped", attempt.Drop(), true)
 	result := transport.Do(attempt)
 	want(t, "status", result.Status, balancer.NotSent)
--- a/internal/upstream/load_report.go
+++ b/internal/upstream/load_report.go
@@ -46,7 +46,7 @@
 			return balancer.Load{}, fmt.Errorf("%.40q is out of range", field)
 		}
 		seen[name] = true
-		wire.SetLoad(&load, name, value)
+		wire.SetLoadValue(&load, name, value)
 	}
 	if load.Util > maxUtilisation {
 		return balancer.Load{}, fmt.Errorf("a utilisation of %g: 1 is all cores busy", load.Util)
--- a/internal/upstream/message.go
+++ b/internal/upstream/message.go
@@ -14,12 +14,12 @@
 // Message is a client's request as an upstream gets it, without the fields that are added for each attempt.
 // Method, path, query and body are forwarded unchanged.
 type Message struct {
-	Line   string // method and target
-	Header http1.Fields
-	Host   string
-	Body   []byte       // the body, or the part of it that was read before the message was made
-	Rest   *body.Upload // the part of a long body that follows Body; nil: there is none
-	Bodied bool         // the body is framed (RFC 9112, section 6), also if it is empty
+	RequestLine string // method and target
+	Header      http1.Fields
+	Host        string
+	Body        []byte       // the body, or the part of it that was read before the message was made
+	Upload      *body.Upload // the part of a long body that follows Body; nil: there is none
+	Bodied      bool         // the body is framed (RFC 9112, section 6), also if it is empty
 
 	Trailer http1.Fields // of a complete body, which is then chunked
 	Upgrade string       // the protocol that the client asks for instead (RFC 9110, section 7.8); empty: none
@@ -29,12 +29,12 @@
 }
 
 // isHead returns whether a response to the message has no body, whatever its head says (RFC 9110, section 9.3.2).
-func (m *Message) isHead() bool { return strings.HasPrefix(m.Line, http.MethodHead+" ") }
+func (m *Message) isHead() bool { return strings.HasPrefix(m.RequestLine, http.MethodHead+" ") }
 
-// Most returns the limits of the message's body and of its response's.
-func (m *Message) Most() *body.Limits {
+// BodyLimits returns the limits of the message's body and of its response's.
+func (m *Message) BodyLimits() *body.Limits {
 	if m.Limits == nil {
-		return &body.Usual
+		return &body.DefaultLimits
 	}
 	return m.Limits
 }
@@ -54,13 +54,13 @@
 		return
 	}
 	http1.WriteChunk(out, m.Body)
-	if m.Rest == nil {
+	if m.Upload == nil {
 		http1.WriteEnd(out, m.Trailer)
 	}
 }
 
 func (m *Message) renderHead(out *bytes.Buffer, wait time.Duration) {
-	out.WriteString(m.Line)
+	out.WriteString(m.RequestLine)
 	out.WriteString(" HTTP/1.1\r\nHost: ")
 	out.WriteString(m.Host)
 	out.WriteString("\r\nX-Deadline-Ms: ")
@@ -79,10 +79,10 @@
 
 // chunked returns whether the body is sent in chunks: its length is unknown, or trailer fields follow it.
 func (m *Message) chunked() bool {
-	if m.Rest == nil {
+	if m.Upload == nil {
 		return len(m.Trailer) > 0
 	}
-	_, known := m.Rest.Length()
+	_, known := m.Upload.Length()
 	return !known
 }
 
@@ -92,8 +92,8 @@
 		return "Transfer-Encoding: chunked\r\n"
 	}
 	length := uint64(len(m.Body))
-	if m.Rest != nil {
-		length, _ = m.Rest.Length()
+	if m.Upload != nil {
+		length, _ = m.Upload.Length()
 	}
 	return "Content-Length: " + strconv.FormatUint(length, 10) + "\r\n"
 }
--- a/internal/upstream/response.go
+++ b/internal/upstream/response.go
@@ -29,21 +29,21 @@
 // connection. A response that is long, or of unknown length, is streamed: the observer gets its start, and
 // the result is that of its end.
 func (r responseReader) read() Result {
-	status, header, framing, err := r.conn.Answer(r.expectation())
+	status, header, framing, err := r.conn.ReadResponseHead(r.expectation())
 	if err != nil {
 		return r.fail(err)
 	}
 	if status == http.StatusSwitchingProtocols {
 		return r.tunnel(header)
 	}
-	closing := http1.Closes(header) || framing.ToClose
+	closing := http1.ClosesConnection(header) || framing.UntilClose
 	result := r.classify(status, header)
 	if err := r.readBody(&result, framing); err != nil {
 		return r.fail(err)
 	}
 	// The next request's response would be read from unsolicited bytes behind this one.
-	result.Stray = r.conn.Buffered() > 0
-	if closing || result.Stray {
+	result.Unsolicited = r.conn.Buffered() > 0
+	if closing || result.Unsolicited {
 		r.conn.Close()
 	} else {
 		result.Conn = r.conn
@@ -59,7 +59,7 @@
 	}
 	asked.Upgrade = r.message.Upgrade
 	if r.message.Hints {
-		asked.Hint = r.observer.Hint
+		asked.Hint = r.observer.InterimResponse
 	}
 	return asked
 }
@@ -75,7 +75,9 @@
 
 // isMalformed returns whether the upstream sent something that is no response, or one beyond the limits.
 func isMalformed(err error) bool {
-	for _, malformed := range []error{http1.ErrHead, http1.ErrLine, http1.ErrLong, http1.ErrFrame, http1.ErrLarge} {
+	for _, malformed := range []error{
+		http1.ErrMalformedHead, http1.ErrStartLineTooLong, http1.ErrHeadTooLong, http1.ErrFraming, http1.ErrBodyTooLarge,
+	} {
 		if errors.Is(err, malformed) {
 			return true
 		}
@@ -87,7 +89,7 @@
 // since without one no change of the protocol is accepted.
 func (r responseReader) tunnel(header http1.Fields) Result {
 	tunnel := body.NewTunnel(r.conn.Stream, r.message.Tunnel)
-	r.observer.Began(Result{
+	r.observer.ResponseStarted(Result{
 		Status: balancer.OK,
 		Code:   http.StatusSwitchingProtocols,
 		Header: header,
@@ -104,20 +106,20 @@
 	load, err := parseLoadReport(header.Values(loadHeader))
 	result.Load = load
 	if err != nil {
-		result.Spoilt = err.Error()
+		result.LoadReportError = err.Error()
 	}
 	switch {
 	case isRejection(status, header):
 		result.Status = balancer.Rejected
 	case r.fullResponses && isForwarded(status):
-		http1.DropNamed(&header, nil)
+		http1.DropConnectionFields(&header, nil)
 		result.Status = balancer.OK
 		result.Code = status
 		result.Header = header
 	case status == http.StatusOK:
 		result.Status = balancer.OK
 		result.Code = status
-		result.Kind = header.Get("Content-Type")
+		result.ContentType = header.Get("Content-Type")
 	}
 	return result
 }
@@ -136,14 +138,14 @@
 
 // readBody reads the body of the response into result, or streams it.
 func (r responseReader) readBody(result *Result, framing http1.Framing) error {
-	limits := r.message.Most()
-	isLong := framing.Length > body.Whole
+	limits := r.message.BodyLimits()
+	isLong := framing.Length > body.MaxBuffered
 	isTooLarge := framing.Length > uint64(limits.Answer)
 	mayStream := r.observer != nil && result.Status == balancer.OK
 	switch {
 	case isTooLarge, isLong && r.observer == nil:
-		return http1.ErrLarge
-	case mayStream && (isLong || framing.Chunked || framing.ToClose):
+		return http1.ErrBodyTooLarge
+	case mayStream && (isLong || framing.Chunked || framing.UntilClose):
 		return r.streamBody(result, framing, limits)
 	default:
 		return r.readWholeBody(result, framing, limits)
@@ -155,8 +157,8 @@
 	download := body.NewDownload(r.conn, framing, limits)
 	result.Body, err = download.Receive(func() {
 		started := *result
-		started.More = download
-		r.observer.Began(started)
+		started.Download = download
+		r.observer.ResponseStarted(started)
 	})
 	result.Trailer = download.Trailer()
 	return err
@@ -165,12 +167,12 @@
 // readWholeBody reads a body of at most body.Whole bytes.
 func (r responseReader) readWholeBody(result *Result, framing http1.Framing, limits *body.Limits) (err error) {
 	source := r.conn.Body(framing, limits.Answer)
-	result.Body, err = source.UpTo(body.Whole + 1)
+	result.Body, err = source.ReadUpTo(body.MaxBuffered + 1)
 	if err != nil {
 		return err
 	}
-	if len(result.Body) > body.Whole {
-		return http1.ErrLarge
+	if len(result.Body) > body.MaxBuffered {
+		return http1.ErrBodyTooLarge
 	}
 	result.Trailer = limits.Trailer(source)
 	return nil
--- a/internal/upstream/response_test.go
+++ b/internal/upstream/response_test.go
@@ -172,7 +172,7 @@
 	{
 		name: "too large in chunks",
 		response: "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n10001\r\n" +
-			strings.Repeat("x", body.Whole+1) + "\r\n0\r\n\r\n",
+			strings.Repeat("x", body.MaxBuffered+1) + "\r\n0\r\n\r\n",
 		status: balancer.Error,
 	},
 }
@@ -187,9 +187,9 @@
 				}
 				return c.staysOpen
 			})
-			message := Message{Line: "POST /x", Host: "x", Body: []byte("b")}
-			attempt := Attempt{Message: &message, Address: server.Addr, Wait: time.Second}
-			result := HTTP1{Timeout: time.Second}.Do(&attempt)
+			message := Message{RequestLine: "POST /x", Host: "x", Body: []byte("b")}
+			attempt := Attempt{Message: &message, Address: server.Addr, Timeout: time.Second}
+			result := HTTP1{ConnectTimeout: time.Second}.Do(&attempt)
 			want(t, "status", result.Status, c.status)
 			want(t, "connection returned", result.Conn != nil, c.reusable)
 			if c.status == balancer.OK {
--- a/internal/upstream/transport.go
+++ b/internal/upstream/transport.go
@@ -23,7 +23,7 @@
 //     completely written: with these three it has not run. With any other outcome it may have run.
 //  3. balancer.OK comes with a complete response, or with one that is streamed (Result.More).
 //  4. Result.Conn is nil if the connection is closed. A connection that is returned serves the next attempt,
-//     and what an upstream sent beyond this response is never taken for the next one: it sets Result.Stray,
+//     and what an upstream sent beyond this response is never taken for the next one: it sets Result.Unsolicited,
 //     and the connection is closed.
 //  5. Attempt.Told is notified of Written and Began from Do, each at most once and in this order, before Do
 //     returns. Began is only for a response that is streamed; the result of Do is then that of the response's
@@ -54,12 +54,12 @@
 
 // Observer is notified of the progress of an attempt, from the goroutine that carries it.
 type Observer interface {
-	// Written says that the last byte of a streamed request body has been written.
-	Written()
-	// Hint passes on the fields of an interim response with status 103 (RFC 8297), if Message.Hints is set.
-	Hint(http1.Fields)
-	// Began says that the first bytes of a streamed response have come, or that a tunnel is established.
-	Began(Result)
+	// RequestWritten says that the last byte of a streamed request body has been written.
+	RequestWritten()
+	// InterimResponse passes on the fields of an interim response with status 103 (RFC 8297), if Message.Hints is set.
+	InterimResponse(http1.Fields)
+	// ResponseStarted says that the first bytes of a streamed response have come, or that a tunnel is established.
+	ResponseStarted(Result)
 }
 
 // Gate says whether a request may still be sent. It is asked from the goroutine that carries the request,
@@ -71,18 +71,18 @@
 
 // Result is the outcome of an attempt, with its connection if that can be used again.
 type Result struct {
-	Status  balancer.Status
-	Load    balancer.Load
-	Code    int            // HTTP status of a response that is passed on
-	Body    []byte         // of a complete response; the part that was read ahead of a streamed one
-	Kind    string         // Content-Type of the body, where only the body is passed on
-	Header  http1.Fields   // where full responses are passed on
-	Trailer http1.Fields   // of a complete response
-	More    *body.Download // the part of the body that is streamed; nil: there is none
-	Tunnel  *body.Tunnel   // set if the connection has changed its protocol; Do returns once the tunnel has ended
-	Conn    Conn           // nil: closed
-	Stray   bool           // unsolicited bytes came before the request or after the response
-	Spoilt  string         // why the load report is malformed; empty: it is valid, or there was none
+	Status          balancer.Status
+	Load            balancer.Load
+	Code            int            // HTTP status of a response that is passed on
+	Body            []byte         // of a complete response; the part that was read ahead of a streamed one
+	ContentType     string         // Content-Type of the body, where only the body is passed on
+	Header          http1.Fields   // where full responses are passed on
+	Trailer         http1.Fields   // of a complete response
+	Download        *body.Download // the part of the body that is streamed; nil: there is none
+	Tunnel          *body.Tunnel   // set if the connection has changed its protocol; Do returns once the tunnel has ended
+	Conn            Conn           // nil: closed
+	Unsolicited     bool           // unsolicited bytes came before the request or after the response
+	LoadReportError string         // why the load report is malformed; empty: it is valid, or there was none
 }
 
 // Probe is a health check of an upstream.
--- a/internal/upstream/upstreamtest/attempts.go
+++ b/internal/upstream/upstreamtest/attempts.go
@@ -37,9 +37,9 @@
 	var connection upstream.Conn
 	for _, prevent := range []func(*upstream.Attempt){
 		func(a *upstream.Attempt) { a.Gate = gate(false) },
-		func(a *upstream.Attempt) { a.Until = time.Now() },
+		func(a *upstream.Attempt) { a.WriteDeadline = time.Now() },
 		func(a *upstream.Attempt) {
-			a.Until = time.Now().Add(timeout)
+			a.WriteDeadline = time.Now().Add(timeout)
 			a.Gate = gate(false)
 		},
 	} {
@@ -52,7 +52,7 @@
 	}
 	expectNoArrival(t, server)
 	attempt := newAttempt(server.Address(), connection)
-	attempt.Until = time.Now().Add(timeout)
+	attempt.WriteDeadline = time.Now().Add(timeout)
 	attempt.Gate = gate(true)
 	expect(t, "status of one that may be sent", transport.Do(attempt).Status, balancer.OK)
 	expect(t, "what arrived", awaitArrival(t, server), requestID(attempt))
@@ -156,7 +156,7 @@
 	server.SetBehaviour(Unsolicited)
 	first := transport.Do(newAttempt(server.Address(), nil))
 	expect(t, "status", first.Status, balancer.OK)
-	noticed := first.Stray
+	noticed := first.Unsolicited
 	if first.Conn != nil { // the unsolicited bytes have not come yet
 		const reuseDelay = 20 * time.Millisecond // longer than that of a pool
 		time.Sleep(reuseDelay)
@@ -166,7 +166,7 @@
 		server.SetBehaviour(Serve)
 		second := transport.Do(newAttempt(server.Address(), first.Conn))
 		expect(t, "the next", string(second.Body), string(Answer))
-		noticed = second.Stray
+		noticed = second.Unsolicited
 	}
 	expect(t, "unsolicited bytes noticed", noticed, true)
 }
--- a/internal/upstream/upstreamtest/helpers.go
+++ b/internal/upstream/upstreamtest/helpers.go
@@ -31,10 +31,10 @@
 	r.events = append(r.events, event)
 }
 
-func (r *recorder) Written()          { r.record("written") }
-func (r *recorder) Hint(http1.Fields) { r.record("hint") }
+func (r *recorder) RequestWritten()              { r.record("written") }
+func (r *recorder) InterimResponse(http1.Fields) { r.record("hint") }
 
-func (r *recorder) Began(result upstream.Result) {
+func (r *recorder) ResponseStarted(result upstream.Result) {
 	r.record("began")
 	r.began <- result
 }
@@ -55,13 +55,13 @@
 // newAttempt returns an attempt of a request with an ID of its own.
 func newAttempt(address string, connection upstream.Conn) *upstream.Attempt {
 	message := &upstream.Message{
-		Line:   "POST /x",
-		Host:   "x",
-		Header: http1.Fields{{Name: "X-Request-Id", Value: fmt.Sprintf("%016x", lastRequestID.Add(1))}},
-		Body:   []byte("b"),
-		Bodied: true,
+		RequestLine: "POST /x",
+		Host:        "x",
+		Header:      http1.Fields{{Name: "X-Request-Id", Value: fmt.Sprintf("%016x", lastRequestID.Add(1))}},
+		Body:        []byte("b"),
+		Bodied:      true,
 	}
-	return &upstream.Attempt{Message: message, Address: address, Wait: timeout, Conn: connection}
+	return &upstream.Attempt{Message: message, Address: address, Timeout: timeout, Conn: connection}
 }
 
 func requestID(attempt *upstream.Attempt) string { return attempt.Message.Header.Get("X-Request-Id") }
--- a/internal/upstream/upstreamtest/streaming.go
+++ b/internal/upstream/upstreamtest/streaming.go
@@ -32,7 +32,7 @@
 	server.SetBehaviour(behaviour)
 	response := streamedResponse{observer: newRecorder(), ended: make(chan upstream.Result, 1)}
 	attempt := newAttempt(server.Address(), nil)
-	attempt.Told = response.observer
+	attempt.Observer = response.observer
 	transport := suite.Transport()
 	go func() { response.ended <- transport.Do(attempt) }()
 	select {
@@ -52,12 +52,12 @@
 	balancerSide, clientSide := net.Pipe()
 	copied := make(chan error, 1)
 	go func() {
-		err := r.started.More.Copy(balancerSide, true)
+		err := r.started.Download.Copy(balancerSide, true)
 		balancerSide.Close()
 		copied <- err
 	}()
 	var source io.Reader = clientSide
-	if r.started.More.Framed() {
+	if r.started.Download.Framed() {
 		stream := http1.NewStream(clientSide, readBufferSize)
 		source = stream.Body(http1.Framing{Chunked: true}, 1<<30)
 	}
@@ -87,7 +87,7 @@
 
 func testStalledResponse(t *testing.T, suite Suite) {
 	response := startStreaming(t, suite, Stall)
-	response.started.More.Abandon() // its client has gone
+	response.started.Download.Abandon() // its client has gone
 	select {
 	case result := <-response.ended:
 		expectBroken(t, result)
@@ -113,13 +113,13 @@
 	})
 	noSpool := new(body.Spool) // without capacity nothing is read ahead
 	framing := http1.Framing{Length: uint64(len(Long))}
-	upload := body.NewUpload(noSpool, balancerSide, framing, &body.Usual)
+	upload := body.NewUpload(noSpool, balancerSide, framing, &body.DefaultLimits)
 	if err := upload.Fill(http1.NewStream(balancerSide, readBufferSize).Body(framing, 0)); err != nil {
 		t.Fatal(err)
 	}
 	attempt := newAttempt(address, nil)
 	attempt.Message.Body = nil
-	attempt.Message.Rest = upload
+	attempt.Message.Upload = upload
 	return streamedRequest{attempt: attempt, client: clientSide, upload: upload}
 }
 
@@ -127,7 +127,7 @@
 	server := suite.Server(t)
 	request := newStreamedRequest(t, server.Address())
 	observer := newRecorder()
-	request.attempt.Told = observer
+	request.attempt.Observer = observer
 	ended := make(chan upstream.Result, 1)
 	go func() { ended <- suite.Transport().Do(request.attempt) }()
 	if _, err := request.client.Write(Long); err != nil {
--- a/internal/wire/settings.go
+++ b/internal/wire/settings.go
@@ -112,20 +112,20 @@
 	return settings
 }
 
-// Links is what the settings say of connections to upstreams. The simulator has no use for it; a real balancer acts on
-// it.
-type Links struct {
+// ConnectionSettings is what the settings say of connections to upstreams. The simulator has no use for it; a real
+// balancer acts on it.
+type ConnectionSettings struct {
 	KeepAlive      time.Duration // an upstream closes a connection that has been idle for so long
 	ConnectTimeout time.Duration // a connection not up by then counts as failed
 }
 
 // DecodeSettings reads the settings object of a start message or of a platform's configuration.
-func DecodeSettings(text []byte) (balancer.Settings, Links, error) {
+func DecodeSettings(text []byte) (balancer.Settings, ConnectionSettings, error) {
 	var decoded params
 	if err := json.Unmarshal(text, &decoded); err != nil {
-		return balancer.Settings{}, Links{}, fmt.Errorf("settings: %w", err)
+		return balancer.Settings{}, ConnectionSettings{}, fmt.Errorf("settings: %w", err)
 	}
-	links := Links{
+	links := ConnectionSettings{
 		KeepAlive:      microseconds(decoded.Limits.KeepAlive),
 		ConnectTimeout: microseconds(decoded.Limits.ConnectTimeout),
 	}
--- a/internal/wire/values.go
+++ b/internal/wire/values.go
@@ -74,14 +74,14 @@
 			f.fail(name, fmt.Sprintf("%q is not name:value", pair))
 			return report
 		}
-		SetLoad(&report, string(key), f.parseFloat(name, value))
+		SetLoadValue(&report, string(key), f.parseFloat(name, value))
 	}
 	return report
 }
 
-// SetLoad sets one value of a load report, by its name in the settings or the short one that upstreams use. Values of
-// unknown names are ignored.
-func SetLoad(report *balancer.Load, name string, value float64) {
+// SetLoadValue sets one value of a load report, by its name in the settings or the short one that upstreams use.
+// Values of unknown names are ignored.
+func SetLoadValue(report *balancer.Load, name string, value float64) {
 	switch name {
 	case "load_share", "util":
 		report.Util = value
