--- a/internal/coordination/membership/bootstrap.go
+++ b/internal/coordination/membership/bootstrap.go
@@ -8,18 +8,18 @@
 	"olivearch/internal/coordination/state"
 )
 
-// VoterReport is what the process of a voter says about itself.
+// VoterReport is the information that the process of a voter sends about itself.
 type VoterReport struct {
 	Name    string
-	ID      uint64
-	Cluster uint64 // 0: its data folder belongs to no cluster yet
-	Level   uint32 // the highest feature level that its version knows
+	ID      uint64 // of the member
+	Cluster uint64 // id of the cluster that its data folder belongs to; 0: none yet
+	Level   uint32 // highest feature level that its version knows
 }
 
-// Bootstrap decides whether the process with the name self starts a new cluster, and with which members. It starts
-// one if it comes first by name of the configured voters (name -> address), and all of them have reported, under
-// names and ids of their own, and belong to no cluster. So one that has been a member keeps a second cluster from
-// being started. If the process does not start a cluster, members is nil and reason says why, for people.
+// Bootstrap decides whether the process named self starts a new cluster, and returns the members of that cluster. The
+// process starts a cluster if its name sorts first among the configured voters (name -> address), and all voters have
+// reported the configured name, a distinct id and no cluster. A voter that already belongs to a cluster thus prevents
+// a second one. If the process does not start a cluster, members is nil and reason is a human-readable explanation.
 func Bootstrap(
 	self string, addresses map[string]string, reports map[string]VoterReport,
 ) (members []state.Member, reason string) {
--- a/internal/coordination/membership/change.go
+++ b/internal/coordination/membership/change.go
@@ -11,18 +11,19 @@
 // ChangeKind is the kind of a Change.
 type ChangeKind uint8
 
-// The kinds.
+// Kinds of changes.
 const (
 	NoChange           ChangeKind = iota
-	AddLearner                    // add Member, without a vote
-	ReplaceVoter                  // give Member a vote and take that of Replaced, in one joint change
-	PromoteLearner                // give Member a vote beside the others
-	RemoveMember                  // remove the member Replaced
-	TransferLeadership            // the leader itself is to be removed: let Member lead
-	RaiseFeatureLevel             // raise the state's feature level to Level
+	AddLearner                    // add Member without a vote
+	ReplaceVoter                  // make Member a voter and remove ReplacedID, in one joint change
+	PromoteLearner                // make Member a voter
+	RemoveMember                  // remove ReplacedID
+	TransferLeadership            // transfer leadership to Member, so that the leader can be removed
+	RaiseFeatureLevel             // raise the cluster's feature level to Level
 )
 
-// Change is the next step towards the members that the operators want. The zero value is no change.
+// Change is the next change to the members or to the feature level that the leader has to make. The zero value is no
+// change.
 type Change struct {
 	Kind       ChangeKind
 	Member     state.Member
@@ -30,14 +31,14 @@
 	Level      uint32
 }
 
-// Timeouts are the times that decisions depend on.
+// Timeouts are the configured durations of silence after which members are replaced or removed.
 type Timeouts struct {
-	ReplaceAfter time.Duration // a voter that is silent for so long may be replaced by another of its name
-	LearnerIdle  time.Duration // a learner that is silent for so long is removed
+	ReplaceAfter time.Duration // a voter that is silent for this long may be replaced
+	LearnerIdle  time.Duration // a learner that is silent for longer is removed
 }
 
-// NextChange returns the next step, and by id of each joining voter that has to wait the reason, for people. An empty
-// reason means that the voter may join. One change is made at a time.
+// NextChange returns the next change, and a human-readable reason by id for each joining voter that has to wait. The
+// reason is empty for a voter that may join. While a change is in progress, NextChange returns no other.
 func NextChange(view View, timeouts Timeouts) (change Change, waitReasons map[uint64]string) {
 	waitReasons = map[uint64]string{}
 	for _, joining := range view.JoiningVoters {
@@ -47,37 +48,38 @@
 		return Change{}, waitReasons
 	}
 	change = cmp.Or(
-		view.removeLearner(timeouts),
-		view.giveVote(),
-		view.removeVoter(),
-		view.addLearner(waitReasons),
-		view.raiseFeatureLevel(),
+		view.planLearnerRemoval(timeouts),
+		view.planPromotion(),
+		view.planVoterRemoval(),
+		view.planLearnerAddition(waitReasons),
+		view.planFeatureLevelRaise(),
 	)
 	return change, waitReasons
 }
 
-// removeLearner removes a learner that is not admitted any more, or silent for too long, or whose disk was lost
-// again: a process of its name with another id wants to join.
-func (v View) removeLearner(timeouts Timeouts) Change {
+// planLearnerRemoval plans to remove a learner that is no longer admitted, has been silent for longer than LearnerIdle,
+// or has lost its disk again, so that a new incarnation of it wants to join.
+func (v View) planLearnerRemoval(timeouts Timeouts) Change {
 	for _, learner := range v.learners() {
-		isIdle := learner.silence() > timeouts.LearnerIdle
-		isSucceeded := v.hasSuccessor(learner) && learner.silence() > aliveTimeout
-		if !v.isAdmitted(learner.Name) || isIdle || isSucceeded {
+		isIdle := learner.silentFor() > timeouts.LearnerIdle
+		isSuperseded := v.hasNewIncarnation(learner) && learner.silentFor() > aliveTimeout
+		if !v.isAdmitted(learner.Name) || isIdle || isSuperseded {
 			return Change{Kind: RemoveMember, ReplacedID: learner.ID}
 		}
 	}
 	return Change{}
 }
 
-func (v View) hasSuccessor(member Peer) bool {
+// hasNewIncarnation reports whether a process with the member's name and another id wants to join.
+func (v View) hasNewIncarnation(member Peer) bool {
 	return slices.ContainsFunc(v.JoiningVoters, func(joining JoiningVoter) bool {
 		return joining.Name == member.Name && joining.ID != member.ID
 	})
 }
 
-// giveVote gives a learner that has caught up its vote, in place of the voter of its name if there is one. A quorum
-// has to be alive among the voters after the change, and for a replacement also before it.
-func (v View) giveVote() Change {
+// planPromotion plans to give a vote to a learner that has caught up, and to remove the earlier voter with its name, if
+// any. A quorum of the voters after the change must be alive, and for a replacement also of the voters before it.
+func (v View) planPromotion() Change {
 	voters := v.voters()
 	for _, learner := range v.learners() {
 		if learner.MatchIndex+maxLearnerLag < v.CommitIndex || !learner.isAlive() {
@@ -85,27 +87,27 @@
 		}
 		replaced := indexOfName(voters, learner.Name)
 		if replaced < 0 {
-			if hasQuorum(with(voters, learner)) {
+			if hasQuorum(withMember(voters, learner)) {
 				return Change{Kind: PromoteLearner, Member: learner.Member}
 			}
 			continue
 		}
-		if hasQuorum(voters) && hasQuorum(with(without(voters, replaced), learner)) {
+		if hasQuorum(voters) && hasQuorum(withMember(withoutMember(voters, replaced), learner)) {
 			return Change{Kind: ReplaceVoter, Member: learner.Member, ReplacedID: voters[replaced].ID}
 		}
 	}
 	return Change{}
 }
 
-// removeVoter removes a voter that is not admitted any more, if a quorum of the others is alive. A leader hands over
-// its leadership first, to the voter that it has heard last.
-func (v View) removeVoter() Change {
+// planVoterRemoval plans to remove a voter that is no longer admitted, if a quorum of the other voters is alive. Before
+// the leader itself can be removed, it transfers leadership to the voter with the most recent contact.
+func (v View) planVoterRemoval() Change {
 	voters := v.voters()
 	if len(voters) == 1 {
 		return Change{}
 	}
 	for i, voter := range voters {
-		others := without(voters, i)
+		others := withoutMember(voters, i)
 		if v.isAdmitted(voter.Name) || !hasQuorum(others) {
 			continue
 		}
@@ -118,8 +120,8 @@
 	return Change{}
 }
 
-// addLearner adds the first joining voter that does not have to wait.
-func (v View) addLearner(waitReasons map[uint64]string) Change {
+// planLearnerAddition plans to add the first joining voter that does not have to wait, as a learner.
+func (v View) planLearnerAddition(waitReasons map[uint64]string) Change {
 	for _, joining := range v.JoiningVoters {
 		if waitReasons[joining.ID] == "" {
 			learner := state.Member{ID: joining.ID, Name: joining.Name, Address: joining.Address, Learner: true}
@@ -129,9 +131,9 @@
 	return Change{}
 }
 
-// raiseFeatureLevel raises the feature level to what all members know.
-func (v View) raiseFeatureLevel() Change {
-	if level := v.commonLevel(); level > v.FeatureLevel {
+// planFeatureLevelRaise plans to raise the feature level to the highest that all members know.
+func (v View) planFeatureLevelRaise() Change {
+	if level := v.commonFeatureLevel(); level > v.FeatureLevel {
 		return Change{Kind: RaiseFeatureLevel, Level: level}
 	}
 	return Change{}
--- a/internal/coordination/membership/change_test.go
+++ b/internal/coordination/membership/change_test.go
@@ -51,9 +51,9 @@
 
 // The member 22 is another incarnation of the voter b: first a process that wants to join, then a learner.
 var (
-	joiningB = JoiningVoter{VoterReport: VoterReport{Name: "b", ID: 22, Level: 1}, Address: "addr"}
-	memberB  = state.Member{ID: 22, Name: "b", Learner: true}
-	learnerB = Peer{Member: memberB, SinceAdded: time.Hour, MatchIndex: 1000, Level: 1}
+	joiningB       = JoiningVoter{VoterReport: VoterReport{Name: "b", ID: 22, Level: 1}, Address: "addr"}
+	learnerMemberB = state.Member{ID: 22, Name: "b", Learner: true}
+	learnerB       = Peer{Member: learnerMemberB, SinceAdded: time.Hour, MatchIndex: 1000, Level: 1}
 
 	addLearnerB = Change{
 		Kind:   AddLearner,
@@ -152,11 +152,11 @@
 	{
 		name:  "it has caught up",
 		peers: []Peer{silentVoter(2, "b"), learnerB},
-		want:  Change{Kind: ReplaceVoter, Member: memberB, ReplacedID: 2},
+		want:  Change{Kind: ReplaceVoter, Member: learnerMemberB, ReplacedID: 2},
 	},
 	{
 		name:  "it has not caught up",
-		peers: []Peer{silentVoter(2, "b"), {Member: memberB, SinceAdded: time.Hour, MatchIndex: 500, Level: 1}},
+		peers: []Peer{silentVoter(2, "b"), {Member: learnerMemberB, SinceAdded: time.Hour, MatchIndex: 500, Level: 1}},
 	},
 	{
 		name:     "another change is in progress",
@@ -170,7 +170,7 @@
 	{
 		name: "its disk is lost again",
 		peers: []Peer{{
-			Member:       memberB,
+			Member:       learnerMemberB,
 			SinceContact: 5 * time.Second,
 			SinceAdded:   time.Hour,
 			MatchIndex:   1000,
@@ -181,7 +181,7 @@
 	},
 	{
 		name:  "it has just been added and has not been heard yet",
-		peers: []Peer{{Member: memberB, SinceContact: time.Hour, SinceAdded: time.Second, Level: 1}},
+		peers: []Peer{{Member: learnerMemberB, SinceContact: time.Hour, SinceAdded: time.Second, Level: 1}},
 	},
 }
 
--- a/internal/coordination/membership/doc.go
+++ b/internal/coordination/membership/doc.go
@@ -1,8 +1,8 @@
-// Package membership decides who the voters of the coordination cluster are: when a new cluster is started, and how a
-// voter whose disk was lost is replaced. It has no I/O, clock or goroutine: a View of what the leader knows comes in,
-// and one Change comes out.
+// Package membership decides which members the coordination cluster has: when servers bootstrap a new cluster, and
+// which voters and learners the leader adds, promotes, replaces or removes. Coordination servers call it and carry out
+// its decisions. The package itself does no I/O, reads no clock and starts no goroutines.
 //
-// A voter is one incarnation of a data folder. A server whose folder is empty has forgotten what it voted for, and
-// must not vote as the member that it was: it gets another id, and takes the place of the earlier one by a change
-// that a quorum agrees to.
+// A member is one incarnation of a data folder. A server that lost its data folder no longer knows its earlier votes,
+// and could vote twice in a term if it kept its member id. It therefore joins under a new id, and a change that a
+// quorum agrees to replaces the earlier member.
 package membership
--- a/internal/coordination/membership/joining.go
+++ b/internal/coordination/membership/joining.go
@@ -5,7 +5,8 @@
 	"time"
 )
 
-// waitReason says why a joining voter has to wait, for people. It is empty if the voter may join.
+// waitReason returns a human-readable reason why a joining voter has to wait. It is empty if the voter may join. The
+// reason is sent to the joining process and shown to operators.
 func (v View) waitReason(joining JoiningVoter, timeouts Timeouts) string {
 	name := joining.Name
 	if !v.isAdmitted(name) {
@@ -20,7 +21,8 @@
 	return v.voterWaitReason(joining, timeouts)
 }
 
-// learnerWaitReason says why a joining voter has to wait for a learner: there is one at a time.
+// learnerWaitReason returns why a joining voter has to wait for a learner. It is empty if there is no learner: the
+// cluster has at most one at a time.
 func (v View) learnerWaitReason(joining JoiningVoter) string {
 	learners := v.learners()
 	for _, learner := range learners {
@@ -37,8 +39,8 @@
 	return ""
 }
 
-// voterWaitReason says why a joining voter has to wait for the voter of its name. That one must have been silent for
-// a time, which is short if operators have declared it lost.
+// voterWaitReason returns why a joining voter has to wait for the current voter with its name, or an empty string. The
+// current voter may be replaced after a silence of ReplaceAfter, or of aliveTimeout if operators declared it lost.
 func (v View) voterWaitReason(joining JoiningVoter, timeouts Timeouts) string {
 	for _, voter := range v.voters() {
 		if voter.Name != joining.Name {
@@ -51,9 +53,9 @@
 		if voter.DeclaredLost {
 			minSilence = aliveTimeout
 		}
-		if voter.silence() < minSilence {
+		if voter.silentFor() < minSilence {
 			const format = "the %s that it would replace has been silent for %v; after %v it may"
-			return fmt.Sprintf(format, joining.Name, voter.silence().Round(time.Millisecond), minSilence)
+			return fmt.Sprintf(format, joining.Name, voter.silentFor().Round(time.Millisecond), minSilence)
 		}
 	}
 	return ""
--- a/internal/coordination/membership/quorum_test.go
+++ b/internal/coordination/membership/quorum_test.go
@@ -8,9 +8,9 @@
 	"olivearch/internal/coordination/state"
 )
 
-// TestNeverBelowTheQuorum: whatever the leader knows, a change that takes a vote away leaves a majority of the voters
+// TestChangesKeepQuorum: whatever the leader knows, a change that takes a vote away leaves a majority of the voters
 // before and after it alive, and no two voters ever have one name.
-func TestNeverBelowTheQuorum(t *testing.T) {
+func TestChangesKeepQuorum(t *testing.T) {
 	rng := rand.New(rand.NewPCG(4, 4))
 	countByKind := map[ChangeKind]int{}
 	for range 200000 {
--- a/internal/coordination/membership/view.go
+++ b/internal/coordination/membership/view.go
@@ -7,25 +7,25 @@
 	"olivearch/internal/coordination/state"
 )
 
-// View is what the leader knows of the members and of the processes that want to join.
+// View is what the leader knows about the members and the processes that want to join.
 type View struct {
 	Self          uint64 // the leader's id
 	Members       []Peer // voters and learners
 	JoiningVoters []JoiningVoter
-	Admitted      map[string]string // names that may vote, with their addresses
-	CommitIndex   uint64            // index of the last committed entry of the log
+	Admitted      map[string]string // name -> address of servers that may vote
+	CommitIndex   uint64            // index of the last committed log entry
 	Changing      bool              // a change of the members is in progress
-	FeatureLevel  uint32            // of the state: commands up to it may be applied
+	FeatureLevel  uint32            // the cluster's feature level
 }
 
 // Peer is a member as the leader sees it.
 type Peer struct {
 	state.Member
-	SinceContact time.Duration // since the leader received something from it; 0: it is the leader itself
-	SinceAdded   time.Duration // since the leader has known it as a member, and could have received something
-	MatchIndex   uint64        // index up to which its log is known to equal the leader's
-	Level        uint32        // the highest feature level that its version knows; 0: unknown
-	DeclaredLost bool          // operators say that its machine is lost for good
+	SinceContact time.Duration // time since the leader last received a message from it; 0 for the leader itself
+	SinceAdded   time.Duration // time for which the leader has known it as a member and could receive from it
+	MatchIndex   uint64        // index up to which its log is known to match the leader's
+	Level        uint32        // highest feature level that its version knows; 0: unknown
+	DeclaredLost bool          // operators declared its machine permanently lost
 }
 
 // JoiningVoter is a process with an empty data folder that wants to join.
@@ -35,15 +35,16 @@
 }
 
 const (
-	// aliveTimeout is how long ago the leader may have received something from a member that counts as alive.
+	// aliveTimeout is how long a member counts as alive after the leader received a message from it.
 	aliveTimeout = 2 * time.Second
 
-	// maxLearnerLag is how many entries behind the commit index a learner may be to get a vote.
+	// maxLearnerLag is how many log entries a learner may be behind the commit index when it gets a vote.
 	maxLearnerLag = 64
 )
 
-// silence is for how long the leader has received nothing from a member although it could have.
-func (p Peer) silence() time.Duration { return min(p.SinceContact, p.SinceAdded) }
+// silentFor returns how long the leader has received nothing from a member. The time before the leader could receive
+// from the member does not count.
+func (p Peer) silentFor() time.Duration { return min(p.SinceContact, p.SinceAdded) }
 
 func (p Peer) isAlive() bool { return p.SinceContact <= aliveTimeout }
 
@@ -53,12 +54,12 @@
 }
 
 // voters returns the members with a vote.
-func (v View) voters() []Peer { return v.membersWith(false) }
+func (v View) voters() []Peer { return v.filterMembers(false) }
 
 // learners returns the members without a vote.
-func (v View) learners() []Peer { return v.membersWith(true) }
+func (v View) learners() []Peer { return v.filterMembers(true) }
 
-func (v View) membersWith(learner bool) []Peer {
+func (v View) filterMembers(learner bool) []Peer {
 	var members []Peer
 	for _, member := range v.Members {
 		if member.Learner == learner {
@@ -68,8 +69,9 @@
 	return members
 }
 
-// commonLevel is the highest feature level that all members know; 0 if that of one is unknown.
-func (v View) commonLevel() uint32 {
+// commonFeatureLevel returns the highest feature level that all members know. It is 0 if the level of a member is
+// unknown.
+func (v View) commonFeatureLevel() uint32 {
 	if len(v.Members) == 0 {
 		return 0
 	}
@@ -91,17 +93,17 @@
 	return alive > len(voters)/2
 }
 
-// indexOfName returns the index of the first member with a name; -1 if there is none.
+// indexOfName returns the index of the first member with a name, or -1.
 func indexOfName(members []Peer, name string) int {
 	return slices.IndexFunc(members, func(member Peer) bool { return member.Name == name })
 }
 
-// without returns a copy of members that lacks the one at an index.
-func without(members []Peer, index int) []Peer {
+// withoutMember returns a copy of members without the member at index.
+func withoutMember(members []Peer, index int) []Peer {
 	return slices.Delete(slices.Clone(members), index, index+1)
 }
 
-// with returns a copy of members that has one more.
-func with(members []Peer, added Peer) []Peer {
+// withMember returns a copy of members with added appended.
+func withMember(members []Peer, added Peer) []Peer {
 	return append(slices.Clone(members), added)
 }
--- a/internal/coordination/state/codec_commands.go
+++ b/internal/coordination/state/codec_commands.go
@@ -9,18 +9,18 @@
 	"olivearch/internal/protomsg"
 )
 
-// The codec_*.go files hold the wire format of commands and snapshots, which is that of Protocol Buffers. The numbers
-// of fields stand beside the encoder and decoder of their message; they are on disks and in messages between
-// versions, and are never used again for anything else. A reader skips fields that it does not know; a command of a
-// kind that it does not know is an error.
+// The codec_*.go files encode and decode commands and snapshots in the wire format of Protocol Buffers. Field numbers
+// are declared beside the encoder and decoder of their message. They are stored on disks and sent between versions, so
+// a number is never reused for another field. A decoder skips unknown fields; an unknown kind of command is an error.
 
-// ErrUnknownKind is wrapped by an error about a command of a kind that this version does not know.
+// ErrUnknownKind reports a command of a kind that this version does not know. Its text is sent to clients and keeps
+// the terms of the command line, see reject.
 var ErrUnknownKind = errors.New("a kind of promise that this version does not know")
 
-// commandCodec writes and reads the fields of a command.
+// commandCodec encodes and decodes the fields of a command.
 type commandCodec interface {
 	encode(w *protomsg.Writer)
-	// decode reads one field. Fields that it does not know are skipped.
+	// decode reads one field and skips an unknown one.
 	decode(field protomsg.Field) error
 }
 
@@ -30,7 +30,7 @@
 	fieldCommandBody   = 2
 )
 
-// Encode writes a command, without an envelope.
+// Encode returns the encoding of a command, without an envelope.
 func Encode(command Command) []byte {
 	var w protomsg.Writer
 	w.Uint(fieldCommandNumber, uint64(command.number()))
@@ -38,7 +38,7 @@
 	return w.Bytes()
 }
 
-// Decode reads a command. The error wraps protomsg.ErrMalformed or ErrUnknownKind.
+// Decode decodes the encoding that Encode returns. The error wraps protomsg.ErrMalformed or ErrUnknownKind.
 func Decode(encoded []byte) (Command, error) {
 	var number uint64
 	var body []byte
@@ -64,10 +64,10 @@
 	return command, nil
 }
 
-// Envelope is a command as it stands in the Raft log.
+// Envelope is the content of a Raft log entry.
 type Envelope struct {
-	ID      uint64 // of the proposal, a random number that the proposer drew
-	Clock   uint64 // of the cluster as the leader has counted it, in ms
+	ID      uint64 // of the proposal; the proposer chooses it at random
+	Clock   uint64 // cluster clock at the leader, in ms
 	Command Command
 }
 
@@ -78,7 +78,7 @@
 	fieldEnvelopeCommand = 3
 )
 
-// Encode writes an envelope.
+// Encode returns the encoding of an envelope.
 func (e Envelope) Encode() []byte {
 	var w protomsg.Writer
 	w.Uint(fieldEnvelopeID, e.ID)
@@ -87,7 +87,8 @@
 	return w.Bytes()
 }
 
-// DecodeEnvelope reads an envelope. If the error wraps ErrUnknownKind, all but the command was read.
+// DecodeEnvelope decodes an envelope. The error wraps protomsg.ErrMalformed or ErrUnknownKind. With ErrUnknownKind, the
+// returned envelope is complete except for its command.
 func DecodeEnvelope(encoded []byte) (Envelope, error) {
 	var envelope Envelope
 	var command []byte
@@ -116,7 +117,7 @@
 
 func (c *RaiseFeatureLevel) decode(field protomsg.Field) error {
 	if field.Number == fieldRaiseFeatureLevelTo {
-		c.To = decodeLevel(field)
+		c.To = decodeFeatureLevel(field)
 	}
 	return nil
 }
@@ -124,18 +125,19 @@
 func (*AdvanceClock) encode(*protomsg.Writer)     {}
 func (*AdvanceClock) decode(protomsg.Field) error { return nil }
 
-// decodeLevel reads a feature level. What is above any level that there will be is limited to one.
-func decodeLevel(field protomsg.Field) uint32 {
+// decodeFeatureLevel decodes a feature level and limits it to a value that is above all real levels and fits uint32.
+func decodeFeatureLevel(field protomsg.Field) uint32 {
 	const maxLevel = 1 << 31
 	return uint32(min(field.Uint, maxLevel))
 }
 
-// encodeMillis writes a duration in ms. A part of a millisecond is cut off.
+// encodeMillis writes a duration in ms, rounded down.
 func encodeMillis(w *protomsg.Writer, field protomsg.Number, duration time.Duration) {
 	w.Int(field, duration.Milliseconds())
 }
 
-// decodeMillis reads a duration in ms. What no command may have is limited to a duration that Check rejects.
+// decodeMillis decodes a duration in ms. It limits durations outside the range of all commands to ones that Check
+// rejects, so that the conversion does not overflow.
 func decodeMillis(field protomsg.Field) time.Duration {
 	const tooLong = int64(MaxOverrideDuration/time.Millisecond) + 1
 	millis := min(max(field.Int(), -1), tooLong)
--- a/internal/coordination/state/codec_members.go
+++ b/internal/coordination/state/codec_members.go
@@ -50,7 +50,7 @@
 	w.Bool(fieldMemberLearner, m.Learner)
 }
 
-// Read reads one field of a member. Fields that it does not know are skipped. The error wraps protomsg.ErrMalformed.
+// Read decodes one field of a member and skips an unknown one. The error wraps protomsg.ErrMalformed.
 func (m *Member) Read(field protomsg.Field) error {
 	switch field.Number {
 	case fieldMemberID:
--- a/internal/coordination/state/codec_overrides.go
+++ b/internal/coordination/state/codec_overrides.go
@@ -8,7 +8,7 @@
 	"olivearch/internal/protomsg"
 )
 
-// Fields of a subject. All messages about an override begin with them.
+// Fields of a subject. Each message with a subject has them at its top level, beside its own fields.
 const (
 	fieldSubjectKind   = 1
 	fieldSubjectScope  = 2
@@ -21,8 +21,8 @@
 	w.String(fieldSubjectTarget, s.Target)
 }
 
-// decodeSubjectField reads a field if it is one of a subject's. Kinds and scopes that do not fit their type become
-// one that checkSubject rejects.
+// decodeSubjectField decodes one field of a subject and skips an unknown one. It limits kinds and scopes that do not
+// fit their type to a value that checkSubject rejects.
 func (s *Subject) decodeSubjectField(field protomsg.Field) error {
 	switch field.Number {
 	case fieldSubjectKind:
@@ -35,8 +35,8 @@
 	return nil
 }
 
-// Fields of SetOverride and of a stored override, after those of the subject. Number 8 is the duration in the one and
-// the end in the other.
+// Fields of SetOverride and of a stored override, beside those of the subject. Number 8 is the duration in SetOverride
+// and the end in a stored override.
 const (
 	fieldOverrideValue       = 4
 	fieldOverrideBy          = 5
@@ -118,7 +118,7 @@
 	return nil
 }
 
-// decodeOverride reads a stored override and adds it to the state.
+// decodeOverride decodes a stored override and adds it to the state.
 func (s *State) decodeOverride(encoded []byte) error {
 	var override Override
 	err := protomsg.EachField(encoded, override.decode)
@@ -126,7 +126,7 @@
 		return err
 	}
 	if _, exists := s.overrides[override.Subject]; exists {
-		return fmt.Errorf("%w: two words on %v", protomsg.ErrMalformed, override.Subject)
+		return fmt.Errorf("%w: two overrides of %v", protomsg.ErrMalformed, override.Subject)
 	}
 	s.overrides[override.Subject] = override
 	s.usedBytes += override.size()
--- a/internal/coordination/state/codec_reservations.go
+++ b/internal/coordination/state/codec_reservations.go
@@ -12,7 +12,7 @@
 	fieldReserveResource = 1
 	fieldReserveHolder   = 2
 	fieldReserveSequence = 3
-	fieldReservePlaces   = 4
+	fieldReserveSlots    = 4
 	fieldReserveAfter    = 5
 	fieldReserveWithin   = 6
 )
@@ -21,7 +21,7 @@
 	w.String(fieldReserveResource, c.Resource)
 	w.String(fieldReserveHolder, c.Holder)
 	w.Uint(fieldReserveSequence, c.Sequence)
-	w.Int(fieldReservePlaces, c.Slots)
+	w.Int(fieldReserveSlots, c.Slots)
 	w.Uint(fieldReserveAfter, uint64(c.After))
 	w.Uint(fieldReserveWithin, uint64(c.Within))
 }
@@ -34,7 +34,7 @@
 		return field.Text(&c.Holder, MaxName)
 	case fieldReserveSequence:
 		c.Sequence = field.Uint
-	case fieldReservePlaces:
+	case fieldReserveSlots:
 		c.Slots = field.Int()
 	case fieldReserveAfter:
 		c.After = decodeSecondsAhead(field)
@@ -44,7 +44,8 @@
 	return nil
 }
 
-// decodeSecondsAhead reads a number of seconds. What no command may have is limited to a number that Check rejects.
+// decodeSecondsAhead decodes a number of seconds. It limits large numbers, which may not fit uint32, to one that Check
+// rejects.
 func decodeSecondsAhead(field protomsg.Field) uint32 {
 	const tooFar = 1 << 20
 	return uint32(min(field.Uint, tooFar))
@@ -53,27 +54,27 @@
 // Fields of a reserved slot.
 const (
 	fieldReservedSlotSecond = 1
-	fieldReservedSlotPlaces = 2
+	fieldReservedSlotCount  = 2
 )
 
-// EncodeReserved appends reserved slots to a message, each as a nested message under the number of a field.
+// EncodeReserved appends reserved slots to a message, each as a nested message with the given field number.
 func EncodeReserved(w *protomsg.Writer, field protomsg.Number, slots []ReservedSlot) {
 	for _, slot := range slots {
 		w.Message(field, func(nested *protomsg.Writer) {
 			nested.Uint(fieldReservedSlotSecond, slot.Second)
-			nested.Int(fieldReservedSlotPlaces, slot.Count)
+			nested.Int(fieldReservedSlotCount, slot.Count)
 		})
 	}
 }
 
-// DecodeReserved reads one nested message of WriteReserved. The error wraps protomsg.ErrMalformed.
+// DecodeReserved decodes one nested message that EncodeReserved wrote. The error wraps protomsg.ErrMalformed.
 func DecodeReserved(encoded []byte) (ReservedSlot, error) {
 	var slot ReservedSlot
 	err := protomsg.EachField(encoded, func(field protomsg.Field) error {
 		switch field.Number {
 		case fieldReservedSlotSecond:
 			slot.Second = field.Uint
-		case fieldReservedSlotPlaces:
+		case fieldReservedSlotCount:
 			slot.Count = field.Int()
 		}
 		return nil
@@ -116,17 +117,17 @@
 	return nil
 }
 
-// decodeReservation reads a stored reservation and adds it to the state.
+// decodeReservation decodes a stored reservation and adds it to the state.
 func (s *State) decodeReservation(encoded []byte) error {
 	var stored reservation
 	err := protomsg.EachField(encoded, stored.decode)
-	err = cmp.Or(err, checkName("bound", stored.resource), checkName("holder", stored.holder))
+	err = cmp.Or(err, checkName("resource", stored.resource), checkName("holder", stored.holder))
 	if err != nil {
 		return err
 	}
 	key := reservationKey(stored.resource, stored.holder)
 	if _, exists := s.reservations[key]; exists {
-		return fmt.Errorf("%w: two bookings of %s", protomsg.ErrMalformed, stored.holder)
+		return fmt.Errorf("%w: two reservations of %s", protomsg.ErrMalformed, stored.holder)
 	}
 	s.reservations[key] = stored
 	s.usedBytes += stored.size()
--- a/internal/coordination/state/codec_resources.go
+++ b/internal/coordination/state/codec_resources.go
@@ -7,18 +7,18 @@
 	"olivearch/internal/protomsg"
 )
 
-// Fields of SetResource and of a stored resource. Leases and slots are of the stored one only.
+// Fields of SetResource and of a stored resource. Only a stored resource has leases and reserved slots.
 const (
-	fieldResourceName     = 1
-	fieldResourceSlots    = 2
-	fieldResourceLimit    = 3
-	fieldResourceLease    = 4 // repeated
-	fieldResourceReserved = 5 // repeated
+	fieldResourceName      = 1
+	fieldResourcePerSecond = 2
+	fieldResourceLimit     = 3
+	fieldResourceLease     = 4 // repeated
+	fieldResourceReserved  = 5 // repeated
 )
 
 func (c *SetResource) encode(w *protomsg.Writer) {
 	w.String(fieldResourceName, c.Name)
-	w.Bool(fieldResourceSlots, c.PerSecond)
+	w.Bool(fieldResourcePerSecond, c.PerSecond)
 	w.Int(fieldResourceLimit, c.Limit)
 }
 
@@ -26,7 +26,7 @@
 	switch field.Number {
 	case fieldResourceName:
 		return field.Text(&c.Name, MaxName)
-	case fieldResourceSlots:
+	case fieldResourcePerSecond:
 		c.PerSecond = field.Bool()
 	case fieldResourceLimit:
 		c.Limit = field.Int()
@@ -36,7 +36,7 @@
 
 func (r *Resource) encode(w *protomsg.Writer) {
 	w.String(fieldResourceName, r.Name)
-	w.Bool(fieldResourceSlots, r.PerSecond)
+	w.Bool(fieldResourcePerSecond, r.PerSecond)
 	w.Int(fieldResourceLimit, r.Limit)
 	for _, lease := range r.Leases() {
 		w.Message(fieldResourceLease, lease.encode)
@@ -44,14 +44,14 @@
 	EncodeReserved(w, fieldResourceReserved, r.Reserved())
 }
 
-// decodeResource reads a stored resource and adds it to the state.
+// decodeResource decodes a stored resource and adds it to the state.
 func (s *State) decodeResource(encoded []byte) error {
 	resource := newResource("", false, 0)
 	err := protomsg.EachField(encoded, func(field protomsg.Field) error {
 		switch field.Number {
 		case fieldResourceName:
 			return field.Text(&resource.Name, MaxName)
-		case fieldResourceSlots:
+		case fieldResourcePerSecond:
 			resource.PerSecond = field.Bool()
 		case fieldResourceLimit:
 			resource.Limit = field.Int()
@@ -62,18 +62,18 @@
 		}
 		return nil
 	})
-	if err = cmp.Or(err, checkName("bound", resource.Name)); err != nil {
+	if err = cmp.Or(err, checkName("resource", resource.Name)); err != nil {
 		return err
 	}
 	if s.resources[resource.Name] != nil {
-		return fmt.Errorf("%w: two bounds %s", protomsg.ErrMalformed, resource.Name)
+		return fmt.Errorf("%w: two resources named %s", protomsg.ErrMalformed, resource.Name)
 	}
 	s.resources[resource.Name] = resource
 	s.usedBytes += resource.size()
 	return nil
 }
 
-// decodeLease reads a stored lease and adds it to a resource of the state.
+// decodeLease decodes a stored lease and adds it to a resource of the state.
 func (s *State) decodeLease(resource *Resource, encoded []byte) error {
 	var lease Lease
 	if err := protomsg.EachField(encoded, lease.decode); err != nil {
@@ -87,7 +87,7 @@
 	return nil
 }
 
-// decodeReserved reads the reserved slots of one second and adds them to a resource of the state.
+// decodeReserved decodes the reserved slots of one second and adds them to a resource of the state.
 func (s *State) decodeReserved(resource *Resource, encoded []byte) error {
 	slot, err := DecodeReserved(encoded)
 	if err != nil {
--- a/internal/coordination/state/codec_state.go
+++ b/internal/coordination/state/codec_state.go
@@ -8,7 +8,7 @@
 	"olivearch/internal/protomsg"
 )
 
-// SnapshotVersion of the form of snapshots. A reader rejects a newer one.
+// SnapshotVersion is the version of the snapshot format. DecodeState rejects any other version.
 const SnapshotVersion = 1
 
 // Fields of a snapshot.
@@ -24,7 +24,7 @@
 	fieldStateMember        = 9 // repeated
 )
 
-// Encode writes a snapshot of the state. Equal states have the same bytes: entries stand in a fixed order.
+// Encode returns a snapshot of the state. Entries are sorted, so equal states have equal snapshots.
 func (s *State) Encode() []byte {
 	var w protomsg.Writer
 	w.Uint(fieldStateVersion, SnapshotVersion)
@@ -35,27 +35,28 @@
 	return w.Bytes()
 }
 
-func (s *State) encodeEntries(message *protomsg.Writer) {
+func (s *State) encodeEntries(writer *protomsg.Writer) {
 	for _, override := range s.Overrides() {
-		message.Message(fieldStateOverride, override.encode)
+		writer.Message(fieldStateOverride, override.encode)
 	}
 	for _, resource := range s.Resources() {
-		message.Message(fieldStateResource, resource.encode)
+		writer.Message(fieldStateResource, resource.encode)
 	}
 	for _, key := range slices.Sorted(maps.Keys(s.reservations)) {
 		stored := s.reservations[key]
-		message.Message(fieldStateReservation, stored.encode)
+		writer.Message(fieldStateReservation, stored.encode)
 	}
 	for _, name := range slices.Sorted(maps.Keys(s.admittedVoters)) {
 		voter := AddVoter{Name: name, Address: s.admittedVoters[name]}
-		message.Message(fieldStateAdmittedVoter, voter.encode)
+		writer.Message(fieldStateAdmittedVoter, voter.encode)
 	}
 	for _, member := range s.Members() {
-		message.Message(fieldStateMember, member.Write)
+		writer.Message(fieldStateMember, member.Write)
 	}
 }
 
-// DecodeState reads a snapshot.
+// DecodeState decodes a snapshot. It returns an error if the snapshot is malformed or its version is not
+// SnapshotVersion.
 func DecodeState(encoded []byte) (*State, error) {
 	state := NewState()
 	version := uint64(0)
@@ -68,11 +69,11 @@
 	})
 	switch {
 	case err != nil:
-		return nil, fmt.Errorf("the ledger's state: %w", err)
+		return nil, fmt.Errorf("decode state snapshot: %w", err)
 	case version != SnapshotVersion:
-		return nil, fmt.Errorf("the ledger's state is of version %d, and %d is known", version, SnapshotVersion)
+		return nil, fmt.Errorf("state snapshot has version %d, but this version reads only %d", version, SnapshotVersion)
 	}
-	state.nextExpiry = 0 // the next command determines it
+	state.nextExpiry = 0 // the next Apply recalculates it
 	return state, nil
 }
 
@@ -83,7 +84,7 @@
 	case fieldStateRevision:
 		s.revision = field.Uint
 	case fieldStateFeatureLevel:
-		s.featureLevel = decodeLevel(field)
+		s.featureLevel = decodeFeatureLevel(field)
 	case fieldStateOverride:
 		return s.decodeOverride(field.Raw)
 	case fieldStateResource:
--- a/internal/coordination/state/commands.go
+++ b/internal/coordination/state/commands.go
@@ -2,20 +2,20 @@
 
 import "errors"
 
-// Command is a change of the state. Its kinds are the types of this package that implement it.
+// Command is a change to the state. Each type of this package that implements it is a kind of command.
 type Command interface {
-	// Check returns an error if the command is invalid, whatever the state is.
+	// Check returns an error if the command is invalid in any state.
 	Check() error
-	// apply changes the state, or returns a rejection and leaves it unchanged. The command has passed Check.
+	// apply changes the state, or returns a rejection and leaves the state unchanged. The command has passed Check.
 	apply(state *State) Result
-	// number identifies the kind in messages and logs. It is never used again for another kind.
+	// number identifies the kind in messages and log entries. It is never reused for another kind.
 	number() uint32
-	// level is the feature level of the first version that knew the kind.
+	// level is the feature level that introduced the kind.
 	level() uint32
 	commandCodec
 }
 
-// The numbers of the kinds of command. 13 to 19 are reserved for the outcomes of requests with an idempotency key.
+// Numbers of the kinds of command. 13 to 19 are reserved for the outcomes of requests with an idempotency key.
 const (
 	numberSetOverride       = 1
 	numberClearOverride     = 2
@@ -44,7 +44,7 @@
 func (*RegisterMember) number() uint32    { return numberRegisterMember }
 func (*UnregisterMember) number() uint32  { return numberUnregisterMember }
 
-// initialFeatureLevel is the feature level of a new state, and that of the commands of the first version.
+// initialFeatureLevel is the feature level of a new state and of the commands of the first version.
 const initialFeatureLevel = 1
 
 func (*SetOverride) level() uint32       { return initialFeatureLevel }
@@ -60,7 +60,7 @@
 func (*RegisterMember) level() uint32    { return initialFeatureLevel }
 func (*UnregisterMember) level() uint32  { return initialFeatureLevel }
 
-// commandKinds has a constructor for each kind of command that this version knows, by number.
+// commandKinds holds a constructor for each kind of command that this version knows, by number.
 var commandKinds = map[uint32]func() Command{
 	numberSetOverride:       func() Command { return new(SetOverride) },
 	numberClearOverride:     func() Command { return new(ClearOverride) },
@@ -76,7 +76,7 @@
 	numberUnregisterMember:  func() Command { return new(UnregisterMember) },
 }
 
-// IsServerOnly reports whether a command is proposed by the coordination servers only, and never accepted from clients.
+// IsServerOnly reports whether only coordination servers may propose a command. They do not accept it from clients.
 func IsServerOnly(command Command) bool {
 	switch command.(type) {
 	case *RaiseFeatureLevel, *AdvanceClock, *RegisterMember, *UnregisterMember:
@@ -85,7 +85,8 @@
 	return false
 }
 
-// RaiseFeatureLevel allows commands up to a level, now that all voters know them. The level never falls.
+// RaiseFeatureLevel raises the feature level to To, so that commands up to that level are applied. The leader proposes
+// it once all members know the level. The level never falls.
 type RaiseFeatureLevel struct{ To uint32 }
 
 // Check implements Command.
@@ -101,7 +102,7 @@
 	return Result{}
 }
 
-// AdvanceClock changes nothing but the clock, so that entries end while no other command is proposed.
+// AdvanceClock changes only the clock, so that entries expire while no other command is proposed.
 type AdvanceClock struct{}
 
 // Check implements Command.
--- a/internal/coordination/state/leases.go
+++ b/internal/coordination/state/leases.go
@@ -9,22 +9,22 @@
 	"time"
 )
 
-// Lease is a holder's part of a resource for a time.
+// Lease grants a holder a number of units of a resource until an end.
 type Lease struct {
 	Holder       string
 	Units        int64
-	Until        uint64 // end in ms of the cluster's clock; by its own clock the holder ends it earlier
-	FencingToken uint64 // revision at which the lease began: a holder that acts under a lower one is out of date
+	Until        uint64 // end, in ms of the cluster clock; the holder stops using the lease earlier, by its own clock
+	FencingToken uint64 // revision at which the lease was granted; a holder that uses a lower one is outdated
 }
 
 func (l *Lease) size() int64 { return entryOverhead + textSize(l.Holder) }
 
-// Leases returns the leases of a resource, by holder.
+// Leases returns the leases of a resource, sorted by holder.
 func (r *Resource) Leases() []Lease {
 	return slices.SortedFunc(maps.Values(r.leases), func(a, b Lease) int { return cmp.Compare(a.Holder, b.Holder) })
 }
 
-// leasedUnits is the sum of the resource's leases.
+// leasedUnits returns the number of units in all leases of a resource.
 func (r *Resource) leasedUnits() int64 {
 	sum := int64(0)
 	for _, lease := range r.leases {
@@ -40,12 +40,12 @@
 	}
 }
 
-// AcquireLease asks for a lease, or renews the one that the holder has under this fencing token.
+// AcquireLease requests a new lease, or renews the holder's lease that has the given fencing token.
 type AcquireLease struct {
 	Resource, Holder string
 	Units            int64
 	Duration         time.Duration
-	FencingToken     uint64 // 0: a new lease
+	FencingToken     uint64 // of the lease to renew; 0: a new lease
 }
 
 // Check implements Command.
@@ -84,12 +84,12 @@
 	lease := Lease{
 		Holder:       c.Holder,
 		Units:        c.Units,
-		Until:        state.deadline(c.Duration),
+		Until:        state.expiryAfter(c.Duration),
 		FencingToken: cmp.Or(current.FencingToken, state.revision),
 	}
 	if !renewal {
-		if state.exceedsCapacity(lease.size()) {
-			return state.rejectFull()
+		if state.exceedsMaxBytes(lease.size()) {
+			return state.rejectStateFull()
 		}
 		state.usedBytes += lease.size()
 	}
@@ -98,8 +98,8 @@
 	return Result{FencingToken: lease.FencingToken, Free: free - c.Units}
 }
 
-// checkFencing rejects a command whose token is not that of the holder's current lease. Another token means another
-// incarnation of the holder: the earlier one may still act under the lease until it ends.
+// checkFencing rejects a command whose fencing token is not the token of the holder's current lease. A different token
+// comes from another incarnation of the holder, while the incarnation with the lease may use it until it ends.
 func (c *AcquireLease) checkFencing(state *State, current Lease, exists bool) Result {
 	switch {
 	case exists && c.FencingToken != current.FencingToken:
@@ -111,7 +111,7 @@
 	return Result{}
 }
 
-// ReleaseLease ends a lease before its time. It is applied also if the holder has no lease, so it may be sent twice.
+// ReleaseLease ends a lease early. It is not rejected if the holder has no lease, so retries are safe.
 type ReleaseLease struct {
 	Resource, Holder string
 	FencingToken     uint64
--- a/internal/coordination/state/level.go
+++ b/internal/coordination/state/level.go
@@ -2,5 +2,5 @@
 
 package state
 
-// NewestFeatureLevel is the highest feature level of which this version knows the commands.
+// NewestFeatureLevel is the highest feature level whose commands this version knows.
 const NewestFeatureLevel = 1
--- a/internal/coordination/state/level_next.go
+++ b/internal/coordination/state/level_next.go
@@ -4,30 +4,30 @@
 
 import "olivearch/internal/protomsg"
 
-// NewestFeatureLevel is that of a version to come. Builds with this tag stand for one in tests of an upgrade, during
-// which some voters do not know a kind of command yet.
+// NewestFeatureLevel is the feature level of a future version. Tests of rolling upgrades use builds with the tag
+// nextlevel as that version: they know a kind of command that other voters do not know yet.
 const NewestFeatureLevel = 2
 
-const numberTrial = 1000
+const numberNextLevelCommand = 1000
 
-// Trial is a kind of command that only such a version knows. It changes nothing but the clock and the revision.
-type Trial struct{ Text string }
+// NextLevelCommand is a kind of command of feature level 2. It changes only the clock and the revision.
+type NextLevelCommand struct{ Text string }
 
-func init() { commandKinds[numberTrial] = func() Command { return new(Trial) } }
+func init() { commandKinds[numberNextLevelCommand] = func() Command { return new(NextLevelCommand) } }
 
 // Check implements Command.
-func (c *Trial) Check() error { return checkName("text", c.Text) }
+func (c *NextLevelCommand) Check() error { return checkName("text", c.Text) }
 
-func (*Trial) apply(*State) Result { return Result{} }
-func (*Trial) number() uint32      { return numberTrial }
-func (*Trial) level() uint32       { return 2 }
+func (*NextLevelCommand) apply(*State) Result { return Result{} }
+func (*NextLevelCommand) number() uint32      { return numberNextLevelCommand }
+func (*NextLevelCommand) level() uint32       { return 2 }
 
-const fieldTrialText = 1
+const fieldNextLevelCommandText = 1
 
-func (c *Trial) encode(w *protomsg.Writer) { w.String(fieldTrialText, c.Text) }
+func (c *NextLevelCommand) encode(w *protomsg.Writer) { w.String(fieldNextLevelCommandText, c.Text) }
 
-func (c *Trial) decode(field protomsg.Field) error {
-	if field.Number == fieldTrialText {
+func (c *NextLevelCommand) decode(field protomsg.Field) error {
+	if field.Number == fieldNextLevelCommandText {
 		return field.Text(&c.Text, MaxName)
 	}
 	return nil
--- a/internal/coordination/state/members.go
+++ b/internal/coordination/state/members.go
@@ -6,19 +6,19 @@
 	"slices"
 )
 
-// Member is a Raft member: one incarnation of a coordination server's data folder. A server whose disk was lost comes
-// back as another member under the same name.
+// Member is a Raft member: one incarnation of a coordination server's data folder. A server whose disk was lost joins
+// again under the same name as a member with another id.
 type Member struct {
 	ID      uint64
 	Name    string
 	Address string
-	Learner bool // it is brought up to date and has no vote yet
+	Learner bool // receives the log but has no vote yet
 }
 
-// AdmittedVoters returns the names of the servers that may vote, with their addresses.
+// AdmittedVoters returns the servers that may vote, name -> address. The map is a copy.
 func (s *State) AdmittedVoters() map[string]string { return maps.Clone(s.admittedVoters) }
 
-// Members returns all members, by name. Of members with one name voters come before learners.
+// Members returns all members, sorted by name, voters before learners, and id.
 func (s *State) Members() []Member {
 	return slices.SortedFunc(maps.Values(s.members), func(a, b Member) int {
 		return cmp.Or(cmp.Compare(a.Name, b.Name), compareVotersFirst(a, b), cmp.Compare(a.ID, b.ID))
@@ -35,13 +35,13 @@
 	return 1
 }
 
-// Member returns the member with an id, if there is one.
+// Member returns the member with an id, and whether it exists.
 func (s *State) Member(id uint64) (Member, bool) {
 	member, ok := s.members[id]
 	return member, ok
 }
 
-// AddVoter admits a server of this name as a voter. It joins by a change of the Raft members, which is a later step.
+// AddVoter admits a server as a voter. The server becomes a voter later, by a change of the Raft members.
 type AddVoter struct{ Name, Address string }
 
 // Check implements Command.
@@ -59,8 +59,7 @@
 	return Result{}
 }
 
-// RemoveVoter withdraws the admission of a server. Its vote is taken by a change of the Raft members, which is a
-// later step.
+// RemoveVoter withdraws the admission of a server. The server loses its vote later, by a change of the Raft members.
 type RemoveVoter struct{ Name string }
 
 // Check implements Command.
@@ -77,7 +76,7 @@
 	return Result{}
 }
 
-// RegisterMember stores a Raft member. It comes only with a change of the Raft members.
+// RegisterMember stores a Raft member. It is proposed only together with a change of the Raft members.
 type RegisterMember struct{ Member }
 
 // Check implements Command.
@@ -90,7 +89,7 @@
 	return Result{}
 }
 
-// UnregisterMember removes a Raft member. It comes only with a change of the Raft members.
+// UnregisterMember removes a Raft member. It is proposed only together with a change of the Raft members.
 type UnregisterMember struct{ ID uint64 }
 
 // Check implements Command.
--- a/internal/coordination/state/model_test.go
+++ b/internal/coordination/state/model_test.go
@@ -9,8 +9,8 @@
 	"pgregory.net/rapid"
 )
 
-// anyCommand draws a command, often about the same few things.
-func anyCommand() *rapid.Generator[Command] {
+// commandGenerator draws a command, often about the same few things.
+func commandGenerator() *rapid.Generator[Command] {
 	name := rapid.SampledFrom([]string{"a", "b", "c"})
 	subject := rapid.Custom(func(t *rapid.T) Subject {
 		return Subject{OutOfService, Scope(rapid.IntRange(0, 3).Draw(t, "scope")), name.Draw(t, "target")}
@@ -73,7 +73,7 @@
 	replica          *State          // made anew from a snapshot now and then
 	clock            uint64          // of the cluster, in ms
 	limitChanged     map[string]bool // resources whose limit may be lower than what is granted
-	granted          map[leaseKey]Lease
+	grantedLeases    map[leaseKey]Lease
 	lastFencingToken uint64
 }
 
@@ -83,20 +83,20 @@
 func TestModel(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		m := &model{
-			state:        NewState(),
-			replica:      NewState(),
-			limitChanged: map[string]bool{},
-			granted:      map[leaseKey]Lease{},
+			state:         NewState(),
+			replica:       NewState(),
+			limitChanged:  map[string]bool{},
+			grantedLeases: map[leaseKey]Lease{},
 		}
 		count := rapid.IntRange(1, 60).Draw(t, "commands")
 		for revision := uint64(1); revision <= uint64(count); revision++ {
 			m.clock += uint64(rapid.IntRange(0, 2500).Draw(t, "ms passed"))
-			command := anyCommand().Draw(t, "command")
+			command := commandGenerator().Draw(t, "command")
 			if rapid.IntRange(0, 5).Draw(t, "snapshot") == 0 {
 				m.restoreReplica(t)
 			}
 			result := m.apply(t, revision, command)
-			m.recordAnswer(t, command, result)
+			m.recordResult(t, command, result)
 			m.checkLimits(t)
 			m.checkGrantedLeases(t)
 			m.checkUsedBytes(t)
@@ -132,8 +132,8 @@
 	return result
 }
 
-// recordAnswer notes what a command has granted or taken back, and checks the fencing token of a lease.
-func (m *model) recordAnswer(t *rapid.T, command Command, result Result) {
+// recordResult notes what a command has granted or taken back, and checks the fencing token of a lease.
+func (m *model) recordResult(t *rapid.T, command Command, result Result) {
 	switch command := command.(type) {
 	case *AcquireLease:
 		if result.OK() {
@@ -141,7 +141,7 @@
 		}
 	case *ReleaseLease:
 		if result.OK() {
-			delete(m.granted, leaseKey{command.Resource, command.Holder})
+			delete(m.grantedLeases, leaseKey{command.Resource, command.Holder})
 		}
 	case *SetResource:
 		m.limitChanged[command.Name] = true // what was granted above a lowered limit stays
@@ -150,7 +150,7 @@
 
 func (m *model) recordLease(t *rapid.T, command *AcquireLease, fencingToken uint64) {
 	key := leaseKey{command.Resource, command.Holder}
-	previous, exists := m.granted[key]
+	previous, exists := m.grantedLeases[key]
 	switch renewal := exists && previous.Until > m.clock; {
 	case renewal && fencingToken != previous.FencingToken:
 		t.Fatalf("%v has a new fencing token while its lease lasts", key)
@@ -158,7 +158,7 @@
 		t.Fatalf("fencing token %d after %d", fencingToken, m.lastFencingToken)
 	}
 	m.lastFencingToken = max(m.lastFencingToken, fencingToken)
-	m.granted[key] = Lease{
+	m.grantedLeases[key] = Lease{
 		Holder:       command.Holder,
 		Units:        command.Units,
 		Until:        m.clock + uint64(command.Duration.Milliseconds()),
@@ -183,7 +183,7 @@
 }
 
 func (m *model) checkGrantedLeases(t *rapid.T) {
-	for key, granted := range m.granted {
+	for key, granted := range m.grantedLeases {
 		if granted.Until <= m.clock {
 			continue
 		}
--- a/internal/coordination/state/overrides.go
+++ b/internal/coordination/state/overrides.go
@@ -10,20 +10,21 @@
 	"time"
 )
 
-// OverrideKind is what an override changes. The numbers are stored and sent, and never change.
+// OverrideKind is the property that an override sets. The numbers are stored and sent, and never change.
 type OverrideKind uint8
 
-// The kinds.
+// Kinds of overrides.
 const (
-	OutOfService   OverrideKind = 1 + iota // no new requests are sent there
-	ConcurrencyCap                         // limits the attempts that one balancer may have in flight there
-	TrafficShare                           // thousandths of the usual share, from 1 to 1,000
+	OutOfService   OverrideKind = 1 + iota // the target gets no new requests
+	ConcurrencyCap                         // limit on the attempts in flight from one balancer to the target
+	TrafficShare                           // thousandths of the usual share of traffic, from 1 to 1,000
 )
 
-// Scope is the kind of thing that an override applies to. The numbers are stored and sent, and never change.
+// Scope says whether an override applies to an upstream, a zone or a pool. The numbers are stored and sent, and never
+// change.
 type Scope uint8
 
-// The scopes. Concurrency caps and traffic shares apply to upstreams only.
+// Scopes of overrides. Concurrency caps and traffic shares apply to upstreams only.
 const (
 	ScopeUpstream Scope = 1 + iota
 	ScopeZone
@@ -38,7 +39,7 @@
 func (k OverrideKind) String() string { return kindNames[k] }
 func (s Scope) String() string        { return scopeNames[s] }
 
-// ParseKind reads the name of a kind: out, cap or share.
+// ParseKind parses the name of a kind: out, cap or share.
 func ParseKind(text string) (OverrideKind, error) {
 	for kind, name := range kindNames {
 		if name == text {
@@ -48,14 +49,14 @@
 	return 0, fmt.Errorf("%q is none of out, cap and share", text)
 }
 
-// Subject is what an override applies to and what it changes there. A subject has at most one override at a time.
+// Subject identifies an override: its kind and its target. A subject has at most one override.
 type Subject struct {
 	Kind   OverrideKind
 	Scope  Scope
 	Target string // the upstream's id in the endpoint list, or the name of the zone or pool
 }
 
-// ParseTarget reads a scope and a name, as in zone/a. A name alone is an upstream's id.
+// ParseTarget parses a target in the form SCOPE/NAME, for example zone/a. A text without a slash is an upstream's id.
 func ParseTarget(text string) (Scope, string, error) {
 	prefix, name, hasScope := strings.Cut(text, "/")
 	if !hasScope {
@@ -83,50 +84,50 @@
 	return checkName("target", s.Target)
 }
 
-// Override is what operators have set by hand for a subject.
+// Override is a value that operators have set for a subject.
 type Override struct {
 	Subject
-	Value      int64  // of concurrency caps (attempts in flight) and traffic shares (thousandths)
-	By, Reason string // for people: who set it, and why
-	At         int64  // Unix time in ms by the clock of the process that proposed it; for people, no decision uses it
-	Until      uint64 // end in ms of the cluster's clock; 0: it lasts until it is cleared
-	Revision   uint64 // of the state when it was set
+	Value      int64  // of a concurrency cap (attempts in flight) or a traffic share (thousandths), else 0
+	By, Reason string // who set the override, and why; for display only
+	At         int64  // Unix time in ms at which it was set, by the proposer's clock; for display only
+	Until      uint64 // end, in ms of the cluster clock; 0: until cleared
+	Revision   uint64 // of the command that set the override
 }
 
 func (o *Override) size() int64 { return entryOverhead + textSize(o.Target, o.By, o.Reason) }
 
-// Overrides returns all overrides, by scope, target and kind.
+// Overrides returns all overrides, sorted by scope, target and kind.
 func (s *State) Overrides() []Override {
 	return slices.SortedFunc(maps.Values(s.overrides), func(a, b Override) int {
 		return cmp.Or(cmp.Compare(a.Scope, b.Scope), cmp.Compare(a.Target, b.Target), cmp.Compare(a.Kind, b.Kind))
 	})
 }
 
-// Override returns the override of a subject, if it has one.
-func (s *State) Override(of Subject) (Override, bool) {
-	override, ok := s.overrides[of]
+// Override returns the override of a subject, and whether it has one.
+func (s *State) Override(subject Subject) (Override, bool) {
+	override, ok := s.overrides[subject]
 	return override, ok
 }
 
-// OverridesRevision grows whenever the overrides change. It counts changes of this copy of the state: copies differ
-// in it.
+// OverridesRevision returns a counter that increases with each change to the overrides. The counter is local to this
+// copy of the state and not part of snapshots, so copies differ in it.
 func (s *State) OverridesRevision() uint64 { return s.overridesRevision }
 
-func (s *State) removeOverride(of Subject) {
-	if override, ok := s.overrides[of]; ok {
+func (s *State) removeOverride(subject Subject) {
+	if override, ok := s.overrides[subject]; ok {
 		s.usedBytes -= override.size()
 		s.overridesRevision++
-		delete(s.overrides, of)
+		delete(s.overrides, subject)
 	}
 }
 
-// SetOverride sets the override of a subject and replaces the one that it has.
+// SetOverride sets the override of a subject, and replaces an earlier override of the subject.
 type SetOverride struct {
 	Subject
 	Value      int64         // see Override
 	By, Reason string        // see Override
 	At         int64         // see Override
-	Duration   time.Duration // 0: until it is cleared
+	Duration   time.Duration // 0: until cleared
 }
 
 // Check implements Command.
@@ -176,14 +177,14 @@
 		Revision: state.revision,
 	}
 	if c.Duration > 0 {
-		override.Until = state.deadline(c.Duration)
+		override.Until = state.expiryAfter(c.Duration)
 	}
 	growth := override.size()
 	if previous, exists := state.overrides[c.Subject]; exists {
 		growth -= previous.size()
 	}
-	if state.exceedsCapacity(growth) {
-		return state.rejectFull()
+	if state.exceedsMaxBytes(growth) {
+		return state.rejectStateFull()
 	}
 	state.overrides[c.Subject] = override
 	state.usedBytes += growth
@@ -194,10 +195,10 @@
 	return Result{}
 }
 
-// ClearOverride removes the override of a subject. It is applied also if there is none, so it may be sent twice.
+// ClearOverride removes the override of a subject. It is not rejected if there is none, so retries are safe.
 type ClearOverride struct {
 	Subject
-	By string // for people: who cleared it
+	By string // who cleared the override
 }
 
 // Check implements Command.
--- a/internal/coordination/state/reservations.go
+++ b/internal/coordination/state/reservations.go
@@ -9,26 +9,26 @@
 	"time"
 )
 
-// ReservedSlot is a number of slots in one second of the cluster's clock.
+// ReservedSlot is a number of reserved slots in one second of the cluster clock.
 type ReservedSlot struct {
 	Second uint64
 	Count  int64 // slots
 }
 
-// reservation is the last one of a holder. It is stored for reservationRetention so that a retry gets the same
-// answer.
+// reservation is the latest reservation of a holder for a resource. It is stored for reservationRetention so that a
+// retry gets the same result.
 type reservation struct {
 	resource string
 	holder   string
 	sequence uint64
 	slots    []ReservedSlot
-	until    uint64 // end of the retention in ms of the cluster's clock
+	until    uint64 // end of the retention, in ms of the cluster clock
 }
 
-// reservationRetention is for how long the answer to a reservation is stored for retries.
+// reservationRetention is how long the result of a reservation is stored for retries.
 const reservationRetention = 10 * time.Minute
 
-// reservationKey is the key of a holder's reservation. It is unique since neither name contains a space.
+// reservationKey returns the key of a holder's reservation. It is unique because neither name may contain a space.
 func reservationKey(resource, holder string) string { return resource + " " + holder }
 
 func (r *reservation) size() int64 {
@@ -37,7 +37,7 @@
 
 func slotsSize(slots []ReservedSlot) int64 { return slotOverhead * int64(len(slots)) }
 
-// Reserved returns the reserved slots of a resource, by second.
+// Reserved returns the reserved slots of a resource, sorted by second.
 func (r *Resource) Reserved() []ReservedSlot {
 	var all []ReservedSlot
 	for _, second := range slices.Sorted(maps.Keys(r.reserved)) {
@@ -46,7 +46,7 @@
 	return all
 }
 
-// freeSlots returns the earliest free slots from one second to another, both included, up to a number of slots.
+// freeSlots returns the earliest free slots between two seconds, both included, and at most wanted slots in total.
 func (r *Resource) freeSlots(from, to uint64, wanted int64) []ReservedSlot {
 	var free []ReservedSlot
 	for second := from; second <= to && wanted > 0; second++ {
@@ -59,13 +59,13 @@
 	return free
 }
 
-// Reserve asks for slots in the seconds to come, the earliest first. It may grant fewer than asked. Sent again with
-// the same sequence number it brings the same answer.
+// Reserve requests slots in future seconds and is granted the earliest free ones, which may be fewer than requested. A
+// retry with the same sequence number gets the same slots, for as long as the reservation is retained.
 type Reserve struct {
 	Resource, Holder string
-	Sequence         uint64 // grows with each of the holder's reservations
-	Slots            int64  // slots
-	After, Within    uint32 // the first and the last second that will do, from now
+	Sequence         uint64 // increases with each reservation of the holder
+	Slots            int64
+	After, Within    uint32 // first and last acceptable second, in seconds from now
 }
 
 // Check implements Command.
@@ -117,14 +117,14 @@
 		holder:   c.Holder,
 		sequence: c.Sequence,
 		slots:    slots,
-		until:    state.deadline(reservationRetention),
+		until:    state.expiryAfter(reservationRetention),
 	}
 	growth := next.size()
 	if exists {
 		growth -= previous.size()
 	}
-	if state.exceedsCapacity(growth + slotsSize(slots)) {
-		return state.rejectFull()
+	if state.exceedsMaxBytes(growth + slotsSize(slots)) {
+		return state.rejectStateFull()
 	}
 	state.reserveSlots(resource, slots)
 	state.usedBytes += growth
--- a/internal/coordination/state/resources.go
+++ b/internal/coordination/state/resources.go
@@ -7,20 +7,20 @@
 	"slices"
 )
 
-// Resource is something of which all balancers together may use a limited amount: as leases of units at any moment,
-// or as reserved slots in each second.
+// Resource is a shared resource with a limit for all balancers together. The limit is on leased units or, if PerSecond
+// is set, on reserved slots in each second.
 type Resource struct {
 	Name      string
-	PerSecond bool             // Limit is of the slots in each second, else of the units leased at any moment
-	Limit     int64            // units, or slots in each second
+	PerSecond bool             // Limit applies to reserved slots in each second, else to units leased at the same time
+	Limit     int64            // units, or slots per second
 	leases    map[string]Lease // by holder
-	reserved  map[uint64]int64 // second of the cluster's clock -> reserved slots
+	reserved  map[uint64]int64 // second of the cluster clock -> reserved slots
 }
 
-func newResource(name string, slots bool, limit int64) *Resource {
+func newResource(name string, perSecond bool, limit int64) *Resource {
 	return &Resource{
 		Name:      name,
-		PerSecond: slots,
+		PerSecond: perSecond,
 		Limit:     limit,
 		leases:    map[string]Lease{},
 		reserved:  map[uint64]int64{},
@@ -29,28 +29,28 @@
 
 func (r *Resource) size() int64 { return entryOverhead + textSize(r.Name) }
 
-// inUse reports whether a part of the resource is leased or reserved.
+// inUse reports whether units are leased or slots are reserved.
 func (r *Resource) inUse() bool { return len(r.leases) > 0 || len(r.reserved) > 0 }
 
-// Resources returns all resources, by name. They are the state's own and must not be changed.
+// Resources returns all resources, sorted by name. The caller must not change them.
 func (s *State) Resources() []*Resource {
 	return slices.SortedFunc(maps.Values(s.resources), func(a, b *Resource) int { return cmp.Compare(a.Name, b.Name) })
 }
 
-// leasableResource returns the resource of a name if it is one for leases; else a rejection.
+// leasableResource returns a resource by name, or a rejection if there is no such resource for leases.
 func (s *State) leasableResource(name string) (*Resource, Result) { return s.findResource(name, false) }
 
-// reservableResource returns the resource of a name if it is one for slots; else a rejection.
+// reservableResource returns a resource by name, or a rejection if there is no such resource for reservations.
 func (s *State) reservableResource(name string) (*Resource, Result) {
 	return s.findResource(name, true)
 }
 
-func (s *State) findResource(name string, slots bool) (*Resource, Result) {
+func (s *State) findResource(name string, perSecond bool) (*Resource, Result) {
 	resource, ok := s.resources[name]
 	if !ok {
 		return nil, reject(RejectedNotFound, "there is no bound %s", name)
 	}
-	if resource.PerSecond != slots {
+	if resource.PerSecond != perSecond {
 		return nil, rejectOtherKind(name)
 	}
 	return resource, Result{}
@@ -60,11 +60,12 @@
 	return reject(RejectedInvalid, "the bound %s is of the other kind: slots and leases do not mix", name)
 }
 
-// SetResource creates a resource or changes its limit. A limit of 0 removes it, unless a part of it is leased or
-// reserved. What is leased or reserved above a lowered limit stays until it ends, and nothing is granted before.
+// SetResource creates a resource or changes its limit. A limit of 0 removes the resource, and is rejected while units
+// are leased or slots are reserved. Leases and reservations above a lowered limit stay until they end; until then
+// nothing more is granted.
 type SetResource struct {
 	Name      string
-	PerSecond bool // see Resource
+	PerSecond bool // see Resource; it can't be changed later
 	Limit     int64
 }
 
@@ -100,8 +101,8 @@
 
 func (c *SetResource) create(state *State) Result {
 	resource := newResource(c.Name, c.PerSecond, c.Limit)
-	if state.exceedsCapacity(resource.size()) {
-		return state.rejectFull()
+	if state.exceedsMaxBytes(resource.size()) {
+		return state.rejectStateFull()
 	}
 	state.resources[c.Name] = resource
 	state.usedBytes += resource.size()
--- a/internal/coordination/state/result.go
+++ b/internal/coordination/state/result.go
@@ -5,21 +5,21 @@
 	"fmt"
 )
 
-// Rejection is the reason why a command was rejected. The numbers are sent to clients and never change.
+// Rejection is the reason for which a command was rejected. The numbers are sent to clients and never change.
 type Rejection uint8
 
-// The reasons.
+// Reasons for a rejection.
 const (
 	NotRejected          Rejection = iota
-	RejectedInvalid                // the command itself is wrong
-	RejectedNotFound               // the command names something that does not exist
-	RejectedNoCapacity             // too little of the resource is free
-	RejectedFenced                 // another incarnation of the holder has, or had, the lease or the reservation
-	RejectedStateFull              // the state stores as much as it may: MaxBytes
-	RejectedFeatureLevel           // not all voters know this kind of command yet
+	RejectedInvalid                // the command is invalid, or conflicts with an existing resource or voter
+	RejectedNotFound               // the command names a resource or a voter that does not exist
+	RejectedNoCapacity             // too little of the resource is free, or a resource to remove is in use
+	RejectedFenced                 // the fencing token or the sequence number is not the holder's current one
+	RejectedStateFull              // the state would exceed MaxBytes
+	RejectedFeatureLevel           // the kind of command is above the cluster's feature level
 )
 
-// The errors that a RejectionError matches by errors.Is, one for each reason.
+// Errors that a RejectionError matches by errors.Is, one for each reason.
 var (
 	ErrInvalid      = errors.New("the command is invalid")
 	ErrNotFound     = errors.New("not found")
@@ -29,7 +29,7 @@
 	ErrFeatureLevel = errors.New("not all voters know this kind of command")
 )
 
-// sentinel returns the error that stands for a reason; nil for NotRejected and for a reason of a newer version.
+// sentinel returns the error of a reason. It is nil for NotRejected and for a reason that this version does not know.
 func (r Rejection) sentinel() error {
 	switch r {
 	case RejectedInvalid:
@@ -48,11 +48,11 @@
 	return nil
 }
 
-// RejectionError says that a command was rejected: it is certain that it changed nothing. By errors.Is it matches the
-// error of its reason, such as ErrNoCapacity.
+// RejectionError reports that a command was rejected and certainly changed no entry. It matches the error of its
+// reason by errors.Is, for example ErrNoCapacity.
 type RejectionError struct {
 	Rejection Rejection
-	Message   string // for people
+	Message   string // human-readable
 }
 
 func (e *RejectionError) Error() string { return "refused: " + e.Message }
@@ -63,15 +63,15 @@
 // Result is the answer to a command.
 type Result struct {
 	Rejection    Rejection      // NotRejected: the command was applied
-	Message      string         // for people, if it was rejected
-	Revision     uint64         // of the state with the command applied
-	Clock        uint64         // the cluster's clock, in ms
-	FencingToken uint64         // of the lease that was granted
-	Free         int64          // units of the resource that are not leased
-	Reserved     []ReservedSlot // slots that were reserved
+	Message      string         // human-readable reason of a rejection
+	Revision     uint64         // of the state after the command
+	Clock        uint64         // cluster clock, in ms
+	FencingToken uint64         // of the lease that AcquireLease granted or renewed
+	Free         int64          // units that are not leased, for commands about leases
+	Reserved     []ReservedSlot // slots that Reserve granted
 }
 
-// OK reports whether the command was applied.
+// OK reports whether the command was not rejected.
 func (r Result) OK() bool { return r.Rejection == NotRejected }
 
 // Err returns a *RejectionError if the command was rejected, else nil.
@@ -82,9 +82,9 @@
 	return &RejectionError{Rejection: r.Rejection, Message: r.Message}
 }
 
-// reject returns the result of a command that was rejected, with a message for people. Callers and operators see the
-// messages, so their words stay as they are: a bound is a resource, a part a unit, a place a slot, a fence a fencing
-// token, a word an override, a promise a grant, the ledger the coordination cluster.
+// reject returns the result of a rejected command, with a human-readable message. Messages are sent to clients and
+// shown to operators, so they keep the terms of the command line: bound (resource), part (unit), place (slot), fence
+// (fencing token), word (override), promise (grant) and ledger (the coordination cluster and its state).
 func reject(reason Rejection, format string, values ...any) Result {
 	return Result{Rejection: reason, Message: fmt.Sprintf(format, values...)}
 }
--- a/internal/coordination/state/result_test.go
+++ b/internal/coordination/state/result_test.go
@@ -7,9 +7,9 @@
 	"time"
 )
 
-// rejections has a command for each reason of a rejection. It is applied to a state in which n1 has a lease of 6 of 10
-// connections.
-var rejections = []struct {
+// rejectionCases has a command for each reason for a rejection. The commands are applied to a state in which n1 leases
+// 6 of 10 connections.
+var rejectionCases = []struct {
 	name      string
 	prepare   func(*State)
 	command   Command
@@ -68,7 +68,7 @@
 // TestRejectionError states the error and the text that each reason of a rejection comes with.
 func TestRejectionError(t *testing.T) {
 	sentinels := []error{ErrInvalid, ErrNotFound, ErrNoCapacity, ErrFenced, ErrStateFull, ErrFeatureLevel}
-	for _, test := range rejections {
+	for _, test := range rejectionCases {
 		t.Run(test.name, func(t *testing.T) {
 			s := NewState()
 			mustApply(t, s, &SetResource{Name: "connections", Limit: 10})
--- a/internal/coordination/state/state.go
+++ b/internal/coordination/state/state.go
@@ -1,14 +1,14 @@
-// Package state is the replicated state machine of the coordination cluster. It decides which grants balancers get:
-// overrides of upstreams, zones and pools that operators have set, leases on parts of shared resources, and
-// reservations of slots in seconds to come, at which rejected clients were told to return. It also stores who the
-// cluster's members are.
+// Package state is the replicated state machine of the coordination cluster. It stores the grants to balancers and
+// the members of the cluster. Grants are overrides of upstreams, zones and pools that operators have set, leases on
+// units of shared resources, and reservations of slots in future seconds, at which rejected clients were told to
+// return. Coordination servers and their clients apply the commands of the Raft log to their copies of the state.
 //
-// The package has no I/O, clock or goroutine. A State is a function of the commands that were applied to it, in
-// order, so all copies agree.
+// The package does no I/O, reads no clock and starts no goroutines. The state depends only on the applied commands,
+// their revisions and clock values, so all copies that apply the same log are equal.
 //
-// Time is the cluster's clock: milliseconds that leaders count on their monotonic clocks and write into the commands.
-// It never runs ahead of real time, except for the drift of one clock, and stands still while there is no leader. So
-// no grant ends early.
+// Time is the cluster clock: milliseconds that the leader counts on its monotonic clock and writes into log entries.
+// The cluster clock never runs ahead of real time by more than the drift of the leader's clock, and stops while there
+// is no leader. Therefore no grant ends early.
 package state
 
 import (
@@ -17,23 +17,23 @@
 	"time"
 )
 
-// State is a copy of the coordination cluster's state. It is not safe for concurrent use.
+// State is one copy of the coordination cluster's state. It is not safe for concurrent use.
 type State struct {
-	clock             uint64 // of the cluster, in ms
+	clock             uint64 // cluster clock, in ms
 	revision          uint64
-	featureLevel      uint32 // commands up to this level may be applied
+	featureLevel      uint32 // commands above this level are rejected
 	overrides         map[Subject]Override
 	resources         map[string]*Resource   // by name
 	reservations      map[string]reservation // by reservationKey
-	admittedVoters    map[string]string      // name -> address of the servers that may vote
+	admittedVoters    map[string]string      // name -> address of servers that may vote
 	members           map[uint64]Member      // by id
-	usedBytes         int64                  // estimated
-	nextExpiry        uint64                 // no entry ends before it, in ms of the clock
+	usedBytes         int64                  // estimate, see limits.go
+	nextExpiry        uint64                 // no entry expires before this cluster clock, in ms
 	overridesRevision uint64
 }
 
 const (
-	// never is a moment of the cluster's clock that does not come.
+	// never is a cluster clock value that is never reached.
 	never = math.MaxUint64
 
 	millisPerSecond = 1000
@@ -52,26 +52,27 @@
 	}
 }
 
-// Clock returns the cluster's clock, in ms.
+// Clock returns the cluster clock, in ms.
 func (s *State) Clock() uint64 { return s.clock }
 
-// Revision returns the number of the last command that was applied.
+// Revision returns the revision of the last command, whether it was applied or rejected.
 func (s *State) Revision() uint64 { return s.revision }
 
-// FeatureLevel returns the highest level of commands that may be applied.
+// FeatureLevel returns the cluster's feature level. Commands above it are rejected.
 func (s *State) FeatureLevel() uint32 { return s.featureLevel }
 
-// UsedBytes returns the size of the state by a fixed estimate, in bytes. It is at most MaxBytes.
+// UsedBytes returns the estimated size of the state, in bytes. Members and admitted voters are not counted. Commands
+// keep it at or below MaxBytes.
 func (s *State) UsedBytes() int64 { return s.usedBytes }
 
-// NextExpiry returns a moment of the cluster's clock, in ms, before which no entry ends; math.MaxUint64: none will
-// end.
+// NextExpiry returns a cluster clock value, in ms, before which no entry expires. It is math.MaxUint64 if no entry
+// expires.
 func (s *State) NextExpiry() uint64 { return s.nextExpiry }
 
-// Apply applies a command under its revision, at a moment of the cluster's clock in ms. Commands have to be applied
-// in the order of their revisions. A rejected command changes the clock and the revision, and so what ends by the
-// clock, but nothing else. The error says that this version must not go on: the cluster's feature level is above
-// NewestFeatureLevel.
+// Apply sets the revision, advances the cluster clock to clock, in ms, removes expired entries and applies a command.
+// Commands must be applied in the order of their revisions. A rejected command still advances the clock and the
+// revision and removes expired entries, but changes nothing else. Apply returns an error if the cluster's feature
+// level is above NewestFeatureLevel; a coordination server must stop then.
 func (s *State) Apply(revision, clock uint64, command Command) (Result, error) {
 	s.clock = max(s.clock, clock)
 	s.revision = revision
@@ -80,7 +81,7 @@
 	result.Revision = s.revision
 	result.Clock = s.clock
 	if s.featureLevel > NewestFeatureLevel {
-		const format = "the ledger is at level %d, and this version knows %d: a newer one is wanted"
+		const format = "the state is at feature level %d, but this version supports at most %d: a newer version is required"
 		return result, fmt.Errorf(format, s.featureLevel, NewestFeatureLevel)
 	}
 	return result, nil
@@ -97,7 +98,7 @@
 	return command.apply(s)
 }
 
-// expire removes the entries that have ended and determines nextExpiry anew.
+// expire removes expired entries and recalculates nextExpiry.
 func (s *State) expire() {
 	if s.clock < s.nextExpiry {
 		return
@@ -114,8 +115,8 @@
 func (s *State) expireOverrides() {
 	for subject, override := range s.overrides {
 		switch {
-		case override.Until == 0: // it lasts until it is cleared
-		case s.hasEnded(override.Until):
+		case override.Until == 0: // no end: kept until cleared
+		case s.hasExpired(override.Until):
 			s.removeOverride(subject)
 		default:
 			s.scheduleExpiry(override.Until)
@@ -125,7 +126,7 @@
 
 func (s *State) expireLeases(resource *Resource) {
 	for holder, lease := range resource.leases {
-		if s.hasEnded(lease.Until) {
+		if s.hasExpired(lease.Until) {
 			s.removeLease(resource, holder)
 		} else {
 			s.scheduleExpiry(lease.Until)
@@ -136,7 +137,7 @@
 func (s *State) expireSlots(resource *Resource) {
 	for second := range resource.reserved {
 		end := endOfSecond(second)
-		if s.hasEnded(end) {
+		if s.hasExpired(end) {
 			delete(resource.reserved, second)
 			s.usedBytes -= slotOverhead
 		} else {
@@ -147,7 +148,7 @@
 
 func (s *State) expireReservations() {
 	for key, reservation := range s.reservations {
-		if s.hasEnded(reservation.until) {
+		if s.hasExpired(reservation.until) {
 			s.usedBytes -= reservation.size()
 			delete(s.reservations, key)
 		} else {
@@ -156,20 +157,20 @@
 	}
 }
 
-// hasEnded reports whether a moment of the cluster's clock, in ms, has come.
-func (s *State) hasEnded(until uint64) bool { return until <= s.clock }
+// hasExpired reports whether an entry whose end is until, in ms of the cluster clock, has expired.
+func (s *State) hasExpired(until uint64) bool { return until <= s.clock }
 
-// scheduleExpiry makes expire look at all entries when the clock reaches a moment, in ms, or earlier.
+// scheduleExpiry makes expire check all entries no later than when the cluster clock reaches at, in ms.
 func (s *State) scheduleExpiry(at uint64) { s.nextExpiry = min(s.nextExpiry, at) }
 
-// deadline returns the moment of the cluster's clock, in ms, that is a duration from now. A part of a millisecond
-// counts as a full one.
-func (s *State) deadline(duration time.Duration) uint64 {
+// expiryAfter returns the cluster clock, in ms, at which a grant that starts now and lasts for duration ends. It rounds
+// up to a full millisecond.
+func (s *State) expiryAfter(duration time.Duration) uint64 {
 	return s.clock + uint64((duration+time.Millisecond-1)/time.Millisecond)
 }
 
-// endOfSecond returns when a second of the cluster's clock is over, in ms. Far beyond any real clock it is limited
-// so that it does not overflow.
+// endOfSecond returns the cluster clock, in ms, at which a second of that clock ends. It caps the result so that very
+// large seconds, which a malformed snapshot may hold, do not overflow.
 func endOfSecond(second uint64) uint64 {
 	const last = never/millisPerSecond - 1
 	return (min(second, last) + 1) * millisPerSecond
--- a/internal/coordination/state/validate.go
+++ b/internal/coordination/state/validate.go
@@ -7,8 +7,8 @@
 	"unicode"
 )
 
-// checkName returns an error unless text is fit for a name, an id or an address: 1 to MaxName bytes without spaces
-// and characters that can't be shown. Subject says in the error what the text is.
+// checkName returns an error unless text is a valid name, id or address: 1 to MaxName bytes without spaces, control
+// characters and invalid UTF-8. The error begins with subject, which names the checked field.
 func checkName(subject, text string) error {
 	if text == "" || len(text) > MaxName {
 		return fmt.Errorf("%s: 1 to %d bytes are wanted", subject, MaxName)
@@ -23,7 +23,8 @@
 	return unicode.IsSpace(r) || unicode.IsControl(r) || r == unicode.ReplacementChar
 }
 
-// checkCount returns an error unless count, of units or slots, is from 1 to MaxResourceLimit.
+// checkCount returns an error unless count, a number of units or slots, is from 1 to MaxResourceLimit. The error begins
+// with subject, which names the checked field.
 func checkCount(subject string, count int64) error {
 	if count < 1 || count > MaxResourceLimit {
 		return fmt.Errorf("%s: from 1 to %d", subject, int64(MaxResourceLimit))
