--- a/internal/coordination/membership/bootstrap_test.go
+++ b/internal/coordination/membership/bootstrap_test.go
@@ -21,10 +21,10 @@
 	self        string
 	reports     map[string]VoterReport
 	wantMembers []state.Member
-	wantReason  string // a part of it
+	wantReason  string // substring of the reason; empty: no reason
 }{
 	{
-		name:    "first of three",
+		name:    "first by name, and all have reported",
 		self:    "a",
 		reports: map[string]VoterReport{"a": reportA, "b": reportB, "c": reportC},
 		wantMembers: []state.Member{
@@ -60,7 +60,7 @@
 		wantReason: "there is d",
 	},
 	{
-		name:       "two with one id",
+		name:       "two voters with the same id",
 		self:       "a",
 		reports:    map[string]VoterReport{"a": reportA, "b": reportB, "c": {Name: "c", ID: 2, Level: 1}},
 		wantReason: "one member: a folder was copied",
--- a/internal/coordination/membership/change_test.go
+++ b/internal/coordination/membership/change_test.go
@@ -11,8 +11,8 @@
 
 var testTimeouts = Timeouts{ReplaceAfter: 10 * time.Second, LearnerIdle: time.Minute}
 
-// viewOfFive is the view of the leader a of five voters, a to e with the ids 1 to 5, that are all alive. A peer with
-// the id of one of them takes its place; the others are members beside them.
+// viewOfFive returns the view of leader a in a cluster of five live voters, a to e, with the ids 1 to 5. Each of peers
+// replaces the voter with its id, or is a further member if there is none.
 func viewOfFive(peers ...Peer) View {
 	view := View{Self: 1, Admitted: map[string]string{}, CommitIndex: 1000, FeatureLevel: 1}
 	for i, name := range []string{"a", "b", "c", "d", "e"} {
@@ -30,7 +30,7 @@
 	return view
 }
 
-// voter is a voter that is alive and has the full log.
+// voter returns a voter that is alive and has the complete log.
 func voter(id uint64, name string) Peer {
 	member := state.Member{ID: id, Name: name}
 	return Peer{Member: member, SinceAdded: time.Hour, MatchIndex: 1000, Level: 1}
@@ -42,14 +42,14 @@
 	return peer
 }
 
-// newerVoter is a voter whose version knows level 2.
+// newerVoter returns a voter whose version knows feature level 2.
 func newerVoter(id uint64, name string) Peer {
 	peer := voter(id, name)
 	peer.Level = 2
 	return peer
 }
 
-// The member 22 is another incarnation of the voter b: first a process that wants to join, then a learner.
+// Member 22 is a new incarnation of voter b: joiningB as a process that wants to join, learnerB as a learner.
 var (
 	joiningB       = JoiningVoter{VoterReport: VoterReport{Name: "b", ID: 22, Level: 1}, Address: "addr"}
 	learnerMemberB = state.Member{ID: 22, Name: "b", Learner: true}
@@ -65,31 +65,31 @@
 	name         string
 	peers        []Peer // see viewOfFive
 	joining      []JoiningVoter
-	admitted     string // a name that may vote beside a to e
-	notAdmitted  string // one of a to e that may not vote any more
-	changing     bool
-	featureLevel uint32 // 0: 1
+	admitted     string // admitted in addition to a to e; empty: none
+	notAdmitted  string // one of a to e that is no longer admitted; empty: none
+	changing     bool   // a change is in progress
+	featureLevel uint32 // the cluster's feature level; 0 stands for 1
 	want         Change
-	wantReason   string // a part of why the joining member 22 has to wait; empty: it does not
+	wantReason   string // substring of the reason why joining voter 22 has to wait; empty: no reason
 }
 
 var replacementCases = []changeCase{
 	{
-		name: "nothing to do",
+		name: "no change is needed",
 	},
 	{
-		name:       "the voter of the name is alive: a second process of the name",
+		name:       "another process joins with the name of a live voter",
 		joining:    []JoiningVoter{joiningB},
 		wantReason: "has been silent for",
 	},
 	{
-		name:    "the voter of the name has been silent for long",
+		name:    "the voter with the name of the joining one has been silent for long",
 		peers:   []Peer{silentVoter(2, "b")},
 		joining: []JoiningVoter{joiningB},
 		want:    addLearnerB,
 	},
 	{
-		name: "a new leader has not heard anybody yet",
+		name: "a new leader has not received a message from the voter yet",
 		peers: []Peer{{
 			Member:       state.Member{ID: 2, Name: "b"},
 			SinceContact: time.Hour,
@@ -114,7 +114,7 @@
 		want:    addLearnerB,
 	},
 	{
-		name: "declared lost, and alive",
+		name: "declared lost, but alive",
 		peers: []Peer{{
 			Member:       state.Member{ID: 2, Name: "b"},
 			SinceAdded:   time.Hour,
@@ -131,14 +131,14 @@
 		wantReason: "no voter x is wanted",
 	},
 	{
-		name:         "a version below the feature level",
+		name:         "the version of the joining voter is below the feature level",
 		peers:        []Peer{silentVoter(2, "b")},
 		joining:      []JoiningVoter{joiningB},
 		featureLevel: 2,
 		wantReason:   "knows level 1",
 	},
 	{
-		name: "another is joining",
+		name: "a learner with another name exists",
 		peers: []Peer{
 			silentVoter(2, "b"),
 			{Member: state.Member{ID: 33, Name: "c", Learner: true}, SinceAdded: time.Hour},
@@ -150,12 +150,12 @@
 
 var learnerCases = []changeCase{
 	{
-		name:  "it has caught up",
+		name:  "the learner has caught up",
 		peers: []Peer{silentVoter(2, "b"), learnerB},
 		want:  Change{Kind: ReplaceVoter, Member: learnerMemberB, ReplacedID: 2},
 	},
 	{
-		name:  "it has not caught up",
+		name:  "the learner has not caught up",
 		peers: []Peer{silentVoter(2, "b"), {Member: learnerMemberB, SinceAdded: time.Hour, MatchIndex: 500, Level: 1}},
 	},
 	{
@@ -164,11 +164,11 @@
 		changing: true,
 	},
 	{
-		name:  "no quorum is alive to agree",
+		name:  "no quorum is alive",
 		peers: []Peer{silentVoter(2, "b"), silentVoter(3, "c"), silentVoter(4, "d"), learnerB},
 	},
 	{
-		name: "its disk is lost again",
+		name: "the learner has lost its disk again",
 		peers: []Peer{{
 			Member:       learnerMemberB,
 			SinceContact: 5 * time.Second,
@@ -180,29 +180,29 @@
 		want:    Change{Kind: RemoveMember, ReplacedID: 22},
 	},
 	{
-		name:  "it has just been added and has not been heard yet",
+		name:  "the leader has just added the learner and received no message from it yet",
 		peers: []Peer{{Member: learnerMemberB, SinceContact: time.Hour, SinceAdded: time.Second, Level: 1}},
 	},
 }
 
 var admissionCases = []changeCase{
 	{
-		name:        "not admitted any more",
+		name:        "a voter is no longer admitted",
 		notAdmitted: "c",
 		want:        Change{Kind: RemoveMember, ReplacedID: 3},
 	},
 	{
-		name:        "the leader is not admitted any more",
+		name:        "the leader is no longer admitted",
 		notAdmitted: "a",
 		want:        Change{Kind: TransferLeadership, Member: state.Member{ID: 2, Name: "b"}},
 	},
 	{
-		name:        "not admitted any more, and no quorum of the others is alive",
+		name:        "a voter is no longer admitted, but no quorum of the others is alive",
 		peers:       []Peer{silentVoter(2, "b"), silentVoter(4, "d"), silentVoter(5, "e")},
 		notAdmitted: "c",
 	},
 	{
-		name:     "a sixth is admitted",
+		name:     "a sixth voter is admitted",
 		joining:  []JoiningVoter{{VoterReport: VoterReport{Name: "f", ID: 22, Level: 1}, Address: "addr"}},
 		admitted: "f",
 		want: Change{
@@ -211,7 +211,7 @@
 		},
 	},
 	{
-		name: "all know a higher level",
+		name: "all members know a higher feature level",
 		peers: []Peer{
 			newerVoter(1, "a"),
 			newerVoter(2, "b"),
@@ -222,7 +222,7 @@
 		want: Change{Kind: RaiseFeatureLevel, Level: 2},
 	},
 	{
-		name: "one does not know the higher level",
+		name: "one member does not know the higher feature level",
 		peers: []Peer{
 			newerVoter(1, "a"),
 			newerVoter(2, "b"),
--- a/internal/coordination/membership/quorum_test.go
+++ b/internal/coordination/membership/quorum_test.go
@@ -8,8 +8,8 @@
 	"olivearch/internal/coordination/state"
 )
 
-// TestChangesKeepQuorum: whatever the leader knows, a change that takes a vote away leaves a majority of the voters
-// before and after it alive, and no two voters ever have one name.
+// TestChangesKeepQuorum checks with random views that a majority of the voters is alive after each change of the
+// voters, and also before a replacement, and that no two voters have the same name.
 func TestChangesKeepQuorum(t *testing.T) {
 	rng := rand.New(rand.NewPCG(4, 4))
 	countByKind := map[ChangeKind]int{}
@@ -20,11 +20,12 @@
 		checkVotersAfter(t, view, change)
 	}
 	if countByKind[ReplaceVoter] == 0 || countByKind[RemoveMember] == 0 {
-		t.Errorf("some kinds were not drawn: %v", countByKind)
+		t.Errorf("no voter was replaced, or no member removed: %v", countByKind)
 	}
 }
 
-// randomView draws how long each of five voters is silent, and at times a learner and a voter that is not admitted.
+// randomView returns a view of five voters that have been silent for random times. Some views have a learner, and in
+// some a voter is not admitted.
 func randomView(rng *rand.Rand) View {
 	silences := []time.Duration{0, time.Second, 3 * time.Second, 20 * time.Second, time.Hour}
 	view := viewOfFive()
@@ -48,7 +49,8 @@
 	return view
 }
 
-// checkVotersAfter checks the names of the voters after a change and, if it changes them, that a majority is alive.
+// checkVotersAfter checks that the voters after a change have distinct names and, if the change affects them, that a
+// majority is alive.
 func checkVotersAfter(t *testing.T, view View, change Change) {
 	t.Helper()
 	before := view.voters()
@@ -73,7 +75,7 @@
 	}
 }
 
-// votersAfter returns who votes once a change is made.
+// votersAfter returns the voters after a change.
 func votersAfter(view View, change Change) []Peer {
 	givesVote := change.Kind == ReplaceVoter || change.Kind == PromoteLearner
 	var voters []Peer
--- a/internal/coordination/state/codec_commands.go
+++ b/internal/coordination/state/codec_commands.go
@@ -14,7 +14,7 @@
 // a number is never reused for another field. A decoder skips unknown fields; an unknown kind of command is an error.
 
 // ErrUnknownKind reports a command of a kind that this version does not know. Its text is sent to clients and keeps
-// the terms of the command line, see reject.
+// its terms, see reject.
 var ErrUnknownKind = errors.New("a kind of promise that this version does not know")
 
 // commandCodec encodes and decodes the fields of a command.
--- a/internal/coordination/state/codec_test.go
+++ b/internal/coordination/state/codec_test.go
@@ -7,8 +7,8 @@
 	"time"
 )
 
-// FuzzDecode: what can be read as an envelope or a snapshot is the same after it was written and read again, and the
-// next command can be applied.
+// FuzzDecode checks that a decoded envelope or snapshot is unchanged after it is encoded and decoded again. It also
+// checks that the command of the envelope, or a command after the snapshot, can be applied.
 func FuzzDecode(f *testing.F) {
 	s := NewState()
 	for i, command := range []Command{
@@ -36,12 +36,12 @@
 	}
 	again, err := DecodeEnvelope(envelope.Encode())
 	if err != nil || fmt.Sprintf("%+v", again.Command) != fmt.Sprintf("%+v", envelope.Command) {
-		t.Fatalf("%+v came back as %+v: %v", envelope.Command, again.Command, err)
+		t.Fatalf("%+v was decoded as %+v: %v", envelope.Command, again.Command, err)
 	}
 	s := NewState()
 	_, err = s.Apply(1, envelope.Clock, envelope.Command)
 	if err != nil && s.FeatureLevel() <= NewestFeatureLevel {
-		t.Fatalf("%+v is not applied: %v", envelope.Command, err)
+		t.Fatalf("apply %+v: %v", envelope.Command, err)
 	}
 }
 
@@ -49,16 +49,16 @@
 	s, err := DecodeState(encoded)
 	if err != nil {
 		if err.Error() == "" {
-			t.Fatal("an error without a text")
+			t.Fatal("the error has no text")
 		}
 		return
 	}
 	again, err := DecodeState(s.Encode())
 	if err != nil || !bytes.Equal(again.Encode(), s.Encode()) || again.UsedBytes() != s.UsedBytes() {
-		t.Fatalf("it does not come back: %v", err)
+		t.Fatalf("the snapshot changed when it was decoded and encoded again: %v", err)
 	}
 	_, err = s.Apply(s.Revision()+1, s.Clock()+1, &AdvanceClock{})
 	if err != nil && s.FeatureLevel() <= NewestFeatureLevel {
-		t.Fatalf("the clock does not advance: %v", err)
+		t.Fatalf("apply a command after the snapshot: %v", err)
 	}
 }
--- a/internal/coordination/state/commands_test.go
+++ b/internal/coordination/state/commands_test.go
@@ -18,7 +18,7 @@
 		name    string
 		command Command
 	}{
-		{"override by nobody", &SetOverride{Subject: upstreamA}},
+		{"override without the name of an operator", &SetOverride{Subject: upstreamA}},
 		{"out of service with a value", &SetOverride{Subject: upstreamA, By: "x", Value: 1}},
 		{"cap of 0", &SetOverride{Subject: capOfA, By: "x"}},
 		{"share over 1,000", &SetOverride{Subject: trafficShareOfA, By: "x", Value: 1001}},
@@ -29,17 +29,17 @@
 		{"negative duration", &SetOverride{Subject: upstreamA, By: "x", Duration: -1}},
 		{"lease of no units", &AcquireLease{Resource: "b", Holder: "x", Units: 0, Duration: time.Second}},
 		{"lease without a duration", &AcquireLease{Resource: "b", Holder: "x", Units: 1}},
-		{"lease of slots", &AcquireLease{Resource: "p", Holder: "x", Units: 1, Duration: time.Second}},
-		{"slots of a resource for leases", &Reserve{Resource: "b", Holder: "x", Sequence: 1, Slots: 1}},
-		{"reservation without a number", &Reserve{Resource: "p", Holder: "x", Slots: 1}},
+		{"lease of a resource for slots", &AcquireLease{Resource: "p", Holder: "x", Units: 1, Duration: time.Second}},
+		{"reservation of a resource for leases", &Reserve{Resource: "b", Holder: "x", Sequence: 1, Slots: 1}},
+		{"reservation without a sequence number", &Reserve{Resource: "p", Holder: "x", Slots: 1}},
 		{
 			"reservation whose end is before its start",
 			&Reserve{Resource: "p", Holder: "x", Sequence: 1, Slots: 1, After: 3, Within: 2},
 		},
-		{"resource of the other kind", &SetResource{Name: "b", PerSecond: true, Limit: 1}},
+		{"resource for leases changed to one for slots", &SetResource{Name: "b", PerSecond: true, Limit: 1}},
 		{"resource without a name", &SetResource{Name: "", Limit: 1}},
 		{"voter that is not admitted", &RemoveVoter{"x"}},
-		{"release without a token", &ReleaseLease{Resource: "b", Holder: "x"}},
+		{"release without a fencing token", &ReleaseLease{Resource: "b", Holder: "x"}},
 	}
 	s := NewState()
 	mustApply(t, s, &SetResource{Name: "b", Limit: 10})
@@ -61,7 +61,7 @@
 func TestUnknownFeatureLevel(t *testing.T) {
 	s := NewState()
 	if _, err := s.Apply(1, 1, &RaiseFeatureLevel{To: NewestFeatureLevel + 1}); err == nil {
-		t.Error("a state of an unknown level is applied further")
+		t.Error("no error for a feature level that this version does not know")
 	}
 }
 
--- a/internal/coordination/state/example_test.go
+++ b/internal/coordination/state/example_test.go
@@ -8,7 +8,7 @@
 	"olivearch/internal/coordination/state"
 )
 
-// Two balancers lease parts of one resource. All copies of the state that apply the same commands come to the same
+// Two balancers lease units of one resource. All copies of the state that apply the same commands return the same
 // results.
 func ExampleState() {
 	s := state.NewState()
--- a/internal/coordination/state/golden_test.go
+++ b/internal/coordination/state/golden_test.go
@@ -11,7 +11,7 @@
 	"olivearch/internal/golden"
 )
 
-// everyCommand is one command of each kind, in the order of their numbers, with all fields set.
+// everyCommand returns one command of each kind, in the order of their numbers, with all fields set.
 func everyCommand() []Command {
 	subject := Subject{ConcurrencyCap, ScopeUpstream, "s-1"}
 	return []Command{
@@ -30,7 +30,7 @@
 	}
 }
 
-// sampleState is a state with an entry of each kind.
+// sampleState returns a state with entries of each kind.
 func sampleState(t *testing.T) *State {
 	t.Helper()
 	s := NewState()
@@ -54,7 +54,7 @@
 	return s
 }
 
-// TestGoldenCommands pins the bytes of each kind of command, as they stand in logs on disks.
+// TestGoldenCommands pins the encoding of each kind of command in log entries, which other versions read from disks.
 func TestGoldenCommands(t *testing.T) {
 	var text strings.Builder
 	for _, c := range everyCommand() {
@@ -62,22 +62,22 @@
 		fmt.Fprintf(&text, "%d %x\n", c.number(), encoded)
 		decoded, err := DecodeEnvelope(encoded)
 		if err != nil || decoded.ID != 77 || decoded.Clock != 1234 || !reflect.DeepEqual(decoded.Command, c) {
-			t.Errorf("command %d: read again as %+v, %v", c.number(), decoded.Command, err)
+			t.Errorf("command %d: decoded as %+v, %v", c.number(), decoded.Command, err)
 		}
 	}
 	stored := 0
 	for _, construct := range commandKinds {
-		if construct().level() == 1 { // builds with the tag nextlevel know a kind more, which no log holds
+		if construct().level() == 1 { // leaves out the additional kind of builds with the tag nextlevel
 			stored++
 		}
 	}
 	if count := len(everyCommand()); count != stored {
-		t.Errorf("%d kinds are pinned of %d", count, stored)
+		t.Errorf("%d of %d kinds of commands are pinned", count, stored)
 	}
 	golden.Compare(t, "commands.txt", text.String())
 }
 
-// TestGoldenState pins the bytes of a snapshot and that one written by an earlier version is read to the same state.
+// TestGoldenState pins the encoding of a snapshot, and checks that the decoded snapshot is the same state.
 func TestGoldenState(t *testing.T) {
 	s := sampleState(t)
 	encoded := s.Encode()
@@ -87,15 +87,15 @@
 		t.Fatal(err)
 	}
 	if got := hex.EncodeToString(again.Encode()); got != hex.EncodeToString(encoded) {
-		t.Errorf("read and written again: %s", got)
+		t.Errorf("decoded and encoded again: %s", got)
 	}
 	overrides, resources, members := len(again.Overrides()), len(again.Resources()), len(again.Members())
 	if overrides != 3 || resources != 2 || members != 2 || again.Clock() != s.Clock() {
-		t.Errorf("%d overrides, %d bounds, %d members, clock %d", overrides, resources, members, again.Clock())
+		t.Errorf("%d overrides, %d resources, %d members, clock %d", overrides, resources, members, again.Clock())
 	}
 }
 
-// TestGoldenNames pins the names of kinds and scopes in commands and views.
+// TestGoldenNames pins the names and numbers of kinds and scopes, and the numbers of rejections.
 func TestGoldenNames(t *testing.T) {
 	var text strings.Builder
 	for _, kind := range []OverrideKind{OutOfService, ConcurrencyCap, TrafficShare} {
--- a/internal/coordination/state/leases.go
+++ b/internal/coordination/state/leases.go
@@ -99,7 +99,7 @@
 }
 
 // checkFencing rejects a command whose fencing token is not the token of the holder's current lease. A different token
-// comes from another incarnation of the holder, while the incarnation with the lease may use it until it ends.
+// comes from another incarnation of the holder; the incarnation that has the lease may use it until it ends.
 func (c *AcquireLease) checkFencing(state *State, current Lease, exists bool) Result {
 	switch {
 	case exists && c.FencingToken != current.FencingToken:
--- a/internal/coordination/state/leases_test.go
+++ b/internal/coordination/state/leases_test.go
@@ -16,7 +16,7 @@
 			FencingToken: fencingToken,
 		})
 	}
-	wantRejection(t, "no resource", acquire("x", 1, 0), ErrNotFound)
+	wantRejection(t, "resource that does not exist", acquire("x", 1, 0), ErrNotFound)
 	mustApply(t, s, &SetResource{Name: "b", Limit: 10})
 
 	granted := acquire("x", 6, 0)
@@ -25,20 +25,20 @@
 	if tooMany.Free != 4 {
 		t.Errorf("over the limit: %d units are free, want 4", tooMany.Free)
 	}
-	wantRejection(t, "another incarnation takes over at once", acquire("x", 6, 0), ErrFenced)
+	wantRejection(t, "lease of another incarnation that has not ended", acquire("x", 6, 0), ErrFenced)
 	renewed := acquire("x", 7, granted.FencingToken)
 	if !renewed.OK() || renewed.FencingToken != granted.FencingToken || renewed.Free != 3 {
 		t.Errorf("renewing: %+v", renewed)
 	}
 	release := &ReleaseLease{Resource: "b", Holder: "x", FencingToken: granted.FencingToken + 1}
-	wantRejection(t, "released under another token", apply(t, s, release), ErrFenced)
+	wantRejection(t, "released under another fencing token", apply(t, s, release), ErrFenced)
 
 	for range 10 {
 		mustApply(t, s, &AdvanceClock{})
 	}
 	wantRejection(t, "renewed after its end", acquire("x", 7, granted.FencingToken), ErrFenced)
 	if next := acquire("y", 10, 0); !next.OK() || next.FencingToken <= granted.FencingToken {
-		t.Errorf("the next lease: %+v after %+v", next, granted)
+		t.Errorf("lease of the next holder: %+v after %+v", next, granted)
 	}
 
 	wantRejection(t, "removed while leased", apply(t, s, &SetResource{Name: "b", Limit: 0}), ErrNoCapacity)
--- a/internal/coordination/state/limits_test.go
+++ b/internal/coordination/state/limits_test.go
@@ -6,7 +6,8 @@
 	"testing"
 )
 
-// TestFullStateRejectsNewEntries: what does not fit is rejected, and what is stored stays.
+// TestFullStateRejectsNewEntries checks that a full state rejects new entries, keeps all stored ones, and accepts new
+// entries once there is room.
 func TestFullStateRejectsNewEntries(t *testing.T) {
 	s := NewState()
 	outOfService := func(target, reason string) *SetOverride {
@@ -20,19 +21,19 @@
 		stored++
 		result = apply(t, s, outOfService(fmt.Sprint("u", stored), longest))
 	}
-	wantRejection(t, "one too many", result, ErrStateFull)
+	wantRejection(t, "override that does not fit", result, ErrStateFull)
 	if stored < 4000 || len(s.Overrides()) != stored || s.UsedBytes() > MaxBytes {
-		t.Errorf("%d overrides of %d, %d bytes", len(s.Overrides()), stored, s.UsedBytes())
+		t.Errorf("%d overrides are stored, %d were accepted, %d bytes are used", len(s.Overrides()), stored, s.UsedBytes())
 	}
 
 	if result := apply(t, s, outOfService("u0", "")); !result.OK() {
-		t.Errorf("a shorter one in the place of another: %+v", result)
+		t.Errorf("replacing an override by a shorter one: %+v", result)
 	}
 	clearOverride := &ClearOverride{Subject: Subject{OutOfService, ScopeUpstream, "u1"}, By: "x"}
 	if result := apply(t, s, clearOverride); !result.OK() {
-		t.Errorf("clearing one: %+v", result)
+		t.Errorf("clearing an override: %+v", result)
 	}
 	if result := apply(t, s, outOfService("new", "")); !result.OK() {
-		t.Errorf("there is room again: %+v", result)
+		t.Errorf("new override once there is room: %+v", result)
 	}
 }
--- a/internal/coordination/state/model_test.go
+++ b/internal/coordination/state/model_test.go
@@ -9,7 +9,7 @@
 	"pgregory.net/rapid"
 )
 
-// commandGenerator draws a command, often about the same few things.
+// commandGenerator returns a generator of commands. It uses few names, so that commands often concern the same entry.
 func commandGenerator() *rapid.Generator[Command] {
 	name := rapid.SampledFrom([]string{"a", "b", "c"})
 	subject := rapid.Custom(func(t *rapid.T) Subject {
@@ -64,22 +64,22 @@
 	})
 }
 
-// leaseKey says whose lease on what it is.
+// leaseKey identifies a lease.
 type leaseKey struct{ resource, holder string }
 
-// model is a state, a copy of it, and what the test knows of both by the answers.
+// model holds a state, a replica of it, and the leases that the results of commands have granted.
 type model struct {
 	state            *State
-	replica          *State          // made anew from a snapshot now and then
-	clock            uint64          // of the cluster, in ms
-	limitChanged     map[string]bool // resources whose limit may be lower than what is granted
+	replica          *State          // restored from a snapshot at random times
+	clock            uint64          // cluster clock, in ms
+	limitChanged     map[string]bool // resources that may have more grants than their limit, by name
 	grantedLeases    map[leaseKey]Lease
 	lastFencingToken uint64
 }
 
-// TestModel: whatever commands come in whatever order, no resource is granted over its limit while that stands, no
-// lease ends before its time, fencing tokens only grow, the estimate of the size is right, and a copy by snapshot
-// comes to the same from there on.
+// TestModel applies random commands and checks that grants do not exceed the limit of a resource unless SetResource
+// changed it, that no lease ends early, that the fencing tokens of new leases increase, that the estimated size is the
+// same after a restore, and that a replica restored from a snapshot has the same results and state from then on.
 func TestModel(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		m := &model{
@@ -112,11 +112,11 @@
 	m.replica = replica
 }
 
-// apply applies a command to the state, and to the replica as it is read from its bytes.
+// apply applies a command to the state, and the command as decoded from its encoding to the replica.
 func (m *model) apply(t *rapid.T, revision uint64, command Command) Result {
 	decoded, err := Decode(Encode(command))
 	if err != nil || fmt.Sprintf("%+v", decoded) != fmt.Sprintf("%+v", command) {
-		t.Fatalf("%+v came back as %+v: %v", command, decoded, err)
+		t.Fatalf("%+v was decoded as %+v: %v", command, decoded, err)
 	}
 	result, err := m.state.Apply(revision, m.clock, command)
 	if err != nil {
@@ -132,7 +132,7 @@
 	return result
 }
 
-// recordResult notes what a command has granted or taken back, and checks the fencing token of a lease.
+// recordResult records the leases that a command granted or released, and checks the fencing token of a granted lease.
 func (m *model) recordResult(t *rapid.T, command Command, result Result) {
 	switch command := command.(type) {
 	case *AcquireLease:
@@ -144,7 +144,7 @@
 			delete(m.grantedLeases, leaseKey{command.Resource, command.Holder})
 		}
 	case *SetResource:
-		m.limitChanged[command.Name] = true // what was granted above a lowered limit stays
+		m.limitChanged[command.Name] = true // grants above a lowered limit stay
 	}
 }
 
@@ -153,9 +153,9 @@
 	previous, exists := m.grantedLeases[key]
 	switch renewal := exists && previous.Until > m.clock; {
 	case renewal && fencingToken != previous.FencingToken:
-		t.Fatalf("%v has a new fencing token while its lease lasts", key)
+		t.Fatalf("renewing the lease %v changed its fencing token", key)
 	case !renewal && fencingToken <= m.lastFencingToken:
-		t.Fatalf("fencing token %d after %d", fencingToken, m.lastFencingToken)
+		t.Fatalf("a new lease has fencing token %d, not above the last one, %d", fencingToken, m.lastFencingToken)
 	}
 	m.lastFencingToken = max(m.lastFencingToken, fencingToken)
 	m.grantedLeases[key] = Lease{
@@ -172,11 +172,11 @@
 			continue
 		}
 		if leased := resource.leasedUnits(); leased > resource.Limit {
-			t.Fatalf("%d units of %s are leased of %d", leased, resource.Name, resource.Limit)
+			t.Fatalf("%d units of %s are leased, over the limit %d", leased, resource.Name, resource.Limit)
 		}
 		for _, slot := range resource.Reserved() {
 			if slot.Count > resource.Limit {
-				t.Fatalf("%s has %+v reserved of %d", resource.Name, slot, resource.Limit)
+				t.Fatalf("%s has %+v reserved, over the limit %d", resource.Name, slot, resource.Limit)
 			}
 		}
 	}
@@ -189,11 +189,11 @@
 		}
 		resource := m.state.resources[key.resource]
 		if resource == nil {
-			t.Fatalf("the resource of the lease %v is gone at %d", key, m.clock)
+			t.Fatalf("the resource of the lease %v does not exist at %d ms", key, m.clock)
 		}
 		stored, exists := resource.leases[key.holder]
 		if !exists || stored.FencingToken != granted.FencingToken || stored.Units != granted.Units {
-			t.Fatalf("the lease %v of %+v is %+v at %d", key, granted, stored, m.clock)
+			t.Fatalf("lease %v: granted %+v, stored %+v at %d ms", key, granted, stored, m.clock)
 		}
 	}
 }
@@ -204,6 +204,6 @@
 		t.Fatal(err)
 	}
 	if restored.UsedBytes() != m.state.UsedBytes() || m.state.UsedBytes() < 0 {
-		t.Fatalf("%d bytes are counted, %d are stored", m.state.UsedBytes(), restored.UsedBytes())
+		t.Fatalf("%d bytes are used, %d after a restore", m.state.UsedBytes(), restored.UsedBytes())
 	}
 }
--- a/internal/coordination/state/overrides_test.go
+++ b/internal/coordination/state/overrides_test.go
@@ -22,30 +22,30 @@
 		t.Errorf("got %+v, want two overrides", all)
 	}
 
-	// A later override takes the place of the earlier one, here without an end.
+	// A later override, here without an end, replaces the earlier one.
 	mustApply(t, s, &SetOverride{Subject: upstreamA, By: "ann"})
 	mustApply(t, s, &AdvanceClock{})
 	mustApply(t, s, &AdvanceClock{})
 	if got, ok := s.Override(upstreamA); !ok || got.By != "ann" || got.Until != 0 {
-		t.Errorf("it ended with the one before: %+v", got)
+		t.Errorf("got %+v, want the override by ann without an end", got)
 	}
 
 	mustApply(t, s, &SetOverride{Subject: upstreamA, By: "ann", Duration: 1500 * time.Millisecond})
 	mustApply(t, s, &AdvanceClock{})
 	if _, ok := s.Override(upstreamA); !ok {
-		t.Error("it ended early")
+		t.Error("the override ended early")
 	}
 	mustApply(t, s, &AdvanceClock{})
 	if _, ok := s.Override(upstreamA); ok {
-		t.Error("it did not end")
+		t.Error("the override did not end")
 	}
 
 	if result := apply(t, s, &ClearOverride{Subject: upstreamA, By: "ann"}); !result.OK() {
-		t.Errorf("clearing one that has ended: %+v", result)
+		t.Errorf("clearing an override that has ended: %+v", result)
 	}
 	mustApply(t, s, &ClearOverride{Subject: trafficShareOfA, By: "ann"})
 	if s.UsedBytes() != 0 || s.NextExpiry() != never {
-		t.Errorf("%d bytes are left, next expiry %d", s.UsedBytes(), s.NextExpiry())
+		t.Errorf("got %d bytes used, next expiry %d; want an empty state", s.UsedBytes(), s.NextExpiry())
 	}
 }
 
--- a/internal/coordination/state/reservations_test.go
+++ b/internal/coordination/state/reservations_test.go
@@ -18,22 +18,22 @@
 			Within:   20,
 		})
 	}
-	wantReserved := func(what string, result Result, want ...ReservedSlot) {
+	wantReserved := func(step string, result Result, want ...ReservedSlot) {
 		t.Helper()
 		if !slices.Equal(result.Reserved, want) {
-			t.Errorf("%s at %d ms: got %v, want %v", what, result.Clock, result.Reserved, want)
+			t.Errorf("%s at %d ms: got %v, want %v", step, result.Clock, result.Reserved, want)
 		}
 	}
 	first := reserve("x", 1, 7)
-	wantReserved("first", first, ReservedSlot{12, 5}, ReservedSlot{13, 2})
-	wantReserved("the same number", reserve("x", 1, 7), first.Reserved...)
-	wantReserved("from 10 s ahead", reserve("x", 2, 4), ReservedSlot{14, 4})
-	wantRejection(t, "an earlier number", reserve("x", 1, 7), ErrFenced)
+	wantReserved("first reservation", first, ReservedSlot{12, 5}, ReservedSlot{13, 2})
+	wantReserved("retry with the same sequence number", reserve("x", 1, 7), first.Reserved...)
+	wantReserved("second reservation, from 10 s ahead", reserve("x", 2, 4), ReservedSlot{14, 4})
+	wantRejection(t, "earlier sequence number", reserve("x", 1, 7), ErrFenced)
 
 	if result := reserve("y", 1, 1000); len(result.Reserved) == 0 || result.Reserved[0].Second < 16 {
-		t.Errorf("more than there are: %+v", result)
+		t.Errorf("more slots than are free: %+v", result)
 	}
 	if result := reserve("z", 1, 1); !result.OK() {
-		t.Errorf("a second further ahead has a free slot: %+v", result)
+		t.Errorf("one slot in a later second: %+v", result)
 	}
 }
--- a/internal/coordination/state/result.go
+++ b/internal/coordination/state/result.go
@@ -83,8 +83,8 @@
 }
 
 // reject returns the result of a rejected command, with a human-readable message. Messages are sent to clients and
-// shown to operators, so they keep the terms of the command line: bound (resource), part (unit), place (slot), fence
-// (fencing token), word (override), promise (grant) and ledger (the coordination cluster and its state).
+// shown to operators, so they keep their terms: bound (resource), part (unit), place (slot), fence (fencing token),
+// word (override), promise (grant) and ledger (the coordination cluster and its state).
 func reject(reason Rejection, format string, values ...any) Result {
 	return Result{Rejection: reason, Message: fmt.Sprintf(format, values...)}
 }
--- a/internal/coordination/state/result_test.go
+++ b/internal/coordination/state/result_test.go
@@ -65,7 +65,7 @@
 	},
 }
 
-// TestRejectionError states the error and the text that each reason of a rejection comes with.
+// TestRejectionError checks the sentinel error and the text of the error for each reason for a rejection.
 func TestRejectionError(t *testing.T) {
 	sentinels := []error{ErrInvalid, ErrNotFound, ErrNoCapacity, ErrFenced, ErrStateFull, ErrFeatureLevel}
 	for _, test := range rejectionCases {
@@ -93,7 +93,7 @@
 	}
 }
 
-// TestNoRejectionError states what Err returns for a command that was applied, and for a reason of a newer version.
+// TestNoRejectionError checks what Err returns for an applied command and for a reason of a newer version.
 func TestNoRejectionError(t *testing.T) {
 	if err := (Result{Revision: 3}).Err(); err != nil {
 		t.Errorf("applied: got %v, want nil", err)
--- a/internal/coordination/state/state_test.go
+++ b/internal/coordination/state/state_test.go
@@ -15,7 +15,7 @@
 	return result
 }
 
-// mustApply is apply for a command that must not be rejected.
+// mustApply applies a command like apply, and fails the test if the command is rejected.
 func mustApply(t *testing.T, s *State, command Command) {
 	t.Helper()
 	if err := apply(t, s, command).Err(); err != nil {
@@ -23,15 +23,15 @@
 	}
 }
 
-// wantRejection fails the test unless a result was rejected for the reason that a sentinel error stands for.
-func wantRejection(t *testing.T, what string, result Result, sentinel error) {
+// wantRejection fails the test unless the result is a rejection whose error matches sentinel.
+func wantRejection(t *testing.T, step string, result Result, sentinel error) {
 	t.Helper()
 	if err := result.Err(); !errors.Is(err, sentinel) {
-		t.Errorf("%s: got %v, want %v", what, err, sentinel)
+		t.Errorf("%s: got %v, want %v", step, err, sentinel)
 	}
 }
 
-// errorText is the text of an error; empty if there is none.
+// errorText returns the text of an error, or an empty string for nil.
 func errorText(err error) string {
 	if err == nil {
 		return ""
