--- a/internal/coordination/membership/change.go
+++ b/internal/coordination/membership/change.go
@@ -37,8 +37,8 @@
 	LearnerIdle  time.Duration // a learner that is silent for longer is removed
 }
 
-// NextChange returns the next change, and a human-readable reason by id for each joining voter that has to wait. The
-// reason is empty for a voter that may join. While a change is in progress, NextChange returns no other.
+// NextChange returns the next change, and for each joining voter, by id, a human-readable reason why it has to wait.
+// The reason is empty if the voter may join. While a change is in progress, NextChange returns no other change.
 func NextChange(view View, timeouts Timeouts) (change Change, waitReasons map[uint64]string) {
 	waitReasons = map[uint64]string{}
 	for _, joining := range view.JoiningVoters {
