--- a/internal/coordination/client/client.go
+++ b/internal/coordination/client/client.go
@@ -12,26 +12,26 @@
 )
 
 const (
-	// roundPause is between two rounds of attempts at all servers.
+	// roundPause is the pause between two rounds over all servers.
 	roundPause = 25 * time.Millisecond
-	// avoidFailedFor is how long a server that could not be reached, or did not answer, is tried after the others.
+	// avoidFailedFor is how long a server that could not be reached or did not answer is tried after the others.
 	avoidFailedFor = 2 * time.Second
 )
 
-// Client calls servers, and keeps one connection to each. Its methods may be called from many goroutines, and each
-// returns by its context's end.
+// Client sends requests to servers, over one connection to each. It is safe for concurrent use. A call returns at the
+// latest when its context ends.
 type Client struct {
 	name    string
 	servers map[string]string // addresses by name
 
 	mu         sync.Mutex // guards the fields below
 	conns      map[string]*requestConn
-	leaderHint string // the leader by the latest response
-	failedAt   map[string]time.Time
+	leaderHint string               // the leader's name by the latest response that has one
+	failedAt   map[string]time.Time // time of the last failed call, by server; none if a later call succeeded
 	closed     bool
 }
 
-// New returns a client of the voters, which are addresses by name. name is the client's own, for the servers' logs.
+// New returns a Client of the voters, given as addresses by name. name identifies the client in the servers' logs.
 func New(name string, voters map[string]string) *Client {
 	return &Client{
 		name:     name,
@@ -44,7 +44,7 @@
 // Voters returns the names of the servers that the client knows, sorted.
 func (c *Client) Voters() []string { return slices.Sorted(maps.Keys(c.servers)) }
 
-// Close closes the client's connections; calls in flight fail.
+// Close closes the client's connections. Calls in flight fail.
 func (c *Client) Close() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -55,7 +55,8 @@
 }
 
 // Call sends a request to one server. The error wraps ErrNotAttempted if the server has certainly not received the
-// request, and ErrUncertain otherwise. A response whose outcome is not OutcomeDone is no error.
+// request, and ErrUncertain otherwise. A nil error does not mean that the request was carried out: see
+// Response.Outcome. If request.Within is 0, it is set to the time left until the context's deadline.
 func (c *Client) Call(ctx context.Context, server string, request Request) (Response, error) {
 	conn, err := c.connection(ctx, server)
 	if err != nil {
@@ -77,7 +78,7 @@
 	return response, nil
 }
 
-// connection returns the usable connection to a server, or opens one.
+// connection returns the current connection to a server if it is usable, and opens a new one otherwise.
 func (c *Client) connection(ctx context.Context, server string) (*requestConn, error) {
 	c.mu.Lock()
 	conn, address := c.conns[server], c.servers[server]
@@ -94,10 +95,11 @@
 	if err != nil {
 		return nil, err
 	}
-	return c.adopt(server, conn)
+	return c.storeConnection(server, conn)
 }
 
-// connectTimeout bounds the wait for a connection to one server, so that time is left to try others.
+// connectTimeout returns how long to wait for a connection to one server: a part of the time left, so that others can
+// be tried.
 func connectTimeout(ctx context.Context) time.Duration {
 	deadline, ok := ctx.Deadline()
 	if !ok {
@@ -106,9 +108,9 @@
 	return max(time.Until(deadline)/3, time.Millisecond)
 }
 
-// adopt makes a new connection the one to its server, unless another goroutine was quicker: then it closes the new
-// one and returns the other's.
-func (c *Client) adopt(server string, conn *requestConn) (*requestConn, error) {
+// storeConnection stores a new connection to a server and returns it. If another goroutine has stored a usable one in
+// the meantime, it closes the new connection and returns the stored one.
+func (c *Client) storeConnection(server string, conn *requestConn) (*requestConn, error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.closed {
@@ -141,8 +143,8 @@
 	}
 }
 
-// preferenceOrder is the order in which servers are tried: the leader first, the others at random, and last those that
-// have failed lately.
+// preferenceOrder returns the order in which to try the servers: the last known leader first, the others in random
+// order, and after them all that have failed within avoidFailedFor.
 func (c *Client) preferenceOrder() []string {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -152,23 +154,23 @@
 		names[0], names[i] = names[i], names[0]
 	}
 	now := time.Now()
-	failedLately := func(name string) int {
+	failedRecently := func(name string) int {
 		if now.Before(c.failedAt[name].Add(avoidFailedFor)) {
 			return 1
 		}
 		return 0
 	}
-	slices.SortStableFunc(names, func(a, b string) int { return failedLately(a) - failedLately(b) })
+	slices.SortStableFunc(names, func(a, b string) int { return failedRecently(a) - failedRecently(b) })
 	return names
 }
 
-// callAny tries one server after the other until one carries the request out or rejects it, or the context ends. A
-// request whose outcome is uncertain is not tried again. The error wraps ErrNotAttempted, ErrUncertain or ErrRejected.
+// callAny tries one server after another until one carries out or rejects the request, the outcome is uncertain, or the
+// context ends. The error wraps ErrNotAttempted, ErrUncertain or ErrRejected.
 func (c *Client) callAny(ctx context.Context, request Request) (Response, error) {
-	reasons := map[string]string{} // by server: why it has not taken the request
+	reasons := map[string]string{} // by server: why it did not attempt the request
 	for {
 		for _, server := range c.preferenceOrder() {
-			request.Within = 0 // Call sets it to what is left
+			request.Within = 0 // Call sets it to the time left
 			response, err := c.Call(ctx, server, request)
 			answered := err == nil
 			if answered {
@@ -178,7 +180,7 @@
 			if !errors.Is(err, ErrNotAttempted) || !errors.As(err, &failure) {
 				return response, err
 			}
-			// That the time was over tells nothing about the server: then its earlier reason stays.
+			// An error after the context's end says nothing about the server, so an earlier reason is kept.
 			if answered || ctx.Err() == nil || reasons[server] == "" {
 				reasons[server] = failure.reason()
 			}
@@ -194,8 +196,8 @@
 	}
 }
 
-// checkOutcome returns nil if the request was done. The error wraps ErrNotAttempted where another server may be
-// tried, else ErrRejected or ErrUncertain.
+// checkOutcome returns nil if the request was done. Otherwise the error wraps ErrRejected, ErrUncertain, or
+// ErrNotAttempted, after which another server may be tried.
 func checkOutcome(server string, response *Response) error {
 	switch response.Outcome {
 	case OutcomeDone:
@@ -207,5 +209,6 @@
 	case OutcomeUncertain:
 		return &callError{kind: ErrUncertain, server: server, cause: errors.New(response.Message)}
 	}
-	return fmt.Errorf("%w: voter %s gives an answer of a kind that this version does not know", ErrUncertain, server)
+	return fmt.Errorf("%w: voter %s gives an answer of a kind that this version does not know",
+		ErrUncertain, server)
 }
--- a/internal/coordination/client/client_test.go
+++ b/internal/coordination/client/client_test.go
@@ -8,7 +8,8 @@
 	"olivearch/internal/coordination/state"
 )
 
-// A command that was certainly not attempted is tried again; one whose outcome is uncertain is not.
+// TestClientRetriesOnlyNotAttempted: the client retries a command that was certainly not attempted, and no other. One
+// whose outcome is uncertain could take effect twice.
 func TestClientRetriesOnlyNotAttempted(t *testing.T) {
 	server := newFakeServer(t)
 	c := New("test", map[string]string{"k1": server.address()})
@@ -20,7 +21,7 @@
 	}
 	go propose()
 	server.accept(Welcome{Cluster: 5, ID: 1, Name: "k1"})
-	server.answerPropose(OutcomeNotAttempted) // it comes again
+	server.answerPropose(OutcomeNotAttempted) // the client retries it
 	server.answerPropose(OutcomeUncertain)
 	if err := <-results; !errors.Is(err, ErrUncertain) {
 		t.Error(err)
@@ -43,12 +44,12 @@
 	}
 }
 
-// A lease ends for its holder before it may end for the cluster, and stays ended.
-func TestLeaseEndsByItsHoldersClock(t *testing.T) {
+// TestLeaseValid: a lease is valid until its end, and a nil lease never is.
+func TestLeaseValid(t *testing.T) {
 	now := time.Now()
 	lease := &Lease{Until: now.Add(time.Second)}
 	var none *Lease
 	if !lease.Valid(now) || lease.Valid(now.Add(time.Second)) || none.Valid(now) {
-		t.Error("a lease's end")
+		t.Error("Valid is wrong before the end, at the end or for a nil lease")
 	}
 }
--- a/internal/coordination/client/conn.go
+++ b/internal/coordination/client/conn.go
@@ -9,21 +9,22 @@
 	"time"
 )
 
-// requestConn is a connection for requests, of which several may be in flight. A goroutine of its own reads the
-// responses until the connection breaks; its methods may be called from many goroutines.
+// requestConn is a connection on which several requests may be in flight. A goroutine of its own reads the responses
+// until the connection breaks. Its methods are safe for concurrent use.
 type requestConn struct {
 	netConn net.Conn
-	writeMu sync.Mutex // held while a frame is written, so that frames do not mix
+	writeMu sync.Mutex // held while a frame is written, so that frames do not overlap
 
-	mu          sync.Mutex // guards the fields below
-	lastNumber  uint64     // of the last request
-	pending     map[uint64]chan Response
+	mu          sync.Mutex               // guards the fields below
+	lastNumber  uint64                   // the number of the last request
+	pending     map[uint64]chan Response // calls in flight, by request number
 	lastContact time.Time
 	serverTick  uint64 // the latest Response.Tick
-	err         error  // why the connection broke; nil: it has not
+	err         error  // why the connection broke; nil while it works
 }
 
-// openRequestConn connects to a server and begins to read. clientName is for the server's logs.
+// openRequestConn connects to a server and starts to read responses. clientName identifies the client in the server's
+// logs.
 func openRequestConn(ctx context.Context, address, clientName string) (*requestConn, error) {
 	netConn, reader, welcome, err := Dial(ctx, address, Hello{Role: RoleClient, Name: clientName})
 	if err != nil {
@@ -39,10 +40,11 @@
 	return c, nil
 }
 
-// close closes the connection; calls in flight then fail.
+// close closes the connection. Calls in flight fail.
 func (c *requestConn) close() { c.netConn.Close() }
 
-// readResponses hands responses to the calls that wait for them, until the connection breaks or is idle for too long.
+// readResponses delivers responses to the calls that wait for them, until the connection breaks or nothing arrives for
+// idleTimeout.
 func (c *requestConn) readResponses(reader *bufio.Reader) {
 	for {
 		response, err := c.readResponse(reader)
@@ -63,31 +65,32 @@
 	return DecodeResponse(body)
 }
 
-// deliver hands a response to the call that waits for it. A server's keep-alive has number 0, which no call has.
+// deliver passes a response to the call that waits for it. A keep-alive is a response with number 0, which no request
+// has.
 func (c *requestConn) deliver(response Response) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.lastContact = time.Now()
 	c.serverTick = max(c.serverTick, response.Tick)
-	if waiting := c.pending[response.Number]; waiting != nil {
+	if responses := c.pending[response.Number]; responses != nil {
 		delete(c.pending, response.Number)
-		waiting <- response // the channel has a buffer of one
+		responses <- response // the channel has a buffer of one
 	}
 }
 
-// fail ends all calls in flight and closes the connection.
+// fail records why the connection broke, ends all calls in flight and closes the connection.
 func (c *requestConn) fail(err error) {
 	c.mu.Lock()
 	c.err = err
-	for _, waiting := range c.pending {
-		close(waiting)
+	for _, responses := range c.pending {
+		close(responses)
 	}
 	c.pending = nil
 	c.mu.Unlock()
 	c.close()
 }
 
-// usable tells whether a message from the server has arrived lately.
+// usable reports whether the connection works and a message from the server has arrived within StaleAfter.
 func (c *requestConn) usable() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -97,17 +100,17 @@
 // call sends a request and waits for its response. The error wraps errNotSent if the server has certainly not
 // received the request.
 func (c *requestConn) call(ctx context.Context, request Request) (Response, error) {
-	waiting, err := c.register(&request)
+	responses, err := c.register(&request)
 	if err != nil {
 		return Response{}, err
 	}
 	if err := c.send(ctx, &request); err != nil {
-		// A part of the frame may be on its way, but a server acts on whole frames only.
+		// A part of the frame may have been sent, but a server acts on complete frames only.
 		c.close()
 		return Response{}, fmt.Errorf("%w: %w", errNotSent, err)
 	}
 	select {
-	case response, ok := <-waiting:
+	case response, ok := <-responses:
 		if !ok {
 			return response, errConnectionLost
 		}
@@ -120,7 +123,8 @@
 	}
 }
 
-// register numbers a request and returns the channel for its response, which is closed if the connection breaks.
+// register gives a request its number and returns the channel for its response, which is closed if the connection
+// breaks.
 func (c *requestConn) register(request *Request) (<-chan Response, error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -130,12 +134,12 @@
 	c.lastNumber++
 	request.Number = c.lastNumber
 	request.Tick = c.serverTick
-	waiting := make(chan Response, 1)
-	c.pending[request.Number] = waiting
-	return waiting, nil
+	responses := make(chan Response, 1)
+	c.pending[request.Number] = responses
+	return responses, nil
 }
 
-// send writes a request's frame, by the context's deadline.
+// send writes a request's frame. It fails at the context's deadline.
 func (c *requestConn) send(ctx context.Context, request *Request) error {
 	c.writeMu.Lock()
 	defer c.writeMu.Unlock()
--- a/internal/coordination/client/dial.go
+++ b/internal/coordination/client/dial.go
@@ -9,24 +9,24 @@
 )
 
 const (
-	// KeepAliveInterval is how often a server sends something on a connection that is idle otherwise.
+	// KeepAliveInterval is the time between two keep-alives that a server sends on a client's connection.
 	KeepAliveInterval = 250 * time.Millisecond
-	// StaleAfter is how long after the last message from a server requests may still be sent to it.
+	// StaleAfter is how long a connection is used for new requests after the server's last message.
 	StaleAfter = idleTimeout * 3 / 4
-	// idleTimeout is how long after the last message from a server a connection counts as lost.
+	// idleTimeout is how long a connection may be silent before it counts as lost.
 	idleTimeout = 4 * KeepAliveInterval
 	// dialTimeout bounds connecting and the handshake together.
 	dialTimeout = time.Second
 
 	// readBufferSize is the size of a connection's read buffer, in bytes.
 	readBufferSize = 16 << 10
-	// maxWelcome bounds a Welcome's frame, in bytes: its reason, and the rest.
-	maxWelcome = 2 * maxText
+	// maxWelcomeSize bounds the body of a Welcome's frame, in bytes: half of it is for RejectReason.
+	maxWelcomeSize = 2 * maxText
 )
 
 // Dial connects to a server, sends the Hello and returns the connection, its buffered reader and the server's
-// Welcome. The caller closes the connection. There is an error if the server cannot be reached or rejects the
-// connection; then the connection is closed.
+// Welcome. The caller closes the connection. Dial returns an error and no connection if the server cannot be reached or
+// rejects the connection.
 func Dial(ctx context.Context, address string, hello Hello) (net.Conn, *bufio.Reader, Welcome, error) {
 	ctx, cancel := context.WithTimeout(ctx, dialTimeout)
 	defer cancel()
@@ -47,12 +47,12 @@
 	return netConn, reader, welcome, nil
 }
 
-// handshake sends the Hello and reads the Welcome. There is an error if the server rejects the connection.
+// handshake sends the Hello and reads the Welcome. It returns an error if the server rejects the connection.
 func handshake(netConn net.Conn, reader *bufio.Reader, hello Hello) (Welcome, error) {
 	if err := WriteFrame(netConn, hello.Encode()); err != nil {
 		return Welcome{}, err
 	}
-	body, err := ReadFrame(reader, maxWelcome)
+	body, err := ReadFrame(reader, maxWelcomeSize)
 	if err != nil {
 		return Welcome{}, err
 	}
--- a/internal/coordination/client/errors.go
+++ b/internal/coordination/client/errors.go
@@ -8,20 +8,20 @@
 	"strings"
 )
 
-// The errors of calls say whether the command may have taken effect; a caller decides by them with errors.Is.
+// Errors of calls, for errors.Is. They tell whether the request may have taken effect.
 var (
-	// ErrUncertain is wrapped by errors of calls that may have been carried out, or may yet be.
+	// ErrUncertain is wrapped by errors of calls whose request may have taken effect, or may still do so.
 	ErrUncertain = errors.New("it may be held, or may yet be")
 
-	// ErrNotAttempted is wrapped by errors of calls that were certainly not carried out: no server could.
+	// ErrNotAttempted is wrapped by errors of calls whose request certainly had no effect: no server took it.
 	ErrNotAttempted = errors.New("no voter could take it")
 
-	// ErrRejected is wrapped by errors of calls that the rules of the state machine reject.
+	// ErrRejected is wrapped by errors of calls whose request is invalid or breaks a rule of the state machine.
 	ErrRejected = errors.New("refused")
 )
 
 var (
-	// errNotSent is wrapped by errors about requests that certainly reached no server.
+	// errNotSent is wrapped by errors about requests that the server has certainly not received.
 	errNotSent = errors.New("not sent")
 
 	// errConnectionLost means that the connection broke while a call was waiting for its response.
@@ -31,10 +31,10 @@
 	errClosed = errors.New("the caller is closed")
 
 	// errNoFencingToken means that a server granted a lease without a fencing token.
-	errNoFencingToken = errors.New("a lease without a fence was given")
+	errNoFencingToken = errors.New("server granted a lease without a fencing token")
 )
 
-// callError is the error of a call at one server. It wraps its kind and its cause.
+// callError is the error of a call to one server. It wraps its kind and its cause.
 type callError struct {
 	kind   error // ErrNotAttempted or ErrUncertain
 	server string
@@ -43,12 +43,13 @@
 
 func (e *callError) Error() string { return e.kind.Error() + ": " + e.reason() }
 
-// reason is the error's text without its kind.
+// reason returns the error's text without its kind.
 func (e *callError) reason() string { return e.server + ": " + e.cause.Error() }
 
 func (e *callError) Unwrap() []error { return []error{e.kind, e.cause} }
 
-// unreachableError joins the reasons why no server took a request, by server. It wraps ErrNotAttempted.
+// unreachableError returns an error with the reason of each server for not attempting a request, sorted by server. It
+// wraps ErrNotAttempted.
 func unreachableError(reasons map[string]string) error {
 	texts := make([]string, 0, len(reasons))
 	for _, server := range slices.Sorted(maps.Keys(reasons)) {
--- a/internal/coordination/client/errors_test.go
+++ b/internal/coordination/client/errors_test.go
@@ -11,7 +11,7 @@
 	"time"
 )
 
-// unusedAddress is a loopback address at which nobody listens.
+// unusedAddress returns a loopback address at which no process listens.
 func unusedAddress(t *testing.T) string {
 	t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
@@ -22,7 +22,8 @@
 	return listener.Addr().String()
 }
 
-// The error of a call has a kind and a cause, and both are found through further wrapping.
+// TestCallErrorKindAndCause: the error of a call wraps its kind and its cause, and errors.Is and errors.As find both
+// when it is wrapped again.
 func TestCallErrorKindAndCause(t *testing.T) {
 	c := New("test", map[string]string{"k1": unusedAddress(t)})
 	defer c.Close()
@@ -50,7 +51,7 @@
 	}
 }
 
-// The error of a request that no server took names the reason of each server, once.
+// TestUnreachableErrorNamesEachServer: the error of a request that no server attempted has each server's reason once.
 func TestUnreachableErrorNamesEachServer(t *testing.T) {
 	c := New("test", map[string]string{"k1": unusedAddress(t), "k2": ""})
 	defer c.Close()
@@ -61,7 +62,9 @@
 		t.Fatal(err)
 	}
 	text := err.Error()
-	for _, part := range []string{ErrNotAttempted.Error(), "k1: dial tcp", `k2: no address of a voter "k2" is known`} {
+	for _, part := range []string{
+		ErrNotAttempted.Error(), "k1: dial tcp", `k2: no address of a voter "k2" is known`,
+	} {
 		if strings.Count(text, part) != 1 {
 			t.Errorf("%q has %q %d times", text, part, strings.Count(text, part))
 		}
--- a/internal/coordination/client/fakeserver_test.go
+++ b/internal/coordination/client/fakeserver_test.go
@@ -8,7 +8,7 @@
 	"olivearch/internal/coordination/state"
 )
 
-// fakeServer is the server's end of a connection, which a test writes and reads itself.
+// fakeServer is a server with one connection at a time, whose messages a test reads and writes.
 type fakeServer struct {
 	t        *testing.T
 	listener net.Listener
@@ -28,7 +28,7 @@
 
 func (s *fakeServer) address() string { return s.listener.Addr().String() }
 
-// accept takes the next connection, reads its Hello and sends the Welcome.
+// accept accepts the next connection, reads the Hello and sends welcome.
 func (s *fakeServer) accept(welcome Welcome) Hello {
 	s.t.Helper()
 	var err error
@@ -57,7 +57,7 @@
 	}
 }
 
-// answerPropose reads a Request, which has to be a proposal, and answers it.
+// answerPropose reads a Request, which must be a proposal, and responds with the outcome.
 func (s *fakeServer) answerPropose(outcome Outcome) {
 	s.t.Helper()
 	body, err := ReadFrame(s.reader, 1<<20)
@@ -68,19 +68,19 @@
 	if err != nil || request.Operation != OpPropose {
 		s.t.Fatalf("%+v %v", request, err)
 	}
-	response := Response{Number: request.Number, Outcome: outcome, Message: "why"}
+	response := Response{Number: request.Number, Outcome: outcome, Message: "reason"}
 	if err := WriteFrame(s.conn, response.Encode()); err != nil {
 		s.t.Fatal(err)
 	}
 }
 
-// outOfService is a command that takes an upstream out of service.
+// outOfService returns a command that takes an upstream out of service.
 func outOfService(target string) *state.SetOverride {
 	subject := state.Subject{Kind: state.OutOfService, Scope: state.ScopeUpstream, Target: target}
 	return &state.SetOverride{Subject: subject, By: "x"}
 }
 
-// stateUpdate is an Update with a state in which the targets are out of service.
+// stateUpdate returns an Update with a state in which the targets are out of service.
 func stateUpdate(t testing.TB, index, cluster uint64, targets ...string) Update {
 	t.Helper()
 	s := state.NewState()
@@ -92,7 +92,7 @@
 	return Update{State: s.Encode(), Index: index, Cluster: cluster}
 }
 
-// commandUpdate is an Update with one command that takes the target out of service.
+// commandUpdate returns an Update with one command, which takes the target out of service.
 func commandUpdate(index, cluster uint64, target string) Update {
 	envelope := state.Envelope{ID: index, Clock: index, Command: outOfService(target)}
 	return Update{Commands: [][]byte{envelope.Encode()}, Index: index, Cluster: cluster}
--- a/internal/coordination/client/follower.go
+++ b/internal/coordination/client/follower.go
@@ -20,38 +20,40 @@
 )
 
 const (
-	// updateTimeout is how long a server may be silent before the follower leaves it: a server sends something at least
-	// four times as often.
+	// updateTimeout is how long a server may be silent before the follower tries the next one. A server sends at
+	// least four messages in that time.
 	updateTimeout = 2 * time.Second
-	// The pause between two rounds over all servers grows from minFollowBackoff to maxFollowBackoff.
+	// The pause between two rounds over all servers doubles from minFollowBackoff up to maxFollowBackoff.
 	minFollowBackoff = 100 * time.Millisecond
 	maxFollowBackoff = time.Second
 )
 
-// Follower keeps a copy of the cluster's state. The copy stays in force, however old, until a server sends a later
-// one: it never goes back to an earlier state, nor to another cluster's.
+// Follower keeps a copy of the cluster's state. The copy stays in force, however old, until a server sends a newer
+// state of the same cluster.
 type Follower struct {
 	name             string
 	servers          map[string]string // addresses by name
-	path             string            // of the file that stores the copy; empty: none
+	path             string            // file of the stored copy; empty: the copy is not stored
 	overridesChanged func([]state.Override)
 	view             atomic.Pointer[View]
 	cancel           context.CancelFunc // ends run
 	done             chan struct{}      // closed when run has ended
 
-	// The goroutine of run owns the fields below.
+	// The fields below belong to the goroutine of run.
 
 	state       *state.State
-	cluster     uint64 // the ID of the cluster that the state is of; 0: none yet
-	index       uint64 // the last log index that is in the state
-	confirmedAt time.Time
-	stored      storeProgress
+	cluster     uint64    // ID of the cluster that the state comes from; 0: no state yet
+	index       uint64    // index of the last log entry in the state
+	confirmedAt time.Time // when the last ping that a quorum confirmed was sent
+	stored      storeStatus
 }
 
-// StartFollower begins to follow one of the voters, which are addresses by name, from the copy that the file at path
-// holds, if there is one; path may be empty. Which voter it follows depends on the follower's own name, so that many
-// followers spread over the voters. overridesChanged is called with all overrides whenever some have changed, from one
-// goroutine, and before StartFollower returns with those of the file; it must not block.
+// StartFollower starts a Follower of the voters, given as addresses by name. It begins with the copy in the file at
+// path, if there is one; path may be empty. The order in which it tries the voters depends on its own name, so that
+// many followers spread over the voters.
+//
+// overridesChanged is called with all overrides whenever some have changed, and must not block. With the overrides of
+// the file it is called before StartFollower returns; all later calls come from one goroutine.
 func StartFollower(
 	name string, voters map[string]string, path string, overridesChanged func([]state.Override),
 ) *Follower {
@@ -77,8 +79,8 @@
 	return follower
 }
 
-// startFromCopy takes the state of the stored copy and tells whether there is one. A damaged copy does not keep the
-// process from serving: it then starts without one.
+// startFromCopy loads the stored copy, and reports whether there is one. A damaged copy is logged and ignored, so that
+// it does not keep the process from serving.
 func (f *Follower) startFromCopy() bool {
 	if f.path == "" {
 		return false
@@ -94,17 +96,17 @@
 	return false
 }
 
-// Close stops following and stores the copy.
+// Close ends the follower and stores its copy.
 func (f *Follower) Close() {
 	f.cancel()
 	<-f.done
 }
 
-// View returns what the follower has now. It may be called from any goroutine.
+// View returns the current view. It is safe for concurrent use.
 func (f *Follower) View() *View { return f.view.Load() }
 
-// preferenceOrder is the order in which this follower tries the servers (rendezvous hashing; Thaler and Ravishankar,
-// 1998).
+// preferenceOrder returns the order in which this follower tries the servers, by rendezvous hashing (Thaler and
+// Ravishankar, 1998).
 func (f *Follower) preferenceOrder() []string {
 	const fibonacciMultiplier = 0x9e3779b97f4a7c15 // 2^64 divided by the golden ratio: it spreads similar hashes
 	weight := func(server string) uint64 {
@@ -117,7 +119,7 @@
 	})
 }
 
-// run follows one server after the other until the context ends.
+// run follows one server after another until the context ends.
 func (f *Follower) run(ctx context.Context) {
 	defer close(f.done)
 	defer f.storeCopy(true)
@@ -143,8 +145,8 @@
 	}
 }
 
-// follow applies what one server sends until the connection breaks, the server sends what cannot be applied, or the
-// context ends. It always returns an error.
+// follow applies the updates of one server until the connection breaks, an update cannot be applied, or the context
+// ends. It always returns an error.
 func (f *Follower) follow(ctx context.Context, server string) error {
 	hello := Hello{
 		Role:    RoleFollower,
@@ -178,7 +180,7 @@
 		if changed {
 			f.overridesChanged(f.view.Load().Overrides)
 		}
-		f.storeCopy(changed) // a change of the overrides at once, the rest now and then
+		f.storeCopy(changed) // at once only if the overrides have changed
 	}
 }
 
@@ -191,20 +193,20 @@
 	return DecodeUpdate(body)
 }
 
-// apply applies an update, of which the first on a connection has to carry a state. There is an error if it is
-// malformed, of another cluster, or older than the copy.
+// apply applies an update. The first one on a connection must carry a state. apply returns an error if the update is
+// malformed or of another cluster, or if its state is older than the copy.
 func (f *Follower) apply(update *Update, first bool) error {
 	if f.cluster != 0 && update.Cluster != f.cluster {
-		return fmt.Errorf("cluster %x answers, and %x is followed: what was promised there still holds here",
+		return fmt.Errorf("server belongs to cluster %x, and the grants of cluster %x stay in force here",
 			update.Cluster, f.cluster)
 	}
 	if update.State != nil {
 		return f.replaceState(update)
 	}
 	if first {
-		return fmt.Errorf("%w: no state came first", protomsg.ErrMalformed)
+		return fmt.Errorf("%w: first update has no state", protomsg.ErrMalformed)
 	}
-	if update.Index <= f.index { // the state has these commands already
+	if update.Index <= f.index { // the state includes these commands already
 		return nil
 	}
 	for _, encoded := range update.Commands {
@@ -222,13 +224,14 @@
 		return err
 	}
 	if update.Index < f.index {
-		return fmt.Errorf("it has come to %d, and %d is known here", update.Index, f.index)
+		return fmt.Errorf("server's state ends at log index %d, before %d of the copy here",
+			update.Index, f.index)
 	}
 	f.state, f.cluster, f.index = decoded, update.Cluster, update.Index
 	return nil
 }
 
-// applyCommand applies one command of a log entry. A kind of command that only a newer version knows is skipped: it
+// applyCommand applies one command of a log entry. It skips a command of a kind that only a newer version knows, which
 // does not change the overrides that this version knows.
 func (f *Follower) applyCommand(index uint64, encoded []byte) error {
 	envelope, err := state.DecodeEnvelope(encoded)
@@ -238,8 +241,8 @@
 	if err != nil {
 		return err
 	}
-	// The error says that the cluster's feature level is above this version's. A server has to stop then; a follower goes
-	// on, since a higher level only adds kinds of command that it skips.
+	// Apply fails if the cluster's feature level is above this version's. A server has to stop then. A follower
+	// continues, since a higher level only adds kinds of commands, which it skips.
 	_, _ = f.state.Apply(index, envelope.Clock, envelope.Command)
 	return nil
 }
--- a/internal/coordination/client/follower_store.go
+++ b/internal/coordination/client/follower_store.go
@@ -17,17 +17,17 @@
 	copyState   protomsg.Number = 3
 )
 
-// storeInterval is between two writes of the copy while no override changes.
+// storeInterval is the minimum time between two writes of the copy while no override changes.
 const storeInterval = 200 * time.Millisecond
 
-// storeProgress is how far the copy has been stored.
-type storeProgress struct {
-	index   uint64 // the log index of the stored copy
-	triedAt time.Time
-	fault   string // why the last attempt failed, as it was logged; empty: it did not
+// storeStatus tells which copy is stored, and how the last attempt to store one ended.
+type storeStatus struct {
+	index       uint64 // the log index of the stored copy
+	attemptedAt time.Time
+	fault       string // why the last attempt failed; empty: it succeeded
 }
 
-// encodeCopy returns the bytes of the stored copy: cluster, index and state.
+// encodeCopy returns the stored form of the copy: cluster, index and state.
 func (f *Follower) encodeCopy() []byte {
 	var w protomsg.Writer
 	w.Uint(copyCluster, f.cluster)
@@ -36,8 +36,8 @@
 	return w.Bytes()
 }
 
-// loadCopy takes the state of the stored copy. The error wraps os.ErrNotExist if there is none; after an error the
-// state is empty.
+// loadCopy sets the follower's state to the stored copy. The error wraps os.ErrNotExist if there is none. After an
+// error the state is empty.
 func (f *Follower) loadCopy() error {
 	encoded, err := disk.Read(f.path, MaxFrame)
 	if err != nil {
@@ -66,15 +66,16 @@
 	return nil
 }
 
-// storeCopy writes the copy if it is newer than the stored one: at once, or else not more often than storeInterval.
+// storeCopy writes the copy if it is newer than the stored one. Unless atOnce is set, it does nothing within
+// storeInterval of the last attempt.
 func (f *Follower) storeCopy(atOnce bool) {
 	if f.path == "" || f.index == f.stored.index {
 		return
 	}
-	if !atOnce && time.Since(f.stored.triedAt) < storeInterval {
+	if !atOnce && time.Since(f.stored.attemptedAt) < storeInterval {
 		return
 	}
-	f.stored.triedAt = time.Now()
+	f.stored.attemptedAt = time.Now()
 	if err := disk.Replace(f.path, f.encodeCopy()); err != nil {
 		f.logStoreFault(err)
 		return
@@ -86,8 +87,8 @@
 	}
 }
 
-// logStoreFault logs that the copy could not be written, once for each cause. A restart while no server can be reached
-// would begin with the older copy.
+// logStoreFault logs that the copy could not be written, unless the last attempt failed with the same error. Until the
+// copy is written, a process that restarts while no server can be reached begins with the older copy.
 func (f *Follower) logStoreFault(err error) {
 	if err.Error() == f.stored.fault {
 		return
--- a/internal/coordination/client/follower_test.go
+++ b/internal/coordination/client/follower_test.go
@@ -10,23 +10,24 @@
 	"olivearch/internal/protomsg"
 )
 
-// A follower applies updates, measures its age by its own pings, goes back to no older state and to no other cluster's,
-// and its copy outlives its process.
+// TestFollower: a follower applies updates, measures the age of its copy by its own pings, ignores an older state and
+// that of another cluster, and starts from its stored copy.
 func TestFollower(t *testing.T) {
 	server := newFakeServer(t)
 	path := filepath.Join(t.TempDir(), "copy")
 	changes := make(chan []state.Override, 100)
 	start := func() *Follower {
-		return StartFollower("b-1", map[string]string{"k1": server.address()}, path, func(overrides []state.Override) {
-			changes <- overrides
-		})
+		return StartFollower(
+			"b-1", map[string]string{"k1": server.address()}, path,
+			func(overrides []state.Override) { changes <- overrides },
+		)
 	}
 	follower := start()
 	if follower.View().Known || follower.View().Age(time.Now()) < time.Hour {
-		t.Error("it has a state before it could have one")
+		t.Error("the view has a state before one was received")
 	}
 	checkUpdates(t, server, follower, changes)
-	checkNoWayBack(t, server, follower)
+	checkOlderAndForeignStates(t, server, follower)
 	follower.Close()
 
 	checkStoredCopy(t, path, start, changes)
@@ -50,10 +51,10 @@
 	}
 	receivedAt := time.Now()
 	server.send(Update{Heartbeat: true, Index: 11, Ping: 1, Cluster: 5, Leader: "k1", Voters: 3})
-	var newer, command protomsg.Writer // of a kind that only a newer version knows
+	var envelope, command protomsg.Writer // of a kind that only a newer version knows
 	command.Uint(1, 1000)
-	newer.Raw(3, command.Bytes())
-	server.send(Update{Commands: [][]byte{newer.Bytes()}, Index: 12, Cluster: 5})
+	envelope.Raw(3, command.Bytes())
+	server.send(Update{Commands: [][]byte{envelope.Bytes()}, Index: 12, Cluster: 5})
 	server.send(commandUpdate(13, 5, "c"))
 	for overrides := range changes {
 		if len(overrides) == 3 {
@@ -66,8 +67,9 @@
 	}
 }
 
-// checkNoWayBack sends a state that is older than the follower's, and one of another cluster.
-func checkNoWayBack(t *testing.T, server *fakeServer, follower *Follower) {
+// checkOlderAndForeignStates sends a state that is older than the follower's, and one of another cluster. The follower
+// must keep its own.
+func checkOlderAndForeignStates(t *testing.T, server *fakeServer, follower *Follower) {
 	t.Helper()
 	server.conn.Close()
 	if hello := server.accept(Welcome{Cluster: 5}); hello.Applied != 13 || hello.Cluster != 5 {
@@ -82,7 +84,7 @@
 	}
 }
 
-// checkStoredCopy starts followers from the stored copy while no server answers, the second time from a damaged one.
+// checkStoredCopy starts two followers while no server answers: one from the stored copy, and one from a damaged copy.
 func checkStoredCopy(t *testing.T, path string, start func() *Follower, changes <-chan []state.Override) {
 	t.Helper()
 	follower := start()
@@ -91,12 +93,12 @@
 		t.Errorf("%v %+v", overrides, follower.View())
 	}
 	follower.Close()
-	if err := os.WriteFile(path, []byte("rubbish"), 0o600); err != nil {
+	if err := os.WriteFile(path, []byte("damaged"), 0o600); err != nil {
 		t.Fatal(err)
 	}
 	follower = start()
 	defer follower.Close()
 	if follower.View().Known {
-		t.Error("it takes rubbish for a copy")
+		t.Error("the view has a state from a damaged copy")
 	}
 }
--- a/internal/coordination/client/fuzz_test.go
+++ b/internal/coordination/client/fuzz_test.go
@@ -8,7 +8,8 @@
 	"olivearch/internal/coordination/state"
 )
 
-// Any bytes are read or rejected without a panic, and what is read comes back the same after it was written again.
+// FuzzMessages decodes arbitrary bytes. No decoder may panic, and a decoded Request, Response or frame must be the same
+// after it is encoded and decoded again.
 func FuzzMessages(f *testing.F) {
 	response := Response{
 		Number:  1,
@@ -20,14 +21,16 @@
 	update := stateUpdate(f, 1, 2, "a")
 	f.Add(update.Encode())
 	f.Fuzz(func(t *testing.T, encoded []byte) {
-		if x, err := DecodeResponse(encoded); err == nil {
-			if again, err := DecodeResponse(x.Encode()); err != nil || fmt.Sprint(again) != fmt.Sprint(x) {
-				t.Fatalf("%+v came back as %+v: %v", x, again, err)
+		if decoded, err := DecodeResponse(encoded); err == nil {
+			if again, err := DecodeResponse(decoded.Encode()); err != nil ||
+				fmt.Sprint(again) != fmt.Sprint(decoded) {
+				t.Fatalf("%+v, encoded and decoded again: %+v, %v", decoded, again, err)
 			}
 		}
-		if x, err := DecodeRequest(encoded); err == nil {
-			if again, err := DecodeRequest(x.Encode()); err != nil || fmt.Sprint(again) != fmt.Sprint(x) {
-				t.Fatalf("%+v came back as %+v: %v", x, again, err)
+		if decoded, err := DecodeRequest(encoded); err == nil {
+			if again, err := DecodeRequest(decoded.Encode()); err != nil ||
+				fmt.Sprint(again) != fmt.Sprint(decoded) {
+				t.Fatalf("%+v, encoded and decoded again: %+v, %v", decoded, again, err)
 			}
 		}
 		_, _ = DecodeHello(encoded)
@@ -37,7 +40,7 @@
 		if body, err := ReadFrame(bytes.NewReader(encoded), 1<<20); err == nil {
 			var out bytes.Buffer
 			if WriteFrame(&out, body) != nil || !bytes.HasPrefix(encoded, out.Bytes()) {
-				t.Fatal("a frame does not come back")
+				t.Fatal("an encoded frame differs from the frame that was read")
 			}
 		}
 	})
--- a/internal/coordination/client/hello.go
+++ b/internal/coordination/client/hello.go
@@ -5,24 +5,24 @@
 	"olivearch/internal/protomsg"
 )
 
-// Role is what a connection is for. Whoever opens the connection states it in its Hello.
+// Role is the purpose of a connection. The process that opens the connection states it in the Hello.
 type Role uint8
 
 // The roles.
 const (
-	RoleClient   Role = 1 + iota // requests and responses
-	RoleFollower                 // the server sends the state, and then what changes in it
-	RolePeer                     // another server: it is sent Raft messages
+	RoleClient   Role = 1 + iota // the opener sends requests, the server responses
+	RoleFollower                 // the server sends the state, and then its changes
+	RolePeer                     // the opener is another server, and is sent Raft messages
 )
 
-// Hello is the first frame from whoever opens a connection.
+// Hello is the first message on a connection, from the process that opens it.
 type Hello struct {
 	Role    Role
-	Cluster uint64 // the cluster's ID; 0: it belongs to none yet, or accepts any
-	From    uint64 // the sender's Raft ID if it is a server; 0: it is none
-	Name    string
+	Cluster uint64 // the cluster's ID; 0: the sender belongs to none yet, or accepts any
+	From    uint64 // the sender's Raft ID; 0: it is no server
+	Name    string // the sender's name
 	Level   uint32 // state.NewestFeatureLevel of the sender's version
-	Applied uint64 // a follower's last applied log index
+	Applied uint64 // RoleFollower: the last log index that the sender has applied
 }
 
 // Field numbers of a Hello.
@@ -75,11 +75,11 @@
 	ID           uint64 // the server's Raft ID; 0: it belongs to no cluster yet
 	Name         string
 	Level        uint32 // state.NewestFeatureLevel of the server's version
-	RejectReason string // why the server rejects the connection; empty: it accepts
+	RejectReason string // why the server rejects the connection; empty: it accepts it
 	Tick         uint64 // see Response.Tick
 }
 
-// Field numbers of a Welcome. There is no 1.
+// Field numbers of a Welcome. Number 1 is not used.
 const (
 	welcomeCluster      protomsg.Number = 2
 	welcomeID           protomsg.Number = 3
--- a/internal/coordination/client/lease.go
+++ b/internal/coordination/client/lease.go
@@ -7,28 +7,28 @@
 	"olivearch/internal/coordination/state"
 )
 
-// maxClockDrift is by how much two monotonic clocks may differ, as a part of the time that they measure: a lease ends
-// for its holder earlier than for the cluster by that part. (Oscillators are good to 0.0001; a clock that is being
-// slewed runs up to 0.0005 off.)
+// maxClockDrift bounds the difference between two monotonic clocks, as a fraction of the time that they measure. The
+// holder of a lease shortens its duration by that fraction, so that the lease does not end for the cluster first.
+// Oscillators are accurate to 0.0001, and a clock that is being slewed is off by up to 0.0005.
 const maxClockDrift = 0.01
 
-// Lease is a part of a resource that this process holds. It ends by this process's own monotonic clock, counted from
-// before the lease was requested: the cluster's clock, which began to count later and never runs ahead, reaches the end
-// after that.
+// Lease is a lease on units of a resource that this process holds. Its end is measured by the process's own monotonic
+// clock, from before the request was sent. The cluster clock measures from a later moment and never runs ahead, so the
+// lease ends there later.
 type Lease struct {
 	Resource, Holder string
 	Units            int64
-	FencingToken     uint64    // sent with all that is done under the lease: who has seen a higher one rejects it
-	Until            time.Time // with its monotonic part
+	FencingToken     uint64    // sent with each operation under the lease; rejected where a higher one was seen
+	Until            time.Time // with a monotonic clock reading
 }
 
-// Valid tells whether the lease has not ended yet. A holder checks it at every use, as its process may have been
-// stopped since the last one. A nil lease is not valid.
+// Valid reports whether the lease is still held at now. A holder checks this before each use, as its process may have
+// been suspended since the last check. A nil lease is not valid.
 func (l *Lease) Valid(now time.Time) bool { return l != nil && now.Before(l.Until) }
 
-// AcquireLease acquires a lease on units of a resource, or renews one. The error wraps ErrRejected, ErrNotAttempted
-// or ErrUncertain; after ErrUncertain nothing is known of the new lease, and the renewed one stays what it was until
-// its end.
+// AcquireLease acquires a lease on units of a resource. If renewed is not nil, it renews that lease. The error of a
+// failed proposal wraps ErrRejected, ErrNotAttempted or ErrUncertain. After ErrUncertain the new lease may or may not
+// have been granted, and renewed stays valid until its end.
 func (c *Client) AcquireLease(
 	ctx context.Context, resource, holder string, units int64, duration time.Duration, renewed *Lease,
 ) (*Lease, error) {
--- a/internal/coordination/client/operations.go
+++ b/internal/coordination/client/operations.go
@@ -9,9 +9,9 @@
 	"olivearch/internal/coordination/state"
 )
 
-// Propose has a command committed and applied. A nil error says that Stored of Voters voters have it on their disks.
-// An error wraps ErrRejected, ErrNotAttempted or ErrUncertain; a command whose outcome is uncertain is not proposed
-// again, as it could then take effect twice or undo what came between.
+// Propose proposes a command and waits until it is committed and applied. The response tells how many voters have
+// stored it on their disks. The error wraps ErrRejected, ErrNotAttempted or ErrUncertain. A command whose outcome is
+// uncertain is not proposed again, as it could take effect twice or undo a later command.
 func (c *Client) Propose(ctx context.Context, command state.Command) (Response, error) {
 	if err := command.Check(); err != nil {
 		return Response{}, fmt.Errorf("%w: %w", ErrRejected, err)
@@ -19,8 +19,8 @@
 	return c.callAny(ctx, Request{Operation: OpPropose, Command: state.Encode(command)})
 }
 
-// Read returns the state by a linearizable read: it has all that was committed before the call. The error wraps
-// ErrNotAttempted if no quorum answers.
+// Read returns the state by a linearizable read, so it includes all that was committed before the call. The error wraps
+// ErrNotAttempted if no quorum answers, and ErrUncertain if the context ends while a server has the request.
 func (c *Client) Read(ctx context.Context) (*state.State, Response, error) {
 	for {
 		response, err := c.callAny(ctx, Request{Operation: OpRead})
@@ -35,12 +35,12 @@
 	}
 }
 
-// ReadLocal returns one server's copy of the state, however old: Age is how long ago at most a quorum confirmed it. The
-// error wraps ErrNotAttempted or ErrUncertain.
+// ReadLocal returns one server's copy of the state, however old. Response.Age bounds the time since a quorum
+// confirmed it. The error wraps ErrNotAttempted or ErrUncertain.
 func (c *Client) ReadLocal(ctx context.Context, server string) (*state.State, Response, error) {
 	sentAt := time.Now()
 	response, err := c.Call(ctx, server, Request{Operation: OpReadLocal})
-	response.Age += time.Since(sentAt) // the server measured it at some moment since
+	response.Age += time.Since(sentAt) // the server measured the age after sentAt
 	if err != nil {
 		return nil, response, err
 	}
@@ -51,8 +51,8 @@
 	return decoded, response, err
 }
 
-// DeclareLost records that a server's machine has gone for good, so that an empty server of that name may replace it
-// without waiting. The error wraps ErrRejected, ErrNotAttempted or ErrUncertain.
+// DeclareLost records that a server's machine is lost for good, so that a server of the same name with an empty folder
+// may replace it without waiting. The error wraps ErrRejected, ErrNotAttempted or ErrUncertain.
 func (c *Client) DeclareLost(ctx context.Context, server string) error {
 	_, err := c.callAny(ctx, Request{Operation: OpDeclareLost, Name: server})
 	return err
--- a/internal/coordination/client/pinger.go
+++ b/internal/coordination/client/pinger.go
@@ -6,23 +6,23 @@
 	"time"
 )
 
-// pingInterval is between two pings.
+// pingInterval is the time between two pings.
 const pingInterval = 500 * time.Millisecond
 
-// pinger sends pings from a goroutine of its own and remembers when it sent them. A follower measures the age of its
-// copy by its own clock alone: a server's statement of an age may have been delayed in a stopped process or a cut
-// link.
+// pinger sends pings from a goroutine of its own and records when it sent each. A follower measures the age of its copy
+// from these times, by its own clock alone: an age sent by a server could be delayed in a suspended process or on an
+// interrupted link.
 type pinger struct {
 	conn net.Conn
 	quit chan struct{} // closed by stop
 
-	mu    sync.Mutex           // guards times
-	times map[uint64]time.Time // when a ping was sent, by its number
+	mu        sync.Mutex           // guards sentTimes
+	sentTimes map[uint64]time.Time // by ping number
 }
 
 // startPinger begins to send pings on a connection, until stop is called or a write fails.
 func startPinger(conn net.Conn) *pinger {
-	p := &pinger{conn: conn, quit: make(chan struct{}), times: map[uint64]time.Time{}}
+	p := &pinger{conn: conn, quit: make(chan struct{}), sentTimes: map[uint64]time.Time{}}
 	go p.run()
 	return p
 }
@@ -44,7 +44,7 @@
 
 func (p *pinger) send(number uint64) error {
 	p.mu.Lock()
-	p.times[number] = time.Now()
+	p.sentTimes[number] = time.Now()
 	p.mu.Unlock()
 	_ = p.conn.SetWriteDeadline(time.Now().Add(updateTimeout)) // if it fails, so does the write
 	return WriteFrame(p.conn, EncodePing(number))
@@ -52,14 +52,15 @@
 
 func (p *pinger) stop() { close(p.quit) }
 
-// sentAt returns when a ping was sent, and forgets those before it. The time is zero if there is none of that number.
+// sentAt returns when the ping of a number was sent, and forgets earlier pings. It returns the zero time for a number
+// that is not known.
 func (p *pinger) sentAt(number uint64) time.Time {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	at := p.times[number]
-	for earlier := range p.times {
+	at := p.sentTimes[number]
+	for earlier := range p.sentTimes {
 		if earlier < number {
-			delete(p.times, earlier)
+			delete(p.sentTimes, earlier)
 		}
 	}
 	return at
--- a/internal/coordination/client/request.go
+++ b/internal/coordination/client/request.go
@@ -7,24 +7,24 @@
 	"olivearch/internal/protomsg"
 )
 
-// Operation is what a request asks for.
+// Operation is the kind of a request.
 type Operation uint8
 
 // The operations, with the fields of a Request that they use.
 const (
 	OpPropose     Operation = 1 + iota // commit and apply a command [Command]
-	OpRead                             // a linearizable read of the state: a quorum confirms it
-	OpReadLocal                        // the server's own copy of the state, however old
-	OpIdentify                         // the server's identity
-	OpBootstrap                        // begin a cluster [Cluster, Members]
-	OpJoin                             // let a server with an empty disk join [Members[0], Level]
-	OpDeclareLost                      // operators declare that a server's machine has gone for good [Name]
-	OpStatus                           // the server's VoterStatus, as JSON
+	OpRead                             // return the state by a linearizable read, which a quorum confirms
+	OpReadLocal                        // return the server's own copy of the state, however old
+	OpIdentify                         // return the server's name, Raft ID, cluster and newest feature level
+	OpBootstrap                        // bootstrap a cluster [Cluster, Members]
+	OpJoin                             // let a server with an empty folder join [Members[0], Level]
+	OpDeclareLost                      // record that a server's machine is lost for good [Name]
+	OpStatus                           // return the server's ServerStatus, as JSON
 )
 
 // Request is what a client sends to a server. Several may be in flight on one connection.
 type Request struct {
-	Number    uint64 // chosen by the client: the response carries the same one
+	Number    uint64 // chosen by the client; the response carries the same number
 	Operation Operation
 	Command   []byte        // OpPropose: the encoded command
 	Within    time.Duration // how long the client waits for the response; sent in microseconds
@@ -50,8 +50,8 @@
 	requestTick      protomsg.Number = 10
 )
 
-// maxWithin bounds how long a server holds a request.
-const maxWithin = time.Minute
+// maxRequestTimeout bounds Within in a request that is decoded.
+const maxRequestTimeout = time.Minute
 
 // Encode returns the message's bytes, without a frame.
 func (r *Request) Encode() []byte {
@@ -80,7 +80,7 @@
 		case requestCommand:
 			request.Command = field.Raw
 		case requestWithin:
-			request.Within = microseconds(field.Uint, maxWithin)
+			request.Within = microseconds(field.Uint, maxRequestTimeout)
 		case requestHops:
 			request.Hops = uint8(min(field.Uint, maxEnum))
 		case requestCluster:
--- a/internal/coordination/client/response.go
+++ b/internal/coordination/client/response.go
@@ -7,40 +7,40 @@
 	"olivearch/internal/protomsg"
 )
 
-// Outcome is what has become of a request.
+// Outcome tells whether a request was carried out.
 type Outcome uint8
 
 // The outcomes.
 const (
 	OutcomeDone         Outcome = 1 + iota // done; a command was committed and applied
 	OutcomeRejected                        // rejected by the rules of the state machine
-	OutcomeNotAttempted                    // certainly not done, nor looked at: another server, or a retry, may do it
-	OutcomeUncertain                       // it may have been done, or may yet be
+	OutcomeNotAttempted                    // certainly not done, nor checked; another server or a retry may do it
+	OutcomeUncertain                       // it may have been done, or may still be done later
 )
 
 // Response is a server's answer to a Request.
 type Response struct {
-	Number  uint64 // of the Request
+	Number  uint64 // the Request's number
 	Outcome Outcome
-	Message string       // the reason, where the outcome is not OutcomeDone
-	Result  state.Result // OpPropose
-	Stored  int          // OpPropose: how many voters have stored the command on their disks
-	Voters  int          // how many voters the cluster has
-	Leader  string       // the leader's name, where known
-	Body    []byte       // OpRead, OpReadLocal: the encoded state; OpStatus: JSON
-	Index   uint64       // OpRead, OpReadLocal: the last log index that is in the state
-	Age     time.Duration
-	Cluster uint64
-	ID      uint64 // OpIdentify: the server's Raft ID
-	Name    string
-	Level   uint32
-	Members []state.Member
-	// Tick is the server's own clock as it sends the message, in milliseconds. The client returns the last one in its
-	// next request, so that the server can reject a request that has been delayed on its way.
+	Message string         // the reason, where the outcome is not OutcomeDone
+	Result  state.Result   // OpPropose: the result of the command
+	Stored  int            // OpPropose: number of voters that have stored the command on their disks
+	Voters  int            // OpPropose: number of voters in the cluster
+	Leader  string         // the leader's name, where known
+	Body    []byte         // OpRead, OpReadLocal: the encoded state; OpStatus: JSON
+	Index   uint64         // OpRead, OpReadLocal: the last log index that is in the state
+	Age     time.Duration  // OpRead, OpReadLocal: time since a quorum confirmed the state
+	Cluster uint64         // the server's cluster
+	ID      uint64         // the server's Raft ID
+	Name    string         // the server's name
+	Level   uint32         // state.NewestFeatureLevel of the server's version
+	Members []state.Member // OpJoin: the members of the cluster
+	// Tick is the server's uptime when it sends the response, in milliseconds. The client returns the latest one in
+	// its next request, so that the server can reject a request that was delayed on its way.
 	Tick uint64
 }
 
-// Field numbers of a Response. Those from 4 to 10 are its Result.
+// Field numbers of a Response. Numbers 4 to 10 are the fields of its Result.
 const (
 	responseNumber        protomsg.Number = 1
 	responseOutcome       protomsg.Number = 2
@@ -66,7 +66,7 @@
 	responseTick          protomsg.Number = 22
 )
 
-// maxAge is the longest age that is sent or returned; it stands for "never".
+// maxAge is the longest age that is decoded or returned. It stands for "never".
 const maxAge = 1000 * time.Hour
 
 // Encode returns the message's bytes, without a frame.
@@ -91,7 +91,7 @@
 	return writer.Bytes()
 }
 
-// writeResult adds the fields of a Result.
+// writeResult writes the fields of a Result.
 func writeResult(w *protomsg.Writer, result *state.Result) {
 	w.Uint(responseRejection, uint64(result.Rejection))
 	w.String(responseResultMessage, result.Message)
@@ -144,7 +144,7 @@
 	return response, err
 }
 
-// readResult reads a field of a Response if it is one of its Result.
+// readResult reads a field of a Response if it belongs to the Result, and skips it otherwise.
 func readResult(field protomsg.Field, result *state.Result) error {
 	switch field.Number {
 	case responseRejection:
--- a/internal/coordination/client/size_test.go
+++ b/internal/coordination/client/size_test.go
@@ -8,11 +8,10 @@
 	"olivearch/internal/coordination/state"
 )
 
-// BenchmarkMessages measures what messages take, in bytes with their frames: a heartbeat and a ping are sent to and
-// by each follower twice a second at rest, a command once when an override is set, and the whole state when a
-// follower connects.
+// BenchmarkMessages measures the size of messages, in bytes. Each follower receives a heartbeat and sends a ping twice
+// a second, receives a command whenever an override is set, and receives the whole state when it connects.
 func BenchmarkMessages(b *testing.B) {
-	b.Run("beat", benchmarkHeartbeat)
+	b.Run("heartbeat", benchmarkHeartbeat)
 	for _, overrides := range []int{0, 1, 100, 4000} {
 		b.Run(fmt.Sprint("state of ", overrides), func(b *testing.B) { benchmarkState(b, overrides) })
 	}
@@ -20,8 +19,8 @@
 
 func benchmarkHeartbeat(b *testing.B) {
 	heartbeat := Update{
-		Heartbeat: true, Index: 812_345, Leader: "k3", Cluster: 0x9e3779b97f4a7c15, Voters: 5, ReachableVoters: 5,
-		Ping: 172_800,
+		Heartbeat: true, Index: 812_345, Leader: "k3", Cluster: 0x9e3779b97f4a7c15, Voters: 5,
+		ReachableVoters: 5, Ping: 172_800,
 	}
 	size := 0.0
 	for b.Loop() {
@@ -52,11 +51,11 @@
 		}
 	}
 	b.ReportMetric(float64(len(encoded)), "bytes")
-	b.ReportMetric(float64(s.UsedBytes()), "bytes-held")
-	b.ReportMetric(float64(commandSize), "bytes/word")
+	b.ReportMetric(float64(s.UsedBytes()), "bytes-used")
+	b.ReportMetric(float64(commandSize), "bytes/command")
 }
 
-// framedSize is the size of a message with its frame, in bytes.
+// framedSize returns the size of a message with its frame, in bytes.
 func framedSize(b *testing.B, message []byte) float64 {
 	b.Helper()
 	var out bytes.Buffer
--- a/internal/coordination/client/status.go
+++ b/internal/coordination/client/status.go
@@ -1,18 +1,18 @@
 package client
 
-// ServerStatus is the state of a server at a moment, as "olivearch promises members" shows it. Times are in
-// milliseconds. It is sent as JSON; the keys are those of the first version.
+// ServerStatus is the status of a server at one moment, as "olivearch promises members" shows it. It is sent as JSON,
+// with the keys of the first version.
 type ServerStatus struct {
 	Name          string         `json:"name"`
 	ID            string         `json:"id"`                // the Raft ID, in hexadecimal
-	Cluster       string         `json:"cluster,omitempty"` // empty: it waits for the other servers, or to join
+	Cluster       string         `json:"cluster,omitempty"` // empty: the server waits for the others, or to join
 	Role          string         `json:"role"`              // leader, follower, candidate, learner or waiting
 	Leader        string         `json:"leader,omitempty"`
 	Term          uint64         `json:"term"`
 	Applied       uint64         `json:"applied"`   // the last log index that was applied
 	Committed     uint64         `json:"committed"` // the last log index that was committed
-	AgeMS         int64          `json:"age_ms"`    // since a quorum confirmed that nothing newer was committed
-	ClockMS       uint64         `json:"clock_ms"`  // the cluster's clock
+	AgeMS         int64          `json:"age_ms"`    // since a quorum confirmed that nothing newer is committed
+	ClockMS       uint64         `json:"clock_ms"`  // the cluster clock
 	Level         uint32         `json:"level"`     // the newest feature level of the server's version
 	FeatureLevel  uint32         `json:"raised"`    // the cluster's feature level
 	UsedBytes     int64          `json:"used_bytes"`
@@ -22,8 +22,8 @@
 	JoiningVoters []JoiningVoter `json:"newcomers,omitempty"`
 	Followers     int            `json:"followers"`              // connected followers
 	Rejected      uint64         `json:"refused"`                // commands that the state machine rejected
-	LastRejected  string         `json:"last_refused,omitempty"` // the reason of the latest
-	DiskMS        float64        `json:"disk_ms"`                // how long the last write took
+	LastRejected  string         `json:"last_refused,omitempty"` // reason of the last rejection
+	DiskMS        float64        `json:"disk_ms"`                // duration of the last write
 	Fault         string         `json:"trouble,omitempty"`      // empty: none
 }
 
@@ -33,11 +33,11 @@
 	ID            string `json:"id"`
 	Address       string `json:"address"`
 	Learner       bool   `json:"learner,omitempty"`
-	LastContactMS int64  `json:"heard_ms"`         // ms since the server last had a message from it; -1: never
-	EntriesBehind uint64 `json:"behind,omitempty"` // log entries; only the leader knows
+	LastContactMS int64  `json:"heard_ms"`         // time since its last message; -1: none yet
+	EntriesBehind uint64 `json:"behind,omitempty"` // number of log entries; only the leader knows it
 }
 
-// JoiningVoter is a process with an empty folder that is no member yet.
+// JoiningVoter is a server with an empty folder that wants to join the cluster.
 type JoiningVoter struct {
 	Name   string `json:"name"`
 	ID     string `json:"id"`
--- a/internal/coordination/client/update.go
+++ b/internal/coordination/client/update.go
@@ -10,12 +10,12 @@
 	State           []byte   // an encoded state that replaces the follower's; nil: none
 	Commands        [][]byte // encoded state.Envelopes, all of the same index
 	Index           uint64   // the last log index that the server has applied
-	Heartbeat       bool     // Leader is set, and without a State Voters and ReachableVoters too
-	Ping            uint64   // the follower's ping: Index covers all that was committed before it was sent; 0: not known
+	Heartbeat       bool     // Leader is set; Voters and ReachableVoters too, unless there is a State
+	Ping            uint64   // a ping's number: Index covers all that was committed before that ping; 0: unknown
 	Leader          string
 	Cluster         uint64
 	Voters          uint32
-	ReachableVoters uint32 // how many of these the leader reaches; 0: not known to this server
+	ReachableVoters uint32 // number of voters that the leader reaches; 0: unknown to the server
 }
 
 // Field numbers of an Update.
@@ -79,7 +79,7 @@
 // pingNumber is the field number of a ping's only field.
 const pingNumber protomsg.Number = 1
 
-// EncodePing returns the bytes of a follower's ping of that number, without a frame. Pings are numbered from 1.
+// EncodePing returns the bytes of a follower's ping, without a frame. Pings are numbered from 1.
 func EncodePing(number uint64) []byte {
 	var w protomsg.Writer
 	w.Uint(pingNumber, number)
--- a/internal/coordination/client/view.go
+++ b/internal/coordination/client/view.go
@@ -7,22 +7,22 @@
 	"olivearch/internal/coordination/state"
 )
 
-// View is what a Follower has at a moment. It never changes.
+// View is what a Follower knows at one moment. It is not changed after its publication.
 type View struct {
-	Known           bool // there is a state: from a server, or from the stored copy
+	Known           bool // there is a state, from a server or the stored copy
 	Overrides       []state.Override
 	Cluster         uint64 // the cluster's ID
-	Index           uint64 // the last log index that is in the state
-	Voter           string // the server that is followed; empty: none can be reached
+	Index           uint64 // index of the last log entry in the state
+	Voter           string // the server that is followed; empty: none
 	Leader          string
 	Voters          int
-	ReachableVoters int    // how many of these the leader reaches; 0: not known
-	Fault           string // why no server is followed; empty: one is
-	confirmedAt     time.Time
+	ReachableVoters int       // number of voters that the leader reaches; 0: unknown
+	Fault           string    // why no server is followed; empty: one is
+	confirmedAt     time.Time // see Age; zero: never
 }
 
-// Age is how long ago a quorum confirmed that nothing newer was committed than what is here; 1000 hours stand for
-// never.
+// Age returns the time since a quorum confirmed that nothing newer than this view was committed. It returns 1000 hours
+// if none ever did.
 func (v *View) Age(now time.Time) time.Duration {
 	if v.confirmedAt.IsZero() {
 		return maxAge
@@ -30,7 +30,7 @@
 	return max(0, now.Sub(v.confirmedAt))
 }
 
-// nextView returns a view of the state as it is now; what an update may replace is that of the last view.
+// nextView returns a view of the current state, with the overrides, leader and numbers of voters of the last view.
 func (f *Follower) nextView() *View {
 	last := f.view.Load()
 	return &View{
@@ -56,14 +56,14 @@
 		view.Leader = update.Leader
 		if update.State == nil {
 			view.Voters, view.ReachableVoters = int(update.Voters), int(update.ReachableVoters)
-		} else { // an update with a state does not carry the numbers
+		} else { // an update with a state does not carry the numbers of voters
 			view.ReachableVoters = 0
 		}
 	}
 	f.view.Store(view)
 }
 
-// publishFault publishes a view after a server could not be followed any longer.
+// publishFault publishes a view without a followed server, and with the error that is the reason.
 func (f *Follower) publishFault(server string, err error) {
 	view := f.nextView()
 	view.ReachableVoters = 0
