--- a/internal/override/local_test.go
+++ b/internal/override/local_test.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// TestLocalOverrides takes upstreams out and puts them back, and looks at each after every step.
+// TestLocalOverrides takes upstreams out of service and puts them back, and checks them after each step.
 func TestLocalOverrides(t *testing.T) {
 	var table Table
 	want := func(id string, out bool, putBackAt time.Duration) {
@@ -38,7 +38,7 @@
 	}
 }
 
-// TestMerge: two processes come to the same overrides, whichever way their entries go.
+// TestMerge: two processes have the same overrides after each has merged the other's.
 func TestMerge(t *testing.T) {
 	var x, y Table
 	x.TakeOut("a", 1)
@@ -47,7 +47,7 @@
 	y.TakeOut("b", 3)
 	x.TakeOut("c", 4)
 	x.TakeOut("d", 5)
-	x.PutBack("d", 5) // at the same time: the later call still wins
+	x.PutBack("d", 5) // at the same time: the later call wins
 	fromX := x.Entries()
 	x.Merge(y.Entries())
 	y.Merge(fromX)
@@ -59,7 +59,7 @@
 		}
 	}
 	if !maps.Equal(x.Entries(), y.Entries()) {
-		t.Errorf("the processes differ: %+v, %+v", x.Entries(), y.Entries())
+		t.Errorf("the overrides differ: %+v, %+v", x.Entries(), y.Entries())
 	}
 }
 
@@ -70,8 +70,8 @@
 	}{
 		{"theirs is later", Entry{Out: true, At: 1}, Entry{Out: false, At: 2}, Entry{Out: false, At: 2}},
 		{"ours is later", Entry{Out: false, At: 2}, Entry{Out: true, At: 1}, Entry{Out: false, At: 2}},
-		{"same time, ours is out", Entry{Out: true, At: 3}, Entry{Out: false, At: 3}, Entry{Out: true, At: 3}},
-		{"same time, theirs is out", Entry{Out: false, At: 3}, Entry{Out: true, At: 3}, Entry{Out: true, At: 3}},
+		{"same time, ours out", Entry{Out: true, At: 3}, Entry{Out: false, At: 3}, Entry{Out: true, At: 3}},
+		{"same time, theirs out", Entry{Out: false, At: 3}, Entry{Out: true, At: 3}, Entry{Out: true, At: 3}},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			var table Table
--- a/internal/override/shared.go
+++ b/internal/override/shared.go
@@ -7,21 +7,20 @@
 	"olivearch/internal/coordination/state"
 )
 
-// thousandths is the unit of the value of a state.TrafficShare override.
-const thousandths = 1000
+// fullTrafficShare is the value of a state.TrafficShare override that stands for an upstream's whole weight.
+const fullTrafficShare = 1000
 
-// Shared is what the overrides in the coordination cluster say of the upstreams of one pool. The zero value says
-// nothing.
+// Shared holds the shared overrides that apply to the upstreams of one pool. The zero value holds none.
 type Shared struct {
 	WholePool       bool               // the whole pool is out of service
 	Upstreams       map[string]bool    // upstreams out of service, by id
 	Zones           map[string]bool    // zones out of service
-	ConcurrencyCaps map[string]int     // by upstream: attempts in flight from this balancer at once
-	WeightFactors   map[string]float64 // by upstream: fraction of its weight
+	ConcurrencyCaps map[string]int     // by upstream id: maximum attempts in flight from this balancer
+	WeightFactors   map[string]float64 // by upstream id: fraction of its weight
 }
 
-// SharedForPool selects what overrides mean for a pool. Those of upstreams and zones name no pool, so they apply to
-// every pool that has such an upstream or zone.
+// SharedForPool returns the overrides that apply to a pool. An override of an upstream or a zone names no pool, so it
+// applies to every pool that has the upstream or zone.
 func SharedForPool(overrides []state.Override, pool string) Shared {
 	shared := Shared{
 		Upstreams:       map[string]bool{},
@@ -36,7 +35,7 @@
 		case state.ConcurrencyCap:
 			shared.ConcurrencyCaps[override.Target] = int(override.Value)
 		case state.TrafficShare:
-			shared.WeightFactors[override.Target] = float64(override.Value) / thousandths
+			shared.WeightFactors[override.Target] = float64(override.Value) / fullTrafficShare
 		}
 	}
 	return shared
@@ -53,9 +52,12 @@
 	}
 }
 
-// ApplyShared replaces the shared overrides. What they no longer keep out of service counts as put back now.
+// ApplyShared replaces the shared overrides. Upstreams, zones and the pool count as put back now if the old overrides
+// took them out of service and the new ones do not.
 func (t *Table) ApplyShared(shared Shared, now time.Duration) {
-	maps.DeleteFunc(t.sharedPutBack, func(_ scopedTarget, at time.Duration) bool { return at < now-putBackMemory })
+	maps.DeleteFunc(t.sharedPutBack, func(_ scopedTarget, at time.Duration) bool {
+		return at < now-putBackRetention
+	})
 	for _, cleared := range t.shared.clearedBy(shared) {
 		if t.sharedPutBack == nil {
 			t.sharedPutBack = map[scopedTarget]time.Duration{}
@@ -65,7 +67,7 @@
 	t.shared = shared
 }
 
-// clearedBy lists what s keeps out of service and next does not.
+// clearedBy returns the upstreams, zones and pool that s takes out of service and next does not.
 func (s *Shared) clearedBy(next Shared) []scopedTarget {
 	var cleared []scopedTarget
 	for id := range s.Upstreams {
--- a/internal/override/shared_test.go
+++ b/internal/override/shared_test.go
@@ -16,8 +16,8 @@
 	return state.Override{Subject: state.Subject{Kind: state.OutOfService, Scope: scope, Target: target}}
 }
 
-// TestSharedOverrides lays shared overrides over a local one: an upstream that either keeps out is out, and one that is
-// put back counts as just started.
+// TestSharedOverrides combines shared overrides with a local one: an upstream is out of service as long as either takes
+// it out, and PutBackAt returns when that ended.
 func TestSharedOverrides(t *testing.T) {
 	var table Table
 	wantOut := func(id, zone string, out bool) {
@@ -26,7 +26,7 @@
 			t.Errorf("%s in zone %s: out of service %v, want %v: %+v", id, zone, !out, out, table)
 		}
 	}
-	wantReturned := func(id, zone string, at time.Duration) {
+	wantPutBack := func(id, zone string, at time.Duration) {
 		t.Helper()
 		if got := table.PutBackAt(id, zone); got != at {
 			t.Errorf("%s in zone %s: put back at %v, want %v: %+v", id, zone, got, at, table)
@@ -52,13 +52,13 @@
 		outOfService(state.ScopePool, "other"),
 		upstreamOverride(state.ConcurrencyCap, "b", 4),
 		upstreamOverride(state.TrafficShare, "b", 250),
-	}, "mine"), 2)
+	}, "this"), 2)
 	wantOut("a", "y", true)
 	wantOut("b", "z", true)
 	wantOut("b", "y", false)
 	wantLimits("b", 0.25, 4)
 
-	// Without its local override, a stays out by the shared one.
+	// After its local override is released, a stays out by the shared one.
 	table.ReleaseLocal("a", 3)
 	if table.OutLocally("a") {
 		t.Error("a is still out locally")
@@ -66,38 +66,46 @@
 	wantOut("a", "y", true)
 
 	// The upstream and the zone are put back while the whole pool goes out of service.
-	table.ApplyShared(SharedForPool([]state.Override{outOfService(state.ScopePool, "mine")}, "mine"), 5)
+	table.ApplyShared(SharedForPool([]state.Override{outOfService(state.ScopePool, "this")}, "this"), 5)
 	wantOut("c", "y", true)
-	wantReturned("a", "y", 5)
-	wantReturned("b", "z", 5)
-	wantReturned("b", "y", 0)
+	wantPutBack("a", "y", 5)
+	wantPutBack("b", "z", 5)
+	wantPutBack("b", "y", 0)
 
 	// The pool is put back.
 	table.ApplyShared(Shared{}, time.Hour)
 	wantOut("c", "y", false)
-	wantReturned("c", "y", time.Hour)
-	wantReturned("a", "", time.Hour)
+	wantPutBack("c", "y", time.Hour)
+	wantPutBack("a", "", time.Hour)
 
-	// The cluster took the override over, and it was cleared there before this balancer saw it.
+	// The override was stored in the cluster, and cleared there before this balancer received it.
 	table.TakeOut("d", 1)
 	table.ReleaseLocal("d", 2*time.Hour)
 	wantOut("d", "", false)
-	wantReturned("d", "", 2*time.Hour)
+	wantPutBack("d", "", 2*time.Hour)
 }
 
-func TestForPool(t *testing.T) {
+func TestSharedForPool(t *testing.T) {
 	for _, test := range []struct {
 		name      string
 		overrides []state.Override
 		want      Shared
 	}{
 		{"none", nil, Shared{}},
-		{"upstream", []state.Override{outOfService(state.ScopeUpstream, "a")}, Shared{Upstreams: map[string]bool{"a": true}}},
-		{"zone", []state.Override{outOfService(state.ScopeZone, "z")}, Shared{Zones: map[string]bool{"z": true}}},
+		{
+			"upstream",
+			[]state.Override{outOfService(state.ScopeUpstream, "a")},
+			Shared{Upstreams: map[string]bool{"a": true}},
+		},
+		{
+			"zone",
+			[]state.Override{outOfService(state.ScopeZone, "z")},
+			Shared{Zones: map[string]bool{"z": true}},
+		},
 		{"another pool", []state.Override{outOfService(state.ScopePool, "other")}, Shared{}},
 		{
 			"this pool, before another",
-			[]state.Override{outOfService(state.ScopePool, "mine"), outOfService(state.ScopePool, "other")},
+			[]state.Override{outOfService(state.ScopePool, "this"), outOfService(state.ScopePool, "other")},
 			Shared{WholePool: true},
 		},
 		{
@@ -112,14 +120,15 @@
 		},
 	} {
 		t.Run(test.name, func(t *testing.T) {
-			if got, want := SharedForPool(test.overrides, "mine"), withMaps(test.want); !reflect.DeepEqual(got, want) {
+			if got, want := SharedForPool(test.overrides, "this"),
+				withMaps(test.want); !reflect.DeepEqual(got, want) {
 				t.Errorf("got %+v, want %+v", got, want)
 			}
 		})
 	}
 }
 
-// withMaps puts empty maps in the place of nil ones, as ForPool returns them.
+// withMaps returns shared with empty maps for nil ones, as SharedForPool returns it.
 func withMaps(shared Shared) Shared {
 	if shared.Upstreams == nil {
 		shared.Upstreams = map[string]bool{}
--- a/internal/sharedlimit/allocator.go
+++ b/internal/sharedlimit/allocator.go
@@ -1,83 +1,84 @@
-// Package sharedlimit allots the endpoints that several pools of one process list. What an endpoint bears (connections,
-// and traffic while it is warming up) is a limit of the endpoint, whoever sends there. Each pool gets a fixed fraction
-// of it by its weight, so no pool can use up the part of another, and pools need not ask each other before each
-// request. A pool that is draining an endpoint drains it for all of them.
+// Package sharedlimit divides the limits of endpoints among the pools of one process that list them. The limits of an
+// endpoint (connections, and traffic while it is warming up) hold for all pools together. Each pool gets a fixed
+// fraction by its weight, so no pool can use up the part of another, and pools need not coordinate each request. If
+// one pool's list says that an endpoint is draining, it is draining for all pools.
 //
-// The package has no I/O, clock or goroutine. An Allocator belongs to one goroutine.
+// The package has no I/O, clock or goroutine. An Allocator is not safe for concurrent use.
 //
-// A claim costs time by its own length and by the endpoints on which it changes something for other pools. An endpoint
-// that one pool lists alone causes no notification at all.
+// The cost of a claim grows with its length and with the number of endpoints whose allotments it changes. An endpoint
+// that only one pool lists causes no notification.
 package sharedlimit
 
 import "slices"
 
-// roundingSlack is added before a number of connections is rounded down: in floating point a fraction of the limit may
-// come out just below the whole number that it is (0.29 of 100 is 28.999999999999996).
+// roundingSlack is added to a number of connections before it is rounded down, since a floating-point product may be
+// just below the exact whole number (0.29 * 100 is 28.999999999999996).
 const roundingSlack = 1e-9
 
 // Allotment is what one pool may use of one endpoint.
 type Allotment struct {
 	Fraction    float64 // of the endpoint's warm-up budget; above 0, at most 1
-	Connections int     // maximum at once; at least 1
-	Draining    bool    // the list of some pool says that the endpoint is draining
+	Connections int     // maximum at one time; at least 1
+	Draining    bool    // some pool's list says that the endpoint is draining
 }
 
-// reduces reports whether a allows less than before did, in any regard.
+// reduces reports whether a allows less than before in any respect.
 func (a Allotment) reduces(before Allotment) bool {
 	beginsDraining := a.Draining && !before.Draining
 	return a.Fraction < before.Fraction || a.Connections < before.Connections || beginsDraining
 }
 
-// Change is a new allotment of an endpoint that several pools list.
+// Change notifies a pool of its new allotment of an endpoint that it shares, or has shared, with other pools.
 type Change struct {
 	Address   string // address of the endpoint
 	Allotment Allotment
-	Exclusive bool // no other pool lists the endpoint any more: the pool may use all of it, and Allotment is empty
+	Exclusive bool // no other pool lists the endpoint any more: the pool may use all of it, and Allotment is zero
 }
 
-// Pool is a pool that an Allocator knows. The zero value lists no endpoint.
+// Pool is the last claim of a pool. The zero value lists no endpoint.
 type Pool struct {
 	weight    float64
 	endpoints map[string]bool // by address; true: draining by this pool's list
 }
 
-// usage is the use that one pool makes of a shared endpoint.
+// usage is the entry of one pool for a shared endpoint.
 type usage struct {
 	pool     *Pool
-	notified Allotment // as Changes last returned it; the zero value before that
+	notified Allotment // the last that the pool knows, by Changes or as its exclusive owner; zero: none
 }
 
-// Allocator knows which pools list which endpoints, and what each of them was last notified of.
+// Allocator records which pools list which endpoints, and computes the pools' allotments of shared endpoints.
 type Allocator struct {
-	connectionLimit int                 // to one endpoint, over all pools
+	connectionLimit int                 // connections to one endpoint, over all pools
 	exclusive       map[string]*Pool    // by address: the one pool that lists the endpoint
-	shared          map[string][]usage  // by address; also endpoints that were shared when Changes was last called
-	changed         map[string]struct{} // addresses in shared whose allotments may differ from those of the last Changes
+	shared          map[string][]usage  // by address; endpoints that are shared now or were at the last Changes
+	changed         map[string]struct{} // addresses in shared that the next Changes has to check
 }
 
-// NewAllocator returns an Allocator for so many connections to one endpoint over all pools.
-func NewAllocator(connections int) *Allocator {
+// NewAllocator returns an Allocator with a limit of connections to one endpoint, over all pools.
+func NewAllocator(connectionLimit int) *Allocator {
 	return &Allocator{
-		connectionLimit: connections,
+		connectionLimit: connectionLimit,
 		exclusive:       map[string]*Pool{},
 		shared:          map[string][]usage{},
 		changed:         map[string]struct{}{},
 	}
 }
 
-// SetConnectionLimit changes the number of connections to one endpoint over all pools.
-func (a *Allocator) SetConnectionLimit(connections int) {
-	if connections == a.connectionLimit {
+// SetConnectionLimit changes the limit of connections to one endpoint, over all pools.
+func (a *Allocator) SetConnectionLimit(limit int) {
+	if limit == a.connectionLimit {
 		return
 	}
-	a.connectionLimit = connections
+	a.connectionLimit = limit
 	for address := range a.shared {
 		a.changed[address] = struct{}{}
 	}
 }
 
-// Claim replaces the endpoints that a pool lists and the pool's weight. The keys are addresses; true means that the
-// pool's list says that the endpoint is draining. The Allocator keeps the map: the caller must not change it any more.
+// Claim replaces the weight of a pool and the endpoints that it lists. The keys of endpoints are addresses; true means
+// that the pool's list says that the endpoint is draining. The Allocator keeps the map, so the caller must not change
+// it afterwards.
 func (a *Allocator) Claim(pool *Pool, weight float64, endpoints map[string]bool) {
 	before := pool.endpoints
 	weightChanged := weight != pool.weight
@@ -98,7 +99,7 @@
 	}
 }
 
-// Remove forgets a pool and its claim.
+// Remove removes a pool and its claim.
 func (a *Allocator) Remove(pool *Pool) { a.Claim(pool, 0, nil) }
 
 func (a *Allocator) addUsage(pool *Pool, address string) {
@@ -126,19 +127,20 @@
 	a.markChanged(address)
 }
 
-// markChanged notes that allotments of an endpoint may have changed. Endpoints that are not shared have none.
+// markChanged records that the allotments of an endpoint may have changed. An exclusive endpoint has none.
 func (a *Allocator) markChanged(address string) {
 	if _, ok := a.shared[address]; ok {
 		a.changed[address] = struct{}{}
 	}
 }
 
-// Changes returns what pools are to be notified of since the last call: first, to all pools, the cuts that reduce their
-// use of an endpoint, then the rest. A pool's first allotment of an endpoint is in the rest. There is no change for
-// endpoints that a pool has exclusively: it may use all of them.
+// Changes returns the changes since the last call, by the pool to notify. Cuts reduce what a pool may use. All pools
+// must be notified of them before any pool is notified of the rest, so that the pools never exceed a limit together. A
+// pool's first allotment of an endpoint is in the rest. An endpoint that stays exclusive causes no change: its pool may
+// use all of it.
 //
-// Over all pools the fractions of an endpoint add up to 1, and its connections to no more than the limit, unless there
-// are more pools than connections: then each gets one.
+// Over all pools, the fractions of an endpoint add up to 1, and its connections to no more than the limit, except that
+// each pool gets at least one.
 func (a *Allocator) Changes() (cuts, rest map[*Pool][]Change) {
 	cuts, rest = map[*Pool][]Change{}, map[*Pool][]Change{}
 	for address := range a.changed {
@@ -167,8 +169,8 @@
 	return cuts, rest
 }
 
-// endSharing drops the allotments of an endpoint that at most one pool lists now. A pool that was notified of one is to
-// learn that the endpoint is exclusively its own.
+// endSharing drops the allotments of an endpoint that at most one pool still lists. If that pool knows of an allotment,
+// endSharing adds a change that makes the endpoint exclusive.
 func (a *Allocator) endSharing(address string, changes map[*Pool][]Change) {
 	usages := a.shared[address]
 	delete(a.shared, address)
@@ -182,10 +184,10 @@
 	}
 }
 
-// demand is what all pools together want of an endpoint.
+// demand is the sum of all pools' claims on an endpoint.
 type demand struct {
-	weight   float64 // sum over the pools that list it
-	draining bool    // by the list of any of them
+	weight   float64 // sum over the pools that list the endpoint
+	draining bool    // some pool's list says that the endpoint is draining
 }
 
 func demandFor(address string, usages []usage) demand {
@@ -197,7 +199,7 @@
 	return sum
 }
 
-// allot returns the allotment of one pool, by its weight among those of all.
+// allot returns the allotment of one pool, in proportion to its weight.
 func (a *Allocator) allot(pool *Pool, total demand) Allotment {
 	fraction := pool.weight / total.weight
 	return Allotment{
--- a/internal/sharedlimit/allocator_test.go
+++ b/internal/sharedlimit/allocator_test.go
@@ -8,18 +8,18 @@
 	"testing"
 )
 
-// notifiedPools is an Allocator with the pools that it notifies, and what each knows by the changes it was notified of.
+// notifiedPools is an Allocator with its pools, and the allotments of which each pool was notified.
 type notifiedPools struct {
 	*Allocator
 	limit int
 	pools map[string]*Pool
-	known map[*Pool]map[string]Allotment // by address; an endpoint that is missing is exclusively the pool's
+	known map[*Pool]map[string]Allotment // by address; a missing endpoint is exclusive to the pool
 }
 
-func newNotifiedPools(connections int) *notifiedPools {
+func newNotifiedPools(connectionLimit int) *notifiedPools {
 	return &notifiedPools{
-		Allocator: NewAllocator(connections),
-		limit:     connections,
+		Allocator: NewAllocator(connectionLimit),
+		limit:     connectionLimit,
 		pools:     map[string]*Pool{},
 		known:     map[*Pool]map[string]Allotment{},
 	}
@@ -35,7 +35,7 @@
 	n.Claim(pool, weight, endpoints)
 }
 
-// keepListed removes the addresses from a map that a list does not have.
+// keepListed removes from a map the addresses that are not listed.
 func keepListed[V any](byAddress map[string]V, listed map[string]bool) {
 	maps.DeleteFunc(byAddress, func(address string, _ V) bool {
 		_, ok := listed[address]
@@ -51,8 +51,8 @@
 	}
 }
 
-// note lets pools know of changes, and returns how many there were.
-func (n *notifiedPools) note(changes map[*Pool][]Change) (count int) {
+// deliver notifies pools of changes, and returns the number of changes.
+func (n *notifiedPools) deliver(changes map[*Pool][]Change) (count int) {
 	for pool, list := range changes {
 		count += len(list)
 		for _, change := range list {
@@ -66,13 +66,13 @@
 	return count
 }
 
-// notify lets pools know of all changes, and returns how many there were.
+// notify notifies pools of all changes since the last call, and returns the number of changes.
 func (n *notifiedPools) notify() int {
 	cuts, rest := n.Changes()
-	return n.note(cuts) + n.note(rest)
+	return n.deliver(cuts) + n.deliver(rest)
 }
 
-// allotments is what a pool knows of each endpoint that it lists.
+// allotments returns the allotment that a pool knows for each endpoint that it lists.
 func (n *notifiedPools) allotments(name string) map[string]Allotment {
 	allotments := map[string]Allotment{}
 	pool := n.pools[name]
@@ -89,16 +89,16 @@
 	return allotments
 }
 
-// oracle computes allotments the straightforward way: from every claim, for every endpoint, each time.
+// oracle is a reference implementation, which computes each allotment anew from all claims.
 type oracle struct {
 	connections int
 	claims      map[string]Pool
 }
 
 func (o oracle) allotments(name string) map[string]Allotment {
-	mine := o.claims[name]
-	allotments := make(map[string]Allotment, len(mine.endpoints))
-	for address := range mine.endpoints {
+	own := o.claims[name]
+	allotments := make(map[string]Allotment, len(own.endpoints))
+	for address := range own.endpoints {
 		var total float64
 		draining := false
 		for _, claim := range o.claims {
@@ -107,7 +107,7 @@
 				draining = draining || drains
 			}
 		}
-		fraction := mine.weight / total
+		fraction := own.weight / total
 		allotments[address] = Allotment{fraction, max(1, int(float64(o.connections)*fraction+1e-9)), draining}
 	}
 	return allotments
@@ -146,7 +146,7 @@
 		{"a larger fraction, fewer connections", Allotment{Fraction: 0.6, Connections: 10}, before, true},
 		{"more of both", Allotment{Fraction: 0.6, Connections: 30}, before, false},
 		{"begins to drain", Allotment{Fraction: 0.5, Connections: 20, Draining: true}, before, true},
-		{"ends to drain", before, Allotment{Fraction: 0.5, Connections: 20, Draining: true}, false},
+		{"stops draining", before, Allotment{Fraction: 0.5, Connections: 20, Draining: true}, false},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			if got := test.now.reduces(test.before); got != test.want {
@@ -156,23 +156,24 @@
 	}
 }
 
-// randomWalk changes pools at random and compares what they know with the oracle.
+// randomWalk changes pools at random and compares their allotments with the oracle's.
 type randomWalk struct {
 	*notifiedPools
 	rng    *rand.Rand
 	oracle oracle
-	// acked has the endpoints of which a pool was notified since it claimed them. The others it may not use yet.
-	acked map[string]map[string]bool
+	// usable has, by pool, the endpoints of which the pool was notified since it claimed them. It may not use
+	// others yet.
+	usable map[string]map[string]bool
 }
 
-// change lets a pool leave, changes the limit or makes a claim.
+// change removes a pool, changes the limit or makes a claim.
 func (w *randomWalk) change() {
 	name := fmt.Sprint(w.rng.IntN(8))
 	switch w.rng.IntN(8) {
 	case 0, 1:
 		w.leave(name)
 		delete(w.oracle.claims, name)
-		delete(w.acked, name)
+		delete(w.usable, name)
 	case 2:
 		w.limit = 20 + w.rng.IntN(40)
 		w.oracle.connections = w.limit
@@ -185,17 +186,17 @@
 		weight := float64(1 + w.rng.IntN(3))
 		w.claim(name, weight, endpoints)
 		w.oracle.claims[name] = Pool{weight, endpoints}
-		keepListed(w.acked[name], endpoints)
+		keepListed(w.usable[name], endpoints)
 	}
 }
 
-// checkSums fails the test if pools may use more than a whole endpoint by what they know.
+// checkSums fails the test if the allotments that pools know exceed the limits of an endpoint.
 func (w *randomWalk) checkSums(t *testing.T, when string, limit int) {
 	t.Helper()
 	fractions, connections := map[string]float64{}, map[string]int{}
 	for name := range w.pools {
 		for address, allotment := range w.allotments(name) {
-			if _, ok := w.acked[name][address]; ok {
+			if _, ok := w.usable[name][address]; ok {
 				fractions[address] += allotment.Fraction
 				connections[address] += allotment.Connections
 			}
@@ -203,12 +204,13 @@
 	}
 	for address, sum := range fractions {
 		if sum > 1+1e-9 || connections[address] > limit {
-			t.Fatalf("%s, endpoint %s: fractions %v, connections %d of %d", when, address, sum, connections[address], limit)
+			t.Fatalf("%s, endpoint %s: fractions %v, connections %d of %d",
+				when, address, sum, connections[address], limit)
 		}
 	}
 }
 
-// checkOracle fails the test if a pool knows anything else than what the oracle says.
+// checkOracle fails the test if an allotment that a pool knows differs from the oracle's.
 func (w *randomWalk) checkOracle(t *testing.T) {
 	t.Helper()
 	for name := range w.oracle.claims {
@@ -224,21 +226,21 @@
 	}
 }
 
-// equalAllotments leaves room for sums of weights in another order.
+// equalAllotments tolerates the rounding errors of weights that were added in another order.
 func equalAllotments(a, b Allotment) bool {
 	return math.Abs(a.Fraction-b.Fraction) <= 1e-12 && a.Connections == b.Connections && a.Draining == b.Draining
 }
 
-// TestRandomClaimsMatchOracle: pools come and go with any lists, weights and limits, some of them between two
-// notifications. What pools know by the changes is then what the oracle computes. Fractions add up to one endpoint and
-// connections to its limit, also when all cuts and only some of the rest have arrived. Where nothing differs there is
-// no notification.
+// TestRandomClaimsMatchOracle adds, changes and removes pools at random, several at a time between notifications. After
+// each notification the allotments must be those of the oracle. Fractions must not exceed 1 nor connections the limit,
+// also while pools have received all cuts and only some have received the rest. Without a change there must be no
+// notification.
 func TestRandomClaimsMatchOracle(t *testing.T) {
 	walk := &randomWalk{
 		notifiedPools: newNotifiedPools(50),
 		rng:           rand.New(rand.NewPCG(3, 3)),
 		oracle:        oracle{50, map[string]Pool{}},
-		acked:         map[string]map[string]bool{},
+		usable:        map[string]map[string]bool{},
 	}
 	for range 5000 {
 		before := walk.limit
@@ -246,29 +248,30 @@
 			walk.change()
 		}
 		cuts, rest := walk.Changes()
-		walk.note(cuts)
+		walk.deliver(cuts)
 		for name, pool := range walk.pools {
-			walk.note(map[*Pool][]Change{pool: rest[pool]})
-			walk.acked[name] = maps.Clone(pool.endpoints)
-			// A pool that gets an endpoint exclusively learns of a lower limit with the rest: nobody else gains by it.
+			walk.deliver(map[*Pool][]Change{pool: rest[pool]})
+			walk.usable[name] = maps.Clone(pool.endpoints)
+			// A pool that gets an endpoint exclusively is notified of a lower limit with the rest. No other
+			// pool uses the endpoint.
 			walk.checkSums(t, "during notification", max(before, walk.limit))
 		}
 		walk.checkSums(t, "after notification", walk.limit)
 		walk.checkOracle(t)
 		if n := walk.notify(); n > 0 {
-			t.Fatalf("%d changes where nothing differs", n)
+			t.Fatalf("%d changes without a claim or a new limit", n)
 		}
 		for address, usages := range walk.shared {
 			if len(usages) < 2 {
-				t.Fatalf("endpoint %s counts as shared by %d", address, len(usages))
+				t.Fatalf("endpoint %s is shared by %d pools", address, len(usages))
 			}
 		}
 	}
 }
 
-// TestExclusiveEndpointsNotifyNobody: pools with endpoints of their own are not notified, whatever they claim; of an
-// endpoint that two list these two are, once.
-func TestExclusiveEndpointsNotifyNobody(t *testing.T) {
+// TestExclusiveEndpointsCauseNoNotification: claims of exclusive endpoints cause no notification, and a change of an
+// endpoint that two pools list causes one to each.
+func TestExclusiveEndpointsCauseNoNotification(t *testing.T) {
 	pools := newNotifiedPools(50)
 	for i := range 100 {
 		endpoints := map[string]bool{}
@@ -277,10 +280,10 @@
 		}
 		pools.claim(fmt.Sprint(i), 1, endpoints)
 	}
-	want := func(what string, want int) {
+	want := func(step string, want int) {
 		t.Helper()
 		if got := pools.notify(); got != want {
-			t.Errorf("%s: %d changes, want %d", what, got, want)
+			t.Errorf("%s: %d changes, want %d", step, got, want)
 		}
 	}
 	want("endpoints that one pool lists", 0)
