--- a/internal/endpointcache/endpointcache_test.go
+++ b/internal/endpointcache/endpointcache_test.go
@@ -16,7 +16,7 @@
 	return discovery.Member{ID: id, HostPort: "127.0.0.1:1", Phase: phase, Size: 1}
 }
 
-// wantCached fails the test unless the file holds a complete list of these members.
+// wantCached fails the test unless the file holds a complete list of these members, and returns the list.
 func wantCached(t *testing.T, path string, members ...discovery.Member) *discovery.Listing {
 	t.Helper()
 	got, err := Load(path)
@@ -30,7 +30,8 @@
 	return got
 }
 
-// TestWriterCachesLists: complete lists and changes come to one list on disk, and a later process goes on from there.
+// TestWriterCachesLists: complete lists and changes are combined into one list on disk, which a later process can
+// change further.
 func TestWriterCachesLists(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "list")
 	if list, err := Load(path); list != nil || err != nil {
@@ -45,7 +46,7 @@
 		member("b", "draining"), member("c", "removed"), member("d", "up"),
 	}})
 	w.Close()
-	w.Save(discovery.Listing{Complete: true}) // of a pool that has ended: ignored
+	w.Save(discovery.Listing{Complete: true}) // after Close: ignored
 	cached := wantCached(t, path, member("a", "up"), member("b", "draining"), member("d", "up"))
 
 	w = NewWriter(path, cached)
@@ -64,14 +65,20 @@
 		{"the same complete list", discovery.Listing{Complete: true, Members: before}, false},
 		{"a complete list with one less", discovery.Listing{Complete: true, Members: before[:1]}, true},
 		{"no change", discovery.Listing{}, false},
-		{"an entry that is known", discovery.Listing{Members: before[:1]}, false},
-		{"an entry that differs", discovery.Listing{Members: []discovery.Member{member("a", "draining")}}, true},
+		{"a known entry", discovery.Listing{Members: before[:1]}, false},
+		{"a changed entry", discovery.Listing{Members: []discovery.Member{member("a", "draining")}}, true},
 		{"a new entry", discovery.Listing{Members: []discovery.Member{member("c", "up")}}, true},
 		{"a removed entry", discovery.Listing{Members: []discovery.Member{member("a", "removed")}}, true},
-		{"a removed entry that is unknown", discovery.Listing{Members: []discovery.Member{member("c", "removed")}}, false},
+		{
+			"a removed entry that is unknown",
+			discovery.Listing{Members: []discovery.Member{member("c", "removed")}},
+			false,
+		},
 	} {
 		t.Run(test.name, func(t *testing.T) {
-			w := NewWriter(filepath.Join(t.TempDir(), "list"), &discovery.Listing{Complete: true, Members: before})
+			w := NewWriter(
+				filepath.Join(t.TempDir(), "list"), &discovery.Listing{Complete: true, Members: before},
+			)
 			defer w.Close()
 			if changed := w.update(test.list); changed != test.changed {
 				t.Errorf("changed %v, want %v", changed, test.changed)
@@ -80,16 +87,16 @@
 	}
 }
 
-func TestLoadNamesTheFault(t *testing.T) {
+func TestLoadErrors(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "list")
 	if err := os.WriteFile(path, []byte("olv"), 0o600); err != nil {
 		t.Fatal(err)
 	}
 	if _, err := Load(path); !errors.Is(err, disk.ErrDamaged) {
-		t.Errorf("a file cut short: %v, want ErrDamaged", err)
+		t.Errorf("a truncated file: %v, want ErrDamaged", err)
 	}
 	for _, test := range []struct{ name, text string }{
-		{"no JSON", "{"},
+		{"invalid JSON", "{"},
 		{"an invalid entry", `{"members":[{"id":"a","phase":"up","host_port":"nowhere"}]}`},
 	} {
 		t.Run(test.name, func(t *testing.T) {
--- a/internal/endpointcache/golden_test.go
+++ b/internal/endpointcache/golden_test.go
@@ -11,17 +11,20 @@
 	"olivearch/internal/golden"
 )
 
-// TestGoldenList reads a list that an earlier version stored, and writes the same bytes.
+// TestGoldenList: a list is written with the bytes of the golden file, and the golden file is loaded as that list.
 func TestGoldenList(t *testing.T) {
 	stored := filepath.Join("testdata", "list")
 	list := discovery.Listing{Complete: true, Members: []discovery.Member{
-		{ID: "a", HostPort: "127.0.0.1:7001", Locality: "z1", Cell: 3, Phase: "up", Size: 1.5, UpSinceMS: 1700000000000},
+		{
+			ID: "a", HostPort: "127.0.0.1:7001", Locality: "z1", Cell: 3, Phase: "up", Size: 1.5,
+			UpSinceMS: 1700000000000,
+		},
 		{ID: "b", HostPort: "127.0.0.1:7002", Phase: "draining", Size: 1},
 	}}
 	path := filepath.Join(t.TempDir(), "list")
-	k := NewWriter(path, nil)
-	k.Save(list)
-	k.Close()
+	w := NewWriter(path, nil)
+	w.Save(list)
+	w.Close()
 	written, err := os.ReadFile(path)
 	if err != nil {
 		t.Fatal(err)
@@ -40,10 +43,10 @@
 	}
 	if string(written) != string(want) {
 		text, _ := disk.Read(path, 1<<20)
-		t.Errorf("written now: %s", text)
+		t.Errorf("written: %s", text)
 	}
 	got, err := Load(stored)
 	if err != nil || !reflect.DeepEqual(*got, list) {
-		t.Errorf("read: %+v, %v", got, err)
+		t.Errorf("loaded: %+v, %v", got, err)
 	}
 }
--- a/internal/endpointcache/load.go
+++ b/internal/endpointcache/load.go
@@ -1,8 +1,8 @@
 // Package endpointcache caches the endpoint list of a pool on disk, so that a process that starts while discovery is
 // unavailable begins with the last list that an earlier process had.
 //
-// The cache is never in the way: a pool saves lists to a Writer without waiting, and of several lists that arrive
-// during one write only the last is written.
+// A pool never waits for the disk: a Writer writes in the background, and combines lists that arrive during a write
+// into the next one.
 package endpointcache
 
 import (
@@ -15,12 +15,12 @@
 	"olivearch/internal/disk"
 )
 
-// maxListSize bounds a cached list, in bytes.
+// maxListSize bounds the size of a cached list, in bytes.
 const maxListSize = 64 << 20
 
-// Load reads the cached list at path. It returns nil without an error if there is none. For a list that is damaged, or
-// has an invalid entry, it returns an error that names the file; the process is then meant to start without the list.
-// An error about the file's contents as a whole wraps disk.ErrDamaged.
+// Load reads the cached list at path. It returns nil without an error if there is no file. For a list that is damaged
+// or has an invalid entry it returns an error that names the file, and the caller should start without the list. The
+// error wraps disk.ErrDamaged if the file does not hold what was written.
 func Load(path string) (*discovery.Listing, error) {
 	text, err := disk.Read(path, maxListSize)
 	if errors.Is(err, os.ErrNotExist) {
@@ -46,8 +46,8 @@
 			return nil, err
 		}
 	}
-	// The revision belongs to a discovery service that may have started anew since. Without one, the first poll asks
-	// for the complete list.
+	// The discovery service may have restarted since, and the revision would then mean nothing to it. Without a
+	// revision, the first poll asks for the complete list.
 	list.Revision, list.Complete = 0, true
 	return &list, nil
 }
--- a/internal/endpointcache/writer.go
+++ b/internal/endpointcache/writer.go
@@ -11,23 +11,23 @@
 	"olivearch/internal/disk"
 )
 
-// Writer writes the endpoint list of one pool to a file. Its methods may be called from many goroutines; one goroutine
-// of its own does all writing, until Close.
+// Writer writes the endpoint list of one pool to a file, from a goroutine of its own that ends with Close. Its methods
+// are safe for concurrent use.
 type Writer struct {
 	path string
 	wake chan struct{} // has room for one signal; closed by Close
 	done chan struct{} // closed when the last write has ended
 
-	mu        sync.Mutex // guards what follows
-	endpoints map[string]discovery.Member
-	dirty     bool // endpoints has changes that are not written yet
+	mu        sync.Mutex                  // guards the next three fields
+	endpoints map[string]discovery.Member // by ID
+	dirty     bool                        // endpoints has changes that are not written yet
 	closed    bool
 
-	lastError string // of the last write, empty if it succeeded; of the writing goroutine
+	lastError string // text of the last write's error, empty if it succeeded; used by writeLoop only
 }
 
-// NewWriter returns a Writer for a file, and starts its goroutine. Changes apply to the list that Load returned for the
-// file; it may be nil.
+// NewWriter returns a Writer for a file, and starts its goroutine. loaded is the list that Load returned for the file,
+// to which changes apply; it may be nil.
 func NewWriter(path string, loaded *discovery.Listing) *Writer {
 	w := &Writer{
 		path:      path,
@@ -42,8 +42,8 @@
 	return w
 }
 
-// Save takes a complete list, or changes to the one before, to be written soon. It does not wait for the disk. After
-// Close it does nothing.
+// Save applies a complete list, or changes to the list so far, and has the result written. It does not wait for the
+// disk. After Close nothing more is written.
 func (w *Writer) Save(list discovery.Listing) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -54,15 +54,15 @@
 	w.dirty = true
 	select {
 	case w.wake <- struct{}{}:
-	default: // a signal is waiting already
+	default: // a signal is already pending
 	}
 }
 
-// update applies a list, and reports whether that changed anything. The caller holds mu, or has the only reference.
+// update applies a list, and reports whether that changed anything. The caller holds mu or has the only reference to w.
 func (w *Writer) update(list discovery.Listing) (changed bool) {
-	named := map[string]bool{}
+	listed := map[string]bool{}
 	for _, endpoint := range list.Members {
-		named[endpoint.ID] = true
+		listed[endpoint.ID] = true
 		before, known := w.endpoints[endpoint.ID]
 		switch {
 		case endpoint.Phase == discovery.PhaseRemoved:
@@ -77,7 +77,7 @@
 		return changed
 	}
 	for id := range w.endpoints {
-		if !named[id] {
+		if !listed[id] {
 			delete(w.endpoints, id)
 			changed = true
 		}
@@ -85,7 +85,7 @@
 	return changed
 }
 
-// Close writes the changes that are not written yet, and ends the Writer. It waits for that.
+// Close writes the changes that are not written yet, ends the Writer's goroutine and waits for its end.
 func (w *Writer) Close() {
 	w.mu.Lock()
 	if !w.closed {
@@ -107,8 +107,8 @@
 	}
 }
 
-// logResult logs the first of several equal errors, as a full disk stays full for long, and the first success after an
-// error.
+// logResult logs the result of a write if it is a new error or the first success after an error. It does not repeat an
+// error, since a full disk may stay full for long.
 func (w *Writer) logResult(err error) {
 	switch {
 	case err == nil && w.lastError != "":
@@ -120,7 +120,7 @@
 	}
 }
 
-// takeChanges returns the encoded list if it has changes that are not written yet, and counts them as written.
+// takeChanges returns the encoded list if it has changes that are not written yet, and marks them as written.
 func (w *Writer) takeChanges() (text []byte, changed bool) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -134,7 +134,7 @@
 	}
 	slices.SortFunc(list.Members, func(a, b discovery.Member) int { return strings.Compare(a.ID, b.ID) })
 	text, err := json.Marshal(list)
-	if err != nil { // a size that is infinite or not a number has no JSON form
+	if err != nil { // JSON cannot represent a size that is infinite or not a number
 		slog.Error("endpoint list not encoded", "path", w.path, "err", err)
 		return nil, false
 	}
--- a/internal/endpointcache/writer_bench_test.go
+++ b/internal/endpointcache/writer_bench_test.go
@@ -8,8 +8,9 @@
 	"olivearch/internal/discovery"
 )
 
-// BenchmarkKept measures one change of an entry by the length of the list: the whole list is encoded anew.
-func BenchmarkKept(b *testing.B) {
+// BenchmarkTakeChanges measures the cost of changing one entry, for several list lengths: the whole list is encoded
+// again.
+func BenchmarkTakeChanges(b *testing.B) {
 	for _, length := range []int{37, 1000, 18_000} {
 		b.Run(fmt.Sprint(length), func(b *testing.B) {
 			list := discovery.Listing{Complete: true}
--- a/internal/hotrestart/golden_test.go
+++ b/internal/hotrestart/golden_test.go
@@ -12,21 +12,21 @@
 	"olivearch/internal/override"
 )
 
-// TestGoldenMessages pins the messages between an old and a new process in both directions: what this version writes,
-// and that it reads what an earlier one wrote.
+// TestGoldenMessages compares the messages between an old and a new process with the golden file, and decodes them:
+// this version must write what an earlier one reads, and read what an earlier one wrote.
 func TestGoldenMessages(t *testing.T) {
 	snapshot := balancer.Snapshot{
 		Figures: map[string]float64{"lat": 2.5},
 		Classes: map[string]float64{"read": 7},
 		Upstreams: []balancer.UpstreamSnapshot{{
-			ID: 3, StartedAt: time.Second, Unresponsive: true, TrialAt: 2 * time.Second, Wait: time.Millisecond,
-			Readings: 4, Answers: 5, Unreported: 6,
+			ID: 3, StartedAt: time.Second, Unresponsive: true, TrialAt: 2 * time.Second,
+			Wait: time.Millisecond, Readings: 4, Answers: 5, Unreported: 6,
 			Window: []float64{0.5, 0.25}, Figures: map[string]float64{"bound": 3},
 		}},
 	}
 	overrides := map[string]override.Entry{"s-1": {Out: true, At: 17}, "s-2": {At: 18}}
 	var text strings.Builder
-	for _, m := range []Message{
+	for _, message := range []Message{
 		{Kind: KindTakeOver, Listen: "127.0.0.1:8080"},
 		{Kind: KindState, Serial: 3, Listen: "127.0.0.1:8080", Standby: true, Overrides: overrides},
 		{Kind: KindAck, Serial: 3},
@@ -35,13 +35,13 @@
 		{Kind: KindSnapshot, Snapshot: &snapshot},
 		{Kind: KindClientConnection},
 	} {
-		encoded, err := json.Marshal(m)
+		encoded, err := json.Marshal(message)
 		if err != nil {
 			t.Fatal(err)
 		}
 		decoded, err := Decode(encoded)
-		if err != nil || !reflect.DeepEqual(decoded, m) {
-			t.Errorf("%s: read again as %+v, %v", encoded, decoded, err)
+		if err != nil || !reflect.DeepEqual(decoded, message) {
+			t.Errorf("%s: decoded as %+v, %v", encoded, decoded, err)
 		}
 		text.Write(append(encoded, '\n'))
 	}
--- a/internal/hotrestart/link_test.go
+++ b/internal/hotrestart/link_test.go
@@ -13,7 +13,7 @@
 	"olivearch/internal/override"
 )
 
-// linkPair returns the two ends of a link that was made at a path.
+// linkPair returns the two ends of a link through a path.
 func linkPair(t *testing.T, path string) (oldProcess, newProcess *Link) {
 	t.Helper()
 	listener, err := Listen(path)
@@ -34,7 +34,7 @@
 	return oldProcess, newProcess
 }
 
-// tcpPair returns a client's connection and the accepted end of it.
+// tcpPair returns the two ends of a TCP connection.
 func tcpPair(t *testing.T) (client net.Conn, accepted *net.TCPConn) {
 	t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
@@ -60,10 +60,10 @@
 	}
 }
 
-// TestBytesWaitInTheSocket hands a connection over while the client writes: no byte is lost, and the client sees
-// nothing of it.
-func TestBytesWaitInTheSocket(t *testing.T) {
-	folder := filepath.Join(t.TempDir(), strings.Repeat("x", 150)) // longer than a socket's address
+// TestHandOverBetweenWrites hands over a connection between two writes of the client. The new process must read both,
+// and the client must read the answer of the new process.
+func TestHandOverBetweenWrites(t *testing.T) {
+	folder := filepath.Join(t.TempDir(), strings.Repeat("x", 150)) // too long for a socket's address
 	if err := os.Mkdir(folder, 0o700); err != nil {
 		t.Fatal(err)
 	}
@@ -75,7 +75,7 @@
 		t.Fatal(err)
 	}
 	accepted.Close()
-	writeString(t, client, "behind")
+	writeString(t, client, "after")
 
 	message, file, err := newProcess.Receive()
 	if err != nil || message.Kind != KindClientConnection || file == nil {
@@ -86,8 +86,8 @@
 		t.Fatal(err)
 	}
 	file.Close()
-	text := make([]byte, len("before behind"))
-	if _, err := io.ReadFull(takenOver, text); err != nil || string(text) != "before behind" {
+	text := make([]byte, len("before after"))
+	if _, err := io.ReadFull(takenOver, text); err != nil || string(text) != "before after" {
 		t.Errorf("the new process reads %q, %v", text, err)
 	}
 	writeString(t, takenOver, "answer")
@@ -97,7 +97,7 @@
 	}
 }
 
-// TestMessages: messages arrive whole and one at a time, and the end of the other process is an error.
+// TestMessages: each Receive returns one complete message, and fails after the other process has closed the link.
 func TestMessages(t *testing.T) {
 	oldProcess, newProcess := linkPair(t, filepath.Join(t.TempDir(), "s"))
 	overrides := map[string]override.Entry{}
@@ -116,7 +116,8 @@
 		t.Errorf("received with %v, %v, want no file and no error", file, err)
 	}
 	if got.Kind != KindState || got.Serial != 3 || !got.Standby || !maps.Equal(got.Overrides, overrides) {
-		t.Errorf("received %s %d, standby %v, %d overrides", got.Kind, got.Serial, got.Standby, len(got.Overrides))
+		t.Errorf("received %s %d, standby %v, %d overrides",
+			got.Kind, got.Serial, got.Standby, len(got.Overrides))
 	}
 	if got, _, err = newProcess.Receive(); err != nil || got.Kind != KindReady {
 		t.Errorf("received %s, %v, want %s", got.Kind, err, KindReady)
@@ -124,15 +125,15 @@
 
 	oldProcess.Close()
 	if _, _, err = newProcess.Receive(); !errors.Is(err, io.EOF) {
-		t.Errorf("after the end of the other process: %v, want one that wraps io.EOF", err)
+		t.Errorf("after the other process has closed the link: %v, want one that wraps io.EOF", err)
 	}
-	if _, err := Dial(filepath.Join(t.TempDir(), "nobody")); !errors.Is(err, os.ErrNotExist) {
-		t.Errorf("nobody listens: %v, want one that wraps ErrNotExist", err)
+	if _, err := Dial(filepath.Join(t.TempDir(), "missing")); !errors.Is(err, os.ErrNotExist) {
+		t.Errorf("no socket at the path: %v, want one that wraps ErrNotExist", err)
 	}
 }
 
-// TestReceiveFaults: a message that cannot be decoded is an error, and brings no file.
-func TestReceiveFaults(t *testing.T) {
+// TestReceiveErrors: for a message that cannot be decoded, Receive returns an error and no file.
+func TestReceiveErrors(t *testing.T) {
 	oldProcess, newProcess := linkPair(t, filepath.Join(t.TempDir(), "s"))
 	_, accepted := tcpPair(t)
 	defer accepted.Close()
@@ -156,7 +157,9 @@
 
 func TestSendRejectsLongMessages(t *testing.T) {
 	oldProcess, _ := linkPair(t, filepath.Join(t.TempDir(), "s"))
-	if err := oldProcess.Send(Message{Kind: KindState, Listen: strings.Repeat("x", maxMessage)}, nil); err == nil {
+	if err := oldProcess.Send(
+		Message{Kind: KindState, Listen: strings.Repeat("x", maxMessageSize)}, nil,
+	); err == nil {
 		t.Error("a message over the limit was sent")
 	}
 }
@@ -166,7 +169,7 @@
 	f.Add([]byte(`{"kind":"client"`))
 	f.Fuzz(func(t *testing.T, text []byte) {
 		if message, err := Decode(text); err == nil && message.Kind == "" {
-			t.Errorf("%q passed for a message", text)
+			t.Errorf("%q was decoded as a message without a kind", text)
 		}
 	})
 }
--- a/internal/hotrestart/listener.go
+++ b/internal/hotrestart/listener.go
@@ -9,17 +9,17 @@
 )
 
 const (
-	// network keeps the bounds of messages, and tells when the other end has closed (SOCK_SEQPACKET in unix(7)).
+	// network preserves message boundaries, and reports when the other end has closed (SOCK_SEQPACKET in unix(7)).
 	network = "unixpacket"
-	// maxSocketPath is the length in bytes of the longest path in the address of a Unix socket: sun_path in unix(7) has
-	// 108 with the byte that ends it.
+	// maxSocketPath is the length of the longest path in a Unix socket's address, in bytes: sun_path in unix(7) has
+	// 108 with the terminating null byte.
 	maxSocketPath = 107
 )
 
 // Listener accepts links from a new process.
 type Listener struct{ socket *net.UnixListener }
 
-// Listen listens at a path, in the place of any process that did before.
+// Listen listens at a path. It replaces the socket of a process that listened there before.
 func Listen(path string) (*Listener, error) {
 	if err := os.Remove(path); err != nil && !errors.Is(err, os.ErrNotExist) {
 		return nil, fmt.Errorf("handover: %w", err)
@@ -33,11 +33,11 @@
 	if err != nil {
 		return nil, fmt.Errorf("handover: %w", err)
 	}
-	socket.SetUnlinkOnClose(false) // by then the path belongs to the next process
+	socket.SetUnlinkOnClose(false) // when it closes, the path may belong to the next process
 	return &Listener{socket}, nil
 }
 
-// Accept waits for a link. It returns an error that wraps net.ErrClosed after Close.
+// Accept waits for a link. After Close its error wraps net.ErrClosed.
 func (l *Listener) Accept() (*Link, error) {
 	conn, err := l.socket.AcceptUnix()
 	if err != nil {
@@ -49,8 +49,8 @@
 // Close stops listening. Accepted links stay open.
 func (l *Listener) Close() error { return l.socket.Close() }
 
-// socketAddress returns an address for a path. A path that is too long for one is reached through a descriptor of its
-// folder, which stays open until release is called.
+// socketAddress returns the socket address of a path. A path that is too long for an address is replaced by one through
+// a descriptor of its folder, which stays open until release is called.
 func socketAddress(path string) (address *net.UnixAddr, release func(), err error) {
 	if len(path) <= maxSocketPath {
 		return &net.UnixAddr{Name: path, Net: network}, func() {}, nil
@@ -59,6 +59,6 @@
 	if err != nil {
 		return nil, nil, fmt.Errorf("handover: %w", err)
 	}
-	short := fmt.Sprintf("/proc/self/fd/%d/%s", folder.Fd(), filepath.Base(path))
-	return &net.UnixAddr{Name: short, Net: network}, func() { folder.Close() }, nil
+	shortPath := fmt.Sprintf("/proc/self/fd/%d/%s", folder.Fd(), filepath.Base(path))
+	return &net.UnixAddr{Name: shortPath, Net: network}, func() { folder.Close() }, nil
 }
--- a/internal/hotrestart/message.go
+++ b/internal/hotrestart/message.go
@@ -1,6 +1,6 @@
-// Package hotrestart carries messages between an old and a new process of one balancer, during a hot restart. The
-// messages go over a Unix socket that only processes with access to the same folder can reach, and each may bring one
-// file descriptor. What is handed over and when is up to the package's users.
+// Package hotrestart carries messages between the old and the new process of a balancer during a hot restart. The
+// messages are sent over a Unix socket, which only processes with access to its folder can reach, and each may carry
+// one file descriptor. Package proxy decides what is handed over and when.
 package hotrestart
 
 import (
@@ -11,7 +11,7 @@
 	"olivearch/internal/override"
 )
 
-// Kind tells what a message is about. The values are fixed, since the two processes may be of different versions.
+// Kind is the kind of a message. The values must not change, since the two processes may be of different versions.
 type Kind string
 
 // The kinds of messages.
@@ -19,21 +19,21 @@
 	// KindTakeOver asks the old process for what the new one needs to serve. The answer is a KindState with the
 	// descriptor of the listening socket.
 	KindTakeOver Kind = "take"
-	// KindState has the local overrides, and whether the balancer is on standby.
+	// KindState carries the local overrides, and whether the balancer is on standby.
 	KindState Kind = "state"
 	// KindAck says that the KindState with the same serial has been applied.
 	KindAck Kind = "ack"
-	// KindReady says that the new process serves.
+	// KindReady says that the new process is serving.
 	KindReady Kind = "ready"
 	// KindSnapshotRequest asks the old process for a KindSnapshot.
 	KindSnapshotRequest Kind = "recall"
-	// KindSnapshot has what the decision module has learnt of its upstreams.
+	// KindSnapshot carries what the decision module has learnt of its upstreams.
 	KindSnapshot Kind = "memory"
-	// KindClientConnection has the descriptor of a client connection that is between two requests.
+	// KindClientConnection carries the descriptor of a client connection that is between two requests.
 	KindClientConnection Kind = "client"
 )
 
-// known reports whether this version has such a kind.
+// known reports whether this version knows the kind.
 func (k Kind) known() bool {
 	switch k {
 	case KindTakeOver, KindState, KindAck, KindReady, KindSnapshotRequest, KindSnapshot, KindClientConnection:
@@ -47,7 +47,7 @@
 	Kind      Kind                      `json:"kind"`
 	Serial    uint64                    `json:"serial,omitempty"` // of a KindState, and of the KindAck for it
 	Listen    string                    `json:"listen,omitempty"` // address that the balancer serves
-	Overrides map[string]override.Entry `json:"held,omitempty"`   // local ones, by the upstream's id
+	Overrides map[string]override.Entry `json:"held,omitempty"`   // local overrides by upstream id
 	Standby   bool                      `json:"standby,omitempty"`
 	Snapshot  *balancer.Snapshot        `json:"memory,omitempty"`
 }
