--- a/internal/clock/clock.go
+++ b/internal/clock/clock.go
@@ -1,11 +1,11 @@
-// Package clock reads the machine's clock as Unix time, for times that other machines compare with theirs. Intervals
-// and timeouts are measured with the monotonic clock instead (time.Since), and do not use this package.
+// Package clock reads the machine's wall clock, for times that other machines compare with their own. Intervals and
+// timeouts are measured with the monotonic clock instead (time.Since), and do not use this package.
 //
-// A build with the tag "faultinject" can be told to read the clock with an offset, for fault tests
-// (internal/faulttest). Other builds have no way to do that.
+// In a build with the tag "faultinject", fault tests (internal/faulttest) can add an offset to the clock. Other builds
+// contain no fault injection.
 package clock
 
 import "time"
 
-// Now returns the time of the machine's clock, with the offset that is injected, if any.
+// Now returns the wall-clock time, plus the injected offset if there is one.
 func Now() time.Time { return time.Now().Add(injectedOffset()) }
--- a/internal/clock/fault_injection.go
+++ b/internal/clock/fault_injection.go
@@ -8,11 +8,12 @@
 	"time"
 )
 
-// OffsetVariable is the environment variable that names a file with the clock's offset, as time.ParseDuration reads it; it
-// is positive for a clock that is ahead. The file may change at any time: the clock then jumps.
+// OffsetVariable is the environment variable with the path of a file that has the clock's offset, in the format of
+// time.ParseDuration. A positive offset sets the clock ahead. The file may change at any time, and the clock then
+// jumps.
 const OffsetVariable = "OLIVEARCH_GROUND_CLOCK"
 
-// injectedOffset returns by how much the clock is to be ahead: 0 without a file, or with one that holds no duration.
+// injectedOffset returns the offset in the file; 0 if there is no file, or no valid duration in it.
 func injectedOffset() time.Duration {
 	text, err := os.ReadFile(os.Getenv(OffsetVariable))
 	if err != nil {
--- a/internal/disk/disk.go
+++ b/internal/disk/disk.go
@@ -1,9 +1,9 @@
-// Package disk writes and reads the few files that outlive a process. A file is replaced as a whole: a reader finds the
-// old contents or the new ones, also after a crash or a power failure at any moment, provided that the disk stores what
-// it has acknowledged. Read finds out if it did not.
+// Package disk writes and reads files that outlive a process: cached endpoint lists, followers' stored copies and
+// snapshots. It replaces a file atomically: a reader finds the old contents or the new ones, even after a crash or a
+// power failure, provided that the disk stores what it has acknowledged. If the disk did not, Read returns an error.
 //
-// A build with the tag "faultinject" can be told that the disk fails, for fault tests (internal/faulttest). Other
-// builds have no way to do that.
+// In a build with the tag "faultinject", fault tests (internal/faulttest) can make the disk fail. Other builds contain
+// no fault injection.
 package disk
 
 import (
@@ -16,8 +16,8 @@
 	"path/filepath"
 )
 
-// A file begins with a header, in big-endian order: magic, version, and the length and CRC-32C (Castagnoli, as in RFC
-// 9260, appendix A) of the contents, which follow.
+// A file begins with a header, in big-endian order: magic, format version, and the length and CRC-32C (RFC 9260,
+// appendix A) of the contents. The contents follow.
 const (
 	magic   = "olvf"
 	version = 1
@@ -30,13 +30,13 @@
 
 var castagnoli = crc32.MakeTable(crc32.Castagnoli)
 
-// ErrDamaged is wrapped by the errors of Read about what is in a file: it is incomplete, was changed, or was not
-// written by Replace.
+// ErrDamaged is wrapped by errors of Read about a file that is incomplete, has been changed, or was not written by
+// Replace.
 var ErrDamaged = errors.New("the file is damaged")
 
-// Replace replaces the contents of a file, or changes nothing and returns an error. It returns once the disk has
-// acknowledged the contents: it writes a file in the same folder, calls fsync(2) and rename(2), and fsync for the
-// folder.
+// Replace replaces the contents of a file, and returns once the disk has acknowledged the new ones: it writes a
+// temporary file in the same folder, calls fsync(2) and rename(2), and fsync(2) for the folder. After an error the file
+// has the old contents, unless only the fsync for the folder failed.
 func Replace(path string, contents []byte) error {
 	encoded := encode(contents)
 	if handled, err := injectFault(path, encoded); handled {
@@ -47,7 +47,7 @@
 	if err != nil {
 		return err
 	}
-	defer os.Remove(file.Name()) // fails once the file is renamed
+	defer os.Remove(file.Name()) // fails once the file has been renamed
 	if err := errors.Join(writeAndSync(file, encoded), file.Close()); err != nil {
 		return err
 	}
@@ -73,7 +73,7 @@
 }
 
 // Read returns the contents that Replace has written to a file. The error wraps os.ErrNotExist if there is no file, and
-// ErrDamaged if it does not hold what was written. No more than maxSize+1 bytes of contents are read, so a file with
+// ErrDamaged if the file does not hold what was written. Read reads at most maxSize+1 bytes of contents, so a file with
 // more counts as damaged.
 func Read(path string, maxSize int) ([]byte, error) {
 	file, err := os.Open(path)
@@ -92,7 +92,7 @@
 	return contents, nil
 }
 
-// encode returns the header and the contents.
+// encode returns the header followed by the contents.
 func encode(contents []byte) []byte {
 	encoded := make([]byte, 0, headerSize+len(contents))
 	encoded = append(encoded, magic...)
@@ -102,20 +102,21 @@
 	return append(encoded, contents...)
 }
 
-// decode checks the header and returns the contents, which share the memory of encoded. Its errors wrap ErrDamaged.
+// decode checks the header and returns the contents, which share memory with encoded. Its errors wrap ErrDamaged.
 func decode(encoded []byte) ([]byte, error) {
 	if len(encoded) < headerSize || string(encoded[:len(magic)]) != magic {
-		return nil, fmt.Errorf("%w: it has no head", ErrDamaged)
+		return nil, fmt.Errorf("%w: no valid header", ErrDamaged)
 	}
 	if written := binary.BigEndian.Uint32(encoded[versionOffset:]); written != version {
-		return nil, fmt.Errorf("%w: it is of version %d, and %d is known", ErrDamaged, written, version)
+		return nil, fmt.Errorf("%w: format version %d, and only %d is supported", ErrDamaged, written, version)
 	}
 	contents := encoded[headerSize:]
 	if written := binary.BigEndian.Uint64(encoded[lengthOffset:]); written != uint64(len(contents)) {
-		return nil, fmt.Errorf("%w: %d bytes stand there, and %d were written", ErrDamaged, len(contents), written)
+		return nil, fmt.Errorf("%w: contents of %d bytes, and %d were written",
+			ErrDamaged, len(contents), written)
 	}
 	if crc32.Checksum(contents, castagnoli) != binary.BigEndian.Uint32(encoded[checksumOffset:]) {
-		return nil, fmt.Errorf("%w: its checksum differs", ErrDamaged)
+		return nil, fmt.Errorf("%w: wrong checksum of the contents", ErrDamaged)
 	}
 	return contents, nil
 }
--- a/internal/disk/disk_test.go
+++ b/internal/disk/disk_test.go
@@ -10,8 +10,8 @@
 
 const maxSize = 100
 
-// replacedFile returns the path of a file with contents, alone in its folder. They are written twice, so that the
-// second write replaces a file.
+// replacedFile writes contents to a new file twice, so that the second write replaces a file, and returns its path.
+// There is no other file in the folder.
 func replacedFile(t *testing.T, contents []byte) (path string) {
 	t.Helper()
 	path = filepath.Join(t.TempDir(), "x")
@@ -33,7 +33,7 @@
 		t.Errorf("files in the folder: %v, %v, want one", files, err)
 	}
 	if err := Replace(filepath.Join(path, "under", "a-file"), contents); err == nil {
-		t.Error("no error where the folder is missing")
+		t.Error("no error for a missing folder")
 	}
 }
 
@@ -54,7 +54,7 @@
 	}
 }
 
-// TestReadDetectsDamage: a file that is cut off anywhere, has any bit flipped or is longer than it was is an error.
+// TestReadDetectsDamage: Read returns ErrDamaged for a file that is truncated, has a flipped bit or has an extra byte.
 func TestReadDetectsDamage(t *testing.T) {
 	path := replacedFile(t, []byte("what is stored"))
 	stored, err := os.ReadFile(path)
@@ -71,21 +71,21 @@
 		}
 	}
 	for n := range stored {
-		wantDamaged("cut off", stored[:n])
+		wantDamaged("truncated", stored[:n])
 		for bit := range 8 {
 			flipped := bytes.Clone(stored)
 			flipped[n] ^= 1 << bit
-			wantDamaged("flipped", flipped)
+			wantDamaged("flipped bit", flipped)
 		}
 	}
-	wantDamaged("longer", append(bytes.Clone(stored), 'x'))
+	wantDamaged("extra byte", append(bytes.Clone(stored), 'x'))
 }
 
 func FuzzDecode(f *testing.F) {
 	f.Add([]byte("olvf\x00\x00\x00\x01"))
 	f.Fuzz(func(t *testing.T, encoded []byte) {
 		if contents, err := decode(encoded); err == nil && len(contents)+headerSize != len(encoded) {
-			t.Errorf("%d of %d bytes", len(contents), len(encoded))
+			t.Errorf("decoded %d bytes of contents from %d bytes", len(contents), len(encoded))
 		}
 	})
 }
--- a/internal/disk/fault_injection.go
+++ b/internal/disk/fault_injection.go
@@ -9,12 +9,13 @@
 	"time"
 )
 
-// FaultVariable is the environment variable that names a file with the fault of the disk: full, error, torn, or slow and a
-// duration. The file may come and go at any time.
+// FaultVariable is the environment variable with the path of a file that names the fault to inject: full, error, torn,
+// or slow and a duration. The file may be created and removed at any time.
 const FaultVariable = "OLIVEARCH_GROUND_DISK"
 
-// injectFault takes the place of Replace if the disk is to fail; it reports whether it did. A torn write leaves half of
-// the new contents in the file, as a disk does that acknowledges what it has not stored.
+// injectFault injects the fault, if any, into a Replace. If handled is true, Replace returns err and does nothing else.
+// A torn write leaves half of the new contents in the file and returns no error, like a disk that acknowledges what it
+// has not stored. A slow write is only delayed.
 func injectFault(path string, contents []byte) (handled bool, err error) {
 	text, err := os.ReadFile(os.Getenv(FaultVariable))
 	if err != nil {
