--- a/internal/coordination/client/hello.go
+++ b/internal/coordination/client/hello.go
@@ -10,9 +10,9 @@
 
 // The roles.
 const (
-	RoleClient   Role = 1 + iota // the opener sends requests, the server responses
-	RoleFollower                 // the server sends the state, and then its changes
-	RolePeer                     // the opener is another server, and is sent Raft messages
+	RoleClient   Role = 1 + iota // requests to the server, and its responses
+	RoleFollower                 // the state, and then its changes, from the server
+	RolePeer                     // Raft messages from the server to another server, which opens the connection
 )
 
 // Hello is the first message on a connection, from the process that opens it.
--- a/internal/coordination/client/lease.go
+++ b/internal/coordination/client/lease.go
@@ -14,7 +14,7 @@
 
 // Lease is a lease on units of a resource that this process holds. Its end is measured by the process's own monotonic
 // clock, from before the request was sent. The cluster clock measures from a later moment and never runs ahead, so the
-// lease ends there later.
+// lease ends later for the cluster.
 type Lease struct {
 	Resource, Holder string
 	Units            int64
--- a/internal/coordination/client/status.go
+++ b/internal/coordination/client/status.go
@@ -11,7 +11,7 @@
 	Term          uint64         `json:"term"`
 	Applied       uint64         `json:"applied"`   // the last log index that was applied
 	Committed     uint64         `json:"committed"` // the last log index that was committed
-	AgeMS         int64          `json:"age_ms"`    // since a quorum confirmed that nothing newer is committed
+	AgeMS         int64          `json:"age_ms"`    // time since a quorum confirmed that nothing newer is committed
 	ClockMS       uint64         `json:"clock_ms"`  // the cluster clock
 	Level         uint32         `json:"level"`     // the newest feature level of the server's version
 	FeatureLevel  uint32         `json:"raised"`    // the cluster's feature level
--- a/internal/coordination/client/update.go
+++ b/internal/coordination/client/update.go
@@ -11,7 +11,7 @@
 	Commands        [][]byte // encoded state.Envelopes, all of the same index
 	Index           uint64   // the last log index that the server has applied
 	Heartbeat       bool     // Leader is set; Voters and ReachableVoters too, unless there is a State
-	Ping            uint64   // a ping's number: Index covers all that was committed before that ping; 0: unknown
+	Ping            uint64   // a ping's number; Index covers all that was committed before it was sent; 0: unknown
 	Leader          string
 	Cluster         uint64
 	Voters          uint32
--- a/internal/coordination/client/view.go
+++ b/internal/coordination/client/view.go
@@ -21,8 +21,8 @@
 	confirmedAt     time.Time // see Age; zero: never
 }
 
-// Age returns the time since a quorum confirmed that nothing newer than this view was committed. It returns 1000 hours
-// if none ever did.
+// Age returns the time since a quorum confirmed that nothing newer than this view was committed. A result of 1000
+// hours stands for never.
 func (v *View) Age(now time.Time) time.Duration {
 	if v.confirmedAt.IsZero() {
 		return maxAge
