--- a/internal/pool/attempt.go
+++ b/internal/pool/attempt.go
@@ -10,29 +10,29 @@
 	"olivearch/internal/upstream"
 )
 
-// lingerTimeout and maxLingeringAttempts bound the connections that wait for late responses to clients that have gone.
-// The endpoint works on regardless, and a connection kept for its response saves the next handshake; but an endpoint
-// that hangs never answers.
+// lingerTimeout and maxLingeringAttempts bound the connections that wait for the late response of an abandoned attempt.
+// The endpoint processes the request regardless, and keeping the connection saves the handshake of a new one; but an
+// endpoint that hangs never responds.
 const (
 	lingerTimeout        = 3 * time.Second
-	maxLingeringAttempts = 4 // of one endpoint
+	maxLingeringAttempts = 4 // per endpoint
 )
 
-// attempt is one try of a request at an endpoint. The loop owns it, but for what the embedded Attempt lets the
-// goroutine of the connection do.
+// attempt is one try of a request at an endpoint. The loop owns it, except for the methods of the embedded Attempt that
+// the connection's goroutine calls.
 type attempt struct {
 	upstream.Attempt
 	loop       *loop
 	request    *Request
-	number     int // order of the request's attempts, from 0
+	number     int // position among the request's attempts, from 0
 	endpoint   *endpoint
-	connection *connection // that carries it; nil: there was none
+	connection *connection // carries the attempt; nil: none was available
 	transport  upstream.Transport
 	state      attemptState
 	sentAt     time.Duration
-	timer      timer        // its time-out, where that ends before the request's deadline
-	tunnel     *body.Tunnel // that the connection has become; nil: none
-	lingering  bool         // its connection was left to wait for the late response
+	timer      timer        // scheduled if the attempt's time-out expires before the request's deadline
+	tunnel     *body.Tunnel // set once the connection has become a tunnel
+	lingering  bool         // the connection waits for the late response of the abandoned attempt
 }
 
 var _ interface {
@@ -40,7 +40,8 @@
 	upstream.Gate
 } = (*attempt)(nil)
 
-// RequestWritten, InterimResponse and ResponseStarted are upstream.Observer's, called from the connection's goroutine.
+// RequestWritten implements upstream.Observer, as InterimResponse and ResponseStarted do. The connection's goroutine
+// calls all three.
 func (a *attempt) RequestWritten() { a.loop.enqueue(bodyWritten{a}) }
 
 func (a *attempt) InterimResponse(fields http1.Fields) { a.loop.enqueue(earlyHintsReceived{a, fields}) }
@@ -49,15 +50,17 @@
 	a.loop.enqueue(responseStarted{a, response})
 }
 
-// Open is upstream.Gate's, called from the connection's goroutine: whether the client still waits.
+// Open reports whether the client still waits for the response. It implements upstream.Gate; the connection's goroutine
+// calls it.
 func (a *attempt) Open() bool { return a.request.clientPresent() }
 
-// Send makes an attempt. Part of balancer.Host.
+// Send starts an attempt. It is part of balancer.Host.
 func (l *loop) Send(id balancer.RequestID, upstreamID balancer.UpstreamID, timeout time.Duration) {
 	request := l.requests[id]
 	endpoint := l.endpoints[upstreamID]
-	if request == nil || endpoint == nil { // the balancer only knows those that there are
-		l.logInfo("attempt not sent", "reason", "unknown request or endpoint", "request", id, "upstream", upstreamID)
+	if request == nil || endpoint == nil { // not expected: the balancer knows which exist
+		l.logInfo("attempt not sent",
+			"reason", "unknown request or endpoint", "request", id, "upstream", upstreamID)
 		return
 	}
 	now := l.now()
@@ -66,9 +69,9 @@
 		attempt.connection = l.acquireConnection(endpoint, now)
 	}
 	if request.Message.Upload.Streaming() {
-		attempt.Timeout = min(attempt.Timeout, request.Budget) // from its last byte
+		attempt.Timeout = min(attempt.Timeout, request.Budget) // counted from the body's last byte
 	}
-	if attempt.connection == nil { // no fault of the endpoint's
+	if attempt.connection == nil { // must not count as a failure of the endpoint
 		attempt.Drop()
 		l.deferOutcome(attempt, balancer.NotSent)
 		return
@@ -82,9 +85,10 @@
 	attempt.connection.start(l, attempt)
 }
 
-// newAttempt makes an attempt with its time-out. timeout is the balancer's; 0: only the request's deadline ends it.
+// newAttempt creates an attempt and schedules its time-out. timeout is set by the balancer; with 0, only the request's
+// deadline ends the attempt.
 func (l *loop) newAttempt(request *Request, endpoint *endpoint, timeout, now time.Duration) *attempt {
-	made := &attempt{
+	created := &attempt{
 		loop:      l,
 		request:   request,
 		number:    len(request.attempts),
@@ -92,25 +96,25 @@
 		transport: l.connections.transport,
 		sentAt:    now,
 	}
-	made.Message = &request.Message
-	made.Address = endpoint.address
-	made.Observer = made
-	made.Gate = made
+	created.Message = &request.Message
+	created.Address = endpoint.address
+	created.Observer = created
+	created.Gate = created
 	if until := l.balancer.SendDeadline(request.ID); until > 0 {
-		made.WriteDeadline = time.Now().Add(until - now)
+		created.WriteDeadline = time.Now().Add(until - now)
 	}
-	request.attempts = append(request.attempts, made)
-	request.unreported++
-	made.Timeout = request.deadline - now
-	if timeout > 0 && timeout < made.Timeout {
-		made.Timeout = timeout
-		made.timer = timer{at: now + timeout, attempt: made}
-		l.timers.schedule(&made.timer)
+	request.attempts = append(request.attempts, created)
+	request.unreportedOutcomes++
+	created.Timeout = request.deadline - now
+	if timeout > 0 && timeout < created.Timeout {
+		created.Timeout = timeout
+		created.timer = timer{at: now + timeout, attempt: created}
+		l.timers.schedule(&created.timer)
 	}
-	return made
+	return created
 }
 
-// mayConnect reports whether an attempt may have a connection.
+// mayConnect reports whether an attempt may get a connection.
 func (l *loop) mayConnect(a *attempt) bool {
 	isTunnel := a.request.Message.Upgrade != ""
 	if isTunnel && a.endpoint.tunnelCount >= l.tunnelLimits.PerEndpoint {
@@ -119,8 +123,8 @@
 	return a.request.isOpen() && a.Timeout > 0 && a.endpoint.state == balancer.Active
 }
 
-// bodyWritten is an attempt that has written the last byte of a body that went on as it came. Its time counts from then
-// on.
+// bodyWritten is the event that an attempt has written the last byte of a request body that was streamed while the
+// client was still sending it. The attempt's latency and the request's budget count from then on.
 type bodyWritten struct{ attempt *attempt }
 
 func (e bodyWritten) apply(l *loop) {
@@ -133,7 +137,7 @@
 	l.balancer.BodySent(e.attempt.sentAt, request.ID, e.attempt.number)
 }
 
-// responseStarted is a response of which the first bytes have come, and which goes on as it comes.
+// responseStarted is the event that the first bytes of a streamed response have arrived.
 type responseStarted struct {
 	attempt  *attempt
 	response upstream.Result
@@ -148,7 +152,7 @@
 	l.startResponse(e.attempt, e.response)
 }
 
-// startResponse passes on the first bytes of an attempt's response.
+// startResponse passes the first bytes of an attempt's response to the client.
 func (l *loop) startResponse(attempt *attempt, response upstream.Result) {
 	endpoint := attempt.endpoint
 	if response.Tunnel != nil {
@@ -158,10 +162,11 @@
 	}
 	endpoint.countUnreadableReport(response.LoadReportError)
 	l.reportOutcome(attempt, responseHeadReceived, response)
-	l.countAbandoned(endpoint, 1) // its connection is held until the last byte
+	l.adjustAbandoned(endpoint, 1) // the connection is in use until the last byte
 }
 
-// earlyHintsReceived is an interim response with status 103. A client gets those of one attempt.
+// earlyHintsReceived is the event that an interim response with status 103 has arrived. The client gets at most one for
+// each request.
 type earlyHintsReceived struct {
 	attempt *attempt
 	fields  http1.Fields
@@ -169,15 +174,15 @@
 
 func (e earlyHintsReceived) apply(*loop) {
 	request := e.attempt.request
-	if e.attempt.state.reported() || !request.isOpen() || request.hintSent {
+	if e.attempt.state.reported() || !request.isOpen() || request.earlyHintsSent {
 		return
 	}
-	request.hintSent = true
-	// Reply has room for it and for the final response.
+	request.earlyHintsSent = true
+	// Responses has room for this response and the final one.
 	request.Responses <- Response{Status: http.StatusEarlyHints, Header: e.fields}
 }
 
-// attemptFinished is an attempt that has ended on its connection.
+// attemptFinished is the event that the transport has finished an attempt.
 type attemptFinished struct {
 	attempt *attempt
 	result  upstream.Result
@@ -185,7 +190,7 @@
 
 func (e attemptFinished) apply(l *loop) { l.finishAttempt(e.attempt, e.result) }
 
-// finishAttempt takes back an attempt's connection, and reports its outcome unless that was done before.
+// finishAttempt takes back an attempt's connection and reports the attempt's outcome unless it has been reported.
 func (l *loop) finishAttempt(attempt *attempt, result upstream.Result) {
 	endpoint := attempt.endpoint
 	delete(endpoint.openAttempts, attempt)
@@ -199,9 +204,9 @@
 	l.returnConnection(endpoint, attempt.connection, result.Conn)
 	endpoint.countFaults(&result)
 	if attempt.state.reported() {
-		l.countAbandoned(endpoint, -1)
+		l.adjustAbandoned(endpoint, -1)
 	}
-	// The client was seen to have left as the attempt was to be written, or meanwhile.
+	// The connection's goroutine may have found that the client has left before the loop was told.
 	leftUnserved := attempt.request.clientGone.Load() && result.Status != balancer.OK
 	if leftUnserved && attempt.request.isOpen() {
 		l.abandonRequest(attempt.request)
@@ -210,8 +215,8 @@
 	l.forgetIfUnused(endpoint)
 }
 
-// reportOutcome changes an attempt's state. The first change is the attempt's one outcome: the balancer is told, and
-// the client is answered if it is served or the request can't be sent again.
+// reportOutcome applies a change to an attempt's state. The first change reports the attempt's only outcome: the
+// balancer is notified, and the client gets its response if the attempt succeeded or the request can't be sent again.
 func (l *loop) reportOutcome(attempt *attempt, change attemptChange, result upstream.Result) {
 	before := attempt.state
 	attempt.state = before.after(change)
@@ -224,7 +229,7 @@
 	if request.isOpen() {
 		l.respondByOutcome(request, result)
 	}
-	request.unreported--
+	request.unreportedOutcomes--
 	closed := !request.isOpen()
 	l.releaseIfSettled(request)
 	l.balancer.AttemptFinished(now, balancer.AttemptResult{
@@ -238,8 +243,8 @@
 	})
 }
 
-// respondByOutcome answers a client that is served, or whose request can't be sent again since its body is spent. What
-// becomes of others is the balancer's to decide.
+// respondByOutcome responds to a client whose request succeeded, or can't be sent again because its streamed body has
+// been consumed. In all other cases the balancer decides whether to retry.
 func (l *loop) respondByOutcome(request *Request, result upstream.Result) {
 	if result.Status == balancer.OK {
 		l.respond(request, Response{
@@ -257,26 +262,26 @@
 		return
 	}
 	switch result.Status {
-	case balancer.Rejected, balancer.ConnectFailed, balancer.NotSent: // it has not run
+	case balancer.Rejected, balancer.ConnectFailed, balancer.NotSent: // the endpoint has not run the request
 		l.respond(request, Response{Status: http.StatusServiceUnavailable})
 	default:
 		l.respond(request, Response{Status: http.StatusBadGateway})
 	}
 }
 
-// pendingOutcome is the outcome of an attempt that is reported as soon as the balancer has returned from its call.
+// pendingOutcome is the outcome of an attempt that has not been reported to the balancer yet.
 type pendingOutcome struct {
 	attempt *attempt
 	status  balancer.Status
 }
 
-// deferOutcome notes an outcome that came up while the balancer may be calling.
+// deferOutcome queues an outcome that is known while the balancer may be calling its Host: the balancer must not be
+// called back until that call returns.
 func (l *loop) deferOutcome(a *attempt, status balancer.Status) {
 	l.pendingOutcomes = append(l.pendingOutcomes, pendingOutcome{a, status})
 }
 
-// reportPendingOutcomes reports the outcomes that came up while the balancer was calling, and those that come up
-// meanwhile.
+// reportPendingOutcomes reports the queued outcomes, including those that are queued while it runs.
 func (l *loop) reportPendingOutcomes() {
 	for len(l.pendingOutcomes) > 0 {
 		next := l.pendingOutcomes[0]
@@ -286,8 +291,8 @@
 	l.pendingOutcomes = nil
 }
 
-// stopWaiting ends the wait for an attempt of which no outcome was reported. One that was never written counts as not
-// sent.
+// stopWaiting ends the wait for an attempt and reports its outcome, unless that has been reported. status is replaced
+// by NotSent if the attempt was never written.
 func (l *loop) stopWaiting(attempt *attempt, status balancer.Status) {
 	if attempt.state.reported() {
 		return
@@ -295,20 +300,20 @@
 	if attempt.Drop() {
 		status = balancer.NotSent
 	} else {
-		l.giveUp(attempt)
+		l.abandonAttempt(attempt)
 	}
 	change := connectionDenied
 	if _, open := attempt.endpoint.openAttempts[attempt]; open {
 		change = waitStopped
-		l.countAbandoned(attempt.endpoint, 1)
+		l.adjustAbandoned(attempt.endpoint, 1)
 	}
 	l.reportOutcome(attempt, change, upstream.Result{Status: status})
 }
 
-// giveUp bounds the wait for an attempt that was written. Its connection lingers for the late response if the request
-// is over, and if few others do; that of a request that may be sent again is closed, or the attempt would count as a
-// hedged request.
-func (l *loop) giveUp(attempt *attempt) {
+// abandonAttempt limits the wait for the response to an attempt that has been written. If the request is over and few
+// connections to the endpoint linger, the connection lingers for the late response. Otherwise it is closed: if the
+// request may be sent again, an attempt that is still open would count as a hedged request.
+func (l *loop) abandonAttempt(attempt *attempt) {
 	endpoint := attempt.endpoint
 	requestOver := !attempt.request.isOpen() || l.now() >= attempt.request.deadline
 	hasRoom := endpoint.lingeringAttempts < endpoint.maxLingering()
--- a/internal/pool/attempt_state.go
+++ b/internal/pool/attempt_state.go
@@ -1,39 +1,39 @@
 package pool
 
-// attemptState is where an attempt stands for the loop. The zero value is that of one that has just been made.
+// attemptState is the state of an attempt as the loop sees it. The zero value is the state of a new attempt.
 type attemptState uint8
 
 const (
-	// attemptPending: the balancer has not had an outcome.
+	// attemptPending: no outcome has been reported to the balancer.
 	attemptPending attemptState = iota
-	// attemptStreaming: the outcome was reported with the response's first bytes; the connection carries the rest, or a
-	// tunnel.
+	// attemptStreaming: the outcome was reported when the response began; the connection carries the rest of the
+	// response, or a tunnel.
 	attemptStreaming
-	// attemptAbandoned: an outcome was reported without waiting for the connection, which is still in use.
+	// attemptAbandoned: the outcome was reported while the connection was still in use.
 	attemptAbandoned
-	// attemptEnded: an outcome was reported, and the connection was returned or there never was one.
+	// attemptEnded: the outcome was reported, and the attempt holds no connection.
 	attemptEnded
 )
 
-// attemptChange is what changes an attemptState.
+// attemptChange is an input of the state machine of attempts.
 type attemptChange uint8
 
 const (
-	// responseHeadReceived: the first bytes of a response have come that goes on as it comes.
+	// responseHeadReceived: the first bytes of a streamed response have arrived.
 	responseHeadReceived attemptChange = iota
-	// waitStopped: the loop waits no longer for an attempt that holds a connection.
+	// waitStopped: the loop has stopped waiting for an attempt that holds a connection.
 	waitStopped
-	// connectionDenied: there was no connection for the attempt.
+	// connectionDenied: the attempt got no connection.
 	connectionDenied
-	// connectionReturned: the attempt has ended on its connection.
+	// connectionReturned: the transport has finished the attempt.
 	connectionReturned
 )
 
-// reported reports whether the balancer has had the attempt's outcome.
+// reported reports whether the outcome has been reported to the balancer.
 func (s attemptState) reported() bool { return s != attemptPending }
 
-// after is the state after a change. A change that the state does not know has no effect: the loop may stop waiting for
-// an attempt of which the outcome is on its way.
+// after returns the state that follows a change. Changes that don't apply to a state leave it as it is: the loop may
+// stop waiting for an attempt whose outcome has just been reported.
 func (s attemptState) after(change attemptChange) attemptState {
 	if change == connectionReturned {
 		return attemptEnded
--- a/internal/pool/clock_step_test.go
+++ b/internal/pool/clock_step_test.go
@@ -12,8 +12,8 @@
 	"olivearch/internal/clock"
 )
 
-// TestClockSteps: the machine's clock is set by an hour, either way, while a pool is dormant. The pool's time goes on
-// by the monotonic clock, so what started just now warms up, what drains gets nothing, and the first request is served.
+// TestClockSteps sets the machine's clock by an hour, forwards or back, while a pool is dormant. The pool's clock must
+// not follow: an endpoint that has just started warms up, a draining one gets nothing, and the first request is served.
 // TestClockStepsWhileDormant runs it.
 func TestClockSteps(t *testing.T) {
 	file := filepath.Join(t.TempDir(), "clock")
@@ -41,12 +41,12 @@
 				want(t, "status", p.request(name).Status, http.StatusOK)
 			}
 			if passed := p.Now() - before; passed < 0 || passed > time.Minute {
-				t.Errorf("%v have passed", passed)
+				t.Errorf("the pool's clock advanced by %v, want 0 to 1 minute", passed)
 			}
 			for _, node := range p.View().Nodes {
-				want(t, "warms up: "+node.ID, node.Cold, node.ID == "f")
+				want(t, "warming up: "+node.ID, node.Cold, node.ID == "f")
 			}
-			want(t, "connections at the one that drains", draining.Opened(), 0)
+			want(t, "connections to the draining endpoint", draining.Opened(), 0)
 		})
 	}
 }
--- a/internal/pool/configure.go
+++ b/internal/pool/configure.go
@@ -1,6 +1,6 @@
 package pool
 
-// specChanged is a new Spec, all of which holds from now on.
+// specChanged is a call of Pool.Configure.
 type specChanged struct {
 	spec Spec
 	done chan<- error
@@ -20,7 +20,7 @@
 	e.done <- nil
 }
 
-// updateRegistration applies what a Spec says of endpoints that other pools list too.
+// updateRegistration applies the parts of a Spec that concern endpoints that other pools list too.
 func (l *loop) updateRegistration(spec Spec) {
 	l.registration.setWeight(spec.SharedWeight)
 	if l.registration.ownDrainsOnly != spec.IgnoreDrainsOfOthers {
@@ -29,7 +29,7 @@
 	}
 }
 
-// applySpec applies the settings and limits of a Spec, or changes nothing.
+// applySpec applies the settings and limits of a Spec. If it fails, nothing has changed.
 func (l *loop) applySpec(spec Spec) error {
 	if err := l.applySettings(spec); err != nil {
 		return err
@@ -41,13 +41,13 @@
 			return err
 		}
 	}
-	if polledBefore != spec.Settings.PollDiscovery { // the balancer has asked by the settings before
+	if polledBefore != spec.Settings.PollDiscovery { // the balancer's own WatchEndpoints call used the old value
 		l.WatchEndpoints(true)
 	}
 	return nil
 }
 
-// applySettings configures the balancer, or checks the settings where there is none.
+// applySettings configures the balancer. Without a balancer it only validates the settings.
 func (l *loop) applySettings(spec Spec) error {
 	if !l.hasBalancer() {
 		return spec.Settings.Validate()
@@ -55,14 +55,14 @@
 	return l.balancer.Configure(l.now(), spec.Settings)
 }
 
-// Reload applies a new Spec's settings and its address of discovery, all of it or nothing, and does not wait until that
-// holds. Requests under way keep the class that they came with. adopted is called, from the pool's goroutine, once
-// settings that differ hold.
+// Reload applies the settings and the discovery address of a new Spec without waiting for them to take effect. If the
+// settings are not valid, nothing changes. Requests in flight keep their class. If the settings differ from the current
+// ones, adopted is called on the pool's goroutine once they are in effect.
 func (p *Pool) Reload(spec Spec, adopted func()) {
 	p.loop.enqueue(configurationReloaded{spec: spec, adopted: adopted})
 }
 
-// configurationReloaded is a Spec by a configuration that was read again.
+// configurationReloaded is a call of Pool.Reload.
 type configurationReloaded struct {
 	spec    Spec
 	adopted func()
@@ -80,7 +80,8 @@
 	l.moveDiscovery(e.spec.Discovery)
 }
 
-// moveDiscovery makes discovery at another address the list's source, and goes on watching if the last one was watched.
+// moveDiscovery switches the list source to discovery at another address, and watches it if the previous address was
+// being watched.
 func (l *loop) moveDiscovery(address string) {
 	previous := l.source.address()
 	if address == previous {
--- a/internal/pool/connection.go
+++ b/internal/pool/connection.go
@@ -7,33 +7,33 @@
 	"olivearch/internal/upstream"
 )
 
-// connection is a connection to an endpoint with the goroutine that carries attempts on it, from one to the next: a
-// goroutine for each attempt would grow its stack anew each time. The loop owns the connection, but for the attempt
-// that its goroutine carries.
+// connection is a connection to an endpoint, with a goroutine that carries one attempt after another: a new goroutine
+// for each attempt would have to grow its stack each time. The loop owns the connection, except for the attempt that
+// the goroutine carries.
 //
-// A connection is opened by its first attempt or health check, is in use until the loop has the end of that, then idle
-// (idleConnections) until it is used again or closed. afterUse says which follows a use.
+// A connection is opened by its first attempt or health check and is in use until the loop has handled the end of that
+// use. Then it is closed, or idle (idleConnections) until its next use; afterUse decides which.
 type connection struct {
-	transportConn upstream.Conn // as the last attempt or health check left it; nil: it is not open yet
+	transportConn upstream.Conn // as the last attempt or health check returned it; nil: not opened yet
 	idleSince     time.Duration // on the loop's clock
-	attempts      chan *attempt // for the goroutine; closed with the connection
-	hasGoroutine  bool          // it has been started; a connection that only health checks have used has none
+	attempts      chan *attempt // input of the goroutine; closed with the connection
+	hasGoroutine  bool          // false as long as only health checks have used the connection
 }
 
 func newConnection() *connection { return &connection{attempts: make(chan *attempt, 1)} }
 
-// start makes an attempt on a connection that is new or was idle.
+// start starts an attempt on a connection that is new or was idle.
 func (c *connection) start(l *loop, first *attempt) {
 	if c.hasGoroutine {
-		c.attempts <- first // has room: the connection was idle
+		c.attempts <- first // does not block: the connection was idle, so the buffer is empty
 		return
 	}
 	c.hasGoroutine = true
 	go c.serve(l, first)
 }
 
-// serve makes an attempt and those that follow on the connection, until it is closed or the loop has ended. It is the
-// connection's goroutine.
+// serve is the connection's goroutine. It carries an attempt and those that follow on the connection until the
+// connection is closed or the loop has ended.
 func (c *connection) serve(l *loop, next *attempt) {
 	for open := true; open; {
 		result := next.transport.Do(&next.Attempt)
@@ -43,14 +43,14 @@
 		}
 		select {
 		case next, open = <-c.attempts:
-		case <-l.ctx.Done(): // nobody else has the connection now
+		case <-l.ctx.Done(): // the loop will not close the connection any more
 			result.Conn.Close()
 			return
 		}
 	}
 }
 
-// close ends an idle connection. It may block.
+// close closes an idle connection. It may block.
 func (c *connection) close() {
 	close(c.attempts)
 	if c.transportConn != nil {
@@ -58,25 +58,26 @@
 	}
 }
 
-// connectionFate is what becomes of a connection after use.
-type connectionFate uint8
+// connectionDisposition tells what to do with a connection after use.
+type connectionDisposition uint8
 
 const (
-	// connectionIdle: it waits for its next use.
-	connectionIdle connectionFate = iota
-	// connectionLost: the transport has closed it.
+	// connectionIdle: keep it for its next use.
+	connectionIdle connectionDisposition = iota
+	// connectionLost: nothing; the transport has closed it.
 	connectionLost
-	// connectionSurplus: the pool's allotment of connections to the endpoint has become smaller.
+	// connectionSurplus: close it, since the pool has more connections to the endpoint than its allotment now
+	// allows.
 	connectionSurplus
-	// connectionOutdated: its endpoint takes no more requests, or has another address now.
+	// connectionOutdated: close it, since the endpoint takes no more requests or has changed its address.
 	connectionOutdated
-	// connectionBroken: it can't be prepared for its next use.
+	// connectionBroken: close it, since it can't be reused.
 	connectionBroken
 )
 
-// afterUse returns what becomes of a connection to an endpoint that carries no attempt any more; nil: the transport has
-// closed it.
-func (e *endpoint) afterUse(conn upstream.Conn) connectionFate {
+// afterUse decides what to do with a connection to the endpoint that carries no attempt any more. A nil conn has been
+// closed by the transport.
+func (e *endpoint) afterUse(conn upstream.Conn) connectionDisposition {
 	allowed := e.allotment.Connections
 	switch {
 	case conn == nil:
--- a/internal/pool/connection_pool.go
+++ b/internal/pool/connection_pool.go
@@ -8,28 +8,29 @@
 )
 
 const (
-	// idleMargin is how much sooner than the endpoint the pool closes an idle connection: a request written to one that
-	// the endpoint has just closed ends as a reset.
+	// idleMargin is how long before the endpoint's keep-alive time the pool closes an idle connection: a request
+	// that is written just after the endpoint has closed the connection fails with a reset.
 	idleMargin = 5 * time.Second
-	// connectionReuseDelay is how long a connection stays unused between two requests. Responses do not name their
-	// request: a second response that comes late, after the next request is written, would pass for that one's. While the
-	// connection is unused it is seen for what it is.
+	// connectionReuseDelay is the minimum time between two requests on a connection. HTTP/1.1 responses don't
+	// identify their request: a late second response to one request that arrives after the next request has been
+	// written would be taken for that request's response. While the connection is unused, such bytes are recognised
+	// as unsolicited.
 	connectionReuseDelay = time.Millisecond
 )
 
-// connectionPool counts the connections to all endpoints and holds their limits. Idle connections stand by endpoint
-// (idleConnections). The loop owns it.
+// connectionPool counts the connections to all endpoints and holds the limits that apply to them. The idle connections
+// are kept by endpoint (idleConnections). The loop owns it.
 type connectionPool struct {
 	transport   upstream.Transport
-	open        int           // connections that are open or being opened
-	max         int           // Spec.Connections
+	open        int           // number of connections that are open or being opened
+	max         int           // Spec.MaxConnections
 	idleTimeout time.Duration // after which an idle connection is closed
-	nextSweepAt time.Duration // when connections that have been idle for too long are looked for next
+	nextSweepAt time.Duration // when fireTimers next closes expired idle connections
 	// delayOnlyAfterUnsolicited is Spec.ReuseDelayOnlyAfterUnsolicited.
 	delayOnlyAfterUnsolicited bool
 }
 
-// reuseDelay is how long a connection to an endpoint stays unused between two requests.
+// reuseDelay returns the minimum time between two requests on a connection to an endpoint.
 func (p *connectionPool) reuseDelay(endpoint *endpoint) time.Duration {
 	if p.delayOnlyAfterUnsolicited && endpoint.faults.unsolicited == 0 {
 		return 0
@@ -37,17 +38,17 @@
 	return connectionReuseDelay
 }
 
-// acquireConnection takes an idle connection to an endpoint that has been unused for the reuse delay, or else counts
-// one that is to be opened; nil: there may be no more. Where the allotment at the endpoint is used up, a connection is
-// taken whose delay is not over: the attempt waits for it. Where the pool's connections are used up, the one that has
-// been idle longest makes room, at whatever endpoint.
+// acquireConnection returns an idle connection whose reuse delay is over, or a new one that the first attempt opens;
+// nil: the limits allow none. If the endpoint's allotment is used up, it returns an idle connection whose reuse delay
+// is not over, and the attempt waits for the rest of the delay. If the pool's limit is reached, the connection that has
+// been idle longest, to any endpoint, is closed first.
 func (l *loop) acquireConnection(endpoint *endpoint, now time.Duration) *connection {
 	if ready := endpoint.idle.takeReady(now, l.connections.reuseDelay(endpoint)); ready != nil {
 		return ready
 	}
 	allowed := endpoint.allotment.Connections
 	if allowed > 0 && endpoint.connections >= allowed {
-		// Closed in favour of a new one, both would be open for a moment.
+		// Closing an idle connection and opening another would exceed the allotment for a moment.
 		return endpoint.idle.takeOldest()
 	}
 	if l.connections.open >= l.connections.max && !l.evictLongestIdle() {
@@ -58,7 +59,8 @@
 	return newConnection()
 }
 
-// evictLongestIdle closes the connection that has been idle longest at any endpoint; false: none is idle.
+// evictLongestIdle closes the connection that has been idle longest, to whichever endpoint. It returns false if none is
+// idle.
 func (l *loop) evictLongestIdle() bool {
 	var longest *endpoint
 	for _, candidate := range l.endpoints {
@@ -73,7 +75,7 @@
 	return longest != nil && l.evictIdle(longest)
 }
 
-// evictIdle closes the connection to an endpoint that has been idle longest; false: none is idle.
+// evictIdle closes an endpoint's longest idle connection. It returns false if none is idle.
 func (l *loop) evictIdle(endpoint *endpoint) bool {
 	oldest := endpoint.idle.takeOldest()
 	if oldest == nil {
@@ -83,7 +85,8 @@
 	return true
 }
 
-// returnConnection takes back a connection after use; conn is what the transport left of it, nil if it has closed it.
+// returnConnection takes back a connection after use. conn is the connection that the transport returned, nil if the
+// transport has closed it.
 func (l *loop) returnConnection(endpoint *endpoint, used *connection, conn upstream.Conn) {
 	used.transportConn = conn
 	switch endpoint.afterUse(conn) {
@@ -97,7 +100,8 @@
 	}
 }
 
-// closeConnections closes connections to an endpoint that carry no attempt, outside the loop's goroutine.
+// closeConnections closes connections to an endpoint that carry no attempt, in another goroutine because closing may
+// block.
 func (l *loop) closeConnections(endpoint *endpoint, connections ...*connection) {
 	if len(connections) == 0 {
 		return
@@ -111,7 +115,7 @@
 	}()
 }
 
-// closeExpiredConnections closes connections that have been idle for too long.
+// closeExpiredConnections closes the connections that have been idle for the idle time-out.
 func (l *loop) closeExpiredConnections(now time.Duration) {
 	for _, endpoint := range l.endpoints {
 		expired := endpoint.idle.takeExpired(now, l.connections.idleTimeout)
@@ -119,7 +123,7 @@
 	}
 }
 
-// nextIdleCloseAt is when a connection has next been idle for too long; 0: none is idle.
+// nextIdleCloseAt returns when the next idle connection is to be closed; 0: none is idle.
 func (l *loop) nextIdleCloseAt() time.Duration {
 	var next time.Duration
 	for _, endpoint := range l.endpoints {
@@ -133,7 +137,7 @@
 	return next
 }
 
-// CloseIdle closes the idle connections to an endpoint. Part of balancer.Host.
+// CloseIdle closes the idle connections to an endpoint. It is part of balancer.Host.
 func (l *loop) CloseIdle(id balancer.UpstreamID) {
 	endpoint := l.endpoints[id]
 	if endpoint != nil {
--- a/internal/pool/doc.go
+++ b/internal/pool/doc.go
@@ -1,18 +1,20 @@
-// Package pool runs a balancer for the endpoints of one service. It carries out what the balancer decides, and takes no
-// decision of its own about requests.
+// Package pool forwards requests to the endpoints of one service. internal/service and internal/proxy create pools;
+// internal/proxy submits requests to them. The package carries out the decisions of a balancer.Balancer (which endpoint
+// gets an attempt, when to retry, what to reject) and makes none of these decisions itself.
 //
-// A Pool has an event loop (loop.go): one goroutine that owns the balancer and all state, and never blocks but for the
-// next event. Events are types named by what has happened (requestArrived, attemptFinished, endpointsUpdated), and come
-// through a mailbox; those that change what may be sent go before all others.
+// Each Pool has an event loop (loop.go): one goroutine that owns the balancer and all mutable state and blocks only
+// while it waits for the next event or timer. An event is a type named after an occurrence (requestArrived,
+// attemptFinished, endpointsUpdated) and reaches the loop through a mailbox. Changes to what may be sent, such as a new
+// endpoint list, are urgent events, which the loop handles before all others.
 //
-// The states stand in one place each, apart from the code that acts on them:
+// The state machines are kept apart from the code that acts on them:
 //
-//   - of a request in request_state.go,
-//   - of an attempt, one try of a request at one endpoint, in attempt_state.go,
-//   - of a connection after use in connection.go,
-//   - of an endpoint in endpoint_state.go,
-//   - of a loop that has nothing to do in idle_decision.go.
+//   - requests: request_state.go
+//   - attempts (an attempt is one try of a request at one endpoint): attempt_state.go
+//   - connections after use: connection.go
+//   - endpoints: endpoint_state.go
+//   - a loop without events to handle: idle_decision.go
 //
-// Beside the loops there are the goroutines of connections, which write requests and read responses, and an
-// EndpointRegistry for the process, which divides endpoints that several pools list.
+// Each connection has a goroutine of its own, which writes requests and reads responses. One EndpointRegistry per
+// process divides each endpoint that several pools list among them.
 package pool
--- a/internal/pool/dormant.go
+++ b/internal/pool/dormant.go
@@ -9,19 +9,20 @@
 	"olivearch/internal/discovery"
 )
 
-// dormantState is what a dormant pool holds in place of a balancer and endpoints.
+// dormantState is what a dormant pool keeps instead of a balancer and endpoints.
 type dormantState struct {
-	// members are the list without removed ones. It is never changed in place: the store may have it too.
+	// members is the endpoint list without removed entries. It is never modified in place, because the endpoint
+	// store may hold it too.
 	members  []discovery.Member
-	snapshot balancer.Snapshot         // only of endpoints that have answered or are unresponsive
-	faults   map[string]endpointFaults // by the endpoint's name, where there are any
+	snapshot balancer.Snapshot         // of endpoints that responded or are unresponsive
+	faults   map[string]endpointFaults // by the endpoint's name; only endpoints that had faults
 }
 
-// hasBalancer reports whether the pool has a balancer, and endpoints with it.
+// hasBalancer reports whether the pool has a balancer; if not, it is dormant.
 func (l *loop) hasBalancer() bool { return l.balancer != nil }
 
-// createBalancer creates the balancer and the endpoints from what a dormant pool holds, unless there is one. It fails
-// only if the settings are not valid.
+// createBalancer creates the balancer and the endpoints from the dormant state, unless the pool has a balancer. It
+// fails only if the settings are not valid.
 func (l *loop) createBalancer() error {
 	if l.hasBalancer() {
 		return nil
@@ -42,7 +43,10 @@
 	l.names = discovery.NewNumberingWithCapacity(count)
 	l.preallocated = make([]endpoint, count)
 	if l.source.hasList {
-		l.applyListing(balancer.ListCached, discovery.Listing{Revision: l.source.revision, Members: dormant.members})
+		l.applyListing(
+			balancer.ListCached,
+			discovery.Listing{Revision: l.source.revision, Members: dormant.members},
+		)
 	}
 	l.preallocated = nil
 	for name, faults := range dormant.faults {
@@ -56,12 +60,12 @@
 	return nil
 }
 
-// releaseBalancer makes the pool dormant. The caller has made sure that nothing is open and nothing has to be kept as
-// it is.
+// releaseBalancer makes the pool dormant. The caller has checked that no request or connection is open and that the
+// balancer's NextDue allows it.
 func (l *loop) releaseBalancer(now time.Duration) {
 	dormant := dormantState{members: make([]discovery.Member, 0, len(l.endpoints))}
 	views, _ := l.balancer.View(now)
-	for _, view := range views { // in the order in which they came
+	for _, view := range views { // in the order in which they were listed
 		endpoint := l.endpoints[view.ID]
 		if endpoint == nil || endpoint.listedState == balancer.Removed {
 			continue
@@ -75,7 +79,7 @@
 		}
 	}
 	dormant.snapshot = l.snapshot(now)
-	dormant.snapshot.Upstreams = slices.Clip(slices.DeleteFunc(dormant.snapshot.Upstreams, isUnused))
+	dormant.snapshot.Upstreams = slices.Clip(slices.DeleteFunc(dormant.snapshot.Upstreams, isUnobserved))
 
 	l.balancer = nil
 	l.suspension.dormant = dormant
@@ -86,21 +90,22 @@
 	l.tunnels = map[*attempt]struct{}{}
 }
 
-// isUnused reports whether a balancer has learnt nothing of an endpoint.
-func isUnused(u balancer.UpstreamSnapshot) bool {
+// isUnobserved reports whether a balancer has learnt nothing about an endpoint.
+func isUnobserved(u balancer.UpstreamSnapshot) bool {
 	return u.Answers == 0 && u.Readings == 0 && !u.Unresponsive
 }
 
-// snapshot is what the balancer has learnt, or had when there was one.
+// snapshot returns what the balancer has learnt, or had learnt before the pool became dormant.
 func (l *loop) snapshot(now time.Duration) balancer.Snapshot {
 	if !l.hasBalancer() {
 		return l.suspension.dormant.snapshot
 	}
-	l.balancer.NextDue(now) // makes up for a suspension
+	l.balancer.NextDue(now) // applies the time that passed while the balancer was suspended
 	return l.balancer.Snapshot()
 }
 
-// updateDormantList applies a list to the one that a dormant pool holds, and creates the balancer if the list is long.
+// updateDormantList applies an update to the endpoint list of a dormant pool. If the list is then too long to create
+// the balancer on the first request, it creates the balancer at once.
 func (l *loop) updateDormantList(mode balancer.ListMode, update discovery.Listing) {
 	l.source.revision = update.Revision
 	var members []discovery.Member
@@ -119,7 +124,7 @@
 	}
 }
 
-// mergeMembers returns a copy of a list with changes to it.
+// mergeMembers returns a copy of a list with changes applied.
 func mergeMembers(members, changes []discovery.Member) []discovery.Member {
 	merged := slices.Clone(members)
 	for _, change := range changes {
@@ -136,16 +141,17 @@
 	return merged
 }
 
-// isRemoved reports whether a member of a list says that an endpoint is removed.
+// isRemoved reports whether a list entry marks its endpoint as removed.
 func isRemoved(m discovery.Member) bool { return m.Upstream(0).State == balancer.Removed }
 
-// failCreation answers a request for which the balancer can't be created. The check of the settings rules it out.
-func (l *loop) failCreation(request *Request, err error) {
+// rejectWithoutBalancer rejects a request because the balancer can't be created. It is not expected to be called: the
+// settings have been validated.
+func (l *loop) rejectWithoutBalancer(request *Request, err error) {
 	l.logInfo("balancer not created", "err", err)
 	l.respond(request, Response{Status: http.StatusServiceUnavailable})
 }
 
-// dormantEndpoint is an endpoint of a dormant pool, as it would be if the pool had a balancer.
+// dormantEndpoint returns an endpoint of a dormant pool as it would be if the pool had a balancer.
 func (l *loop) dormantEndpoint(member *discovery.Member) *endpoint {
 	listed := member.Upstream(0)
 	result := &endpoint{
--- a/internal/pool/endpoint.go
+++ b/internal/pool/endpoint.go
@@ -9,38 +9,39 @@
 	"olivearch/internal/upstream"
 )
 
-// endpoint is what the loop knows of an endpoint of the list: where it is, its connections, and what the pool may use
-// of it. The loop owns it.
+// endpoint is the loop's state of a listed endpoint: its list entry, its connections, and what the pool may use of it.
+// The loop owns it.
 type endpoint struct {
 	id          balancer.UpstreamID
-	name        string // discovery's id of it
+	name        string // the endpoint's id in the list
 	address     string // host:port
 	member      discovery.Member
-	listedState balancer.State // by this pool's own list
-	state       balancer.State // that counts: endpointFacts says why it may differ
-	upstream    balancer.Upstream
-	allotment   sharedlimit.Allotment // the zero value where no other pool of the process may use the endpoint
+	listedState balancer.State        // according to this pool's list
+	state       balancer.State        // as the balancer sees it, from endpointConditions
+	upstream    balancer.Upstream     // as the balancer sees it
+	allotment   sharedlimit.Allotment // zero: no registration, or the registry has not answered
 
-	listedWeight   float64 // of which operators may leave it a part
-	listGeneration uint64  // of the list that named it last
+	listedWeight   float64 // before overrides by operators
+	listGeneration uint64  // loop.listGeneration of the last list with this endpoint
 
-	connections       int // open or being opened
+	connections       int // number that are open or being opened
 	idle              idleConnections
-	openAttempts      map[*attempt]struct{} // that have not ended on their connection
-	abandoned         int                   // open attempts of which the balancer has had the outcome
+	openAttempts      map[*attempt]struct{} // attempts that the transport has not finished
+	abandoned         int                   // number of open attempts whose outcome has been reported
 	lingeringAttempts int
 	tunnelCount       int
 	faults            endpointFaults
 }
 
-// endpointFaults count what was wrong with an endpoint's answers.
+// endpointFaults counts the faults in an endpoint's responses.
 type endpointFaults struct {
-	unsolicited       uint64 // connections on which it sent unsolicited bytes
-	unreadableReports uint64 // load reports that could not be read
-	unreadableReason  string // why the last of them could not
+	unsolicited       uint64 // connections on which unsolicited bytes arrived
+	unreadableReports uint64 // load reports that could not be parsed
+	unreadableReason  string // error of the last one
 }
 
-// countUnreadableReport counts a load report that could not be read, by the reason; empty: it could, or there was none.
+// countUnreadableReport counts a load report that could not be parsed. An empty reason stands for a valid report or
+// none.
 func (e *endpoint) countUnreadableReport(reason string) {
 	if reason != "" {
 		e.faults.unreadableReports++
@@ -48,7 +49,7 @@
 	}
 }
 
-// countFaults counts what was wrong with the answer to an attempt or health check.
+// countFaults counts the faults in the response to an attempt or health check.
 func (e *endpoint) countFaults(result *upstream.Result) {
 	e.countUnreadableReport(result.LoadReportError)
 	if result.Unsolicited {
@@ -56,7 +57,7 @@
 	}
 }
 
-// addOpenAttempt notes an attempt that has a connection.
+// addOpenAttempt records an attempt that has got a connection.
 func (e *endpoint) addOpenAttempt(a *attempt) {
 	if e.openAttempts == nil {
 		e.openAttempts = map[*attempt]struct{}{}
@@ -64,11 +65,11 @@
 	e.openAttempts[a] = struct{}{}
 }
 
-// maxInFlight is how many attempts the balancer may have in flight: as many as the connections that are allotted to the
-// pool, less those that are held by attempts of which the balancer has had the outcome.
+// maxInFlight returns how many attempts the balancer may have in flight: the allotted connections, minus those in use
+// by attempts whose outcome has been reported to the balancer; at least 1.
 func (e *endpoint) maxInFlight() int { return max(1, e.allotment.Connections-e.abandoned) }
 
-// maxLingering is how many connections may wait for late responses: of those that are allotted, up to a quarter.
+// maxLingering returns how many connections may wait for late responses: at most a quarter of the allotted ones.
 func (e *endpoint) maxLingering() int {
 	if e.allotment.Connections == 0 {
 		return maxLingeringAttempts
@@ -76,7 +77,7 @@
 	return min(maxLingeringAttempts, e.allotment.Connections/4)
 }
 
-// endpointByName is the endpoint that is listed under a name; nil: none is.
+// endpointByName returns the listed endpoint with a name, nil if there is none.
 func (l *loop) endpointByName(name string) *endpoint {
 	id, known := l.names.Known(name)
 	if !known {
@@ -89,7 +90,7 @@
 	return found
 }
 
-// isListed reports whether an endpoint is listed under a name.
+// isListed reports whether an endpoint with a name is listed.
 func (l *loop) isListed(name string) bool {
 	if l.hasBalancer() {
 		return l.endpointByName(name) != nil
@@ -97,23 +98,22 @@
 	return slices.ContainsFunc(l.suspension.dormant.members, func(m discovery.Member) bool { return m.ID == name })
 }
 
-// refreshEndpoint works out what the balancer is to see of an endpoint: from the list, the allotment, and what
-// operators have set.
+// refreshEndpoint recomputes how the balancer sees an endpoint, from the list, the allotment and the overrides.
 func (l *loop) refreshEndpoint(endpoint *endpoint) {
 	l.counters.endpointsChanged = true
-	facts := endpointFacts{listed: endpoint.listedState}
+	conditions := endpointConditions{listed: endpoint.listedState}
 	endpoint.upstream.MaxInFlight = 0
 	if l.registration != nil {
 		allotment, known := l.registration.allotment(endpoint.address)
 		endpoint.allotment = allotment
 		endpoint.upstream.WarmUpShare = allotment.Fraction
 		endpoint.upstream.MaxInFlight = endpoint.maxInFlight()
-		facts.allotmentUnknown = !known
-		facts.drainsElsewhere = allotment.Draining && !l.registration.ownDrainsOnly
+		conditions.allotmentUnknown = !known
+		conditions.drainsElsewhere = allotment.Draining && !l.registration.ownDrainsOnly
 	}
-	l.overrideUpstream(endpoint)
-	facts.outOfService = l.overrides.OutOfService(endpoint.name, endpoint.upstream.Zone)
-	endpoint.state = facts.state()
+	l.applyOverrides(endpoint)
+	conditions.outOfService = l.overrides.OutOfService(endpoint.name, endpoint.upstream.Zone)
+	endpoint.state = conditions.state()
 	endpoint.upstream.State = endpoint.state
 	if endpoint.state != balancer.Active {
 		l.CloseIdle(endpoint.id)
@@ -121,23 +121,24 @@
 	}
 }
 
-// overrideUpstream applies what operators have set to what the balancer sees of an endpoint, but for its state.
-func (l *loop) overrideUpstream(endpoint *endpoint) {
-	seen := &endpoint.upstream
-	returnedAt := l.overrides.PutBackAt(endpoint.name, seen.Zone)
-	if returnedAt > 0 { // it was restarted while out of service, of which lists tell late
-		seen.StartedAt = max(seen.StartedAt, returnedAt)
+// applyOverrides applies the overrides to an endpoint's weight, start time and concurrency limit. refreshEndpoint
+// applies those that concern its state.
+func (l *loop) applyOverrides(endpoint *endpoint) {
+	effective := &endpoint.upstream
+	returnedAt := l.overrides.PutBackAt(endpoint.name, effective.Zone)
+	if returnedAt > 0 { // it may have been restarted while out of service, and lists report that late
+		effective.StartedAt = max(effective.StartedAt, returnedAt)
 	}
-	seen.Weight = endpoint.listedWeight * l.overrides.WeightFactor(endpoint.name)
+	effective.Weight = endpoint.listedWeight * l.overrides.WeightFactor(endpoint.name)
 	limit := l.overrides.ConcurrencyCap(endpoint.name)
-	if limit > 0 && (seen.MaxInFlight == 0 || limit < seen.MaxInFlight) {
-		seen.MaxInFlight = limit
+	if limit > 0 && (effective.MaxInFlight == 0 || limit < effective.MaxInFlight) {
+		effective.MaxInFlight = limit
 	}
 }
 
-// refreshChanged refreshes an endpoint and reports whether the balancer has to be notified. If it takes no more
-// requests, attempts that wait for a connection to it are dropped.
-func (l *loop) refreshChanged(endpoint *endpoint) bool {
+// refreshAndCompare refreshes an endpoint and reports whether the balancer has to be notified of a change. If the
+// endpoint takes no more requests, its attempts that wait for a connection are dropped.
+func (l *loop) refreshAndCompare(endpoint *endpoint) bool {
 	before := endpoint.upstream
 	l.refreshEndpoint(endpoint)
 	if endpoint.upstream == before {
@@ -147,7 +148,7 @@
 	return true
 }
 
-// notifyChanged notifies the balancer of endpoints that have changed.
+// notifyChanged notifies the balancer of changed endpoints.
 func (l *loop) notifyChanged(changed []balancer.Upstream) {
 	if len(changed) > 0 {
 		l.balancer.EndpointsUpdated(l.now(), balancer.ListDelta, changed)
@@ -155,7 +156,7 @@
 	}
 }
 
-// evictSurplus closes idle connections to an endpoint beyond its allotment.
+// evictSurplus closes idle connections to an endpoint until the number of its connections is within the allotment.
 func (l *loop) evictSurplus(endpoint *endpoint) {
 	allowed := endpoint.allotment.Connections
 	for allowed > 0 && endpoint.connections > allowed {
@@ -165,7 +166,7 @@
 	}
 }
 
-// dropUnsent drops the attempts that wait for a connection to an endpoint that takes no more requests.
+// dropUnsent drops the attempts that still wait for a connection if the endpoint takes no more requests.
 func (l *loop) dropUnsent(endpoint *endpoint) {
 	if endpoint.state == balancer.Active {
 		return
@@ -177,7 +178,7 @@
 	}
 }
 
-// endTunnels lets the tunnels to an endpoint end within their grace; nil: all tunnels.
+// endTunnels closes the tunnels to an endpoint gracefully; nil: the tunnels to all endpoints.
 func (l *loop) endTunnels(endpoint *endpoint) {
 	for attempt := range l.tunnels {
 		if endpoint == nil || attempt.endpoint == endpoint {
@@ -186,17 +187,17 @@
 	}
 }
 
-// countAbandoned notes that an attempt at an endpoint has ended for the balancer and still holds its connection, or, by
-// -1, that it returns it.
-func (l *loop) countAbandoned(endpoint *endpoint, by int) {
-	endpoint.abandoned += by
+// adjustAbandoned adds delta to the number of attempts whose outcome has been reported but that still hold their
+// connection, and updates how many attempts the balancer may have in flight.
+func (l *loop) adjustAbandoned(endpoint *endpoint, delta int) {
+	endpoint.abandoned += delta
 	if l.registration != nil {
 		endpoint.upstream.MaxInFlight = endpoint.maxInFlight()
 		l.balancer.MaxInFlightChanged(l.now(), endpoint.id, endpoint.upstream.MaxInFlight)
 	}
 }
 
-// forgetIfUnused forgets an endpoint that was removed and has no open attempts.
+// forgetIfUnused deletes a removed endpoint that has no open attempts.
 func (l *loop) forgetIfUnused(endpoint *endpoint) {
 	isUnused := endpoint.state == balancer.Removed && len(endpoint.openAttempts) == 0
 	if isUnused && l.endpoints[endpoint.id] == endpoint {
--- a/internal/pool/endpoint_list.go
+++ b/internal/pool/endpoint_list.go
@@ -5,16 +5,17 @@
 	"olivearch/internal/discovery"
 )
 
-// endpointsUpdated is an answer of discovery, or a list that was given to Pool.UpdateEndpoints, or why there is none.
+// endpointsUpdated is an endpoint list or an error, from discovery or from a caller of Pool.UpdateEndpoints or
+// Pool.ListSourceFailed.
 type endpointsUpdated discovery.Event
 
 func (e endpointsUpdated) apply(l *loop) {
 	switch {
-	case e.From != l.source.client: // it was asked before discovery's address changed
+	case e.From != l.source.client: // sent by the client of a previous discovery address
 		return
 	case e.Err != nil:
 		l.recordSourceError(e.Err)
-	case e.Revision < l.source.revision: // a newer one has overtaken it
+	case e.Revision < l.source.revision: // a newer list was received before
 		l.logInfo("endpoint list ignored", "revision", e.Revision, "newest", l.source.revision)
 	default:
 		l.acceptList(e.Complete, e.Listing)
@@ -22,8 +23,8 @@
 	l.reportPendingOutcomes()
 }
 
-// recordSourceError records why the list's source has given no good answer. The balancer decides when to poll again; an
-// agent that pushes its lists is asked by discovery's client until it answers.
+// recordSourceError records an error of the list's source. If discovery is polled, the balancer decides when to poll
+// again; otherwise discovery's client retries until it gets a response.
 func (l *loop) recordSourceError(err error) {
 	l.source.lastError = err.Error()
 	l.logInfo("endpoint list not received", "err", err)
@@ -32,7 +33,7 @@
 	}
 }
 
-// acceptList applies and stores a list, or changes to it.
+// acceptList applies and stores a complete list or changes to it.
 func (l *loop) acceptList(complete bool, list discovery.Listing) {
 	l.source.receivedAt = l.now()
 	l.source.lastError = ""
@@ -47,7 +48,7 @@
 	}
 }
 
-// applyListing applies a list: first to the endpoints, so that nothing is sent to one that drains, then to the
+// applyListing applies a list to the endpoints first, so that nothing is sent to a draining one, and then to the
 // balancer, which may send at once.
 func (l *loop) applyListing(mode balancer.ListMode, list discovery.Listing) {
 	l.source.hasList = true
@@ -78,13 +79,13 @@
 	}
 }
 
-// applyMember applies a list's entry to its endpoint, and returns what the balancer is to see of it.
+// applyMember applies a list entry to its endpoint, and returns the endpoint as the balancer is to see it.
 func (l *loop) applyMember(member *discovery.Member) balancer.Upstream {
 	listed := member.Upstream(l.names.ID(member.ID))
 	isRemoved := listed.State == balancer.Removed
 	endpoint := l.endpoints[listed.ID]
 	if endpoint == nil {
-		if isRemoved { // it never was listed
+		if isRemoved { // the endpoint was never listed
 			l.names.Forget(member.ID)
 			return listed
 		}
@@ -106,7 +107,7 @@
 	return endpoint.upstream
 }
 
-// newEndpoint adds an endpoint.
+// newEndpoint adds an endpoint, in preallocated memory if there is any.
 func (l *loop) newEndpoint(id balancer.UpstreamID, name string) *endpoint {
 	var added *endpoint
 	if len(l.preallocated) > 0 {
--- a/internal/pool/endpoint_registry.go
+++ b/internal/pool/endpoint_registry.go
@@ -7,44 +7,44 @@
 	"olivearch/internal/sharedlimit"
 )
 
-// EndpointRegistry tells the pools of a process what each may use of the endpoints that several of them list. Its
-// goroutine owns the state and waits for no pool; no pool waits for it. A pool's claim costs work by its own endpoints,
-// and notifications only for pools that list one of these too and for which something differs. Its methods may be
-// called from any goroutine.
+// EndpointRegistry tells the pools of a process what each may use of the endpoints that several of them list. Its state
+// belongs to one goroutine; neither this goroutine nor a pool's ever waits for the other. A claim costs time
+// proportional to the pool's own endpoints, and notifies only pools that list one of these endpoints and whose
+// allotment changes. The methods may be called from any goroutine.
 type EndpointRegistry struct {
 	ctx      context.Context
 	mu       sync.Mutex
 	commands []registryCommand
-	ready    chan struct{} // has one entry once a command was submitted
+	ready    chan struct{} // holds a value while submitted commands may be waiting
 }
 
-// registryCommand changes the registry's state, on its goroutine.
+// registryCommand changes the registry's state. It runs on the registry's goroutine.
 type registryCommand func(*registryState)
 
-// registryState is what the registry's goroutine owns.
+// registryState is the state that the registry's goroutine owns.
 type registryState struct {
 	allocator       *sharedlimit.Allocator
 	registrants     map[*sharedlimit.Pool]*registrant
-	newlyClaimed    map[*sharedlimit.Pool]struct{} // whose claim was accepted since pools were last notified
-	connectionLimit int                            // connections to one endpoint over all pools
-	limitChanged    bool                           // since pools were last notified
+	newlyClaimed    map[*sharedlimit.Pool]struct{} // pools with a claim since the last notifications
+	connectionLimit int                            // maximum of connections to one endpoint over all pools
+	limitChanged    bool                           // since the last notifications
 }
 
-// registrant is what the registry knows of a pool.
+// registrant is a pool as the registry knows it.
 type registrant struct {
 	notify      func(event) // must not block
-	claimSerial uint64      // of the claim that the allocator has
+	claimSerial uint64      // serial of the pool's claim that the allocator has
 }
 
-// NewEndpointRegistry starts a registry, for so many connections to one endpoint over all pools. It ends with the
-// context.
+// NewEndpointRegistry starts a registry that limits the connections to each endpoint over all pools. It stops when the
+// context ends.
 func NewEndpointRegistry(ctx context.Context, connections int) *EndpointRegistry {
 	registry := &EndpointRegistry{ctx: ctx, ready: make(chan struct{}, 1)}
 	go registry.run(newRegistryState(connections))
 	return registry
 }
 
-// run executes commands until the context ends. It is the registry's goroutine.
+// run is the registry's goroutine. It executes commands until the context ends.
 func (r *EndpointRegistry) run(state *registryState) {
 	for {
 		select {
@@ -56,7 +56,7 @@
 	}
 }
 
-// submit hands a command to the registry's goroutine. It does not wait.
+// submit queues a command for the registry's goroutine without waiting.
 func (r *EndpointRegistry) submit(command registryCommand) {
 	r.mu.Lock()
 	r.commands = append(r.commands, command)
@@ -75,7 +75,7 @@
 	return commands
 }
 
-// SetConnectionLimit changes how many connections an endpoint takes over all pools.
+// SetConnectionLimit changes the maximum number of connections to one endpoint over all pools.
 func (r *EndpointRegistry) SetConnectionLimit(connections int) {
 	r.submit(func(state *registryState) {
 		if connections == state.connectionLimit {
@@ -87,8 +87,8 @@
 	})
 }
 
-// join registers a pool; a nil registry has no registrations. notify gets the pool's allotmentsChanged and must not
-// block.
+// join registers a pool. It returns nil if the registry is nil. notify is called with each allotmentsChanged for the
+// pool and must not block.
 func (r *EndpointRegistry) join(weight float64, ownDrainsOnly bool, notify func(event)) *registration {
 	if r == nil {
 		return nil
@@ -114,7 +114,7 @@
 	}
 }
 
-// process executes commands and notifies the pools of what has changed.
+// process executes commands and notifies the pools that their results concern.
 func (s *registryState) process(commands []registryCommand) {
 	for _, command := range commands {
 		command(s)
@@ -122,18 +122,18 @@
 	s.notifyPools()
 }
 
-// notifyPools notifies pools of what has changed since it was last called: first all pools of what cuts their use of an
-// endpoint, then of the rest and that their claims are accepted. So what is given to a pool was taken from others
-// before.
+// notifyPools notifies the pools of the changes since its last call: first of all reductions, then of all other changes
+// and of accepted claims. Connections are thus allotted to a pool only after other pools have been told to give them
+// up.
 func (s *registryState) notifyPools() {
 	cuts, rest := s.allocator.Changes()
 	for pool, changes := range cuts {
 		registrant := s.registrants[pool]
 		registrant.notify(allotmentsChanged{changes: changes, claimSerial: registrant.claimSerial})
 	}
-	for pool := range s.concerned(rest) {
+	for pool := range s.poolsToNotify(rest) {
 		registrant := s.registrants[pool]
-		if registrant == nil { // it has left
+		if registrant == nil { // the pool has been removed
 			continue
 		}
 		registrant.notify(allotmentsChanged{
@@ -147,9 +147,11 @@
 	s.limitChanged = false
 }
 
-// concerned are the pools to notify after the cuts: those with changes, with a new claim, and, after another limit,
-// all. It adds to newlyClaimed.
-func (s *registryState) concerned(changes map[*sharedlimit.Pool][]sharedlimit.Change) map[*sharedlimit.Pool]struct{} {
+// poolsToNotify returns the pools to notify after the reductions: those with changes or a new claim, or all pools if
+// the connection limit has changed. It modifies and returns newlyClaimed.
+func (s *registryState) poolsToNotify(
+	changes map[*sharedlimit.Pool][]sharedlimit.Change,
+) map[*sharedlimit.Pool]struct{} {
 	concerned := s.newlyClaimed
 	for pool := range changes {
 		concerned[pool] = struct{}{}
--- a/internal/pool/endpoint_registry_test.go
+++ b/internal/pool/endpoint_registry_test.go
@@ -11,17 +11,17 @@
 	"olivearch/internal/sharedlimit"
 )
 
-// testConnectionLimit is how many connections an endpoint takes over all pools of a manualRegistry.
+// testConnectionLimit is the maximum number of connections to an endpoint over all pools of a manualRegistry.
 const testConnectionLimit = 40
 
-// exclusiveAllotment is what a pool may use of an endpoint that no other pool lists.
+// exclusiveAllotment is the allotment of an endpoint that no other pool lists.
 var exclusiveAllotment = sharedlimit.Allotment{Fraction: 1, Connections: testConnectionLimit}
 
-// manualRegistry is a registry without a goroutine: a test processes its commands.
+// manualRegistry is a registry without a goroutine, whose commands a test processes.
 type manualRegistry struct {
 	*EndpointRegistry
 	state    *registryState
-	notified []string // names of the pools that were notified, in order
+	notified []string // names of the notified pools, in order
 }
 
 func newManualRegistry(t testing.TB) *manualRegistry {
@@ -31,10 +31,10 @@
 	}
 }
 
-// processCommands executes what was submitted, and notifies the pools.
+// processCommands executes the submitted commands and notifies the pools.
 func (r *manualRegistry) processCommands() { r.state.process(r.takeCommands()) }
 
-// newLoop is a loop that is registered, and whose events a test handles.
+// newLoop returns a registered loop whose events a test handles.
 func (r *manualRegistry) newLoop(t *testing.T, name string, weight float64, ownDrainsOnly bool) *manualLoop {
 	h := newManualLoop(t, testSpec())
 	h.registration = r.join(weight, ownDrainsOnly, func(e event) {
@@ -44,7 +44,8 @@
 	return h
 }
 
-// updatePhases gives a pool a list of endpoints with these phases; an endpoint without one is not listed.
+// updatePhases sets the endpoint list of a pool. The endpoint with index i has the phase phases[i]; with an empty phase
+// it is not listed.
 func (h *manualLoop) updatePhases(phases ...string) {
 	h.source.revision++
 	var members []discovery.Member
@@ -62,7 +63,7 @@
 	h.updateEndpoints(h.source.revision, members...)
 }
 
-// endpointAt is what the loop knows of an endpoint by its place in the lists; one with no name if it is not listed.
+// endpointAt returns the endpoint with an index; one without a name if it is not listed.
 func (h *manualLoop) endpointAt(i int) *endpoint {
 	if found := h.endpointByName(fmt.Sprint("n", i)); found != nil {
 		return found
@@ -70,30 +71,30 @@
 	return &endpoint{state: balancer.Removed}
 }
 
-// TestNothingIsSentBeforeTheRegistryAnswers: a pool uses an endpoint once the registry has its claim, and the pools
-// that list the endpoint too have their smaller allotments before that.
+// TestNothingIsSentBeforeTheRegistryAnswers: a pool uses an endpoint only after the registry has accepted its claim.
+// Other pools that list the endpoint get their smaller allotments first.
 func TestNothingIsSentBeforeTheRegistryAnswers(t *testing.T) {
 	registry := newManualRegistry(t)
 	a, b := registry.newLoop(t, "a", 3, false), registry.newLoop(t, "b", 1, false)
 	a.updatePhases("up", "up")
-	want(t, "a, before the answer", a.endpointAt(0).state, balancer.Draining)
+	want(t, "a, before the claim is accepted", a.endpointAt(0).state, balancer.Draining)
 	registry.processCommands()
 	a.applyUrgent()
 	want(t, "a", a.endpointAt(0).state, balancer.Active)
-	want(t, "a alone", a.endpointAt(0).allotment, exclusiveAllotment)
-	for range 20 { // by a map's order the other way would come up
+	want(t, "a, alone", a.endpointAt(0).allotment, exclusiveAllotment)
+	for range 20 { // a notification order that followed map iteration would vary
 		registry.notified = nil
 		b.updatePhases("up")
 		a.applyUrgent()
-		want(t, "b, before the answer", b.endpointAt(0).state, balancer.Draining)
+		want(t, "b, before the claim is accepted", b.endpointAt(0).state, balancer.Draining)
 		registry.processCommands()
-		want(t, "order", fmt.Sprint(registry.notified), "[a b]")
+		want(t, "order of notifications", fmt.Sprint(registry.notified), "[a b]")
 		b.applyUrgent()
 		quarter := sharedlimit.Allotment{Fraction: 0.25, Connections: 10}
 		want(t, "b, before a has handled its notification", b.endpointAt(0).allotment, quarter)
 		a.applyUrgent()
 		want(t, "a", a.endpointAt(0).allotment, sharedlimit.Allotment{Fraction: 0.75, Connections: 30})
-		want(t, "a, at the balancer", a.endpointAt(0).upstream.WarmUpShare, 0.75)
+		want(t, "a, as the balancer sees it", a.endpointAt(0).upstream.WarmUpShare, 0.75)
 		want(t, "a, the other endpoint", a.endpointAt(1).allotment, exclusiveAllotment)
 		b.updatePhases()
 		registry.processCommands()
@@ -103,8 +104,9 @@
 	}
 }
 
-// TestDrainOfOnePoolCountsAtOthers: a drain by the list of one pool counts at the other, whether it was there first or
-// comes after it, unless it goes by its own list; its end does too.
+// TestDrainOfOnePoolCountsAtOthers: an endpoint that drains in the list of one pool is draining for other pools as
+// well, whether they list it before or after the drain, until the drain ends. A pool with ownDrainsOnly ignores the
+// drain.
 func TestDrainOfOnePoolCountsAtOthers(t *testing.T) {
 	for _, late := range []bool{false, true} {
 		registry := newManualRegistry(t)
@@ -145,36 +147,37 @@
 	}
 }
 
-// TestEndpointClaimedAgain: a pool drops an endpoint and lists it again while a notification about its first use is on
-// the way. That says nothing of the second.
+// TestEndpointClaimedAgain: a pool drops an endpoint and lists it again while a notification about its first claim is
+// on the way. The notification must not be applied to the second claim.
 func TestEndpointClaimedAgain(t *testing.T) {
 	registry := newManualRegistry(t)
 	a, b := registry.newLoop(t, "a", 1, false), registry.newLoop(t, "b", 3, false)
 	a.updatePhases("up")
-	registry.processCommands() // a is notified that its claim is accepted, and does not handle it
+	registry.processCommands() // a does not handle the notification that its claim is accepted
 	a.updatePhases()
 	a.updatePhases("up")
 	a.applyUrgent()
-	want(t, "a, by the notification that its first claim is accepted", a.endpointAt(0).state, balancer.Draining)
+	want(t, "a, after the notification that its first claim is accepted", a.endpointAt(0).state, balancer.Draining)
 	b.updatePhases("up")
 	registry.processCommands()
 	a.applyUrgent()
 	want(t, "a", a.endpointAt(0).allotment.Connections, 10)
 	b.registration.setWeight(7)
-	registry.processCommands() // a is notified that it has an eighth, and does not handle it
+	registry.processCommands() // a does not handle the notification that its fraction is an eighth
 	a.updatePhases()
 	a.updatePhases("up")
 	a.applyUrgent()
-	want(t, "a, by an answer to its first claim", a.endpointAt(0).state, balancer.Draining)
+	want(t, "a, after a notification about an earlier claim", a.endpointAt(0).state, balancer.Draining)
 	b.registration.remove()
 	registry.processCommands()
 	a.applyUrgent()
-	want(t, "a, by the answer to its last", a.endpointAt(0).state, balancer.Active)
+	want(t, "a, after its last claim is accepted", a.endpointAt(0).state, balancer.Active)
 	want(t, "a", a.endpointAt(0).allotment, exclusiveAllotment)
-	want(t, "what a holds beside its claim", len(a.registration.allotments)+len(a.registration.unconfirmed), 0)
+	want(t, "exceptions that a stores", len(a.registration.allotments)+len(a.registration.unconfirmed), 0)
 }
 
-// TestPoolOfTheSameName: a pool that lingers after a reload ends when its successor has claimed its endpoints.
+// TestPoolOfTheSameName: after a reload a pool ends only when its successor of the same name has claimed the same
+// endpoints. A claim that it makes after its end has no effect.
 func TestPoolOfTheSameName(t *testing.T) {
 	registry := newManualRegistry(t)
 	old, other := registry.newLoop(t, "x", 1, false), registry.newLoop(t, "y", 1, false)
@@ -184,7 +187,7 @@
 	next := registry.newLoop(t, "x", 1, false)
 	next.updatePhases("up")
 	old.registration.remove()
-	old.updatePhases("draining") // it ends with a list that it had not handled
+	old.updatePhases("draining") // a list that it handles after its end
 	registry.processCommands()
 	next.applyUrgent()
 	other.applyUrgent()
@@ -192,9 +195,9 @@
 	want(t, "the other", other.endpointAt(0).allotment, sharedlimit.Allotment{Fraction: 0.5, Connections: 20})
 }
 
-// TestLimitReachesAll: pools are notified of another limit of connections to one endpoint, also for endpoints that they
-// list alone.
-func TestLimitReachesAll(t *testing.T) {
+// TestConnectionLimitReachesAllPools: a new connection limit applies to all pools, also to endpoints that only one pool
+// lists.
+func TestConnectionLimitReachesAllPools(t *testing.T) {
 	registry := newManualRegistry(t)
 	a, b := registry.newLoop(t, "a", 1, false), registry.newLoop(t, "b", 1, false)
 	a.updatePhases("up", "up")
@@ -211,12 +214,11 @@
 	registry.notified = nil
 	registry.SetConnectionLimit(60)
 	registry.processCommands()
-	want(t, "pools notified of the limit that holds", len(registry.notified), 0)
+	want(t, "pools notified of an unchanged limit", len(registry.notified), 0)
 }
 
-// TestPoolsAgreeWithRegistry: whatever pools list, with notifications of the registry that wait for any time, pools end
-// by the allotments that the registry has, hold nothing of endpoints that they list alone, and are notified only of
-// what they list.
+// TestPoolsAgreeWithRegistry: with random lists and with notifications that are handled at random times, all pools end
+// with the registry's allotments, and store exceptions only for endpoints that other pools list too.
 func TestPoolsAgreeWithRegistry(t *testing.T) {
 	const endpoints = 6
 	rng := rand.New(rand.NewPCG(5, 5))
@@ -239,7 +241,7 @@
 	}
 }
 
-// randomRegistryStep lets the registry or a pool handle what has come, or gives the pool a random list.
+// randomRegistryStep makes the registry or a pool handle what is queued, or gives the pool a random list.
 func randomRegistryStep(rng *rand.Rand, registry *manualRegistry, pool *manualLoop, endpoints int) {
 	switch rng.IntN(4) {
 	case 0:
@@ -255,7 +257,7 @@
 	}
 }
 
-// checkSharedEndpoint fails unless all pools that list an endpoint have its state and their parts of it.
+// checkSharedEndpoint fails unless all pools that list an endpoint have the right state and their fraction of it.
 func checkSharedEndpoint(t *testing.T, pools []*manualLoop, index int) {
 	t.Helper()
 	var total float64
@@ -274,7 +276,7 @@
 		}
 		part := registration.weight / total
 		if diff := found.allotment.Fraction - part; diff > 1e-9 || diff < -1e-9 {
-			t.Fatalf("pool %d, endpoint %d: part %v, want %v", i, index, found.allotment.Fraction, part)
+			t.Fatalf("pool %d, endpoint %d: fraction %v, want %v", i, index, found.allotment.Fraction, part)
 		}
 		state := found.listedState
 		if drains && !registration.ownDrainsOnly {
@@ -284,7 +286,7 @@
 			t.Fatalf("pool %d, endpoint %d: state %v, want %v", i, index, found.state, state)
 		}
 		if _, held := registration.allotments[found.address]; held != (listedBy > 1) {
-			t.Fatalf("pool %d, endpoint %d, listed by %d: held as shared: %v", i, index, listedBy, held)
+			t.Fatalf("pool %d, endpoint %d, listed by %d: stored as shared: %v", i, index, listedBy, held)
 		}
 		if waiting := len(registration.unconfirmed); waiting > 0 {
 			t.Fatalf("pool %d, endpoint %d: %d endpoints are not confirmed", i, index, waiting)
@@ -292,9 +294,10 @@
 	}
 }
 
-// TestStartIsNotQuadratic: pools with endpoints of their own get one notification each, that their claim is accepted,
-// and a drain in one of their lists costs one notification to that pool and none to the others.
-func TestStartIsNotQuadratic(t *testing.T) {
+// TestNotificationCountIsLinear: if no endpoint is shared, each pool gets one notification that its claim is accepted,
+// and a drain notifies only the pool that lists the endpoint. Notifying all pools of every claim would make the start
+// quadratic in the number of pools.
+func TestNotificationCountIsLinear(t *testing.T) {
 	registry := newManualRegistry(t)
 	var registrations []*registration
 	notifications := 0
@@ -312,7 +315,7 @@
 	want(t, "notifications at a drain", notifications, 1)
 }
 
-// registryBenchmark is a registry with 490 pools that list 18,000 endpoints, each listed by one.
+// registryBenchmark is a registry with 490 pools that list 18,000 endpoints, each listed by one pool.
 type registryBenchmark struct {
 	registry      *manualRegistry
 	registrations []*registration
@@ -348,7 +351,7 @@
 	return r
 }
 
-// claim claims a pool's endpoints, of which the first may drain.
+// claim claims the endpoints of a pool. firstDrains tells whether the first one is draining.
 func (r *registryBenchmark) claim(pool int, firstDrains bool) {
 	endpoints := make(map[string]bool, len(r.addresses[pool]))
 	for i, address := range r.addresses[pool] {
@@ -364,8 +367,8 @@
 	return stats.HeapAlloc
 }
 
-// BenchmarkEndpointRegistry claims 18,000 endpoints in 490 pools, each listed by one, and then drains one of them. It
-// shows what the registry and the pools' registrations hold for an endpoint.
+// BenchmarkEndpointRegistry claims 18,000 endpoints for 490 pools, each listed by one pool, and then drains one of
+// them. It reports the memory of the registry and the registrations per endpoint.
 func BenchmarkEndpointRegistry(b *testing.B) {
 	addresses := benchmarkAddresses()
 	b.Run("start", func(b *testing.B) {
--- a/internal/pool/endpoint_state.go
+++ b/internal/pool/endpoint_state.go
@@ -2,25 +2,25 @@
 
 import "olivearch/balancer"
 
-// endpointFacts are what decides the state in which the balancer sees a listed endpoint. The states are the balancer's:
-// Active, Draining (no new requests) and Removed.
-type endpointFacts struct {
-	// listed is the state by the pool's own list.
+// endpointConditions determine the state in which the balancer sees a listed endpoint: Active, Draining (no new
+// requests) or Removed.
+type endpointConditions struct {
+	// listed is the state according to the pool's own list.
 	listed balancer.State
-	// allotmentUnknown: the registry has not answered for the endpoint. Other pools must have heard first that they share
-	// it.
+	// allotmentUnknown: the registry has not yet answered the pool's claim to the endpoint. The pools that already
+	// use the endpoint must be told first that it is shared.
 	allotmentUnknown bool
-	// drainsElsewhere: it drains by another pool's list, which counts here.
+	// drainsElsewhere: the endpoint is draining in another pool's list, and this pool heeds drains of other pools.
 	drainsElsewhere bool
-	// outOfService: operators have taken it out of service.
+	// outOfService: an operator has taken the endpoint out of service.
 	outOfService bool
 }
 
-// state is the listed one, but an active endpoint drains for each reason that keeps it from getting requests.
-func (f endpointFacts) state() balancer.State {
-	keptOut := f.allotmentUnknown || f.drainsElsewhere || f.outOfService
-	if f.listed == balancer.Active && keptOut {
+// state returns the listed state, or Draining for an active endpoint that must not get requests.
+func (c endpointConditions) state() balancer.State {
+	excluded := c.allotmentUnknown || c.drainsElsewhere || c.outOfService
+	if c.listed == balancer.Active && excluded {
 		return balancer.Draining
 	}
-	return f.listed
+	return c.listed
 }
--- a/internal/pool/health_check.go
+++ b/internal/pool/health_check.go
@@ -7,8 +7,8 @@
 	"olivearch/internal/upstream"
 )
 
-// HealthCheck asks an endpoint for its load, or only whether it runs if its reports are not used. Part of
-// balancer.Host.
+// HealthCheck sends a health check to an endpoint. The check asks for a load report unless the settings leave reports
+// unused. It is part of balancer.Host.
 func (l *loop) HealthCheck(id balancer.UpstreamID) {
 	endpoint := l.endpoints[id]
 	if endpoint == nil || endpoint.state != balancer.Active {
@@ -31,7 +31,7 @@
 	}()
 }
 
-// healthCheckFinished is a health check that has ended on its connection.
+// healthCheckFinished is the event that the transport has finished a health check.
 type healthCheckFinished struct {
 	endpoint   *endpoint
 	connection *connection
--- a/internal/pool/host.go
+++ b/internal/pool/host.go
@@ -7,11 +7,11 @@
 	"olivearch/balancer"
 )
 
-// The loop is the balancer's host. Further methods of balancer.Host are in attempt.go (Send), connection_pool.go
+// The loop is the balancer's Host. Further methods of balancer.Host are in attempt.go (Send), connection_pool.go
 // (CloseIdle), health_check.go (HealthCheck), list_source.go (WatchEndpoints, FetchEndpoints) and log.go (Log).
 var _ balancer.Host = (*loop)(nil)
 
-// Reject answers a client that its request was not run and may be sent again.
+// Reject responds to a client that its request has not been run and may be sent again.
 func (l *loop) Reject(id balancer.RequestID, retryAfter time.Duration) {
 	request := l.requests[id]
 	if request == nil {
@@ -27,7 +27,7 @@
 	})
 }
 
-// Fail answers a client that its request has failed and may have run.
+// Fail responds to a client that its request has failed and may have been run.
 func (l *loop) Fail(id balancer.RequestID) {
 	request := l.requests[id]
 	if request == nil {
@@ -40,7 +40,7 @@
 	l.respond(request, Response{Status: status})
 }
 
-// Cancel stops waiting for a request's attempt with a number.
+// Cancel stops waiting for an attempt. The attempts of a request are numbered from 0.
 func (l *loop) Cancel(id balancer.RequestID, number int) {
 	request := l.requests[id]
 	if request == nil {
@@ -51,7 +51,7 @@
 	}
 }
 
-// SetTimer schedules a call of the balancer's TimerFired.
+// SetTimer schedules a call of Balancer.TimerFired.
 func (l *loop) SetTimer(after time.Duration, token uint64) {
 	l.timers.schedule(&timer{at: l.now() + max(after, 0), token: token})
 }
--- a/internal/pool/idle_connections.go
+++ b/internal/pool/idle_connections.go
@@ -5,13 +5,13 @@
 	"time"
 )
 
-// idleConnections are an endpoint's open connections that carry no attempt, in the order in which they became idle. The
-// zero value has none. They only hold connections: the connectionPool counts and closes them.
+// idleConnections holds the open connections to an endpoint that carry no attempt, in the order in which they became
+// idle. The zero value is empty. The connectionPool counts and closes the connections.
 type idleConnections struct {
-	list []*connection // the one that was used last stands last
+	list []*connection // most recently used last
 }
 
-// oldest is the connection that has been idle longest; nil: there is none.
+// oldest returns the connection that has been idle longest, nil if there is none.
 func (i *idleConnections) oldest() *connection {
 	if len(i.list) == 0 {
 		return nil
@@ -25,7 +25,7 @@
 	i.list = append(i.list, c)
 }
 
-// takeOldest removes and returns the connection that has been idle longest; nil: there is none.
+// takeOldest removes and returns the connection that has been idle longest, nil if there is none.
 func (i *idleConnections) takeOldest() *connection {
 	oldest := i.oldest()
 	if oldest != nil {
@@ -34,8 +34,8 @@
 	return oldest
 }
 
-// takeReady removes and returns the connection that was used last of those that have been idle for a delay; nil: there
-// is none.
+// takeReady removes and returns the most recently used of the connections that have been idle for at least delay, nil
+// if there is none.
 func (i *idleConnections) takeReady(now, delay time.Duration) *connection {
 	for index := len(i.list) - 1; index >= 0; index-- {
 		candidate := i.list[index]
@@ -47,7 +47,7 @@
 	return nil
 }
 
-// takeExpired removes and returns the connections that have been idle for a time-out.
+// takeExpired removes and returns the connections that have been idle for at least timeout.
 func (i *idleConnections) takeExpired(now, timeout time.Duration) []*connection {
 	count := 0
 	for count < len(i.list) && now-i.list[count].idleSince >= timeout {
@@ -57,7 +57,7 @@
 		return nil
 	}
 	expired := i.list[:count]
-	i.list = append([]*connection(nil), i.list[count:]...) // lets go of the memory of those that go
+	i.list = append([]*connection(nil), i.list[count:]...) // a copy, so that the removed connections can be freed
 	return expired
 }
 
--- a/internal/pool/idle_decision.go
+++ b/internal/pool/idle_decision.go
@@ -2,46 +2,48 @@
 
 import "time"
 
-// idleDecision is what a loop does that has no event to handle.
+// idleDecision is what a loop does while it has no events.
 type idleDecision uint8
 
 const (
-	// stayAwake keeps the goroutine, which waits for the next event or timer.
-	stayAwake idleDecision = iota
+	// keepRunning keeps the goroutine, which waits for the next event or timer.
+	keepRunning idleDecision = iota
 	// parkLoop ends the goroutine until the next event or timer.
 	parkLoop
-	// releaseAndPark lets go of the balancer and its endpoints, and then ends the goroutine until the next event.
+	// releaseAndPark releases the balancer and the endpoints, and ends the goroutine until the next event.
 	releaseAndPark
 )
 
-// idleFacts are what an idleDecision goes by. Times are on the loop's clock; 0: there is none.
-type idleFacts struct {
-	// suspendable: the settings let the loop be parked, and neither the loop nor the balancer has work to do.
+// idleConditions determine an idleDecision. Times are on the loop's clock; 0: none.
+type idleConditions struct {
+	// suspendable: the settings allow parking the loop, and neither the loop nor the balancer has work to do.
 	suspendable bool
 	// hasConnections: connections are open.
 	hasConnections bool
-	// unused: no request, connection or timer needs the balancer, and its endpoints are few enough to create it for a
-	// request.
+	// unused: no request or timer needs the balancer, and its endpoints are few enough that a request can wait
+	// until it is created again.
 	unused bool
 
 	nextTimerAt     time.Duration
-	nextIdleCloseAt time.Duration // when the first idle connection is to be closed
-	releaseAt       time.Duration // when an unused balancer has been so for long enough
+	nextIdleCloseAt time.Duration // when the next idle connection is to be closed
+	releaseAt       time.Duration // when the balancer has been unused for balancerIdleTimeout
 }
 
-// decide returns what the loop does at a time, and when it has to go on with no event. nextDue is called for a balancer
-// that has been unused for long enough: when it has to be called next; a time that has come means that it may be
-// released.
-func (f idleFacts) decide(now time.Duration, nextDue func() time.Duration) (decision idleDecision, at time.Duration) {
-	if !f.suspendable {
-		return stayAwake, 0
+// decide returns what the loop does now, and when it has to continue even without an event; 0: no such time. From
+// releaseAt on, decide calls nextDue for the time until which the balancer has state that must not be lost. The
+// balancer is released if that time has passed.
+func (c idleConditions) decide(
+	now time.Duration, nextDue func() time.Duration,
+) (decision idleDecision, at time.Duration) {
+	if !c.suspendable {
+		return keepRunning, 0
 	}
-	at = f.nextTimerAt
+	at = c.nextTimerAt
 	switch {
-	case f.hasConnections:
-		at = earlier(at, f.nextIdleCloseAt)
-	case f.unused:
-		releaseAt := f.releaseAt
+	case c.hasConnections:
+		at = earlier(at, c.nextIdleCloseAt)
+	case c.unused:
+		releaseAt := c.releaseAt
 		if now >= releaseAt {
 			releaseAt = nextDue()
 		}
@@ -51,12 +53,12 @@
 		at = earlier(at, releaseAt)
 	}
 	if at > 0 && at-now < minParkTime {
-		return stayAwake, at
+		return keepRunning, at
 	}
 	return parkLoop, at
 }
 
-// earlier is the earlier of two times; 0: there is none.
+// earlier returns the earlier of two times, where 0 stands for no time.
 func earlier(x, y time.Duration) time.Duration {
 	if x == 0 || y == 0 {
 		return max(x, y)
--- a/internal/pool/list_source.go
+++ b/internal/pool/list_source.go
@@ -8,30 +8,30 @@
 	"olivearch/internal/discovery"
 )
 
-// listSource is where a pool's endpoint list comes from, and how old the list is. The loop owns it, but for the
+// listSource is the source of a pool's endpoint list, and the age of the list. The loop owns it, except for the
 // atomics.
 type listSource struct {
-	client     *discovery.Client  // nil: lists come by Pool.UpdateEndpoints
-	stopWatch  context.CancelFunc // nil: the client does not watch
-	hasList    bool               // a list has been applied, if only that of the start
-	revision   uint64             // of the list that was applied last
-	maxAge     time.Duration      // how long a list is used without a good answer from its source; 0: for ever
-	receivedAt time.Duration      // last good answer that came by the mailbox
-	lastError  string             // why there has been none since; empty: not known
+	client     *discovery.Client  // nil: lists are set by Pool.UpdateEndpoints
+	stopWatch  context.CancelFunc // nil: the client is not watching
+	hasList    bool               // a list has been applied, possibly only the initial one
+	revision   uint64             // of the last list that was applied
+	maxAge     time.Duration      // how long a list is used without a response from its source; 0: without limit
+	receivedAt time.Duration      // when the last list arrived
+	lastError  string             // of the source, since the last list; empty: none
 
-	received    atomic.Bool  // the source has given a list
-	confirmedAt atomic.Int64 // a time.Duration: when it last said that the list has not changed
+	received    atomic.Bool  // the source has sent a list
+	confirmedAt atomic.Int64 // time.Duration: when the source last confirmed that the list is unchanged
 }
 
-// endClient ends the client of discovery, if there is one. It stays the source, so that its late answers are told from
-// others'.
+// endClient closes the client of discovery, if there is one. s.client is kept, so that late responses of the closed
+// client are not taken for lists from Pool.UpdateEndpoints.
 func (s *listSource) endClient() {
 	if s.client != nil {
 		s.client.Close()
 	}
 }
 
-// address is that of discovery; empty: there is none.
+// address returns the address of discovery; empty: none.
 func (s *listSource) address() string {
 	if s.client == nil {
 		return ""
@@ -39,7 +39,7 @@
 	return s.client.Address
 }
 
-// age is the time since the source's last good answer.
+// age returns the time since the source last sent or confirmed the list.
 func (s *listSource) age(now time.Duration) time.Duration {
 	return now - max(s.receivedAt, time.Duration(s.confirmedAt.Load()))
 }
@@ -49,22 +49,22 @@
 	return s.maxAge > 0 && s.age(now) > s.maxAge
 }
 
-// followDiscovery makes discovery at an address the list's source; empty: there is none. The client of the source
-// before is ended.
+// followDiscovery makes discovery at an address the source of the list, after it has closed the previous client; empty:
+// no discovery.
 func (l *loop) followDiscovery(address string) {
 	l.source.endClient()
 	l.source.client = nil
-	l.source.revision = 0 // another source's revisions can't be compared with it
+	l.source.revision = 0 // revisions of different sources can't be compared
 	if address == "" {
 		return
 	}
-	l.source.client = discovery.New(l.ctx, address, func(heard discovery.Event) {
-		l.enqueueUrgent(endpointsUpdated(heard))
+	l.source.client = discovery.New(l.ctx, address, func(received discovery.Event) {
+		l.enqueueUrgent(endpointsUpdated(received))
 	})
 }
 
-// WatchEndpoints starts to watch discovery's list, or stops it. A list that is pushed is watched whether or not the
-// balancer asks. Part of balancer.Host.
+// WatchEndpoints starts or stops watching discovery's list. Unless discovery is polled, the list is always watched. It
+// is part of balancer.Host.
 func (l *loop) WatchEndpoints(on bool) {
 	if l.source.stopWatch != nil {
 		l.source.stopWatch()
@@ -79,7 +79,7 @@
 	}
 }
 
-// FetchEndpoints polls discovery for the complete list. Part of balancer.Host.
+// FetchEndpoints polls discovery for the complete list. It is part of balancer.Host.
 func (l *loop) FetchEndpoints() {
 	if l.source.client != nil {
 		go l.source.client.Fetch()
--- a/internal/pool/log.go
+++ b/internal/pool/log.go
@@ -5,25 +5,25 @@
 	"sync"
 )
 
-// maxQueuedLogLines bounds the lines that wait to be written. Further ones are dropped.
+// maxQueuedLogLines bounds the lines that wait to be written. Further lines are dropped.
 const maxQueuedLogLines = 256
 
-// Log writes the balancer's line to the log, or drops it rather than wait. Part of balancer.Host.
+// Log queues a line of the balancer for the log, or drops it if the queue is full. It is part of balancer.Host.
 func (l *loop) Log(text string) { l.log.add(logLine{message: text}) }
 
-// logInfo writes a line with attributes to the log, or drops it rather than wait.
+// logInfo queues a line with attributes for the log, or drops it if the queue is full.
 func (l *loop) logInfo(message string, attributes ...any) {
 	l.log.add(logLine{message: message, attributes: attributes})
 }
 
-// logLine is a line on its way to the log.
+// logLine is a line that waits to be written.
 type logLine struct {
 	message    string
-	attributes []any // as slog.Info takes them
+	attributes []any // arguments of slog.Info
 }
 
-// logWriter writes lines to the log from a goroutine of its own, which runs while there are any: the log may block, the
-// loop must not. Any goroutine may add lines.
+// logWriter writes lines to the log from a goroutine of its own, because writing may block and the loop must not. The
+// goroutine runs only while lines are queued. Any goroutine may add lines.
 type logWriter struct {
 	mu      sync.Mutex
 	queued  []logLine
@@ -43,7 +43,7 @@
 	}
 }
 
-// write writes lines until none is queued.
+// write writes the queued lines until there are none.
 func (w *logWriter) write() {
 	for {
 		lines := w.takeQueued()
@@ -56,7 +56,7 @@
 	}
 }
 
-// takeQueued returns the queued lines. After none the writer has ended.
+// takeQueued returns the queued lines. If there are none, the writing goroutine must end.
 func (w *logWriter) takeQueued() []logLine {
 	w.mu.Lock()
 	defer w.mu.Unlock()
--- a/internal/pool/loop.go
+++ b/internal/pool/loop.go
@@ -12,33 +12,34 @@
 )
 
 const (
-	// maxBatch bounds the events that are handled before timers are looked at.
+	// maxBatch is the number of events after which the loop checks its timers.
 	maxBatch = 64
-	// sweepInterval is how often connections that have been idle for too long are looked for, and levels are published.
+	// sweepInterval is how often the loop closes expired idle connections and publishes gauges.
 	sweepInterval = time.Second
 )
 
-// event is something that has happened outside the loop. apply changes the loop's state; it runs on the loop's
-// goroutine and must not block.
+// event is an occurrence outside the loop. apply changes the loop's state; it runs on the loop's goroutine and must not
+// block.
 type event interface{ apply(l *loop) }
 
 // loop is a pool's event loop: one goroutine that owns the balancer and everything in this struct, and handles one
-// event at a time. The goroutine never blocks but for the next event or timer. What may block runs in goroutines of its
-// own, which send an event when they are done. Other goroutines may only call enqueue, enqueueUrgent, now and the
-// writer of log lines, and read the context and the atomics.
+// event at a time. It blocks only while it waits for the next event or timer. Operations that may block run in other
+// goroutines and send an event when they are done. Other goroutines may only call enqueue, enqueueUrgent, now and the
+// log writer, and read the context and the atomics.
 //
-// The goroutine ends while there is nothing to do (suspend.go); the mailbox starts the next one, never two at a time.
+// The goroutine ends while there is nothing to do (suspend.go). The mailbox starts the next one; there are never two at
+// a time.
 type loop struct {
-	ctx     context.Context // ends the loop
+	ctx     context.Context // stops the loop when it ends
 	mailbox *mailbox
 	log     logWriter
-	origin  time.Time     // when the loop was made
+	origin  time.Time     // when the loop was created
 	epoch   time.Duration // Unix time at origin
 
 	balancer        *balancer.Balancer // nil: the pool is dormant
 	settings        balancer.Settings
 	timers          timerQueue
-	pendingOutcomes []pendingOutcome // known, and not reported yet: the balancer is not called while it calls
+	pendingOutcomes []pendingOutcome // reported once the balancer has returned from its call
 	suspension      suspension
 	counters        counters
 
@@ -46,14 +47,14 @@
 	endpointStore  EndpointStore // nil: lists are not stored
 	names          *discovery.Numbering
 	endpoints      map[balancer.UpstreamID]*endpoint
-	preallocated   []endpoint     // memory for the endpoints of the list with which a balancer is created
-	listGeneration uint64         // counts the lists that were applied to endpoints
-	overrides      override.Table // what operators have set by hand
-	registration   *registration  // nil: no other pool of the process may use the same endpoints
+	preallocated   []endpoint     // for the endpoints of a balancer that is being created
+	listGeneration uint64         // number of lists applied to endpoints so far
+	overrides      override.Table // set by operators
+	registration   *registration  // nil: no EndpointRegistry; no other pool uses the endpoints
 
 	requests         map[balancer.RequestID]*Request
 	lastRequestID    uint64
-	clientRequestIDs map[string]bool // the clients' own ids of requests
+	clientRequestIDs map[string]bool // ids that clients gave to requests that are not released
 	fullResponses    bool            // Spec.FullResponses
 
 	connections  connectionPool
@@ -62,7 +63,7 @@
 }
 
 func newLoop(ctx context.Context, spec Spec) *loop {
-	made := &loop{
+	created := &loop{
 		ctx:              ctx,
 		mailbox:          newMailbox(),
 		origin:           time.Now(),
@@ -73,45 +74,48 @@
 		endpoints:        map[balancer.UpstreamID]*endpoint{},
 		tunnels:          map[*attempt]struct{}{},
 	}
-	made.applyLimits(spec)
-	made.endpointStore = spec.EndpointStore
-	// The clock is Unix time at the start, going on by the monotonic clock: times that discovery sends are on it as they
-	// are, also those from before this process, and setting the machine's clock does not move it.
-	made.epoch = time.Duration(clock.Now().UnixNano())
-	made.source.receivedAt = made.now()
-	made.followDiscovery(spec.Discovery)
-	return made
+	created.applyLimits(spec)
+	created.endpointStore = spec.EndpointStore
+	// The clock is Unix time at the start, advanced by the monotonic clock. Timestamps from discovery therefore
+	// apply directly, even those from before this process, and setting the machine's clock does not change it.
+	created.epoch = time.Duration(clock.Now().UnixNano())
+	created.source.receivedAt = created.now()
+	created.followDiscovery(spec.Discovery)
+	return created
 }
 
-// applyLimits takes what of a Spec may change while the loop runs.
+// applyLimits applies the parts of a Spec that may change while the loop runs.
 func (l *loop) applyLimits(spec Spec) {
 	l.settings = spec.Settings
 	l.source.maxAge = spec.MaxEndpointAge
 	l.fullResponses = spec.FullResponses
 	l.tunnelLimits = spec.Tunnels
-	l.connections.transport = upstream.HTTP1{ConnectTimeout: spec.Links.ConnectTimeout, FullResponses: spec.FullResponses}
+	l.connections.transport = upstream.HTTP1{
+		ConnectTimeout: spec.Links.ConnectTimeout,
+		FullResponses:  spec.FullResponses,
+	}
 	l.connections.max = spec.MaxConnections
 	l.connections.idleTimeout = max(spec.Links.KeepAlive-idleMargin, spec.Links.KeepAlive/2)
 	l.connections.delayOnlyAfterUnsolicited = spec.ReuseDelayOnlyAfterUnsolicited
 }
 
-// now is the time on the loop's clock. Any goroutine may call it.
+// now returns the time on the loop's clock. Any goroutine may call it.
 func (l *loop) now() time.Duration { return l.epoch + time.Since(l.origin) }
 
-// enqueue hands the loop an event. Any goroutine may call it.
+// enqueue queues an event for the loop. Any goroutine may call it.
 func (l *loop) enqueue(e event) { l.mailbox.enqueue(e) }
 
-// enqueueUrgent hands the loop an event that goes before all others: a list, an allotment or an operator's call. So
-// nothing is sent to an endpoint after the pool has got its drain, and operators have their answer under any load. Any
-// goroutine may call it.
+// enqueueUrgent queues an event that is handled before all others: a list, an allotment or an operator's command.
+// Therefore nothing is sent to an endpoint once the pool has been told that it drains, and operators get a response
+// under any load. Any goroutine may call it.
 func (l *loop) enqueueUrgent(e event) { l.mailbox.enqueueUrgent(e) }
 
-// start creates the balancer, unless it is created for its first request, and applies the list that was known before
-// the start; nil: none was.
+// start creates the balancer, unless the first request is to create it, and applies the list that was stored before the
+// start; nil: none.
 func (l *loop) start(known *discovery.Listing) error {
-	// Before the balancer begins to watch: a first call for the complete list costs discovery hundreds of lines a
-	// balancer, and where all balancers start together the watches behind those calls are refused. Revision 0 is one like
-	// others.
+	// The revision must be set before the balancer starts to watch. Without it the first call asks for the complete
+	// list, which costs discovery hundreds of lines per balancer; if all balancers start together, discovery then
+	// refuses the watches queued behind these calls. Revision 0 is a valid revision.
 	hasRevision := known != nil && (known.Revision > 0 || len(known.Members) > 0)
 	if hasRevision && l.source.client != nil {
 		l.source.client.SetRevision(known.Revision)
@@ -122,13 +126,13 @@
 	if known != nil {
 		l.applyListing(balancer.ListCached, *known)
 	}
-	if !l.settings.PollDiscovery { // a list that is pushed comes without the balancer's asking
+	if !l.settings.PollDiscovery { // the balancer does not ask for a pushed list
 		l.WatchEndpoints(true)
 	}
 	return nil
 }
 
-// createOrValidate creates the balancer, or checks the settings of one that is created for its first request.
+// createOrValidate creates the balancer, or validates the settings if the first request is to create the balancer.
 func (l *loop) createOrValidate() error {
 	if l.canSuspend() {
 		return l.settings.Validate()
@@ -136,7 +140,7 @@
 	return l.createBalancer()
 }
 
-// run handles events and timers until the context ends or the loop is parked. It is the loop's goroutine.
+// run is the loop's goroutine. It handles events and timers until the context ends or the loop is parked.
 func (l *loop) run() {
 	l.stopWakeTimer()
 	idleWait := wakeup{timer: time.NewTimer(0), at: l.now()}
@@ -166,14 +170,14 @@
 	}
 }
 
-// wakeup is the timer that ends the goroutine's wait for events.
+// wakeup is the timer that ends the wait for events.
 type wakeup struct {
 	timer *time.Timer
 	at    time.Duration // on the loop's clock
 }
 
-// schedule sets the wakeup to the next timer, or to the check for which the goroutine stays. One that is due earlier
-// stays as it is.
+// schedule sets the wakeup to the next timer or to nextCheckAt, whichever is earlier. A wakeup that is pending and due
+// no later is kept.
 func (l *loop) schedule(w *wakeup) {
 	at, scheduled := l.timers.nextAt()
 	check := l.suspension.nextCheckAt
@@ -187,31 +191,31 @@
 	}
 }
 
-// eventBatch holds events that were taken from the mailbox.
+// eventBatch holds events taken from the mailbox.
 type eventBatch struct {
 	pending []event
-	memory  []event // of the last batch, for the mailbox to use again
+	memory  []event // of the last batch; the mailbox reuses it
 }
 
-// refill takes a batch from the mailbox if none is pending. It reports whether events are pending.
+// refill takes a batch from the mailbox if no event is pending. It reports whether events are pending.
 func (b *eventBatch) refill(m *mailbox) bool {
 	if len(b.pending) == 0 {
-		clear(b.memory) // events that were handled must not be kept alive
+		clear(b.memory) // so that handled events can be freed
 		b.pending = m.takeNormal(b.memory)
 		b.memory = b.pending
 	}
 	return len(b.pending) > 0
 }
 
-// next removes and returns up to most pending events.
-func (b *eventBatch) next(most int) []event {
-	count := min(len(b.pending), most)
+// next removes and returns up to limit pending events.
+func (b *eventBatch) next(limit int) []event {
+	count := min(len(b.pending), limit)
 	events := b.pending[:count]
 	b.pending = b.pending[count:]
 	return events
 }
 
-// applyEvents handles events, and before each of them those that are urgent.
+// applyEvents handles events, and the urgent events before each of them.
 func (l *loop) applyEvents(events []event) {
 	for _, e := range events {
 		l.applyUrgent()
@@ -220,14 +224,13 @@
 	}
 }
 
-// applyUrgent handles the urgent events.
 func (l *loop) applyUrgent() {
 	for _, e := range l.mailbox.takeUrgent() {
 		e.apply(l)
 	}
 }
 
-// fireTimers handles the timers that have expired, and sweeps idle connections when that is due.
+// fireTimers handles expired timers, and closes expired idle connections once per sweepInterval.
 func (l *loop) fireTimers() {
 	for t := l.timers.popExpired(l.now()); t != nil; t = l.timers.popExpired(l.now()) {
 		l.fire(t)
@@ -237,11 +240,10 @@
 	if now >= l.connections.nextSweepAt {
 		l.connections.nextSweepAt = now + sweepInterval
 		l.closeExpiredConnections(now)
-		l.publishLevels()
+		l.publishGauges()
 	}
 }
 
-// fire handles a timer that has expired.
 func (l *loop) fire(t *timer) {
 	switch {
 	case t.attempt != nil:
@@ -255,7 +257,7 @@
 	}
 }
 
-// close ends what the loop has outside its goroutine, but for attempts in flight.
+// close releases what the loop holds outside its goroutine, except attempts in flight.
 func (l *loop) close() {
 	l.source.endClient()
 	for _, endpoint := range l.endpoints {
@@ -263,11 +265,11 @@
 	}
 	l.registration.remove()
 	if l.endpointStore != nil {
-		go l.endpointStore.Close() // a disk may be slow
+		go l.endpointStore.Close() // may block on the disk
 	}
 }
 
-// awaitReply waits for the loop's reply to an event that was handed to it. It fails if the loop has ended.
+// awaitReply waits for the loop's reply to an event. It fails with errLoopStopped if the loop has ended.
 func awaitReply[T any](l *loop, reply <-chan T) (answer T, err error) {
 	select {
 	case answer = <-reply:
--- a/internal/pool/mailbox.go
+++ b/internal/pool/mailbox.go
@@ -5,32 +5,32 @@
 	"sync/atomic"
 )
 
-// mailbox brings events to the loop, which takes them in batches: under load a channel would cost a switch of
-// goroutines for each event. Enqueueing never waits. The number of queued events is bounded by the requests, attempts
-// and health checks that there are.
+// mailbox passes events to the loop, which takes them in batches: a channel would cost a goroutine switch per event
+// under load. Enqueueing never blocks. The number of queued events is bounded by the number of requests, attempts and
+// health checks.
 //
-// Any goroutine may enqueue; one consumer goroutine at a time takes. A mailbox with a consume function starts that
-// goroutine when an event comes and none runs.
+// Any goroutine may enqueue; only one consumer goroutine at a time may take events. If consume is set, the mailbox
+// starts the consumer when an event arrives and none is running.
 type mailbox struct {
 	mu        sync.Mutex
 	normal    []event
 	urgent    []event
-	hasUrgent atomic.Bool   // spares takeUrgent the lock
-	consume   func()        // runs in a goroutine that the mailbox starts; nil: somebody always consumes
-	consuming bool          // that goroutine has been started and has not stopped
-	ready     chan struct{} // has one entry once something was enqueued
+	hasUrgent atomic.Bool   // lets takeUrgent avoid the lock
+	consume   func()        // body of the consumer goroutine; nil: the mailbox starts none
+	consuming bool          // the consumer goroutine is running
+	ready     chan struct{} // holds a value while events may be waiting
 }
 
 func newMailbox() *mailbox { return &mailbox{ready: make(chan struct{}, 1)} }
 
-// enqueue adds an event.
+// enqueue adds a normal event.
 func (m *mailbox) enqueue(e event) {
 	m.mu.Lock()
 	m.normal = append(m.normal, e)
 	m.signalAndUnlock()
 }
 
-// enqueueUrgent adds an event that is handled before all that are not urgent.
+// enqueueUrgent adds an event that is handled before all normal ones.
 func (m *mailbox) enqueueUrgent(e event) {
 	m.mu.Lock()
 	m.urgent = append(m.urgent, e)
@@ -38,7 +38,7 @@
 	m.signalAndUnlock()
 }
 
-// signalAndUnlock starts the consumer or signals the one that runs, and releases the lock, which the caller holds.
+// signalAndUnlock starts the consumer, or signals the running one, and releases the lock, which the caller holds.
 func (m *mailbox) signalAndUnlock() {
 	start := m.consume != nil && !m.consuming
 	if start {
@@ -55,21 +55,21 @@
 	}
 }
 
-// start makes the mailbox start its consumer from now on, also for the events that it holds already.
+// start sets the consumer and starts it, to handle the events that are already queued.
 func (m *mailbox) start(consume func()) {
 	m.mu.Lock()
 	m.consume = consume
 	m.signalAndUnlock()
 }
 
-// wake runs the consumer although no event has come: a timer of its own is due.
+// wake starts the consumer without an event. A parked loop's wake timer calls it.
 func (m *mailbox) wake() {
 	m.mu.Lock()
 	m.signalAndUnlock()
 }
 
-// stopConsuming ends the consumer's turn; false: an event has come, and the consumer has to go on. After true the
-// caller must touch nothing that it shares with the consumer, since the next one may run already.
+// stopConsuming marks the consumer as stopped unless an event is queued; false: the consumer has to continue. After
+// true the caller must not touch what it shares with the consumer, because the next consumer may already be running.
 func (m *mailbox) stopConsuming() bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -77,7 +77,7 @@
 	return !m.consuming
 }
 
-// takeNormal returns the events that are not urgent. The mailbox goes on with spare's memory.
+// takeNormal removes and returns the normal events. The mailbox queues further events in spare's memory.
 func (m *mailbox) takeNormal(spare []event) []event {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -86,7 +86,7 @@
 	return batch
 }
 
-// takeUrgent returns the urgent events.
+// takeUrgent removes and returns the urgent events.
 func (m *mailbox) takeUrgent() []event {
 	if !m.hasUrgent.Load() {
 		return nil
--- a/internal/pool/manual_loop_test.go
+++ b/internal/pool/manual_loop_test.go
@@ -13,8 +13,8 @@
 	"olivearch/internal/wire"
 )
 
-// eventPatience is how long a test waits for an event that has to come.
-const eventPatience = 10 * time.Second
+// eventTimeout is how long a test waits for an expected event.
+const eventTimeout = 10 * time.Second
 
 func want(t testing.TB, what string, got, want any) {
 	t.Helper()
@@ -23,7 +23,7 @@
 	}
 }
 
-// testSpec is a pool that polls discovery where nothing listens.
+// testSpec returns the Spec of a pool that polls discovery at an address where nothing listens.
 func testSpec() Spec {
 	return Spec{
 		Name:             "n0",
@@ -31,7 +31,10 @@
 		Discovery:        "127.0.0.1:9",
 		MaxConnections:   400,
 		InitialEndpoints: &discovery.Listing{},
-		Links:            wire.ConnectionSettings{KeepAlive: time.Minute, ConnectTimeout: 500 * time.Millisecond},
+		Links: wire.ConnectionSettings{
+			KeepAlive:      time.Minute,
+			ConnectTimeout: 500 * time.Millisecond,
+		},
 		Settings: balancer.Settings{
 			Zone:          "z1",
 			Balancers:     1,
@@ -63,7 +66,7 @@
 	}
 }
 
-// upMember is a server as a list has it.
+// upMember returns the entry of an active server in a list of discovery.
 func upMember(id string, server *scripted.Node) discovery.Member {
 	return discovery.Member{ID: id, HostPort: server.Addr, Locality: "z1", Phase: "up", Size: 1}
 }
@@ -73,12 +76,12 @@
 	return m
 }
 
-// unreachableMember is a member of a list at whose address nothing listens.
+// unreachableMember returns the entry of an endpoint at an address where nothing listens.
 func unreachableMember(id, address string) discovery.Member {
 	return discovery.Member{ID: id, HostPort: address, Phase: "up", Size: 1}
 }
 
-// newRequest is a request of the class "checkin" whose last byte comes at a time on its pool's clock.
+// newRequest returns a request of the class "checkin" whose last byte arrives at a time on its pool's clock.
 func newRequest(name string, at, budget time.Duration) *Request {
 	request := &Request{ClientRequestID: name, ReceivedAt: at, Responses: make(chan Response, 1)}
 	request.Class = "checkin"
@@ -87,11 +90,11 @@
 	return request
 }
 
-// requestIDHeader are the fields of a request with an id, and requestID finds it.
+// requestIDHeader returns the header fields of a request with an id; requestID returns the id.
 func requestIDHeader(id string) http1.Fields { return http1.Fields{{Name: "X-Request-Id", Value: id}} }
 func requestID(r *http.Request) string       { return r.Header.Get("X-Request-Id") }
 
-// manualLoop is a loop without a goroutine: a test applies its events.
+// manualLoop is a loop without a goroutine, whose events a test applies.
 type manualLoop struct {
 	*loop
 	t *testing.T
@@ -107,12 +110,12 @@
 	return &manualLoop{l, t}
 }
 
-// updateEndpoints applies a complete list of discovery.
+// updateEndpoints applies a complete list from discovery.
 func (h *manualLoop) updateEndpoints(revision uint64, members ...discovery.Member) {
 	h.updateFrom(h.source.client, discovery.Listing{Revision: revision, Complete: true, Members: members})
 }
 
-// updateFrom applies a list that a client of discovery has got.
+// updateFrom applies a list that a client of discovery has received.
 func (h *manualLoop) updateFrom(client *discovery.Client, list discovery.Listing) {
 	endpointsUpdated{From: client, Listing: list}.apply(h.loop)
 }
@@ -124,7 +127,7 @@
 	h.reportPendingOutcomes()
 }
 
-// submit applies the arrival of a request of a class, with a body and its name as id.
+// submit applies the arrival of a request of a class, which has a body and name as its id.
 func (h *manualLoop) submit(name, class string, client Client) *Request {
 	request := newRequest(name, h.now(), 4*time.Second)
 	request.Client = client
@@ -136,7 +139,8 @@
 	return request
 }
 
-// request sends a request with its name as id, and handles events until it is answered and its attempts have ended.
+// request sends a request with name as its id, and handles events until its response has arrived and its attempts have
+// ended.
 func (h *manualLoop) request(name string, budget time.Duration) Response {
 	h.t.Helper()
 	request := newRequest(name, h.now(), budget)
@@ -153,8 +157,8 @@
 	h.t.Helper()
 	select {
 	case <-h.mailbox.ready:
-	case <-time.After(eventPatience):
-		h.t.Fatal("nothing happens")
+	case <-time.After(eventTimeout):
+		h.t.Fatal("no event within eventTimeout")
 	}
 	for _, e := range h.mailbox.takeNormal(nil) {
 		e.apply(h.loop)
@@ -179,12 +183,12 @@
 	return false
 }
 
-// delayedTransport is a transport whose connections come up when the test says so.
+// delayedTransport is a transport whose attempts wait until the test lets them connect.
 type delayedTransport struct {
 	upstream.Transport
-	began   chan *upstream.Attempt // gets each attempt as it begins
-	connect chan struct{}          // lets one go on
-	ended   chan struct{}          // gets an entry as one ends
+	began   chan *upstream.Attempt // receives each attempt when it starts
+	connect chan struct{}          // each value lets one attempt connect
+	ended   chan struct{}          // receives a value when an attempt has ended
 }
 
 func (d delayedTransport) Do(a *upstream.Attempt) upstream.Result {
@@ -194,7 +198,7 @@
 	return d.Transport.Do(a)
 }
 
-// delayConnections lets the loop's connections come up when the test says so.
+// delayConnections makes the loop's attempts wait until the test lets them connect.
 func (h *manualLoop) delayConnections() delayedTransport {
 	delayed := delayedTransport{
 		Transport: h.connections.transport,
--- a/internal/pool/overrides.go
+++ b/internal/pool/overrides.go
@@ -9,12 +9,12 @@
 	"olivearch/internal/override"
 )
 
-// errLoopStopped is for calls on a pool that has ended. Operators read its text.
+// errLoopStopped is returned by calls on a pool that has ended. Its text is shown to operators.
 var errLoopStopped = errors.New("stopping")
 
-// SetOutOfService takes an endpoint out of service in this pool alone, or returns it to service as one that has just
-// been started. Once it has returned nil, nothing new is sent to an endpoint that is out of service. It fails if the
-// endpoint is not known or the pool has ended.
+// SetOutOfService takes an endpoint out of service in this pool only, or returns it to service as if it had just been
+// started. Once a call with out has returned nil, no new request is sent to the endpoint. It fails if the endpoint is
+// unknown or the pool has ended.
 func (p *Pool) SetOutOfService(id string, out bool) error {
 	done := make(chan error, 1)
 	p.loop.enqueueUrgent(outOfServiceRequested{endpointName: id, outOfService: out, done: done})
@@ -22,7 +22,7 @@
 	return cmp.Or(ended, err)
 }
 
-// outOfServiceRequested is an operator's call of SetOutOfService.
+// outOfServiceRequested is a call of SetOutOfService.
 type outOfServiceRequested struct {
 	endpointName string
 	outOfService bool
@@ -43,7 +43,8 @@
 	e.done <- nil
 }
 
-// LocalOverrides are the endpoints that were taken out of service in this pool alone; empty for a pool that has ended.
+// LocalOverrides returns the endpoints that were taken out of service, or lately returned to service, in this pool
+// only. It is nil for a pool that has ended.
 func (p *Pool) LocalOverrides() map[string]override.Entry {
 	reply := make(chan map[string]override.Entry, 1)
 	p.loop.enqueueUrgent(localOverridesRequested{reply})
@@ -58,14 +59,14 @@
 
 func (e localOverridesRequested) apply(l *loop) { e.reply <- l.overrides.Entries() }
 
-// MergeOverrides merges what another process has as LocalOverrides, and returns once that holds.
+// MergeOverrides merges another process's LocalOverrides, and returns once they are in effect.
 func (p *Pool) MergeOverrides(entries map[string]override.Entry) {
 	done := make(chan struct{}, 1)
 	p.loop.enqueueUrgent(localOverridesReceived{entries, done})
 	_, _ = awaitReply(p.loop, done) // a pool that has ended needs no overrides
 }
 
-// localOverridesReceived are another process's LocalOverrides.
+// localOverridesReceived is a call of MergeOverrides.
 type localOverridesReceived struct {
 	entries map[string]override.Entry
 	done    chan<- struct{}
@@ -79,13 +80,12 @@
 	e.done <- struct{}{}
 }
 
-// ApplyOverrides applies the overrides that the coordination cluster has for the pool, in the place of those that it
-// had before.
+// ApplyOverrides replaces the pool's shared overrides by the current ones of the coordination cluster.
 func (p *Pool) ApplyOverrides(shared override.Shared) {
 	p.loop.enqueueUrgent(sharedOverridesReceived(shared))
 }
 
-// sharedOverridesReceived are the coordination cluster's overrides for the pool.
+// sharedOverridesReceived is a call of ApplyOverrides.
 type sharedOverridesReceived override.Shared
 
 func (e sharedOverridesReceived) apply(l *loop) {
@@ -93,17 +93,18 @@
 	l.counters.endpointsChanged = true
 	var changed []balancer.Upstream
 	for _, endpoint := range l.endpoints {
-		if l.refreshChanged(endpoint) {
+		if l.refreshAndCompare(endpoint) {
 			changed = append(changed, endpoint.upstream)
 		}
 	}
 	l.notifyChanged(changed)
 }
 
-// ReleaseLocalOverride ends this pool's own override of an endpoint, now that the coordination cluster has it.
+// ReleaseLocalOverride removes this pool's local override of an endpoint, because the coordination cluster has taken it
+// over.
 func (p *Pool) ReleaseLocalOverride(id string) { p.loop.enqueueUrgent(localOverrideReleased{id}) }
 
-// localOverrideReleased is an endpoint that the coordination cluster has out of service now.
+// localOverrideReleased is a call of ReleaseLocalOverride.
 type localOverrideReleased struct{ endpointName string }
 
 func (e localOverrideReleased) apply(l *loop) {
@@ -111,7 +112,7 @@
 	l.overridesChanged(e.endpointName)
 }
 
-// HasEndpoint reports whether an endpoint is listed, or out of service; false for a pool that has ended.
+// HasEndpoint reports whether an endpoint is listed or out of service. It is false for a pool that has ended.
 func (p *Pool) HasEndpoint(id string) bool {
 	reply := make(chan bool, 1)
 	p.loop.enqueueUrgent(endpointLookupRequested{id, reply})
@@ -129,8 +130,8 @@
 	e.reply <- l.isListed(e.endpointName) || l.overrides.OutOfService(e.endpointName, "")
 }
 
-// overridesChanged applies overrides to the endpoint that is listed under a name. To one that is not listed they apply
-// once it is.
+// overridesChanged applies overrides to the endpoint that is listed under a name. If none is, they take effect when it
+// is listed.
 func (l *loop) overridesChanged(name string) {
 	l.counters.endpointsChanged = true
 	endpoint := l.endpointByName(name)
--- a/internal/pool/pool.go
+++ b/internal/pool/pool.go
@@ -12,24 +12,24 @@
 	"olivearch/internal/override"
 )
 
-// retired is a bit of Pool.admitted: the pool admits no more requests.
-const retired = math.MinInt64
+// retiredBit, added to Pool.admitted, marks a pool that admits no more requests.
+const retiredBit = math.MinInt64
 
-// Pool forwards requests to a group of endpoints. It has a balancer, a goroutine and limits of its own. Its methods may
-// be called from any goroutine.
+// Pool forwards requests to a group of endpoints. It has its own balancer, event loop and limits. Its methods may be
+// called from any goroutine.
 type Pool struct {
 	loop         *loop
 	name         string
 	stop         context.CancelFunc // of the loop
-	admitted     atomic.Int64       // requests in the pool; below zero: it is retired
-	queueLimit   atomic.Int64       // Spec.Queue
-	queueFull    atomic.Uint64      // requests that were not admitted since the queue was full
+	admitted     atomic.Int64       // number of requests in the pool; plus retiredBit once it is retired
+	queueLimit   atomic.Int64       // Spec.MaxRequests
+	queueFull    atomic.Uint64      // number of requests that were not admitted because the queue was full
 	ended        chan struct{}      // closed once the pool is retired and no request is left
-	listRevision atomic.Uint64      // of the list last given to UpdateEndpoints
+	listRevision atomic.Uint64      // of the last list passed to UpdateEndpoints
 }
 
-// New starts a pool. registry is nil where no other pool of the process uses the same endpoints; overrides are those
-// that operators have set already. An error says that the settings are not valid.
+// New starts a pool. registry is nil if no other pool of the process uses the same endpoints. overrides are the local
+// overrides that are already in effect. New fails if the settings are not valid.
 func New(
 	ctx context.Context, spec Spec, registry *EndpointRegistry, overrides map[string]override.Entry,
 ) (*Pool, error) {
@@ -47,20 +47,20 @@
 	return p, nil
 }
 
-// Name is the pool's, as its Spec had it at the start.
+// Name returns the Spec.Name with which the pool was created.
 func (p *Pool) Name() string { return p.name }
 
-// Submit hands a request over to the pool. Exactly one final response follows on its Reply channel, unless its
-// ClientLeft is called first. Where the pool has a queue the caller has called Acquire for the request.
+// Submit passes a request to the pool. Exactly one final response follows on Request.Responses, unless
+// Request.ClientLeft is called first. If the pool limits its requests, the caller must have called Acquire.
 func (p *Pool) Submit(request *Request) {
 	request.loop = p.loop
 	p.loop.enqueue(requestArrived{request})
 }
 
-// Now is the time on the pool's clock: Unix time at its start, going on by the monotonic clock.
+// Now returns the time on the pool's clock: Unix time at its start, advanced by the monotonic clock.
 func (p *Pool) Now() time.Duration { return p.loop.now() }
 
-// Ping returns once the pool's goroutine has handled an event, or the pool has ended.
+// Ping returns once the event loop has handled an event, or the pool has ended.
 func (p *Pool) Ping() {
 	handled := make(pingReceived)
 	p.loop.enqueue(handled)
@@ -70,12 +70,13 @@
 	}
 }
 
-// pingReceived is closed when the loop handles it.
+// pingReceived is a call of Ping. The loop closes the channel.
 type pingReceived chan struct{}
 
 func (e pingReceived) apply(*loop) { close(e) }
 
-// Acquire counts a request in. It fails if the pool is retired or its queue is full; full reports the latter.
+// Acquire admits a request to the pool. It fails if the pool is retired or its queue is full; full tells the two apart.
+// After a success the caller must call Release.
 func (p *Pool) Acquire() (ok, full bool) {
 	admitted := p.admitted.Add(1)
 	switch {
@@ -90,17 +91,18 @@
 	return true, false
 }
 
-// Release counts a request out.
+// Release ends the admission of a request. The caller calls it once the request is over.
 func (p *Pool) Release() {
-	if p.admitted.Add(-1) == retired {
+	if p.admitted.Add(-1) == retiredBit {
 		p.end()
 	}
 }
 
-// end ends a pool that is retired and empty. An Acquire that fails at that moment calls it once more.
+// end stops a retired pool without requests. It may be called a second time, by an Acquire that fails meanwhile.
 func (p *Pool) end() { p.loop.enqueue(poolEmptied{p}) }
 
-// poolEmptied ends the pool. Attempts that are still in flight belong to requests that have their response.
+// poolEmptied is the event that a retired pool has no more requests. It stops the pool. Attempts that are still in
+// flight belong to requests that have their response.
 type poolEmptied struct{ pool *Pool }
 
 func (e poolEmptied) apply(l *loop) {
@@ -114,33 +116,33 @@
 	e.pool.stop()
 }
 
-// Shutdown retires the pool: it admits no more requests, and ends when those that it has are answered.
+// Shutdown retires the pool: it admits no more requests, and ends once all its requests have been released.
 func (p *Pool) Shutdown() {
 	p.loop.enqueue(shutdownRequested{})
-	if p.admitted.Add(retired) == retired {
+	if p.admitted.Add(retiredBit) == retiredBit {
 		p.end()
 	}
 }
 
-// shutdownRequested lets all tunnels end within their grace.
+// shutdownRequested is a call of Shutdown. It closes all tunnels gracefully.
 type shutdownRequested struct{}
 
 func (shutdownRequested) apply(l *loop) { l.endTunnels(nil) }
 
-// Done is closed when a retired pool has ended.
+// Done returns a channel that is closed when a retired pool has ended.
 func (p *Pool) Done() <-chan struct{} { return p.ended }
 
-// UpdateEndpoints gives the pool its complete list.
+// UpdateEndpoints replaces the endpoint list by a complete new one.
 func (p *Pool) UpdateEndpoints(nodes []endpointlist.Node) {
 	list := discovery.Listing{Revision: p.listRevision.Add(1), Complete: true}
 	for _, node := range nodes {
-		list.Members = append(list.Members, memberOf(node))
+		list.Members = append(list.Members, memberFromNode(node))
 	}
 	p.loop.enqueueUrgent(endpointsUpdated{Listing: list})
 }
 
-// memberOf is a node of a list from a file in the form of discovery's lists.
-func memberOf(node endpointlist.Node) discovery.Member {
+// memberFromNode converts an endpoint of a list file to the form that discovery uses.
+func memberFromNode(node endpointlist.Node) discovery.Member {
 	member := discovery.Member{
 		ID:       node.ID,
 		HostPort: node.Address,
@@ -155,15 +157,15 @@
 	return member
 }
 
-// ListSourceFailed notes why the list's source has given no good answer. The last list stays in use.
-func (p *Pool) ListSourceFailed(why error) { p.loop.enqueueUrgent(endpointsUpdated{Err: why}) }
+// ListSourceFailed records an error of the endpoint list's source. The last list stays in use.
+func (p *Pool) ListSourceFailed(err error) { p.loop.enqueueUrgent(endpointsUpdated{Err: err}) }
 
-// ConfirmEndpoints notes that the list's source says that the list has not changed. It does not wake the pool's
-// goroutine.
+// ConfirmEndpoints records that the source has confirmed the endpoint list as unchanged. It does not wake the event
+// loop.
 func (p *Pool) ConfirmEndpoints() { p.loop.source.confirmedAt.Store(int64(p.loop.now())) }
 
-// Configure changes the pool while it serves, and returns once the change holds. What the balancer has learnt stays.
-// After an error, of settings that are not valid or a pool that has ended, nothing has changed.
+// Configure applies a new Spec to the running pool, and returns once it is in effect. What the balancer has learnt is
+// kept. If Configure fails, because the settings are not valid or the pool has ended, nothing has changed.
 func (p *Pool) Configure(spec Spec) error {
 	done := make(chan error, 1)
 	p.loop.enqueue(specChanged{spec, done})
--- a/internal/pool/registration.go
+++ b/internal/pool/registration.go
@@ -7,26 +7,27 @@
 	"olivearch/internal/sharedlimit"
 )
 
-// registration is a pool's membership in an EndpointRegistry, owned by the pool's loop; nil for a pool that shares no
-// endpoint. Beside the claim it only holds exceptions: by the rule an endpoint is allotted whole to the pool.
+// registration is a pool's registration with an EndpointRegistry, owned by the pool's loop; nil without a registry.
+// Besides the claim it stores only exceptions: an endpoint that no other pool lists is allotted to the pool in full.
 type registration struct {
 	registry        *EndpointRegistry
-	pool            *sharedlimit.Pool // the registry's
+	pool            *sharedlimit.Pool // identifies the pool to the registry
 	weight          float64
-	ownDrainsOnly   bool // which endpoints drain by other pools' lists does not count here
-	connectionLimit int  // connections to an endpoint that no other pool lists; 0: not known yet
+	ownDrainsOnly   bool // drains in other pools' lists are ignored
+	connectionLimit int  // for an endpoint that no other pool lists; 0: not known yet
 
-	// claimed are the listed endpoints by address; true: they drain by the pool's list. The registry reads it too: it is
-	// never changed in place.
+	// claimed is the last claim: the listed endpoints by address; true: draining in the pool's own list. The
+	// registry reads the map too, so it is never modified in place.
 	claimed     map[string]bool
-	claimSerial uint64 // of that claim
-	// unconfirmed are the endpoints for which the registry has not answered, by the claim that first had them.
+	claimSerial uint64 // serial number of the last claim
+	// unconfirmed holds the endpoints for which the registry has not answered, with the serial number of the first
+	// claim that has them.
 	unconfirmed map[string]uint64
-	allotments  map[string]sharedlimit.Allotment // of endpoints that other pools list too
+	allotments  map[string]sharedlimit.Allotment // by address; only endpoints that other pools list too
 }
 
-// claim tells the registry which endpoints the pool lists, by address; true: they drain by the pool's list. The map
-// must not be changed any more.
+// claim tells the registry which endpoints the pool lists, by address; true: draining in the pool's list. The caller
+// must not modify the map afterwards.
 func (r *registration) claim(endpoints map[string]bool) {
 	for address := range r.claimed {
 		if _, listed := endpoints[address]; !listed {
@@ -41,14 +42,14 @@
 		}
 	}
 	r.claimed = endpoints
-	r.registry.submit(claimCommand(r.pool, r.weight, endpoints, r.claimSerial))
+	r.registry.submit(newClaimCommand(r.pool, r.weight, endpoints, r.claimSerial))
 }
 
-// claimCommand is the command for a pool's claim.
-func claimCommand(pool *sharedlimit.Pool, weight float64, endpoints map[string]bool, serial uint64) registryCommand {
+// newClaimCommand returns the command that passes a pool's claim to the allocator.
+func newClaimCommand(pool *sharedlimit.Pool, weight float64, endpoints map[string]bool, serial uint64) registryCommand {
 	return func(state *registryState) {
 		registrant := state.registrants[pool]
-		if registrant == nil { // it has left
+		if registrant == nil { // the pool has been removed
 			return
 		}
 		state.allocator.Claim(pool, weight, endpoints)
@@ -65,8 +66,8 @@
 	}
 }
 
-// allotment is what the pool may use of an endpoint; false: the registry has not answered for it, and the pool may use
-// nothing.
+// allotment returns what the pool may use of an endpoint. It returns false if the registry has not answered for the
+// endpoint; the pool must not use it then.
 func (r *registration) allotment(address string) (sharedlimit.Allotment, bool) {
 	_, isClaimed := r.claimed[address]
 	_, isUnconfirmed := r.unconfirmed[address]
@@ -91,22 +92,23 @@
 	})
 }
 
-// allotmentsChanged is a notification of the registry.
+// allotmentsChanged is a notification from the registry.
 type allotmentsChanged struct {
 	changes []sharedlimit.Change
-	// claimSerial is of the pool's claim that the registry has. It knows nothing of endpoints that a later one has first.
+	// claimSerial is the serial number of the pool's last claim that the registry had processed. The notification
+	// does not cover endpoints that were first claimed later.
 	claimSerial     uint64
-	claimAccepted   bool // the endpoints up to that claim may be used
-	connectionLimit int  // connections to an endpoint that no other pool lists, if claimAccepted
+	claimAccepted   bool // endpoints up to that claim may be used
+	connectionLimit int  // for an endpoint that no other pool lists; set if claimAccepted
 }
 
-// applyChanges notes a notification, and calls changed for each address of which the allotment may differ. all tells
-// that those of all addresses may.
+// applyChanges stores the contents of a notification, and calls changed with each address whose allotment may have
+// changed. It returns true if all allotments may have changed.
 func (r *registration) applyChanges(update allotmentsChanged, changed func(address string)) (all bool) {
 	for _, change := range update.changes {
 		_, claimed := r.claimed[change.Address]
-		isOfEarlierUse := r.unconfirmed[change.Address] > update.claimSerial
-		if !claimed || isOfEarlierUse {
+		isOutdated := r.unconfirmed[change.Address] > update.claimSerial
+		if !claimed || isOutdated {
 			continue
 		}
 		if change.Exclusive {
@@ -145,15 +147,15 @@
 	}
 }
 
-// refreshAllotments applies to endpoints what the pool may use of them now; concerned tells which, by address.
-func (l *loop) refreshAllotments(concerned func(address string) bool) {
+// refreshAllotments refreshes the endpoints whose address is affected by changed allotments.
+func (l *loop) refreshAllotments(affected func(address string) bool) {
 	l.counters.endpointsChanged = true
 	var changed []balancer.Upstream
 	for _, endpoint := range l.endpoints {
-		if !concerned(endpoint.address) {
+		if !affected(endpoint.address) {
 			continue
 		}
-		if l.refreshChanged(endpoint) {
+		if l.refreshAndCompare(endpoint) {
 			changed = append(changed, endpoint.upstream)
 		}
 		l.evictSurplus(endpoint)
@@ -162,19 +164,19 @@
 	l.reportPendingOutcomes()
 }
 
-// claimEndpoints tells the registry which endpoints this pool lists, if these differ from the last claim.
+// claimEndpoints claims the listed endpoints, unless they are the same as in the last claim.
 func (l *loop) claimEndpoints() {
 	if l.registration == nil || l.isClaimUpToDate() {
 		return
 	}
 	endpoints := make(map[string]bool, len(l.endpoints)+len(l.suspension.dormant.members))
-	for address, drains := range l.listedAddresses() { // two at one address drain if one does
+	for address, drains := range l.listedAddresses() { // an address drains if any of its endpoints does
 		endpoints[address] = endpoints[address] || drains
 	}
 	l.registration.claim(endpoints)
 }
 
-// isClaimUpToDate reports whether the listed endpoints are those of the last claim, without building a map of them.
+// isClaimUpToDate reports whether the last claim has the listed endpoints. It builds no map, unlike claimEndpoints.
 func (l *loop) isClaimUpToDate() bool {
 	count := 0
 	for address, drains := range l.listedAddresses() {
@@ -187,7 +189,7 @@
 	return count == len(l.registration.claimed)
 }
 
-// listedAddresses are the addresses of the listed endpoints, and whether they drain by this pool's list.
+// listedAddresses yields the addresses of the listed endpoints, and whether each is draining in this pool's list.
 func (l *loop) listedAddresses() iter.Seq2[string, bool] {
 	return func(yield func(string, bool) bool) {
 		for i := range l.suspension.dormant.members {
--- a/internal/pool/request.go
+++ b/internal/pool/request.go
@@ -11,57 +11,56 @@
 	"olivearch/internal/upstream"
 )
 
-// clientCheckDelay is how long after a request's last byte its client is taken to be connected, since checking the
-// connection would cost more than it is worth: nothing of a request may be sent later than 100 ms after its client has
-// left.
+// clientCheckDelay is how long after a request's last byte its client is assumed to be connected, to save the cost of
+// checking the connection. Nothing of a request may be sent to an endpoint later than 100 ms after its client has left.
 const clientCheckDelay = 50 * time.Millisecond
 
-// expiredListRetryAfter is the most that a client is told to wait before it tries again while the list is too old to be
-// used.
+// expiredListRetryAfter is the maximum Retry-After of responses while the endpoint list is too old to be used.
 const expiredListRetryAfter = time.Second
 
-// Request is a client's request. Its exported fields are set before it is submitted; from then on it belongs to the
-// pool.
+// Request is a client's request. The caller sets the exported fields before Submit; from then on the pool owns the
+// request.
 type Request struct {
 	balancer.Request
-	ClientRequestID string // the client's id of it
+	ClientRequestID string // id that the client gave to the request
 	Message         upstream.Message
-	ReceivedAt      time.Duration // when the last byte had come, on the pool's clock
-	// Responses has room for the final response, and for an interim one (status 103) where Message asks for these.
+	ReceivedAt      time.Duration // when the last byte arrived, on the pool's clock
+	// Responses must have buffer space for the final response, and for one interim response (status 103) if Message
+	// asks for these.
 	Responses chan Response
-	Client    Client // nil: it is not known whether the client is still connected
+	Client    Client // nil: unknown whether the client is still connected
 
-	loop          *loop // of the pool to which it was submitted
-	state         requestState
-	deadline      time.Duration
-	deadlineTimer timer
-	attempts      []*attempt
-	unreported    int         // attempts of which the balancer has had no outcome
-	hintSent      bool        // the client has had an interim response
-	clientGone    atomic.Bool // the client has been seen to have left, which the loop may not know yet
+	loop               *loop // of the pool to which it was submitted
+	state              requestState
+	deadline           time.Duration
+	deadlineTimer      timer
+	attempts           []*attempt
+	unreportedOutcomes int         // number of attempts whose outcome has not been reported to the balancer
+	earlyHintsSent     bool        // an interim response was sent to the client
+	clientGone         atomic.Bool // the client has left; the loop may not have been told yet
 }
 
-// Client is who waits for a request's response.
+// Client is the sender of a request, who waits for its response.
 type Client interface {
-	// Connected tells, without waiting and from any goroutine, whether the client is still connected.
+	// Connected reports whether the client is still connected. It must not block, and any goroutine may call it.
 	Connected() bool
 }
 
-// Response is what a client gets for a request.
+// Response is a response to a client.
 type Response struct {
-	Status              int // 0: none, since the client has left
+	Status              int // 0: no response, because the client has left
 	Body                []byte
 	ContentType         string         // the body's Content-Type
-	Header              http1.Fields   // the endpoint's, where all of its response is passed on
-	RetryAfter          time.Duration  // 0: the client is not told when to try again
-	Trailer             http1.Fields   // of a response that is complete
-	Tunnel              *body.Tunnel   // the client's connection changes its protocol; nil: it does not
-	Stream              *body.Download // the part of the body that goes on as it comes; nil: the response is complete
+	Header              http1.Fields   // fields of the endpoint's response, if Spec.FullResponses is set
+	RetryAfter          time.Duration  // 0: no Retry-After
+	Trailer             http1.Fields   // of a complete response
+	Tunnel              *body.Tunnel   // non-nil: the client's connection changes its protocol
+	Stream              *body.Download // rest of the body, sent on as it arrives; nil: Body is complete
 	RetryAfterInSeconds bool           // RetryAfter is sent in whole seconds (RFC 9110, section 10.2.3)
 }
 
-// ClientLeft tells the pool that the client of a submitted request has left. Nothing of the request is sent from then
-// on, also while the loop is busy.
+// ClientLeft tells the pool that the client of a submitted request has left. From then on nothing of the request is
+// written to an endpoint, even if the loop has not handled the event yet.
 func (r *Request) ClientLeft() {
 	r.clientGone.Store(true)
 	r.loop.enqueue(clientLeft{r})
@@ -79,52 +78,54 @@
 	return !r.clientGone.Load()
 }
 
-// isOpen reports whether the client waits for the final response.
+// isOpen reports whether the client is still waiting for the final response.
 func (r *Request) isOpen() bool { return r.state == requestOpen }
 
-// requestArrived is a request that was submitted.
+// requestArrived is a call of Submit.
 type requestArrived struct{ request *Request }
 
 func (e requestArrived) apply(l *loop) { l.acceptRequest(e.request) }
 
-// acceptRequest begins a request, or answers it where it can't be run.
+// acceptRequest starts a request, or responds to it if it cannot be run.
 func (l *loop) acceptRequest(request *Request) {
-	if request.clientGone.Load() { // it left while the loop was busy
+	if request.clientGone.Load() { // the client left before the loop handled the event
 		request.state = request.state.after(clientDeparted)
 		return
 	}
 	if l.clientRequestIDs[request.ClientRequestID] {
-		// An endpoint could not tell the two requests apart. The later one is refused, the earlier one goes on.
+		// An endpoint could not distinguish two requests with the same id. The later one is refused; the
+		// earlier one continues.
 		request.state = request.state.after(finalResponseSent)
 		request.Responses <- Response{Status: http.StatusConflict}
 		return
 	}
 	if err := l.createBalancer(); err != nil {
-		l.failCreation(request, err)
+		l.rejectWithoutBalancer(request, err)
 		return
 	}
 	now := l.now()
 	l.register(request, now)
 	if !l.rejectOnArrival(request, now) {
-		l.begin(request, now)
+		l.startRequest(request, now)
 	}
 }
 
-// register gives a request its id and deadline.
+// register assigns a request its id and deadline.
 func (l *loop) register(request *Request, now time.Duration) {
 	l.suspension.unusedSince = 0
 	l.clientRequestIDs[request.ClientRequestID] = true
 	l.lastRequestID++
-	request.ID = balancer.RequestID(l.lastRequestID) // of the pool's own: clients' ids need not be unique
+	request.ID = balancer.RequestID(l.lastRequestID) // clients' own ids need not be unique
 	request.deadline = request.ReceivedAt + request.Budget
 	request.Budget = max(0, request.deadline-now)
-	if request.Message.Upload.Streaming() { // the budget counts from the last byte, which the client has not sent yet
+	if request.Message.Upload.Streaming() { // the budget starts at the last byte, which has not arrived
 		request.deadline = now + request.Message.BodyLimits().Within
 		request.BodyStreaming = true
 	}
 }
 
-// rejectOnArrival answers a request that the pool can't run now, and reports whether it did.
+// rejectOnArrival rejects a request that the pool cannot run, because the endpoint list is too old or the tunnel limit
+// is reached. It reports whether it has rejected the request.
 func (l *loop) rejectOnArrival(request *Request, now time.Duration) bool {
 	limits := &l.settings.Limits
 	if l.source.expired(now) {
@@ -145,15 +146,15 @@
 	return false
 }
 
-// begin starts a request's deadline and hands it to the balancer.
-func (l *loop) begin(request *Request, now time.Duration) {
+// startRequest schedules a request's deadline and passes the request to the balancer.
+func (l *loop) startRequest(request *Request, now time.Duration) {
 	l.requests[request.ID] = request
 	request.deadlineTimer = timer{at: request.deadline, request: request}
 	l.timers.schedule(&request.deadlineTimer)
 	l.balancer.RequestArrived(now, request.Request)
 }
 
-// restartDeadline counts a request's budget from a time.
+// restartDeadline sets a request's deadline to from plus the request's budget.
 func (l *loop) restartDeadline(request *Request, from time.Duration) {
 	request.deadline = from + request.Budget
 	l.timers.cancel(&request.deadlineTimer)
@@ -161,7 +162,7 @@
 	l.timers.schedule(&request.deadlineTimer)
 }
 
-// clientLeft is a client that has closed its connection.
+// clientLeft is a call of Request.ClientLeft.
 type clientLeft struct{ request *Request }
 
 func (e clientLeft) apply(l *loop) {
@@ -172,7 +173,8 @@
 	e.request.discardResponses()
 }
 
-// discardResponses ends the streams of responses that came as the client left: nobody else reads them.
+// discardResponses ends the streams and tunnels of responses that were sent while the client was leaving, because
+// nobody else will read them.
 func (r *Request) discardResponses() {
 	for {
 		select {
@@ -191,7 +193,7 @@
 	l.balancer.ClientLeft(l.now(), request.ID)
 }
 
-// respond gives a client its final response, unless the request is closed.
+// respond sends a client the final response, unless the request is closed.
 func (l *loop) respond(request *Request, response Response) {
 	if !request.isOpen() {
 		return
@@ -206,12 +208,12 @@
 		l.counters.servedFor.Add(int64(max(0, l.now()-request.ReceivedAt)))
 	}
 	response.RetryAfterInSeconds = l.fullResponses
-	request.Responses <- response // has room
+	request.Responses <- response // does not block: see Request.Responses
 	l.closeRequest(request, finalResponseSent)
 }
 
-// closeRequest closes a request by a change. What of it has not been written is never written, also where attempts
-// can't be cancelled: nothing of those has reached anybody.
+// closeRequest closes a request. Attempts that have not been written are dropped, even if the settings don't allow
+// cancelling attempts: no endpoint has seen any part of them.
 func (l *loop) closeRequest(request *Request, change requestChange) {
 	request.state = request.state.after(change)
 	for _, attempt := range request.attempts {
@@ -222,9 +224,9 @@
 	l.releaseIfSettled(request)
 }
 
-// releaseIfSettled forgets a request that is closed and of which the balancer has had all outcomes.
+// releaseIfSettled deletes a request that is closed and whose outcomes have all been reported to the balancer.
 func (l *loop) releaseIfSettled(request *Request) {
-	if request.unreported > 0 {
+	if request.unreportedOutcomes > 0 {
 		return
 	}
 	request.state = request.state.after(outcomesReported)
--- a/internal/pool/request_state.go
+++ b/internal/pool/request_state.go
@@ -1,32 +1,32 @@
 package pool
 
-// requestState is where a request stands. The zero value is that of a request that has just arrived.
+// requestState is the state of a request. The zero value is the state of a request that has just arrived.
 type requestState uint8
 
 const (
-	// requestOpen: the client waits for the final response.
+	// requestOpen: the client is waiting for the final response.
 	requestOpen requestState = iota
-	// requestClosed: nothing more is owed to the client. Outcomes of attempts may still have to be reported to the
+	// requestClosed: the client gets no further response. Outcomes of attempts may still have to be reported to the
 	// balancer.
 	requestClosed
-	// requestReleased: the balancer has had all outcomes, and the loop has forgotten the request.
+	// requestReleased: all outcomes have been reported to the balancer, and the loop has deleted the request.
 	requestReleased
 )
 
-// requestChange is what changes a requestState.
+// requestChange is an input of the state machine of requests.
 type requestChange uint8
 
 const (
-	// finalResponseSent: the client has its final response.
+	// finalResponseSent: the final response was sent to the client.
 	finalResponseSent requestChange = iota
-	// clientDeparted: the client has left, and gets no response.
+	// clientDeparted: the client has left and gets no response.
 	clientDeparted
-	// outcomesReported: the balancer has had the outcomes of all attempts.
+	// outcomesReported: the outcomes of all attempts have been reported to the balancer.
 	outcomesReported
 )
 
-// after is the state after a change. A change that the state does not know has no effect: a client may leave as its
-// response is sent.
+// after returns the state that follows a change. Changes that don't apply to a state leave it as it is: a client may
+// leave just as its response is sent.
 func (s requestState) after(change requestChange) requestState {
 	switch {
 	case s == requestOpen && change == finalResponseSent:
--- a/internal/pool/running_pool_test.go
+++ b/internal/pool/running_pool_test.go
@@ -9,7 +9,7 @@
 	"olivearch/internal/standin/scripted"
 )
 
-// suspendableSpec is a pool that is parked and whose balancer is released.
+// suspendableSpec returns the Spec of a pool that may be parked and may release its balancer.
 func suspendableSpec() Spec {
 	spec := testSpec()
 	spec.Discovery = ""
@@ -21,14 +21,14 @@
 	return spec
 }
 
-// runningPool is a pool with its goroutine, and what a test asks of it.
+// runningPool is a pool with its goroutine, and with helpers for tests.
 type runningPool struct {
 	*Pool
 	t testing.TB
 }
 
-// startPool starts a pool whose balancer is released after being unused for a time. change, unless it is nil, is called
-// before the pool runs.
+// startPool starts a pool that releases its balancer after balancerIdleTimeout without use. change, unless nil, is
+// called before the loop runs.
 func startPool(t testing.TB, spec Spec, balancerIdleTimeout time.Duration, change func(l *loop)) *runningPool {
 	t.Helper()
 	ctx, cancel := context.WithCancel(context.Background())
@@ -47,35 +47,35 @@
 	return &runningPool{p, t}
 }
 
-// startServer is a server that answers everything.
+// startServer starts a server that responds to every request.
 func startServer(t testing.TB) *scripted.Node {
 	server := scripted.Start(t, scripted.Done)
-	go drainArrivals(server)
+	go discardArrivals(server)
 	return server
 }
 
-// drainArrivals takes what a server notes of each request, so that it goes on.
-func drainArrivals(server *scripted.Node) {
+// discardArrivals receives what a server sends to its Arrivals channel for each request, so that the server does not
+// block.
+func discardArrivals(server *scripted.Node) {
 	for range server.Arrivals {
 	}
 }
 
-// listEntry is a server as a list has it.
+// listEntry returns the entry of an active server in an endpoint list.
 func listEntry(id string, server *scripted.Node) endpointlist.Node {
 	return endpointlist.Node{ID: id, Address: server.Addr, Zone: "z1", Phase: "up", Weight: 1}
 }
 
-// drainingEntry is a server as a list has it that drains.
+// drainingEntry returns the entry of a draining server in an endpoint list.
 func drainingEntry(id string, server *scripted.Node) endpointlist.Node {
 	entry := listEntry(id, server)
 	entry.Phase = "draining"
 	return entry
 }
 
-// setEndpoints gives the pool a complete list.
+// setEndpoints replaces the pool's endpoint list.
 func (p *runningPool) setEndpoints(entries ...endpointlist.Node) { p.UpdateEndpoints(entries) }
 
-// submit submits a request.
 func (p *runningPool) submit(name string) *Request {
 	request := newRequest(name, p.Now(), 3*time.Second)
 	request.Responses = make(chan Response, 2)
@@ -89,13 +89,13 @@
 	select {
 	case response := <-p.submit(name).Responses:
 		return response
-	case <-time.After(eventPatience):
-		p.t.Fatal("no response")
+	case <-time.After(eventTimeout):
+		p.t.Fatal("no response within eventTimeout")
 		return Response{}
 	}
 }
 
-// inspection is a test's look at a loop, or change to it, on the loop's goroutine.
+// inspection is an event with a function of the test, which reads or changes the loop on its goroutine.
 type inspection struct {
 	inspect func(l *loop)
 	done    chan struct{}
@@ -106,7 +106,7 @@
 	close(e.done)
 }
 
-// inspect runs a function on the loop's goroutine, and returns once it has run.
+// inspect runs a function on the loop's goroutine and returns once it has returned.
 func (p *runningPool) inspect(function func(l *loop)) {
 	e := inspection{function, make(chan struct{})}
 	p.loop.enqueue(e)
@@ -118,17 +118,17 @@
 	return has
 }
 
-// await waits until a condition holds.
+// await waits until a condition holds, and fails the test after eventTimeout.
 func (p *runningPool) await(what string, holds func() bool) {
 	p.t.Helper()
-	for end := time.Now().Add(eventPatience); !holds(); time.Sleep(time.Millisecond) {
+	for end := time.Now().Add(eventTimeout); !holds(); time.Sleep(time.Millisecond) {
 		if time.Now().After(end) {
-			p.t.Fatalf("not %s within %v", what, eventPatience)
+			p.t.Fatalf("not %s within %v", what, eventTimeout)
 		}
 	}
 }
 
-// awaitParked waits until the goroutine has ended.
+// awaitParked waits until the loop's goroutine has ended.
 func (p *runningPool) awaitParked() {
 	p.t.Helper()
 	p.await("parked", func() bool {
@@ -138,7 +138,7 @@
 	})
 }
 
-// awaitReleased waits until the balancer has been released.
+// awaitReleased waits until the pool has released its balancer.
 func (p *runningPool) awaitReleased() {
 	p.t.Helper()
 	p.await("without a balancer", func() bool { return !p.hasBalancer() })
--- a/internal/pool/snapshot.go
+++ b/internal/pool/snapshot.go
@@ -6,7 +6,8 @@
 	"olivearch/balancer"
 )
 
-// Snapshot is what the balancer has learnt, for the pool that takes this one's place; empty for a pool that has ended.
+// Snapshot returns what the balancer has learnt, for a pool that replaces this one. It is empty for a pool that has
+// ended.
 func (p *Pool) Snapshot() balancer.Snapshot {
 	reply := make(chan balancer.Snapshot, 1)
 	p.loop.enqueueUrgent(snapshotRequested{reply})
@@ -21,29 +22,29 @@
 
 func (e snapshotRequested) apply(l *loop) { e.reply <- l.snapshot(l.now()) }
 
-// Restore lets the balancer go on from what another has learnt, and returns once it does.
+// Restore initialises the balancer with what another one has learnt, and returns once that is done.
 func (p *Pool) Restore(snapshot balancer.Snapshot) {
 	done := make(chan struct{}, 1)
 	p.loop.enqueueUrgent(snapshotReceived{snapshot, done})
 	_, _ = awaitReply(p.loop, done) // a pool that has ended needs no snapshot
 }
 
-// snapshotReceived is what another balancer has learnt.
+// snapshotReceived is a call of Restore.
 type snapshotReceived struct {
 	snapshot balancer.Snapshot
 	done     chan<- struct{}
 }
 
 func (e snapshotReceived) apply(l *loop) {
-	if err := l.createBalancer(); err == nil { // an error is ruled out by the check of the settings
+	if err := l.createBalancer(); err == nil { // the settings have been validated: no error is expected
 		l.balancer.Restore(l.now(), e.snapshot)
 	}
 	l.reportPendingOutcomes()
 	e.done <- struct{}{}
 }
 
-// EndpointsKnown reports whether the list's source has given a list, or has not for so long that the list of the start
-// has to do.
-func (p *Pool) EndpointsKnown(patience time.Duration) bool {
-	return p.loop.source.received.Load() || time.Since(p.loop.origin) >= patience
+// EndpointsKnown reports whether the endpoints are known: either the source has sent a list, or maxWait has passed
+// since the start and the initial list has to be used.
+func (p *Pool) EndpointsKnown(maxWait time.Duration) bool {
+	return p.loop.source.received.Load() || time.Since(p.loop.origin) >= maxWait
 }
--- a/internal/pool/states_test.go
+++ b/internal/pool/states_test.go
@@ -11,7 +11,7 @@
 	"olivearch/internal/upstream"
 )
 
-// TestRequestStates: which state follows from each state by each change.
+// TestRequestStates checks the state after each change in each state.
 func TestRequestStates(t *testing.T) {
 	cases := []struct {
 		state  requestState
@@ -33,8 +33,7 @@
 	}
 }
 
-// TestAttemptStates: which state follows from each state by each change, and in which of them the balancer has had an
-// outcome.
+// TestAttemptStates checks the state after each change in each state, and in which states an outcome has been reported.
 func TestAttemptStates(t *testing.T) {
 	cases := []struct {
 		state  attemptState
@@ -66,28 +65,28 @@
 	want(t, "a pending attempt: reported", attemptPending.reported(), false)
 }
 
-// TestEndpointStates: an active endpoint drains for each reason that keeps it from requests; other states stay as they
-// are listed.
+// TestEndpointStates: an active endpoint is draining for each condition that excludes it from requests; any other
+// listed state is kept.
 func TestEndpointStates(t *testing.T) {
 	cases := []struct {
-		facts endpointFacts
-		want  balancer.State
+		conditions endpointConditions
+		want       balancer.State
 	}{
-		{endpointFacts{listed: balancer.Active}, balancer.Active},
-		{endpointFacts{listed: balancer.Active, allotmentUnknown: true}, balancer.Draining},
-		{endpointFacts{listed: balancer.Active, drainsElsewhere: true}, balancer.Draining},
-		{endpointFacts{listed: balancer.Active, outOfService: true}, balancer.Draining},
-		{endpointFacts{listed: balancer.Draining}, balancer.Draining},
-		{endpointFacts{listed: balancer.Draining, outOfService: true}, balancer.Draining},
-		{endpointFacts{listed: balancer.Removed}, balancer.Removed},
-		{endpointFacts{listed: balancer.Removed, outOfService: true}, balancer.Removed},
+		{endpointConditions{listed: balancer.Active}, balancer.Active},
+		{endpointConditions{listed: balancer.Active, allotmentUnknown: true}, balancer.Draining},
+		{endpointConditions{listed: balancer.Active, drainsElsewhere: true}, balancer.Draining},
+		{endpointConditions{listed: balancer.Active, outOfService: true}, balancer.Draining},
+		{endpointConditions{listed: balancer.Draining}, balancer.Draining},
+		{endpointConditions{listed: balancer.Draining, outOfService: true}, balancer.Draining},
+		{endpointConditions{listed: balancer.Removed}, balancer.Removed},
+		{endpointConditions{listed: balancer.Removed, outOfService: true}, balancer.Removed},
 		{
-			endpointFacts{listed: balancer.Removed, allotmentUnknown: true, drainsElsewhere: true},
+			endpointConditions{listed: balancer.Removed, allotmentUnknown: true, drainsElsewhere: true},
 			balancer.Removed,
 		},
 	}
 	for _, c := range cases {
-		want(t, fmt.Sprintf("%+v", c.facts), c.facts.state(), c.want)
+		want(t, fmt.Sprintf("%+v", c.conditions), c.conditions.state(), c.want)
 	}
 }
 
@@ -101,8 +100,8 @@
 func (c *fakeConn) Address() string { return c.address }
 func (c *fakeConn) Reuse() error    { return c.reuseErr }
 
-// TestConnectionFates: what becomes of a connection after use.
-func TestConnectionFates(t *testing.T) {
+// TestConnectionDispositions checks what is done with a connection after use.
+func TestConnectionDispositions(t *testing.T) {
 	const address = "127.0.0.1:1"
 	reusable := &fakeConn{address: address}
 	broken := &fakeConn{address: address, reuseErr: errors.New("reset")}
@@ -111,15 +110,35 @@
 		name     string
 		endpoint endpoint
 		conn     upstream.Conn
-		want     connectionFate
+		want     connectionDisposition
 	}{
 		{"reusable", endpoint{address: address, connections: 9}, reusable, connectionIdle},
 		{"closed", endpoint{address: address}, nil, connectionLost},
-		{"in the allotment", endpoint{address: address, connections: 2, allotment: allotted}, reusable, connectionIdle},
-		{"beyond it", endpoint{address: address, connections: 3, allotment: allotted}, reusable, connectionSurplus},
-		{"closed, beyond it", endpoint{address: address, connections: 3, allotment: allotted}, nil, connectionLost},
-		{"to an endpoint that drains", endpoint{address: address, state: balancer.Draining}, reusable, connectionOutdated},
-		{"to a removed endpoint", endpoint{address: address, state: balancer.Removed}, reusable, connectionOutdated},
+		{
+			"within the allotment",
+			endpoint{address: address, connections: 2, allotment: allotted},
+			reusable, connectionIdle,
+		},
+		{
+			"beyond the allotment",
+			endpoint{address: address, connections: 3, allotment: allotted},
+			reusable, connectionSurplus,
+		},
+		{
+			"closed, beyond the allotment",
+			endpoint{address: address, connections: 3, allotment: allotted},
+			nil, connectionLost,
+		},
+		{
+			"to a draining endpoint",
+			endpoint{address: address, state: balancer.Draining},
+			reusable, connectionOutdated,
+		},
+		{
+			"to a removed endpoint",
+			endpoint{address: address, state: balancer.Removed},
+			reusable, connectionOutdated,
+		},
 		{"to an earlier address", endpoint{address: "127.0.0.1:2"}, reusable, connectionOutdated},
 		{"not reusable", endpoint{address: address}, broken, connectionBroken},
 	}
@@ -128,53 +147,67 @@
 	}
 }
 
-// TestIdleDecisions: what a loop does that has no event to handle, at a second on its clock.
+// TestIdleDecisions checks what a loop without events does at the time 1 s on its clock.
 func TestIdleDecisions(t *testing.T) {
 	const now = time.Second
 	soon, late := now+minParkTime/2, now+time.Minute
 	cases := []struct {
-		name     string
-		facts    idleFacts
-		nextDue  time.Duration // the balancer's
-		decision idleDecision
-		at       time.Duration
+		name       string
+		conditions idleConditions
+		nextDue    time.Duration // result of Balancer.NextDue
+		decision   idleDecision
+		at         time.Duration
 	}{
-		{"work to do", idleFacts{nextTimerAt: late}, 0, stayAwake, 0},
-		{"nothing ever", idleFacts{suspendable: true}, 0, parkLoop, 0},
-		{"a timer soon", idleFacts{suspendable: true, nextTimerAt: soon}, 0, stayAwake, soon},
-		{"a timer late", idleFacts{suspendable: true, nextTimerAt: late}, 0, parkLoop, late},
+		{"work to do", idleConditions{nextTimerAt: late}, 0, keepRunning, 0},
+		{"nothing scheduled", idleConditions{suspendable: true}, 0, parkLoop, 0},
+		{"a timer soon", idleConditions{suspendable: true, nextTimerAt: soon}, 0, keepRunning, soon},
+		{"a timer late", idleConditions{suspendable: true, nextTimerAt: late}, 0, parkLoop, late},
 		{
-			"an idle connection ends before the timer",
-			idleFacts{suspendable: true, hasConnections: true, nextTimerAt: late, nextIdleCloseAt: soon},
-			0, stayAwake, soon,
+			"an idle connection is closed before the timer",
+			idleConditions{
+				suspendable: true, hasConnections: true, nextTimerAt: late, nextIdleCloseAt: soon,
+			},
+			0, keepRunning, soon,
 		},
 		{
 			"a connection in use, and a timer",
-			idleFacts{suspendable: true, hasConnections: true, nextTimerAt: late},
+			idleConditions{suspendable: true, hasConnections: true, nextTimerAt: late},
 			0, parkLoop, late,
 		},
 		{
-			"a connection in use, though unused for long enough",
-			idleFacts{suspendable: true, hasConnections: true, unused: true, releaseAt: now},
+			"a connection in use, and the balancer to be released now",
+			idleConditions{suspendable: true, hasConnections: true, unused: true, releaseAt: now},
 			0, parkLoop, 0,
 		},
-		{"unused for a moment", idleFacts{suspendable: true, unused: true, releaseAt: late}, 0, parkLoop, late},
-		{"unused, to be released soon", idleFacts{suspendable: true, unused: true, releaseAt: soon}, 0, stayAwake, soon},
-		{"unused for long enough", idleFacts{suspendable: true, unused: true, releaseAt: now}, now, releaseAndPark, 0},
 		{
-			"unused for long enough, but the balancer has to go on",
-			idleFacts{suspendable: true, unused: true, releaseAt: now},
+			"unused, to be released late",
+			idleConditions{suspendable: true, unused: true, releaseAt: late},
+			0, parkLoop, late,
+		},
+		{
+			"unused, to be released soon",
+			idleConditions{suspendable: true, unused: true, releaseAt: soon},
+			0, keepRunning, soon,
+		},
+		{
+			"unused, to be released now",
+			idleConditions{suspendable: true, unused: true, releaseAt: now},
+			now, releaseAndPark, 0,
+		},
+		{
+			"unused, to be released now, but the balancer must keep its state",
+			idleConditions{suspendable: true, unused: true, releaseAt: now},
 			late, parkLoop, late,
 		},
 	}
 	for _, c := range cases {
-		decision, at := c.facts.decide(now, func() time.Duration { return c.nextDue })
+		decision, at := c.conditions.decide(now, func() time.Duration { return c.nextDue })
 		want(t, c.name+": decision", decision, c.decision)
 		want(t, c.name+": at", at, c.at)
 	}
 }
 
-// TestIdleConnections: which connection is taken, and which are left.
+// TestIdleConnections checks which connections are taken, and which are left.
 func TestIdleConnections(t *testing.T) {
 	const delay, timeout = 2 * time.Millisecond, 10 * time.Millisecond
 	connectionsSince := func(times ...time.Duration) (idle idleConnections, added []*connection) {
@@ -186,26 +219,26 @@
 		return idle, added
 	}
 	idle, added := connectionsSince(1*time.Millisecond, 3*time.Millisecond, 5*time.Millisecond)
-	want(t, "ready at 6 ms: the last that waited out the delay", idle.takeReady(6*time.Millisecond, delay), added[1])
+	want(t, "ready at 6 ms: the last used before 4 ms", idle.takeReady(6*time.Millisecond, delay), added[1])
 	want(t, "ready at 2 ms: none", idle.takeReady(2*time.Millisecond, delay), (*connection)(nil))
 	want(t, "ready with no delay: the last used", idle.takeReady(5*time.Millisecond, 0), added[2])
 	want(t, "oldest", idle.oldest(), added[0])
 	want(t, "oldest taken", idle.takeOldest(), added[0])
-	want(t, "oldest of none", idle.oldest(), (*connection)(nil))
-	want(t, "oldest taken of none", idle.takeOldest(), (*connection)(nil))
+	want(t, "oldest of an empty list", idle.oldest(), (*connection)(nil))
+	want(t, "oldest taken from an empty list", idle.takeOldest(), (*connection)(nil))
 
 	idle, added = connectionsSince(1*time.Millisecond, 3*time.Millisecond, 5*time.Millisecond)
 	want(t, "expired at 5 ms", len(idle.takeExpired(5*time.Millisecond, timeout)), 0)
 	expired := idle.takeExpired(13*time.Millisecond, timeout)
 	want(t, "expired at 13 ms", len(expired), 2)
-	want(t, "the first of them", expired[0], added[0])
-	want(t, "left", idle.oldest(), added[2])
-	want(t, "all that are left", len(idle.takeAll()), 1)
-	want(t, "all of none", len(idle.takeAll()), 0)
+	want(t, "first expired", expired[0], added[0])
+	want(t, "oldest left", idle.oldest(), added[2])
+	want(t, "all taken", len(idle.takeAll()), 1)
+	want(t, "all taken from an empty list", len(idle.takeAll()), 0)
 }
 
-// TestTimerOrder: timers expire by time, those of one moment in the order in which they were scheduled, and cancelled
-// ones never.
+// TestTimerOrder: timers expire in the order of their times, those with the same time in the order in which they were
+// scheduled, and cancelled timers never.
 func TestTimerOrder(t *testing.T) {
 	var queue timerQueue
 	late, first, second, cancelled := &timer{at: 3}, &timer{at: 2}, &timer{at: 2}, &timer{at: 1}
--- a/internal/pool/stats.go
+++ b/internal/pool/stats.go
@@ -7,83 +7,83 @@
 	"olivearch/balancer"
 )
 
-// Stats are a pool's counters and levels.
+// Stats holds the counters and gauges of a pool.
 type Stats struct {
 	// Served, Refused and Failed count requests by their final response.
 	Served, Refused, Failed uint64
-	// QueueFull counts requests that were not admitted since the queue was full. They are not among the refused.
+	// QueueFull counts requests that were not admitted because the queue was full. Refused does not include them.
 	QueueFull uint64
-	// ServedFor is the sum of the times that served requests took, from their arrival to the response's head.
+	// ServedFor is the sum of the times from the arrival of each served request to the start of its response.
 	ServedFor time.Duration
-	// Open is how many requests are in the pool, Queue how many may be.
+	// Open is the number of requests in the pool, MaxRequests its limit.
 	Open, MaxRequests int
-	// Queued is how many of the open requests wait to be sent.
+	// Queued is the number of open requests that wait to be sent.
 	Queued int
-	// Connections is how many connections to endpoints are open, Limit how many may be.
+	// Connections is the number of open connections to endpoints, MaxConnections its limit.
 	Connections, MaxConnections int
 	Tunnels                     int
-	// Active and Draining count the listed endpoints by the state that counts for this pool.
+	// Active and Draining count the listed endpoints by the state in which the balancer sees them.
 	Active, Draining int
-	// HasBalancer: the pool has a balancer, since it has had requests or is large.
+	// HasBalancer: the pool has a balancer, because it has had a request lately or has many endpoints.
 	HasBalancer bool
-	// ListAge is the time since the list's source gave its last good answer.
+	// ListAge is the time since the source last sent or confirmed the endpoint list.
 	ListAge time.Duration
-	// Expired: the list is too old to be used, and all requests are refused.
+	// Expired: the endpoint list is too old to be used, and all requests are refused.
 	Expired bool
 }
 
 // HasRequests reports whether the pool has ever had a request.
 func (s *Stats) HasRequests() bool { return s.Served+s.Refused+s.Failed+s.QueueFull > 0 || s.Open > 0 }
 
-// counters are what other goroutines read of a pool. Counters are exact; levels are as the loop left them when it was
-// parked, or up to sweepInterval ago while it runs.
+// counters holds the figures of a pool that other goroutines read. Counters are exact. Gauges have the values from when
+// the loop was parked, or, while it runs, from up to sweepInterval ago.
 type counters struct {
 	served, refused, failed atomic.Uint64
 	servedFor               atomic.Int64 // nanoseconds
 
 	queued, connections, connectionLimit, tunnels atomic.Int64
 	active, draining                              atomic.Int64
-	created                                       atomic.Bool
-	listReceivedAt, maxListAge                    atomic.Int64 // time.Durations
+	hasBalancer                                   atomic.Bool
+	listReceivedAt, maxListAge                    atomic.Int64 // time.Duration
 
-	endpointsChanged bool // since the endpoints were counted last; the loop's own
+	endpointsChanged bool // since the endpoints were last counted; used by the loop only
 }
 
-// Stats returns the pool's counters and levels. It wakes no goroutine and waits for none.
+// Stats returns the counters and gauges of the pool. It wakes no goroutine and does not block.
 func (p *Pool) Stats() Stats {
-	levels := &p.loop.counters
+	current := &p.loop.counters
 	stats := Stats{
-		Served:         levels.served.Load(),
-		Refused:        levels.refused.Load(),
-		Failed:         levels.failed.Load(),
+		Served:         current.served.Load(),
+		Refused:        current.refused.Load(),
+		Failed:         current.failed.Load(),
 		QueueFull:      p.queueFull.Load(),
-		ServedFor:      time.Duration(levels.servedFor.Load()),
+		ServedFor:      time.Duration(current.servedFor.Load()),
 		Open:           int(max(0, p.admitted.Load())),
 		MaxRequests:    int(p.queueLimit.Load()),
-		Queued:         int(levels.queued.Load()),
-		Connections:    int(levels.connections.Load()),
-		MaxConnections: int(levels.connectionLimit.Load()),
-		Tunnels:        int(levels.tunnels.Load()),
-		Active:         int(levels.active.Load()),
-		Draining:       int(levels.draining.Load()),
-		HasBalancer:    levels.created.Load(),
+		Queued:         int(current.queued.Load()),
+		Connections:    int(current.connections.Load()),
+		MaxConnections: int(current.connectionLimit.Load()),
+		Tunnels:        int(current.tunnels.Load()),
+		Active:         int(current.active.Load()),
+		Draining:       int(current.draining.Load()),
+		HasBalancer:    current.hasBalancer.Load(),
 	}
-	receivedAt := time.Duration(levels.listReceivedAt.Load())
+	receivedAt := time.Duration(current.listReceivedAt.Load())
 	confirmedAt := time.Duration(p.loop.source.confirmedAt.Load())
 	stats.ListAge = max(0, p.loop.now()-max(receivedAt, confirmedAt))
-	maxAge := time.Duration(levels.maxListAge.Load())
+	maxAge := time.Duration(current.maxListAge.Load())
 	stats.Expired = maxAge > 0 && stats.ListAge > maxAge
 	return stats
 }
 
-// publishLevels leaves the levels for Stats.
-func (l *loop) publishLevels() {
+// publishGauges updates the gauges that Stats reads.
+func (l *loop) publishGauges() {
 	c := &l.counters
 	c.queued.Store(int64(l.queueLength()))
 	c.connections.Store(int64(l.connections.open))
 	c.connectionLimit.Store(int64(l.connections.max))
 	c.tunnels.Store(int64(len(l.tunnels)))
-	c.created.Store(l.hasBalancer())
+	c.hasBalancer.Store(l.hasBalancer())
 	c.listReceivedAt.Store(int64(l.source.receivedAt))
 	c.maxListAge.Store(int64(l.source.maxAge))
 	if c.endpointsChanged {
@@ -92,7 +92,7 @@
 	}
 }
 
-// queueLength is how many requests wait to be sent.
+// queueLength returns the number of requests that wait to be sent.
 func (l *loop) queueLength() int {
 	if !l.hasBalancer() {
 		return 0
@@ -100,7 +100,7 @@
 	return l.balancer.QueueLength()
 }
 
-// countEndpoints publishes how many endpoints there are by state.
+// countEndpoints publishes the number of endpoints by state.
 func (l *loop) countEndpoints() {
 	byState := map[balancer.State]int64{}
 	for _, endpoint := range l.endpoints {
--- a/internal/pool/stats_test.go
+++ b/internal/pool/stats_test.go
@@ -14,7 +14,7 @@
 	"olivearch/internal/standin/scripted"
 )
 
-// comparableStats are the stats that a view has too.
+// comparableStats formats the stats that a view contains too.
 func comparableStats(s Stats) string {
 	return fmt.Sprint(
 		s.Served, s.Refused, s.Failed, s.QueueFull, s.Open, s.MaxRequests, s.Queued,
@@ -22,7 +22,7 @@
 	)
 }
 
-// comparableView is a view in the form of comparableStats.
+// comparableView formats a view in the same way as comparableStats.
 func comparableView(v live.Pool) string {
 	active, draining := 0, 0
 	for _, node := range v.Nodes {
@@ -39,7 +39,7 @@
 	)
 }
 
-// checkStatsMatchView fails unless the stats of a parked pool are what its goroutine says.
+// checkStatsMatchView fails unless the stats of a parked pool match its view, which the loop's goroutine creates.
 func (p *runningPool) checkStatsMatchView(what string) {
 	p.t.Helper()
 	p.awaitParked()
@@ -51,8 +51,8 @@
 	p.awaitParked()
 }
 
-// TestStatsMatchView: over random lists, drains, overrides, requests and pauses in which the balancer is released, what
-// is read without the pool's goroutine is what that says.
+// TestStatsMatchView: after random lists, drains, overrides, requests and releases of the balancer, Stats, which is
+// read without the loop's goroutine, matches the view that this goroutine creates.
 func TestStatsMatchView(t *testing.T) {
 	server := startServer(t)
 	var created, dormant atomic.Int64
@@ -66,11 +66,12 @@
 		}
 	})
 	if created.Load() < 10 || dormant.Load() < 10 {
-		t.Errorf("compared %d times with a balancer and %d times without: too few", created.Load(), dormant.Load())
+		t.Errorf("compared %d times with a balancer and %d times without, want at least 10 each",
+			created.Load(), dormant.Load())
 	}
 }
 
-// checkRandomSteps compares after each of 40 random steps of a pool, and counts the comparisons with and without a
+// checkRandomSteps compares stats and view after each of 40 random steps, and counts the comparisons with and without a
 // balancer.
 func checkRandomSteps(t *testing.T, server *scripted.Node, rng *rand.Rand, created, dormant *atomic.Int64) {
 	spec := suspendableSpec()
@@ -90,7 +91,7 @@
 	}
 }
 
-// randomList is a list of up to six endpoints, of which all but the first may drain.
+// randomList returns a list of up to six endpoints, of which all but the first may be draining.
 func randomList(rng *rand.Rand, server *scripted.Node) (list []endpointlist.Node) {
 	for i := range 1 + rng.IntN(6) {
 		entry := listEntry(fmt.Sprintf("n%d", i), server)
@@ -102,7 +103,7 @@
 	return list
 }
 
-// randomStep changes a pool and tells what it did.
+// randomStep makes a random change to a pool and returns its description.
 func (p *runningPool) randomStep(rng *rand.Rand, server *scripted.Node, step int) string {
 	p.t.Helper()
 	switch rng.IntN(6) {
@@ -132,7 +133,7 @@
 	}
 }
 
-// expireConnections makes all idle connections have been idle for too long.
+// expireConnections sets the idle time of all idle connections to the idle time-out.
 func (p *runningPool) expireConnections() {
 	p.inspect(func(l *loop) {
 		l.connections.nextSweepAt = l.now()
@@ -144,8 +145,8 @@
 	})
 }
 
-// TestStatsWakeNobody: reading a pool's stats starts no goroutine; its view does.
-func TestStatsWakeNobody(t *testing.T) {
+// TestStatsDoesNotWakeLoop: reading a pool's stats does not start its goroutine; reading its view does.
+func TestStatsDoesNotWakeLoop(t *testing.T) {
 	server := startServer(t)
 	var parked atomic.Int64
 	p := startPool(t, suspendableSpec(), time.Minute, func(l *loop) {
@@ -159,15 +160,15 @@
 			t.Fatalf("%+v", stats)
 		}
 	}
-	want(t, "times that its goroutine ran", parked.Load(), before)
+	want(t, "times the goroutine was parked", parked.Load(), before)
 	if view := p.PartialView(live.Part{Nodes: live.NoNodes}); len(view.Nodes) != 0 {
-		t.Errorf("%d endpoints", len(view.Nodes))
+		t.Errorf("the view has %d endpoints, want 0", len(view.Nodes))
 	}
 	p.awaitParked()
-	want(t, "after a view", parked.Load(), before+1)
+	want(t, "times the goroutine was parked, after a view", parked.Load(), before+1)
 }
 
-// TestServedTime: what served requests took is summed, and what refused ones took is not.
+// TestServedTime: ServedFor counts the time of served requests, not that of refused ones.
 func TestServedTime(t *testing.T) {
 	server := startServer(t)
 	p := startPool(t, suspendableSpec(), time.Minute, nil)
@@ -176,21 +177,21 @@
 	want(t, "status", p.request("1").Status, http.StatusOK)
 	took := time.Since(began)
 	if stats := p.Stats(); stats.ServedFor <= 0 || stats.ServedFor > took || !stats.HasRequests() {
-		t.Errorf("%v of at most %v", stats.ServedFor, took)
+		t.Errorf("ServedFor is %v, want above 0 and at most %v", stats.ServedFor, took)
 	}
 	sum := p.Stats().ServedFor
 	p.setEndpoints()
 	if response := p.request("2"); response.Status != http.StatusServiceUnavailable {
-		t.Fatalf("with no endpoint: %d", response.Status)
+		t.Fatalf("status without endpoints: %d, want 503", response.Status)
 	}
-	want(t, "time of the served", p.Stats().ServedFor, sum)
+	want(t, "ServedFor", p.Stats().ServedFor, sum)
 	want(t, "refused", p.Stats().Refused, uint64(1))
 }
 
-// TestShortWaitEnds: a pool whose next check is so near that its goroutine stays for it makes that check, though no
-// event comes. The last event comes 5 ms before a connection has been idle for too long, and 5 ms before the balancer
-// is to be released.
-func TestShortWaitEnds(t *testing.T) {
+// TestShortWaitWithoutEvents: if the next check is due so soon that the goroutine is not ended, the check is made
+// although no event arrives. The last event arrives 5 ms before an idle connection expires, and then 5 ms before the
+// balancer is to be released.
+func TestShortWaitWithoutEvents(t *testing.T) {
 	server := startServer(t)
 	spec := suspendableSpec()
 	spec.Links.KeepAlive = time.Hour
@@ -205,7 +206,7 @@
 			endpoint.idle.oldest().idleSince = l.now() + 5*time.Millisecond - l.connections.idleTimeout
 		}
 	})
-	p.await("closed", func() bool { return p.Stats().Connections == 0 }) // it enqueues no event
+	p.await("closed", func() bool { return p.Stats().Connections == 0 }) // reading stats enqueues no event
 	p.awaitParked()
 	want(t, "balancer", p.Stats().HasBalancer, true)
 	p.inspect(func(l *loop) {
--- a/internal/pool/suspend_test.go
+++ b/internal/pool/suspend_test.go
@@ -22,9 +22,9 @@
 	"olivearch/internal/wire"
 )
 
-// TestBalancerCreatedParkedReleased: a pool creates its balancer for its first request, parks, closes its connections
-// in time and releases the balancer. It keeps its list, its counters and what it learnt over that, and has no goroutine
-// meanwhile.
+// TestBalancerCreatedParkedReleased: a pool creates its balancer for the first request, parks, closes its connections
+// on time and releases the balancer. It keeps its list, its counters and what the balancer learnt, and has no goroutine
+// while parked.
 func TestBalancerCreatedParkedReleased(t *testing.T) {
 	server := startServer(t)
 	p := startPool(t, suspendableSpec(), 50*time.Millisecond, nil)
@@ -43,41 +43,43 @@
 		want(t, "connections", p.View().Connections, 0)
 	}
 	want(t, "served", p.View().Served, uint64(3))
-	want(t, "learnt of endpoints", len(p.Snapshot().Upstreams) > 0, true)
+	want(t, "endpoints in the snapshot", len(p.Snapshot().Upstreams) > 0, true)
 	p.awaitParked()
 	p.await("without goroutines", func() bool { return runtime.NumGoroutine() <= before })
 }
 
-// TestWokenWhileParking: what comes while the goroutine is about to end is not lost.
+// TestWokenWhileParking: events that arrive while the goroutine is about to end are handled.
 func TestWokenWhileParking(t *testing.T) {
 	server := startServer(t)
-	parking, goOn := make(chan struct{}), make(chan struct{})
+	parking, resume := make(chan struct{}), make(chan struct{})
 	var once sync.Once
 	p := startPool(t, suspendableSpec(), time.Minute, func(l *loop) {
 		l.suspension.beforePark = func() {
 			once.Do(func() {
 				close(parking)
-				<-goOn
+				<-resume
 			})
 		}
 	})
-	<-parking // it has looked a last time, and its mailbox was empty
+	<-parking // after the last check for events
 	p.setEndpoints(listEntry("a", server))
 	request := p.submit("1")
-	close(goOn)
+	close(resume)
 	select {
 	case response := <-request.Responses:
 		want(t, "status", response.Status, http.StatusOK)
 	case <-time.After(5 * time.Second):
-		t.Fatal("the request is lost")
+		t.Fatal("no response within 5 s: the event was lost")
 	}
 }
 
-// TestOneGoroutineAtATime: events from many goroutines, with the loop parking in between. Under the race detector two
-// goroutines of one loop would be seen.
+// TestOneGoroutineAtATime sends events from many goroutines while the loop parks repeatedly. The race detector would
+// report two goroutines of one loop.
 func TestOneGoroutineAtATime(t *testing.T) {
 	server := startServer(t)
-	p := startPool(t, suspendableSpec(), time.Millisecond, func(l *loop) { l.suspension.beforePark = runtime.Gosched })
+	p := startPool(t, suspendableSpec(), time.Millisecond, func(l *loop) {
+		l.suspension.beforePark = runtime.Gosched
+	})
 	p.setEndpoints(listEntry("a", server))
 	var group sync.WaitGroup
 	for worker := range 8 {
@@ -85,7 +87,9 @@
 			for i := range 50 {
 				switch (worker + i) % 4 {
 				case 0:
-					if response := p.request(fmt.Sprint(worker, "-", i)); response.Status != http.StatusOK {
+					if response := p.request(
+						fmt.Sprint(worker, "-", i),
+					); response.Status != http.StatusOK {
 						t.Errorf("status %d", response.Status)
 					}
 				case 1:
@@ -101,22 +105,28 @@
 	group.Wait()
 }
 
-// TestDrainWhileDormant: a drain that comes while the pool is dormant holds for its first request, whichever way it
-// came.
+// TestDrainWhileDormant: an endpoint that starts draining while the pool is dormant gets no requests, however the pool
+// is told of the drain.
 func TestDrainWhileDormant(t *testing.T) {
 	a, b := startServer(t), startServer(t)
 	change := func(member discovery.Member) event {
 		return endpointsUpdated{Listing: discovery.Listing{Revision: 9, Members: []discovery.Member{member}}}
 	}
 	for what, drain := range map[string]func(p *runningPool){
-		"list":            func(p *runningPool) { p.setEndpoints(drainingEntry("a", a), listEntry("b", b)) },
-		"out of service":  func(p *runningPool) { want(t, "out of service", p.SetOutOfService("a", true), nil) },
-		"shared override": func(p *runningPool) { p.ApplyOverrides(override.Shared{Upstreams: map[string]bool{"a": true}}) },
+		"list": func(p *runningPool) { p.setEndpoints(drainingEntry("a", a), listEntry("b", b)) },
+		"out of service": func(p *runningPool) {
+			want(t, "out of service", p.SetOutOfService("a", true), nil)
+		},
+		"shared override": func(p *runningPool) {
+			p.ApplyOverrides(override.Shared{Upstreams: map[string]bool{"a": true}})
+		},
 		"merged override": func(p *runningPool) {
 			p.MergeOverrides(map[string]override.Entry{"a": {Out: true, At: 1}})
 		},
 		"change": func(p *runningPool) {
-			p.loop.enqueueUrgent(change(discovery.Member{ID: "a", HostPort: a.Addr, Phase: "draining", Size: 1}))
+			p.loop.enqueueUrgent(change(discovery.Member{
+				ID: "a", HostPort: a.Addr, Phase: "draining", Size: 1,
+			}))
 		},
 		"removal": func(p *runningPool) {
 			p.loop.enqueueUrgent(change(discovery.Member{ID: "a", Phase: "removed"}))
@@ -142,10 +152,11 @@
 			})
 		}
 	}
-	t.Cleanup(func() { want(t, "connections at the one that drains", a.Opened(), 0) })
+	t.Cleanup(func() { want(t, "connections to the draining endpoint", a.Opened(), 0) })
 }
 
-// TestDrainOfOthersWhileDormant: a drain in another pool's list holds for a dormant pool, and its own drain for others.
+// TestDrainOfOthersWhileDormant: a drain in another pool's list applies to a dormant pool, and one in a dormant pool's
+// list to other pools.
 func TestDrainOfOthersWhileDormant(t *testing.T) {
 	a, b := startServer(t), startServer(t)
 	ctx, cancel := context.WithCancel(t.Context())
@@ -174,10 +185,10 @@
 	for i := range 4 {
 		want(t, "status", y.request(fmt.Sprint(i)).Status, http.StatusOK)
 	}
-	want(t, "connections at the one that drains", a.Opened(), 0)
+	want(t, "connections to the draining endpoint", a.Opened(), 0)
 }
 
-// TestManyFirstRequests: the first request to 300 dormant pools at once. All are served, each in a bounded time.
+// TestManyFirstRequests sends the first request to 300 dormant pools at once. Each is served within a second.
 func TestManyFirstRequests(t *testing.T) {
 	server := startServer(t)
 	var pools []*runningPool
@@ -197,19 +208,19 @@
 				t.Errorf("status %d", response.Status)
 			}
 			if took := time.Since(began); took > time.Second {
-				t.Errorf("answered after %v", took)
+				t.Errorf("response after %v, want at most 1 s", took)
 			}
 		})
 	}
 	group.Wait()
 }
 
-// TestParkedClosesConnections: a parked pool closes an idle connection in its time with no event to wake it.
+// TestParkedClosesConnections: a parked pool closes an idle connection on time, without an event.
 func TestParkedClosesConnections(t *testing.T) {
 	closed := make(chan struct{})
 	server := scripted.Start(t, func(c net.Conn, r *http.Request) bool {
 		scripted.Done(c, r)
-		_, _ = io.Copy(io.Discard, c) // until it is closed
+		_, _ = io.Copy(io.Discard, c) // until the pool closes the connection
 		close(closed)
 		return false
 	})
@@ -220,16 +231,17 @@
 	select {
 	case <-closed:
 	case <-time.After(5 * time.Second):
-		t.Fatal("the connection stays open")
+		t.Fatal("the idle connection is still open after 5 s")
 	}
 }
 
-// releaseDelay is the time after which the pools of TestBalancerNotReleasedWhile release an unused balancer, and
-// holdTime how long something holds it: longer than to the next sweep.
+// releaseDelay is the balancerIdleTimeout of the pools in TestBalancerNotReleasedWhileNeeded. holdTime is how long they
+// need their balancer; it is longer than sweepInterval.
 const releaseDelay, holdTime = 10 * time.Millisecond, 2 * time.Second
 
-// TestBalancerNotReleasedWhile: a balancer is not released while something is open, or would be forgotten.
-func TestBalancerNotReleasedWhile(t *testing.T) {
+// TestBalancerNotReleasedWhileNeeded: a balancer is not released while a request, connection or tunnel is open, or
+// while it has state that a new balancer would not have.
+func TestBalancerNotReleasedWhileNeeded(t *testing.T) {
 	t.Run("request", heldByRequest)
 	t.Run("deduplication window", heldByDeduplicationWindow)
 	t.Run("slow start", heldBySlowStart)
@@ -238,24 +250,24 @@
 	t.Run("connection", heldByConnection)
 }
 
-// checkHeld fails if the balancer is released within 300 ms, and waits until it is.
+// checkHeld fails if the balancer is released within 300 ms, and then waits for its release.
 func (p *runningPool) checkHeld() {
 	p.t.Helper()
 	for range 5 {
 		time.Sleep(60 * time.Millisecond)
 		if !p.hasBalancer() {
-			p.t.Fatal("released")
+			p.t.Fatal("the balancer was released within 300 ms")
 		}
 	}
 	p.awaitReleased()
 }
 
-// checkHeldSince fails unless the balancer is released at least holdTime after a moment.
+// checkHeldSince fails if the balancer is released more than 50 ms before holdTime has passed since began.
 func (p *runningPool) checkHeldSince(began time.Time) {
 	p.t.Helper()
 	p.checkHeld()
 	if held := time.Since(began); held < holdTime-50*time.Millisecond {
-		p.t.Errorf("released after %v", held)
+		p.t.Errorf("the balancer was released after %v, before holdTime", held)
 	}
 }
 
@@ -325,7 +337,7 @@
 	})
 	spec := suspendableSpec()
 	spec.Tunnels = TunnelLimits{Total: 1, PerEndpoint: 1}
-	spec.Links.KeepAlive = 2 * releaseDelay // it is no idle connection: it holds the balancer by itself
+	spec.Links.KeepAlive = 2 * releaseDelay // so that the tunnel, not the keep-alive time, holds the balancer
 	p := startPool(t, spec, releaseDelay, nil)
 	p.setEndpoints(listEntry("a", server))
 	request := newRequest("1", p.Now(), time.Second)
@@ -335,9 +347,9 @@
 	p.Submit(request)
 	response := <-request.Responses
 	if response.Status != http.StatusSwitchingProtocols || response.Tunnel == nil {
-		t.Fatalf("got %d", response.Status)
+		t.Fatalf("status %d, want 101 and a tunnel", response.Status)
 	}
-	for range 5 { // over many times the release delay, and some sweeps
+	for range 5 { // for 1.5 s: longer than releaseDelay and sweepInterval
 		time.Sleep(300 * time.Millisecond)
 		want(t, "balancer", p.hasBalancer(), true)
 		want(t, "tunnels", p.View().Tunnels, 1)
@@ -357,8 +369,8 @@
 	p.checkHeld()
 }
 
-// TestLargePoolGetsBalancerWithList: a pool of many endpoints gets its balancer with its list, so that no first request
-// waits for it. It parks, and keeps its balancer as long as its list is long.
+// TestLargePoolGetsBalancerWithList: a pool with many endpoints creates its balancer when it gets its list, so that the
+// first request does not wait for it. The pool parks, but keeps the balancer as long as the list is that long.
 func TestLargePoolGetsBalancerWithList(t *testing.T) {
 	server := startServer(t)
 	p := startPool(t, suspendableSpec(), 10*time.Millisecond, nil)
@@ -368,30 +380,29 @@
 	}
 	p.setEndpoints(list[:defaultMaxLazyEndpoints]...)
 	p.awaitParked()
-	want(t, "balancer with few", p.hasBalancer(), false)
+	want(t, "balancer with few endpoints", p.hasBalancer(), false)
 	p.setEndpoints(list...)
 	p.awaitParked()
-	want(t, "balancer with many", p.hasBalancer(), true)
+	want(t, "balancer with many endpoints", p.hasBalancer(), true)
 	list[0].Phase = "draining"
 	p.setEndpoints(list...)
 	want(t, "status", p.request("1").Status, http.StatusOK)
-	want(t, "state of the first", p.View().Nodes[0].Phase, "draining")
+	want(t, "phase of the first endpoint", p.View().Nodes[0].Phase, "draining")
 	began := time.Now()
 	small := startPool(t, suspendableSpec(), 10*time.Millisecond, nil)
 	small.setEndpoints(list[:defaultMaxLazyEndpoints]...)
 	want(t, "status", small.request("1").Status, http.StatusOK)
 	small.awaitReleased()
-	time.Sleep(time.Since(began)) // as long again
+	time.Sleep(time.Since(began)) // in all, twice as long as the smaller pool took
 	want(t, "connections", p.View().Connections, 0)
-	want(t, "balancer when a smaller pool has none", p.hasBalancer(), true)
+	want(t, "balancer after a smaller pool has released its own", p.hasBalancer(), true)
 	p.setEndpoints(list[:2]...)
 	p.awaitReleased()
 	want(t, "endpoints", len(p.View().Nodes), 2)
 }
 
-// TestEndsWhileDormant: a dormant pool stores its list, takes another configuration, and ends with all that belongs to
-// it.
-func TestEndsWhileDormant(t *testing.T) {
+// TestShutdownWhileDormant: a dormant pool stores its list, accepts a new configuration, and shuts down completely.
+func TestShutdownWhileDormant(t *testing.T) {
 	server := startServer(t)
 	store := &recordingStore{closed: make(chan struct{})}
 	spec := suspendableSpec()
@@ -405,7 +416,7 @@
 	wrong := spec
 	wrong.Settings.Classes = nil
 	if err := p.Configure(wrong); err == nil || !strings.Contains(err.Error(), "Classes") {
-		t.Errorf("wrong settings: %v", err)
+		t.Errorf("error of settings without classes: %v", err)
 	}
 	next := spec
 	next.MaxConnections = 7
@@ -422,12 +433,12 @@
 	stopped := startPool(t, suspendableSpec(), time.Minute, nil)
 	stopped.setEndpoints(listEntry("a", server))
 	stopped.awaitParked()
-	stopped.stop() // its context
+	stopped.stop() // ends its context
 	want(t, "endpoints in view", len(stopped.View().Nodes), 0)
 	want(t, "overrides", len(stopped.LocalOverrides()), 0)
 }
 
-// recordingStore is an EndpointStore that counts lists.
+// recordingStore is an EndpointStore that counts the saved lists.
 type recordingStore struct {
 	mu     sync.Mutex
 	saved  int
@@ -448,8 +459,8 @@
 	return s.saved
 }
 
-// TestSlowStartWhenCreated: an endpoint that a list says to have started lately while the pool was dormant warms up in
-// the balancer that the first request creates.
+// TestSlowStartWhenCreated: an endpoint that started lately, according to a list that arrived while the pool was
+// dormant, warms up in the balancer that the first request creates.
 func TestSlowStartWhenCreated(t *testing.T) {
 	server := startServer(t)
 	p := startPool(t, suspendableSpec(), time.Minute, nil)
@@ -458,11 +469,11 @@
 	p.setEndpoints(listEntry("a", server), fresh)
 	want(t, "status", p.request("1").Status, http.StatusOK)
 	for _, node := range p.View().Nodes {
-		want(t, "warms up: "+node.ID, node.Cold, node.ID == "b")
+		want(t, "warming up: "+node.ID, node.Cold, node.ID == "b")
 	}
 }
 
-// BenchmarkCreateBalancer is what the first request of a pool pays.
+// BenchmarkCreateBalancer measures the creation of a balancer, for which the first request of a pool waits.
 func BenchmarkCreateBalancer(b *testing.B) {
 	for _, c := range []struct{ endpoints, balancers int }{{40, 1}, {2000, 1}, {2000, 1500}} {
 		b.Run(fmt.Sprintf("%d of %d", c.endpoints, c.balancers), func(b *testing.B) {
@@ -496,7 +507,7 @@
 	}
 }
 
-// TestClockStepsWhileDormant runs TestClockSteps, which is only in a build with faults: clocks can be set there alone.
+// TestClockStepsWhileDormant runs TestClockSteps with the build tag faultinject, without which the clock cannot be set.
 func TestClockStepsWhileDormant(t *testing.T) {
 	command := exec.CommandContext(t.Context(),
 		"go", "test", "-count=1", "-v", "-tags", "faultinject", "-run", "^TestClockSteps$", ".")
--- a/internal/pool/timers.go
+++ b/internal/pool/timers.go
@@ -5,20 +5,20 @@
 	"time"
 )
 
-// timer is a timer of the balancer's, a request's deadline or an attempt's time-out. Exactly one of token, request and
-// attempt says which.
+// timer is a timer of the balancer, the deadline of a request or the time-out of an attempt, depending on which of
+// token, request and attempt is set.
 type timer struct {
 	at       time.Duration // on the loop's clock
-	sequence uint64        // timers of one moment expire in the order in which they were scheduled
-	token    uint64        // the balancer's, if request and attempt are nil
+	sequence uint64        // orders timers with the same time by when they were scheduled
+	token    uint64        // argument of Balancer.TimerFired, if request and attempt are nil
 	request  *Request
 	attempt  *attempt
 
-	heapIndex int // -1: it is not scheduled
+	heapIndex int // -1: not scheduled any more
 }
 
-// timerQueue holds the scheduled timers by time. A request's timers are cancelled as soon as it is closed: left until
-// they expire, they would keep the memory of all requests that came within the longest deadline.
+// timerQueue holds the scheduled timers, ordered by time. The timers of a request are cancelled as soon as they are not
+// needed: if they stayed until they expire, all requests that arrived within the longest deadline would stay in memory.
 type timerQueue struct {
 	heap         timerHeap
 	lastSequence uint64
@@ -31,7 +31,7 @@
 	heap.Push(&q.heap, t)
 }
 
-// cancel removes a timer, if it is scheduled.
+// cancel removes a timer if it is scheduled. A timer that was never scheduled has a zero time.
 func (q *timerQueue) cancel(t *timer) {
 	wasScheduled := t.at > 0
 	if wasScheduled && t.heapIndex >= 0 {
@@ -39,7 +39,7 @@
 	}
 }
 
-// popExpired removes and returns the next timer that has expired by now; nil if none has.
+// popExpired removes and returns the next timer that has expired by now, nil if none has.
 func (q *timerQueue) popExpired(now time.Duration) *timer {
 	if len(q.heap) == 0 || q.heap[0].at > now {
 		return nil
@@ -50,7 +50,7 @@
 // isEmpty reports whether no timer is scheduled.
 func (q *timerQueue) isEmpty() bool { return len(q.heap) == 0 }
 
-// nextAt is when the next timer expires; false: none is scheduled.
+// nextAt returns when the next timer expires, and false if none is scheduled.
 func (q *timerQueue) nextAt() (at time.Duration, scheduled bool) {
 	if len(q.heap) == 0 {
 		return 0, false
@@ -58,7 +58,7 @@
 	return q.heap[0].at, true
 }
 
-// timerHeap implements heap.Interface.
+// timerHeap implements heap.Interface, ordered by time.
 type timerHeap []*timer
 
 func (h timerHeap) Len() int { return len(h) }
