--- a/internal/pool/unsent_attempt_test.go
+++ b/internal/pool/unsent_attempt_test.go
@@ -11,15 +11,15 @@
 	"olivearch/internal/standin/scripted"
 )
 
-// fixedClient is a client that has left, or not.
+// fixedClient is a Client whose Connected always returns the same value.
 type fixedClient bool
 
 func (p fixedClient) Connected() bool { return bool(p) }
 
-// TestNothingIsWrittenAfterAChange: between the choice of an endpoint and the first byte lies a connection that may
-// come up late. What has changed by then holds: each change here is made while the connection comes up, and nothing may
-// be written.
-func TestNothingIsWrittenAfterAChange(t *testing.T) {
+// TestNothingWrittenAfterChangeWhileConnecting: an endpoint has been chosen for an attempt, and its connection is slow
+// to open. If the endpoint drains or is removed, or the client leaves, before the first byte is written, nothing may be
+// written.
+func TestNothingWrittenAfterChangeWhileConnecting(t *testing.T) {
 	cases := []struct {
 		name   string
 		spec   func(*Spec)
@@ -44,12 +44,18 @@
 				h.reportPendingOutcomes()
 			},
 		},
-		{name: "the client leaves while the loop is busy", change: func(_ *manualLoop, r *Request, _ *scripted.Node) {
-			r.ClientLeft()
-		}},
 		{
-			name: "the client leaves, and its reader has not run", client: fixedClient(false),
-			change: func(h *manualLoop, r *Request, _ *scripted.Node) { r.ReceivedAt -= 2 * clientCheckDelay },
+			name: "the client leaves while the loop is busy",
+			change: func(_ *manualLoop, r *Request, _ *scripted.Node) {
+				r.ClientLeft()
+			},
+		},
+		{
+			name:   "the client leaves, and only a check of its connection shows it",
+			client: fixedClient(false),
+			change: func(h *manualLoop, r *Request, _ *scripted.Node) {
+				r.ReceivedAt -= 2 * clientCheckDelay
+			},
 		},
 	}
 	for _, c := range cases {
@@ -66,15 +72,15 @@
 			<-delayed.began
 			c.change(h, r, s)
 			close(delayed.connect)
-			<-delayed.ended // all that is written is written before the loop handles the next event
+			<-delayed.ended // what is written has been written by now
 			h.finishAttempts()
 			want(t, "requests at the endpoint", len(s.Arrivals), 0)
-			want(t, "attempts without a reported outcome", r.unreported, 0)
+			want(t, "attempts without a reported outcome", r.unreportedOutcomes, 0)
 		})
 	}
 }
 
-// TestClientLeftBeforeArrival: a request whose client leaves before its pool has handled it costs no endpoint anything.
+// TestClientLeftBeforeArrival: if the client leaves before the loop has handled its request, no connection is opened.
 func TestClientLeftBeforeArrival(t *testing.T) {
 	s := scripted.Start(t, scripted.Done)
 	h := newManualLoop(t, testSpec())
@@ -86,14 +92,16 @@
 	h.handleEvents()
 	want(t, "connections to the endpoint", s.Opened(), 0)
 	want(t, "requests", len(h.requests), 0)
-	want(t, "their ids", len(h.clientRequestIDs), 0)
+	want(t, "client request ids", len(h.clientRequestIDs), 0)
 }
 
-// TestWindowEndsWhileConnecting: a request with an idempotency key that may have run is not written again once its
-// endpoints may have forgotten it, though it was chosen for another attempt while they still knew it.
-func TestWindowEndsWhileConnecting(t *testing.T) {
+// TestDeduplicationWindowEndsWhileConnecting: a request with an idempotency key may have run. Its second attempt is
+// chosen within the deduplication window, but its connection opens only after the window. It must not be written then,
+// because the endpoints may have forgotten the key.
+func TestDeduplicationWindowEndsWhileConnecting(t *testing.T) {
 	const window = 200 * time.Millisecond
-	breaks := scripted.Start(t, func(net.Conn, *http.Request) bool { return false }) // reads it, and closes
+	// The server reads the request and closes the connection.
+	server := scripted.Start(t, func(net.Conn, *http.Request) bool { return false })
 	spec := testSpec()
 	spec.Settings.Classes = append(spec.Settings.Classes, balancer.Class{
 		Name:                "pay",
@@ -107,25 +115,25 @@
 	for _, late := range []bool{false, true} {
 		t.Run(fmt.Sprint("late: ", late), func(t *testing.T) {
 			h := newManualLoop(t, spec)
-			h.updateEndpoints(20, upMember("s-00000001", breaks), upMember("s-00000002", breaks))
+			h.updateEndpoints(20, upMember("s-00000001", server), upMember("s-00000002", server))
 			delayed := h.delayConnections()
 			r := h.submit("1", "pay", nil)
 			<-delayed.began
 			delayed.connect <- struct{}{}
-			<-breaks.Arrivals
-			h.handleEvents() // it may have run, and there is time for another attempt
+			<-server.Arrivals
+			h.handleEvents() // the request may have run; the window allows a second attempt
 			<-delayed.began
 			if late {
 				time.Sleep(window)
 			}
 			close(delayed.connect)
 			h.finishAttempts()
-			want(t, "attempts written after the first", len(breaks.Arrivals) > 0, !late)
-			for len(breaks.Arrivals) > 0 {
-				<-breaks.Arrivals
+			want(t, "attempts written after the first", len(server.Arrivals) > 0, !late)
+			for len(server.Arrivals) > 0 {
+				<-server.Arrivals
 			}
 			if late {
-				// The key's scope is all endpoints: a repeat by the client is dropped there.
+				// The key's scope is all endpoints: they drop a repeat of the request by the client.
 				want(t, "status", (<-r.Responses).Status, http.StatusServiceUnavailable)
 			}
 		})
--- a/internal/pool/view.go
+++ b/internal/pool/view.go
@@ -9,10 +9,10 @@
 	"olivearch/internal/live"
 )
 
-// View returns the pool's state at this moment.
+// View returns the pool's current state.
 func (p *Pool) View() live.Pool { return p.PartialView(live.Part{}) }
 
-// PartialView returns a part of it. That of a pool that has ended has a name only.
+// PartialView returns a part of the current state. For a pool that has ended it contains only the name.
 func (p *Pool) PartialView(part live.Part) live.Pool {
 	reply := make(chan live.Pool, 1)
 	p.loop.enqueue(viewRequested{part, reply})
@@ -33,7 +33,7 @@
 	reply chan<- live.Pool
 }
 
-// phaseNames are the states in the live view.
+// phaseNames holds the names of endpoint states in the live view.
 var phaseNames = map[balancer.State]string{
 	balancer.Active:   "up",
 	balancer.Draining: "draining",
@@ -42,7 +42,7 @@
 
 func (e viewRequested) apply(l *loop) { e.reply <- e.part.Of(l.view(e.part)) }
 
-// view is the loop's state. part only tells which endpoints are left out.
+// view returns the loop's state. part only tells whether to omit the endpoints.
 func (l *loop) view(part live.Part) live.Pool {
 	now := l.now()
 	view := live.Pool{
@@ -66,7 +66,7 @@
 	return view
 }
 
-// appendNodes appends the endpoints' state.
+// appendNodes appends the state of each endpoint.
 func (l *loop) appendNodes(nodes []live.Node, now time.Duration) []live.Node {
 	if l.hasBalancer() {
 		views, _ := l.balancer.View(now)
@@ -82,7 +82,7 @@
 	return nodes
 }
 
-// node is an endpoint's state with what the balancer says of it.
+// node returns the endpoint's state in the live view, with the figures of the balancer.
 func (e *endpoint) node(view *balancer.UpstreamView) live.Node {
 	node := e.faults.node(e)
 	node.Member = view.InSubset
@@ -103,7 +103,7 @@
 	return node
 }
 
-// dormantNode is the state of an endpoint of a dormant pool.
+// dormantNode returns the state of an endpoint of a dormant pool in the live view.
 func (l *loop) dormantNode(member *discovery.Member) live.Node {
 	faults := l.suspension.dormant.faults[member.ID]
 	node := faults.node(l.dormantEndpoint(member))
@@ -112,7 +112,7 @@
 	return node
 }
 
-// node is what the live view has of an endpoint, with these faults, whether or not there is a balancer.
+// node returns the part of an endpoint's state that does not depend on the balancer, with these faults.
 func (f endpointFaults) node(e *endpoint) live.Node {
 	return live.Node{
 		ID:            e.name,
@@ -126,7 +126,7 @@
 	}
 }
 
-// loadKind tells where an endpoint's readings come from.
+// loadKind returns the source of an endpoint's load readings, as the live view names it.
 func loadKind(view *balancer.UpstreamView) string {
 	switch {
 	case view.Estimated:
