--- a/internal/pool/attempt.go
+++ b/internal/pool/attempt.go
@@ -215,8 +215,8 @@
 	l.forgetIfUnused(endpoint)
 }
 
-// reportOutcome applies a change to an attempt's state. The first change reports the attempt's only outcome: the
-// balancer is notified, and the client gets its response if the attempt succeeded or the request can't be sent again.
+// reportOutcome applies a change to an attempt's state. Only the first change reports an outcome: the balancer is
+// notified, and the client gets its response if the attempt succeeded or the request can't be sent again.
 func (l *loop) reportOutcome(attempt *attempt, change attemptChange, result upstream.Result) {
 	before := attempt.state
 	attempt.state = before.after(change)
--- a/internal/pool/connection.go
+++ b/internal/pool/connection.go
@@ -64,7 +64,7 @@
 const (
 	// connectionIdle: keep it for its next use.
 	connectionIdle connectionDisposition = iota
-	// connectionLost: nothing; the transport has closed it.
+	// connectionLost: only adjust the counts; the transport has closed it.
 	connectionLost
 	// connectionSurplus: close it, since the pool has more connections to the endpoint than its allotment now
 	// allows.
@@ -75,8 +75,8 @@
 	connectionBroken
 )
 
-// afterUse decides what to do with a connection to the endpoint that carries no attempt any more. A nil conn has been
-// closed by the transport.
+// afterUse decides what to do with a connection to the endpoint that carries no attempt any more. conn is nil if the
+// transport has closed the connection.
 func (e *endpoint) afterUse(conn upstream.Conn) connectionDisposition {
 	allowed := e.allotment.Connections
 	switch {
--- a/internal/pool/doc.go
+++ b/internal/pool/doc.go
@@ -4,8 +4,8 @@
 //
 // Each Pool has an event loop (loop.go): one goroutine that owns the balancer and all mutable state and blocks only
 // while it waits for the next event or timer. An event is a type named after an occurrence (requestArrived,
-// attemptFinished, endpointsUpdated) and reaches the loop through a mailbox. Changes to what may be sent, such as a new
-// endpoint list, are urgent events, which the loop handles before all others.
+// attemptFinished, endpointsUpdated) and reaches the loop through a mailbox. Endpoint lists, allotments and commands of
+// operators are urgent events, which the loop handles before all others.
 //
 // The state machines are kept apart from the code that acts on them:
 //
--- a/internal/pool/endpoint.go
+++ b/internal/pool/endpoint.go
@@ -77,7 +77,7 @@
 	return min(maxLingeringAttempts, e.allotment.Connections/4)
 }
 
-// endpointByName returns the listed endpoint with a name, nil if there is none.
+// endpointByName returns the listed endpoint with the given name, nil if there is none.
 func (l *loop) endpointByName(name string) *endpoint {
 	id, known := l.names.Known(name)
 	if !known {
@@ -90,7 +90,7 @@
 	return found
 }
 
-// isListed reports whether an endpoint with a name is listed.
+// isListed reports whether an endpoint with the given name is listed.
 func (l *loop) isListed(name string) bool {
 	if l.hasBalancer() {
 		return l.endpointByName(name) != nil
--- a/internal/pool/endpoint_registry.go
+++ b/internal/pool/endpoint_registry.go
@@ -123,8 +123,8 @@
 }
 
 // notifyPools notifies the pools of the changes since its last call: first of all reductions, then of all other changes
-// and of accepted claims. Connections are thus allotted to a pool only after other pools have been told to give them
-// up.
+// and of accepted claims. Therefore connections are allotted to a pool only after other pools have been told to give
+// them up.
 func (s *registryState) notifyPools() {
 	cuts, rest := s.allocator.Changes()
 	for pool, changes := range cuts {
--- a/internal/pool/endpoint_state.go
+++ b/internal/pool/endpoint_state.go
@@ -10,7 +10,7 @@
 	// allotmentUnknown: the registry has not yet answered the pool's claim to the endpoint. The pools that already
 	// use the endpoint must be told first that it is shared.
 	allotmentUnknown bool
-	// drainsElsewhere: the endpoint is draining in another pool's list, and this pool heeds drains of other pools.
+	// drainsElsewhere: the endpoint is draining in another pool's list, which this pool does not ignore.
 	drainsElsewhere bool
 	// outOfService: an operator has taken the endpoint out of service.
 	outOfService bool
--- a/internal/pool/health_check.go
+++ b/internal/pool/health_check.go
@@ -7,8 +7,8 @@
 	"olivearch/internal/upstream"
 )
 
-// HealthCheck sends a health check to an endpoint. The check asks for a load report unless the settings leave reports
-// unused. It is part of balancer.Host.
+// HealthCheck sends a health check to an endpoint. The check asks for the endpoint's load, or, if the settings use no
+// load reports, only whether the endpoint is running. It is part of balancer.Host.
 func (l *loop) HealthCheck(id balancer.UpstreamID) {
 	endpoint := l.endpoints[id]
 	if endpoint == nil || endpoint.state != balancer.Active {
--- a/internal/pool/loop.go
+++ b/internal/pool/loop.go
@@ -12,7 +12,7 @@
 )
 
 const (
-	// maxBatch is the number of events after which the loop checks its timers.
+	// maxBatch is the maximum number of events that are handled between two checks of the timers.
 	maxBatch = 64
 	// sweepInterval is how often the loop closes expired idle connections and publishes gauges.
 	sweepInterval = time.Second
--- a/internal/pool/overrides.go
+++ b/internal/pool/overrides.go
@@ -43,7 +43,7 @@
 	e.done <- nil
 }
 
-// LocalOverrides returns the endpoints that were taken out of service, or lately returned to service, in this pool
+// LocalOverrides returns the endpoints that were taken out of service, or recently returned to service, in this pool
 // only. It is nil for a pool that has ended.
 func (p *Pool) LocalOverrides() map[string]override.Entry {
 	reply := make(chan map[string]override.Entry, 1)
@@ -130,8 +130,8 @@
 	e.reply <- l.isListed(e.endpointName) || l.overrides.OutOfService(e.endpointName, "")
 }
 
-// overridesChanged applies overrides to the endpoint that is listed under a name. If none is, they take effect when it
-// is listed.
+// overridesChanged applies overrides to the listed endpoint with the given name. If it is not listed, they take effect
+// when it is.
 func (l *loop) overridesChanged(name string) {
 	l.counters.endpointsChanged = true
 	endpoint := l.endpointByName(name)
--- a/internal/pool/pool.go
+++ b/internal/pool/pool.go
@@ -60,7 +60,7 @@
 // Now returns the time on the pool's clock: Unix time at its start, advanced by the monotonic clock.
 func (p *Pool) Now() time.Duration { return p.loop.now() }
 
-// Ping returns once the event loop has handled an event, or the pool has ended.
+// Ping returns once the event loop has handled the ping, or the pool has ended.
 func (p *Pool) Ping() {
 	handled := make(pingReceived)
 	p.loop.enqueue(handled)
--- a/internal/pool/request.go
+++ b/internal/pool/request.go
@@ -115,7 +115,7 @@
 	l.suspension.unusedSince = 0
 	l.clientRequestIDs[request.ClientRequestID] = true
 	l.lastRequestID++
-	request.ID = balancer.RequestID(l.lastRequestID) // clients' own ids need not be unique
+	request.ID = balancer.RequestID(l.lastRequestID) // the pool's own: clients' ids need not be unique
 	request.deadline = request.ReceivedAt + request.Budget
 	request.Budget = max(0, request.deadline-now)
 	if request.Message.Upload.Streaming() { // the budget starts at the last byte, which has not arrived
--- a/internal/pool/stats.go
+++ b/internal/pool/stats.go
@@ -24,7 +24,7 @@
 	Tunnels                     int
 	// Active and Draining count the listed endpoints by the state in which the balancer sees them.
 	Active, Draining int
-	// HasBalancer: the pool has a balancer, because it has had a request lately or has many endpoints.
+	// HasBalancer: the pool has a balancer, because it has had a request recently or has many endpoints.
 	HasBalancer bool
 	// ListAge is the time since the source last sent or confirmed the endpoint list.
 	ListAge time.Duration
--- a/internal/pool/suspend_test.go
+++ b/internal/pool/suspend_test.go
@@ -459,7 +459,7 @@
 	return s.saved
 }
 
-// TestSlowStartWhenCreated: an endpoint that started lately, according to a list that arrived while the pool was
+// TestSlowStartWhenCreated: an endpoint that started recently, according to a list that arrived while the pool was
 // dormant, warms up in the balancer that the first request creates.
 func TestSlowStartWhenCreated(t *testing.T) {
 	server := startServer(t)
