--- a/internal/coordination/server/apply.go
+++ b/internal/coordination/server/apply.go
@@ -12,21 +12,22 @@
 	"olivearch/internal/protomsg"
 )
 
-// applyEntries applies committed entries. After an error the server can't go on.
+// applyEntries applies committed entries. After an error the server has to stop.
 func (c *core) applyEntries(entries []*raftpb.Entry) error {
 	for _, entry := range entries {
-		if entry.GetIndex() <= c.applied { // it is in a snapshot that has come
+		if entry.GetIndex() <= c.applied { // contained in a snapshot that was received
 			continue
 		}
 		if err := c.applyEntry(entry); err != nil {
-			return fmt.Errorf("entry %d of the log: %w", entry.GetIndex(), err)
+			return fmt.Errorf("apply log entry %d: %w", entry.GetIndex(), err)
 		}
 	}
 	c.reads.finishApplied(c.applied)
 	return nil
 }
 
-// applyEntry applies one entry, passes its commands on to the followers, and makes a new leader ready.
+// applyEntry applies one entry and sends its commands to the followers. The first entry of its own term makes a new
+// leader ready.
 func (c *core) applyEntry(entry *raftpb.Entry) error {
 	commands, err := c.entryCommands(entry)
 	if err != nil {
@@ -53,7 +54,8 @@
 	return nil
 }
 
-// entryCommands returns the encoded commands of an entry. A membership change takes effect here.
+// entryCommands returns the encoded commands of an entry. If the entry is a membership change, it also applies the
+// change to the Raft node.
 func (c *core) entryCommands(entry *raftpb.Entry) ([][]byte, error) {
 	if entry.GetType() != raftpb.EntryNormal {
 		return c.applyMembershipChange(entry)
@@ -64,7 +66,7 @@
 	return [][]byte{entry.GetData()}, nil
 }
 
-// applyCommand applies an encoded command and answers the client that waits for it.
+// applyCommand applies an encoded command, and responds to the client that waits for it if enough voters have it.
 func (c *core) applyCommand(index uint64, encoded []byte) error {
 	envelope, err := state.DecodeEnvelope(encoded)
 	if err != nil {
@@ -80,8 +82,8 @@
 	return nil
 }
 
-// applyMembershipChange gives the Raft node its new configuration. It returns the commands that come with the change:
-// they say who the members are.
+// applyMembershipChange applies a configuration change to the Raft node. It returns the encoded commands in the entry,
+// which register the changed members in the state.
 func (c *core) applyMembershipChange(entry *raftpb.Entry) ([][]byte, error) {
 	change, encoded, err := decodeMembershipChange(entry)
 	if err != nil {
@@ -94,7 +96,7 @@
 	return commands, err
 }
 
-// decodeMembershipChange reads a change and the commands that are encoded in it.
+// decodeMembershipChange decodes a configuration change, and returns the encoded commands in its context.
 func decodeMembershipChange(entry *raftpb.Entry) (change raftpb.ConfChangeI, commands []byte, err error) {
 	if entry.GetType() == raftpb.EntryConfChange {
 		var single raftpb.ConfChange
@@ -109,7 +111,8 @@
 // changeCommandField is the field number of a command in the context of a membership change.
 const changeCommandField = 1
 
-// encodeChangeCommands encodes the commands that come with a membership change, at a value of the cluster's clock.
+// encodeChangeCommands encodes the commands for the context of a membership change. clock is the cluster's clock in
+// milliseconds.
 func encodeChangeCommands(clock uint64, commands []state.Command) []byte {
 	var w protomsg.Writer
 	for _, command := range commands {
@@ -118,7 +121,7 @@
 	return w.Bytes()
 }
 
-// decodeChangeCommands returns encoded envelopes.
+// decodeChangeCommands returns the encoded envelopes in the context of a membership change.
 func decodeChangeCommands(encoded []byte) ([][]byte, error) {
 	var commands [][]byte
 	err := protomsg.EachField(encoded, func(f protomsg.Field) error {
--- a/internal/coordination/server/bootstrap.go
+++ b/internal/coordination/server/bootstrap.go
@@ -15,29 +15,29 @@
 )
 
 const (
-	// inquiryTimeout bounds a question to another server about itself.
-	inquiryTimeout = defaultRequestTimeout / 2
+	// queryTimeout bounds a request to another server for its identity, or to join its cluster.
+	queryTimeout = defaultRequestTimeout / 2
 	// announceTimeout bounds the announcement of a new cluster to another server.
 	announceTimeout = defaultRequestTimeout
 )
 
-// bootstrap is how a server without a cluster finds or forms one. Once the folder's cluster is being written, which
-// cannot be undone, inProgress is set, and nothing else is begun.
+// bootstrap is the state of a server without a cluster while it finds or forms one. inProgress is set while the cluster
+// is being written to the folder. That can't be undone, so the server does not join or form another one meanwhile.
 type bootstrap struct {
-	reports    map[string]membership.VoterReport // what the configured servers say of themselves, by name
+	reports    map[string]membership.VoterReport // the configured servers' own reports, by name
 	inProgress bool
-	waitReason string // why the server does not take part in a cluster yet; empty: it does
+	waitReason string // why the server is not part of a cluster yet; empty: it is
 }
 
-// noClusterReason is why a request or connection is not served while the server belongs to no cluster. Clients and
-// operators see it.
+// noClusterReason is the reason for not serving a request or connection while the server belongs to no cluster. Clients
+// and operators see this text.
 const noClusterReason = "it belongs to no cluster yet"
 
 func newBootstrap() bootstrap {
 	return bootstrap{reports: map[string]membership.VoterReport{}, waitReason: "it has just started"}
 }
 
-// clusterExists reports whether some server belongs to a cluster already.
+// clusterExists reports whether any server has reported that it belongs to a cluster.
 func (b *bootstrap) clusterExists() bool {
 	for _, report := range b.reports {
 		if report.Cluster != 0 {
@@ -47,8 +47,9 @@
 	return false
 }
 
-// seekCluster asks the configured servers who they are. It forms a cluster with them, or asks to join theirs.
-func (c *core) seekCluster() {
+// findOrFormCluster queries the other configured servers: it sends a request to join to those that belong to a cluster,
+// and asks the others for their identity. It forms a new cluster once the reports allow that (membership.Bootstrap).
+func (c *core) findOrFormCluster() {
 	if c.bootstrap.inProgress {
 		return
 	}
@@ -58,9 +59,9 @@
 			own := membership.VoterReport{Name: name, ID: c.id(), Level: state.NewestFeatureLevel}
 			c.bootstrap.reports[name] = own
 		case c.bootstrap.reports[name].Cluster != 0:
-			c.inquire(name, c.joinRequest())
+			c.queryServer(name, c.joinRequest())
 		default:
-			c.inquire(name, client.Request{Operation: client.OpIdentify})
+			c.queryServer(name, client.Request{Operation: client.OpIdentify})
 		}
 	}
 	members, waitReason := membership.Bootstrap(c.Name, c.Addresses, c.bootstrap.reports)
@@ -80,17 +81,16 @@
 	c.formCluster(cluster, members)
 }
 
-// announceCluster tells another server of the cluster that it is to form with this one. It is a goroutine of its own.
+// announceCluster tells another server to form the new cluster together with this one. It runs in its own goroutine.
 func (c *core) announceCluster(name string, cluster uint64, members []state.Member) {
 	ctx, cancel := context.WithTimeout(c.ctx, announceTimeout)
 	defer cancel()
 	announcement := client.Request{Operation: client.OpBootstrap, Cluster: cluster, Members: members}
-	if _, err := c.caller.Call(ctx, name, announcement); err != nil { // that server will ask to join
+	if _, err := c.caller.Call(ctx, name, announcement); err != nil { // that server will ask to join instead
 		slog.Warn("cluster not announced", "name", name, "err", err)
 	}
 }
 
-// joinRequest returns the request to join.
 func (c *core) joinRequest() client.Request {
 	return client.Request{
 		Operation: client.OpJoin,
@@ -99,27 +99,28 @@
 	}
 }
 
-// inquire sends another server a question about itself, or the request to join.
-func (c *core) inquire(name string, question client.Request) {
+// queryServer sends a request to another server, without blocking, and handles the response as an event.
+func (c *core) queryServer(name string, query client.Request) {
 	go func() {
-		ctx, cancel := context.WithTimeout(c.ctx, inquiryTimeout)
+		ctx, cancel := context.WithTimeout(c.ctx, queryTimeout)
 		defer cancel()
-		response, err := c.caller.Call(ctx, name, question)
-		c.submit(eventFunc(func(c *core) { c.inquiryAnswered(name, response, err) }))
+		response, err := c.caller.Call(ctx, name, query)
+		c.submit(eventFunc(func(c *core) { c.handleQueryResponse(name, response, err) }))
 	}()
 }
 
-// askToJoin asks the configured servers who the members are, until a snapshot says so.
-func (c *core) askToJoin() {
+// sendJoinRequests asks the other configured servers for the members, which a joining server does not know before its
+// first snapshot.
+func (c *core) sendJoinRequests() {
 	for name := range c.Addresses {
 		if name != c.Name {
-			c.inquire(name, c.joinRequest())
+			c.queryServer(name, c.joinRequest())
 		}
 	}
 }
 
-// inquiryAnswered takes what another server has said of itself, or of the request to join.
-func (c *core) inquiryAnswered(name string, response client.Response, err error) {
+// handleQueryResponse handles another server's response to a request for its identity or to join.
+func (c *core) handleQueryResponse(name string, response client.Response, err error) {
 	if c.node != nil {
 		membersUnknown := len(c.state.Members()) == 0
 		if err == nil && response.Cluster == c.identity.Cluster && membersUnknown {
@@ -150,7 +151,7 @@
 	}
 }
 
-// joinCluster makes the folder one of an existing cluster; what it is to hold comes from the members.
+// joinCluster assigns the folder to an existing cluster. The log and the state come from the members later.
 func (c *core) joinCluster(cluster uint64, members []state.Member) {
 	slog.Info("cluster joined", "cluster", formatID(cluster))
 	c.bootstrap.inProgress = true
@@ -160,7 +161,7 @@
 	}})
 }
 
-// formCluster makes the folder one of a new cluster.
+// formCluster assigns the folder to a new cluster of these members.
 func (c *core) formCluster(cluster uint64, members []state.Member) {
 	c.bootstrap.inProgress = true
 	snapshot, err := firstSnapshot(members)
@@ -171,7 +172,8 @@
 	c.writer.enqueue(writeJob{bootstrap: &clusterBootstrap{cluster: cluster, snapshot: snapshot}})
 }
 
-// firstSnapshot returns the state that all voters of a new cluster begin with. It is the same on each of them.
+// firstSnapshot returns the snapshot with which all voters of a new cluster start. It depends only on the set of
+// members, not on their order.
 func firstSnapshot(members []state.Member) (*raftpb.Snapshot, error) {
 	first := state.NewState()
 	confState := &raftpb.ConfState{}
@@ -185,7 +187,7 @@
 		for _, command := range commands {
 			result, err := first.Apply(1, 0, command)
 			if err != nil || !result.OK() {
-				return nil, fmt.Errorf("the first voters: %w %s", err, result.Message)
+				return nil, fmt.Errorf("first snapshot of a new cluster: %w %s", err, result.Message)
 			}
 		}
 	}
@@ -195,7 +197,7 @@
 	}}, nil
 }
 
-// bootstrapWritten begins to take part, now that the disk knows of the cluster. After an error the server can't go on.
+// bootstrapWritten starts the Raft node after the cluster was written to disk. After an error the server has to stop.
 func (c *core) bootstrapWritten(written *clusterBootstrap) error {
 	c.bootstrap.inProgress, c.identity.Cluster = false, written.cluster
 	if written.snapshot != nil {
@@ -219,8 +221,8 @@
 	return nil
 }
 
-// joinBootstrap forms the cluster that the first configured server has announced.
-func (c *core) joinBootstrap(req request) {
+// handleBootstrap serves the announcement of a new cluster, and forms that cluster.
+func (c *core) handleBootstrap(req request) {
 	isSelf := func(member state.Member) bool { return member.ID == c.id() && member.Name == c.Name }
 	switch {
 	case c.node != nil && c.identity.Cluster == req.Cluster:
--- a/internal/coordination/server/client_connection.go
+++ b/internal/coordination/server/client_connection.go
@@ -10,11 +10,11 @@
 
 const (
 	maxRequestBytes = 64 << 10
-	// clientQueueLength is how many responses may wait to be written to one client.
+	// clientQueueLength bounds the responses that wait to be written to one client.
 	clientQueueLength = 1024
 )
 
-// clientConnection serves one client's requests. Its responses may come in any order.
+// clientConnection writes the responses to one client, which need not be in the order of its requests.
 type clientConnection struct {
 	conn      net.Conn
 	responses chan client.Response
@@ -22,7 +22,7 @@
 	uptime    uptimeClock
 }
 
-// serveClient takes requests and writes responses until the connection ends.
+// serveClient submits a client's requests to the core until the connection ends.
 func (c *core) serveClient(conn net.Conn, reader *bufio.Reader) {
 	connection := &clientConnection{
 		conn:      conn,
@@ -47,7 +47,8 @@
 	}
 }
 
-// responder takes the response to the request of a number. A client that does not read its responses is disconnected.
+// responder returns the responder for the request with a number. It closes the connection of a client that does not
+// read its responses.
 func (c *clientConnection) responder(number uint64) responder {
 	return func(response client.Response) {
 		response.Number = number
@@ -59,7 +60,7 @@
 	}
 }
 
-// write writes responses until the connection ends. A response without a number only says that the server is there.
+// write writes responses until the connection ends. A response without a number is a keep-alive.
 func (c *clientConnection) write() {
 	keepAlive := time.NewTicker(client.KeepAliveInterval)
 	defer keepAlive.Stop()
--- a/internal/coordination/server/connections.go
+++ b/internal/coordination/server/connections.go
@@ -19,13 +19,13 @@
 	// helloTimeout bounds the exchange of Hello and Welcome.
 	helloTimeout  = time.Second
 	maxHelloBytes = 4 << 10
-	// acceptRetryPause is the pause after a connection could not be accepted.
+	// acceptRetryPause is the pause after a failed Accept.
 	acceptRetryPause = 5 * time.Millisecond
 	readBufferBytes  = 16 << 10
 )
 
-// serve accepts connections until the listener closes, and returns when all have ended. Those beyond maxConnections are
-// closed at once.
+// serve accepts connections until the listener is closed, and returns when all connections have ended. It closes
+// connections beyond maxConnections at once.
 func (c *core) serve(listener net.Listener) {
 	var connections sync.WaitGroup
 	defer connections.Wait()
@@ -35,7 +35,7 @@
 		if errors.Is(err, net.ErrClosed) {
 			return
 		}
-		if err != nil { // out of file descriptors, or a connection that broke in the queue
+		if err != nil { // no file descriptors left, or the connection broke in the accept queue
 			slog.Warn("connection not accepted", "err", err)
 			time.Sleep(acceptRetryPause)
 			continue
@@ -53,7 +53,7 @@
 	}
 }
 
-// serveConnection reads what a connection is for, and serves it until it ends or the server does.
+// serveConnection reads the Hello of a connection, and serves the connection until it or the server ends.
 func (c *core) serveConnection(conn net.Conn) {
 	defer conn.Close()
 	defer context.AfterFunc(c.ctx, func() { conn.Close() })()
@@ -81,8 +81,8 @@
 // session is the core's decision on a new connection.
 type session struct {
 	welcome client.Welcome
-	serve   func() // nil: the connection is rejected, for the reason in welcome
-	release func() // called once the connection has ended; nil: nothing is to be done
+	serve   func() // nil: the connection is rejected for the reason in welcome
+	release func() // called when the connection has ended; may be nil
 }
 
 // run sends the welcome and serves the connection.
@@ -98,7 +98,7 @@
 	s.serve()
 }
 
-// openSession decides on a connection.
+// openSession decides whether and how a new connection is served.
 func (c *core) openSession(conn net.Conn, reader *bufio.Reader, hello client.Hello) session {
 	opened := session{welcome: client.Welcome{
 		Cluster: c.identity.Cluster,
@@ -132,7 +132,7 @@
 	return opened
 }
 
-// peerRejection returns the reason for not serving a peer; empty: it is served.
+// peerRejection returns the reason for rejecting a peer, or an empty string if it is served.
 func (c *core) peerRejection(hello client.Hello) string {
 	member, known := c.state.Member(hello.From)
 	membersKnown := len(c.state.Members()) > 0
@@ -140,14 +140,14 @@
 	case c.node == nil:
 		return noClusterReason
 	case hello.Cluster != c.identity.Cluster:
-		return c.otherCluster(hello)
+		return c.clusterMismatch(hello)
 	case membersKnown && (!known || member.Name != hello.Name):
 		return fmt.Sprintf("%s with the id %x is no member: it was replaced, or is not one yet", hello.Name, hello.From)
 	}
 	return ""
 }
 
-// otherCluster returns the reason to reject a connection of another cluster.
-func (c *core) otherCluster(hello client.Hello) string {
+// clusterMismatch returns the reason for rejecting a connection from another cluster.
+func (c *core) clusterMismatch(hello client.Hello) string {
 	return fmt.Sprintf("this is cluster %x, not %x", c.identity.Cluster, hello.Cluster)
 }
--- a/internal/coordination/server/core.go
+++ b/internal/coordination/server/core.go
@@ -12,30 +12,31 @@
 
 const (
 	tickInterval = 50 * time.Millisecond
-	// membershipTicks is how often the membership is looked at, in ticks.
-	membershipTicks = 5
-	// followerHeartbeatTicks is how often followers hear how old their copies are, in ticks.
+	// membershipReviewTicks is the interval between reviews of the membership, in ticks.
+	membershipReviewTicks = 5
+	// followerHeartbeatTicks is the interval between heartbeats to followers, in ticks.
 	followerHeartbeatTicks = 10
-	// diskStallTimeout is after how long without an answer of the disk the server is silent, so that another leads.
+	// diskStallTimeout is how long a write may take before the disk counts as stalled. The server then sends no
+	// Raft requests, so that another server is elected leader.
 	diskStallTimeout = time.Second
 	eventQueueLength = 4096
-	// eventBurst is how many queued events are handled before Raft is advanced.
-	eventBurst = 256
+	// maxEventBatch bounds the queued events that are applied together before Raft's output is processed.
+	maxEventBatch = 256
 )
 
-// core owns the state of a server. All of it belongs to the goroutine of run, except for what any goroutine may use:
+// core owns the state of a server. Only the goroutine of run may use it, with these exceptions: any goroutine may use
 // Config, which never changes, ctx, writer, uptime, caller and events. The store belongs to the goroutine of writer.
 //
-// The goroutine of run never blocks: it waits for nothing but the next event, write result or tick. What takes time,
-// writes, calls and connections, is done by other goroutines, which submit its outcome as an event.
+// The goroutine of run waits only for the next event, write result or tick. Other goroutines do everything that takes
+// time (writes, calls, connections) and submit the outcome as an event.
 //
-// Each part has a type with its own invariants:
+// Each part of the state has a type with its own invariants:
 //
 //   - replica: the Raft node, its log and the state machine
-//   - leadership: who leads, and the cluster's clock while this server does
-//   - proposals: commands whose clients wait for an answer
+//   - leadership: the current leader, and the cluster's clock while this server leads
+//   - proposals: commands whose clients wait for a response
 //   - reads: linearizable reads that wait for a quorum or for the log
-//   - membershipTracker: what the leader knows of members and joining voters
+//   - membershipTracker: contact with members, and joining voters
 //   - bootstrap: how a server without a cluster finds or forms one
 //   - peerLinks and followerSet: connections to peers and followers
 type core struct {
@@ -43,12 +44,12 @@
 	ctx      context.Context
 	cancel   context.CancelCauseFunc
 	store    *store
-	identity identity // the folder's, as this goroutine knows it
+	identity identity // the copy of this goroutine; the store has its own
 	writer   *diskWriter
 	uptime   uptimeClock
 	events   chan event
 	writes   chan writeResult
-	caller   *client.Client // to the other servers, for forwarded requests and for the bootstrap
+	caller   *client.Client // calls the other servers: forwarded requests and the bootstrap
 
 	replica
 	leadership leadership
@@ -60,20 +61,20 @@
 	followers  followerSet
 
 	ticks         int
-	lastWrite     time.Duration // how long the last write took
-	rejections    uint64        // proposals that the state machine has rejected
+	lastWrite     time.Duration // duration of the latest write
+	rejections    uint64        // number of proposals that the state machine has rejected
 	lastRejection string
 }
 
-// event is submitted to the core by other goroutines and applied by the core's.
+// event is submitted by any goroutine and applied by the goroutine of core.run.
 type event interface{ apply(c *core) }
 
 type eventFunc func(c *core)
 
 func (f eventFunc) apply(c *core) { f(c) }
 
-// newCore restores what the folder holds. Where it belongs to a cluster, the Raft node is started.
-func newCore(config Config, opened *store, loaded *content) (*core, error) {
+// newCore restores the state from the folder's content, and starts the Raft node if the folder belongs to a cluster.
+func newCore(config Config, opened *store, loaded *folderContent) (*core, error) {
 	created := &core{
 		Config:    config,
 		store:     opened,
@@ -100,7 +101,7 @@
 	return created, created.startNode()
 }
 
-// startNode begins to take part in the cluster of the folder.
+// startNode starts the Raft node as the member that the folder belongs to.
 func (c *core) startNode() error {
 	c.bootstrap.waitReason = ""
 	return c.start(c.id())
@@ -131,33 +132,33 @@
 	}
 }
 
-// applyQueued handles what has come together, so that it is answered together.
+// applyQueued applies events that are queued already, so that one round of Raft processing covers all of them.
 func (c *core) applyQueued() {
-	for range min(len(c.events), eventBurst) {
+	for range min(len(c.events), maxEventBatch) {
 		(<-c.events).apply(c)
 	}
 }
 
-// recoverRaftPanic ends the server where the Raft library panics: it does so on messages that contradict its log, as
-// when another process uses this member's id.
+// recoverRaftPanic ends the server after a panic of the Raft library. The library panics on messages that contradict
+// its log, for example because another process uses this member's id.
 func (c *core) recoverRaftPanic() {
 	cause := recover()
 	if cause == nil {
 		return
 	}
 	slog.Error("server stopped by raft panic", "reason", cause, "stack", string(debug.Stack()))
-	c.fail(fmt.Errorf("%w, or another process is this member: %v", ErrDamaged, cause))
+	c.fail(fmt.Errorf("%w, or another process uses this member's id: %v", ErrDamaged, cause))
 }
 
-// shutDown answers what waits and closes all connections.
+// shutDown answers all proposals that wait for a response and closes all connections.
 func (c *core) shutDown() {
-	c.proposals.abandon("the voter ends")
+	c.proposals.abandonAll("the voter ends")
 	c.links.closeAll()
 	c.followers.closeAll()
 	c.caller.Close()
 }
 
-// submit hands the core an event, and waits while its queue is full; false: the core has ended.
+// submit queues an event for the core, and waits while the queue is full. It returns false if the core has ended.
 func (c *core) submit(e event) bool {
 	select {
 	case c.events <- e:
@@ -167,13 +168,13 @@
 	}
 }
 
-// fail ends the server, which can't go on without breaking what it has granted.
+// fail ends the server because of an error after which it could break what it has granted.
 func (c *core) fail(err error) { c.cancel(err) }
 
-// diskStalled reports whether the disk has not answered for too long.
+// diskStalled reports whether a write has been pending for longer than diskStallTimeout.
 func (c *core) diskStalled(now time.Time) bool { return c.writer.pendingFor(now) > diskStallTimeout }
 
-// tick advances Raft's timers and does what is due: timeouts, retries, the review of the membership and heartbeats.
+// tick advances Raft's timers and handles timeouts, retries, the review of the membership and heartbeats.
 func (c *core) tick(now time.Time) {
 	c.ticks++
 	if c.node != nil && !c.diskStalled(now) {
@@ -182,7 +183,7 @@
 	c.proposals.expire(now)
 	c.answerReplicated(now)
 	c.retryReads(now)
-	if c.ticks%membershipTicks == 0 {
+	if c.ticks%membershipReviewTicks == 0 {
 		c.reviewMembership(now)
 	}
 	if c.ticks%followerHeartbeatTicks == 0 {
@@ -190,10 +191,10 @@
 	}
 }
 
-// handleWriteResult continues the jobs that the disk writer has finished.
+// handleWriteResult completes the jobs that the disk writer has finished. It ends the server if the write failed.
 func (c *core) handleWriteResult(result writeResult) {
 	if result.err != nil {
-		c.fail(fmt.Errorf("%w: %w: what it has is not known, so this process ends", ErrDisk, result.err))
+		c.fail(fmt.Errorf("%w: %w: its content is unknown, so this process ends", ErrDisk, result.err))
 		return
 	}
 	c.lastWrite = result.duration
@@ -214,7 +215,7 @@
 	}
 }
 
-// stateReplaced updates all that depends on the state after it was replaced by a snapshot.
+// stateReplaced updates peer links and followers after a snapshot has replaced the state.
 func (c *core) stateReplaced() {
 	c.bootstrap.waitReason = ""
 	c.updateLinks()
--- a/internal/coordination/server/core_test.go
+++ b/internal/coordination/server/core_test.go
@@ -40,7 +40,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if err := s.begin(testCluster, snapshot, initialHardState()); err != nil {
+	if err := s.assignCluster(testCluster, snapshot, initialHardState()); err != nil {
 		t.Fatal(err)
 	}
 	if err := s.close(); err != nil {
@@ -74,7 +74,7 @@
 	stalled := restoredCore(t)
 	stalled.leadership = leadership{leader: testSelf, leading: true, ready: true}
 	stalled.writer.enqueue(writeJob{})
-	stalled.writer.since = time.Now().Add(-2 * diskStallTimeout)
+	stalled.writer.pendingSince = time.Now().Add(-2 * diskStallTimeout)
 	cases := []struct {
 		name       string
 		core       *core
@@ -154,7 +154,7 @@
 		{
 			"a follower that has come further", inside,
 			with(follower, func(h *client.Hello) { h.Applied = 6 }),
-			"it has come to 5, and the follower to 6",
+			"applied index is 5 here, and 6 at the follower",
 		},
 		{"an unknown role", inside, client.Hello{Role: 99}, "there is no role 99"},
 	}
@@ -170,7 +170,7 @@
 }
 
 // A server forms the cluster that it is a member of, once.
-func TestJoinBootstrap(t *testing.T) {
+func TestHandleBootstrap(t *testing.T) {
 	cases := []struct {
 		name     string
 		core     *core
@@ -188,7 +188,7 @@
 	for _, c := range cases {
 		var outcomes []client.Outcome
 		bootstrapWith := func(cluster uint64) {
-			c.core.joinBootstrap(request{
+			c.core.handleBootstrap(request{
 				Request: client.Request{Cluster: cluster, Members: c.members},
 				respond: func(r client.Response) { outcomes = append(outcomes, r.Outcome) },
 			})
--- a/internal/coordination/server/disk_writer.go
+++ b/internal/coordination/server/disk_writer.go
@@ -8,38 +8,39 @@
 	"go.etcd.io/raft/v3/raftpb"
 )
 
-// writeJob is one thing to write. Exactly one of message, bootstrap and snapshot is set.
+// writeJob is a write to disk. Exactly one of message, bootstrap and snapshot is set.
 type writeJob struct {
 	message   *raftpb.Message   // a MsgStorageAppend of the Raft library
-	bootstrap *clusterBootstrap // the folder becomes a cluster's
-	snapshot  *raftpb.Snapshot  // the server's own, of what it has applied
-	keepFrom  uint64            // with snapshot: entries of a lower index are dropped
+	bootstrap *clusterBootstrap // assigns the folder to a cluster
+	snapshot  *raftpb.Snapshot  // taken by this server, of its own state
+	keepFrom  uint64            // with snapshot: entries with a lower index are dropped
 }
 
-// clusterBootstrap makes the folder a cluster's.
+// clusterBootstrap is the first write of a cluster to the folder.
 type clusterBootstrap struct {
 	cluster  uint64
-	snapshot *raftpb.Snapshot // what all voters begin with; nil: it comes from the other voters
-	onDone   func()           // called by the core once the disk has it and Raft runs; nil: nothing
+	snapshot *raftpb.Snapshot // first snapshot of a new cluster; nil: the other voters will send one
+	onDone   func()           // called by the core after the write and the start of Raft; may be nil
 }
 
-// writeResult reports that jobs are on the disk, in the order of their arrival, or why not.
+// writeResult reports that jobs are on disk, in the order in which they were queued, or why the write failed.
 type writeResult struct {
 	jobs     []writeJob
 	err      error
 	duration time.Duration
 }
 
-// diskWriter is the goroutine that waits for the disk, so that the core does not. Jobs that come while it waits are
-// written together. Its methods but run and write may be called by any goroutine, and do not block.
+// diskWriter writes jobs to disk in a goroutine of its own, so that the core does not block. Jobs that are queued
+// during a write are written together in the next one. enqueue and pendingFor are safe for concurrent use and do not
+// block.
 type diskWriter struct {
-	store *store
-	mu    sync.Mutex
-	queue []writeJob
-	since time.Time     // since when jobs have been unanswered; zero: there are none
-	wake  chan struct{} // capacity 1: the queue is not empty
-	quit  chan struct{}
-	ended chan struct{}
+	store        *store
+	mu           sync.Mutex
+	queue        []writeJob
+	pendingSince time.Time     // when jobs became pending, or the last write ended if later; zero: none are pending
+	wake         chan struct{} // capacity 1; signals that the queue is not empty
+	quit         chan struct{}
+	ended        chan struct{}
 }
 
 func newDiskWriter(s *store) *diskWriter {
@@ -51,12 +52,11 @@
 	}
 }
 
-// enqueue hands a job over.
 func (w *diskWriter) enqueue(job writeJob) {
 	w.mu.Lock()
 	w.queue = append(w.queue, job)
-	if w.since.IsZero() {
-		w.since = time.Now()
+	if w.pendingSince.IsZero() {
+		w.pendingSince = time.Now()
 	}
 	w.mu.Unlock()
 	select {
@@ -65,14 +65,14 @@
 	}
 }
 
-// pendingFor returns for how long jobs have been unanswered; 0: there are none.
+// pendingFor returns how long the disk has not confirmed a write although jobs are pending, or 0 if none are.
 func (w *diskWriter) pendingFor(now time.Time) time.Duration {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	if w.since.IsZero() {
+	if w.pendingSince.IsZero() {
 		return 0
 	}
-	return now.Sub(w.since)
+	return now.Sub(w.pendingSince)
 }
 
 // stop ends run and waits for it.
@@ -81,7 +81,8 @@
 	<-w.ended
 }
 
-// run writes until stop, or until a write fails: nothing is known of the disk then, and it is not written to again.
+// run writes jobs until stop is called or a write fails. After a failed write the content on disk is unknown, so run
+// does not write again.
 func (w *diskWriter) run(results chan<- writeResult) {
 	defer close(w.ended)
 	for {
@@ -93,7 +94,7 @@
 		jobs := w.takeQueue()
 		start := time.Now()
 		err := w.write(jobs)
-		w.restartStallClock()
+		w.restartStallTimer()
 		select {
 		case results <- writeResult{jobs: jobs, err: err, duration: time.Since(start)}:
 		case <-w.quit:
@@ -113,17 +114,17 @@
 	return jobs
 }
 
-// restartStallClock counts the wait for the disk anew, after a write.
-func (w *diskWriter) restartStallClock() {
+// restartStallTimer restarts the time of pendingFor after a write.
+func (w *diskWriter) restartStallTimer() {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	w.since = time.Time{}
+	w.pendingSince = time.Time{}
 	if len(w.queue) > 0 {
-		w.since = time.Now()
+		w.pendingSince = time.Now()
 	}
 }
 
-// write writes jobs in their order, in as few transactions as can be.
+// write writes jobs in order, with as few transactions as possible.
 func (w *diskWriter) write(jobs []writeJob) error {
 	var pending pendingBatch
 	for _, job := range jobs {
@@ -143,37 +144,38 @@
 	return w.flush(&pending)
 }
 
-// flush writes what is pending, if anything is.
+// flush writes the pending batch, unless it is empty.
 func (w *diskWriter) flush(pending *pendingBatch) error {
 	if !pending.filled {
 		return nil
 	}
 	b := pending.batch
 	*pending = pendingBatch{}
-	return w.store.append(b)
+	return w.store.writeBatch(b)
 }
 
 func (w *diskWriter) writeBootstrap(pending *pendingBatch, bootstrap *clusterBootstrap) error {
 	if err := w.flush(pending); err != nil {
 		return err
 	}
-	return w.store.begin(bootstrap.cluster, bootstrap.snapshot, initialHardState())
+	return w.store.assignCluster(bootstrap.cluster, bootstrap.snapshot, initialHardState())
 }
 
 func (w *diskWriter) writeOwnSnapshot(pending *pendingBatch, job writeJob) error {
 	if err := w.flush(pending); err != nil {
 		return err
 	}
-	return w.store.append(batch{snapshot: job.snapshot, keepFrom: job.keepFrom})
+	return w.store.writeBatch(batch{snapshot: job.snapshot, keepFrom: job.keepFrom})
 }
 
-// addMessage adds a MsgStorageAppend. A snapshot in it is written at once, since entries after it start from it.
+// addMessage adds a MsgStorageAppend to the pending batch. It writes a snapshot at once, as the entries in the message
+// follow the snapshot.
 func (w *diskWriter) addMessage(pending *pendingBatch, message *raftpb.Message) error {
 	if snapshot := message.GetSnapshot(); !raft.IsEmptySnap(snapshot) {
 		if err := w.flush(pending); err != nil {
 			return err
 		}
-		if err := w.store.append(batch{snapshot: snapshot, reset: true}); err != nil {
+		if err := w.store.writeBatch(batch{snapshot: snapshot, dropLog: true}); err != nil {
 			return err
 		}
 	}
@@ -190,7 +192,7 @@
 	return nil
 }
 
-// pendingBatch collects entries and hard states that are written in one transaction.
+// pendingBatch collects entries and the latest hard state, to be written in one transaction.
 type pendingBatch struct {
 	batch  batch
 	filled bool
@@ -206,7 +208,8 @@
 	p.filled = true
 }
 
-// overwriteFrom appends entries in the place of all from the first one's index on.
+// overwriteFrom replaces the existing entries from the first new entry's index on with the new entries. It does not
+// change the slice existing, which Raft still uses.
 func overwriteFrom(existing, entries []*raftpb.Entry) []*raftpb.Entry {
 	if len(existing) == 0 {
 		return entries
@@ -219,7 +222,7 @@
 	return append(existing[:kept:kept], entries...)
 }
 
-// initialHardState returns the hard state with which every voter of a new cluster begins.
+// initialHardState returns the hard state with which every voter of a new cluster starts.
 func initialHardState() *raftpb.HardState {
 	return &raftpb.HardState{Term: new(uint64(1)), Vote: new(uint64(0)), Commit: new(uint64(1))}
 }
--- a/internal/coordination/server/fault_injection.go
+++ b/internal/coordination/server/fault_injection.go
@@ -16,33 +16,33 @@
 	"olivearch/internal/disk"
 )
 
-// ruleVariable names the environment variable with the rule that the server breaks, so that a test can show that the
-// breach would be found: one of the rule constants.
+// ruleVariable names the environment variable with the rule that the server breaks, one of the rule constants. Fault
+// tests set it to show that their checks detect the breach.
 const ruleVariable = "OLIVEARCH_GROUND_PLANT"
 
-// durableVariable names the environment variable that, if set, lets the server keep a copy of what it has synced beside
-// its file: what a loss of power leaves.
+// durableVariable names the environment variable that, if set, makes the server keep a copy of the synced content next
+// to its file: the content that a power failure would leave.
 const durableVariable = "OLIVEARCH_GROUND_DURABLE"
 
 // The rules that can be broken.
 const (
-	ruleAnswerBeforeQuorum = "early"    // a proposal is answered before any other server has it
-	ruleReuseMemberID      = "amnesia"  // an empty folder gets the id of the member that was lost
+	ruleAnswerBeforeQuorum = "early"    // a proposal gets its response before any other server has stored it
+	ruleReuseMemberID      = "amnesia"  // an empty folder gets the id of the lost member
 	ruleIgnoreFencing      = "unfenced" // a lease is renewed under any fencing token
-	ruleSkipSync           = "unsynced" // what is written is not synced
+	ruleSkipSync           = "unsynced" // writes are not synced
 )
 
-// The faults of a disk, as the file named by disk.Variable gives them.
+// The disk faults in the file that the environment variable disk.FaultVariable names.
 const (
 	diskFull      = "full"  // a write fails
-	diskSlow      = "slow"  // a write begins after the duration that follows
+	diskSlow      = "slow"  // a write is delayed by the duration that follows the word
 	diskSyncError = "error" // a sync fails
-	diskTornWrite = "torn"  // the power goes while half of the pages are written
+	diskTornWrite = "torn"  // the power fails when half of the pages are written
 )
 
 func ruleBroken(rule string) bool { return os.Getenv(ruleVariable) == rule }
 
-// answerBeforeQuorum answers a proposal at once where that rule is to be broken; it reports whether it did.
+// answerBeforeQuorum responds to a proposal at once if ruleAnswerBeforeQuorum is broken. It reports whether it did.
 func answerBeforeQuorum(p *proposal, c *core) bool {
 	if !ruleBroken(ruleAnswerBeforeQuorum) {
 		return false
@@ -57,7 +57,8 @@
 	return true
 }
 
-// forgeFencingToken gives an AcquireLease the token of the holder's present lease where that rule is to be broken.
+// forgeFencingToken sets the token of an AcquireLease to that of the holder's current lease if ruleIgnoreFencing is
+// broken.
 func forgeFencingToken(command state.Command, current *state.State) {
 	acquire, ok := command.(*state.AcquireLease)
 	if !ok || !ruleBroken(ruleIgnoreFencing) {
@@ -72,8 +73,8 @@
 	}
 }
 
-// newMemberID returns the id of a member whose folder is empty. Where that rule is to be broken it follows from the
-// name alone, so that an emptied folder counts as the member that was lost.
+// newMemberID returns the id of a member with an empty folder. If ruleReuseMemberID is broken, the id depends only on
+// the name, so that a server with an emptied folder counts as the lost member.
 func newMemberID(name string, generateID func() uint64) uint64 {
 	if !ruleBroken(ruleReuseMemberID) {
 		return generateID()
@@ -83,7 +84,7 @@
 	return hash.Sum64()>>2 | 1
 }
 
-// injectWriteFault does what a failing disk does before a write; internal/disk describes the file that says so.
+// injectWriteFault simulates the faults of a disk before a write. Package disk describes the file that selects them.
 func injectWriteFault(path string) error {
 	switch kind, argument := diskFault(); kind {
 	case diskFull:
@@ -96,7 +97,7 @@
 	return nil
 }
 
-// diskFault returns the fault that the disk has now; an empty kind: none.
+// diskFault returns the fault to simulate now. The kind is empty if there is none.
 func diskFault() (kind, argument string) {
 	text, err := os.ReadFile(os.Getenv(disk.FaultVariable))
 	if err != nil {
@@ -108,14 +109,15 @@
 
 const durableSuffix = ".durable"
 
-// alwaysSynced is how many syncs are real also where ruleSkipSync is broken: they make the folder a member's.
-const alwaysSynced = 8
+// syncsBeforeSkip is the number of syncs that are kept even if ruleSkipSync is broken: they assign the folder to a
+// member of a cluster.
+const syncsBeforeSkip = 8
 
-// syncs counts the writes whose durable copy was due. It belongs to the goroutine of the disk writer.
+// syncs counts the writes after which the durable copy is due for an update. It belongs to the disk writer's goroutine.
 var syncs int
 
-// injectSyncFault does what a failing disk does after a write: it does not confirm it, or the power goes while half of
-// the pages that the write changed are there and the meta pages not yet. Else it keeps the durable copy.
+// injectSyncFault simulates the faults of a disk after a write. Either the sync fails, or the power fails (the process
+// exits) when half of the changed pages are on disk but no meta page. Without a fault it updates the durable copy.
 func injectSyncFault(path string) error {
 	kind, _ := diskFault()
 	if kind == diskSyncError {
@@ -135,14 +137,15 @@
 		os.Exit(3)
 	}
 	syncs++
-	if ruleBroken(ruleSkipSync) && syncs > alwaysSynced {
+	if ruleBroken(ruleSkipSync) && syncs > syncsBeforeSkip {
 		return nil
 	}
 	temporary := path + ".copying"
 	return errors.Join(os.WriteFile(temporary, content, 0o600), os.Rename(temporary, path+durableSuffix))
 }
 
-// tearWrite leaves in the file every second page that the last write changed, and neither of the two meta pages.
+// tearWrite reverts the file to the durable copy, except for every second page that the last write changed. The two
+// meta pages are reverted too.
 func tearWrite(path string, after []byte) error {
 	before, err := os.ReadFile(path + durableSuffix)
 	if err != nil {
--- a/internal/coordination/server/fault_injection_none.go
+++ b/internal/coordination/server/fault_injection_none.go
@@ -4,20 +4,20 @@
 
 import "olivearch/internal/coordination/state"
 
-// The functions of this file are the points at which a build with the tag "faultinject" breaks a rule of the server or
-// lets its disk fail (fault_injection.go). The product has none of that: here they do nothing.
+// A build with the tag "faultinject" replaces the functions of this file by those of fault_injection.go, which break a
+// rule of the server or simulate disk faults. Without the tag they inject nothing.
 
-// answerBeforeQuorum never answers a proposal early.
+// answerBeforeQuorum never responds early.
 func answerBeforeQuorum(*proposal, *core) bool { return false }
 
-// forgeFencingToken leaves the command as it is.
+// forgeFencingToken leaves the command unchanged.
 func forgeFencingToken(state.Command, *state.State) {}
 
-// newMemberID returns the id of a member whose folder is empty.
+// newMemberID returns the id of a member with an empty folder.
 func newMemberID(_ string, generateID func() uint64) uint64 { return generateID() }
 
-// injectWriteFault lets every write begin.
+// injectWriteFault never fails or delays a write.
 func injectWriteFault(string) error { return nil }
 
-// injectSyncFault lets every sync succeed.
+// injectSyncFault never fails.
 func injectSyncFault(string) error { return nil }
--- a/internal/coordination/server/folder_lock.go
+++ b/internal/coordination/server/folder_lock.go
@@ -9,13 +9,14 @@
 	"golang.org/x/sys/unix"
 )
 
-// lockTimeout bounds the wait for an earlier process that still uses the folder.
+// lockTimeout bounds the wait for an earlier process that still has the folder locked.
 const lockTimeout = 2 * time.Second
 
 // lockRetryInterval is the pause between two attempts to lock a folder.
 const lockRetryInterval = 20 * time.Millisecond
 
-// lockFolder keeps a second process out of a folder. The lock ends with the process, or when the file is closed.
+// lockFolder locks a folder against other processes. The lock ends when the returned file is closed or the process
+// ends.
 func lockFolder(folder string) (*os.File, error) {
 	file, err := os.OpenFile(filepath.Join(folder, "lock"), os.O_CREATE|os.O_RDWR, 0o600)
 	if err != nil {
--- a/internal/coordination/server/followers.go
+++ b/internal/coordination/server/followers.go
@@ -10,21 +10,21 @@
 	"olivearch/internal/coordination/client"
 )
 
-// followerQueueLength is how many updates may wait to be written to one follower.
+// followerQueueLength bounds the updates that wait to be written to one follower.
 const followerQueueLength = 1024
 
-// heartbeatReadTimeout bounds the read by which a heartbeat says how old followers' copies are.
+// heartbeatReadTimeout bounds the linearizable read that precedes a heartbeat.
 const heartbeatReadTimeout = time.Second
 
-// follower is a balancer's connection on which it is sent the state and then each change of it. Updates have no gap:
-// one that is too slow is disconnected; it connects again and gets the whole state.
+// follower is a balancer's connection on which the server sends the whole state and then each change. No update is
+// skipped: a follower that is too slow is disconnected, connects again and gets the whole state.
 type follower struct {
 	updates   chan []byte
 	closed    chan struct{}
 	closeOnce sync.Once
-	// lastPing and behind belong to the core.
-	lastPing uint64
-	behind   bool // an update did not fit: no further one is sent
+	// lastPing and overflowed belong to the core.
+	lastPing   uint64
+	overflowed bool // an update did not fit into the queue; no further one is queued
 }
 
 func newFollower() *follower {
@@ -33,15 +33,15 @@
 
 func (f *follower) close() { f.closeOnce.Do(func() { close(f.closed) }) }
 
-// push queues an update. The first one that does not fit ends the connection.
+// push queues an update. The first update that does not fit ends the connection.
 func (f *follower) push(encoded []byte) {
-	if f.behind {
+	if f.overflowed {
 		return
 	}
 	select {
 	case f.updates <- encoded:
 	default:
-		f.behind = true
+		f.overflowed = true
 		f.close()
 	}
 }
@@ -64,7 +64,7 @@
 // followerSet holds the connected followers. It belongs to the core.
 type followerSet map[*follower]bool
 
-// broadcast queues an update for all of them.
+// broadcast queues an update for all followers.
 func (s followerSet) broadcast(update client.Update) {
 	if len(s) == 0 {
 		return
@@ -75,7 +75,7 @@
 	}
 }
 
-// pings returns the last ping of each follower.
+// pings returns the number of each follower's latest ping.
 func (s followerSet) pings() map[*follower]uint64 {
 	pings := map[*follower]uint64{}
 	for f := range s {
@@ -90,20 +90,20 @@
 	}
 }
 
-// followerRejection returns the reason for not serving a follower; empty: it is served.
+// followerRejection returns the reason for rejecting a follower, or an empty string if it is served.
 func (c *core) followerRejection(hello client.Hello) string {
 	switch {
 	case c.node == nil:
 		return noClusterReason + ": " + c.bootstrap.waitReason
 	case hello.Cluster != 0 && hello.Cluster != c.identity.Cluster:
-		return c.otherCluster(hello)
+		return c.clusterMismatch(hello)
 	case hello.Applied > c.applied:
-		return fmt.Sprintf("it has come to %d, and the follower to %d", c.applied, hello.Applied)
+		return fmt.Sprintf("applied index is %d here, and %d at the follower", c.applied, hello.Applied)
 	}
 	return ""
 }
 
-// addFollower begins to queue updates for a new follower, the whole state first.
+// addFollower adds a follower and queues the whole state as its first update.
 func (c *core) addFollower() *follower {
 	added := newFollower()
 	added.push(c.fullUpdate())
@@ -111,13 +111,13 @@
 	return added
 }
 
-// serveFollower sends updates and takes pings until the connection ends.
+// serveFollower sends updates and receives pings until the connection ends.
 func (c *core) serveFollower(conn net.Conn, reader *bufio.Reader, served *follower) {
 	go c.readPings(reader, served)
 	served.write(conn)
 }
 
-// readPings takes a follower's pings until its connection ends.
+// readPings submits a follower's pings to the core until its connection ends.
 func (c *core) readPings(reader *bufio.Reader, from *follower) {
 	for {
 		frame, err := client.ReadFrame(reader, maxHelloBytes)
@@ -135,7 +135,7 @@
 	}
 }
 
-// fullUpdate returns an encoded update with the whole state.
+// fullUpdate returns an encoded update that contains the whole state.
 func (c *core) fullUpdate() []byte {
 	update := client.Update{
 		State:     c.state.Encode(),
@@ -147,12 +147,13 @@
 	return update.Encode()
 }
 
-// sendHeartbeats tells the followers how old their copies are, once a quorum has confirmed it. All that was granted
-// before a follower sent its last ping was granted before the read began, and is queued for it before the heartbeat
-// that names the ping. Without a quorum the heartbeat names none.
+// sendHeartbeats sends each follower a heartbeat with the number of its latest ping, after a linearizable read.
+// Anything granted before the follower sent that ping is covered by the read, and was queued for the follower before
+// the heartbeat. So the heartbeat proves that the follower's copy is not older than the ping. If no quorum confirms the
+// read, the heartbeat contains no ping.
 func (c *core) sendHeartbeats(now time.Time) {
 	voters, reachable := c.members.countVoters(c.state.Members(), c.id(), now)
-	if !c.leadership.leading { // a server that follows hears the leader alone
+	if !c.leadership.leading { // other servers receive messages from the leader only
 		reachable = 0
 	}
 	pings := c.followers.pings()
--- a/internal/coordination/server/followers_benchmark_test.go
+++ b/internal/coordination/server/followers_benchmark_test.go
@@ -28,8 +28,8 @@
 	}
 }
 
-// restTime is how long the CPU at rest is measured.
-const restTime = 5 * time.Second
+// idleTime is how long the CPU at rest is measured.
+const idleTime = 5 * time.Second
 
 func measureFollowers(b *testing.B, n int) {
 	addresses, stop := startSingleVoter(b)
@@ -72,9 +72,9 @@
 	b.ReportMetric(time.Since(began).Seconds(), "s-until-all-follow")
 	runtime.GC()
 	runtime.ReadMemStats(&after)
-	used, at := cpu(b), time.Now()
-	time.Sleep(restTime)
-	b.ReportMetric(100*(cpu(b)-used).Seconds()/time.Since(at).Seconds(), "%core-at-rest")
+	used, at := cpuTime(b), time.Now()
+	time.Sleep(idleTime)
+	b.ReportMetric(100*(cpuTime(b)-used).Seconds()/time.Since(at).Seconds(), "%core-at-rest")
 	began = time.Now()
 	setOverride(1)
 	waitForAll(2)
@@ -109,8 +109,8 @@
 	}
 }
 
-// cpu is the CPU time that this process has used.
-func cpu(b *testing.B) time.Duration {
+// cpuTime is the CPU time that this process has used.
+func cpuTime(b *testing.B) time.Duration {
 	var u syscall.Rusage
 	if err := syscall.Getrusage(syscall.RUSAGE_SELF, &u); err != nil {
 		b.Fatal(err)
--- a/internal/coordination/server/golden_test.go
+++ b/internal/coordination/server/golden_test.go
@@ -42,7 +42,7 @@
 		Index: new(uint64(3)), Term: new(uint64(1)),
 		ConfState: &raftpb.ConfState{Voters: []uint64{7}},
 	}}
-	if err := s.begin(99, snapshot, initialHardState()); err != nil {
+	if err := s.assignCluster(99, snapshot, initialHardState()); err != nil {
 		t.Fatal(err)
 	}
 	var entries []*raftpb.Entry
@@ -58,7 +58,7 @@
 		entries = append(entries, &raftpb.Entry{Index: new(index), Term: new(uint64(2)), Data: data})
 	}
 	hard := &raftpb.HardState{Term: new(uint64(2)), Vote: new(uint64(7)), Commit: new(uint64(5))}
-	if err := s.append(batch{entries: entries, hardState: hard}); err != nil {
+	if err := s.writeBatch(batch{entries: entries, hardState: hard}); err != nil {
 		t.Fatal(err)
 	}
 	if err := s.close(); err != nil {
@@ -87,7 +87,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	s, loaded, state, err := openStopped(folder, "k1")
+	s, loaded, state, err := openOffline(folder, "k1")
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/coordination/server/identity.go
+++ b/internal/coordination/server/identity.go
@@ -7,15 +7,15 @@
 	"olivearch/internal/protomsg"
 )
 
-// folderFormat is the version of the storage format.
+// folderFormat is the version of the folder's storage format.
 const folderFormat = 1
 
-// identity identifies the member that a folder belongs to. It is generated when an empty folder is opened: a server
-// whose disk was lost comes back as another member.
+// identity is the member that a folder belongs to. It is generated when an empty folder is opened, so a server that
+// lost its disk returns as a different member.
 type identity struct {
 	Name    string
 	ID      uint64
-	Cluster uint64 // 0: it belongs to none yet
+	Cluster uint64 // 0: the folder belongs to no cluster yet
 }
 
 func (i *identity) encode() []byte {
@@ -41,9 +41,9 @@
 	})
 }
 
-// generateMemberID returns a new member's id: not 0, and none of the two highest numbers, by which the Raft library
-// means its threads for storage (raft.LocalAppendThread, raft.LocalApplyThread).
+// generateMemberID returns a random member id. It is never 0, nor one of the two highest numbers, which the Raft
+// library reserves for its storage threads (raft.LocalAppendThread, raft.LocalApplyThread).
 func generateMemberID() uint64 { return rand.Uint64()>>2 + 1 }
 
-// generateClusterID returns a new cluster's id, which is not 0.
+// generateClusterID returns a random cluster id other than 0.
 func generateClusterID() uint64 { return rand.Uint64()>>1 + 1 }
--- a/internal/coordination/server/membership.go
+++ b/internal/coordination/server/membership.go
@@ -13,31 +13,33 @@
 )
 
 const (
-	// joiningVoterTimeout is after how long without a request to join a joining voter is forgotten.
+	// joiningVoterTimeout is the time without a request to join after which a joining voter is removed from the
+	// list.
 	joiningVoterTimeout = 3 * time.Second
-	// membershipChangeTimeout is after how long a proposed change that has not been applied counts as lost.
+	// membershipChangeTimeout is the time after which a proposed change that has not been applied counts as lost.
 	membershipChangeTimeout = 5 * time.Second
-	// learnerIdleTimeout is after how long without contact a learner is removed.
+	// learnerIdleTimeout is the time without contact after which a learner is removed from the cluster.
 	learnerIdleTimeout = time.Minute
-	// reachableWithin is the time since the last contact within which a voter counts as reachable.
-	reachableWithin = time.Second
+	// reachableTimeout is the time since the last contact after which a voter counts as unreachable.
+	reachableTimeout = time.Second
 )
 
-// joiningVoter is a process with an empty folder that has asked to join.
+// joiningVoter is a process with an empty folder that has sent a request to join.
 type joiningVoter struct {
 	membership.JoiningVoter
 	lastRequest time.Time
-	waitReason  string // why it has to wait; empty: it may join
+	waitReason  string // why it has not been admitted yet; empty: it may join
 }
 
-// membershipTracker is what a server knows of members and joining voters beside the replicated state. It decides
-// nothing: membership.NextChange does, from the view that is made of it. At most one change is under way: changePending
-// is set from its proposal until it is applied, to the end of a joint configuration, or until it counts as lost.
+// membershipTracker holds the facts about members and joining voters that are not in the replicated state.
+// membership.NextChange decides on changes, from a view of these facts. At most one change is pending at a time:
+// changePending is set when a change is proposed. It is cleared when the change is applied and no joint configuration
+// is left, or when the change counts as lost.
 type membershipTracker struct {
-	lastContact      map[uint64]time.Time // when a message of the member last came
-	memberSince      map[uint64]time.Time // since when the member is known, as this leader has counted
-	levels           map[uint64]uint32    // the newest feature level that the member's version knows
-	declaredLost     map[string]bool      // names of voters whose machine is lost for good, as operators say
+	lastContact      map[uint64]time.Time // when the last message from the member arrived
+	memberSince      map[uint64]time.Time // since when this leader has known the member
+	levels           map[uint64]uint32    // newest feature level that the member's version supports
+	declaredLost     map[string]bool      // names of voters that operators have declared lost for good
 	joining          map[uint64]*joiningVoter
 	changePending    bool
 	changeProposedAt time.Time
@@ -53,17 +55,17 @@
 	}
 }
 
-// leadershipGained restarts the count of how long members are known: followers of Raft hear the leader alone, so a new
-// leader could not have heard them before.
+// leadershipGained restarts the times of sinceAdded. Before its election the new leader received messages only from the
+// previous leader, so the silence of the other members meant nothing.
 func (t *membershipTracker) leadershipGained() { t.memberSince = map[uint64]time.Time{} }
 
-// sinceContact returns the time since the last message of a member; false: there was none.
+// sinceContact returns the time since the last message from a member, or false if there was none.
 func (t *membershipTracker) sinceContact(id uint64, now time.Time) (time.Duration, bool) {
 	last, known := t.lastContact[id]
 	return now.Sub(last), known
 }
 
-// sinceAdded returns for how long the member has been known. The first call for a member starts the count.
+// sinceAdded returns how long the member has been known. The first call for a member starts its time and returns 0.
 func (t *membershipTracker) sinceAdded(id uint64, now time.Time) time.Duration {
 	if _, known := t.memberSince[id]; !known {
 		t.memberSince[id] = now
@@ -71,13 +73,14 @@
 	return now.Sub(t.memberSince[id])
 }
 
-// joinRequested notes a request to join. It returns why the joining voter has to wait, and whether it is a new one.
+// joinRequested records a request to join. It returns the reason why the joining voter has to wait, and whether the
+// voter was added to the list.
 func (t *membershipTracker) joinRequested(
 	voter membership.JoiningVoter, now time.Time,
 ) (waitReason string, added bool) {
 	known := t.joining[voter.ID]
 	if known == nil {
-		known = &joiningVoter{waitReason: "its wish has just come"}
+		known = &joiningVoter{waitReason: "its request to join has just arrived"}
 		t.joining[voter.ID] = known
 		added = true
 	}
@@ -85,8 +88,8 @@
 	return known.waitReason, added
 }
 
-// expire forgets joining voters that no longer ask, and a proposed change that counts as lost. A joint configuration
-// does not: Raft leaves it by itself.
+// expire removes joining voters that no longer send requests, and clears changePending if the change counts as lost. A
+// joint configuration never counts as lost, since Raft leaves it by itself.
 func (t *membershipTracker) expire(now time.Time, joint bool) {
 	for id, voter := range t.joining {
 		if now.Sub(voter.lastRequest) > joiningVoterTimeout {
@@ -98,19 +101,19 @@
 	}
 }
 
-// changeProposed notes that a change is under way.
+// changeProposed records that a change is pending.
 func (t *membershipTracker) changeProposed(now time.Time) {
 	t.changePending, t.changeProposedAt = true, now
 }
 
-// peer returns the leader's view of a member whose log is known to match up to matchIndex.
+// peer returns the leader's view of a member. The member's log is known to match the leader's up to matchIndex.
 func (t *membershipTracker) peer(member state.Member, matchIndex uint64, now time.Time) membership.Peer {
 	peer := membership.Peer{
 		Member:       member,
 		MatchIndex:   matchIndex,
 		Level:        t.levels[member.ID],
 		DeclaredLost: t.declaredLost[member.Name],
-		SinceContact: longAgo,
+		SinceContact: unknownAge,
 		SinceAdded:   t.sinceAdded(member.ID, now),
 	}
 	if silence, known := t.sinceContact(member.ID, now); known {
@@ -119,7 +122,7 @@
 	return peer
 }
 
-// countVoters counts the members that vote, and those of them that can be reached, self among them.
+// countVoters counts the voters, and those of them that are reachable. self always counts as reachable.
 func (t *membershipTracker) countVoters(members []state.Member, self uint64, now time.Time) (voters, reachable uint32) {
 	for _, member := range members {
 		if member.Learner {
@@ -127,20 +130,21 @@
 		}
 		voters++
 		silence, known := t.sinceContact(member.ID, now)
-		if member.ID == self || (known && silence < reachableWithin) {
+		if member.ID == self || (known && silence < reachableTimeout) {
 			reachable++
 		}
 	}
 	return voters, reachable
 }
 
-// reviewMembership takes the next step in who the voters are, as the leader. A server without a cluster looks for one.
+// reviewMembership proposes the next membership change if this server is a ready leader. A server without a cluster
+// finds or forms one.
 func (c *core) reviewMembership(now time.Time) {
 	switch {
 	case c.node == nil:
-		c.seekCluster()
-	case len(c.state.Members()) == 0: // it joins, and may have been restarted before it learnt of the members
-		c.askToJoin()
+		c.findOrFormCluster()
+	case len(c.state.Members()) == 0: // joining, and possibly restarted before it received the members
+		c.sendJoinRequests()
 	case c.leadership.canPropose():
 		c.reviewAsLeader(now)
 	}
@@ -157,10 +161,10 @@
 	for id, voter := range c.members.joining {
 		voter.waitReason = waitReasons[id]
 	}
-	c.carryOut(change, now)
+	c.executeChange(change, now)
 }
 
-// membershipView returns the leader's view of members and joining voters.
+// membershipView returns the leader's view of all members and joining voters.
 func (c *core) membershipView(now time.Time) membership.View {
 	view := membership.View{
 		Self:         c.id(),
@@ -183,8 +187,8 @@
 	return view
 }
 
-// carryOut proposes a change, or hands the leadership over.
-func (c *core) carryOut(change membership.Change, now time.Time) {
+// executeChange proposes a change, or transfers the leadership.
+func (c *core) executeChange(change membership.Change, now time.Time) {
 	member, replaced := change.Member, change.ReplacedID
 	voter := member
 	voter.Learner = false
@@ -214,12 +218,12 @@
 	return &raftpb.ConfChangeSingle{Type: kind.Enum(), NodeId: new(id)}
 }
 
-// proposeChange proposes a change of Raft's configuration with the commands that register it in the state.
+// proposeChange proposes a change of Raft's configuration, with the commands that record it in the state.
 func (c *core) proposeChange(
-	change membership.Change, now time.Time, singles []*raftpb.ConfChangeSingle, commands ...state.Command,
+	change membership.Change, now time.Time, nodeChanges []*raftpb.ConfChangeSingle, commands ...state.Command,
 ) {
 	err := c.node.ProposeConfChange(&raftpb.ConfChangeV2{
-		Changes: singles,
+		Changes: nodeChanges,
 		Context: encodeChangeCommands(c.leadership.clock.at(now), commands),
 	})
 	if err == nil {
@@ -229,8 +233,9 @@
 		"replaced", formatID(change.ReplacedID), "kind", change.Kind, "err", err)
 }
 
-// requestJoin serves the request of a process with an empty folder to join. It is done once that is a member.
-func (c *core) requestJoin(req request) {
+// handleJoin serves a request to join from a process with an empty folder. The response is OutcomeDone only when the
+// process is a member.
+func (c *core) handleJoin(req request) {
 	if len(req.Members) != 1 || req.Members[0].ID == 0 || req.Members[0].Name == "" {
 		req.reject("one member with a name and an id is wanted")
 		return
@@ -253,9 +258,9 @@
 	req.respondNotAttempted(waitReason)
 }
 
-// declareLost records an operator's statement that a voter's machine is lost for good, so that the voter may be
+// handleDeclareLost records that an operator has declared a voter's machine lost for good, so that the voter may be
 // replaced sooner.
-func (c *core) declareLost(req request) {
+func (c *core) handleDeclareLost(req request) {
 	if c.redirect(req) {
 		return
 	}
--- a/internal/coordination/server/membership_test.go
+++ b/internal/coordination/server/membership_test.go
@@ -56,11 +56,11 @@
 }
 
 // A new leader counts anew since when it could have heard a member.
-func TestPeerAsTheLeaderSeesIt(t *testing.T) {
+func TestPeerView(t *testing.T) {
 	tracker, start := newMembershipTracker(), time.Now()
 	member := state.Member{ID: 7, Name: "k1"}
 	peer := tracker.peer(member, 3, start)
-	if peer.SinceContact != longAgo || peer.SinceAdded != 0 || peer.MatchIndex != 3 {
+	if peer.SinceContact != unknownAge || peer.SinceAdded != 0 || peer.MatchIndex != 3 {
 		t.Errorf("never heard: %+v", peer)
 	}
 	tracker.lastContact[7], tracker.levels[7], tracker.declaredLost["k1"] = start, 2, true
@@ -77,8 +77,8 @@
 
 func TestCountVoters(t *testing.T) {
 	tracker, now := newMembershipTracker(), time.Now()
-	tracker.lastContact[2] = now.Add(-reachableWithin / 2)
-	tracker.lastContact[3] = now.Add(-reachableWithin)
+	tracker.lastContact[2] = now.Add(-reachableTimeout / 2)
+	tracker.lastContact[3] = now.Add(-reachableTimeout)
 	tracker.lastContact[5] = now
 	members := []state.Member{{ID: 1}, {ID: 2}, {ID: 3}, {ID: 4}, {ID: 5, Learner: true}}
 	if voters, reachable := tracker.countVoters(members, 1, now); voters != 4 || reachable != 2 {
--- a/internal/coordination/server/outbox.go
+++ b/internal/coordination/server/outbox.go
@@ -7,20 +7,20 @@
 	"google.golang.org/protobuf/proto"
 )
 
-// The bounds of what waits for one peer. A single message may exceed the bytes: a snapshot.
+// The bounds of the queue for one peer. A single message, such as a snapshot, may exceed maxOutboxBytes.
 const (
-	outboxMessages = 4096
-	outboxBytes    = 64 << 20
+	maxOutboxMessages = 4096
+	maxOutboxBytes    = 64 << 20
 )
 
-// outbox is a queue of messages to a peer. What exceeds its bounds is dropped: Raft sends it again. Its methods may be
-// called by any goroutine and do not block.
+// outbox is a queue of messages to a peer. Messages beyond its bounds are dropped, and Raft sends them again. It is
+// safe for concurrent use, and its methods do not block.
 type outbox struct {
-	peer   uint64 // its member id
+	peer   uint64 // member id
 	mu     sync.Mutex
 	queue  []*raftpb.Message
 	bytes  int           // of the queue
-	wake   chan struct{} // capacity 1: the queue is not empty
+	wake   chan struct{} // capacity 1; signals that the queue is not empty
 	closed chan struct{}
 	once   sync.Once
 }
@@ -31,13 +31,13 @@
 
 func (o *outbox) close() { o.once.Do(func() { close(o.closed) }) }
 
-// enqueue adds a message; false: it is dropped.
+// enqueue queues a message. It returns false if the message was dropped.
 func (o *outbox) enqueue(message *raftpb.Message) bool {
 	size := proto.Size(message)
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	exceedsBytes := o.bytes > 0 && o.bytes+size > outboxBytes
-	if len(o.queue) >= outboxMessages || exceedsBytes {
+	exceedsBytes := o.bytes > 0 && o.bytes+size > maxOutboxBytes
+	if len(o.queue) >= maxOutboxMessages || exceedsBytes {
 		return false
 	}
 	o.queue = append(o.queue, message)
@@ -49,7 +49,7 @@
 	return true
 }
 
-// takeAll empties the queue.
+// takeAll returns all queued messages and empties the queue.
 func (o *outbox) takeAll() []*raftpb.Message {
 	o.mu.Lock()
 	defer o.mu.Unlock()
--- a/internal/coordination/server/peer_links.go
+++ b/internal/coordination/server/peer_links.go
@@ -21,7 +21,7 @@
 const (
 	minRedialPause = 50 * time.Millisecond
 	maxRedialPause = 500 * time.Millisecond
-	// peerSilenceTimeout is after how long without a frame a link counts as cut.
+	// peerSilenceTimeout is the time without a frame after which a link counts as broken.
 	peerSilenceTimeout = 4 * client.KeepAliveInterval
 	// writeTimeout bounds a write to a peer, client or follower.
 	writeTimeout = 2 * time.Second
@@ -29,15 +29,15 @@
 
 // peerLinks are the connections to the other members, one in each direction.
 //
-// A member is heard only on a connection that was opened towards its address, and is sent to only on the one that it
-// has opened. So nobody is heard under a member's id but whoever is at its address: of two processes with copies of one
-// folder only one can vote.
+// This server receives a member's messages only on a connection that it has opened to the member's address, and sends
+// to the member only on a connection that the member has opened. So only the process at a member's address can send
+// under the member's id: if two processes have copies of one folder, only one of them can vote.
 type peerLinks struct {
-	incoming map[uint64]*peerLink // on which members are heard
-	outgoing map[uint64]*outbox   // for the connections that members have opened
+	incoming map[uint64]*peerLink // by member id; opened by this server
+	outgoing map[uint64]*outbox   // by member id; opened by the members
 }
 
-// peerLink is the goroutine that hears one member.
+// peerLink is a running peerReceiver.
 type peerLink struct {
 	member state.Member
 	stop   context.CancelFunc
@@ -47,7 +47,7 @@
 	return peerLinks{incoming: map[uint64]*peerLink{}, outgoing: map[uint64]*outbox{}}
 }
 
-// replaceOutbox begins to send to a member on its newest connection.
+// replaceOutbox returns an outbox for a member's newest connection, and closes that of the connection before.
 func (p *peerLinks) replaceOutbox(id uint64) *outbox {
 	if earlier := p.outgoing[id]; earlier != nil {
 		earlier.close()
@@ -57,14 +57,14 @@
 	return added
 }
 
-// outboxBroken forgets an outbox, unless another has taken its place.
-func (p *peerLinks) outboxBroken(broken *outbox) {
+// removeOutbox removes the outbox of a broken connection, unless a newer outbox has replaced it.
+func (p *peerLinks) removeOutbox(broken *outbox) {
 	if p.outgoing[broken.peer] == broken {
 		delete(p.outgoing, broken.peer)
 	}
 }
 
-// keepOnly closes the connections to all but the given members.
+// keepOnly closes the connections to all members except the given ones.
 func (p *peerLinks) keepOnly(members map[uint64]bool) {
 	for id, link := range p.incoming {
 		if !members[id] {
@@ -82,19 +82,19 @@
 
 func (p *peerLinks) closeAll() { p.keepOnly(nil) }
 
-// updateLinksLater calls updateLinks as an event of its own. It does not wait for the queue of events, which the core
-// itself empties.
+// updateLinksLater submits an event that calls updateLinks. It uses a goroutine because only the core empties the event
+// queue: waiting for space in it here would be a deadlock.
 func (c *core) updateLinksLater() {
 	go c.submit(eventFunc(func(c *core) { c.updateLinks() }))
 }
 
-// updateLinks brings the links in line with the members.
+// updateLinks starts links to new members and stops those to former members.
 func (c *core) updateLinks() {
 	if c.node == nil {
 		return
 	}
 	members := c.state.Members()
-	if len(members) == 0 { // it joins, and has not learnt of the members yet
+	if len(members) == 0 { // joining: the members are not known yet
 		return
 	}
 	others := map[uint64]bool{}
@@ -107,7 +107,8 @@
 	c.links.keepOnly(others)
 }
 
-// linkToAll begins to hear the members that another server has named, until a snapshot says who they are.
+// linkToAll links to the members that another server has reported. They are used until a snapshot with the members
+// arrives.
 func (c *core) linkToAll(members []state.Member) {
 	for _, member := range members {
 		if member.ID != c.id() {
@@ -116,7 +117,7 @@
 	}
 }
 
-// linkTo begins to hear a member.
+// linkTo starts to receive messages from a member, unless that runs already at the member's current address.
 func (c *core) linkTo(member state.Member) {
 	address := c.reachableAt(member)
 	if existing := c.links.incoming[member.ID]; existing != nil {
@@ -138,8 +139,8 @@
 	go receiver.run(ctx)
 }
 
-// peerReceiver hears one member, on one connection after the other. It reads nothing of the core's state and submits
-// what comes.
+// peerReceiver receives messages from one member and submits them to the core. It connects again when a connection
+// breaks. It does not read the core's state.
 type peerReceiver struct {
 	core    *core
 	self    uint64
@@ -148,7 +149,7 @@
 	hello   client.Hello
 }
 
-// run connects until the context ends, with pauses that grow while no connection comes up.
+// run connects again and again until the context ends. The pauses grow while no connection succeeds.
 func (p *peerReceiver) run(ctx context.Context) {
 	pause, lastReason := minRedialPause, ""
 	for ctx.Err() == nil {
@@ -168,7 +169,8 @@
 	}
 }
 
-// receive submits what comes on one connection until it breaks. It reports whether the member was reached.
+// receive opens a connection and submits its messages until the connection breaks. It reports whether the member was
+// reached.
 func (p *peerReceiver) receive(ctx context.Context) (connected bool, err error) {
 	conn, reader, welcome, err := client.Dial(ctx, p.address, p.hello)
 	if err != nil {
@@ -178,7 +180,7 @@
 	defer context.AfterFunc(ctx, func() { conn.Close() })()
 	if welcome.Cluster != p.hello.Cluster || welcome.ID != p.member.ID {
 		return false, fmt.Errorf(
-			"at %s there is member %x of cluster %x, and %x of %x is wanted: another folder was put in its place",
+			"%s is the address of member %x of cluster %x, want member %x of cluster %x: the folder was replaced",
 			p.address, welcome.ID, welcome.Cluster, p.member.ID, p.hello.Cluster)
 	}
 	p.core.submit(eventFunc(func(c *core) { c.members.levels[p.member.ID] = welcome.Level }))
@@ -196,7 +198,7 @@
 	}
 }
 
-// readMessage reads the next message; nil: the frame only said that the member is there.
+// readMessage reads the next message. A nil message is a keep-alive.
 func (p *peerReceiver) readMessage(conn net.Conn, reader *bufio.Reader) (*raftpb.Message, error) {
 	_ = conn.SetReadDeadline(time.Now().Add(peerSilenceTimeout)) // on a broken connection the read fails
 	frame, err := client.ReadFrame(reader, client.MaxFrame)
@@ -210,17 +212,18 @@
 	return message, p.checkMessage(message)
 }
 
-// checkMessage fails unless the message is one from this member to this server. A ReadIndex may be forwarded in the
-// name of the server that began the read.
+// checkMessage returns an error unless the message is from this member to this server. A forwarded MsgReadIndex may be
+// from a third server: the one that started the read.
 func (p *peerReceiver) checkMessage(message *raftpb.Message) error {
 	fromMember := message.GetFrom() == p.member.ID || message.GetType() == raftpb.MsgReadIndex
 	if fromMember && message.GetTo() == p.self && !raft.IsLocalMsg(message.GetType()) {
 		return nil
 	}
-	return fmt.Errorf("%s sends a message from %x to %x", p.member.Name, message.GetFrom(), message.GetTo())
+	return fmt.Errorf("unexpected message from %s: its sender is %x and its receiver %x",
+		p.member.Name, message.GetFrom(), message.GetTo())
 }
 
-// peerMessage is the event of a message received from a member.
+// peerMessage is the event that a message from a member was received.
 type peerMessage struct {
 	message *raftpb.Message
 	sender  uint64
@@ -235,8 +238,8 @@
 	c.step(e.message)
 }
 
-// send queues a message for a member that listens. Where none does, Raft is notified. While the disk does not
-// answer, only responses are sent.
+// send queues a message for a member. If the member is not connected or its outbox is full, it notifies Raft. While the
+// disk is stalled, it drops all messages except responses.
 func (c *core) send(message *raftpb.Message) {
 	if c.diskStalled(time.Now()) && !raft.IsResponseMsg(message.GetType()) {
 		return
@@ -252,7 +255,7 @@
 	}
 }
 
-// sendOutbox writes what is queued for a member until its connection breaks or another takes its place.
+// sendOutbox writes the messages queued for a member until its connection breaks or a newer one replaces it.
 func (c *core) sendOutbox(conn net.Conn, box *outbox) {
 	keepAlive := time.NewTicker(client.KeepAliveInterval)
 	defer keepAlive.Stop()
@@ -265,7 +268,7 @@
 		case <-box.wake:
 			hasSnapshot = encodeMessages(&frames, box.takeAll())
 		case <-keepAlive.C:
-			_ = client.WriteFrame(&frames, nil) // a buffer takes all
+			_ = client.WriteFrame(&frames, nil) // a write to a buffer does not fail
 		}
 		keepAlive.Reset(client.KeepAliveInterval)
 		_ = conn.SetWriteDeadline(time.Now().Add(writeTimeout)) // on a broken connection the write fails
@@ -274,13 +277,13 @@
 			c.reportSnapshot(box.peer, err)
 		}
 		if err != nil {
-			c.submit(eventFunc(func(c *core) { c.links.outboxBroken(box) }))
+			c.submit(eventFunc(func(c *core) { c.links.removeOutbox(box) }))
 			return
 		}
 	}
 }
 
-// reportSnapshot tells Raft whether a snapshot was written to a member's connection.
+// reportSnapshot reports to Raft whether a snapshot was written to a member's connection.
 func (c *core) reportSnapshot(receiver uint64, err error) {
 	status := raft.SnapshotFinish
 	if err != nil {
@@ -289,8 +292,8 @@
 	c.submit(eventFunc(func(c *core) { c.node.ReportSnapshot(receiver, status) }))
 }
 
-// encodeMessages writes messages as frames; it reports whether a snapshot is among them. One that can't be written is
-// left out.
+// encodeMessages appends messages to the buffer as frames. Messages that can't be encoded are logged and skipped. It
+// reports whether a snapshot is among the messages, including skipped ones.
 func encodeMessages(frames *bytes.Buffer, messages []*raftpb.Message) (hasSnapshot bool) {
 	for _, message := range messages {
 		encoded, err := proto.Marshal(message)
--- a/internal/coordination/server/peer_links_test.go
+++ b/internal/coordination/server/peer_links_test.go
@@ -35,7 +35,7 @@
 
 func TestOutboxIsBounded(t *testing.T) {
 	box := newOutbox(7)
-	huge := &raftpb.Message{Context: make([]byte, outboxBytes+1)}
+	huge := &raftpb.Message{Context: make([]byte, maxOutboxBytes+1)}
 	if !box.enqueue(huge) {
 		t.Error("a single message that exceeds the bytes is dropped")
 	}
@@ -45,7 +45,7 @@
 	if n := len(box.takeAll()); n != 1 {
 		t.Errorf("%d messages were queued", n)
 	}
-	for range outboxMessages {
+	for range maxOutboxMessages {
 		if !box.enqueue(&raftpb.Message{}) {
 			t.Fatal("full too early")
 		}
@@ -53,7 +53,7 @@
 	if box.enqueue(&raftpb.Message{}) {
 		t.Error("more messages are queued than fit")
 	}
-	if n := len(box.takeAll()); n != outboxMessages {
+	if n := len(box.takeAll()); n != maxOutboxMessages {
 		t.Errorf("%d messages were queued", n)
 	}
 }
@@ -68,11 +68,11 @@
 	default:
 		t.Error("the earlier outbox is open")
 	}
-	links.outboxBroken(first)
+	links.removeOutbox(first)
 	if links.outgoing[7] != second {
 		t.Error("the newest outbox is forgotten")
 	}
-	links.outboxBroken(second)
+	links.removeOutbox(second)
 	if len(links.outgoing) != 0 {
 		t.Error("a broken outbox is still used")
 	}
--- a/internal/coordination/server/proposals.go
+++ b/internal/coordination/server/proposals.go
@@ -8,54 +8,55 @@
 	"olivearch/internal/coordination/state"
 )
 
-// maxUncommittedProposals bounds the proposals that no quorum has confirmed yet.
+// maxUncommittedProposals bounds the proposals that have not been applied yet.
 const maxUncommittedProposals = 8192
 
-// responder takes the response to a request. It does not block.
+// responder sends the response to a request. It does not block.
 type responder func(client.Response)
 
-// proposal is a command whose client waits for an answer.
+// proposal is a command whose client waits for a response.
 type proposal struct {
 	respond  responder
 	deadline time.Time
-	// index and result are those of the command, once it is applied.
+	// index is the command's log index. It and the result are set when the command is applied.
 	index  uint64
 	result state.Result
 }
 
-// proposals are the commands that this server has proposed as the leader and not answered yet. A proposal is first in
-// uncommitted, then, once applied, in replicating, until enough voters have it on their disks; it gets exactly one
-// response.
+// proposals are the commands that this server has proposed as the leader and not responded to yet. A proposal is in
+// uncommitted until it is applied, and then in replicating until enough voters have stored it on disk. Each proposal
+// gets exactly one response.
 type proposals struct {
-	uncommitted map[uint64]*proposal // by the id of the envelope in the log
+	uncommitted map[uint64]*proposal // by the id of the command's envelope in the log
 	replicating []*proposal
 }
 
 func newProposals() proposals { return proposals{uncommitted: map[uint64]*proposal{}} }
 
-// full reports whether no further proposal is taken.
+// full reports whether the limit on uncommitted proposals is reached.
 func (p *proposals) full() bool { return len(p.uncommitted) >= maxUncommittedProposals }
 
 func (p *proposals) add(id uint64, added *proposal) { p.uncommitted[id] = added }
 
-// applied notes a command's result; it reports whether this server has proposed the command and owes an answer.
+// applied records a command's result. It reports whether the command is a proposal of this server that still waits for
+// its response.
 func (p *proposals) applied(id, index uint64, result state.Result) bool {
-	found := p.uncommitted[id]
-	if found == nil {
+	pending := p.uncommitted[id]
+	if pending == nil {
 		return false
 	}
 	delete(p.uncommitted, id)
-	found.index, found.result = index, result
-	p.replicating = append(p.replicating, found)
+	pending.index, pending.result = index, result
+	p.replicating = append(p.replicating, pending)
 	return true
 }
 
-// expire answers the proposals that were not committed in time.
+// expire responds to the proposals that were not committed before their deadline.
 func (p *proposals) expire(now time.Time) {
-	for id, one := range p.uncommitted {
-		if now.After(one.deadline) {
+	for id, pending := range p.uncommitted {
+		if now.After(pending.deadline) {
 			delete(p.uncommitted, id)
-			one.respond(client.Response{
+			pending.respond(client.Response{
 				Outcome: client.OutcomeUncertain,
 				Message: "no quorum has confirmed it in time",
 			})
@@ -63,26 +64,27 @@
 	}
 }
 
-// respondToReplicated answers the applied proposals that enough voters have, that were rejected, or whose time is over.
-// matchIndexes are those of the voters. It returns why proposals were rejected, in their order.
+// respondToReplicated responds to the applied proposals that enough voters have stored, that were rejected, or whose
+// deadline has passed. matchIndexes are the voters' match indexes. It returns the reasons of rejections, in the order
+// of the proposals.
 func (p *proposals) respondToReplicated(now time.Time, matchIndexes []uint64, writeQuorum int) (rejections []string) {
 	waiting := p.replicating[:0]
-	for _, one := range p.replicating {
-		response, done := one.outcome(now, matchIndexes, writeQuorum)
+	for _, pending := range p.replicating {
+		response, done := pending.outcome(now, matchIndexes, writeQuorum)
 		if !done {
-			waiting = append(waiting, one)
+			waiting = append(waiting, pending)
 			continue
 		}
 		if response.Outcome == client.OutcomeRejected {
 			rejections = append(rejections, response.Message)
 		}
-		one.respond(response)
+		pending.respond(response)
 	}
 	p.replicating = waiting
 	return rejections
 }
 
-// outcome returns the response to an applied proposal; false: it has to wait for further voters.
+// outcome returns the response to an applied proposal, or false if the proposal has to wait for more voters.
 func (p *proposal) outcome(now time.Time, matchIndexes []uint64, writeQuorum int) (client.Response, bool) {
 	stored := 0
 	for _, match := range matchIndexes {
@@ -108,20 +110,20 @@
 	return response, true
 }
 
-// abandon answers all proposals that their outcome is not known.
-func (p *proposals) abandon(reason string) {
+// abandonAll responds to all proposals that their outcome is uncertain.
+func (p *proposals) abandonAll(reason string) {
 	response := client.Response{Outcome: client.OutcomeUncertain, Message: reason}
-	for id, one := range p.uncommitted {
+	for id, pending := range p.uncommitted {
 		delete(p.uncommitted, id)
-		one.respond(response)
+		pending.respond(response)
 	}
-	for _, one := range p.replicating {
-		one.respond(response)
+	for _, pending := range p.replicating {
+		pending.respond(response)
 	}
 	p.replicating = nil
 }
 
-// answerReplicated answers the proposals that enough voters have by now.
+// answerReplicated responds to the applied proposals whose outcome is known by now.
 func (c *core) answerReplicated(now time.Time) {
 	if len(c.proposals.replicating) == 0 {
 		return
--- a/internal/coordination/server/proposals_test.go
+++ b/internal/coordination/server/proposals_test.go
@@ -69,8 +69,8 @@
 	if len(rejections) != 1 || rejections[0] != "no room" {
 		t.Errorf("rejections: %q", rejections)
 	}
-	all.abandon("the end")
-	all.abandon("the end")
+	all.abandonAll("the end")
+	all.abandonAll("the end")
 	all.expire(now.Add(time.Hour))
 	want := [5]client.Outcome{
 		client.OutcomeUncertain, client.OutcomeDone, client.OutcomeRejected,
--- a/internal/coordination/server/reads.go
+++ b/internal/coordination/server/reads.go
@@ -9,59 +9,62 @@
 	"go.etcd.io/raft/v3"
 )
 
-// readRetryInterval is after how long without an answer a quorum is asked again.
+// readRetryInterval is how long a read waits for a quorum before the request to the quorum is repeated.
 const readRetryInterval = 4 * tickInterval
 
-// readContextSize is the size in bytes of the context by which the Raft library names a read.
+// readContextSize is the size in bytes of the context that identifies a read in the Raft library.
 const readContextSize = 16
 
-// The reasons for which a request can't be confirmed by a quorum. Clients and operators see these texts.
+// The reasons why a quorum could not confirm a read. Clients and operators see these texts.
 var (
 	errNoLeader = errors.New("no voter leads: no quorum can be reached from here")
 	errNoQuorum = errors.New("no quorum has answered in time")
 )
 
-// linearizableRead waits until a quorum has confirmed how far the log had come at its start, and until all of that is
-// applied here (ReadIndex; Ongaro's thesis, 6.4).
+// linearizableRead waits until a quorum has confirmed the commit index at its start, and until the log is applied here
+// up to that index (ReadIndex; Ongaro, "Consensus: Bridging Theory and Practice", section 6.4).
 type linearizableRead struct {
-	done       func(err error) // called once; it does not block
+	done       func(err error) // called exactly once; must not block
 	start      time.Time
 	lastSent   time.Time // when a quorum was last asked
 	deadline   time.Time
-	startIndex uint64 // of the log at the start, once confirmed
+	startIndex uint64 // commit index at the start; set when a quorum has confirmed it
 }
 
-// reads are the linearizable reads under way. One is first unconfirmed, then unapplied; each ends exactly once.
+// reads are the linearizable reads in progress. A read is in unconfirmed until a quorum has confirmed its index, and
+// then in unapplied until that index is applied. Each read ends exactly once.
 type reads struct {
 	voter       uint64 // this server's member id
 	lastNumber  uint64
 	unconfirmed map[uint64]*linearizableRead // by number
 	unapplied   []*linearizableRead
-	// confirmedAt is the start of the newest read that has finished: all that was committed by then is applied here.
-	// Zero: no read has finished.
+	// confirmedAt is the latest start of a finished read: everything committed before that time is applied here. It
+	// is zero if no read has finished.
 	confirmedAt time.Time
 }
 
-// newReads begins to count reads at a random number: an answer to one of an earlier process of this member must not
-// pass for one to a read of this process.
+// newReads returns an empty set of reads. Their numbers start at a random one, so that a late confirmation of a read by
+// an earlier process of this member is not taken for one of this process.
 func newReads(voter uint64) reads {
 	return reads{voter: voter, lastNumber: rand.Uint64(), unconfirmed: map[uint64]*linearizableRead{}}
 }
 
-// begin adds a read. It returns the context by which the Raft library is to be asked.
+// begin adds a read. It returns the context to pass to the Raft library.
 func (r *reads) begin(now time.Time, timeout time.Duration, done func(error)) []byte {
 	r.lastNumber++
 	r.unconfirmed[r.lastNumber] = &linearizableRead{done: done, start: now, lastSent: now, deadline: now.Add(timeout)}
 	return r.encodeContext(r.lastNumber)
 }
 
-// encodeContext names a read. It holds the voter too, since a leader takes two of one context for one read.
+// encodeContext returns the context of a read. It includes the voter's id, since the leader treats reads with equal
+// contexts as one read.
 func (r *reads) encodeContext(number uint64) []byte {
 	encoded := make([]byte, 0, readContextSize)
 	return binary.BigEndian.AppendUint64(binary.BigEndian.AppendUint64(encoded, r.voter), number)
 }
 
-// confirmed notes the index that a quorum has confirmed for a read; it reports whether the context names one under way.
+// confirmed records the index that a quorum has confirmed for a read. It reports whether the context is that of an
+// unconfirmed read.
 func (r *reads) confirmed(context []byte, index uint64) bool {
 	if len(context) != readContextSize {
 		return false
@@ -77,7 +80,7 @@
 	return true
 }
 
-// finishApplied ends the reads whose index is applied by now.
+// finishApplied ends the reads whose index is applied, given the index of the last applied entry.
 func (r *reads) finishApplied(applied uint64) {
 	waiting := r.unapplied[:0]
 	var finished []*linearizableRead
@@ -97,7 +100,7 @@
 	}
 }
 
-// expire ends the reads whose time is over with errNoQuorum.
+// expire ends, with errNoQuorum, the reads whose deadline has passed.
 func (r *reads) expire(now time.Time) {
 	for number, read := range r.unconfirmed {
 		if now.After(read.deadline) {
@@ -120,8 +123,8 @@
 	}
 }
 
-// retries returns the contexts of reads to ask for again: a change of the leader, or a link that breaks, may have lost
-// the question or its answer.
+// retries returns the contexts of reads to request again: a change of the leader or a broken link may have lost the
+// request or the confirmation.
 func (r *reads) retries(now time.Time) [][]byte {
 	var contexts [][]byte
 	for number, read := range r.unconfirmed {
@@ -133,18 +136,19 @@
 	return contexts
 }
 
-// age returns the time since confirmedAt; longAgo where that is zero.
+// age returns the time since confirmedAt, or unknownAge if no read has finished.
 func (r *reads) age() time.Duration {
 	if r.confirmedAt.IsZero() {
-		return longAgo
+		return unknownAge
 	}
 	return time.Since(r.confirmedAt)
 }
 
-// longAgo stands for a moment that never was.
-const longAgo = 1000 * time.Hour
+// unknownAge is the time since an event that has not happened yet: longer than any timeout.
+const unknownAge = 1000 * time.Hour
 
-// read calls done once all that was committed before is applied here, or with errNoLeader or errNoQuorum.
+// read starts a linearizable read. It calls done with nil when everything committed before the call is applied here,
+// and otherwise with errNoLeader or errNoQuorum.
 func (c *core) read(timeout time.Duration, done func(err error)) {
 	now := time.Now()
 	if c.node == nil || !c.leaderKnown() || c.diskStalled(now) {
@@ -154,14 +158,14 @@
 	c.node.ReadIndex(c.reads.begin(now, timeout, done))
 }
 
-// readConfirmed goes on with a read that a quorum has answered.
+// readConfirmed handles the confirmation of a read by a quorum.
 func (c *core) readConfirmed(confirmed raft.ReadState) {
 	if c.reads.confirmed(confirmed.RequestCtx, confirmed.Index) {
 		c.reads.finishApplied(c.applied)
 	}
 }
 
-// retryReads ends reads whose time is over and asks a quorum again for those without an answer.
+// retryReads ends expired reads and repeats the requests of unconfirmed ones.
 func (c *core) retryReads(now time.Time) {
 	c.reads.expire(now)
 	if c.node == nil || !c.leaderKnown() {
--- a/internal/coordination/server/reads_test.go
+++ b/internal/coordination/server/reads_test.go
@@ -70,7 +70,7 @@
 	if len(later) != 0 || len(all.unconfirmed) != 1 || len(all.unapplied) != 0 {
 		t.Errorf("one that has time ended: %v", later)
 	}
-	if !all.confirmedAt.IsZero() || all.age() != longAgo {
+	if !all.confirmedAt.IsZero() || all.age() != unknownAge {
 		t.Error("a read that timed out counts as confirmed")
 	}
 }
--- a/internal/coordination/server/ready.go
+++ b/internal/coordination/server/ready.go
@@ -10,9 +10,9 @@
 	"go.etcd.io/raft/v3/raftpb"
 )
 
-// processReady does what the Raft node asks for, until it asks for nothing more: writes go to the disk writer, messages
-// to the peers, and committed entries are applied. Messages to the two local threads carry the responses that are owed
-// once their work is done (raft.Config.AsyncStorageWrites).
+// processReady processes the Raft node's output until there is none left: it hands writes to the disk writer, sends
+// messages to the peers and applies committed entries. Writes and entries to apply come as messages to two local
+// threads; each carries the responses to deliver after the write or the application (raft.Config.AsyncStorageWrites).
 func (c *core) processReady() {
 	for c.node != nil && c.node.HasReady() {
 		ready := c.node.Ready()
@@ -32,7 +32,7 @@
 	}
 }
 
-// processMessage does what one message of the Raft node asks for. After an error the server can't go on.
+// processMessage handles one message of the Raft node's output. After an error the server has to stop.
 func (c *core) processMessage(message *raftpb.Message) error {
 	switch message.GetTo() {
 	case raft.LocalAppendThread:
@@ -48,7 +48,7 @@
 	return nil
 }
 
-// deliver hands messages to their receivers: to the Raft node here, or to peers.
+// deliver passes messages to their receivers: this server's Raft node or peers.
 func (c *core) deliver(messages []*raftpb.Message) {
 	for _, message := range messages {
 		if message.GetTo() == c.id() {
@@ -59,7 +59,7 @@
 	}
 }
 
-// step hands the Raft node a message. What it refuses is out of date.
+// step passes a message to the Raft node. A message that the node rejects is out of date and is ignored.
 func (c *core) step(message *raftpb.Message) {
 	if err := c.node.Step(message); err != nil && !errors.Is(err, raft.ErrProposalDropped) {
 		slog.Debug("message ignored", "type", message.GetType(), "err", err)
@@ -69,7 +69,7 @@
 	}
 }
 
-// messageWritten goes on with a MsgStorageAppend that the disk has. After an error the server can't go on.
+// messageWritten completes a MsgStorageAppend that is on disk. After an error the server has to stop.
 func (c *core) messageWritten(message *raftpb.Message) error {
 	if snapshot := message.GetSnapshot(); !raft.IsEmptySnap(snapshot) {
 		if err := c.snapshotReceived(snapshot); err != nil {
@@ -83,26 +83,26 @@
 	return nil
 }
 
-// snapshotReceived replaces the state by a snapshot of the leader's, unless the log has come further.
+// snapshotReceived replaces the state with the leader's snapshot, unless the log already has a newer one.
 func (c *core) snapshotReceived(snapshot *raftpb.Snapshot) error {
 	outOfDate := c.log.ApplySnapshot(snapshot) != nil // raft.ErrSnapOutOfDate
 	if outOfDate {
 		return nil
 	}
 	if err := c.restore(snapshot); err != nil {
-		return fmt.Errorf("a snapshot: %w", err)
+		return fmt.Errorf("snapshot from the leader: %w", err)
 	}
 	c.stateReplaced()
 	return nil
 }
 
-// writeSnapshotIfDue hands the state to the disk once enough was applied since the last time.
+// writeSnapshotIfDue queues a snapshot of the state for writing if enough entries were applied since the last one.
 func (c *core) writeSnapshotIfDue() {
 	if c.confState == nil || !c.snapshots.due(c.applied) {
 		return
 	}
 	snapshot, err := c.currentSnapshot()
-	if err != nil { // it is tried again with the next entries
+	if err != nil { // retried with the next entries
 		return
 	}
 	keepFrom := c.snapshots.begin(c.applied)
--- a/internal/coordination/server/recover.go
+++ b/internal/coordination/server/recover.go
@@ -12,12 +12,12 @@
 	"olivearch/internal/coordination/state"
 )
 
-// errNoCluster is wrapped by errors about a folder that no cluster has been written to yet.
+// errNoCluster is wrapped by errors about a folder that has not been assigned to a cluster.
 var errNoCluster = errors.New("the folder belongs to no cluster yet")
 
-// openStopped opens a folder that no process uses, and applies its whole log, committed or not. The caller closes the
-// store.
-func openStopped(folder, name string) (*store, *content, *state.State, error) {
+// openOffline opens the folder of a server that is not running, and applies its whole log, including uncommitted
+// entries. The caller must close the store.
+func openOffline(folder, name string) (*store, *folderContent, *state.State, error) {
 	opened, loaded, err := openStore(folder, name, rand.Uint64)
 	if err != nil {
 		return nil, nil, nil, err
@@ -32,8 +32,8 @@
 	return opened, loaded, applied, nil
 }
 
-// applyAll applies the commands of the log to the state of the snapshot. Membership changes are left out.
-func (c *content) applyAll() (*state.State, error) {
+// applyAll applies the commands of the log to the state of the snapshot. It skips membership changes.
+func (c *folderContent) applyAll() (*state.State, error) {
 	applied := state.NewState()
 	if !raft.IsEmptySnap(c.snapshot) {
 		decoded, err := state.DecodeState(c.snapshot.GetData())
@@ -52,16 +52,16 @@
 			_, err = applied.Apply(entry.GetIndex(), envelope.Clock, envelope.Command)
 		}
 		if err != nil {
-			return nil, fmt.Errorf("entry %d: %w", entry.GetIndex(), err)
+			return nil, fmt.Errorf("apply log entry %d: %w", entry.GetIndex(), err)
 		}
 	}
 	return applied, nil
 }
 
-// Inspect describes what the folder of a server that does not run holds, as a text for operators. The error wraps
-// ErrDamaged, ErrForeignFolder or ErrDisk where these are the cause.
+// Inspect describes the content of the folder of a server that is not running, in a text for operators. Errors wrap
+// ErrDamaged, ErrForeignFolder or ErrDisk if one of these is the cause.
 func Inspect(folder, name string) (string, error) {
-	opened, loaded, applied, err := openStopped(folder, name)
+	opened, loaded, applied, err := openOffline(folder, name)
 	if err != nil {
 		return "", err
 	}
@@ -70,9 +70,9 @@
 }
 
 // describe returns the text of Inspect.
-func describe(who identity, loaded *content, applied *state.State) string {
+func describe(owner identity, loaded *folderContent, applied *state.State) string {
 	var text strings.Builder
-	fmt.Fprintf(&text, "voter %s, member %x of cluster %x\n", who.Name, who.ID, who.Cluster)
+	fmt.Fprintf(&text, "voter %s, member %x of cluster %x\n", owner.Name, owner.ID, owner.Cluster)
 	fmt.Fprintf(&text, "the log ends at %d (term %d), and all up to %d was known to be held by a majority\n",
 		loaded.lastIndex(), loaded.hardState.GetTerm(), loaded.hardState.GetCommit())
 	fmt.Fprintf(&text, "%d words, %d bounds, %d bytes of %d\n",
@@ -80,12 +80,12 @@
 	return text.String()
 }
 
-// Recover makes a folder that of a new cluster with this one voter, after a majority of the voters has been lost for
-// good, and returns a text for operators. All that the log holds counts as granted, also what no majority had; what it
-// does not hold is lost. Leases end no sooner than before, and fencing tokens go on growing. Errors are those of
-// Inspect.
+// Recover assigns a folder to a new cluster with this server as its only voter, and returns a text for operators. It is
+// for use after a majority of the voters was lost for good. All commands in the log take effect, including those that
+// no majority had stored. Commands that are not in the log are lost. Leases end no sooner than before, and fencing
+// tokens keep increasing. Errors are those of Inspect.
 func Recover(folder, name, address string) (string, error) {
-	opened, loaded, applied, err := openStopped(folder, name)
+	opened, loaded, applied, err := openOffline(folder, name)
 	if err != nil {
 		return "", err
 	}
@@ -103,10 +103,10 @@
 		ConfState: &raftpb.ConfState{Voters: []uint64{self.ID}},
 	}}
 	hardState := &raftpb.HardState{Term: new(term), Vote: new(uint64(0)), Commit: new(last + 1)}
-	if err := opened.append(batch{snapshot: snapshot, reset: true}); err != nil {
+	if err := opened.writeBatch(batch{snapshot: snapshot, dropLog: true}); err != nil {
 		return text, err
 	}
-	if err := opened.begin(generateClusterID(), snapshot, hardState); err != nil {
+	if err := opened.assignCluster(generateClusterID(), snapshot, hardState); err != nil {
 		return text, err
 	}
 	return text + fmt.Sprintf("it goes on as member %x of cluster %x, alone. "+
@@ -115,7 +115,7 @@
 		opened.identity.ID, opened.identity.Cluster, last), nil
 }
 
-// replaceMembers makes one server the only member.
+// replaceMembers makes one server the only member in the state.
 func replaceMembers(applied *state.State, revision uint64, only state.Member) error {
 	for _, member := range applied.Members() {
 		_, err := applied.Apply(revision, applied.Clock(), &state.UnregisterMember{ID: member.ID})
--- a/internal/coordination/server/replica.go
+++ b/internal/coordination/server/replica.go
@@ -13,26 +13,26 @@
 
 // Settings of the Raft library.
 const (
-	electionTicks  = 12 // 0.6 to 1.2 s without a heartbeat of the leader
+	electionTicks  = 12 // election after 0.6 to 1.2 s without a heartbeat
 	heartbeatTicks = 3
-	// maxMessageBytes bounds the entries of one message, and those that are applied at once.
+	// maxMessageBytes bounds the entries in one message, and those that are applied together.
 	maxMessageBytes = 1 << 20
-	// maxUncommittedBytes bounds the log's entries that no quorum has yet.
+	// maxUncommittedBytes bounds the uncommitted entries in the leader's log.
 	maxUncommittedBytes = 8 << 20
 	maxInflightMessages = 256
 )
 
-// progress is what the leader knows of a member's log.
+// progress is the leader's record of a member's log.
 type progress = tracker.Progress
 
-// replica is the Raft node with its log and the state machine. The state is that of the entry applied, and confState
-// that of the membership at it; both come from one snapshot and the entries after it.
+// replica is the Raft node with its log and the state machine. state and confState are the state and Raft's
+// configuration after the entry with index applied. Both result from the same snapshot and the entries after it.
 type replica struct {
 	log       *raft.MemoryStorage
-	node      *raft.RawNode // nil: the server belongs to no cluster yet
+	node      *raft.RawNode // nil until the server belongs to a cluster
 	confState *raftpb.ConfState
 	state     *state.State
-	applied   uint64 // index of the last entry that is in the state
+	applied   uint64 // index of the last applied entry
 	snapshots snapshotSchedule
 }
 
@@ -40,8 +40,9 @@
 	return replica{log: raft.NewMemoryStorage(), state: state.NewState()}
 }
 
-// load takes over what a folder holds. An error about its state wraps ErrDamaged.
-func (r *replica) load(loaded *content) error {
+// load initialises the log and the state from the folder's content. The error wraps ErrDamaged if the state in the
+// snapshot can't be restored.
+func (r *replica) load(loaded *folderContent) error {
 	if !raft.IsEmptySnap(loaded.snapshot) {
 		if err := r.log.ApplySnapshot(loaded.snapshot); err != nil {
 			return err
@@ -82,7 +83,7 @@
 	return err
 }
 
-// restore replaces the state by a snapshot's.
+// restore replaces the state with that of a snapshot.
 func (r *replica) restore(snapshot *raftpb.Snapshot) error {
 	decoded, err := state.DecodeState(snapshot.GetData())
 	if err != nil {
@@ -98,7 +99,7 @@
 	return nil
 }
 
-// currentSnapshot returns a snapshot of the state as it is.
+// currentSnapshot returns a snapshot of the current state.
 func (r *replica) currentSnapshot() (*raftpb.Snapshot, error) {
 	term, err := r.log.Term(r.applied)
 	if err != nil {
@@ -110,26 +111,26 @@
 	}}, nil
 }
 
-// snapshotWritten drops from memory what a snapshot on the disk holds.
+// snapshotWritten drops log entries from memory after a snapshot that covers them was written to disk.
 func (r *replica) snapshotWritten(snapshot *raftpb.Snapshot, keepFrom uint64) {
 	r.snapshots.written()
 	metadata := snapshot.GetMetadata()
 	_, err := r.log.CreateSnapshot(metadata.GetIndex(), metadata.GetConfState(), snapshot.GetData())
-	if err != nil { // a newer one has come from the leader
+	if err != nil { // a newer snapshot has been received from the leader
 		return
 	}
-	_ = r.log.Compact(keepFrom) // it fails where a newer snapshot has dropped as much
+	_ = r.log.Compact(keepFrom) // fails if a newer snapshot has dropped these entries already
 }
 
-// matchIndexes returns, by member id, the index up to which the member's log is known to match the leader's. Only the
-// leader knows it.
+// matchIndexes returns, by member id, the index up to which the member's log is known to match the leader's. It is
+// empty on other servers.
 func (r *replica) matchIndexes() map[uint64]uint64 {
 	matches := map[uint64]uint64{}
 	r.node.WithProgress(func(id uint64, _ raft.ProgressType, p progress) { matches[id] = p.Match })
 	return matches
 }
 
-// voterMatchIndexes returns the match indexes of the members that vote.
+// voterMatchIndexes returns the match indexes of the voters.
 func (r *replica) voterMatchIndexes() []uint64 {
 	var matches []uint64
 	r.node.WithProgress(func(_ uint64, kind raft.ProgressType, p progress) {
@@ -140,14 +141,15 @@
 	return matches
 }
 
-// logStorage is the log as the Raft library reads it.
+// logStorage is the raft.Storage from which the Raft library reads the log and snapshots.
 type logStorage struct {
 	*raft.MemoryStorage
 	replica *replica
 }
 
-// Snapshot implements raft.Storage. The snapshot for a member that lags is of the state as it is, not the last one that
-// was written: it has to name that member, which would refuse one that was made before it joined for ever.
+// Snapshot implements raft.Storage. It returns a snapshot of the current state instead of the last one written. A
+// snapshot for a lagging member must include that member in its configuration: the member would reject an older one
+// every time.
 func (l logStorage) Snapshot() (*raftpb.Snapshot, error) {
 	if l.replica.confState == nil {
 		return l.MemoryStorage.Snapshot()
--- a/internal/coordination/server/requests.go
+++ b/internal/coordination/server/requests.go
@@ -12,29 +12,29 @@
 	"olivearch/internal/coordination/state"
 )
 
-// defaultRequestTimeout applies to requests that name no timeout.
+// defaultRequestTimeout applies to requests without a timeout.
 const defaultRequestTimeout = time.Second
 
-// maxForwardHops is how many times a request may be forwarded to the leader.
+// maxForwardHops bounds how many times a request may be forwarded.
 const maxForwardHops = 1
 
-// request is the event of a request received from a client.
+// request is the event that a request from a client was received.
 type request struct {
 	client.Request
 	respond responder
 }
 
-// reject responds that the request is refused for good.
+// reject responds that the request is rejected; a retry would be rejected too.
 func (r request) reject(reason string) {
 	r.respond(client.Response{Outcome: client.OutcomeRejected, Message: reason})
 }
 
-// respondNotAttempted responds that nothing was done: another server, or this one later, may do it.
+// respondNotAttempted responds that the request had no effect, and may succeed at another server or later.
 func (r request) respondNotAttempted(reason string) {
 	r.respond(client.Response{Outcome: client.OutcomeNotAttempted, Message: reason})
 }
 
-// respondDone responds that it is done.
+// respondDone responds that the request succeeded.
 func (r request) respondDone() { r.respond(client.Response{Outcome: client.OutcomeDone}) }
 
 // apply implements event.
@@ -62,21 +62,21 @@
 	case client.OpIdentify:
 		req.respondDone()
 	case client.OpBootstrap:
-		c.joinBootstrap(req)
+		c.handleBootstrap(req)
 	case client.OpJoin:
-		c.requestJoin(req)
+		c.handleJoin(req)
 	case client.OpDeclareLost:
-		c.declareLost(req)
+		c.handleDeclareLost(req)
 	case client.OpStatus:
 		c.reportStatus(req)
 	default:
-		req.reject(fmt.Sprintf("there is no verb %d", req.Operation))
+		req.reject(fmt.Sprintf("there is no operation %d", req.Operation))
 	}
 }
 
-// stale reports whether a request has waited for longer than its client does, in this process, stopped, or on a link
-// that was cut: the client has given up, and may have asked for something else since. Times are uptimes in
-// milliseconds.
+// stale reports whether a request was delayed for longer than its client waits, for example by a suspended process or a
+// broken link. The client has given up such a request and may have sent a different one since. delay and now are in
+// milliseconds; now is the server's uptime.
 func (r request) stale(now uint64) (delay uint64, stale bool) {
 	if r.Tick == 0 || now <= r.Tick+uint64((r.Within+client.StaleAfter)/time.Millisecond) {
 		return 0, false
@@ -84,7 +84,7 @@
 	return now - r.Tick, true
 }
 
-// withServerIdentity adds to each response which server gives it.
+// withServerIdentity returns a responder that adds this server's identity and its known leader to the response.
 func (c *core) withServerIdentity(respond responder) responder {
 	return func(response client.Response) {
 		response.Name, response.ID = c.Name, c.id()
@@ -94,7 +94,7 @@
 	}
 }
 
-// readState responds with the state as a quorum knows it.
+// readState responds with the state after a linearizable read.
 func (c *core) readState(req request) {
 	c.read(req.Within, func(err error) {
 		if err != nil {
@@ -105,7 +105,7 @@
 	})
 }
 
-// localState returns a response with the state that is stored here, however old.
+// localState returns a response with this server's copy of the state, which may be out of date, and its age.
 func (c *core) localState() client.Response {
 	return client.Response{
 		Outcome: client.OutcomeDone,
@@ -115,7 +115,7 @@
 	}
 }
 
-// reportStatus responds with the status as JSON.
+// reportStatus responds with the server's status as JSON.
 func (c *core) reportStatus(req request) {
 	encoded, err := json.Marshal(c.status(time.Now()))
 	if err != nil {
@@ -125,8 +125,8 @@
 	req.respond(client.Response{Outcome: client.OutcomeDone, Body: encoded})
 }
 
-// redirect forwards a request to the leader or responds that none can be reached. It returns false where this server is
-// the leader and has to serve the request itself.
+// redirect forwards a request to the leader, or responds that it was not attempted if that is impossible. It returns
+// false, and does neither, if this server is a ready leader and has to serve the request itself.
 func (c *core) redirect(req request) bool {
 	now := time.Now()
 	switch {
@@ -148,13 +148,13 @@
 	return true
 }
 
-// diskStall returns for how long the disk has not answered, rounded for messages.
+// diskStall returns how long the disk has not confirmed a write, rounded for messages.
 func (c *core) diskStall(now time.Time) time.Duration {
 	return c.writer.pendingFor(now).Round(time.Millisecond)
 }
 
-// forward sends a request to the leader and responds with its answer, or with what is known without one. It is a
-// goroutine of its own.
+// forward sends a request to the leader and responds with the leader's response. Without one, it responds that the
+// request was not attempted or that its outcome is uncertain. It runs in its own goroutine.
 func (c *core) forward(req request, leader string) {
 	ctx, cancel := context.WithTimeout(c.ctx, req.Within)
 	defer cancel()
@@ -203,7 +203,7 @@
 	c.proposals.add(envelope.ID, added)
 }
 
-// decodeProposable decodes and checks a command that clients may propose.
+// decodeProposable decodes and checks a command. It returns an error for commands that only servers may propose.
 func decodeProposable(encoded []byte) (state.Command, error) {
 	command, err := state.Decode(encoded)
 	if err != nil {
@@ -218,12 +218,12 @@
 	return command, nil
 }
 
-// proposeInternal proposes a command of the cluster's own, for which nobody waits.
+// proposeInternal proposes a command of the server itself, without waiting for the result.
 func (c *core) proposeInternal(command state.Command) {
-	_ = c.node.Propose(c.envelope(command).Encode()) // where it is dropped, the next review proposes it again
+	_ = c.node.Propose(c.envelope(command).Encode()) // if it is dropped, the next review proposes it again
 }
 
-// envelope gives a command an id and the time at which it is proposed.
+// envelope returns a command with a random id and the current value of the cluster's clock.
 func (c *core) envelope(command state.Command) state.Envelope {
 	return state.Envelope{ID: rand.Uint64(), Clock: c.leadership.clock.at(time.Now()), Command: command}
 }
--- a/internal/coordination/server/server.go
+++ b/internal/coordination/server/server.go
@@ -1,9 +1,12 @@
-// Package server is a server of the coordination cluster: the replicated log, by the Raft library of etcd
-// (go.etcd.io/raft; Ongaro and Ousterhout, "In Search of an Understandable Consensus Algorithm", 2014), its folder on a
-// disk (bbolt), its links to the other servers, and the service to clients and followers.
+// Package server implements a coordination server: it replicates the log of commands with etcd's Raft library
+// (go.etcd.io/raft; Ongaro and Ousterhout, "In Search of an Understandable Consensus Algorithm", 2014), stores the log
+// in a folder on disk (bbolt), and serves peers, clients and followers. The program olivearch-coordinator runs it.
 //
-// One goroutine owns the state and never blocks: see core. Others wait for the disk (diskWriter), for peers
-// (peerLinks), for clients and for followers, and hand the core events.
+// Package state decides which commands are granted, and package membership who the voters are. Package client has the
+// messages and the callers' side.
+//
+// One goroutine owns the state and never blocks, see core. Other goroutines wait for the disk (diskWriter) and for
+// connections, and submit events to it.
 package server
 
 import (
@@ -17,20 +20,22 @@
 	"olivearch/internal/coordination/state"
 )
 
-// Config configures a server.
+// Config is the configuration of a Server.
 type Config struct {
 	Name    string
-	Address string // at which the other servers reach it
-	// Addresses maps the name of each server, this one among them, to the address at which this process reaches it.
+	Address string // the address at which the other servers reach this one
+	// Addresses maps the name of each server, including this one, to the address at which this process reaches it.
 	Addresses map[string]string
-	Folder    string // must exist; it belongs to this server alone
-	// WriteQuorum is how many voters must have a command on their disks before its client gets an answer; 0: a majority.
+	Folder    string // must exist; no other server may use it
+	// WriteQuorum is the number of voters that must have stored a command on disk before its client gets a
+	// response; 0 means a majority.
 	WriteQuorum int
-	// ReplaceAfter is for how long a voter must have been silent before an empty one of its name may replace it.
+	// ReplaceAfter is how long the leader must have received nothing from a voter before a server of the same name
+	// with an empty folder may replace it.
 	ReplaceAfter time.Duration
 }
 
-// reachableAt returns the address at which a member is reached from here.
+// reachableAt returns the address at which this process reaches a member.
 func (c *Config) reachableAt(member state.Member) string {
 	if address := c.Addresses[member.Name]; address != "" {
 		return address
@@ -49,14 +54,14 @@
 	return peers
 }
 
-// Server runs until its context ends or it can't go on.
+// Server is a coordination server on a listener.
 type Server struct {
 	core     *core
 	listener net.Listener
 }
 
-// New opens the folder, which must exist. Run closes the listener when it ends. Errors wrap ErrDamaged,
-// ErrForeignFolder or ErrDisk where these are the cause.
+// New opens the folder, which must exist. Run closes the listener when it returns. Errors wrap ErrDamaged,
+// ErrForeignFolder or ErrDisk if one of these is the cause.
 func New(config Config, listener net.Listener) (*Server, error) {
 	opened, loaded, err := openStore(config.Folder, config.Name, generateMemberID)
 	if err != nil {
@@ -69,8 +74,8 @@
 	return &Server{core: c, listener: listener}, nil
 }
 
-// Run serves. It returns nil once the context has ended. An error says why the server had to stop;
-// requests that it had not answered by then may or may not have taken effect. Run is called once.
+// Run serves until the context ends, and then returns nil. An error is the reason why the server had to stop earlier:
+// requests without a response at that time may or may not have taken effect. Run must be called only once.
 func (s *Server) Run(ctx context.Context) error {
 	ctx, cancel := context.WithCancelCause(ctx)
 	defer cancel(nil)
@@ -93,8 +98,9 @@
 	return err
 }
 
-// raftLogger passes the Raft library's log lines on: warnings and errors at their level, the rest as details. Where the
-// library wants the process to end it panics, which the core turns into an error.
+// raftLogger writes the Raft library's log lines to slog: warnings and errors at their own level, information at level
+// Debug, and debug lines not at all. Where the library asks for the process to end, the logger panics, and the core
+// turns the panic into an error.
 type raftLogger struct{ logger *slog.Logger }
 
 const raftLogMessage = "report raft event"
--- a/internal/coordination/server/server_test.go
+++ b/internal/coordination/server/server_test.go
@@ -61,9 +61,9 @@
 	return &state.SetOverride{Subject: subject, By: "test"}
 }
 
-// TestVoters runs three voters in one process, for the race detector: what several processes do is shown by fault
+// TestThreeVoters runs three voters in one process, for the race detector: what several processes do is shown by fault
 // tests.
-func TestVoters(t *testing.T) {
+func TestThreeVoters(t *testing.T) {
 	servers := newCluster(t)
 	ctx, cancel := context.WithCancel(t.Context())
 	for name, l := range servers.listeners {
@@ -87,7 +87,7 @@
 			break
 		}
 	}
-	leaseAndRenew(within, t, c)
+	checkLeaseRenewal(within, t, c)
 	if err := c.DeclareLost(within, "nobody"); err == nil {
 		t.Error("a voter that there is not has gone")
 	}
@@ -96,7 +96,7 @@
 			t.Errorf("%s: %v", name, err)
 		}
 	}
-	if o := late(t, servers.addresses["k0"]); o != client.OutcomeNotAttempted {
+	if o := sendStaleProposal(t, servers.addresses["k0"]); o != client.OutcomeNotAttempted {
 		t.Errorf("a request that has been on its way for longer than its client waited: %v", o)
 	}
 	cancel()
@@ -120,8 +120,8 @@
 	proposers.Wait()
 }
 
-// leaseAndRenew has a lease granted, another refused beside it, and the first renewed under its token.
-func leaseAndRenew(ctx context.Context, t *testing.T, c *client.Client) {
+// checkLeaseRenewal has a lease granted, another refused beside it, and the first renewed under its token.
+func checkLeaseRenewal(ctx context.Context, t *testing.T, c *client.Client) {
 	if _, err := c.Propose(ctx, &state.SetResource{Name: "b", Limit: 2}); err != nil {
 		t.Fatal(err)
 	}
@@ -138,8 +138,9 @@
 	}
 }
 
-// TestJoinerThatDies: one that had been admitted died before it learnt who the members are. Restarted, it finds them.
-func TestJoinerThatDies(t *testing.T) {
+// TestJoiningVoterRestartsWithoutMembers: one that had been admitted died before it learnt who the members are.
+// Restarted, it finds them.
+func TestJoiningVoterRestartsWithoutMembers(t *testing.T) {
 	servers := newCluster(t)
 	ctx, cancel := context.WithCancel(t.Context())
 	dies, kill := context.WithCancel(ctx)
@@ -158,7 +159,7 @@
 	<-ended
 	folder := t.TempDir()
 	s, _, err := openStore(folder, "k2", func() uint64 { return 77 })
-	if err != nil || s.begin(a.Cluster, nil, nil) != nil || s.close() != nil {
+	if err != nil || s.assignCluster(a.Cluster, nil, nil) != nil || s.close() != nil {
 		t.Fatal(err)
 	}
 	l, err := net.Listen("tcp", servers.addresses["k2"])
@@ -180,8 +181,8 @@
 	servers.servers.Wait()
 }
 
-// late sends a proposal as one whose request was written long ago, and came only now.
-func late(t *testing.T, address string) client.Outcome {
+// sendStaleProposal sends a proposal as one whose request was written long ago, and came only now.
+func sendStaleProposal(t *testing.T, address string) client.Outcome {
 	t.Helper()
 	var c net.Conn
 	var in *bufio.Reader
--- a/internal/coordination/server/snapshots.go
+++ b/internal/coordination/server/snapshots.go
@@ -1,43 +1,43 @@
 package server
 
-// When the server writes a snapshot of its own, and what it keeps of the log.
+// The intervals between a server's own snapshots, and the part of the log that stays after one.
 const (
-	snapshotEntries = 8192     // after so many entries since the last one,
-	snapshotBytes   = 16 << 20 // or so many bytes of them
-	keptEntries     = 2048     // stay in the log before a snapshot, for members that lag a little
+	snapshotIntervalEntries = 8192     // entries after which a snapshot is due
+	snapshotIntervalBytes   = 16 << 20 // bytes of entries after which a snapshot is due
+	retainedEntries         = 2048     // entries kept before a snapshot, for members that lag slightly
 )
 
-// snapshotSchedule decides when a snapshot is due. At most one is being written at a time.
+// snapshotSchedule decides when a snapshot is due. At most one snapshot is being written at a time.
 type snapshotSchedule struct {
-	lastIndex  uint64 // of the last snapshot that was begun or restored
-	bytesSince int    // of the entries that were applied since then
+	lastIndex  uint64 // index of the last snapshot that was begun or restored
+	bytesSince int    // size of the entries applied since that snapshot
 	writing    bool
 }
 
-// entryApplied counts an entry of so many bytes.
+// entryApplied adds the size of an applied entry in bytes.
 func (s *snapshotSchedule) entryApplied(size int) { s.bytesSince += size }
 
-// due reports whether a snapshot is to be written, now that the log is applied up to an index.
+// due reports whether a snapshot is due, given the index of the last applied entry.
 func (s *snapshotSchedule) due(applied uint64) bool {
 	if s.writing || applied <= s.lastIndex {
 		return false
 	}
-	return applied-s.lastIndex >= snapshotEntries || s.bytesSince >= snapshotBytes
+	return applied-s.lastIndex >= snapshotIntervalEntries || s.bytesSince >= snapshotIntervalBytes
 }
 
-// begin notes that a snapshot at an index is being written. It returns the first index that stays in the log.
+// begin records that a snapshot at an index is being written. It returns the first index to keep in the log.
 func (s *snapshotSchedule) begin(index uint64) (keepFrom uint64) {
 	*s = snapshotSchedule{lastIndex: index, writing: true}
-	if index > keptEntries {
-		return index - keptEntries
+	if index > retainedEntries {
+		return index - retainedEntries
 	}
 	return 1
 }
 
-// written notes that the disk has the snapshot.
+// written records that the snapshot is on disk.
 func (s *snapshotSchedule) written() { s.writing = false }
 
-// restored notes that the state was replaced by that of another snapshot.
+// restored records that the state was replaced with that of a snapshot at an index.
 func (s *snapshotSchedule) restored(index uint64) {
 	s.lastIndex, s.bytesSince = index, 0
 }
--- a/internal/coordination/server/snapshots_test.go
+++ b/internal/coordination/server/snapshots_test.go
@@ -9,11 +9,11 @@
 		applied  uint64
 		want     bool
 	}{
-		{"nothing applied since the last one", snapshotSchedule{lastIndex: 7, bytesSince: snapshotBytes}, 7, false},
-		{"too few entries", snapshotSchedule{lastIndex: 7}, 7 + snapshotEntries - 1, false},
-		{"enough entries", snapshotSchedule{lastIndex: 7}, 7 + snapshotEntries, true},
-		{"few entries of many bytes", snapshotSchedule{lastIndex: 7, bytesSince: snapshotBytes}, 8, true},
-		{"one is being written", snapshotSchedule{lastIndex: 7, writing: true}, 7 + snapshotEntries, false},
+		{"nothing new applied", snapshotSchedule{lastIndex: 7, bytesSince: snapshotIntervalBytes}, 7, false},
+		{"too few entries", snapshotSchedule{lastIndex: 7}, 7 + snapshotIntervalEntries - 1, false},
+		{"enough entries", snapshotSchedule{lastIndex: 7}, 7 + snapshotIntervalEntries, true},
+		{"few entries of many bytes", snapshotSchedule{lastIndex: 7, bytesSince: snapshotIntervalBytes}, 8, true},
+		{"one is being written", snapshotSchedule{lastIndex: 7, writing: true}, 7 + snapshotIntervalEntries, false},
 	}
 	for _, c := range cases {
 		if got := c.schedule.due(c.applied); got != c.want {
@@ -25,9 +25,9 @@
 func TestSnapshotKeepsEntriesForMembersThatLag(t *testing.T) {
 	cases := []struct{ index, want uint64 }{
 		{1, 1},
-		{keptEntries, 1},
-		{keptEntries + 1, 1},
-		{keptEntries + 100, 100},
+		{retainedEntries, 1},
+		{retainedEntries + 1, 1},
+		{retainedEntries + 100, 100},
 	}
 	for _, c := range cases {
 		schedule := snapshotSchedule{bytesSince: 9}
--- a/internal/coordination/server/status.go
+++ b/internal/coordination/server/status.go
@@ -10,9 +10,9 @@
 	"olivearch/internal/coordination/state"
 )
 
-// The roles that a status names. Operators and tools read them.
+// The roles in a status. Operators and tools read them.
 const (
-	roleWaiting   = "waiting" // it belongs to no cluster yet
+	roleWaiting   = "waiting" // belongs to no cluster yet
 	roleLearner   = "learner"
 	roleFollower  = "follower"
 	roleCandidate = "candidate"
@@ -26,17 +26,17 @@
 	raft.StateLeader:       roleLeader,
 }
 
-// The keys of a status's counts of grants, beside the kinds of override. Operators and tools read them.
+// The keys of the grant counts in a status, in addition to the kinds of override. Operators and tools read them.
 const (
 	grantsResources    = "bound"
 	grantsLeases       = "lease"
 	grantsReservations = "slot"
 )
 
-// noContact is the time in milliseconds since the last contact with a member of which nothing was heard yet.
+// noContact is the reported time since the last contact, in milliseconds, if there was no contact with the member yet.
 const noContact = -1
 
-// status returns the server's view of itself and of the cluster.
+// status returns the server's view of itself and the cluster.
 func (c *core) status(now time.Time) client.ServerStatus {
 	status := client.ServerStatus{
 		Name:         c.Name,
@@ -101,7 +101,7 @@
 	return status
 }
 
-// countGrants counts what is granted, by kind.
+// countGrants returns the number of grants by kind.
 func countGrants(granted *state.State) map[string]int {
 	counts := map[string]int{}
 	for _, override := range granted.Overrides() {
@@ -117,5 +117,5 @@
 	return counts
 }
 
-// formatID formats an id for operators: in hexadecimal.
+// formatID formats an id for operators, in hexadecimal.
 func formatID(id uint64) string { return fmt.Sprintf("%x", id) }
--- a/internal/coordination/server/store.go
+++ b/internal/coordination/server/store.go
@@ -14,20 +14,21 @@
 	"google.golang.org/protobuf/proto"
 )
 
-// ErrDamaged is wrapped by errors about a folder in which something stands that was not written there. Its member must
-// not vote any more: what it has granted may be lost. The folder is to be removed; a new member then replaces it.
+// ErrDamaged is wrapped by errors about a folder whose content is not what the server wrote. Votes and grants may be
+// missing from it, so its member must not vote any more. Operators have to remove the folder; a new member then
+// replaces the old one.
 var ErrDamaged = errors.New("the folder is damaged")
 
 // ErrForeignFolder is wrapped by errors about a folder that belongs to a server of another name.
 var ErrForeignFolder = errors.New("the folder is another voter's")
 
-// ErrDisk is wrapped by errors of a disk that did not do what it was asked to: nothing is known of what it has.
+// ErrDisk is wrapped by errors of a disk operation that failed, after which the content on disk is unknown.
 var ErrDisk = errors.New("the disk can't be trusted")
 
-// fileName is the one file of the folder, besides the lock.
+// fileName is the only file in the folder, apart from the lock.
 const fileName = "ledger.db"
 
-// The buckets and keys of the file. All values begin with the CRC-32C of their key and the rest (seal).
+// The buckets and keys of the file. Each value starts with a CRC-32C of its key and content (see seal).
 var (
 	bucketMeta   = []byte("meta")
 	bucketLog    = []byte("log")
@@ -38,35 +39,35 @@
 
 var castagnoli = crc32.MakeTable(crc32.Castagnoli)
 
-// logFillPercent is how full bbolt makes the pages of the log, which grows at its end only.
+// logFillPercent is the fill ratio of the log's pages in bbolt. It is high because the log grows only at its end.
 const logFillPercent = 0.9
 
-// maxIndex is above all indices of the log.
-const maxIndex = 1 << 63
+// indexLimit is greater than any index of the log.
+const indexLimit = 1 << 63
 
-// store is a server's folder: the log, its term and vote, and the last snapshot. Its methods belong to one goroutine
-// and return once the disk has what they were given. After a write error nothing is known of the disk any more: the
-// process has to end.
+// store is a server's folder, with the log, the term and vote, and the last snapshot. Only one goroutine may use it.
+// Its methods return when their data is on disk. After a write error the content on disk is unknown and the process has
+// to end.
 type store struct {
 	db       *bbolt.DB
 	path     string
-	lock     *os.File // open for as long as the store is
+	lock     *os.File // held while the store is open
 	identity identity
 }
 
-// content is all that is loaded from a folder.
-type content struct {
+// folderContent is the Raft state loaded from a folder.
+type folderContent struct {
 	hardState *raftpb.HardState
 	snapshot  *raftpb.Snapshot
 	entries   []*raftpb.Entry
 }
 
-func emptyContent() *content {
-	return &content{hardState: &raftpb.HardState{}, snapshot: &raftpb.Snapshot{}}
+func emptyFolderContent() *folderContent {
+	return &folderContent{hardState: &raftpb.HardState{}, snapshot: &raftpb.Snapshot{}}
 }
 
-// lastIndex returns the index of the last entry, which may be in the snapshot alone.
-func (c *content) lastIndex() uint64 {
+// lastIndex returns the index of the last entry in the log or in the snapshot.
+func (c *folderContent) lastIndex() uint64 {
 	last := c.snapshot.GetMetadata().GetIndex()
 	if n := len(c.entries); n > 0 {
 		last = max(last, c.entries[n-1].GetIndex())
@@ -74,10 +75,10 @@
 	return last
 }
 
-// openStore opens a server's folder, which must exist; an empty one gets a new identity under this name. All that the
-// folder holds is checked and rewritten to a new file. Errors wrap ErrDamaged, ErrForeignFolder or ErrDisk where these
-// are the cause.
-func openStore(folder, name string, generateID func() uint64) (opened *store, loaded *content, err error) {
+// openStore opens the folder of the server with this name. The folder must exist; an empty one gets a new identity. Its
+// whole content is checked and rewritten to a new file. Errors wrap ErrDamaged, ErrForeignFolder or ErrDisk if one of
+// these is the cause.
+func openStore(folder, name string, generateID func() uint64) (opened *store, loaded *folderContent, err error) {
 	path := filepath.Join(folder, fileName)
 	if info, err := os.Stat(folder); err != nil || !info.IsDir() {
 		return nil, nil, fmt.Errorf("folder %s: there is none", folder)
@@ -87,7 +88,7 @@
 		return nil, nil, err
 	}
 	var database *bbolt.DB
-	defer debug.SetPanicOnFault(debug.SetPanicOnFault(true)) // a damaged page number may lead out of the file
+	defer debug.SetPanicOnFault(debug.SetPanicOnFault(true)) // a damaged page number may point beyond the file
 	defer func() {
 		if cause := recover(); cause != nil { // bbolt panics on damaged pages
 			opened, loaded, err = nil, nil, fmt.Errorf("%w: %s: %v", ErrDamaged, path, cause)
@@ -96,7 +97,7 @@
 			return
 		}
 		if database != nil {
-			go database.Close() // it waits for what the panic has left open, perhaps for ever
+			go database.Close() // may wait forever for a transaction that the panic left open
 		}
 		lock.Close()
 	}()
@@ -117,7 +118,7 @@
 
 func (s *store) close() error { return errors.Join(s.db.Close(), s.lock.Close()) }
 
-// write changes the file in one transaction. It returns once the disk has it.
+// write changes the file in one transaction. It returns when the transaction is on disk.
 func (s *store) write(change func(*bbolt.Tx) error) error {
 	if err := injectWriteFault(s.path); err != nil {
 		return err
@@ -132,9 +133,9 @@
 	return tx.Bucket(bucketMeta).Put(keyIdentity, seal(keyIdentity, s.identity.encode()))
 }
 
-// begin makes the folder a cluster's, with the snapshot and hard state that all its voters begin with; without a
-// snapshot they come from the other voters.
-func (s *store) begin(cluster uint64, first *raftpb.Snapshot, hardState *raftpb.HardState) error {
+// assignCluster assigns the folder to a cluster, and writes the snapshot and hard state with which its voters start. If
+// the snapshot is nil, it writes neither: the other voters send them later.
+func (s *store) assignCluster(cluster uint64, first *raftpb.Snapshot, hardState *raftpb.HardState) error {
 	s.identity.Cluster = cluster
 	return s.write(func(tx *bbolt.Tx) error {
 		err := s.putIdentity(tx)
@@ -146,17 +147,17 @@
 	})
 }
 
-// batch is what is written in one transaction.
+// batch is the content of one transaction.
 type batch struct {
 	hardState *raftpb.HardState // nil: unchanged
-	entries   []*raftpb.Entry   // they replace all entries from the first one's index on
+	entries   []*raftpb.Entry   // replace all entries from the first one's index on
 	snapshot  *raftpb.Snapshot  // nil: unchanged
-	reset     bool              // the snapshot came from another server: the whole log is dropped
-	keepFrom  uint64            // with a snapshot: entries of a lower index are dropped
+	dropLog   bool              // with a snapshot: the whole log is dropped, as for a snapshot from another server
+	keepFrom  uint64            // with a snapshot: entries with a lower index are dropped
 }
 
-// append writes a batch.
-func (s *store) append(added batch) error {
+// writeBatch writes a batch in one transaction.
+func (s *store) writeBatch(added batch) error {
 	return s.write(func(tx *bbolt.Tx) error {
 		meta, log := tx.Bucket(bucketMeta), tx.Bucket(bucketLog)
 		if added.snapshot != nil {
@@ -176,7 +177,7 @@
 	})
 }
 
-// putSnapshot writes the snapshot and drops the entries that are not wanted beside it.
+// putSnapshot writes the snapshot of a batch and drops the entries that it makes unnecessary.
 func putSnapshot(meta, log *bbolt.Bucket, b batch) error {
 	if err := put(meta, keySnapshot, b.snapshot); err != nil {
 		return err
@@ -184,15 +185,15 @@
 	if err := dropEntries(log, 0, b.keepFrom); err != nil {
 		return err
 	}
-	if b.reset {
-		return dropEntries(log, 0, maxIndex)
+	if b.dropLog {
+		return dropEntries(log, 0, indexLimit)
 	}
 	return nil
 }
 
-// putEntries writes entries in the place of all from the first one's index on.
+// putEntries replaces all entries from the first new one's index on.
 func putEntries(log *bbolt.Bucket, entries []*raftpb.Entry) error {
-	if err := dropEntries(log, entries[0].GetIndex(), maxIndex); err != nil {
+	if err := dropEntries(log, entries[0].GetIndex(), indexLimit); err != nil {
 		return err
 	}
 	log.FillPercent = logFillPercent
@@ -204,7 +205,7 @@
 	return nil
 }
 
-// dropEntries drops the entries from one index up to, and without, another.
+// dropEntries deletes the entries from index from up to, but not including, index to.
 func dropEntries(log *bbolt.Bucket, from, to uint64) error {
 	cursor := log.Cursor()
 	var keys [][]byte
@@ -219,22 +220,23 @@
 	return nil
 }
 
-// logKey returns the key of an entry: its index, so that keys are in the order of the log.
+// logKey returns the key of an entry: its index in big-endian order, so that keys sort in the order of the log.
 func logKey(index uint64) []byte { return binary.BigEndian.AppendUint64(nil, index) }
 
-// checksumSize is the size in bytes of the checksum that a stored value begins with.
+// checksumSize is the size in bytes of the checksum at the start of a stored value.
 const checksumSize = 4
 
-// seal puts the checksum of key and value before the value.
+// seal returns the value with a checksum of key and value before it.
 func seal(key, value []byte) []byte {
 	sealed := make([]byte, 0, checksumSize+len(value))
 	return append(binary.BigEndian.AppendUint32(sealed, checksum(key, value)), value...)
 }
 
-// unseal checks a stored value and returns a copy of what was sealed. The error wraps ErrDamaged.
+// unseal verifies the checksum of a stored value and returns a copy of the value without it. The error wraps
+// ErrDamaged.
 func unseal(key, sealed []byte) ([]byte, error) {
 	if len(sealed) < checksumSize || checksum(key, sealed[checksumSize:]) != binary.BigEndian.Uint32(sealed) {
-		return nil, fmt.Errorf("%w: what stands under %q has another checksum than it was written with", ErrDamaged, key)
+		return nil, fmt.Errorf("%w: the checksum of the value of key %q is wrong", ErrDamaged, key)
 	}
 	return append([]byte(nil), sealed[checksumSize:]...), nil
 }
@@ -244,7 +246,7 @@
 	return crc32.Update(crc32.Checksum(key, castagnoli), castagnoli, value)
 }
 
-// get reads a message into the given one, which stays as it is where nothing is stored.
+// get decodes the stored message of a key into the given one. It leaves that unchanged if nothing is stored.
 func get(bucket *bbolt.Bucket, key []byte, into proto.Message) error {
 	sealed := bucket.Get(key)
 	if sealed == nil {
--- a/internal/coordination/server/store_load.go
+++ b/internal/coordination/server/store_load.go
@@ -12,36 +12,36 @@
 	"google.golang.org/protobuf/proto"
 )
 
-// load reads and checks the whole file; an empty one is given an identity first.
-func (s *store) load(name string, generateID func() uint64) (*content, error) {
+// load reads and checks the whole file. An empty file gets a new identity.
+func (s *store) load(name string, generateID func() uint64) (*folderContent, error) {
 	empty, err := s.checkBuckets()
 	if err != nil {
 		return nil, fmt.Errorf("%s: %w", s.path, err)
 	}
 	if empty {
 		s.identity = identity{Name: name, ID: newMemberID(name, generateID)}
-		return emptyContent(), s.create()
+		return emptyFolderContent(), s.create()
 	}
-	loaded := emptyContent()
+	loaded := emptyFolderContent()
 	err = s.db.View(func(tx *bbolt.Tx) error { return s.loadBuckets(tx, name, loaded) })
 	if err != nil {
 		return nil, fmt.Errorf("%s: %w", s.path, err)
 	}
 	last, committed := loaded.lastIndex(), loaded.hardState.GetCommit()
 	if committed > last {
-		return nil, fmt.Errorf("%s: %w: %d entries are known to be held, and the log ends at %d",
+		return nil, fmt.Errorf("%s: %w: the commit index is %d, but the log ends at %d",
 			s.path, ErrDamaged, committed, last)
 	}
 	return loaded, nil
 }
 
-// checkBuckets fails if there is a bucket of an unknown name, and reports whether there is none at all.
+// checkBuckets returns an error if a bucket has an unknown name, and reports whether there are no buckets.
 func (s *store) checkBuckets() (empty bool, err error) {
 	empty = true
 	err = s.db.View(func(tx *bbolt.Tx) error {
 		return tx.ForEach(func(name []byte, _ *bbolt.Bucket) error {
 			empty = false
-			return checkName(name, bucketMeta, bucketLog)
+			return checkKnownName(name, bucketMeta, bucketLog)
 		})
 	})
 	return empty, err
@@ -56,14 +56,14 @@
 	})
 }
 
-// loadBuckets reads identity, hard state, snapshot and log.
-func (s *store) loadBuckets(tx *bbolt.Tx, name string, loaded *content) error {
+// loadBuckets reads the identity, hard state, snapshot and log.
+func (s *store) loadBuckets(tx *bbolt.Tx, name string, loaded *folderContent) error {
 	meta, log := tx.Bucket(bucketMeta), tx.Bucket(bucketLog)
 	if log == nil || meta == nil {
-		return fmt.Errorf("%w: a part of it is missing", ErrDamaged)
+		return fmt.Errorf("%w: a bucket of its file is missing", ErrDamaged)
 	}
 	err := meta.ForEach(func(key, _ []byte) error {
-		return checkName(key, keyIdentity, keyHardState, keySnapshot)
+		return checkKnownName(key, keyIdentity, keyHardState, keySnapshot)
 	})
 	if err != nil {
 		return err
@@ -86,8 +86,8 @@
 	return loaded.loadEntries(log)
 }
 
-// loadEntries reads the log, which must have no gap, neither within it nor after the snapshot.
-func (c *content) loadEntries(log *bbolt.Bucket) error {
+// loadEntries reads the log, which must have no gap, neither within itself nor after the snapshot.
+func (c *folderContent) loadEntries(log *bbolt.Bucket) error {
 	expected := c.snapshot.GetMetadata().GetIndex() + 1
 	return log.ForEach(func(key, sealed []byte) error {
 		value, err := unseal(key, sealed)
@@ -98,7 +98,7 @@
 		if err := proto.Unmarshal(value, entry); err != nil {
 			return fmt.Errorf("%w: %w", ErrDamaged, err)
 		}
-		if len(c.entries) == 0 && entry.GetIndex() < expected { // kept before the snapshot, for members that lag
+		if len(c.entries) == 0 && entry.GetIndex() < expected { // kept before the snapshot, for lagging members
 			expected = entry.GetIndex()
 		}
 		if entry.GetIndex() != expected || binary.BigEndian.Uint64(key) != expected {
@@ -110,11 +110,11 @@
 	})
 }
 
-// checkName fails unless a name is one of those that are used. Any other was one of them before a bit of it flipped:
-// what stood under it would seem never to have been written.
-func checkName(name []byte, used ...[]byte) error {
-	if slices.ContainsFunc(used, func(one []byte) bool { return bytes.Equal(one, name) }) {
+// checkKnownName returns an error unless the name of a bucket or key is a known one. An unknown name is a known one
+// with a flipped bit. It must not be ignored: the data under it would seem never to have been written.
+func checkKnownName(name []byte, knownNames ...[]byte) error {
+	if slices.ContainsFunc(knownNames, func(known []byte) bool { return bytes.Equal(known, name) }) {
 		return nil
 	}
-	return fmt.Errorf("%w: it has a part %q", ErrDamaged, name)
+	return fmt.Errorf("%w: its file has an unknown bucket or key %q", ErrDamaged, name)
 }
--- a/internal/coordination/server/store_rewrite.go
+++ b/internal/coordination/server/store_rewrite.go
@@ -12,9 +12,9 @@
 	"go.etcd.io/bbolt"
 )
 
-// rewriteFile replaces the file, if there is one, by a copy that is synced as a whole: what an earlier process wrote
-// may be in the system's memory and not on the disk, if a sync of it failed. Only pages that can be reached are copied;
-// what they hold is checked when it is loaded.
+// rewriteFile replaces the file, if it exists, with a synced copy. After a failed sync, data that an earlier process
+// wrote may be in the page cache but not on disk. Only reachable pages are copied; their content is checked by
+// store.load.
 func rewriteFile(path string) error {
 	if _, err := os.Stat(path); errors.Is(err, os.ErrNotExist) {
 		return nil
@@ -26,7 +26,7 @@
 	if err != nil {
 		return fmt.Errorf("%w: %s: %w", ErrDamaged, path, err)
 	}
-	// Close waits for what a panic has left open, perhaps for ever.
+	// Close may wait forever for a transaction that a panic left open.
 	defer func() { go source.Close() }()
 	rewritten := path + ".new"
 	if err := os.Remove(rewritten); err != nil && !errors.Is(err, os.ErrNotExist) {
@@ -37,11 +37,11 @@
 		return err
 	}
 	if err := copyAndClose(target, source); err != nil {
-		cause := ErrDamaged // what the file holds can't be written as it stands
+		cause := ErrDamaged // bbolt can't copy the file's content
 		if errno := syscall.Errno(0); errors.As(err, &errno) {
 			cause = ErrDisk
 		}
-		return fmt.Errorf("%w: %s: writing it anew: %w", cause, path, err)
+		return fmt.Errorf("%w: rewrite %s: %w", cause, path, err)
 	}
 	if err := os.Rename(rewritten, path); err != nil {
 		return err
@@ -49,12 +49,12 @@
 	return syncFolder(filepath.Dir(path))
 }
 
-// compactTransaction is how many bytes bbolt copies in one transaction.
-const compactTransaction = 1 << 20
+// compactTransactionBytes bounds the bytes that bbolt copies in one transaction.
+const compactTransactionBytes = 1 << 20
 
-// copyAndClose copies all that can be reached, syncs the target and closes it.
+// copyAndClose copies all reachable data to the target, syncs the target and closes it.
 func copyAndClose(target, source *bbolt.DB) error {
-	err := bbolt.Compact(target, source, compactTransaction)
+	err := bbolt.Compact(target, source, compactTransactionBytes)
 	if err == nil {
 		err = target.Sync()
 	}
@@ -70,33 +70,34 @@
 	return errors.Join(folder.Sync(), folder.Close())
 }
 
-// The layout of bbolt's meta pages (the first two): a page header of 16 bytes, then magic, version, page size and flags
-// (4 bytes each), root (16), freelist, page count, transaction and checksum (8 each), in the machine's byte order.
+// The layout of bbolt's meta pages, which are the first two pages: a page header of 16 bytes, then magic, version, page
+// size and flags (4 bytes each), root (16), freelist, page count, transaction and checksum (8 each), in native byte
+// order. The offsets are in bytes from the start of the page.
 const (
-	metaPages       = 2
-	metaMagic       = 0xED0CDAED
-	metaStart       = 16
-	metaChecksumAt  = 72
-	metaPageContent = 80
+	metaPageCount      = 2
+	metaMagic          = 0xED0CDAED
+	metaOffset         = 16
+	metaChecksumOffset = 72
+	metaEnd            = 80
 )
 
-// checkMetaPages checks both meta pages. bbolt writes them in turn and takes the older one where the newer is damaged:
-// a vote or an entry would be forgotten in silence.
+// checkMetaPages checks both meta pages. bbolt writes them alternately, and would use the older one if the newer one is
+// damaged: a vote or an entry would be lost without an error.
 func checkMetaPages(path string) error {
 	file, err := os.Open(path)
 	if err != nil {
 		return err
 	}
 	defer file.Close()
-	for page := range metaPages {
-		var content [metaPageContent]byte
+	for page := range metaPageCount {
+		var content [metaEnd]byte
 		if _, err := file.ReadAt(content[:], int64(page*os.Getpagesize())); err != nil {
-			return fmt.Errorf("%w: %s: head %d: %w", ErrDamaged, path, page, err)
+			return fmt.Errorf("%w: %s: read meta page %d: %w", ErrDamaged, path, page, err)
 		}
-		magic := binary.NativeEndian.Uint32(content[metaStart:])
-		checksum := binary.NativeEndian.Uint64(content[metaChecksumAt:])
-		if magic != metaMagic || checksum != metaChecksum(content[metaStart:metaChecksumAt]) {
-			return fmt.Errorf("%w: %s: head %d has another checksum than it was written with", ErrDamaged, path, page)
+		magic := binary.NativeEndian.Uint32(content[metaOffset:])
+		checksum := binary.NativeEndian.Uint64(content[metaChecksumOffset:])
+		if magic != metaMagic || checksum != metaChecksum(content[metaOffset:metaChecksumOffset]) {
+			return fmt.Errorf("%w: %s: the magic or checksum of meta page %d is wrong", ErrDamaged, path, page)
 		}
 	}
 	return nil
--- a/internal/coordination/server/store_test.go
+++ b/internal/coordination/server/store_test.go
@@ -13,8 +13,8 @@
 	"go.etcd.io/raft/v3/raftpb"
 )
 
-// filledFolder is a folder with a snapshot and some entries, and what it holds.
-func filledFolder(t *testing.T) (folder string, want string) {
+// populatedFolder is a folder with a snapshot and some entries, and what it holds.
+func populatedFolder(t *testing.T) (folder string, want string) {
 	t.Helper()
 	folder = t.TempDir()
 	s, _, err := openStore(folder, "k1", func() uint64 { return 7 })
@@ -25,7 +25,7 @@
 		Index: new(uint64(3)), Term: new(uint64(1)),
 		ConfState: &raftpb.ConfState{Voters: []uint64{7}},
 	}}
-	if err := s.begin(99, snapshot, initialHardState()); err != nil {
+	if err := s.assignCluster(99, snapshot, initialHardState()); err != nil {
 		t.Fatal(err)
 	}
 	var entries []*raftpb.Entry
@@ -33,7 +33,7 @@
 		entries = append(entries, &raftpb.Entry{Index: new(i), Term: new(uint64(2)), Data: []byte(fmt.Sprint("entry ", i))})
 	}
 	hardState := &raftpb.HardState{Term: new(uint64(2)), Vote: new(uint64(7)), Commit: new(uint64(19))}
-	if err := s.append(batch{entries: entries, hardState: hardState}); err != nil {
+	if err := s.writeBatch(batch{entries: entries, hardState: hardState}); err != nil {
 		t.Fatal(err)
 	}
 	if err := s.close(); err != nil {
@@ -70,7 +70,7 @@
 // A bit that flips anywhere in the file is found, or changes nothing of what is stored: no vote and no promise is
 // forgotten in silence.
 func TestFlippedBits(t *testing.T) {
-	folder, want := filledFolder(t)
+	folder, want := populatedFolder(t)
 	path := filepath.Join(folder, fileName)
 	whole, err := os.ReadFile(path)
 	if err != nil {
@@ -108,8 +108,8 @@
 }
 
 // A folder is one server's: not another's, and not two processes'.
-func TestWhoseFolder(t *testing.T) {
-	folder, want := filledFolder(t)
+func TestFolderOwnership(t *testing.T) {
+	folder, want := populatedFolder(t)
 	if _, _, err := openStore(folder, "k2", func() uint64 { return 9 }); !errors.Is(err, ErrForeignFolder) {
 		t.Errorf("k1's folder opened by k2: %v", err)
 	}
