--- a/internal/coordination/server/apply_test.go
+++ b/internal/coordination/server/apply_test.go
@@ -9,7 +9,7 @@
 	"olivearch/internal/coordination/state"
 )
 
-// The commands of a membership change come back, with the clock that they were proposed at.
+// The commands of a membership change are decoded unchanged, with the clock value at their proposal.
 func TestChangeCommands(t *testing.T) {
 	commands := []state.Command{
 		&state.RegisterMember{Member: state.Member{ID: 9, Name: "k2", Address: "127.0.0.1:2"}},
@@ -17,10 +17,10 @@
 	}
 	encoded, err := decodeChangeCommands(encodeChangeCommands(42, commands))
 	if err != nil || len(encoded) != len(commands) {
-		t.Fatalf("%d commands: %v", len(encoded), err)
+		t.Fatalf("decoded %d commands: %v", len(encoded), err)
 	}
-	for i, one := range encoded {
-		envelope, err := state.DecodeEnvelope(one)
+	for i, command := range encoded {
+		envelope, err := state.DecodeEnvelope(command)
 		if err != nil || envelope.Clock != 42 || string(state.Encode(envelope.Command)) != string(state.Encode(commands[i])) {
 			t.Errorf("command %d: %+v %v", i, envelope, err)
 		}
@@ -29,11 +29,12 @@
 		t.Errorf("no commands: %d %v", len(none), err)
 	}
 	if _, err := decodeChangeCommands([]byte{0xff}); err == nil {
-		t.Error("malformed commands are read")
+		t.Error("malformed commands were decoded")
 	}
 }
 
-// Entries that are in the state already are passed over; one that can't be read ends the server.
+// Entries that a snapshot already contains are skipped; an entry that can't be decoded is an error, which ends the
+// server.
 func TestApplyEntries(t *testing.T) {
 	c := restoredCore(t)
 	entry := func(index uint64, data []byte) *raftpb.Entry {
@@ -47,11 +48,12 @@
 		t.Errorf("applied up to %d, at %d ms: %v", c.applied, c.state.Clock(), c.state.Overrides())
 	}
 	if err := c.applyEntries([]*raftpb.Entry{entry(4, []byte("garbage"))}); err == nil || c.applied != 3 {
-		t.Errorf("an entry that can't be read: %v, applied up to %d", err, c.applied)
+		t.Errorf("an entry that can't be decoded: %v, applied up to %d", err, c.applied)
 	}
 }
 
-// A leader is ready with the first entry of its own term, and counts on from the clock of the log.
+// A leader is ready once it has applied the first entry of its own term, and its clock continues from the last clock
+// value in the log.
 func TestLeaderBecomesReady(t *testing.T) {
 	c := restoredCore(t)
 	term := c.node.BasicStatus().GetTerm()
@@ -67,6 +69,6 @@
 	}
 	clock := c.leadership.clock
 	if got := clock.at(clock.startedAt.Add(250 * time.Millisecond)); got != 1250 {
-		t.Errorf("the clock is at %d ms", got)
+		t.Errorf("the clock is at %d ms, want 1250", got)
 	}
 }
--- a/internal/coordination/server/core_test.go
+++ b/internal/coordination/server/core_test.go
@@ -14,7 +14,7 @@
 	testSelf    = 7
 )
 
-// testMembers are the members of the cluster of restoredCore.
+// testMembers returns the members of the cluster of restoredCore.
 func testMembers() []state.Member {
 	return []state.Member{
 		{ID: testSelf, Name: "k1", Address: "127.0.0.1:1"},
@@ -22,13 +22,13 @@
 	}
 }
 
-// emptyCore is the core of a server that belongs to no cluster. It does not run.
+// emptyCore returns the core of a server that belongs to no cluster. It is not running.
 func emptyCore(t *testing.T) *core {
 	t.Helper()
 	return openCore(t, t.TempDir())
 }
 
-// restoredCore is the core of a server whose folder belongs to a cluster. It does not run.
+// restoredCore returns the core of a server whose folder belongs to a cluster. It is not running.
 func restoredCore(t *testing.T) *core {
 	t.Helper()
 	folder := t.TempDir()
@@ -68,7 +68,7 @@
 	return c
 }
 
-// Only a ready leader serves requests itself; what any other server says is certain not to have been done.
+// Only a ready leader serves requests itself. Any other server responds that the request was not attempted.
 func TestRedirect(t *testing.T) {
 	inCluster := restoredCore(t)
 	stalled := restoredCore(t)
@@ -80,14 +80,14 @@
 		core       *core
 		leadership leadership
 		hops       uint8
-		message    string // empty: it is served here
+		message    string // prefix of the response; empty: served here
 	}{
 		{"no cluster", emptyCore(t), leadership{}, 0, "it belongs to no cluster yet: it has just started"},
-		{"a disk that does not answer", stalled, stalled.leadership, 0, "the disk of k1 has not answered for"},
+		{"stalled disk", stalled, stalled.leadership, 0, "the disk of k1 has not answered for"},
 		{"ready", inCluster, leadership{leader: testSelf, leading: true, ready: true}, 0, ""},
 		{"just elected", inCluster, leadership{leader: testSelf, leading: true}, 0, "it has just been elected"},
 		{"no leader", inCluster, leadership{}, 0, errNoLeader.Error()},
-		{"forwarded already", inCluster, leadership{leader: 8}, maxForwardHops, "it does not lead"},
+		{"already forwarded", inCluster, leadership{leader: 8}, maxForwardHops, "it does not lead"},
 	}
 	for _, c := range cases {
 		c.core.leadership = c.leadership
@@ -109,7 +109,7 @@
 	}
 }
 
-// Which peers and followers are served, and what the others are told.
+// Clients are always served. Peers and followers are served only if they match the cluster; others get a reason.
 func TestSessionRejections(t *testing.T) {
 	outside, inside := emptyCore(t), restoredCore(t)
 	inside.applied = 5
@@ -127,32 +127,35 @@
 	}{
 		{"a client", outside, client.Hello{Role: client.RoleClient}, ""},
 		{"a member", inside, peer, ""},
-		{"a member, before there is a cluster", outside, peer, "it belongs to no cluster yet"},
+		{"a member, before the server has a cluster", outside, peer, "it belongs to no cluster yet"},
 		{
 			"a member of another cluster", inside,
 			with(peer, func(h *client.Hello) { h.Cluster = 0x64 }),
 			"this is cluster 63, not 64",
 		},
 		{
-			"one that was replaced", inside,
+			"a member that was replaced", inside,
 			with(peer, func(h *client.Hello) { h.From = 9 }),
 			"k2 with the id 9 is no member: it was replaced, or is not one yet",
 		},
 		{
-			"a member of another name", inside,
+			"a member with another name", inside,
 			with(peer, func(h *client.Hello) { h.Name = "k3" }),
 			"k3 with the id 8 is no member: it was replaced, or is not one yet",
 		},
 		{"a follower", inside, follower, ""},
 		{"a follower without a cluster", inside, with(follower, func(h *client.Hello) { h.Cluster = 0 }), ""},
-		{"a follower, too early", outside, follower, "it belongs to no cluster yet: it has just started"},
+		{
+			"a follower, before the server has a cluster", outside, follower,
+			"it belongs to no cluster yet: it has just started",
+		},
 		{
 			"a follower of another cluster", inside,
 			with(follower, func(h *client.Hello) { h.Cluster = 0x64 }),
 			"this is cluster 63, not 64",
 		},
 		{
-			"a follower that has come further", inside,
+			"a follower with a higher applied index", inside,
 			with(follower, func(h *client.Hello) { h.Applied = 6 }),
 			"applied index is 5 here, and 6 at the follower",
 		},
@@ -161,15 +164,15 @@
 	for _, c := range cases {
 		opened := c.core.openSession(nil, nil, c.hello)
 		if opened.welcome.RejectReason != c.reason || (opened.serve == nil) != (c.reason != "") {
-			t.Errorf("%s: %q", c.name, opened.welcome.RejectReason)
+			t.Errorf("%s: reject reason %q", c.name, opened.welcome.RejectReason)
 		}
 	}
 	if len(inside.followers) != 2 || len(inside.links.outgoing) != 1 || len(outside.followers) != 0 {
-		t.Error("what was rejected is served, or the reverse")
+		t.Error("a rejected session was added, or a served one was not")
 	}
 }
 
-// A server forms the cluster that it is a member of, once.
+// A server forms an announced cluster if it is one of its members, and only once.
 func TestHandleBootstrap(t *testing.T) {
 	cases := []struct {
 		name     string
@@ -179,11 +182,11 @@
 		outcome  client.Outcome
 		starting bool
 	}{
-		{"its own", restoredCore(t), testCluster, testMembers(), client.OutcomeDone, false},
-		{"another one", restoredCore(t), testCluster + 1, testMembers(), client.OutcomeRejected, false},
-		{"one without it", emptyCore(t), testCluster, testMembers()[1:], client.OutcomeRejected, false},
-		{"one without an id", emptyCore(t), 0, testMembers(), client.OutcomeRejected, false},
-		{"a new one", emptyCore(t), testCluster, testMembers(), client.OutcomeDone, true},
+		{"the server's own cluster", restoredCore(t), testCluster, testMembers(), client.OutcomeDone, false},
+		{"another cluster", restoredCore(t), testCluster + 1, testMembers(), client.OutcomeRejected, false},
+		{"without the server", emptyCore(t), testCluster, testMembers()[1:], client.OutcomeRejected, false},
+		{"without an id", emptyCore(t), 0, testMembers(), client.OutcomeRejected, false},
+		{"a new cluster", emptyCore(t), testCluster, testMembers(), client.OutcomeDone, true},
 	}
 	for _, c := range cases {
 		var outcomes []client.Outcome
@@ -195,34 +198,34 @@
 		}
 		bootstrapWith(c.cluster)
 		if len(outcomes) != 1 || outcomes[0] != c.outcome || c.core.bootstrap.inProgress != c.starting {
-			t.Errorf("%s: %v", c.name, outcomes)
+			t.Errorf("%s: outcomes %v", c.name, outcomes)
 		}
 		if !c.starting {
 			continue
 		}
 		bootstrapWith(c.cluster)
 		if outcomes[1] != client.OutcomeRejected || len(c.core.writer.queue) != 1 {
-			t.Errorf("%s is formed twice: %v", c.name, outcomes)
+			t.Errorf("%s was formed twice: outcomes %v", c.name, outcomes)
 		}
 	}
 }
 
-// All voters of a new cluster write the same first snapshot, in whatever order they learn of the members.
+// All voters of a new cluster write the same first snapshot, whatever the order of the members in the announcement.
 func TestFirstSnapshotIsTheSame(t *testing.T) {
 	members := testMembers()
-	one, err := firstSnapshot(members)
+	first, err := firstSnapshot(members)
 	if err != nil {
 		t.Fatal(err)
 	}
 	members[0], members[1] = members[1], members[0]
-	two, err := firstSnapshot(members)
+	second, err := firstSnapshot(members)
 	if err != nil {
 		t.Fatal(err)
 	}
-	if one.String() != two.String() || members[0].ID != 8 {
-		t.Errorf("%v, and %v", one, two)
+	if first.String() != second.String() || members[0].ID != 8 {
+		t.Errorf("snapshots %v and %v", first, second)
 	}
 	if _, err := firstSnapshot([]state.Member{{ID: 7}}); err == nil {
-		t.Error("a member without a name")
+		t.Error("a member without a name was accepted")
 	}
 }
--- a/internal/coordination/server/disk_writer_test.go
+++ b/internal/coordination/server/disk_writer_test.go
@@ -7,10 +7,10 @@
 	"go.etcd.io/raft/v3/raftpb"
 )
 
-// entriesOfTerm are entries of some indices, all of one term.
-func entriesOfTerm(term uint64, indices ...uint64) []*raftpb.Entry {
+// entriesOfTerm returns entries with these indexes, all of the same term.
+func entriesOfTerm(term uint64, indexes ...uint64) []*raftpb.Entry {
 	var entries []*raftpb.Entry
-	for _, index := range indices {
+	for _, index := range indexes {
 		entries = append(entries, &raftpb.Entry{Index: new(index), Term: new(term)})
 	}
 	return entries
@@ -23,11 +23,11 @@
 		want          [][2]uint64 // index and term
 	}{
 		{"nothing pending", nil, entriesOfTerm(2, 5, 6), [][2]uint64{{5, 2}, {6, 2}}},
-		{"at the end", entriesOfTerm(1, 5, 6), entriesOfTerm(2, 7), [][2]uint64{{5, 1}, {6, 1}, {7, 2}}},
-		{"over the last", entriesOfTerm(1, 5, 6), entriesOfTerm(2, 6, 7), [][2]uint64{{5, 1}, {6, 2}, {7, 2}}},
-		{"shorter than what it replaces", entriesOfTerm(1, 5, 6, 7), entriesOfTerm(2, 6), [][2]uint64{{5, 1}, {6, 2}}},
-		{"over all", entriesOfTerm(1, 5, 6), entriesOfTerm(2, 5), [][2]uint64{{5, 2}}},
-		{"from before the first", entriesOfTerm(1, 5, 6), entriesOfTerm(2, 4), [][2]uint64{{4, 2}}},
+		{"after the last", entriesOfTerm(1, 5, 6), entriesOfTerm(2, 7), [][2]uint64{{5, 1}, {6, 1}, {7, 2}}},
+		{"replaces the last", entriesOfTerm(1, 5, 6), entriesOfTerm(2, 6, 7), [][2]uint64{{5, 1}, {6, 2}, {7, 2}}},
+		{"fewer than it replaces", entriesOfTerm(1, 5, 6, 7), entriesOfTerm(2, 6), [][2]uint64{{5, 1}, {6, 2}}},
+		{"replaces all", entriesOfTerm(1, 5, 6), entriesOfTerm(2, 5), [][2]uint64{{5, 2}}},
+		{"starts before the first", entriesOfTerm(1, 5, 6), entriesOfTerm(2, 4), [][2]uint64{{4, 2}}},
 	}
 	for _, c := range cases {
 		before := slices.Clone(c.existing)
@@ -39,7 +39,7 @@
 			t.Errorf("%s: %v, want %v", c.name, got, c.want)
 		}
 		if !slices.Equal(before, c.existing) {
-			t.Errorf("%s: entries that Raft still holds were changed", c.name)
+			t.Errorf("%s: the existing entries, which Raft still uses, were changed", c.name)
 		}
 	}
 }
--- a/internal/coordination/server/fault_injection.go
+++ b/internal/coordination/server/fault_injection.go
@@ -113,7 +113,8 @@
 // member of a cluster.
 const syncsBeforeSkip = 8
 
-// syncs counts the writes after which the durable copy is due for an update. It belongs to the disk writer's goroutine.
+// syncs counts the writes after which the durable copy is due for an update. Only the goroutine that uses the store may
+// access it.
 var syncs int
 
 // injectSyncFault simulates the faults of a disk after a write. Either the sync fails, or the power fails (the process
--- a/internal/coordination/server/followers_benchmark_test.go
+++ b/internal/coordination/server/followers_benchmark_test.go
@@ -14,8 +14,8 @@
 	"olivearch/internal/coordination/state"
 )
 
-// BenchmarkFollowers measures what followers cost at rest, in one process with one voter: CPU of both sides, heap, and
-// how long an override takes until all have it.
+// BenchmarkFollowers measures the cost of idle followers in one process with one voter: CPU time of both sides, heap
+// and stack, and the time until an override has reached all followers.
 //
 //	go test -run - -bench Followers -benchtime 1x ./internal/coordination/server
 func BenchmarkFollowers(b *testing.B) {
@@ -28,7 +28,7 @@
 	}
 }
 
-// idleTime is how long the CPU at rest is measured.
+// idleTime is how long the CPU use of idle followers is measured.
 const idleTime = 5 * time.Second
 
 func measureFollowers(b *testing.B, n int) {
@@ -36,12 +36,12 @@
 	defer stop()
 	c := client.New("test", addresses)
 	defer c.Close()
-	within, end := context.WithTimeout(b.Context(), 30*time.Second)
-	defer end()
+	ctx, cancel := context.WithTimeout(b.Context(), 30*time.Second)
+	defer cancel()
 	setOverride := func(i int) {
 		override := outOfService(fmt.Sprintf("s-%08x", i))
 		override.Reason = "disk swap"
-		if _, err := c.Propose(within, override); err != nil {
+		if _, err := c.Propose(ctx, override); err != nil {
 			b.Fatal(err)
 		}
 	}
@@ -62,8 +62,8 @@
 				if count == overrides {
 					all++
 				}
-			case <-within.Done():
-				b.Fatal("not all have it")
+			case <-ctx.Done():
+				b.Fatal("an update has not reached all followers in time")
 			}
 		}
 	}
@@ -83,7 +83,7 @@
 	b.ReportMetric(float64(grown)/float64(max(n, 1)), "bytes/follower")
 }
 
-// startSingleVoter runs a cluster of one server; stop ends it and waits for its end.
+// startSingleVoter starts a cluster of one server. stop stops the server and waits until it has ended.
 func startSingleVoter(b *testing.B) (addresses map[string]string, stop func()) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -109,7 +109,7 @@
 	}
 }
 
-// cpuTime is the CPU time that this process has used.
+// cpuTime returns the CPU time that this process has used.
 func cpuTime(b *testing.B) time.Duration {
 	var u syscall.Rusage
 	if err := syscall.Getrusage(syscall.RUSAGE_SELF, &u); err != nil {
--- a/internal/coordination/server/followers_test.go
+++ b/internal/coordination/server/followers_test.go
@@ -6,7 +6,8 @@
 	"olivearch/internal/coordination/client"
 )
 
-// A follower that is too slow is disconnected with the first update that does not fit, and gets none after the gap.
+// A slow follower is disconnected at the first update that does not fit into its queue, and no later update is queued
+// after the gap.
 func TestSlowFollowerIsDisconnected(t *testing.T) {
 	slow, other := newFollower(), newFollower()
 	followers := followerSet{slow: true, other: true}
@@ -15,14 +16,14 @@
 	}
 	select {
 	case <-slow.closed:
-		t.Fatal("disconnected while its updates fit")
+		t.Fatal("the follower was disconnected although its updates fit")
 	default:
 	}
 	followers.broadcast(client.Update{Index: 1})
 	select {
 	case <-slow.closed:
 	default:
-		t.Error("it is not disconnected")
+		t.Error("the slow follower was not disconnected")
 	}
 	<-slow.updates
 	followers.broadcast(client.Update{Index: 2})
--- a/internal/coordination/server/golden_test.go
+++ b/internal/coordination/server/golden_test.go
@@ -13,10 +13,10 @@
 	"olivearch/internal/golden"
 )
 
-// goldenFolder holds a voter's folder as an earlier version wrote it.
+// goldenFolder is a voter's folder that an earlier version wrote.
 var goldenFolder = filepath.Join("testdata", "folder")
 
-// writeGoldenFolder makes a folder with a snapshot and two entries after it.
+// writeGoldenFolder writes a folder with a snapshot and two entries after it.
 func writeGoldenFolder(t *testing.T) {
 	t.Helper()
 	if err := os.MkdirAll(goldenFolder, 0o755); err != nil {
@@ -69,8 +69,8 @@
 	}
 }
 
-// TestGoldenFolder opens a voter's folder that an earlier version wrote: identity, vote, log and all that was granted
-// are there.
+// TestGoldenFolder opens a voter's folder that an earlier version wrote, and compares its identity, vote, log and state
+// with a golden file.
 func TestGoldenFolder(t *testing.T) {
 	if golden.Updating() {
 		writeGoldenFolder(t)
--- a/internal/coordination/server/membership.go
+++ b/internal/coordination/server/membership.go
@@ -13,8 +13,7 @@
 )
 
 const (
-	// joiningVoterTimeout is the time without a request to join after which a joining voter is removed from the
-	// list.
+	// joiningVoterTimeout is the time without a request to join after which a joining voter is dropped.
 	joiningVoterTimeout = 3 * time.Second
 	// membershipChangeTimeout is the time after which a proposed change that has not been applied counts as lost.
 	membershipChangeTimeout = 5 * time.Second
--- a/internal/coordination/server/membership_test.go
+++ b/internal/coordination/server/membership_test.go
@@ -8,7 +8,7 @@
 	"olivearch/internal/coordination/state"
 )
 
-// A change that was proposed and not applied counts as lost after a time, a joint configuration never does.
+// A proposed change that is not applied counts as lost after membershipChangeTimeout; a joint configuration never does.
 func TestMembershipChangeExpires(t *testing.T) {
 	start := time.Now()
 	cases := []struct {
@@ -27,13 +27,13 @@
 		tracker.changeProposed(start)
 		tracker.expire(start.Add(c.after), c.joint)
 		if tracker.changePending != c.want {
-			t.Errorf("%s: pending is %v", c.name, tracker.changePending)
+			t.Errorf("%s: changePending is %v", c.name, tracker.changePending)
 		}
 	}
 }
 
-// A joining voter is forgotten once it no longer asks, and keeps the reason for which it waits while it does.
-func TestJoiningVoterIsForgotten(t *testing.T) {
+// A joining voter is removed when its requests stop. While they continue, it keeps its reason to wait.
+func TestJoiningVoterExpires(t *testing.T) {
 	tracker, start := newMembershipTracker(), time.Now()
 	voter := membership.JoiningVoter{VoterReport: membership.VoterReport{Name: "k1", ID: 7}, Address: "one"}
 	if reason, added := tracker.joinRequested(voter, start); reason == "" || !added {
@@ -47,27 +47,27 @@
 	}
 	tracker.expire(again.Add(joiningVoterTimeout), false)
 	if kept := tracker.joining[7]; kept == nil || kept.Address != "two" {
-		t.Errorf("kept: %+v", kept)
+		t.Errorf("joining voter after two requests: %+v", kept)
 	}
 	tracker.expire(again.Add(joiningVoterTimeout+1), false)
 	if len(tracker.joining) != 0 {
-		t.Error("it is not forgotten")
+		t.Error("the joining voter was not removed")
 	}
 }
 
-// A new leader counts anew since when it could have heard a member.
+// After an election SinceAdded restarts, as the new leader could not receive messages from the members before.
 func TestPeerView(t *testing.T) {
 	tracker, start := newMembershipTracker(), time.Now()
 	member := state.Member{ID: 7, Name: "k1"}
 	peer := tracker.peer(member, 3, start)
 	if peer.SinceContact != unknownAge || peer.SinceAdded != 0 || peer.MatchIndex != 3 {
-		t.Errorf("never heard: %+v", peer)
+		t.Errorf("without contact: %+v", peer)
 	}
 	tracker.lastContact[7], tracker.levels[7], tracker.declaredLost["k1"] = start, 2, true
 	later := start.Add(time.Second)
 	peer = tracker.peer(member, 3, later)
 	if peer.SinceContact != time.Second || peer.SinceAdded != time.Second || peer.Level != 2 || !peer.DeclaredLost {
-		t.Errorf("heard: %+v", peer)
+		t.Errorf("after contact: %+v", peer)
 	}
 	tracker.leadershipGained()
 	if peer := tracker.peer(member, 3, later); peer.SinceAdded != 0 || peer.SinceContact != time.Second {
@@ -82,6 +82,6 @@
 	tracker.lastContact[5] = now
 	members := []state.Member{{ID: 1}, {ID: 2}, {ID: 3}, {ID: 4}, {ID: 5, Learner: true}}
 	if voters, reachable := tracker.countVoters(members, 1, now); voters != 4 || reachable != 2 {
-		t.Errorf("%d of %d can be reached", reachable, voters)
+		t.Errorf("%d of %d voters are reachable", reachable, voters)
 	}
 }
--- a/internal/coordination/server/peer_links.go
+++ b/internal/coordination/server/peer_links.go
@@ -47,7 +47,7 @@
 	return peerLinks{incoming: map[uint64]*peerLink{}, outgoing: map[uint64]*outbox{}}
 }
 
-// replaceOutbox returns an outbox for a member's newest connection, and closes that of the connection before.
+// replaceOutbox returns a new outbox for a member's newest connection, and closes the previous one.
 func (p *peerLinks) replaceOutbox(id uint64) *outbox {
 	if earlier := p.outgoing[id]; earlier != nil {
 		earlier.close()
@@ -107,8 +107,7 @@
 	c.links.keepOnly(others)
 }
 
-// linkToAll links to the members that another server has reported. They are used until a snapshot with the members
-// arrives.
+// linkToAll links to the members that another server has reported, for use until a snapshot with the members arrives.
 func (c *core) linkToAll(members []state.Member) {
 	for _, member := range members {
 		if member.ID != c.id() {
@@ -117,7 +116,7 @@
 	}
 }
 
-// linkTo starts to receive messages from a member, unless that runs already at the member's current address.
+// linkTo starts a receiver for a member, unless one is running already for the member's current address.
 func (c *core) linkTo(member state.Member) {
 	address := c.reachableAt(member)
 	if existing := c.links.incoming[member.ID]; existing != nil {
--- a/internal/coordination/server/server_test.go
+++ b/internal/coordination/server/server_test.go
@@ -13,7 +13,7 @@
 	"olivearch/internal/coordination/state"
 )
 
-// cluster is configured for three servers, k0 to k2, in this process.
+// cluster is the configuration of three servers, k0 to k2, that run in this process.
 type cluster struct {
 	t         *testing.T
 	addresses map[string]string
@@ -35,7 +35,7 @@
 	return c
 }
 
-// run runs a server until the context ends; the returned channel is closed when it has ended.
+// run starts a server that runs until the context ends. The returned channel is closed when the server has ended.
 func (c *cluster) run(ctx context.Context, name, folder string, writeQuorum int, l net.Listener) <-chan struct{} {
 	c.t.Helper()
 	server, err := New(Config{
@@ -55,14 +55,14 @@
 	return ended
 }
 
-// outOfService is an override of an upstream.
+// outOfService returns a command that takes an upstream out of service.
 func outOfService(upstream string) *state.SetOverride {
 	subject := state.Subject{Kind: state.OutOfService, Scope: state.ScopeUpstream, Target: upstream}
 	return &state.SetOverride{Subject: subject, By: "test"}
 }
 
-// TestThreeVoters runs three voters in one process, for the race detector: what several processes do is shown by fault
-// tests.
+// TestThreeVoters runs three voters in one process, so that the race detector covers them. Fault tests cover several
+// processes.
 func TestThreeVoters(t *testing.T) {
 	servers := newCluster(t)
 	ctx, cancel := context.WithCancel(t.Context())
@@ -75,10 +75,10 @@
 	countOverrides := func(overrides []state.Override) { counts <- len(overrides) }
 	follower := client.StartFollower("test", servers.addresses, "", countOverrides)
 	defer follower.Close()
-	within, end := context.WithTimeout(t.Context(), 30*time.Second)
-	defer end()
-	proposeConcurrently(within, t, c)
-	stored, _, err := c.Read(within)
+	reqCtx, cancelReqs := context.WithTimeout(t.Context(), 30*time.Second)
+	defer cancelReqs()
+	proposeConcurrently(reqCtx, t, c)
+	stored, _, err := c.Read(reqCtx)
 	if err != nil || len(stored.Overrides()) != 160 {
 		t.Fatalf("%v", err)
 	}
@@ -87,31 +87,31 @@
 			break
 		}
 	}
-	checkLeaseRenewal(within, t, c)
-	if err := c.DeclareLost(within, "nobody"); err == nil {
-		t.Error("a voter that there is not has gone")
+	checkLeaseRenewal(reqCtx, t, c)
+	if err := c.DeclareLost(reqCtx, "nobody"); err == nil {
+		t.Error("a voter that does not exist was declared lost")
 	}
 	for _, name := range c.Voters() {
-		if a, err := c.Call(within, name, client.Request{Operation: client.OpStatus}); err != nil || len(a.Body) == 0 {
+		if a, err := c.Call(reqCtx, name, client.Request{Operation: client.OpStatus}); err != nil || len(a.Body) == 0 {
 			t.Errorf("%s: %v", name, err)
 		}
 	}
 	if o := sendStaleProposal(t, servers.addresses["k0"]); o != client.OutcomeNotAttempted {
-		t.Errorf("a request that has been on its way for longer than its client waited: %v", o)
+		t.Errorf("a request that was delayed for longer than its client waits: outcome %v", o)
 	}
 	cancel()
 	servers.servers.Wait()
 }
 
-// proposeConcurrently sets 160 overrides from eight clients; each must be on three disks.
+// proposeConcurrently sets 160 overrides from eight goroutines. All three voters must have stored each of them.
 func proposeConcurrently(ctx context.Context, t *testing.T, c *client.Client) {
 	var proposers sync.WaitGroup
 	for i := range 8 {
 		proposers.Go(func() {
 			for k := range 20 {
 				a, err := c.Propose(ctx, outOfService(fmt.Sprintf("s-%d-%d", i, k)))
-				if err != nil || a.Stored != 3 || a.Voters != 3 { // write quorum: 3
-					t.Errorf("stored by %d of %d: %v", a.Stored, a.Voters, err)
+				if err != nil || a.Stored != 3 || a.Voters != 3 { // WriteQuorum is 3
+					t.Errorf("stored by %d of %d voters: %v", a.Stored, a.Voters, err)
 					return
 				}
 			}
@@ -120,42 +120,44 @@
 	proposers.Wait()
 }
 
-// checkLeaseRenewal has a lease granted, another refused beside it, and the first renewed under its token.
+// checkLeaseRenewal acquires a lease on the whole resource, checks that a second lease is rejected, and renews the
+// first one with the same fencing token.
 func checkLeaseRenewal(ctx context.Context, t *testing.T, c *client.Client) {
 	if _, err := c.Propose(ctx, &state.SetResource{Name: "b", Limit: 2}); err != nil {
 		t.Fatal(err)
 	}
-	one, err := c.AcquireLease(ctx, "b", "x", 2, time.Second, nil)
-	if err != nil || !one.Valid(time.Now()) {
+	lease, err := c.AcquireLease(ctx, "b", "x", 2, time.Second, nil)
+	if err != nil || !lease.Valid(time.Now()) {
 		t.Fatal(err)
 	}
 	if _, err := c.AcquireLease(ctx, "b", "y", 1, time.Second, nil); err == nil {
-		t.Error("the resource is overdrawn")
+		t.Error("a lease beyond the resource's limit was granted")
 	}
-	two, err := c.AcquireLease(ctx, "b", "x", 2, time.Second, one)
-	if err != nil || two.FencingToken != one.FencingToken {
-		t.Errorf("renewing: %+v %v", two, err)
+	renewed, err := c.AcquireLease(ctx, "b", "x", 2, time.Second, lease)
+	if err != nil || renewed.FencingToken != lease.FencingToken {
+		t.Errorf("renewed lease: %+v %v", renewed, err)
 	}
 }
 
-// TestJoiningVoterRestartsWithoutMembers: one that had been admitted died before it learnt who the members are.
-// Restarted, it finds them.
+// TestJoiningVoterRestartsWithoutMembers: a joining voter is admitted, but ends before it receives the members. Its
+// folder then belongs to the cluster but has no snapshot. After a restart the voter must find the members and be
+// promoted.
 func TestJoiningVoterRestartsWithoutMembers(t *testing.T) {
 	servers := newCluster(t)
 	ctx, cancel := context.WithCancel(t.Context())
-	dies, kill := context.WithCancel(ctx)
+	stoppable, stop := context.WithCancel(ctx)
 	servers.run(ctx, "k0", t.TempDir(), 0, servers.listeners["k0"])
 	servers.run(ctx, "k1", t.TempDir(), 0, servers.listeners["k1"])
-	ended := servers.run(dies, "k2", t.TempDir(), 0, servers.listeners["k2"])
+	ended := servers.run(stoppable, "k2", t.TempDir(), 0, servers.listeners["k2"])
 	c := client.New("test", servers.addresses)
 	defer c.Close()
-	within, end := context.WithTimeout(t.Context(), 40*time.Second)
-	defer end()
-	_, a, err := c.Read(within)
+	reqCtx, cancelReqs := context.WithTimeout(t.Context(), 40*time.Second)
+	defer cancelReqs()
+	_, a, err := c.Read(reqCtx)
 	if err != nil {
 		t.Fatal(err)
 	}
-	kill()
+	stop()
 	<-ended
 	folder := t.TempDir()
 	s, _, err := openStore(folder, "k2", func() uint64 { return 77 })
@@ -168,9 +170,9 @@
 	}
 	servers.run(ctx, "k2", folder, 0, l)
 	for {
-		state, _, err := c.Read(within)
+		state, _, err := c.Read(reqCtx)
 		if err != nil {
-			t.Fatalf("it does not come to vote: %v", err)
+			t.Fatalf("the joining voter was not promoted: %v", err)
 		}
 		if m, ok := state.Member(77); ok && !m.Learner {
 			break
@@ -181,12 +183,12 @@
 	servers.servers.Wait()
 }
 
-// sendStaleProposal sends a proposal as one whose request was written long ago, and came only now.
+// sendStaleProposal sends a proposal whose tick says that it was written long ago, and returns the outcome.
 func sendStaleProposal(t *testing.T, address string) client.Outcome {
 	t.Helper()
 	var c net.Conn
 	var in *bufio.Reader
-	for { // the server's clock has to have come beyond what a client waits
+	for { // wait until the server's uptime exceeds the delay of a stale request
 		conn, r, w, err := client.Dial(t.Context(), address, client.Hello{Role: client.RoleClient, Name: "late"})
 		if err != nil {
 			t.Fatal(err)
--- a/internal/coordination/server/snapshots_test.go
+++ b/internal/coordination/server/snapshots_test.go
@@ -12,12 +12,12 @@
 		{"nothing new applied", snapshotSchedule{lastIndex: 7, bytesSince: snapshotIntervalBytes}, 7, false},
 		{"too few entries", snapshotSchedule{lastIndex: 7}, 7 + snapshotIntervalEntries - 1, false},
 		{"enough entries", snapshotSchedule{lastIndex: 7}, 7 + snapshotIntervalEntries, true},
-		{"few entries of many bytes", snapshotSchedule{lastIndex: 7, bytesSince: snapshotIntervalBytes}, 8, true},
+		{"few large entries", snapshotSchedule{lastIndex: 7, bytesSince: snapshotIntervalBytes}, 8, true},
 		{"one is being written", snapshotSchedule{lastIndex: 7, writing: true}, 7 + snapshotIntervalEntries, false},
 	}
 	for _, c := range cases {
 		if got := c.schedule.due(c.applied); got != c.want {
-			t.Errorf("%s: due(%d) is %v", c.name, c.applied, got)
+			t.Errorf("%s: due(%d) returned %v", c.name, c.applied, got)
 		}
 	}
 }
@@ -35,11 +35,11 @@
 			t.Errorf("begin(%d) keeps from %d, want %d", c.index, got, c.want)
 		}
 		if want := (snapshotSchedule{lastIndex: c.index, writing: true}); schedule != want {
-			t.Errorf("begin(%d): %+v", c.index, schedule)
+			t.Errorf("after begin(%d): %+v", c.index, schedule)
 		}
 		schedule.written()
 		if schedule.due(c.index) || schedule.writing {
-			t.Errorf("written at %d: %+v", c.index, schedule)
+			t.Errorf("after written at %d: %+v", c.index, schedule)
 		}
 	}
 }
--- a/internal/coordination/server/store_test.go
+++ b/internal/coordination/server/store_test.go
@@ -13,7 +13,7 @@
 	"go.etcd.io/raft/v3/raftpb"
 )
 
-// populatedFolder is a folder with a snapshot and some entries, and what it holds.
+// populatedFolder returns a folder with a snapshot and some entries, and the content as readFolder returns it.
 func populatedFolder(t *testing.T) (folder string, want string) {
 	t.Helper()
 	folder = t.TempDir()
@@ -42,7 +42,7 @@
 	return folder, mustReadFolder(t, folder)
 }
 
-// mustReadFolder is what a folder holds, as text.
+// mustReadFolder returns the content of a folder as text.
 func mustReadFolder(t *testing.T, folder string) string {
 	t.Helper()
 	text, err := readFolder(folder)
@@ -67,8 +67,8 @@
 	return b.String(), nil
 }
 
-// A bit that flips anywhere in the file is found, or changes nothing of what is stored: no vote and no promise is
-// forgotten in silence.
+// A flipped bit anywhere in the file is detected or does not change the stored content, so that no vote or grant is
+// lost without an error. A truncated file is always detected.
 func TestFlippedBits(t *testing.T) {
 	folder, want := populatedFolder(t)
 	path := filepath.Join(folder, fileName)
@@ -87,7 +87,7 @@
 		got, err := readFolder(folder)
 		switch {
 		case err == nil && got != want:
-			t.Fatalf("byte %d: it holds %q", at, got)
+			t.Fatalf("byte %d: undetected change: %q", at, got)
 		case err != nil && !errors.Is(err, ErrDamaged):
 			t.Errorf("byte %d: %v", at, err)
 		case err != nil:
@@ -95,19 +95,20 @@
 		}
 	}
 	if found == 0 {
-		t.Error("nothing was found")
+		t.Error("no flipped bit was detected")
 	}
-	for _, size := range []int{0, 100, len(whole) / 2} { // cut off
+	for _, size := range []int{0, 100, len(whole) / 2} { // truncated
 		if err := os.WriteFile(path, whole[:size], 0o600); err != nil {
 			t.Fatal(err)
 		}
 		if got, err := readFolder(folder); !errors.Is(err, ErrDamaged) {
-			t.Errorf("%d bytes: %q %v", size, got, err)
+			t.Errorf("truncated to %d bytes: %q %v", size, got, err)
 		}
 	}
 }
 
-// A folder is one server's: not another's, and not two processes'.
+// A folder belongs to one server: another server can't open it, nor can two processes. Without its file, it belongs to
+// a new member.
 func TestFolderOwnership(t *testing.T) {
 	folder, want := populatedFolder(t)
 	if _, _, err := openStore(folder, "k2", func() uint64 { return 9 }); !errors.Is(err, ErrForeignFolder) {
@@ -125,10 +126,10 @@
 		t.Fatal(err)
 	}
 	if got := mustReadFolder(t, folder); got != want {
-		t.Errorf("it holds %q", got)
+		t.Errorf("the folder's content changed to %q", got)
 	}
 	if _, _, err := openStore(filepath.Join(folder, "none"), "k1", nil); err == nil {
-		t.Error("a folder that is not there was opened")
+		t.Error("a folder that does not exist was opened")
 	}
 	empty := t.TempDir()
 	a, _, err := openStore(empty, "k1", func() uint64 { return 41 })
@@ -140,11 +141,11 @@
 	}
 	b, _, err := openStore(empty, "k1", func() uint64 { return 42 })
 	if err != nil || b.identity.ID != 42 || b.close() != nil {
-		t.Errorf("an empty disk is another member: %v", err)
+		t.Errorf("an emptied folder did not get a new member id: %v", err)
 	}
 }
 
-// Recover makes one voter's folder a cluster of its own, under new ids, with all that it held.
+// Recover fails while the folder is open elsewhere, and for a folder without a cluster.
 func TestRecover(t *testing.T) {
 	folder := t.TempDir()
 	s, _, err := openStore(folder, "k1", func() uint64 { return 7 })
@@ -152,12 +153,12 @@
 		t.Fatal(err)
 	}
 	if _, err := Recover(folder, "k1", "127.0.0.1:1"); err == nil {
-		t.Error("recovered while a process has the folder")
+		t.Error("recovered a folder that is already open")
 	}
 	if err := s.close(); err != nil {
 		t.Fatal(err)
 	}
 	if _, err := Recover(folder, "k1", "127.0.0.1:1"); !errors.Is(err, errNoCluster) {
-		t.Errorf("there is nothing to recover: %v", err)
+		t.Errorf("recovered a folder without a cluster: %v", err)
 	}
 }
