--- a/balancer/api.go
+++ b/balancer/api.go
@@ -1,82 +1,86 @@
-// Package balancer makes the decisions of a load-balancing proxy for fleets of
-// HTTP servers: which upstream gets a request, whether it is sent again, queued,
-// rejected or failed, and how the endpoint list is followed. It does no I/O.
+// Package balancer makes the decisions of a load-balancing proxy in front of a
+// fleet of HTTP servers: which upstream gets a request, whether a request is
+// retried, queued, rejected or failed, and how the endpoint list is followed.
+// Each pool of the proxy owns one Balancer; the simulator adapter and the
+// emulator drive the same code. It does no I/O: connections, timers and
+// discovery calls are the owner's.
 //
 // # Contract
 //
-// One Balancer is one proxy instance. Its owner calls a method per event, from
-// one goroutine at a time, with now on any monotonic origin and never going
-// back. The Balancer answers by calling its Host during that call, never
-// outside it. It reads no clock, starts no goroutine and shares no state with
-// other Balancers; the same events with the same seed give the same actions.
+// One Balancer is one proxy instance. Its owner calls one method per event, from
+// one goroutine at a time, and passes the time of a monotonic clock as now; any
+// origin will do. The Balancer acts by calling its Host during that call, never
+// outside it. It reads no clock, starts no goroutine and shares no mutable state
+// with other Balancers; the same events with the same seed give the same actions.
 //
-// Events arrive in order: a request's RequestArrived first, then one
-// AttemptFinished for each Send, at most one ClientLeft. An AttemptFinished may
-// follow the request's final answer. Ids that are not known are passed over.
-// Memory is bounded by what the owner has open: requests, attempts and listed
-// upstreams.
+// Events arrive in order: RequestArrived first, then one AttemptFinished for each
+// Send, and at most one ClientLeft. An AttemptFinished may follow the request's
+// final answer. Events with unknown IDs are ignored. Memory is bounded by what
+// the owner has open: requests, attempts and listed upstreams.
 //
 // Every request gets exactly one final answer: a successful AttemptFinished,
 // Reject or Fail. Reject promises the client that a retry is harmless.
 //
-// # Where to read on
+// # Files
 //
-// The course of a request:
-//   - requests.go takes it from its arrival to its final answer;
-//   - interleaver.go picks the upstream of an attempt, retry.go says whether
-//     there may be one, and queue.go keeps requests that find no slot;
-//   - outcomes.go, reports.go and limits.go learn from how an attempt ended.
+// The path of a request:
+//   - requests.go handles it from its arrival to its final answer;
+//   - interleaver.go picks the upstream of an attempt, retry.go decides whether
+//     another attempt is allowed, and queue.go holds requests that find no slot;
+//   - outcomes.go, reports.go and limits.go update the upstream's state from the
+//     result of an attempt.
 //
-// What goes on beside them:
-//   - timers.go and period.go move shares and limits once a second, and
-//     responsiveness.go watches for silent upstreams at each tick;
-//   - endpoints.go follows the list, ring.go and subset.go choose from it;
-//   - idle.go leaves ticks out while nothing is open, and snapshot.go hands on
-//     what was learnt.
+// Periodic and list-driven work:
+//   - timers.go and period.go adjust shares and limits once a second;
+//   - responsiveness.go looks for unresponsive upstreams at each tick;
+//   - endpoints.go applies the endpoint list, ring.go and subset.go choose the
+//     upstreams to use;
+//   - idle.go suspends the ticks while nothing is open, and snapshot.go passes the
+//     learned state on to another Balancer.
 //
-// What is kept of an upstream has a type for each rule: share, bollingerBand,
+// The state of an upstream has one type per rule: share, bollingerBand,
 // latencyStats, concurrencyLimit, outlierDetector, slowStart and workload.
 package balancer
 
 import "time"
 
-// RequestID names one request that a client sent, so a retry has another; ids are never reused.
+// RequestID identifies one client request. A client's retry is a request of its own; IDs are never reused.
 type RequestID uint64
 
-// UpstreamID names an upstream. It carries no meaning and survives restarts.
+// UpstreamID identifies an upstream. The number has no meaning; an upstream keeps it when its process restarts.
 type UpstreamID uint32
 
-// Idempotency says whether a class may run more than once, safest first.
+// Idempotency says whether a request of a class may run more than once. Safer kinds have lower values.
 type Idempotency uint8
 
 // The kinds of idempotency.
 const (
 	Idempotent        Idempotency = iota // may run any number of times
-	IdempotentWithKey                    // a group of upstreams drops repeats for Class.DeduplicationWindow
+	IdempotentWithKey                    // upstreams of a KeyScope drop repeats within Class.DeduplicationWindow
 	NonIdempotent                        // must never run twice
 )
 
-// KeyScope says which upstreams drop the repeats of a request with an idempotency key.
+// KeyScope says which upstreams drop repeats of a request with an idempotency key that one of them has run.
 type KeyScope uint8
 
-// The scopes.
+// The key scopes.
 const (
 	KeyScopeAll KeyScope = iota
 	KeyScopeZone
 	KeyScopeCell
 )
 
-// Class is one kind of request.
+// Class describes one kind of request.
 type Class struct {
 	Name                string
-	LatencyObjective    time.Duration // answers within it earn the full weight
-	Deadline            time.Duration // the client's total wait
+	LatencyObjective    time.Duration // an answer within it has the full weight
+	Deadline            time.Duration // how long the client waits in total
 	Idempotency         Idempotency
 	KeyScope            KeyScope      // for IdempotentWithKey
-	DeduplicationWindow time.Duration // for IdempotentWithKey: how long repeats are dropped
+	DeduplicationWindow time.Duration // for IdempotentWithKey: how long upstreams drop repeats
 	Stream              bool
 	PriorityWeight      float64
-	LateWeightFactor    float64 // part of the weight of an answer between LatencyObjective and Deadline
+	LateWeightFactor    float64 // factor on the weight of an answer between LatencyObjective and Deadline
 }
 
 // Tenant is a customer with a quota.
@@ -85,69 +89,69 @@
 	Quota float64 // requests a second over all balancers
 }
 
-// Limits is what the site permits.
+// Limits says which actions the site permits, and how many.
 type Limits struct {
 	Cancel        bool
 	HealthChecks  bool
 	Hedging       bool
 	RetryAfter    bool
-	MaxRetryAfter time.Duration // longest wait a client honours
-	MaxAttempts   int
-	MaxInFlight   int // attempts in flight over all upstreams, such as connections suffice for; 0: any number
+	MaxRetryAfter time.Duration // longest Retry-After that clients honour
+	MaxAttempts   int           // per request
+	MaxInFlight   int           // attempts in flight over all upstreams, as connections allow; 0: unlimited
 }
 
-// Rules holds the figures of the rules about draining and slow start.
+// Rules holds the durations and thresholds of discovery, slow start, draining and final answers.
 type Rules struct {
-	PollInterval      time.Duration // discovery that is polled: at least this often
-	SlowStartFloor    float64       // an upstream starts at this share of capacity or more
-	SlowStartDuration time.Duration // and is warm no later than this
-	OverloadMultiple  float64       // sent over this multiple of its present capacity
-	OverloadWindow    time.Duration // for this long, an upstream that warms up is overloaded
-	DrainGrace        time.Duration // sends to a draining upstream must cease within this
-	AnswerSlack       time.Duration // slack of a final answer after the client's deadline
+	PollInterval      time.Duration // longest time between two polls of discovery
+	SlowStartFloor    float64       // least part of its capacity that an upstream has when it starts
+	SlowStartDuration time.Duration // longest time from an upstream's start until it is warm
+	OverloadMultiple  float64       // load over this multiple of its present capacity overloads a warming upstream
+	OverloadWindow    time.Duration // if it lasts for this time
+	DrainGrace        time.Duration // longest time in which a draining upstream may still get attempts
+	AnswerSlack       time.Duration // longest time from the client's deadline to the final answer
 }
 
-// WeightKind says what Upstream.Weight means.
+// WeightKind says what Upstream.Weight stands for.
 type WeightKind uint8
 
 // The weight kinds.
 const (
-	WeightNone    WeightKind = iota // always one
-	WeightNominal                   // size
-	WeightRough                     // size, approximately
-	WeightLive                      // size lowered by load some time ago
+	WeightNone    WeightKind = iota // nothing: it is always 1
+	WeightNominal                   // the server's size
+	WeightRough                     // the server's approximate size
+	WeightLive                      // the server's size, reduced by its load some time ago
 )
 
-// ReportVia says how load reports arrive.
+// ReportVia says where load reports come from.
 type ReportVia uint8
 
-// The ways of reporting.
+// The sources of load reports.
 const (
 	ReportNone         ReportVia = iota
-	ReportAnswers                // within outcomes and health checks
-	ReportHealthChecks           // within health checks only
+	ReportAnswers                // answers and health checks
+	ReportHealthChecks           // health checks only
 )
 
-// Settings is what a Balancer is told at its start.
+// Settings configures a Balancer. New and Configure take it.
 type Settings struct {
 	Zone                  string
-	Balancers             int // instances in this tier
+	Balancers             int // instances that share the upstreams
 	Rank                  int // of this instance among them, from 0
 	Classes               []Class
 	Tenants               *Tenants
-	OverQuotaWeightFactor float64 // what is left of the weight of requests over a tenant's quota
-	WeightByWork          bool    // weight counts per unit of work, not per request
-	WarmKeys              bool    // an upstream serves keys that it has seen lately with less work
+	OverQuotaWeightFactor float64 // factor on the weight of requests over a tenant's quota
+	WeightByWork          bool    // a class's weight is per unit of work, not per request
+	WarmKeys              bool    // an upstream serves keys that it has seen recently with less work
 	Limits                Limits
 	Rules                 Rules
-	PollDiscovery         bool // discovery answers only when it is polled
+	PollDiscovery         bool // discovery must be polled, as it has no watch
 	Weights               WeightKind
 	Reports               ReportVia
-	Granularity           time.Duration // least spacing of event batches
-	SuspendWhenIdle       bool          // no timer is set while there is nothing to do; decisions stay the same
+	Granularity           time.Duration // least time between two batches of events
+	SuspendWhenIdle       bool          // set no timer while nothing is open; decisions are the same
 }
 
-// State is what discovery says of an upstream.
+// State is the state of an upstream in the endpoint list.
 type State uint8
 
 // The states.
@@ -157,59 +161,59 @@
 	Removed
 )
 
-// Upstream is one entry of a discovery list.
+// Upstream is one entry of the endpoint list.
 type Upstream struct {
 	ID          UpstreamID
 	Zone        string
 	Cell        int
 	Weight      float64
-	StartedAt   time.Duration // latest start on the owner's clock; 0: long past
+	StartedAt   time.Duration // latest start of its process, on the owner's clock; 0: long ago
 	State       State
-	WarmUpShare float64 // of its budget while it warms up, where one owner runs several Balancers on it; 0: all
-	MaxInFlight int     // attempts in flight that it may have of this Balancer; 0: any number
+	WarmUpShare float64 // part of its warm-up budget, if the owner runs several Balancers on it; 0: all of it
+	MaxInFlight int     // attempts that this Balancer may have in flight there; 0: unlimited
 }
 
-// ListMode says how a list relates to the one known.
+// ListMode says how a list relates to the previous one.
 type ListMode uint8
 
 // The list modes.
 const (
 	ListDelta  ListMode = iota // changed entries only
-	ListFull                   // the whole list; what it lacks is gone
-	ListCached                 // the whole list as last known, maybe stale
-	ListFailed                 // the call failed or the watch dropped; no entries
+	ListFull                   // the whole list; upstreams that it lacks are removed
+	ListCached                 // the whole list as last known, possibly stale
+	ListFailed                 // no list: the call failed or the watch broke
 )
 
 // Request is a client's request.
 type Request struct {
 	ID     RequestID
-	Budget time.Duration // the client gives up after it
+	Budget time.Duration // time after which the client gives up
 	Class  string        // a name from Settings.Classes
 	Tenant string        // a name from Settings.Tenants, or empty
-	Key    uint64        // subject of the request, if HasKey
+	Key    uint64        // identifies the subject of the request, if HasKey
 	HasKey bool
 	Retry  bool
-	Cost   time.Duration // hint: work on a standard core; 0: unknown
+	Cost   time.Duration // estimated work, as time on a standard core; 0: unknown
 
-	BodyStreaming bool // its body is sent on as it comes: an attempt owes no answer before BodySent
+	BodyStreaming bool // its body is forwarded while it arrives: no answer is expected before BodySent
 }
 
 // Status is how an attempt or health check ended.
 type Status uint8
 
-// The statuses. Those marked * prove that the request never ran.
+// The statuses. Those marked with * prove that the request never ran.
 const (
 	OK            Status = iota
 	Error                // the upstream answered with an error
-	Rejected             // * the upstream did not look at it
+	Rejected             // * the upstream refused it unprocessed
 	Timeout              // no answer in time
 	ConnectFailed        // * no connection in time
-	Reset                // connection lost
-	Cancelled            // stopped by Cancel
-	NotSent              // * never sent
+	Reset                // the connection broke
+	Cancelled            // stopped by Host.Cancel
+	NotSent              // * not written to a connection
 )
 
-// LoadField is a bit for each value that a Load holds.
+// LoadField is a set of bits, one for each value of a Load.
 type LoadField uint8
 
 // The load fields.
@@ -222,10 +226,10 @@
 	HasErrors
 )
 
-// Load is an upstream's load report; Fields tells which values it holds.
+// Load is an upstream's load report. Fields says which values it holds.
 type Load struct {
 	Fields   LoadField
-	Util     float64 // share of CPU busy
+	Util     float64 // CPU utilisation, 0 to 1
 	Inflight float64 // requests in flight
 	Queue    float64 // requests waiting
 	Service  float64 // recent service time, ms
@@ -233,18 +237,18 @@
 	Errors   float64 // errors a second
 }
 
-// AttemptResult is the end of one attempt.
+// AttemptResult describes how one attempt ended.
 type AttemptResult struct {
 	ID       RequestID
 	Upstream UpstreamID
-	Attempt  int // order of the request's Sends, from 0
+	Attempt  int // index among the request's Sends, from 0
 	Latency  time.Duration
 	Status   Status
-	Closed   bool // the request is finished, now or earlier
+	Closed   bool // the client has its final answer, or has left
 	Load     Load
 }
 
-// HealthCheckResult is the end of one health check.
+// HealthCheckResult describes how one health check ended.
 type HealthCheckResult struct {
 	Upstream UpstreamID
 	Latency  time.Duration
@@ -254,29 +258,30 @@
 
 // Host carries out a Balancer's actions.
 type Host interface {
-	Send(id RequestID, up UpstreamID, timeout time.Duration) // timeout 0: until the client quits
-	Reject(id RequestID, retryAfter time.Duration)           // retryAfter 0: no advice
+	Send(id RequestID, up UpstreamID, timeout time.Duration) // timeout 0: as long as the client waits
+	Reject(id RequestID, retryAfter time.Duration)           // retryAfter 0: no Retry-After
 	Fail(id RequestID)
 	Cancel(id RequestID, attempt int)
 	HealthCheck(up UpstreamID)
 	CloseIdle(up UpstreamID) // close idle connections
-	WatchEndpoints(on bool)  // subscribe to discovery
-	FetchEndpoints()         // poll discovery for the whole list once
+	WatchEndpoints(on bool)  // start or stop following discovery
+	FetchEndpoints()         // fetch the whole list once
 	SetTimer(after time.Duration, token uint64)
 	Log(text string)
 }
 
-// Events is the set of methods by which an owner drives a Balancer.
+// Events lists the methods by which an owner drives a Balancer.
 type Events interface {
 	EndpointsUpdated(now time.Duration, mode ListMode, list []Upstream)
 	RequestArrived(now time.Duration, r Request)
-	ResponseStarted(now time.Duration, id RequestID, attempt int) // a stream's answer has begun
+	ResponseStarted(now time.Duration, id RequestID, attempt int) // a streamed answer has begun
 	AttemptFinished(now time.Duration, o AttemptResult)
-	ClientLeft(now time.Duration, id RequestID) // the client left, nothing more is owed
+	ClientLeft(now time.Duration, id RequestID) // the client left: no answer is needed any more
 	HealthCheckFinished(now time.Duration, p HealthCheckResult)
 	TimerFired(now time.Duration, token uint64)
 	MaxInFlightChanged(now time.Duration, up UpstreamID, most int) // Upstream.MaxInFlight has changed
-	// SendDeadline is before when a Send must be written; 0: no such time. It is called from within Host.Send too.
+	// SendDeadline returns the time before which the newest attempt of a request must be written to its connection;
+	// 0: none. The owner may also call it from within Host.Send.
 	SendDeadline(id RequestID) time.Duration
 }
 
--- a/balancer/balancer.go
+++ b/balancer/balancer.go
@@ -7,36 +7,36 @@
 )
 
 const (
-	ticksPerObjective = 16              // ticks come this often in the shortest latency objective
-	logInterval       = 5 * time.Second // least time between two log lines of a kind
+	ticksPerObjective = 16              // ticks within the shortest latency objective
+	logInterval       = 5 * time.Second // least time between two log lines of the same kind
 )
 
 // Balancer decides for one proxy instance. See the package comment for the contract.
 //
-// An attempt goes to the upstream that interleaver picks by its share. What an upstream may get follows from its parts:
-// a bollingerBand of its utilisation cuts its share, latencyStats move its concurrencyLimit, an outlierDetector leaves
-// it trial requests only, and slowStart has a budget for it while it warms up. A request that finds no slot waits in
-// the admissionQueue.
+// The interleaver picks the upstream of each attempt in proportion to the upstreams' shares. The state of an upstream
+// restricts it further: its bollingerBand of utilisation cuts its share, its latencyStats adjust its concurrencyLimit,
+// its outlierDetector restricts it to trial requests, and its slowStart limits it to a budget while it warms up. A
+// request that finds no slot waits in the admissionQueue.
 type Balancer struct {
 	settings          Settings
 	host              Host
-	rngSource         *rand.PCG // of rng
+	rngSource         *rand.PCG // the source of rng
 	rng               *rand.Rand
 	classes           map[string]*class
 	safestIdempotency Idempotency // of all classes
 	tickInterval      time.Duration
 	startedAt         time.Duration
 	periodStartedAt   time.Duration
-	watchBackoff      time.Duration            // growing wait between failed discovery calls
-	lastLoggedAt      map[string]time.Duration // by kind of line
+	watchBackoff      time.Duration            // wait after a failed discovery call; grows with each failure
+	lastLoggedAt      map[string]time.Duration // by kind of log line
 
 	requests     map[RequestID]*request
-	inFlight     int // attempts at all upstreams
+	inFlight     int // attempts in flight at all upstreams
 	byID         map[UpstreamID]*upstreamState
-	upstreams    []*upstreamState // in order of arrival
-	preallocated []upstreamState  // for those of the first list
+	upstreams    []*upstreamState // in the order in which they were first listed
+	preallocated []upstreamState  // free entries for the upstreams of the first list
 
-	latency  float64 // usual latency over all upstreams, ns
+	latency  float64 // mean latency over all upstreams, ns
 	meanCost float64 // mean cost hint, ns
 	arrivals arrivalRate
 	fleet    fleetStats
@@ -50,10 +50,10 @@
 	idle        idleState
 }
 
-// New returns a Balancer, or an error that names the setting that is wrong.
+// New returns a Balancer. Its error names the setting that is missing or out of range and wraps ErrSettings.
 func New(s Settings, seed uint64, now time.Duration, host Host) (*Balancer, error) {
 	if host == nil {
-		return nil, bad("Host is nil")
+		return nil, invalidSetting("Host is nil")
 	}
 	if err := s.Validate(); err != nil {
 		return nil, err
@@ -61,7 +61,7 @@
 	b := newBalancer(seed, now, host)
 	b.applySettings(s, now)
 	b.chooseSubset(now)
-	b.latency = float64(s.shortestObjective()) / 4 // until answers tell
+	b.latency = float64(s.shortestObjective()) / 4 // initial estimate
 	b.scheduleTick(now)
 	if s.PollDiscovery {
 		host.WatchEndpoints(true)
@@ -86,8 +86,9 @@
 	}
 }
 
-// Configure puts other settings in the place of those that hold, or changes nothing and names the one that is
-// wrong. What was learnt of upstreams stays: windows, shares, limits. Open requests keep their class.
+// Configure replaces the settings. If a setting is missing or out of range, it changes nothing and returns an error
+// that names the setting and wraps ErrSettings. The state of upstreams (readings, shares, limits) is kept, and open
+// requests keep their class.
 func (b *Balancer) Configure(now time.Duration, s Settings) error {
 	if err := s.Validate(); err != nil {
 		return err
@@ -104,7 +105,7 @@
 	return nil
 }
 
-// applySettings takes settings. What is counted of classes and tenants that stay goes on.
+// applySettings replaces the settings. Classes and tenants that exist in both keep their statistics.
 func (b *Balancer) applySettings(s Settings, now time.Duration) {
 	b.quota.update(s.Tenants, s.Balancers, now)
 	b.updateClasses(s.Classes)
@@ -113,13 +114,13 @@
 	b.retry = retryPolicy{maxAttempts: s.Limits.MaxAttempts, hedging: s.Limits.Hedging, margin: b.tickInterval}
 }
 
-// updateClasses takes the classes of settings.
+// updateClasses replaces the classes. A class that existed before keeps its statistics.
 func (b *Balancer) updateClasses(list []Class) {
 	classes := make(map[string]*class, len(list))
 	b.safestIdempotency = NonIdempotent
 	for _, listed := range list {
 		next := &class{Class: listed}
-		if old := b.classes[listed.Name]; old != nil { // its longest budget may have shrunk: that is learnt anew
+		if old := b.classes[listed.Name]; old != nil { // without maxBudget: budgets may be shorter now
 			next.latency = old.latency
 			next.lastRanAt = old.lastRanAt
 		}
@@ -129,7 +130,7 @@
 	b.classes = classes
 }
 
-// shortestObjective is the shortest latency objective of all classes.
+// shortestObjective returns the shortest latency objective of all classes.
 func (s *Settings) shortestObjective() time.Duration {
 	shortest := s.Classes[0].LatencyObjective
 	for i := range s.Classes {
@@ -138,7 +139,7 @@
 	return shortest
 }
 
-// log writes a line of a kind, at most one in a while.
+// log writes a log line, at most one of a kind per logInterval.
 func (b *Balancer) log(now time.Duration, kind, format string, args ...any) {
 	if at, logged := b.lastLoggedAt[kind]; logged && now-at < logInterval {
 		return
--- a/balancer/balancer_test.go
+++ b/balancer/balancer_test.go
@@ -41,7 +41,7 @@
 	for _, u := range b.upstreams {
 		for name, x := range map[string]float64{
 			"mean": u.band.mean, "dev": u.band.deviation, "weight": u.share.weight, "latency": u.latency.mean,
-			"bound": u.limit.allowed, "due": u.dueAt, "area": u.band.area, "factor": u.share.factor,
+			"bound": u.limit.allowed, "due": u.nextTurn, "area": u.band.area, "factor": u.share.factor,
 		} {
 			if math.IsNaN(x) || math.IsInf(x, 0) || x < 0 {
 				t.Errorf("upstream %d: %s is %v", u.ID, name, x)
--- a/balancer/bollinger.go
+++ b/balancer/bollinger.go
@@ -1,4 +1,4 @@
-// The Bollinger band of utilisation readings, by which a saturated upstream is told from the rest of the fleet.
+// Bollinger bands of utilisation readings, which show the upstreams that are saturated compared with the fleet.
 
 package balancer
 
@@ -8,34 +8,34 @@
 )
 
 const (
-	bandWindow     = 8           // N: readings in an upstream's moving window
-	bandAlpha      = 2.0         // α: half the band gap in standard deviations, as usual for these bands
-	bandPeriod     = time.Second // the band gap is integrated over it, then shares move
-	minExcessLevel = 0.5         // utilisation below it never counts as excess level
+	bandWindow     = 8           // readings in an upstream's moving window
+	bandAlpha      = 2.0         // half the band gap in standard deviations; the usual value for Bollinger bands
+	bandPeriod     = time.Second // time over which the band gap is integrated before shares are adjusted
+	minExcessLevel = 0.5         // utilisation below it is never in excess of the fleet's
 )
 
-// bollingerBand is the moving window of an upstream's utilisation readings, their mean and deviation, and the band
-// gap integrated over the present period. The window holds the last min(readings, bandWindow) readings.
+// bollingerBand is a moving window of an upstream's utilisation readings with their mean and standard deviation, and
+// the band gap integrated over the current period. The window holds the last min(readings, bandWindow) readings.
 type bollingerBand struct {
 	window          [bandWindow]float64
-	readings        int     // ever taken
-	mean, deviation float64 // of the window
-	area            float64 // band gap integrated since the period began
+	readings        int     // taken since the upstream's process started
+	mean, deviation float64 // of the readings in the window
+	area            float64 // band gap integrated since the start of the period, in utilisation × seconds
 	integratedAt    time.Duration
 }
 
-// add takes a reading into the window. The gap until now must have been integrated before.
+// add puts a reading into the window. Call integrate first, since add changes the band gap.
 func (band *bollingerBand) add(utilisation float64) {
 	band.window[band.readings%bandWindow] = utilisation
 	band.readings++
 	band.mean, band.deviation = meanAndDeviation(band.filled())
 }
 
-// filled is the part of the window that holds readings.
+// filled returns the part of the window that holds readings.
 func (band *bollingerBand) filled() []float64 { return band.window[:min(band.readings, bandWindow)] }
 
-// integrate adds the band gap of the time since the last call. A server pinned at full load reads flat, so its level
-// over the fleet's counts as deviation does.
+// integrate adds the band gap over the time since the last call to the area. The readings of a server at full load
+// hardly vary, so its utilisation in excess of the fleet's counts like a deviation.
 func (band *bollingerBand) integrate(fleetUtilisation float64, now time.Duration) {
 	excess := max(0, band.mean-max(minExcessLevel, fleetUtilisation))
 	gap := 2 * bandAlpha * (band.deviation + excess)
@@ -44,16 +44,16 @@
 	band.integratedAt = now
 }
 
-// saturated reports whether the period's area is over a threshold. Few readings prove nothing.
+// saturated reports whether the area is over the threshold. It takes at least half a window of readings.
 func (band *bollingerBand) saturated(threshold float64) bool {
 	return band.readings >= bandWindow/2 && band.area > threshold
 }
 
-// upper and lower bound the band.
+// upper and lower return the bounds of the band.
 func (band *bollingerBand) upper() float64 { return band.mean + bandAlpha*band.deviation }
 func (band *bollingerBand) lower() float64 { return band.mean - bandAlpha*band.deviation }
 
-// meanAndDeviation returns the moving average and the population standard deviation.
+// meanAndDeviation returns the mean and the population standard deviation of the samples.
 func meanAndDeviation(samples []float64) (mean, deviation float64) {
 	for _, x := range samples {
 		mean += x / float64(len(samples))
@@ -64,17 +64,17 @@
 	return mean, math.Sqrt(deviation)
 }
 
-// restart forgets what an earlier process of the upstream has shown.
+// restart discards the readings of the upstream's previous process.
 func (band *bollingerBand) restart() {
 	band.readings = 0
 	band.mean, band.deviation, band.area = 0, 0, 0
 }
 
-// restore takes a window of readings, of which odd ones are left out.
+// restore takes over the readings of a snapshot, except values that are out of range.
 func (band *bollingerBand) restore(readings int, window []float64) {
 	band.readings = readings
 	for i, utilisation := range window {
-		if amount(utilisation) && utilisation < maxFigure {
+		if isFiniteNonNegative(utilisation) && utilisation < maxFigure {
 			band.window[i] = utilisation
 		}
 	}
--- a/balancer/endpoints.go
+++ b/balancer/endpoints.go
@@ -1,4 +1,4 @@
-// The endpoint list.
+// Changes of the endpoint list.
 
 package balancer
 
@@ -7,10 +7,10 @@
 	"time"
 )
 
-// maxWatchBackoff bounds the wait after failed discovery calls: changes count as told after 6 s.
+// maxWatchBackoff bounds the wait after a failed discovery call: the balancer counts as told of a change 6 s after it.
 const maxWatchBackoff = 1500 * time.Millisecond
 
-// EndpointsUpdated takes what discovery says of the upstreams.
+// EndpointsUpdated applies an endpoint list from discovery, or the failure to get one.
 func (b *Balancer) EndpointsUpdated(now time.Duration, mode ListMode, list []Upstream) {
 	b.catchUp(now)
 	if mode == ListFailed {
@@ -30,7 +30,8 @@
 	b.dispatchQueued(now)
 }
 
-// retryDiscovery asks discovery again, later each time and never all instances at once.
+// retryDiscovery schedules the next discovery call with exponential backoff. Jitter keeps the balancers from calling at
+// the same time.
 func (b *Balancer) retryDiscovery(now time.Duration) {
 	interval := b.settings.Rules.PollInterval
 	b.watchBackoff = min(max(b.watchBackoff*backoffGrowth, interval/32), interval/2, maxWatchBackoff)
@@ -39,7 +40,7 @@
 	b.log(now, "discovery", "discovery call failed: asking again in %v", wait)
 }
 
-// removeUnlisted takes upstreams out of service that a whole list lacks.
+// removeUnlisted marks upstreams as removed that are missing from a complete list.
 func (b *Balancer) removeUnlisted(list []Upstream) {
 	listed := make(map[UpstreamID]bool, len(list))
 	for i := range list {
@@ -52,7 +53,7 @@
 	}
 }
 
-// MaxInFlightChanged sets anew how many attempts may be in flight at an upstream at once; 0: any number.
+// MaxInFlightChanged changes how many attempts may be in flight at an upstream; 0: unlimited.
 func (b *Balancer) MaxInFlightChanged(now time.Duration, id UpstreamID, most int) {
 	b.catchUp(now)
 	if upstream := b.byID[id]; upstream != nil && upstream.MaxInFlight != most {
@@ -61,7 +62,7 @@
 	}
 }
 
-// applyEndpoint applies one list entry.
+// applyEndpoint applies one entry of the list.
 func (b *Balancer) applyEndpoint(endpoint Upstream, now time.Duration) {
 	upstream := b.byID[endpoint.ID]
 	if upstream == nil {
@@ -79,20 +80,21 @@
 	}
 	upstream.Upstream = endpoint
 	weight := endpoint.Weight
-	if b.settings.Weights == WeightLive { // late and the same for all: only its slow mean is safe to follow
+	// A live weight is delayed and the same for all balancers, so that only its slow mean is safe to follow.
+	if b.settings.Weights == WeightLive {
 		weight = upstream.share.weight + sampleWeight*(weight-upstream.share.weight)
 	}
 	upstream.share.weight = max(weight, math.SmallestNonzeroFloat32)
 }
 
-// addUpstream adds an upstream of which nothing is known.
+// addUpstream adds an upstream without history.
 func (b *Balancer) addUpstream(id UpstreamID, weight float64, now time.Duration) *upstreamState {
 	upstream := b.allocate()
 	*upstream = upstreamState{
 		ringPosition: hash64(uint64(id)),
 		share:        share{weight: weight, factor: 1},
 		limit:        concurrencyLimit{periodMax: initialLimitTotal, cutAt: now, nextSendAt: now},
-		outlier:      outlierDetector{backoff: b.tickInterval, answeredAt: now},
+		outlier:      outlierDetector{backoff: b.tickInterval, lastResponseAt: now},
 		slowStart:    slowStart{sentWorkAt: now},
 	}
 	b.byID[id] = upstream
@@ -100,14 +102,14 @@
 	return upstream
 }
 
-// preallocate makes room for the upstreams of a first list, all at once.
+// preallocate allocates the upstreams of the first list in one block.
 func (b *Balancer) preallocate(count int) {
 	b.byID = make(map[UpstreamID]*upstreamState, count)
 	b.upstreams = make([]*upstreamState, 0, count)
 	b.preallocated = make([]upstreamState, count)
 }
 
-// allocate returns room for one upstream.
+// allocate returns an unused upstreamState.
 func (b *Balancer) allocate() *upstreamState {
 	if len(b.preallocated) == 0 {
 		return new(upstreamState)
--- a/balancer/fleet.go
+++ b/balancer/fleet.go
@@ -1,4 +1,4 @@
-// What a good part of the upstreams have in common: each is compared with it.
+// Statistics of the fleet, with which each upstream is compared.
 
 package balancer
 
@@ -9,53 +9,55 @@
 )
 
 const (
-	areaFloor  = 0.4  // areas below it are noise: a deviation of a tenth of full use
-	areaRatio  = 1.25 // saturated: an area over this multiple of the fleet's median
-	areaSpread = 4.0  // and so many times as far over it as the lowest quarter is under it
+	minAreaThreshold = 0.4  // smaller areas are noise: 0.4 is a deviation of a tenth of full utilisation
+	areaRatio        = 1.25 // a saturated upstream's area is over this multiple of the fleet's median
+	areaSpread       = 4.0  // and exceeds the median by over this multiple of median - lower quartile
 )
 
-// fleetStats is what a good part of the upstreams in use have in common, as of the end of the last period.
+// fleetStats are statistics of the upstreams in the subset, as of the end of the last period. Latencies are in ns per
+// unit of work.
 type fleetStats struct {
-	utilisation     float64 // median; what all have is no one's excess
-	workPerWeight   float64 // work a period that warm upstreams carry for their weight and utilisation
-	errorRate       float64 // usual share of errors among answers
-	bestLatency     float64 // per unit of work, ns
-	unloadedLatency float64 // per unit of work, ns
+	utilisation     float64 // median
+	workPerWeight   float64 // work per period and weight that warm upstreams would carry at full utilisation
+	errorRate       float64 // lower quartile of the shares of errors among answers
+	bestLatency     float64 // lower quartile of latencyStats.best
+	unloadedLatency float64 // lower quartile of latencyStats.unloaded
 }
 
-// updateWorkPerWeight takes the work that warm upstreams carry. With nobody to judge by, it stays.
+// updateWorkPerWeight sets workPerWeight from the work and the weight of the warm upstreams. While they have no work,
+// it keeps its value.
 func (f *fleetStats) updateWorkPerWeight(work, weight float64) {
 	f.workPerWeight = cmp.Or(work/max(weight, math.SmallestNonzeroFloat32), f.workPerWeight)
 }
 
-// saturationThreshold is the area over which an upstream is saturated, by the median and the lower quartile of the
-// fleet's areas. It follows the median, so a rise on all servers cuts nobody.
+// saturationThreshold returns the area over which an upstream is saturated, from the median and the lower quartile of
+// the fleet's areas. It rises with the median, so a rise on all servers cuts no share.
 func saturationThreshold(middle, low float64) float64 {
-	return max(areaFloor, areaRatio*middle, middle+areaSpread*(middle-low))
+	return max(minAreaThreshold, areaRatio*middle, middle+areaSpread*(middle-low))
 }
 
-// median and lowerQuartile sort the values; those of none are 0.
+// median and lowerQuartile sort the values in place. They return 0 if there are none.
 func median(values []float64) float64        { return lowerQuantile(values, 2) }
 func lowerQuartile(values []float64) float64 { return lowerQuantile(values, 4) }
 
-// lowerQuantile is the value over one in so many of the values. A value of 0 is added at the end.
+// lowerQuantile sorts the values in place and returns the one with 1/parts of them below it, or 0 if there are none.
 func lowerQuantile(values []float64, parts int) float64 {
 	slices.Sort(values)
 	return append(values, 0)[len(values)/parts]
 }
 
-// measured returns a figure of each upstream in use that has readings.
-func (b *Balancer) measured(figure func(*upstreamState) float64) []float64 {
+// measuredValues returns a value of each upstream in the subset that has readings.
+func (b *Balancer) measuredValues(valueOf func(*upstreamState) float64) []float64 {
 	values := make([]float64, 0, len(b.subset.upstreams)+1)
 	for _, upstream := range b.subset.upstreams {
 		if upstream.inSubset && upstream.band.readings > 0 {
-			values = append(values, figure(upstream))
+			values = append(values, valueOf(upstream))
 		}
 	}
 	return values
 }
 
-// usualErrorRate is the share of errors among the answers of a good part of the fleet.
+// usualErrorRate returns the lower quartile of the error rates of the subset's upstreams.
 func (b *Balancer) usualErrorRate() float64 {
 	rates := make([]float64, 0, len(b.subset.upstreams)+1)
 	for _, upstream := range b.subset.upstreams {
@@ -66,8 +68,8 @@
 	return lowerQuartile(rates)
 }
 
-// areaThreshold is the threshold of this period.
+// areaThreshold returns the area over which an upstream is saturated in this period.
 func (b *Balancer) areaThreshold() float64 {
-	areas := b.measured(func(u *upstreamState) float64 { return u.band.area })
+	areas := b.measuredValues(func(u *upstreamState) float64 { return u.band.area })
 	return saturationThreshold(median(areas), lowerQuartile(areas))
 }
--- a/balancer/idle.go
+++ b/balancer/idle.go
@@ -1,5 +1,5 @@
-// Idle ticks. With Settings.SuspendWhenIdle a Balancer with nothing open sets no timer: what the ticks left out would
-// have done it makes up for at its next event, to the bit.
+// Suspension of ticks. With Settings.SuspendWhenIdle a Balancer with nothing open sets no timer. At its next event it
+// computes the state that the omitted ticks would have left, bit for bit.
 
 package balancer
 
@@ -9,35 +9,35 @@
 )
 
 const (
-	maxIdlePeriods = 512    // so many periods are closed at once: work over minIdleWork is far from the least float then
-	minIdleWork    = 1e-200 // in mean requests
+	maxIdlePeriods    = 512    // periods closed at once; work over nearUnderflowWork does not underflow within them
+	nearUnderflowWork = 1e-200 // work of an upstream below which it may underflow within maxIdlePeriods
 )
 
-// idleState says whether ticks are left out. While suspended, nothing is open and no tick is set.
+// idleState says whether ticks are suspended. While they are, nothing is open and no tick timer is set.
 type idleState struct {
 	suspended  bool
-	nextTickAt time.Duration // the next tick that is left out
+	nextTickAt time.Duration // the first omitted tick that is not made up for yet
 }
 
-// firstTickFrom is the first of the ticks left out that would come at a time or later.
+// firstTickFrom returns the time of the first omitted tick at or after a time.
 func (s *idleState) firstTickFrom(at, interval time.Duration) time.Duration {
 	ticks := (max(0, at-s.nextTickAt) + interval - 1) / interval
 	return s.nextTickAt + ticks*interval
 }
 
-// lastTickUntil is the last of them that would have come by now.
+// lastTickUntil returns the time of the last omitted tick at or before now.
 func (s *idleState) lastTickUntil(now, interval time.Duration) time.Duration {
 	return s.nextTickAt + (now-s.nextTickAt)/interval*interval
 }
 
-// isIdle reports whether a tick can do no more than close a period.
+// isIdle reports whether ticks may be suspended: all that a tick could do is to end a period.
 func (b *Balancer) isIdle() bool {
 	checksHealth := b.settings.Reports == ReportHealthChecks && b.settings.Limits.HealthChecks
 	isOpen := len(b.requests) > 0 || len(b.queue.waiting) > 0 || b.inFlight != 0
 	return b.settings.SuspendWhenIdle && !isOpen && !checksHealth
 }
 
-// scheduleTick sets the timer for the next tick, or leaves that out and suspends the ticks.
+// scheduleTick sets the timer for the next tick, or suspends the ticks if the Balancer is idle.
 func (b *Balancer) scheduleTick(now time.Duration) {
 	if b.isIdle() {
 		b.idle = idleState{suspended: true, nextTickAt: now + b.tickInterval}
@@ -46,7 +46,8 @@
 	b.host.SetTimer(b.tickInterval, tickToken)
 }
 
-// resumeTicks sets a timer again if there is something for a tick to do: the next one comes when it would have come.
+// resumeTicks ends the suspension if the Balancer is no longer idle. The next tick comes at the time at which it would
+// have come without suspension.
 func (b *Balancer) resumeTicks(now time.Duration) {
 	if b.idle.suspended && !b.isIdle() {
 		b.idle.suspended = false
@@ -54,13 +55,13 @@
 	}
 }
 
-// catchUp makes up for the ticks that were left out until now. With nothing open they only closed periods.
+// catchUp makes up for the ticks omitted until now. With nothing open they would only have ended periods.
 func (b *Balancer) catchUp(now time.Duration) {
 	if !b.idle.suspended || now < b.idle.nextTickAt {
 		return
 	}
 	last := b.idle.lastTickUntil(now, b.tickInterval)
-	period := (bandPeriod + b.tickInterval - 1) / b.tickInterval * b.tickInterval // in whole ticks
+	period := (bandPeriod + b.tickInterval - 1) / b.tickInterval * b.tickInterval // rounded up to whole ticks
 	endAt := b.idle.firstTickFrom(b.periodStartedAt+bandPeriod, b.tickInterval)
 	for endAt <= last {
 		b.endPeriod(endAt)
@@ -72,7 +73,7 @@
 	b.idle.nextTickAt = last + b.tickInterval
 }
 
-// endIdlePeriodsUntil closes the periods that end by a time, up to the first that changes the subset.
+// endIdlePeriodsUntil ends the periods up to a time, but stops before the first one that changes the subset.
 func (b *Balancer) endIdlePeriodsUntil(last, period time.Duration) {
 	for b.periodStartedAt+period <= last {
 		count := int((last - b.periodStartedAt) / period)
@@ -82,50 +83,51 @@
 	}
 }
 
-// endIdlePeriods closes up to so many periods at once, each as endPeriod does after one that moved no share and no
-// upstream: work and the rate of requests fade, cuts go on by the same areas, all else stays. It ends before a period
-// in which the width of the subset changes; false: that is the first.
+// endIdlePeriods ends up to count periods at once, with the same result as endPeriod once per period. The previous
+// period must have left the subset unchanged. Work and the arrival rate decay, and shares are cut or restored by the
+// same areas; all else stays the same. It stops before a period that changes the width of the subset, and returns false
+// if that is the first one.
 func (b *Balancer) endIdlePeriods(count int, period time.Duration) bool {
-	count = b.fadeArrivals(min(count, maxIdlePeriods))
+	count = b.decayArrivals(min(count, maxIdlePeriods))
 	if count == 0 {
 		return false
 	}
 	work := b.integrateIdle(b.periodStartedAt + period)
 	end := b.periodStartedAt + time.Duration(count)*period
 	b.endIdleShares(count, end)
-	work.fade(count, &b.fleet)
+	work.decay(count, &b.fleet)
 	b.periodStartedAt = end
 	b.skipDraws(count * b.subset.size)
 	return true
 }
 
-// fadeArrivals lets the rate of requests fade for up to so many periods without any, and returns for how many the width
-// of the subset stays.
-func (b *Balancer) fadeArrivals(periods int) (faded int) {
-	for faded < periods {
+// decayArrivals decays the arrival rate over up to the given number of periods without requests. It stops before a
+// period that would change the width of the subset, and returns the number of periods done.
+func (b *Balancer) decayArrivals(periods int) (done int) {
+	for done < periods {
 		before := b.arrivals.perSecond
 		updateMean(&b.arrivals.perSecond, 0, arrivalRateWeight)
 		if !b.keepsWidth(before) {
 			b.arrivals.perSecond = before
-			return faded
+			return done
 		}
-		faded++
+		done++
 	}
-	return faded
+	return done
 }
 
-// keepsWidth reports whether the subset keeps its width now that the rate has fallen from what it was before.
+// keepsWidth reports whether the subset keeps its width after the arrival rate has fallen from its value before.
 func (b *Balancer) keepsWidth(before float64) bool {
 	const leastRate = minSubsetSize * minSubsetSize / evennessFactor
-	if before <= cmp.Or(b.quota.evenRate, leastRate) { // less of it changes no width
+	if before <= cmp.Or(b.quota.fairRate, leastRate) { // the width does not depend on rates below this
 		return true
 	}
 	inputs := &b.subset.inputs
-	width := b.updateWidth(float64(inputs.active)) // it sets the growth of limits
+	width := b.updateWidth(float64(inputs.active)) // also sets b.limits.growth
 	return width == inputs.width && b.limits.growth == inputs.limitGrowth
 }
 
-// integrateIdle closes the band areas of the first idle period, and returns the work that fades from then on.
+// integrateIdle integrates the band areas over the first idle period, and returns the work that decays from then on.
 func (b *Balancer) integrateIdle(now time.Duration) (work idleWork) {
 	for _, upstream := range b.subset.upstreams {
 		upstream.band.integrate(b.fleet.utilisation, now)
@@ -134,13 +136,13 @@
 			work.add(upstream, warm)
 		}
 		if warm {
-			work.weight += upstream.share.inSubset()
+			work.weight += upstream.share.uncut()
 		}
 	}
 	return work
 }
 
-// endIdleShares cuts or restores shares for so many periods with the same areas.
+// endIdleShares cuts or restores shares once for each of count periods, all with the same areas.
 func (b *Balancer) endIdleShares(count int, end time.Duration) {
 	threshold := b.areaThreshold()
 	for _, upstream := range b.subset.upstreams {
@@ -156,36 +158,36 @@
 	}
 }
 
-// idleWork is the work of the upstreams that fades while nothing is sent.
+// idleWork is the mean work of the upstreams, which decays while nothing is sent.
 type idleWork struct {
-	entries []idleWorkload
-	weight  float64 // of the upstreams that count as warm
-	tiny    bool    // some of it nears the least float
+	entries       []idleWorkload
+	weight        float64 // sum over the upstreams that count as warm
+	nearUnderflow bool    // some entry is below nearUnderflowWork
 }
 
-// idleWorkload is that of one upstream.
+// idleWorkload is the mean work of one upstream.
 type idleWorkload struct {
 	upstream     *upstreamState
 	mean         float64
 	usedCapacity float64
-	warm         bool // it counts for what warm upstreams carry
+	warm         bool // see countsAsWarm
 }
 
 func (w *idleWork) add(upstream *upstreamState, warm bool) {
 	mean := upstream.workload.mean
 	w.entries = append(w.entries, idleWorkload{upstream, mean, upstream.usedCapacity(), warm})
-	w.tiny = w.tiny || mean < minIdleWork
+	w.nearUnderflow = w.nearUnderflow || mean < nearUnderflowWork
 }
 
-// fade lets the work fade for so many periods. What warm upstreams carry is only summed up in the last period, or in
-// each while it may come to 0: otherwise nobody asks for it.
-func (w *idleWork) fade(periods int, fleet *fleetStats) {
+// decay decays the work over a number of periods. The fleet's workPerWeight is only updated in the last one, since
+// nothing reads it in between. Near underflow it is updated in each: work of 0 leaves it at its previous value.
+func (w *idleWork) decay(periods int, fleet *fleetStats) {
 	for i := range periods {
-		moved := w.fadeOnce()
-		if i == periods-1 || !moved || w.tiny {
+		changed := w.decayOnce()
+		if i == periods-1 || !changed || w.nearUnderflow {
 			fleet.updateWorkPerWeight(w.carriedByWarm(), w.weight)
 		}
-		if !moved {
+		if !changed {
 			break
 		}
 	}
@@ -194,18 +196,18 @@
 	}
 }
 
-// fadeOnce lets the work fade for a period, and reports whether any of it still moves.
-func (w *idleWork) fadeOnce() (moved bool) {
+// decayOnce decays the work over one period, and reports whether any of it has changed.
+func (w *idleWork) decayOnce() (changed bool) {
 	for i := range w.entries {
 		entry := &w.entries[i]
 		next := meanWork(entry.mean, 0)
-		moved = moved || next != entry.mean
+		changed = changed || next != entry.mean
 		entry.mean = next
 	}
-	return moved
+	return changed
 }
 
-// carriedByWarm is the work that warm upstreams carry, at full use.
+// carriedByWarm returns the work that the warm upstreams would carry at full utilisation.
 func (w *idleWork) carriedByWarm() (work float64) {
 	for _, entry := range w.entries {
 		if entry.warm {
@@ -215,12 +217,12 @@
 	return work
 }
 
-// Suspended reports whether no timer is set: nothing is open.
+// Suspended reports whether the ticks are suspended, as nothing is open.
 func (b *Balancer) Suspended() bool { return b.idle.suspended }
 
-// NextDue tells until when b has something that no one made in its place would know: what is open, the wait of a
-// warming or failing upstream, the time in which a keyed request must not be repeated elsewhere, a tenant's use
-// of its quota. Not after now: nothing.
+// NextDue returns the time until which b must be kept, because a new Balancer would lack state that it has: what is
+// open, the wait of a warming or failing upstream, a deduplication window, or a tenant's use of its quota. If that time
+// is not after now, b may be replaced by a new Balancer.
 func (b *Balancer) NextDue(now time.Duration) (until time.Duration) {
 	b.catchUp(now)
 	if !b.idle.suspended {
@@ -236,8 +238,8 @@
 			until = max(until, upstream.limit.nextSendAt, upstream.StartedAt+b.settings.Rules.SlowStartDuration)
 		}
 	}
-	if b.quota.hasLevels(now) {
-		until = b.quota.dryAt(max(until, now+b.tickInterval))
+	if b.quota.hasNonEmptyLevels(now) {
+		until = b.quota.emptyAt(max(until, now+b.tickInterval))
 	}
 	return until
 }
--- a/balancer/idle_test.go
+++ b/balancer/idle_test.go
@@ -92,7 +92,7 @@
 	queue.waiting = nil
 	fmt.Fprintf(&s, "%+v %+v %v %v\n", queue, b.interleaver, b.latency, b.meanCost)
 	fmt.Fprintf(&s, "%+v %+v %+v %v\n", b.limits, b.arrivals, b.fleet, b.periodStartedAt)
-	fmt.Fprintf(&s, "%v %v\n", b.subset.hasWarm, b.subset.loadFactor)
+	fmt.Fprintf(&s, "%v %v\n", b.subset.hasHealthy, b.subset.loadFactor)
 	for _, list := range [][]*upstreamState{b.subset.upstreams, b.upstreams} {
 		for _, u := range list {
 			x := *u
@@ -399,14 +399,14 @@
 		}
 		x, _ := b.rngSource.MarshalBinary()
 		y, _ := c.rngSource.MarshalBinary()
-		if !bytes.Equal(x, y) || b.limits.initial != c.limits.initial || b.subset.hasWarm != c.subset.hasWarm ||
+		if !bytes.Equal(x, y) || b.limits.initial != c.limits.initial || b.subset.hasHealthy != c.subset.hasHealthy ||
 			len(b.subset.upstreams) != len(c.subset.upstreams) {
 			t.Fatalf("turn %d: not the same", i)
 		}
 		for j, u := range b.subset.upstreams {
 			v := c.subset.upstreams[j]
 			if u.ID != v.ID || u.inSubset != v.inSubset || u.share.subsetPart != v.share.subsetPart ||
-				u.dueAt != v.dueAt || u.limit.nextSendAt != v.limit.nextSendAt {
+				u.nextTurn != v.nextTurn || u.limit.nextSendAt != v.limit.nextSendAt {
 				t.Fatalf("turn %d: upstream %d is not the same", i, u.ID)
 			}
 		}
@@ -548,7 +548,7 @@
 		work.add(upstreams[0], true)
 		work.add(upstreams[1], false)
 		fleet := fleetStats{workPerWeight: 99}
-		work.fade(c.periods, &fleet)
+		work.decay(c.periods, &fleet)
 		if !near(upstreams[0].workload.mean, c.means[0]) || !near(upstreams[1].workload.mean, c.means[1]) {
 			t.Errorf("%d periods: %v, %v", c.periods, upstreams[0].workload.mean, upstreams[1].workload.mean)
 		}
--- a/balancer/limits.go
+++ b/balancer/limits.go
@@ -1,4 +1,4 @@
-// What answers do to the concurrency limit of their upstream.
+// Adjustment of concurrency limits by answers.
 
 package balancer
 
@@ -8,43 +8,44 @@
 	"time"
 )
 
-// answer is what a successful answer tells of its upstream, latencies in ns.
+// answer describes a successful answer. Latencies are in ns.
 type answer struct {
 	latency   float64
-	objective float64 // of its class
-	perWork   float64 // the upstream's usual latency for one unit of work, after this answer
-	sparse    bool    // the upstream answers so rarely that readings tell more
+	objective float64 // latency objective of its class
+	perWork   float64 // the upstream's mean latency per unit of work, with this answer
+	sparse    bool    // answers are so rare that readings say more about load than latency does
 }
 
-// idle reports whether the answer came in so small a part of its objective that nothing can have waited.
-func (a *answer) idle() bool { return a.latency < idleObjectivePart*a.objective }
+// unqueued reports whether the latency is so far below the objective that the request can't have waited in a queue.
+func (a *answer) unqueued() bool { return a.latency < unqueuedObjectiveRatio*a.objective }
 
-// adjustLimit moves the limit by a successful answer. Cuts go by the least of a slow mean, since single answers once
-// counted as crowding. Growth goes by the least, or by readings where one answer outweighs the mean.
+// adjustLimit cuts or grows the concurrency limit after a successful answer. Latency is compared with its minimum: for
+// a cut with the minimum of the smoothed latency, since single answers counted as congestion otherwise; for growth with
+// the best latency. Where answers are sparse, readings of utilisation decide.
 func (b *Balancer) adjustLimit(upstream *upstreamState, got *answer, now time.Duration) {
 	spare := upstream.band.mean < fullUtilisation
 	unloaded := upstream.latency.unloadedHereOrInFleet(&b.fleet)
-	crowded := got.perWork > max(crowdedRatio*unloaded, crowdedObjectivePart*got.objective)
-	if crowded && (!got.sparse || !spare) {
-		b.cutLimit(upstream, now, limitCut)
+	congested := got.perWork > max(congestedRatio*unloaded, congestedObjectiveRatio*got.objective)
+	if congested && (!got.sparse || !spare) {
+		b.cutLimit(upstream, now, limitCutFactor)
 		return
 	}
-	if upstream.limit.allowed < b.limits.initial { // it has had its rest
+	if upstream.limit.allowed < b.limits.initial { // the congestion is over
 		upstream.limit.allowed = b.limits.initial
 		return
 	}
 	best := upstream.latency.bestHereOrInFleet(&b.fleet)
-	uncrowded := got.sparse || got.idle() || got.perWork < uncrowdedRatio*best
+	uncongested := got.sparse || got.unqueued() || got.perWork < uncongestedRatio*best
 	wanted := upstream.limit.halfUsed(len(upstream.inFlight)) && b.lacksCapacity(now)
-	if uncrowded && spare && wanted {
+	if uncongested && spare && wanted {
 		upstream.limit.grow(got.objective/got.latency-1, b.limits.growth, growthBound(upstream, got))
 	}
 }
 
-// growthBound is what a limit must not grow over.
+// growthBound returns the value over which the limit must not grow.
 func growthBound(upstream *upstreamState, a *answer) float64 {
 	most := upstream.limit.periodMax
-	if a.idle() { // many short ones pass before a reading tells of full use: their latency tells first
+	if a.unqueued() { // with many short answers, latency shows full utilisation before the next reading does
 		most = math.Inf(1)
 	}
 	if upstream.MaxInFlight > 0 {
@@ -53,17 +54,17 @@
 	return most
 }
 
-// lacksCapacity reports whether a request had to wait within the last round trip or tick.
+// lacksCapacity reports whether some request found no slot within the last mean latency or tick, whichever is longer.
 func (b *Balancer) lacksCapacity(now time.Duration) bool {
 	return now-b.queue.lastFullAt < max(time.Duration(b.latency), b.tickInterval)
 }
 
-// cutLimit lowers the limit of a crowded upstream.
+// cutLimit lowers the concurrency limit of a congested upstream.
 func (b *Balancer) cutLimit(upstream *upstreamState, now time.Duration, factor float64) {
 	upstream.limit.cut(factor, len(upstream.inFlight), b.limits.minimum(), upstream.latency.mean, now)
 }
 
-// sendInterval is the wait between attempts at an upstream whose limit is under one.
+// sendInterval returns the pause between attempts at an upstream whose limit is under 1.
 func (b *Balancer) sendInterval(upstream *upstreamState) time.Duration {
 	return upstream.limit.interval(cmp.Or(upstream.latency.mean, b.latency))
 }
--- a/balancer/limits_test.go
+++ b/balancer/limits_test.go
@@ -41,7 +41,7 @@
 		s.Balancers = n
 		b, _ := start(t, s, fleet(1))
 		for i := range 60 {
-			b.cutLimit(b.upstreams[0], time.Hour+time.Duration(i)*time.Second, limitCut)
+			b.cutLimit(b.upstreams[0], time.Hour+time.Duration(i)*time.Second, limitCutFactor)
 		}
 		if total := b.upstreams[0].limit.allowed * float64(n); math.Abs(total-minLimitTotal) > 1e-9 {
 			t.Errorf("%d balancers: %v attempts over all, want %v", n, total, minLimitTotal)
--- a/balancer/outcomes.go
+++ b/balancer/outcomes.go
@@ -1,10 +1,10 @@
-// What the outcome of an attempt tells about its upstream.
+// The effect of an attempt's outcome on the state of its upstream.
 
 package balancer
 
 import "time"
 
-// recordOutcome draws from an outcome what it tells about its upstream.
+// recordOutcome updates the state of an upstream after an attempt.
 func (b *Balancer) recordOutcome(ended *attempt, result AttemptResult, now time.Duration) {
 	upstream := ended.upstream
 	switch result.Status {
@@ -17,7 +17,7 @@
 	case OK:
 		b.recordSuccess(ended, float64(result.Latency), now)
 	case Rejected, Timeout:
-		b.cutLimit(upstream, now, limitCut*limitCut)
+		b.cutLimit(upstream, now, limitCutFactor*limitCutFactor)
 	case ConnectFailed, Reset:
 		upstream.limit.nextSendAt = upstream.outlier.connectFailed(now, b.settings.Rules.SlowStartDuration)
 	}
@@ -25,10 +25,10 @@
 	b.recordReport(ended, result, now)
 }
 
-// recordSuccess takes the latency of a successful answer.
+// recordSuccess updates latencies and the concurrency limit after a successful answer. latency is in ns.
 func (b *Balancer) recordSuccess(a *attempt, latency float64, now time.Duration) {
 	upstream, requestClass := a.upstream, a.request.class
-	weight := max(sampleWeight, 1-upstream.limit.allowed) // the rarer its answers, the more each one tells
+	weight := max(sampleWeight, 1-upstream.limit.allowed) // under a limit of 1 answers are rare: each weighs more
 	perWork := upstream.latency.observe(latency, a.request.work, weight)
 	updateMean(&b.latency, latency, sampleWeight)
 	updateMean(&requestClass.latency, latency, sampleWeight)
@@ -40,15 +40,15 @@
 	}, now)
 }
 
-// recordAnswer counts an answer. An upstream that fails fast always has a slot free, and two of fifteen once drew an
-// eighth of all requests: with many more errors than the fleet it gets trials only, as one that is silent, and its
-// share is cut by what is lost there.
+// recordAnswer counts an answer, with or without an error. An upstream whose error rate is far over the fleet's is
+// ejected: it gets trial requests only, like one that does not respond. Its share is cut as well. Otherwise an upstream
+// that fails fast would always have a free slot: two failing upstreams of fifteen drew an eighth of all requests.
 func (b *Balancer) recordAnswer(upstream *upstreamState, failed bool, now time.Duration) {
 	upstream.outlier.recordAnswer(failed)
-	if failed && upstream.outlier.errorRate > outlierExcess { // all may have begun to fail in this period
+	if failed && upstream.outlier.errorRate > outlierExcess { // the whole fleet may have begun to fail
 		b.fleet.errorRate = b.usualErrorRate()
 	}
-	if !failed || upstream.outlier.excessErrors(b.fleet.errorRate) <= outlierExcess {
+	if !failed || upstream.outlier.excessErrorRate(b.fleet.errorRate) <= outlierExcess {
 		upstream.outlier.responded(now, b.tickInterval)
 		return
 	}
--- a/balancer/outlier_test.go
+++ b/balancer/outlier_test.go
@@ -40,8 +40,8 @@
 		{0.99, 0, 0.99, 0.015625},
 	} {
 		o := outlierDetector{errorRate: c.rate}
-		if !near(o.excessErrors(c.fleet), c.excess) || !near(o.shareFactor(c.fleet), c.factor) {
-			t.Errorf("%+v: excess %v, factor %v", c, o.excessErrors(c.fleet), o.shareFactor(c.fleet))
+		if !near(o.excessErrorRate(c.fleet), c.excess) || !near(o.shareFactor(c.fleet), c.factor) {
+			t.Errorf("%+v: excess %v, factor %v", c, o.excessErrorRate(c.fleet), o.shareFactor(c.fleet))
 		}
 	}
 }
@@ -69,7 +69,7 @@
 		t.Errorf("after a trial: %+v", o)
 	}
 	o.responded(3*time.Hour, 20*ms)
-	if o.unresponsive || o.backoff != 20*ms || o.answeredAt != 3*time.Hour {
+	if o.unresponsive || o.backoff != 20*ms || o.lastResponseAt != 3*time.Hour {
 		t.Errorf("after an answer: %+v", o)
 	}
 }
--- a/balancer/pcg.go
+++ b/balancer/pcg.go
@@ -1,4 +1,4 @@
-// Jumps of the random source: draws that are left out are made up for at once.
+// Jumping ahead in the random source, past draws that were omitted.
 
 package balancer
 
@@ -7,16 +7,16 @@
 	"math/bits"
 )
 
-// minJump is the number of draws from which on a jump is faster than drawing.
-const minJump = 16
+// minJumpDraws is the number of draws from which a jump is faster than drawing.
+const minJumpDraws = 16
 
-// PCG's step is state = state·mul + inc, in 128 bits (math/rand/v2).
+// The generator of math/rand/v2 is PCG: each draw sets state = state·pcgMul + pcgInc, in 128 bits.
 var (
 	pcgMul = uint128{2549297995355413924, 4865540595714422341}
 	pcgInc = uint128{6364136223846793005, 1442695040888963407}
 )
 
-// uint128 is a number of 128 bits.
+// uint128 is an unsigned 128-bit integer. Its operations wrap around.
 type uint128 struct{ hi, lo uint64 }
 
 func (x uint128) times(y uint128) uint128 {
@@ -30,12 +30,12 @@
 	return uint128{hi, lo}
 }
 
-// pcgJump returns the step of so many draws at once, as a factor and a summand of the state (F. Brown, Random Number
-// Generation with Arbitrary Strides, 1994).
+// pcgJump returns the factor and the summand that advance the state by a number of draws at once (F. Brown, Random
+// Number Generation with Arbitrary Strides, 1994).
 func pcgJump(draws int) (mul, inc uint128) {
 	one := uint128{0, 1}
 	mul = one
-	stepMul, stepInc := pcgMul, pcgInc // of 1, 2, 4, … draws
+	stepMul, stepInc := pcgMul, pcgInc // for 1, 2, 4, … draws
 	for ; draws > 0; draws >>= 1 {
 		if draws&1 == 1 {
 			mul = mul.times(stepMul)
@@ -47,9 +47,9 @@
 	return mul, inc
 }
 
-// skipDraws lets the source go on by so many draws.
+// skipDraws advances the random source by a number of draws.
 func (b *Balancer) skipDraws(draws int) {
-	if draws < minJump {
+	if draws < minJumpDraws {
 		for range draws {
 			b.rng.Uint64()
 		}
@@ -62,5 +62,5 @@
 	state = state.times(mul).plus(inc)
 	binary.BigEndian.PutUint64(bytes, state.hi)
 	binary.BigEndian.PutUint64(bytes[8:], state.lo)
-	_ = b.rngSource.UnmarshalBinary(text) // what it has written itself
+	_ = b.rngSource.UnmarshalBinary(text) // can't fail on the output of MarshalBinary
 }
--- a/balancer/period.go
+++ b/balancer/period.go
@@ -1,4 +1,4 @@
-// The end of a period: shares, limits and the figures of the fleet move.
+// The end of a period: shares, limits and fleet statistics are updated.
 
 package balancer
 
@@ -7,7 +7,8 @@
 	"time"
 )
 
-// endPeriod closes the period: saturated upstreams lose share by degrees, the others regain it.
+// endPeriod ends the period: it cuts the shares of saturated upstreams, restores those of the others, and updates
+// limits, statistics and the subset.
 func (b *Balancer) endPeriod(now time.Duration) {
 	b.endWorkloads(now)
 	threshold := b.areaThreshold()
@@ -19,11 +20,11 @@
 	b.arrivals.endPeriod(now - b.periodStartedAt)
 	b.periodStartedAt = now
 	b.updateFleet()
-	b.forgetRemoved()
+	b.deleteRemoved()
 	b.chooseSubset(now)
 }
 
-// endWorkloads closes the band areas and what upstreams were sent, and sums up what warm ones carry.
+// endWorkloads integrates the band areas up to now, ends the upstreams' workload period, and updates workPerWeight.
 func (b *Balancer) endWorkloads(now time.Duration) {
 	var work, weight float64
 	for _, upstream := range b.subset.upstreams {
@@ -31,30 +32,30 @@
 		upstream.workload.endPeriod()
 		if upstream.countsAsWarm() {
 			work += upstream.workload.mean / upstream.usedCapacity()
-			weight += upstream.share.inSubset()
+			weight += upstream.share.uncut()
 		}
 	}
 	b.fleet.updateWorkPerWeight(work, weight)
 }
 
-// updateFleet takes the figures that upstreams are compared with.
+// updateFleet updates the statistics of the fleet, with which upstreams are compared.
 func (b *Balancer) updateFleet() {
 	utilisation := func(u *upstreamState) float64 { return u.band.mean }
 	best := func(u *upstreamState) float64 { return u.latency.best }
 	unloaded := func(u *upstreamState) float64 { return u.latency.unloaded }
-	b.fleet.utilisation = median(b.measured(utilisation))
+	b.fleet.utilisation = median(b.measuredValues(utilisation))
 	b.fleet.errorRate = b.usualErrorRate()
-	b.fleet.bestLatency = lowerQuartile(b.measured(best))
-	b.fleet.unloadedLatency = lowerQuartile(b.measured(unloaded))
+	b.fleet.bestLatency = lowerQuartile(b.measuredValues(best))
+	b.fleet.unloadedLatency = lowerQuartile(b.measuredValues(unloaded))
 }
 
-// forgetRemoved forgets the upstreams that are gone and owe nothing.
-func (b *Balancer) forgetRemoved() {
+// deleteRemoved deletes removed upstreams that have no attempt in flight.
+func (b *Balancer) deleteRemoved() {
 	b.upstreams = slices.DeleteFunc(b.upstreams, func(upstream *upstreamState) bool {
-		gone := upstream.State == Removed && len(upstream.inFlight) == 0
-		if gone {
+		obsolete := upstream.State == Removed && len(upstream.inFlight) == 0
+		if obsolete {
 			delete(b.byID, upstream.ID)
 		}
-		return gone
+		return obsolete
 	})
 }
--- a/balancer/queue.go
+++ b/balancer/queue.go
@@ -1,4 +1,4 @@
-// The queue of requests that wait for a slot: their order, when they are rejected, and when clients should come back.
+// The queue of requests that wait for a slot: their order, their rejection, and the Retry-After of rejected ones.
 
 package balancer
 
@@ -12,19 +12,20 @@
 // intervalWeight is the weight of a new sample in the mean intervals of the queue.
 const intervalWeight = 0.0625
 
-// admissionQueue holds the requests that wait for a slot, in the order of compare. While slots suffice the one due
-// first goes first: any other order makes somebody wait for nothing, up to his objective. Once they are short, some
-// are lost whatever the order: most weight first, then the newest, whose answers come soonest.
+// admissionQueue holds the requests that wait for a slot, in the order of compare. While there are enough slots, the
+// request with the earliest sendBy goes first; any other order delays some request needlessly, up to its latency
+// objective. When overloaded, some requests are lost in any order, so the request with the highest weight goes first,
+// and among equals the newest, which is answered with the least delay.
 type admissionQueue struct {
 	waiting          []*request
-	overloaded       bool          // slots are too few for all of them
-	queueingInterval float64       // mean time between requests that come to be queued, ns
-	dispatchInterval float64       // mean time between slots of queued requests, ns
-	lastDispatchAt   time.Duration // or since when something is queued
-	lastFullAt       time.Duration // last time that no upstream could take a request
+	overloaded       bool          // there are too few slots for all waiting requests
+	queueingInterval float64       // mean time between two requests that find no slot, ns
+	dispatchInterval float64       // mean time between two slots for queued requests, ns
+	lastDispatchAt   time.Duration // when a queued request was last sent, or the queue was last empty
+	lastFullAt       time.Duration // when a request last found no slot
 }
 
-// compare orders two requests.
+// compare orders two requests: the one to send first is less.
 func (q *admissionQueue) compare(x, y *request) int {
 	if !q.overloaded {
 		return cmp.Compare(x.sendBy, y.sendBy)
@@ -47,22 +48,23 @@
 	q.waiting = slices.Insert(q.waiting, at, req)
 }
 
-// dispatched notes that a queued request is sent.
+// dispatched records that a queued request is sent.
 func (q *admissionQueue) dispatched(now time.Duration) {
 	updateMean(&q.dispatchInterval, float64(now-q.lastDispatchAt), intervalWeight)
 	q.lastDispatchAt = now
 }
 
-// updateOrder puts the queue into order again: slots are short from the first request that is lost by waiting, and
-// suffice again once all that is queued starts before the first is due. To foresee the loss by the time between slots
-// was worse in bursts; so was to wait until much is lost.
-func (q *admissionQueue) updateOrder(now time.Duration, lost bool) {
-	turnInterval := max(q.dispatchInterval, float64(now-q.lastDispatchAt))
+// updateOrder decides whether the queue is overloaded, and sorts it anew if that has changed. expired reports that a
+// request was just dropped at its sendBy. Overload begins with the first such request, if requests are queued faster
+// than they are sent. It ends once all waiting requests can be sent before the earliest sendBy. Predicting the loss
+// from the time between slots did worse in bursts, and so did waiting for more losses.
+func (q *admissionQueue) updateOrder(now time.Duration, expired bool) {
+	slotInterval := max(q.dispatchInterval, float64(now-q.lastDispatchAt))
 	queueingInterval := max(q.queueingInterval, float64(now-q.lastFullAt))
-	lost = lost && queueingInterval < turnInterval
-	overloaded := lost
-	if q.overloaded && !lost {
-		overloaded = turnInterval*float64(len(q.waiting)) > q.timeToFirstDue(now)
+	expired = expired && queueingInterval < slotInterval
+	overloaded := expired
+	if q.overloaded && !expired {
+		overloaded = slotInterval*float64(len(q.waiting)) > q.timeToFirstDue(now)
 	}
 	if overloaded != q.overloaded {
 		q.overloaded = overloaded
@@ -70,7 +72,7 @@
 	}
 }
 
-// timeToFirstDue is how long until some queued request must be sent, in ns.
+// timeToFirstDue returns the time until the earliest sendBy in the queue, in ns; +Inf if the queue is empty.
 func (q *admissionQueue) timeToFirstDue(now time.Duration) float64 {
 	soonest := math.Inf(1)
 	for _, req := range q.waiting {
@@ -79,17 +81,17 @@
 	return soonest
 }
 
-// dispatchQueued sends queued requests while slots come free, and ends those that could not be answered in time. A
-// request without an attempt that fits nowhere shows that no later one fits.
+// dispatchQueued sends queued requests while slots are free, and rejects or fails those whose sendBy has passed. Once a
+// request without attempts finds no slot, no later one in the queue is tried.
 func (b *Balancer) dispatchQueued(now time.Duration) {
 	kept := b.queue.waiting[:0]
-	blocked, lost := false, false
+	blocked, expired := false, false
 	for _, req := range b.queue.waiting {
 		if req.done {
 			continue
 		}
 		if now >= req.sendBy {
-			lost = true
+			expired = true
 			b.log(now, "shed", "%d held, no turn free within the aim: refusing", len(b.queue.waiting))
 			b.rejectOrFail(req, now)
 			continue
@@ -104,10 +106,10 @@
 	}
 	clear(b.queue.waiting[len(kept):])
 	b.queue.waiting = kept
-	b.queue.updateOrder(now, lost)
+	b.queue.updateOrder(now, expired)
 }
 
-// dispatch sends a queued request if a slot is free.
+// dispatch sends a queued request if it finds a slot.
 func (b *Balancer) dispatch(req *request, now time.Duration) (sent bool) {
 	upstream, _ := b.pickUpstream(req, now)
 	if upstream == nil {
@@ -118,8 +120,8 @@
 	return true
 }
 
-// retryAfter is when a client that is rejected should come back: by then what is queued has had its slots and some
-// upstream may be tried.
+// retryAfter returns the Retry-After of a rejected request: the time until the queue has probably been served and some
+// upstream may be sent an attempt, at most Limits.MaxRetryAfter.
 func (b *Balancer) retryAfter(now time.Duration) time.Duration {
 	if !b.settings.Limits.RetryAfter {
 		return 0
@@ -136,5 +138,5 @@
 	return min(max(soonest, queueWait), b.settings.Limits.MaxRetryAfter)
 }
 
-// QueueLength is how many requests wait for a slot.
+// QueueLength returns how many requests wait for a slot.
 func (b *Balancer) QueueLength() int { return len(b.queue.waiting) }
--- a/balancer/quota_test.go
+++ b/balancer/quota_test.go
@@ -54,7 +54,7 @@
 		after time.Duration
 		left  int
 	}{{499 * ms, 3}, {500 * ms, 1}, {1499 * ms, 1}, {1500 * ms, 0}} {
-		has := q.hasLevels(time.Hour + c.after)
+		has := q.hasNonEmptyLevels(time.Hour + c.after)
 		if has != (c.left > 0) || len(q.levels) != c.left || len(q.sweepOrder) != c.left {
 			t.Errorf("after %v: %v, %d levels, %d in the sweep, want %d", c.after, has, len(q.levels), len(q.sweepOrder), c.left)
 		}
@@ -67,10 +67,10 @@
 		after       time.Duration
 	}{{10, 5, 2 * time.Second}, {0, 5, 0}, {1, 0, 24 * time.Hour}, {1e9, 1, 24 * time.Hour}} {
 		q := quota{sweepOrder: []*tenantLevel{{rate: c.rate, level: c.level, updatedAt: time.Hour}}}
-		if got := q.dryAt(0); got != time.Hour+c.after {
+		if got := q.emptyAt(0); got != time.Hour+c.after {
 			t.Errorf("%+v: dry after %v", c, got-time.Hour)
 		}
-		if got := q.dryAt(1000 * time.Hour); got != 1000*time.Hour {
+		if got := q.emptyAt(1000 * time.Hour); got != 1000*time.Hour {
 			t.Errorf("%+v: dry at %v, asked from 1,000 hours on", c, got)
 		}
 	}
@@ -82,16 +82,16 @@
 	after := NewTenants([]Tenant{{Name: "a", Quota: 2}, {Name: "new", Quota: 6}})
 	q := quota{levels: map[string]*tenantLevel{}}
 	q.update(before, 2, 0)
-	if q.evenRate != 4 {
-		t.Errorf("an even part of %v, want 4", q.evenRate)
+	if q.fairRate != 4 {
+		t.Errorf("an even part of %v, want 4", q.fairRate)
 	}
 	for _, name := range []string{"a", "a", "gone"} {
 		q.count(before, 2, name, time.Hour)
 	}
 	q.update(after, 2, time.Hour+500*ms)
 	a := q.levels["a"]
-	if len(q.levels) != 1 || a == nil || *a != (tenantLevel{"a", 1, 1, time.Hour + 500*ms}) || q.evenRate != 4 {
-		t.Fatalf("%d levels, %+v, an even part of %v", len(q.levels), a, q.evenRate)
+	if len(q.levels) != 1 || a == nil || *a != (tenantLevel{"a", 1, 1, time.Hour + 500*ms}) || q.fairRate != 4 {
+		t.Fatalf("%d levels, %+v, an even part of %v", len(q.levels), a, q.fairRate)
 	}
 	if over := q.count(after, 2, "a", time.Hour+1500*ms); over || a.level != 1 {
 		t.Errorf("a second later: level %v, over %v", a.level, over)
--- a/balancer/reports.go
+++ b/balancer/reports.go
@@ -1,13 +1,13 @@
-// Load reports, and estimates where there are none: the readings of utilisation.
+// Readings of utilisation, from load reports or estimated where upstreams send none.
 
 package balancer
 
 import "time"
 
-// minUnreported is how many answers in a row bring no load report before utilisation is estimated.
-const minUnreported = 64
+// minUnreportedAnswers is how many successful answers in a row without a load report cause utilisation to be estimated.
+const minUnreportedAnswers = 64
 
-// recordReport takes the load report of an outcome, or an estimate where there are none.
+// recordReport adds a reading from the load report of an attempt's result, or an estimate if the upstream sends none.
 func (b *Balancer) recordReport(ended *attempt, result AttemptResult, now time.Duration) {
 	upstream := ended.upstream
 	if b.settings.Reports != ReportHealthChecks {
@@ -24,13 +24,14 @@
 	}
 }
 
-// isEstimated tells whether an upstream answers and reports nothing. Reports may also be rare, or not read for a while.
+// isEstimated reports whether the utilisation of an upstream is estimated. One answer without a report is not enough,
+// since reports may be rare or missing for a while.
 func (b *Balancer) isEstimated(upstream *upstreamState) bool {
-	return b.settings.Reports == ReportAnswers && upstream.unreportedAnswers >= minUnreported
+	return b.settings.Reports == ReportAnswers && upstream.unreportedAnswers >= minUnreportedAnswers
 }
 
-// recordLoad takes a load report as a reading of utilisation. objectives is the latency as a part of the objective,
-// the stand-in where sites have no reports.
+// recordLoad adds a reading from a load report. objectives is the latency in multiples of the latency objective; it
+// replaces utilisation if the site has no load reports.
 func (b *Balancer) recordLoad(
 	upstream *upstreamState, load Load, succeeded bool, objectives float64, now time.Duration,
 ) {
@@ -47,7 +48,8 @@
 	b.addReading(upstream, utilisation, now)
 }
 
-// utilisation is what a report says of it, by what is in flight or waits where it says no more.
+// utilisation returns the reported utilisation, or an estimate from the requests in flight and queued if only these are
+// reported.
 func (l *Load) utilisation() float64 {
 	if l.Fields&HasUtil == 0 && l.Fields&(HasInflight|HasQueue) != 0 {
 		return 1 - 1/(1+l.Inflight+l.Queue)
@@ -55,18 +57,18 @@
 	return l.Util
 }
 
-// addReading takes a reading of utilisation into the band.
+// addReading adds a reading of utilisation to the band.
 func (b *Balancer) addReading(upstream *upstreamState, utilisation float64, now time.Duration) {
 	upstream.band.integrate(b.fleet.utilisation, now)
 	upstream.band.add(utilisation)
 	underHalf := max(utilisation, upstream.band.mean) < fullUtilisation/2
-	if underHalf { // if all who share it sent twice as much, there would be room
+	if underHalf { // it has room for twice the load, even if all balancers that share it double theirs
 		upstream.limit.raisePeriodMax()
 	}
 }
 
-// HealthCheckFinished takes a health check's result: a reading only, since a shallow one proves no more than a
-// process.
+// HealthCheckFinished records the load report of a health check. Its success alone changes nothing, since a shallow
+// health check proves only that the process is running.
 func (b *Balancer) HealthCheckFinished(now time.Duration, p HealthCheckResult) {
 	b.catchUp(now)
 	if upstream := b.byID[p.Upstream]; upstream != nil && p.Status == OK {
--- a/balancer/requests.go
+++ b/balancer/requests.go
@@ -1,4 +1,4 @@
-// Requests: their attempts and their final answers.
+// Requests, their attempts and their final answers.
 
 package balancer
 
@@ -9,19 +9,19 @@
 )
 
 const (
-	sendMargin      = 2.33 // latencies left to the objective of a queued request sent, less its late weight
-	budgetTolerance = 16   // a budget shorter by one in this many is a client's retry
+	sendMargin         = 2.33 // mean latencies, less LateWeightFactor, from sendBy to the latency objective
+	retryBudgetDivisor = 16   // a budget shorter than the class's longest by over 1/16 shows a client's retry
 )
 
-// noAttempt stands for the order of an attempt where none is meant.
+// noAttempt is an attempt index that stands for no attempt.
 const noAttempt = -1
 
-// class is one kind of request, and what is learnt of it.
+// class is one kind of request, with its statistics.
 type class struct {
 	Class
-	latency   float64       // usual, ns
-	maxBudget time.Duration // the longest budget of a request so far
-	lastRanAt time.Duration // with an idempotency key: when one that may have run last ended
+	latency   float64       // mean, ns
+	maxBudget time.Duration // longest budget of a request so far
+	lastRanAt time.Duration // for IdempotentWithKey: end of the last attempt that may have run
 }
 
 // attempt is one send of a request.
@@ -32,27 +32,27 @@
 	ended, neverRan bool
 }
 
-// request is a client's request; it stays until its last attempt has ended.
+// request is a client's request. It is kept until it has its final answer and its last attempt has ended.
 type request struct {
 	Request
 	class    *class
 	weight   float64       // priority weight per unit of work
-	work     float64       // in mean requests
-	sendBy   time.Duration // sent after it, an answer would come late
+	work     float64       // in units of the mean request
+	sendBy   time.Duration // when sent later, it would probably miss its latency objective
 	deadline time.Duration
-	queuedAt time.Duration // when it began to wait
+	queuedAt time.Duration // when it was last queued
 	attempts []*attempt
-	inFlight int  // attempts
-	done     bool // it has its final answer
+	inFlight int  // attempts in flight
+	done     bool // it has its final answer, or its client has left
 	queued   bool
 }
 
-// RequestArrived takes a client's request.
+// RequestArrived sends, queues or ends a client's request. A request of an unknown class is rejected.
 func (b *Balancer) RequestArrived(now time.Duration, arrived Request) {
 	b.catchUp(now)
 	requestClass := b.classes[arrived.Class]
-	if requestClass == nil { // a class that the settings lack; never sent, so a retry is harmless
-		b.host.Reject(arrived.ID, 0) // and it helps as little later
+	if requestClass == nil { // not sent, so a retry is harmless
+		b.host.Reject(arrived.ID, 0) // no Retry-After, as a later retry is rejected too
 		return
 	}
 	b.arrivals.count++
@@ -67,7 +67,7 @@
 	b.resumeTicks(now)
 }
 
-// newRequest weighs a request and counts it against its tenant's quota.
+// newRequest returns the state of a request, and counts it against its tenant's quota.
 func (b *Balancer) newRequest(arrived Request, requestClass *class, now time.Duration) *request {
 	req := &request{Request: arrived, class: requestClass, deadline: now + arrived.Budget}
 	req.weight = requestClass.PriorityWeight
@@ -87,20 +87,22 @@
 	if requestClass.isLateRetry(arrived.Budget, margin) {
 		req.weight *= requestClass.LateWeightFactor
 	}
-	// Queued requests are looked at once a tick: without one in hand a short budget ran out unseen.
+	// Queued requests are checked once per tick. Without the extra tick, a short budget ran out between two checks.
 	req.sendBy = now + min(requestClass.LatencyObjective, arrived.Budget) - max(margin, b.tickInterval) - b.tickInterval
 	return req
 }
 
-// isLateRetry reports whether a request is a client's retry that can't be answered within the objective: it shows its
-// age by a short budget. Past the objective such once took the slots of those in time.
+// isLateRetry reports whether a request is a client's retry that can't be answered within the latency objective, which
+// counts from the client's first try. A short budget shows its age. At full weight, such retries took the slots of
+// requests that could still meet their objective.
 func (c *class) isLateRetry(budget, margin time.Duration) bool {
-	isRetry := budget < c.maxBudget-c.maxBudget/budgetTolerance
+	isRetry := budget < c.maxBudget-c.maxBudget/retryBudgetDivisor
 	age := c.Deadline - budget
 	return isRetry && c.LatencyObjective-age < margin
 }
 
-// sendOrQueue sends a request if a slot allows it, queues it if one may come free in time, and otherwise ends it.
+// sendOrQueue sends a request if it finds a slot, queues it if a slot may come free in time, and otherwise rejects or
+// fails it.
 func (b *Balancer) sendOrQueue(req *request, now time.Duration) {
 	upstream, permitted := b.pickUpstream(req, now)
 	if upstream != nil {
@@ -117,10 +119,10 @@
 
 // send starts an attempt.
 func (b *Balancer) send(req *request, upstream *upstreamState, now time.Duration) {
-	timeout := time.Duration(0) // until the client quits: work half done is worth more than work begun anew
+	timeout := time.Duration(0) // as long as the client waits: an attempt in progress is worth more than a new one
 	if upstream.outlier.unresponsive {
 		upstream.outlier.trialSent(now)
-		if req.class.Idempotency != NonIdempotent { // a trial leaves time for another attempt
+		if req.class.Idempotency != NonIdempotent { // leave time for an attempt after the trial
 			timeout = b.responseTimeout(upstream, req.work)
 		}
 	}
@@ -135,7 +137,7 @@
 	b.host.Send(req.ID, upstream.ID, timeout)
 }
 
-// rejectOrFail gives the final answer to a request that is not served.
+// rejectOrFail ends a request that is not served: it is rejected if a retry is harmless, and failed otherwise.
 func (b *Balancer) rejectOrFail(req *request, now time.Duration) {
 	b.closeRequest(req, noAttempt)
 	if req.mayReject() {
@@ -145,7 +147,7 @@
 	}
 }
 
-// closeRequest notes that a request has its answer, or its stream from an attempt, and stops the other attempts.
+// closeRequest marks a request as done, and cancels its attempts except the one that answered it.
 func (b *Balancer) closeRequest(req *request, answeredBy int) {
 	if b.settings.Limits.Cancel && !req.done {
 		b.cancelOthers(req, answeredBy)
@@ -156,7 +158,7 @@
 	}
 }
 
-// cancelOthers stops all attempts of a request but one.
+// cancelOthers cancels all attempts of a request that are in flight, except the one that answered it.
 func (b *Balancer) cancelOthers(req *request, answeredBy int) {
 	for i, a := range req.attempts {
 		if i != answeredBy && !a.ended {
@@ -165,14 +167,14 @@
 	}
 }
 
-// ClientLeft drops a request whose client has left.
+// ClientLeft closes a request whose client has left.
 func (b *Balancer) ClientLeft(now time.Duration, id RequestID) {
 	if req := b.requests[id]; req != nil && !req.done {
 		b.closeRequest(req, noAttempt)
 	}
 }
 
-// attempt returns an attempt by its order, or nil.
+// attempt returns the nth attempt, from 0, or nil if there is none.
 func (req *request) attempt(n int) *attempt {
 	if req == nil || n < 0 || n >= len(req.attempts) {
 		return nil
@@ -180,7 +182,7 @@
 	return req.attempts[n]
 }
 
-// ResponseStarted marks a request as served by a stream that has begun.
+// ResponseStarted closes a request whose streamed answer has begun in attempt n.
 func (b *Balancer) ResponseStarted(now time.Duration, id RequestID, n int) {
 	req := b.requests[id]
 	if a := req.attempt(n); a != nil && !req.done {
@@ -189,7 +191,7 @@
 	}
 }
 
-// BodySent tells that the last byte of a body has gone out in attempt n: its upstream owes an answer from now on.
+// BodySent records that the last byte of a body was sent in attempt n: its answer is expected from now on.
 func (b *Balancer) BodySent(now time.Duration, id RequestID, n int) {
 	req := b.requests[id]
 	if a := req.attempt(n); a != nil && req.BodyStreaming {
@@ -198,7 +200,7 @@
 	}
 }
 
-// AttemptFinished takes the end of an attempt.
+// AttemptFinished records the end of an attempt. If the request is still open, it is retried, queued or ended.
 func (b *Balancer) AttemptFinished(now time.Duration, o AttemptResult) {
 	req := b.requests[o.ID]
 	a := req.attempt(o.Attempt)
@@ -210,13 +212,13 @@
 	switch {
 	case req.done || o.Closed || o.Status == OK:
 		b.closeRequest(req, o.Attempt)
-	case req.inFlight == 0 && !req.queued: // else another attempt may still answer, or a slot may come free
+	case req.inFlight == 0 && !req.queued: // otherwise wait for another attempt or for a slot
 		b.sendOrQueue(req, now)
 	}
 	b.dispatchQueued(now)
 }
 
-// endAttempt takes an attempt out of what is in flight.
+// endAttempt removes an attempt from those in flight.
 func (b *Balancer) endAttempt(a *attempt, status Status, now time.Duration) {
 	req, upstream := a.request, a.upstream
 	a.ended = true
--- a/balancer/responsiveness.go
+++ b/balancer/responsiveness.go
@@ -1,4 +1,4 @@
-// Upstreams that owe every answer: when they count as unresponsive, and what becomes of their requests.
+// Detection of upstreams that stop answering, and the retry of their requests elsewhere.
 
 package balancer
 
@@ -7,21 +7,22 @@
 	"time"
 )
 
-// responseTimeout is how long an upstream may owe every answer before it counts as unresponsive.
+// responseTimeout returns how long an upstream with an attempt of the given work in flight may send no answer at all
+// before it counts as unresponsive.
 func (b *Balancer) responseTimeout(upstream *upstreamState, work float64) time.Duration {
 	own := upstream.latency.mean + timeoutDeviations*upstream.latency.deviation
-	fleet := (1 + timeoutDeviations/2) * b.latency // one lucky answer is no measure
+	fleet := (1 + timeoutDeviations/2) * b.latency // one fast answer must not make the timeout too short
 	return time.Duration(max(own, fleet)*max(1, work)) + b.tickInterval
 }
 
-// checkResponsive looks whether an upstream has attempts in flight and nothing has come back for longer than its
-// response timeout. Its turns are skipped, it gets one trial at a time, and what may run twice starts elsewhere.
+// checkResponsive ejects an upstream that has attempts in flight but has sent no answer for its response timeout: it
+// gets trial requests only. Requests in flight there that may run twice are sent elsewhere.
 func (b *Balancer) checkResponsive(upstream *upstreamState, now time.Duration) {
 	oldest := upstream.oldestAwaited()
 	if upstream.outlier.unresponsive || oldest == nil {
 		return
 	}
-	silence := now - max(oldest.sentAt, upstream.outlier.answeredAt)
+	silence := now - max(oldest.sentAt, upstream.outlier.lastResponseAt)
 	timeout := b.responseTimeout(upstream, oldest.request.work)
 	if silence <= timeout {
 		return
@@ -33,7 +34,7 @@
 	}
 }
 
-// oldestAwaited is the attempt that has owed an answer for longest, or nil.
+// oldestAwaited returns the oldest attempt from which an answer is expected, or nil.
 func (u *upstreamState) oldestAwaited() *attempt {
 	var oldest *attempt
 	for _, a := range u.inFlight {
@@ -44,7 +45,8 @@
 	return oldest
 }
 
-// restartElsewhere hedges a request whose upstream is unresponsive, or cancels its attempt so that it starts again.
+// restartElsewhere sends a request again at another upstream, as a hedged request. If no upstream takes it and hedging
+// is not permitted, it cancels the attempt at the unresponsive upstream, so that the request is retried.
 func (b *Balancer) restartElsewhere(a *attempt, now time.Duration) {
 	req := a.request
 	if req.class.Idempotency == NonIdempotent || req.done || req.inFlight > 1 {
--- a/balancer/retry.go
+++ b/balancer/retry.go
@@ -1,4 +1,4 @@
-// When a request may be sent again, and when its client may be told to retry.
+// The rules for retries: by the balancer, and by clients whose request is rejected.
 
 package balancer
 
@@ -7,16 +7,17 @@
 	"time"
 )
 
-// retryPolicy decides whether a request may have another attempt. It never lets one run twice that must not: a
-// non-idempotent one goes out again only if no attempt can have run; one with an idempotency key only to upstreams
-// that still drop its repeats.
+// retryPolicy decides whether a request may have another attempt. A non-idempotent request is retried only if no
+// attempt can have run. A request with an idempotency key is retried only at upstreams that drop it as a repeat of
+// every attempt that may have run.
 type retryPolicy struct {
 	maxAttempts int
-	hedging     bool          // a second attempt may go out beside the first
-	margin      time.Duration // so long before its end a deduplication window counts as over
+	hedging     bool          // hedged requests are permitted
+	margin      time.Duration // a deduplication window counts as over this long before its end
 }
 
-// maySend alone decides whether a request may be sent (again), and whether an upstream may take it.
+// maySend reports whether a request may be sent to an upstream, for the first time or as a retry. Every attempt is
+// checked here.
 func (p *retryPolicy) maySend(req *request, upstream *upstreamState, now time.Duration) bool {
 	if req.done || now >= req.deadline || upstream.State != Active {
 		return false
@@ -32,7 +33,7 @@
 	return true
 }
 
-// mayRepeat reports whether a request of a class may run at an upstream although attempt a may have run.
+// mayRepeat reports whether a request of a class may be sent to an upstream although attempt a may have run.
 func (p *retryPolicy) mayRepeat(c *class, a *attempt, upstream *upstreamState, now time.Duration) bool {
 	switch c.Idempotency {
 	case NonIdempotent:
@@ -44,7 +45,7 @@
 	return true
 }
 
-// deduplicates reports whether one of the two upstreams drops a keyed request that the other has run.
+// deduplicates reports whether each of two upstreams drops repeats of a keyed request that the other has run.
 func (c *class) deduplicates(x, y *upstreamState) bool {
 	switch c.KeyScope {
 	case KeyScopeZone:
@@ -55,7 +56,8 @@
 	return true
 }
 
-// mayReject alone decides whether the client may be told that a retry is harmless.
+// mayReject reports whether the request may be rejected, which tells the client that a retry is harmless. Every
+// rejection of a known class is checked here.
 func (req *request) mayReject() bool {
 	switch req.class.Idempotency {
 	case Idempotent:
@@ -66,28 +68,30 @@
 	return req.neverRan()
 }
 
-// neverRan reports whether no attempt of the request can have run: it stands as if it had just come.
+// neverRan reports whether no attempt of the request can have run. An attempt in flight may have run.
 func (req *request) neverRan() bool {
 	return !slices.ContainsFunc(req.attempts, func(a *attempt) bool { return !a.neverRan })
 }
 
-// sendDeadline is when the first upstream forgets a keyed request that may have run there; 0: never.
+// sendDeadline returns when the deduplication window first ends of an attempt before the newest that may have run; 0:
+// there is no such attempt.
 func (p *retryPolicy) sendDeadline(req *request) (deadline time.Duration) {
 	if req.class.Idempotency != IdempotentWithKey {
 		return 0
 	}
-	earlier := req.attempts[:max(0, len(req.attempts)-1)] // the newest is the one that asks
+	earlier := req.attempts[:max(0, len(req.attempts)-1)] // without the newest, whose deadline it is
 	for _, a := range earlier {
-		forgottenAt := a.sentAt + req.class.DeduplicationWindow - p.margin
-		if !a.neverRan && (deadline == 0 || forgottenAt < deadline) {
-			deadline = forgottenAt
+		windowEnd := a.sentAt + req.class.DeduplicationWindow - p.margin
+		if !a.neverRan && (deadline == 0 || windowEnd < deadline) {
+			deadline = windowEnd
 		}
 	}
 	return deadline
 }
 
-// SendDeadline tells when upstreams that may have run a keyed request forget it: its newest attempt must be written
-// before then, however long its connection takes. 0: there is no such time.
+// SendDeadline returns the time before which the newest attempt of a request must be written to its connection, however
+// long connecting takes: after it, an upstream that may have run an earlier attempt no longer drops repeats. It returns
+// 0 if there is no such time.
 func (b *Balancer) SendDeadline(id RequestID) time.Duration {
 	req := b.requests[id]
 	if req == nil {
--- a/balancer/ring.go
+++ b/balancer/ring.go
@@ -1,4 +1,4 @@
-// The ring of active upstreams, which all balancers see alike, and the places of balancers on it.
+// The ring of active upstreams, which is the same for all balancers, and the positions of balancers on it.
 
 package balancer
 
@@ -8,13 +8,13 @@
 	"slices"
 )
 
-// ringEntry is what the choice of the subset goes by, of one upstream.
+// ringEntry is the state of one upstream on which the choice of the subset depends.
 type ringEntry struct {
 	active, warming, unresponsive bool
 	length                        float64
 }
 
-// ringEntryOf is the entry of an upstream by now.
+// ringEntryOf returns the present ring entry of an upstream.
 func (b *Balancer) ringEntryOf(upstream *upstreamState) ringEntry {
 	if upstream.State != Active {
 		return ringEntry{}
@@ -27,8 +27,8 @@
 	}
 }
 
-// ringLength is the length of an upstream's place on the ring: its size, as listed. Sizes that are told anew all the
-// time are none, or the places of all others would move with them.
+// ringLength returns the length of an upstream's arc on the ring: its listed weight. Live weights are not used, since
+// each change would shift the arcs of all other upstreams.
 func (b *Balancer) ringLength(upstream *upstreamState) float64 {
 	if b.settings.Weights == WeightLive {
 		return 1
@@ -36,8 +36,8 @@
 	return upstream.share.weight
 }
 
-// updateRing takes the upstreams' entries anew, and the ring itself where an upstream came or went. It returns how many
-// are active, and whether no entry has changed.
+// updateRing updates the upstreams' ring entries, and rebuilds the ring if the set of active upstreams has changed. It
+// returns how many are active, and whether no entry has changed.
 func (b *Balancer) updateRing() (active int, unchanged bool) {
 	unchanged = true
 	sameMembers := true
@@ -63,15 +63,16 @@
 
 func byRingPosition(x, y *upstreamState) int { return cmp.Compare(x.ringPosition, y.ringPosition) }
 
-// hash64 is a fixed hash of x, so that neither numbering nor time of listing orders the ring.
+// hash64 returns a fixed hash of x, so that the order of the ring depends neither on the numbering of upstreams nor on
+// the time when they were listed.
 func hash64(x uint64) uint64 {
 	x = (x + 1) * 0x9e3779b97f4a7c15
 	x = (x ^ x>>29) * 0xbf58476d1ce4e5b9
 	return x ^ x>>32
 }
 
-// latticePoint is a place in [0, 1) for each rank: ranks up to count have places that are evenly spaced, and those of
-// any run of ranks are nearly so, by steps near the golden ratio.
+// latticePoint returns the position in [0, 1) of a rank. The positions of all count ranks are evenly spaced, and those
+// of any run of consecutive ranks nearly so, since the step from rank to rank is close to the golden ratio.
 func latticePoint(rank, count int) float64 {
 	step := int(math.Round(float64(count) / math.Phi))
 	for greatestCommonDivisor(step, count) > 1 {
--- a/balancer/settings.go
+++ b/balancer/settings.go
@@ -7,27 +7,27 @@
 	"reflect"
 )
 
-// ErrSettings is wrapped by every error that New returns for its settings.
+// ErrSettings is wrapped by every error that New, Configure and Settings.Validate return for settings.
 var ErrSettings = errors.New("bad settings")
 
-// bad reports a setting that is missing or out of range.
-func bad(format string, args ...any) error {
+// invalidSetting returns an error, which wraps ErrSettings, for a setting that is missing or out of range.
+func invalidSetting(format string, args ...any) error {
 	return fmt.Errorf("balancer: %w: %s", ErrSettings, fmt.Sprintf(format, args...))
 }
 
-// amount tells whether x is a finite figure that is not negative.
-func amount(x float64) bool { return x >= 0 && !math.IsInf(x, 1) }
+func isFiniteNonNegative(x float64) bool { return x >= 0 && !math.IsInf(x, 1) }
 
-// Validate names what is missing or out of range. New and Configure refuse the same.
+// Validate returns an error that names the first setting that is missing or out of range, or nil. New and Configure
+// make the same check.
 func (s Settings) Validate() error {
-	if err := s.validateFigures(); err != nil {
+	if err := s.validateValues(); err != nil {
 		return err
 	}
 	named := map[string]bool{}
 	for i := range s.Classes {
 		listed := &s.Classes[i]
 		if named[listed.Name] {
-			return bad("class %q is set twice", listed.Name)
+			return invalidSetting("class %q is set twice", listed.Name)
 		}
 		if err := listed.validate(); err != nil {
 			return err
@@ -37,17 +37,17 @@
 	return s.Tenants.Err()
 }
 
-// validateFigures names the first figure that is missing or out of range.
-func (s *Settings) validateFigures() error {
+// validateValues checks all settings but classes and tenants.
+func (s *Settings) validateValues() error {
 	limits, rules := &s.Limits, &s.Rules
-	for _, figure := range []struct {
+	for _, setting := range []struct {
 		name  string
 		valid bool
 	}{
 		{"Classes", len(s.Classes) > 0},
 		{"Balancers", s.Balancers >= 1},
 		{"Rank", s.Rank >= 0 && s.Rank < max(s.Balancers, 1)},
-		{"OverShareWorth", amount(s.OverQuotaWeightFactor)},
+		{"OverShareWorth", isFiniteNonNegative(s.OverQuotaWeightFactor)},
 		{"Granularity", s.Granularity >= 0},
 		{"Weights", s.Weights <= WeightLive},
 		{"Reports", s.Reports <= ReportHealthChecks},
@@ -58,43 +58,42 @@
 		{"Rules.AnswerWithin", rules.AnswerSlack >= 0},
 		{"Rules.TipAfter", rules.OverloadWindow > 0},
 		{"Rules.RampTime", rules.SlowStartDuration > 0},
-		{"Rules.TipMultiple", amount(rules.OverloadMultiple) && rules.OverloadMultiple > 0},
+		{"Rules.TipMultiple", isFiniteNonNegative(rules.OverloadMultiple) && rules.OverloadMultiple > 0},
 		{"Rules.ColdFrom", rules.SlowStartFloor > 0 && rules.SlowStartFloor <= 1},
 		{"Rules.AskWithin", rules.PollInterval > 0 || (rules.PollInterval == 0 && !s.PollDiscovery)},
 	} {
-		if !figure.valid {
-			return bad("%s is missing or out of range", figure.name)
+		if !setting.valid {
+			return invalidSetting("%s is missing or out of range", setting.name)
 		}
 	}
 	return nil
 }
 
-// validate names what is out of range in a class.
+// validate returns an error that names the first field of the class that is out of range, or nil.
 func (c *Class) validate() error {
 	withKey := c.Idempotency == IdempotentWithKey
 	switch {
-	case !amount(c.PriorityWeight) || !amount(c.LateWeightFactor):
-		return bad("class %q: Worth and LateWorth must be finite and not negative", c.Name)
+	case !isFiniteNonNegative(c.PriorityWeight) || !isFiniteNonNegative(c.LateWeightFactor):
+		return invalidSetting("class %q: Worth and LateWorth must be finite and not negative", c.Name)
 	case c.LatencyObjective <= 0:
-		return bad("class %q: Aim must be over zero", c.Name)
+		return invalidSetting("class %q: Aim must be over zero", c.Name)
 	case c.Deadline < c.LatencyObjective:
-		return bad("class %q: Deadline is before Aim", c.Name)
+		return invalidSetting("class %q: Deadline is before Aim", c.Name)
 	case c.Idempotency > NonIdempotent:
-		return bad("class %q: Repeat is of no known kind", c.Name)
+		return invalidSetting("class %q: Repeat is of no known kind", c.Name)
 	case withKey && c.KeyScope > KeyScopeCell:
-		return bad("class %q: Group is of no known kind", c.Name)
+		return invalidSetting("class %q: Group is of no known kind", c.Name)
 	case withKey && c.DeduplicationWindow <= 0:
-		return bad("class %q: Memory must be over zero", c.Name)
+		return invalidSetting("class %q: Memory must be over zero", c.Name)
 	}
 	return nil
 }
 
-// What owners tell while running is not refused but cleaned, so that no figure poisons a mean.
-
+// Invalid values in events are corrected instead of reported, so that none gets into a running mean.
 // clean returns l without the values that are negative or not finite.
 func (l Load) clean() Load {
 	for i, value := range []*float64{&l.Util, &l.Inflight, &l.Queue, &l.Service, &l.Rate, &l.Errors} {
-		if !amount(*value) || *value > math.MaxInt32 {
+		if !isFiniteNonNegative(*value) || *value > math.MaxInt32 {
 			*value = 0
 			l.Fields &^= 1 << i
 		}
@@ -109,15 +108,15 @@
 	return r
 }
 
-// clean returns u with a weight that can be set against others: 1 if it is not finite or not over zero.
+// clean returns u with weight 1 if its weight is not finite, not over 0, or too large.
 func (u Upstream) clean() Upstream {
-	if !amount(u.Weight) || u.Weight == 0 || u.Weight > math.MaxInt32 {
+	if !isFiniteNonNegative(u.Weight) || u.Weight == 0 || u.Weight > math.MaxInt32 {
 		u.Weight = 1
 	}
 	return u
 }
 
-// Equal reports whether two settings say the same. Tables of tenants are compared by what they do not share.
+// Equal reports whether two settings are the same. Parts that two tables of tenants share are not compared again.
 func (s Settings) Equal(other Settings) bool {
 	if !s.Tenants.Equal(other.Tenants) {
 		return false
--- a/balancer/share_test.go
+++ b/balancer/share_test.go
@@ -37,8 +37,8 @@
 		{share{4, 0.5, 0.25}, 0.5, 1},
 		{share{3, 1, 2}, 6, 6}, // few balancers learn an upstream that warms up
 	} {
-		if c.share.value() != c.value || c.share.inSubset() != c.inSubset {
-			t.Errorf("%+v: %v, uncut %v; want %v, %v", c.share, c.share.value(), c.share.inSubset(), c.value, c.inSubset)
+		if c.share.value() != c.value || c.share.uncut() != c.inSubset {
+			t.Errorf("%+v: %v, uncut %v; want %v, %v", c.share, c.share.value(), c.share.uncut(), c.value, c.inSubset)
 		}
 	}
 }
@@ -71,7 +71,7 @@
 	step(2)
 	first := b.upstreams[0].share.factor
 	step(40)
-	if first >= 1 || first < deepestCut*deepestCut ||
+	if first >= 1 || first < minCutFactor*minCutFactor ||
 		b.upstreams[0].share.factor != minShareFactor || b.upstreams[1].share.factor != 1 {
 		t.Errorf("shares left: %v at first, then %v and %v", first, b.upstreams[0].share.factor, b.upstreams[1].share.factor)
 	}
--- a/balancer/slowstart.go
+++ b/balancer/slowstart.go
@@ -1,4 +1,4 @@
-// Upstreams that have just started: how much of one is there, and who may send when.
+// Slow start: the capacity of upstreams that have just started, and the budget of requests that they may get.
 
 package balancer
 
@@ -9,28 +9,29 @@
 )
 
 const (
-	overloadMargin      = 0.6 // part of a warming upstream's budget that is used
-	minContinuousBudget = 2.0 // a part of the budget under so many requests is used in slots
+	warmUpBudgetPart    = 0.6 // part of a warming upstream's budget that is used; the rest is a safety margin
+	minContinuousBudget = 2.0 // a balancer whose budget is under this many requests uses slots
 )
 
-// slowStart is the warming up of an upstream that started lately. sentWork leaks at the rate of the budget, so it is
-// what the upstream was sent within the last Rules.OverloadWindow.
+// slowStart is the warm-up state of an upstream. sentWork is a leaky bucket that holds half of the budget and leaks the
+// other half per Rules.OverloadWindow, so the work sent within any such window stays within the budget.
 type slowStart struct {
 	warming    bool
-	since      time.Duration // the upstream's start
-	sentWork   float64       // in mean requests; none counts less than one
-	sentWorkAt time.Duration
-	lastSentAt time.Duration // also while it is warm
+	since      time.Duration // start of the upstream's process
+	sentWork   float64       // in units of the mean request; a request counts as at least 1
+	sentWorkAt time.Duration // when sentWork was last updated
+	lastSentAt time.Duration // last attempt, warming or warm
 }
 
-// begin starts the warming up of a process that started at a time.
+// begin starts the warm-up of a process that started at a time.
 func (s *slowStart) begin(at time.Duration) {
 	s.warming = true
 	s.since = at
-	s.sentWorkAt = max(s.sentWorkAt, at) // what it was sent while warm is no debt of the new process
+	s.sentWorkAt = max(s.sentWorkAt, at) // the bucket leaks from the start of the new process on
 }
 
-// capacity is the share of its capacity that the upstream is sure to have. It ends the warming up once that is over.
+// capacity returns the part of its full capacity that the upstream has at least. It ends the warm-up after
+// Rules.SlowStartDuration.
 func (s *slowStart) capacity(rules *Rules, now time.Duration) float64 {
 	if s.warming && now-s.since < rules.SlowStartDuration {
 		elapsed := float64(now-s.since) / float64(rules.SlowStartDuration)
@@ -40,14 +41,14 @@
 	return 1
 }
 
-// recordSent counts an attempt.
+// recordSent adds the work of an attempt.
 func (s *slowStart) recordSent(work float64, now time.Duration) {
 	s.lastSentAt = now
 	s.sentWork += max(1, work)
 }
 
-// fits reports whether work fits a budget of so many requests over a window, half of which may come at once. No
-// request counts less than the mean: many small ones once pushed a server over.
+// fits reports whether a request fits a budget of requests per window, half of which may be sent at once. A request
+// counts as at least the mean, since many small ones overloaded a server.
 func (s *slowStart) fits(work, budget float64, window, now time.Duration) bool {
 	rate, burst := budget/window.Seconds(), budget/2
 	leaked := rate / 2 * (now - s.sentWorkAt).Seconds()
@@ -56,37 +57,39 @@
 	return s.sentWork <= max(0, burst-max(1, work))
 }
 
-// warmUpSlots are one balancer's slots at a warming upstream of which it may have few requests. A part of few requests
-// can't be rounded up: over many balancers that came to many times the budget. So each has one request in each of its
-// own slots, which follow each other as its part adds up, and only in the open share at the begin of a slot. The
-// slots of all who use the upstream are spread evenly by their phase, and go by the time since its start: a process
-// that was started anew has the same, and leaves out its first.
+// warmUpSlots are the slots in which one balancer may send to a warming upstream if its budget there is small. Rounding
+// a small budget up to whole requests would add up, over many balancers, to many times the upstream's budget. Instead a
+// balancer may send one request per slot, in the open part at the slot's start. A slot is as long as the budget takes
+// to add up to one request. Each balancer's slots have their own phase, which spreads the requests of all balancers
+// evenly. Slots depend only on the time since the upstream's start, so a restarted balancer has the same slots; it does
+// not send in the slot in which it restarted.
 type warmUpSlots struct {
-	budget float64 // requests over Rules.OverloadWindow, once the upstream is warm
-	phase  float64 // when this balancer's slots begin, as a part of a slot
-	open   float64 // part of a slot in which it may send
+	budget       float64 // requests per Rules.OverloadWindow once the upstream is warm
+	phase        float64 // offset of this balancer's slots, as a part of a slot
+	openFraction float64 // part of a slot in which it may send
 }
 
-// at is how many slots have gone by at an age of the upstream, the present one in part.
-func (t *warmUpSlots) at(age time.Duration, rules *Rules) float64 {
+// elapsedSlots returns the number of slots that have begun since the upstream's start, with the elapsed part of the
+// present one as the fraction.
+func (t *warmUpSlots) elapsedSlots(age time.Duration, rules *Rules) float64 {
 	seconds := max(0, age.Seconds())
 	duration, floor := rules.SlowStartDuration.Seconds(), rules.SlowStartFloor
 	capacitySeconds := t.budget * seconds * (floor + (1-floor)*seconds/duration/2)
 	return capacitySeconds/rules.OverloadWindow.Seconds() + t.phase
 }
 
-// hasSlot reports whether the present slot is open and nothing was sent in it. A balancer that started since knows
-// nothing of what it sent before.
+// hasSlot reports whether the present slot is open and nothing was sent in it. If the balancer started within the slot,
+// it may have sent something before its start, so the slot counts as used.
 func (s *slowStart) hasSlot(slots *warmUpSlots, rules *Rules, balancerStartedAt, now time.Duration) bool {
-	slot, elapsed := math.Modf(slots.at(now-s.since, rules))
-	if elapsed >= slots.open {
+	slot, elapsed := math.Modf(slots.elapsedSlots(now-s.since, rules))
+	if elapsed >= slots.openFraction {
 		return false
 	}
 	last := max(s.lastSentAt, balancerStartedAt)
-	return last <= s.since || math.Floor(slots.at(last-s.since, rules)) < slot
+	return last <= s.since || math.Floor(slots.elapsedSlots(last-s.since, rules)) < slot
 }
 
-// beginWarmUp treats an upstream as freshly started: nothing learnt before holds.
+// beginWarmUp begins the slow start of an upstream and discards the statistics of its previous process.
 func (b *Balancer) beginWarmUp(upstream *upstreamState, at time.Duration) {
 	upstream.slowStart.begin(at)
 	upstream.band.restart()
@@ -96,36 +99,40 @@
 	upstream.unreportedAnswers = 0
 }
 
-// hasWarmUpBudget reports whether a request fits this balancer's part of what an upstream that warms up may get over
-// Rules.OverloadWindow, judged by what warm upstreams carry.
+// hasWarmUpBudget reports whether a request fits this balancer's part of a warming upstream's budget, which follows
+// from the work that warm upstreams carry. While that is unknown although there are warm upstreams, nothing fits.
 func (b *Balancer) hasWarmUpBudget(upstream *upstreamState, req *request, now time.Duration) bool {
 	rules := &b.settings.Rules
 	whenWarm := b.warmUpBudget(upstream)
 	budget := whenWarm * upstream.slowStart.capacity(rules, now)
-	if b.fleet.workPerWeight == 0 && b.subset.hasWarm {
+	if b.fleet.workPerWeight == 0 && b.subset.hasHealthy {
 		return false
 	}
 	if budget < minContinuousBudget {
-		slots := warmUpSlots{budget: whenWarm, phase: b.slotPhase(upstream), open: budget / 2}
+		slots := warmUpSlots{budget: whenWarm, phase: b.slotPhase(upstream), openFraction: budget / 2}
 		return upstream.slowStart.hasSlot(&slots, rules, b.startedAt, now)
 	}
 	return upstream.slowStart.fits(req.work, budget, rules.OverloadWindow, now)
 }
 
-// warmUpBudget is how many requests over Rules.OverloadWindow this balancer may send to an upstream once that is warm.
+// warmUpBudget returns how many requests per Rules.OverloadWindow this balancer could send to a warming upstream if it
+// had its full capacity.
 func (b *Balancer) warmUpBudget(upstream *upstreamState) float64 {
 	perWeight := b.fleet.workPerWeight
-	if perWeight == 0 { // no warm one to judge by: a server does one after the other; the margin counts twice
-		concurrent := overloadMargin * float64(bandPeriod) / b.latency * b.limits.initial / initialLimitTotal
+	// Without warm upstreams, assume a server that handles its requests one after the other, with the safety margin
+	// applied twice.
+	if perWeight == 0 {
+		concurrent := warmUpBudgetPart * float64(bandPeriod) / b.latency * b.limits.initial / initialLimitTotal
 		perWeight = concurrent / upstream.share.weight
 	}
-	budget := overloadMargin * b.settings.Rules.OverloadMultiple * perWeight
+	budget := warmUpBudgetPart * b.settings.Rules.OverloadMultiple * perWeight
 	budget = budget * upstream.share.weight * upstream.share.subsetPart * cmp.Or(upstream.WarmUpShare, 1)
 	return budget * (b.settings.Rules.OverloadWindow.Seconds() / bandPeriod.Seconds())
 }
 
-// slotPhase is when this balancer's slots begin at an upstream that warms up, as a part of a slot. Those who use it
-// stand side by side on the ring, so steps of the golden ratio spread them.
+// slotPhase returns the offset of this balancer's slots at an upstream, as a part of a slot. Balancers that share an
+// upstream have neighbouring positions on the ring; steps of the golden ratio from one to the next spread their phases
+// evenly.
 func (b *Balancer) slotPhase(upstream *upstreamState) float64 {
 	balancers := b.settings.Balancers
 	place := math.Round(latticePoint(b.settings.Rank, balancers) * float64(balancers))
--- a/balancer/slowstart_test.go
+++ b/balancer/slowstart_test.go
@@ -96,7 +96,7 @@
 		{1, 0, time.Second, 0.1675}, // a half of 0.335
 	} {
 		slots := warmUpSlots{budget: c.budget, phase: c.phase}
-		if got := slots.at(c.age, &warmUpRules); !near(got, c.slots) {
+		if got := slots.elapsedSlots(c.age, &warmUpRules); !near(got, c.slots) {
 			t.Errorf("%+v: %v slots", c, got)
 		}
 	}
@@ -104,7 +104,7 @@
 
 // The second slot begins 4.40 s after the upstream's start and the third at 7.23 s; a fifth of each is open.
 func TestSlowStartHasSlot(t *testing.T) {
-	slots := &warmUpSlots{budget: 1, open: 0.2}
+	slots := &warmUpSlots{budget: 1, openFraction: 0.2}
 	for _, c := range []struct {
 		name             string
 		age, sent, start time.Duration // of the upstream; when the last was sent and the balancer started, by its age
@@ -160,14 +160,14 @@
 // While there is a warm upstream, nothing goes to one that warms up before it is known what a warm one carries.
 func TestWarmUpBudgetWaitsForTheWarm(t *testing.T) {
 	for _, c := range []struct {
-		carried float64
-		hasWarm bool
-		fits    bool
+		carried    float64
+		hasHealthy bool
+		fits       bool
 	}{{0, true, false}, {0, false, true}, {10, true, true}} {
 		b, _ := start(t, settings(), fleet(1))
 		upstream := b.upstreams[0]
 		b.beginWarmUp(upstream, time.Hour)
-		b.fleet.workPerWeight, b.subset.hasWarm = c.carried, c.hasWarm
+		b.fleet.workPerWeight, b.subset.hasHealthy = c.carried, c.hasHealthy
 		if b.hasWarmUpBudget(upstream, &request{work: 1}, time.Hour+time.Second) != c.fits {
 			t.Errorf("%+v: a request fits: %v", c, !c.fits)
 		}
--- a/balancer/snapshot.go
+++ b/balancer/snapshot.go
@@ -2,19 +2,19 @@
 
 import "time"
 
-// Snapshot is what a Balancer has learnt, for one that takes its place while both run, or soon after. Times
-// are on the owners' clock, which both must share. It can be written as JSON. What a later version does not know it
-// passes over.
+// Snapshot holds the statistics of a Balancer for another one that replaces it, while both run or soon after. Times are
+// on the owners' clock, which both must share. It can be encoded as JSON. Restore ignores statistics that it does not
+// know.
 type Snapshot struct {
-	Figures   map[string]float64 `json:"figures"` // of the fleet
-	Classes   map[string]float64 `json:"classes"` // usual latency, ns
+	Figures   map[string]float64 `json:"figures"` // statistics of the fleet, by name
+	Classes   map[string]float64 `json:"classes"` // mean latency by class, ns
 	Upstreams []UpstreamSnapshot `json:"upstreams"`
 }
 
-// UpstreamSnapshot is what a Balancer has learnt of one upstream.
+// UpstreamSnapshot holds a Balancer's statistics of one upstream.
 type UpstreamSnapshot struct {
 	ID           UpstreamID         `json:"id"`
-	StartedAt    time.Duration      `json:"started_at"` // its process: of another nothing is known
+	StartedAt    time.Duration      `json:"started_at"` // start of the process to which the statistics apply
 	Unresponsive bool               `json:"silent,omitempty"`
 	TrialAt      time.Duration      `json:"trial_at,omitempty"`
 	Wait         time.Duration      `json:"wait"`
@@ -25,11 +25,11 @@
 	Figures      map[string]float64 `json:"figures"`
 }
 
-// Figures from outside are of use within these bounds: 0 is not learnt, and the upper one is some days in nanoseconds.
-// Nothing else is taken, so that no mean is poisoned.
+// Restore takes only figures between these bounds, so that no invalid value gets into a running mean. A figure of 0 has
+// no sample yet; maxFigure is about 12 days in ns.
 const minFigure, maxFigure = 1e-9, 1e15
 
-// figures are the learnt figures of the fleet, by name.
+// figures returns the statistics of the fleet, by their names in a Snapshot.
 func (b *Balancer) figures() map[string]*float64 {
 	return map[string]*float64{
 		"lat":     &b.latency,
@@ -42,7 +42,7 @@
 	}
 }
 
-// figures are those of an upstream.
+// figures returns the statistics of an upstream, by their names in an UpstreamSnapshot.
 func (u *upstreamState) figures() map[string]*float64 {
 	return map[string]*float64{
 		"factor":  &u.share.factor,
@@ -64,27 +64,27 @@
 	}
 }
 
-// copyFigures returns the figures that JSON can hold.
+// copyFigures returns the values that are finite and not negative; JSON can't encode the others.
 func copyFigures(from map[string]*float64) map[string]float64 {
 	to := make(map[string]float64, len(from))
 	for name, figure := range from {
-		if amount(*figure) {
+		if isFiniteNonNegative(*figure) {
 			to[name] = *figure
 		}
 	}
 	return to
 }
 
-// adoptFigures takes the figures that are within bounds.
-func adoptFigures(to map[string]*float64, from map[string]float64) {
+// restoreFigures sets the statistics for which from has a value between minFigure and maxFigure.
+func restoreFigures(to map[string]*float64, from map[string]float64) {
 	for name, figure := range to {
-		if learnt, ok := from[name]; ok && learnt > minFigure && learnt < maxFigure {
-			*figure = learnt
+		if value, ok := from[name]; ok && value > minFigure && value < maxFigure {
+			*figure = value
 		}
 	}
 }
 
-// Snapshot returns what b has learnt.
+// Snapshot returns the statistics of b.
 func (b *Balancer) Snapshot() Snapshot {
 	snapshot := Snapshot{Figures: copyFigures(b.figures()), Classes: map[string]float64{}}
 	for name, c := range b.classes {
@@ -96,7 +96,7 @@
 	return snapshot
 }
 
-// snapshot returns what has been learnt of an upstream.
+// snapshot returns the statistics of an upstream.
 func (u *upstreamState) snapshot() UpstreamSnapshot {
 	return UpstreamSnapshot{
 		ID:           u.ID,
@@ -112,48 +112,48 @@
 	}
 }
 
-// Restore takes what another Balancer has learnt in the place of what this one has, upstream by upstream. Of a process
-// that has been started since nothing counts, so it still has to warm up.
+// Restore replaces b's statistics by those of a snapshot, for each class and upstream that both have. Statistics of an
+// upstream whose process has restarted since are ignored, so it still warms up.
 func (b *Balancer) Restore(now time.Duration, m Snapshot) {
 	b.catchUp(now)
-	adoptFigures(b.figures(), m.Figures)
+	restoreFigures(b.figures(), m.Figures)
 	for name, latency := range m.Classes {
 		if c := b.classes[name]; c != nil && latency > minFigure && latency < maxFigure {
 			c.latency = latency
 		}
 	}
 	for i := range m.Upstreams {
-		learnt := &m.Upstreams[i]
-		upstream := b.byID[learnt.ID]
-		if upstream != nil && upstream.StartedAt == learnt.StartedAt && learnt.isValid() {
-			b.restoreUpstream(upstream, learnt, now)
+		saved := &m.Upstreams[i]
+		upstream := b.byID[saved.ID]
+		if upstream != nil && upstream.StartedAt == saved.StartedAt && saved.isValid() {
+			b.restoreUpstream(upstream, saved, now)
 		}
 	}
 	b.chooseSubset(now)
 	b.dispatchQueued(now)
 }
 
-// isValid reports whether counts and waits are such as a Balancer can have.
+// isValid reports whether the counts and the wait are possible values.
 func (s *UpstreamSnapshot) isValid() bool {
 	window := len(s.Window) <= bandWindow && s.Readings >= len(s.Window)
 	counts := s.Answers >= 0 && s.Unreported >= 0 && s.Wait >= 0
 	return window && counts
 }
 
-// restoreUpstream takes what has been learnt of an upstream.
-func (b *Balancer) restoreUpstream(upstream *upstreamState, learnt *UpstreamSnapshot, now time.Duration) {
-	adoptFigures(upstream.figures(), learnt.Figures)
-	upstream.band.restore(learnt.Readings, learnt.Window)
-	upstream.unreportedAnswers = learnt.Unreported
+// restoreUpstream replaces the statistics of an upstream.
+func (b *Balancer) restoreUpstream(upstream *upstreamState, saved *UpstreamSnapshot, now time.Duration) {
+	restoreFigures(upstream.figures(), saved.Figures)
+	upstream.band.restore(saved.Readings, saved.Window)
+	upstream.unreportedAnswers = saved.Unreported
 	upstream.slowStart.sentWorkAt = now
-	upstream.outlier.answers = learnt.Answers
-	upstream.outlier.answeredAt = now
-	// The limit is of this balancer's part: never over what was learnt, nor under what any may have.
+	upstream.outlier.answers = saved.Answers
+	upstream.outlier.lastResponseAt = now
+	// The limit is not scaled to this balancer's subset, only raised to its minimum.
 	upstream.limit.allowed = max(upstream.limit.allowed, b.limits.minimum())
 	upstream.share.factor = min(1, max(minShareFactor, upstream.share.factor))
-	if learnt.Unresponsive {
+	if saved.Unresponsive {
 		upstream.outlier.unresponsive = true
-		upstream.outlier.trialAt = min(learnt.TrialAt, now+b.settings.Rules.SlowStartDuration)
-		upstream.outlier.backoff = max(b.tickInterval, learnt.Wait)
+		upstream.outlier.trialAt = min(saved.TrialAt, now+b.settings.Rules.SlowStartDuration)
+		upstream.outlier.backoff = max(b.tickInterval, saved.Wait)
 	}
 }
--- a/balancer/snapshot_test.go
+++ b/balancer/snapshot_test.go
@@ -35,7 +35,7 @@
 	for name, figure := range figures {
 		to[name] = &figure
 	}
-	adoptFigures(to, map[string]float64{"a": 7, "zero": 0, "nan": math.NaN(), "huge": 1e16, "negative": -1, "other": 8})
+	restoreFigures(to, map[string]float64{"a": 7, "zero": 0, "nan": math.NaN(), "huge": 1e16, "negative": -1, "other": 8})
 	want := map[string]float64{"a": 7, "zero": 2, "nan": 3, "huge": 4, "negative": 5, "missing": 6}
 	if got := copyFigures(to); !maps.Equal(got, want) {
 		t.Errorf("%v, want %v", got, want)
@@ -111,7 +111,7 @@
 		}
 		for _, u := range b.upstreams {
 			for name, x := range u.figures() {
-				if !amount(*x) {
+				if !isFiniteNonNegative(*x) {
 					t.Errorf("%s is %v", name, *x)
 				}
 			}
--- a/balancer/subset_test.go
+++ b/balancer/subset_test.go
@@ -126,7 +126,7 @@
 		}
 	}
 	for id, n := range got {
-		if n > 2*usualSharers {
+		if n > 2*targetSharers {
 			t.Errorf("upstream %d was sent %d at once by 24 balancers", id, n)
 		}
 	}
@@ -269,7 +269,7 @@
 			}
 		}
 	}
-	if users[1] > 0.7*users[0] || users[1] < usualSharers || math.Abs(sum[1]/sum[0]-1) > 0.25 {
+	if users[1] > 0.7*users[0] || users[1] < targetSharers || math.Abs(sum[1]/sum[0]-1) > 0.25 {
 		t.Errorf("%v use it, %v while it warms up; their slices add up to %.2f and %.2f", users[0], users[1], sum[0], sum[1])
 	}
 }
--- a/balancer/tenants.go
+++ b/balancer/tenants.go
@@ -8,59 +8,60 @@
 	"sync/atomic"
 )
 
-// Tenants is a table of tenants' quotas. It never changes once it is made, so any number of Balancers may share it:
-// With makes another that has all but the shards concerned in common with it. An entry takes 24 bytes and those of its
-// name; the nil table is empty.
+// Tenants is a table of tenants' quotas. It is immutable, so any number of Balancers may share it: With returns another
+// table, which shares the unchanged shards. An entry takes 24 bytes and those of its name. A nil table is empty.
 type Tenants struct {
-	shards [][]Tenant // by the high bits of the name's hash, each in order of names
-	shift  int        // of the hash, down to the index of a shard
-	count  int
-	err    error                    // what is wrong with the list
-	even   atomic.Pointer[evenPart] // for the number of balancers that was last asked for
+	shards      [][]Tenant // by the high bits of the name's hash; each sorted by name
+	shift       int        // right shift from a hash to the index of its shard
+	count       int
+	err         error                           // the first invalid tenant found
+	perBalancer atomic.Pointer[perBalancerRate] // for the number of balancers last asked for
 }
 
-// evenPart is the sum of all quotas' parts for one of so many balancers, in requests a second.
-type evenPart struct {
+// perBalancerRate is one balancer's equal part of the sum of all quotas, in requests a second.
+type perBalancerRate struct {
 	balancers int
 	rate      float64
 }
 
-// shardTenants is how many tenants a shard has on average, at most: a change copies one shard, a look-up halves it.
-const shardTenants = 32
+// tenantsPerShard is the highest mean size of a shard in a new table. A change copies one shard, and a look-up searches
+// one.
+const tenantsPerShard = 32
 
-// NewTenants returns a table of the tenants in a list. What is wrong with the list (a name that stands twice, a quota
-// that is negative or not finite) is told by Settings.Validate.
+// NewTenants returns a table of the tenants in a list. If a name occurs twice, or a quota is negative or not finite,
+// Err and Settings.Validate return an error.
 func NewTenants(list []Tenant) *Tenants {
 	table := newTenants(len(list))
 	table.count = len(list)
 	sizes := make([]int32, len(table.shards))
 	for i := range list {
-		sizes[table.shard(list[i].Name)]++
+		sizes[table.shardIndex(list[i].Name)]++
 	}
 	for i, size := range sizes {
 		table.shards[i] = make([]Tenant, 0, size)
 	}
 	for _, tenant := range list {
-		table.check(tenant)
-		at := table.shard(tenant.Name)
+		table.checkQuota(tenant)
+		at := table.shardIndex(tenant.Name)
 		table.shards[at] = append(table.shards[at], tenant)
 	}
 	for _, shard := range table.shards {
 		slices.SortFunc(shard, byName)
 		table.checkNames(shard)
-		pack(shard)
+		packNames(shard)
 	}
 	return table
 }
 
-// newTenants returns a table with room for so many tenants.
+// newTenants returns an empty table with enough shards for a number of tenants.
 func newTenants(count int) *Tenants {
-	high := bits.Len(uint(count / shardTenants))
+	high := bits.Len(uint(count / tenantsPerShard))
 	return &Tenants{shards: make([][]Tenant, 1<<high), shift: 64 - high}
 }
 
-// pack puts a shard's names into one string, so that the collector has one thing to look at and not one for each.
-func pack(shard []Tenant) {
+// packNames copies a shard's names into one string, so that the garbage collector has one object to scan instead of one
+// per name.
+func packNames(shard []Tenant) {
 	size := 0
 	for i := range shard {
 		size += len(shard[i].Name)
@@ -79,28 +80,29 @@
 
 func byName(x, y Tenant) int { return strings.Compare(x.Name, y.Name) }
 
-func badTenant(name string) error {
-	return bad("tenant %q is set twice or has a Quota that is negative or not finite", name)
+func invalidTenant(name string) error {
+	return invalidSetting("tenant %q is set twice or has a Quota that is negative or not finite", name)
 }
 
-// check notes a quota that is out of range, if nothing was wrong before.
-func (t *Tenants) check(tenant Tenant) {
-	if t.err == nil && !amount(tenant.Quota) {
-		t.err = badTenant(tenant.Name)
+// checkQuota sets t.err if a quota is out of range and no error is set yet.
+func (t *Tenants) checkQuota(tenant Tenant) {
+	if t.err == nil && !isFiniteNonNegative(tenant.Quota) {
+		t.err = invalidTenant(tenant.Name)
 	}
 }
 
-// checkNames notes a name that stands twice in a shard in order, if nothing was wrong before.
+// checkNames sets t.err if a name occurs twice in a sorted shard and no error is set yet.
 func (t *Tenants) checkNames(shard []Tenant) {
 	for i := 1; i < len(shard) && t.err == nil; i++ {
 		if shard[i].Name == shard[i-1].Name {
-			t.err = badTenant(shard[i].Name)
+			t.err = invalidTenant(shard[i].Name)
 		}
 	}
 }
 
-// shard is where a name stands: FNV-1a, spread over the high bits.
-func (t *Tenants) shard(name string) int {
+// shardIndex returns the index of a name's shard: the high bits of its FNV-1a hash, after a mixing step that makes them
+// depend on all bits of it.
+func (t *Tenants) shardIndex(name string) int {
 	if len(t.shards) == 1 {
 		return 0
 	}
@@ -112,16 +114,16 @@
 	return int((hash ^ hash>>29) * 0x9e3779b97f4a7c15 >> t.shift)
 }
 
-// find returns where a name stands, or would stand.
+// find returns the position of a name in the table, or the position at which to insert it.
 func (t *Tenants) find(name string) (shard, at int, found bool) {
-	shard = t.shard(name)
+	shard = t.shardIndex(name)
 	at, found = slices.BinarySearchFunc(t.shards[shard], name, func(x Tenant, name string) int {
 		return strings.Compare(x.Name, name)
 	})
 	return shard, at, found
 }
 
-// Err is what is wrong with the list; Settings.Validate tells the same.
+// Err returns an error that names an invalid tenant of the list, or nil. It wraps ErrSettings.
 func (t *Tenants) Err() error {
 	if t == nil {
 		return nil
@@ -129,7 +131,7 @@
 	return t.err
 }
 
-// Len is the number of tenants.
+// Len returns the number of tenants.
 func (t *Tenants) Len() int {
 	if t == nil {
 		return 0
@@ -137,7 +139,7 @@
 	return t.count
 }
 
-// Quota returns what a tenant has bought, in requests a second over all balancers.
+// Quota returns a tenant's quota, in requests a second over all balancers.
 func (t *Tenants) Quota(name string) (quota float64, known bool) {
 	if t == nil || t.count == 0 {
 		return 0, false
@@ -149,7 +151,7 @@
 	return quota, known
 }
 
-// All goes over the tenants, in an order that depends on their names alone.
+// All returns an iterator over the tenants. Their order depends only on their names and the number of shards.
 func (t *Tenants) All() iter.Seq[Tenant] {
 	return func(yield func(Tenant) bool) {
 		if t == nil {
@@ -165,46 +167,46 @@
 	}
 }
 
-// With returns a table in which the tenants of a list have new quotas or are new, and those named are gone. t
-// stays as it is.
-func (t *Tenants) With(changed []Tenant, gone []string) *Tenants {
+// With returns a copy of t with some tenants added or changed and others removed. Tenants in both lists are added or
+// changed.
+func (t *Tenants) With(changed []Tenant, removed []string) *Tenants {
 	if t == nil {
 		t = NewTenants(nil)
 	}
-	outgrown := t.count+len(changed) > 2*shardTenants*len(t.shards)
+	outgrown := t.count+len(changed) > 2*tenantsPerShard*len(t.shards)
 	if t.err != nil || outgrown {
-		return t.rebuilt(changed, gone)
+		return t.rebuilt(changed, removed)
 	}
 	next := &Tenants{shards: slices.Clone(t.shards), shift: t.shift, count: t.count}
-	for _, name := range gone {
+	for _, name := range removed {
 		next.remove(name)
 	}
 	for _, tenant := range changed {
-		next.check(tenant)
+		next.checkQuota(tenant)
 		next.set(tenant)
 	}
 	return next
 }
 
-// rebuilt is With by a new table.
-func (t *Tenants) rebuilt(changed []Tenant, gone []string) *Tenants {
-	dropped := make(map[string]bool, len(changed)+len(gone))
-	for _, name := range gone {
-		dropped[name] = true
+// rebuilt does the same as With, but builds all shards anew.
+func (t *Tenants) rebuilt(changed []Tenant, removed []string) *Tenants {
+	excluded := make(map[string]bool, len(changed)+len(removed))
+	for _, name := range removed {
+		excluded[name] = true
 	}
 	for _, tenant := range changed {
-		dropped[tenant.Name] = true
+		excluded[tenant.Name] = true
 	}
 	list := make([]Tenant, 0, t.count+len(changed))
 	for tenant := range t.All() {
-		if !dropped[tenant.Name] {
+		if !excluded[tenant.Name] {
 			list = append(list, tenant)
 		}
 	}
 	return NewTenants(append(list, changed...))
 }
 
-// remove takes a tenant out of a table that no one else has yet; its shard is copied.
+// remove deletes a tenant from a table that is not shared yet. It copies the shard, which other tables may share.
 func (t *Tenants) remove(name string) {
 	shard, at, found := t.find(name)
 	if !found {
@@ -214,7 +216,7 @@
 	t.count--
 }
 
-// set puts a tenant into a table that no one else has yet; its shard is copied.
+// set adds or changes a tenant in a table that is not shared yet. It copies the shard, which other tables may share.
 func (t *Tenants) set(tenant Tenant) {
 	shard, at, found := t.find(tenant.Name)
 	own := slices.Clone(t.shards[shard])
@@ -227,7 +229,7 @@
 	t.shards[shard] = own
 }
 
-// Equal reports whether two tables have the same tenants with the same quotas. What they share is not looked at.
+// Equal reports whether two tables have the same tenants with the same quotas. It skips shards that they share.
 func (t *Tenants) Equal(other *Tenants) bool {
 	if t == other || t.Len() == 0 && other.Len() == 0 {
 		return true
@@ -236,7 +238,7 @@
 		return false
 	}
 	if len(t.shards) != len(other.shards) {
-		return t.within(other)
+		return t.containedIn(other)
 	}
 	for i := range t.shards {
 		if !equalShards(t.shards[i], other.shards[i]) {
@@ -246,8 +248,8 @@
 	return true
 }
 
-// within reports whether another table has all tenants of t with the same quotas.
-func (t *Tenants) within(other *Tenants) bool {
+// containedIn reports whether another table has all tenants of t, with the same quotas.
+func (t *Tenants) containedIn(other *Tenants) bool {
 	for tenant := range t.All() {
 		if quota, known := other.Quota(tenant.Name); !known || quota != tenant.Quota {
 			return false
@@ -256,7 +258,7 @@
 	return true
 }
 
-// equalShards compares two shards; one that is shared is not looked at.
+// equalShards reports whether two shards are equal. It returns at once if they are the same slice.
 func equalShards(x, y []Tenant) bool {
 	if len(x) != len(y) {
 		return false
@@ -265,18 +267,18 @@
 	return shared || slices.Equal(x, y)
 }
 
-// evenPart is the sum of all quotas' parts for one of so many balancers, in requests a second.
-func (t *Tenants) evenPart(balancers int) float64 {
+// ratePerBalancer returns one balancer's equal part of the sum of all quotas, in requests a second.
+func (t *Tenants) ratePerBalancer(balancers int) float64 {
 	if t == nil {
 		return 0
 	}
-	if known := t.even.Load(); known != nil && known.balancers == balancers {
+	if known := t.perBalancer.Load(); known != nil && known.balancers == balancers {
 		return known.rate
 	}
-	part := &evenPart{balancers: balancers}
+	part := &perBalancerRate{balancers: balancers}
 	for tenant := range t.All() {
 		part.rate += tenant.Quota / float64(balancers)
 	}
-	t.even.Store(part)
+	t.perBalancer.Store(part)
 	return part.rate
 }
--- a/balancer/tenants_test.go
+++ b/balancer/tenants_test.go
@@ -135,7 +135,7 @@
 	if n := allowed(); n != 0 {
 		t.Errorf("%d more 1 s before its level is dry: a second quota", n)
 	}
-	if !b.quota.hasLevels(now) || b.quota.levels["a"] == nil {
+	if !b.quota.hasNonEmptyLevels(now) || b.quota.levels["a"] == nil {
 		t.Error("a tenant whose level is not dry was let go")
 	}
 	pass(12 * time.Second)
@@ -146,7 +146,7 @@
 		t.Errorf("back later it has %d of 10", n)
 	}
 	now += time.Minute
-	if b.quota.hasLevels(now) || len(b.quota.sweepOrder) != 0 {
+	if b.quota.hasNonEmptyLevels(now) || len(b.quota.sweepOrder) != 0 {
 		t.Errorf("%d tenants owe something a minute later", len(b.quota.sweepOrder))
 	}
 }
@@ -169,7 +169,7 @@
 	}
 	s.Tenants = s.Tenants.With(nil, []string{"a"})
 	err := b.Configure(now, s)
-	if err != nil || len(b.quota.sweepOrder) != 0 || b.overQuota("a", now) || b.quota.evenRate != 0 {
+	if err != nil || len(b.quota.sweepOrder) != 0 || b.overQuota("a", now) || b.quota.fairRate != 0 {
 		t.Errorf("after it has gone: %v, %d kept", err, len(b.quota.sweepOrder))
 	}
 }
@@ -230,8 +230,8 @@
 		}
 		sum += quota / 4
 	}
-	if n != len(x.want) || x.table.Len() != n || math.Abs(x.table.evenPart(4)-sum) > 1e-6 {
-		t.Fatalf("%d tenants with %v in all, want %d with %v", n, x.table.evenPart(4), len(x.want), sum)
+	if n != len(x.want) || x.table.Len() != n || math.Abs(x.table.ratePerBalancer(4)-sum) > 1e-6 {
+		t.Fatalf("%d tenants with %v in all, want %d with %v", n, x.table.ratePerBalancer(4), len(x.want), sum)
 	}
 }
 
--- a/balancer/timers.go
+++ b/balancer/timers.go
@@ -1,22 +1,22 @@
-// Ticks, and the timer after failed discovery calls.
+// The tick timer, and the timer for discovery calls after a failed one.
 
 package balancer
 
 import "time"
 
-// The tokens of the timers that a Balancer sets.
+// The tokens of a Balancer's timers.
 const (
 	tickToken  = 1
 	watchToken = 2
 )
 
-// TimerFired takes a timer that the Balancer has set.
+// TimerFired handles a timer that the Balancer has set.
 func (b *Balancer) TimerFired(now time.Duration, token uint64) {
-	if token != tickToken { // watchToken; an unknown one must not start a second row of ticks
+	if token != tickToken { // watchToken; an unknown token must not start a second series of ticks
 		b.host.WatchEndpoints(true)
 		return
 	}
-	if b.idle.suspended { // no tick is owed
+	if b.idle.suspended { // ignore a tick timer from before the suspension
 		return
 	}
 	b.scheduleTick(now)
--- a/balancer/view.go
+++ b/balancer/view.go
@@ -2,25 +2,25 @@
 
 import "time"
 
-// UpstreamView is what a Balancer holds of an upstream at a moment: the figures behind its decisions.
+// UpstreamView shows the state of an upstream on which a Balancer's decisions depend.
 type UpstreamView struct {
 	ID                      UpstreamID
 	State                   State
-	InSubset                bool    // it is one of those that this Balancer uses
-	Share                   float64 // of the traffic, 0 to 1, over all members
-	ShareFactor             float64 // what is left of its share after cuts, 0 to 1
-	Mean                    float64 // moving average of utilisation
-	Upper, Lower            float64 // the band round it
-	Area                    float64 // band gap integrated since the period began
+	InSubset                bool    // this Balancer uses it
+	Share                   float64 // of this Balancer's traffic, 0 to 1
+	ShareFactor             float64 // product of its share cuts, 0 to 1
+	Mean                    float64 // mean utilisation in the band's window
+	Upper, Lower            float64 // bounds of the band around Mean
+	Area                    float64 // band area of this period
 	Readings                int
-	Estimated               bool // the readings are estimates by latency: it reports nothing
+	Estimated               bool // readings are estimated from latency, since it sends no load reports
 	WarmingUp, Unresponsive bool
-	InFlight                int     // attempts
-	ConcurrencyLimit        float64 // attempts that may be in flight at once
+	InFlight                int     // attempts in flight
+	ConcurrencyLimit        float64 // attempts that may be in flight
 	Latency                 time.Duration
 }
 
-// View returns the upstreams in order of arrival, and how many requests wait for a slot.
+// View returns the upstreams in the order in which they were first listed, and how many requests wait for a slot.
 func (b *Balancer) View(now time.Duration) (views []UpstreamView, queued int) {
 	b.catchUp(now)
 	var total float64
@@ -39,7 +39,7 @@
 	return views, len(b.queue.waiting)
 }
 
-// viewOf is the view of an upstream but for its share.
+// viewOf returns the view of an upstream without its Share.
 func (b *Balancer) viewOf(upstream *upstreamState) UpstreamView {
 	return UpstreamView{
 		ID:               upstream.ID,
--- a/balancer/workload.go
+++ b/balancer/workload.go
@@ -1,4 +1,4 @@
-// The work that arrives, and the part of it that each upstream gets.
+// The rate of arriving requests, and the work that each upstream gets.
 
 package balancer
 
@@ -7,42 +7,42 @@
 	"time"
 )
 
-// arrivalRateWeight is the weight of a period's requests in the usual rate.
+// arrivalRateWeight is the weight of a period in the mean arrival rate.
 const arrivalRateWeight = 0.25
 
-// workload is the work that an upstream gets from this balancer, in mean requests.
+// workload is the work that this balancer sends to an upstream, in units of the mean request.
 type workload struct {
-	sent float64 // this period
-	mean float64 // a period
+	sent float64 // in this period
+	mean float64 // running mean per period
 }
 
-// endPeriod takes what was sent into the mean.
+// endPeriod adds the work of this period to the mean.
 func (w *workload) endPeriod() {
 	w.mean = meanWork(w.mean, w.sent)
 	w.sent = 0
 }
 
-// meanWork is the mean work of a period, after one more.
+// meanWork returns the mean work per period after a period with the given work sent.
 func meanWork(mean, sent float64) float64 { return mean + sampleWeight*(sent-mean) }
 
-// arrivalRate counts the requests that arrive.
+// arrivalRate measures the rate of arriving requests.
 type arrivalRate struct {
-	count     float64 // this period
-	perSecond float64 // usual
+	count     float64 // requests in this period
+	perSecond float64 // running mean
 }
 
-// endPeriod takes what has arrived into the rate.
+// endPeriod adds the requests of this period to the mean rate.
 func (a *arrivalRate) endPeriod(elapsed time.Duration) {
 	updateMean(&a.perSecond, a.count/max(elapsed, bandPeriod).Seconds(), arrivalRateWeight)
 	a.count = 0
 }
 
-// countsAsWarm tells whether the upstream counts for what warm upstreams carry.
+// countsAsWarm reports whether the upstream's work counts for fleetStats.workPerWeight.
 func (u *upstreamState) countsAsWarm() bool {
 	return u.inSubset && u.isHealthy() && u.workload.mean > 0
 }
 
-// usedCapacity is the part of its capacity by which it counts there: all of it while no reading tells.
+// usedCapacity returns the upstream's mean utilisation within [minExcessLevel, 1]; 1 without readings.
 func (u *upstreamState) usedCapacity() float64 {
 	return min(max(cmp.Or(u.band.mean, 1), minExcessLevel), 1)
 }
