--- a/balancer/api.go
+++ b/balancer/api.go
@@ -2,16 +2,17 @@
 // fleet of HTTP servers: which upstream gets a request, whether a request is
 // retried, queued, rejected or failed, and how the endpoint list is followed.
 // Each pool of the proxy owns one Balancer; the simulator adapter and the
-// emulator drive the same code. It does no I/O: connections, timers and
-// discovery calls are the owner's.
+// emulator drive the same code. The package does no I/O: connections, timers
+// and discovery calls are the owner's.
 //
 // # Contract
 //
-// One Balancer is one proxy instance. Its owner calls one method per event, from
-// one goroutine at a time, and passes the time of a monotonic clock as now; any
-// origin will do. The Balancer acts by calling its Host during that call, never
-// outside it. It reads no clock, starts no goroutine and shares no mutable state
-// with other Balancers; the same events with the same seed give the same actions.
+// A Balancer is one of the Settings.Balancers instances that share a fleet. Its
+// owner calls one method per event, from one goroutine at a time, and passes the
+// time of a monotonic clock of any origin as now. The Balancer acts by calling
+// its Host during that call, never outside it. It reads no clock, starts no
+// goroutine and shares no mutable state with other Balancers; the same events
+// with the same seed give the same actions.
 //
 // Events arrive in order: RequestArrived first, then one AttemptFinished for each
 // Send, and at most one ClientLeft. An AttemptFinished may follow the request's
@@ -105,8 +106,8 @@
 	PollInterval      time.Duration // longest time between two polls of discovery
 	SlowStartFloor    float64       // least part of its capacity that an upstream has when it starts
 	SlowStartDuration time.Duration // longest time from an upstream's start until it is warm
-	OverloadMultiple  float64       // load over this multiple of its present capacity overloads a warming upstream
-	OverloadWindow    time.Duration // if it lasts for this time
+	OverloadMultiple  float64       // load that overloads a warming upstream, in multiples of its present capacity
+	OverloadWindow    time.Duration // time over which that load is measured
 	DrainGrace        time.Duration // longest time in which a draining upstream may still get attempts
 	AnswerSlack       time.Duration // longest time from the client's deadline to the final answer
 }
@@ -132,7 +133,7 @@
 	ReportHealthChecks           // health checks only
 )
 
-// Settings configures a Balancer. New and Configure take it.
+// Settings configures a Balancer.
 type Settings struct {
 	Zone                  string
 	Balancers             int // instances that share the upstreams
@@ -208,7 +209,7 @@
 	Rejected             // * the upstream refused it unprocessed
 	Timeout              // no answer in time
 	ConnectFailed        // * no connection in time
-	Reset                // the connection broke
+	Reset                // connection lost
 	Cancelled            // stopped by Host.Cancel
 	NotSent              // * not written to a connection
 )
--- a/balancer/balancer.go
+++ b/balancer/balancer.go
@@ -11,7 +11,7 @@
 	logInterval       = 5 * time.Second // least time between two log lines of the same kind
 )
 
-// Balancer decides for one proxy instance. See the package comment for the contract.
+// Balancer is one instance of the decision module. See the package comment for the contract.
 //
 // The interleaver picks the upstream of each attempt in proportion to the upstreams' shares. The state of an upstream
 // restricts it further: its bollingerBand of utilisation cuts its share, its latencyStats adjust its concurrencyLimit,
--- a/balancer/bollinger.go
+++ b/balancer/bollinger.go
@@ -20,7 +20,7 @@
 	window          [bandWindow]float64
 	readings        int     // taken since the upstream's process started
 	mean, deviation float64 // of the readings in the window
-	area            float64 // band gap integrated since the start of the period, in utilisation × seconds
+	area            float64 // band gap integrated since the start of the period, in utilisation × bandPeriod
 	integratedAt    time.Duration
 }
 
--- a/balancer/concurrency.go
+++ b/balancer/concurrency.go
@@ -10,13 +10,13 @@
 const (
 	initialLimitTotal       = 3      // initial limit of an upstream, over all balancers
 	minLimitTotal           = 0.25   // least limit, over all balancers: under 1, a congested server gets pauses
-	limitCutFactor          = 0.8    // on an answer that shows congestion; squared on a rejection or timeout
-	limitGrowthCoefficient  = 0.02   // growth per answer, times the square of (objective/latency - 1)
+	limitCutFactor          = 0.8    // cut after an answer that shows congestion; squared after a rejection or timeout
+	limitGrowthCoefficient  = 0.02   // growth per answer is this times the square of (objective/latency - 1)
 	uncongestedRatio        = 1.5    // under this multiple of the best latency no queue has formed
 	congestedRatio          = 1.6    // over this multiple of the unloaded latency it is congested or faulty
 	congestedObjectiveRatio = 0.5    // under this part of the objective congestion does no harm
 	unqueuedObjectiveRatio  = 0.0625 // under this part of the objective an answer cannot have waited in a queue
-	sparseWeight            = 0.5    // over this sample weight the mean follows single answers: readings say more
+	sparseWeight            = 0.5    // over this sample weight, readings are more reliable than the mean latency
 	fullUtilisation         = 0.8    // mean utilisation from which more attempts yield no more throughput
 )
 
@@ -38,7 +38,7 @@
 // minimum returns the value below which no cut lowers a limit.
 func (s *limitSettings) minimum() float64 { return s.initial * minLimitTotal / initialLimitTotal }
 
-// permits reports whether another attempt may be sent. Below the limit, shares decide who gets an attempt.
+// permits reports whether another attempt may be sent. Below their limits, upstreams get attempts by their shares.
 func (l *concurrencyLimit) permits(inFlight int, now time.Duration) bool {
 	return now >= l.nextSendAt && float64(inFlight) < max(1, math.Round(l.allowed))
 }
@@ -52,7 +52,7 @@
 	return time.Duration(max(0, 1/l.allowed-1) * latency)
 }
 
-// cut lowers the limit to a factor of what is used, at most once per latency (in ns).
+// cut lowers the limit to factor times the slots in use, but not below minimum, and at most once per latency (ns).
 func (l *concurrencyLimit) cut(factor float64, inFlight int, minimum, latency float64, now time.Duration) {
 	if now-l.cutAt < time.Duration(latency) {
 		return
--- a/balancer/endpoints.go
+++ b/balancer/endpoints.go
@@ -7,7 +7,7 @@
 	"time"
 )
 
-// maxWatchBackoff bounds the wait after a failed discovery call: the balancer counts as told of a change 6 s after it.
+// maxWatchBackoff bounds the wait after a failed discovery call, since balancers must know of a change within 6 s.
 const maxWatchBackoff = 1500 * time.Millisecond
 
 // EndpointsUpdated applies an endpoint list from discovery, or the failure to get one.
--- a/balancer/fleet.go
+++ b/balancer/fleet.go
@@ -11,7 +11,7 @@
 const (
 	minAreaThreshold = 0.4  // smaller areas are noise: 0.4 is a deviation of a tenth of full utilisation
 	areaRatio        = 1.25 // a saturated upstream's area is over this multiple of the fleet's median
-	areaSpread       = 4.0  // and exceeds the median by over this multiple of median - lower quartile
+	areaSpread       = 4.0  // and is over the median by more than this multiple of (median - lower quartile)
 )
 
 // fleetStats are statistics of the upstreams in the subset, as of the end of the last period. Latencies are in ns per
@@ -19,7 +19,7 @@
 type fleetStats struct {
 	utilisation     float64 // median
 	workPerWeight   float64 // work per period and weight that warm upstreams would carry at full utilisation
-	errorRate       float64 // lower quartile of the shares of errors among answers
+	errorRate       float64 // lower quartile of outlierDetector.errorRate
 	bestLatency     float64 // lower quartile of latencyStats.best
 	unloadedLatency float64 // lower quartile of latencyStats.unloaded
 }
@@ -57,8 +57,8 @@
 	return values
 }
 
-// usualErrorRate returns the lower quartile of the error rates of the subset's upstreams.
-func (b *Balancer) usualErrorRate() float64 {
+// fleetErrorRate returns the lower quartile of the error rates of the subset's upstreams.
+func (b *Balancer) fleetErrorRate() float64 {
 	rates := make([]float64, 0, len(b.subset.upstreams)+1)
 	for _, upstream := range b.subset.upstreams {
 		if upstream.inSubset && upstream.outlier.answers > 0 {
--- a/balancer/limits.go
+++ b/balancer/limits.go
@@ -19,9 +19,9 @@
 // unqueued reports whether the latency is so far below the objective that the request can't have waited in a queue.
 func (a *answer) unqueued() bool { return a.latency < unqueuedObjectiveRatio*a.objective }
 
-// adjustLimit cuts or grows the concurrency limit after a successful answer. Latency is compared with its minimum: for
-// a cut with the minimum of the smoothed latency, since single answers counted as congestion otherwise; for growth with
-// the best latency. Where answers are sparse, readings of utilisation decide.
+// adjustLimit cuts or grows the concurrency limit after a successful answer. For a cut, it compares the latency with
+// the minimum of the smoothed latency, since otherwise single answers counted as congestion; for growth, with the best
+// latency. Where answers are sparse, readings of utilisation decide.
 func (b *Balancer) adjustLimit(upstream *upstreamState, got *answer, now time.Duration) {
 	spare := upstream.band.mean < fullUtilisation
 	unloaded := upstream.latency.unloadedHereOrInFleet(&b.fleet)
--- a/balancer/outcomes.go
+++ b/balancer/outcomes.go
@@ -46,7 +46,7 @@
 func (b *Balancer) recordAnswer(upstream *upstreamState, failed bool, now time.Duration) {
 	upstream.outlier.recordAnswer(failed)
 	if failed && upstream.outlier.errorRate > outlierExcess { // the whole fleet may have begun to fail
-		b.fleet.errorRate = b.usualErrorRate()
+		b.fleet.errorRate = b.fleetErrorRate()
 	}
 	if !failed || upstream.outlier.excessErrorRate(b.fleet.errorRate) <= outlierExcess {
 		upstream.outlier.responded(now, b.tickInterval)
--- a/balancer/period.go
+++ b/balancer/period.go
@@ -44,7 +44,7 @@
 	best := func(u *upstreamState) float64 { return u.latency.best }
 	unloaded := func(u *upstreamState) float64 { return u.latency.unloaded }
 	b.fleet.utilisation = median(b.measuredValues(utilisation))
-	b.fleet.errorRate = b.usualErrorRate()
+	b.fleet.errorRate = b.fleetErrorRate()
 	b.fleet.bestLatency = lowerQuartile(b.measuredValues(best))
 	b.fleet.unloadedLatency = lowerQuartile(b.measuredValues(unloaded))
 }
--- a/balancer/queue.go
+++ b/balancer/queue.go
@@ -81,8 +81,8 @@
 	return soonest
 }
 
-// dispatchQueued sends queued requests while slots are free, and rejects or fails those whose sendBy has passed. Once a
-// request without attempts finds no slot, no later one in the queue is tried.
+// dispatchQueued sends queued requests while slots are free, and rejects or fails those whose sendBy has passed. When a
+// request without attempts finds no slot, there is none for later ones either, so they are not tried.
 func (b *Balancer) dispatchQueued(now time.Duration) {
 	kept := b.queue.waiting[:0]
 	blocked, expired := false, false
--- a/balancer/reports.go
+++ b/balancer/reports.go
@@ -30,8 +30,8 @@
 	return b.settings.Reports == ReportAnswers && upstream.unreportedAnswers >= minUnreportedAnswers
 }
 
-// recordLoad adds a reading from a load report. objectives is the latency in multiples of the latency objective; it
-// replaces utilisation if the site has no load reports.
+// recordLoad adds a reading from a load report. objectives is the latency in multiples of the latency objective; on
+// sites without load reports it takes the place of utilisation.
 func (b *Balancer) recordLoad(
 	upstream *upstreamState, load Load, succeeded bool, objectives float64, now time.Duration,
 ) {
@@ -62,7 +62,7 @@
 	upstream.band.integrate(b.fleet.utilisation, now)
 	upstream.band.add(utilisation)
 	underHalf := max(utilisation, upstream.band.mean) < fullUtilisation/2
-	if underHalf { // it has room for twice the load, even if all balancers that share it double theirs
+	if underHalf { // there is room even if all balancers that share the upstream send twice as much
 		upstream.limit.raisePeriodMax()
 	}
 }
--- a/balancer/requests.go
+++ b/balancer/requests.go
@@ -9,8 +9,8 @@
 )
 
 const (
-	sendMargin         = 2.33 // mean latencies, less LateWeightFactor, from sendBy to the latency objective
-	retryBudgetDivisor = 16   // a budget shorter than the class's longest by over 1/16 shows a client's retry
+	sendMargin         = 2.33 // sendBy is sendMargin - LateWeightFactor mean latencies before the objective
+	retryBudgetDivisor = 16   // a budget shorter than the class's longest by over 1/retryBudgetDivisor is a retry's
 )
 
 // noAttempt is an attempt index that stands for no attempt.
--- a/balancer/responsiveness.go
+++ b/balancer/responsiveness.go
@@ -30,7 +30,7 @@
 	upstream.outlier.eject(now, timeout)
 	b.log(now, "unresponsive", "upstream %d owes every answer for %v: turns skipped, trials only", upstream.ID, silence)
 	for _, a := range slices.Clone(upstream.inFlight) {
-		b.restartElsewhere(a, now)
+		b.retryElsewhere(a, now)
 	}
 }
 
@@ -45,9 +45,9 @@
 	return oldest
 }
 
-// restartElsewhere sends a request again at another upstream, as a hedged request. If no upstream takes it and hedging
+// retryElsewhere sends a request again at another upstream, as a hedged request. If no upstream takes it and hedging
 // is not permitted, it cancels the attempt at the unresponsive upstream, so that the request is retried.
-func (b *Balancer) restartElsewhere(a *attempt, now time.Duration) {
+func (b *Balancer) retryElsewhere(a *attempt, now time.Duration) {
 	req := a.request
 	if req.class.Idempotency == NonIdempotent || req.done || req.inFlight > 1 {
 		return
--- a/balancer/responsiveness_test.go
+++ b/balancer/responsiveness_test.go
@@ -142,7 +142,7 @@
 		r := b.requests[1]
 		r.done = c.done
 		h.lines = nil
-		b.restartElsewhere(r.attempts[0], time.Hour+ms)
+		b.retryElsewhere(r.attempts[0], time.Hour+ms)
 		if h.count("send id=1") != c.sent || h.count("cancel id=1") != c.cancelled {
 			t.Errorf("%s: %v", c.name, h.lines)
 		}
--- a/balancer/retry.go
+++ b/balancer/retry.go
@@ -39,8 +39,8 @@
 	case NonIdempotent:
 		return false
 	case IdempotentWithKey:
-		remembered := now-a.sentAt < c.DeduplicationWindow-p.margin
-		return remembered && c.deduplicates(a.upstream, upstream)
+		withinWindow := now-a.sentAt < c.DeduplicationWindow-p.margin
+		return withinWindow && c.deduplicates(a.upstream, upstream)
 	}
 	return true
 }
@@ -73,13 +73,13 @@
 	return !slices.ContainsFunc(req.attempts, func(a *attempt) bool { return !a.neverRan })
 }
 
-// sendDeadline returns when the deduplication window first ends of an attempt before the newest that may have run; 0:
-// there is no such attempt.
+// sendDeadline returns the earliest end of the deduplication windows of earlier attempts that may have run; 0 if there
+// are none.
 func (p *retryPolicy) sendDeadline(req *request) (deadline time.Duration) {
 	if req.class.Idempotency != IdempotentWithKey {
 		return 0
 	}
-	earlier := req.attempts[:max(0, len(req.attempts)-1)] // without the newest, whose deadline it is
+	earlier := req.attempts[:max(0, len(req.attempts)-1)] // all but the newest, to which the deadline applies
 	for _, a := range earlier {
 		windowEnd := a.sentAt + req.class.DeduplicationWindow - p.margin
 		if !a.neverRan && (deadline == 0 || windowEnd < deadline) {
--- a/balancer/ring.go
+++ b/balancer/ring.go
@@ -71,8 +71,8 @@
 	return x ^ x>>32
 }
 
-// latticePoint returns the position in [0, 1) of a rank. The positions of all count ranks are evenly spaced, and those
-// of any run of consecutive ranks nearly so, since the step from rank to rank is close to the golden ratio.
+// latticePoint returns the position of a rank on a circle of length 1. The positions of all count ranks are evenly
+// spaced. Those of any consecutive ranks nearly are, since the step from rank to rank is close to 1/golden ratio.
 func latticePoint(rank, count int) float64 {
 	step := int(math.Round(float64(count) / math.Phi))
 	for greatestCommonDivisor(step, count) > 1 {
--- a/balancer/share_test.go
+++ b/balancer/share_test.go
@@ -49,7 +49,7 @@
 	upstream := b.upstreams[0]
 	upstream.share = share{weight: 2, factor: 0.5, subsetPart: 1}
 	upstream.outlier.errorRate = 0.625 // half of what is over the tolerance: a sixteenth of the share is left
-	upstream.slowStart = slowStart{warming: true, since: time.Hour}
+	upstream.slowStart = slowStart{warming: true, startedAt: time.Hour}
 	rules := b.settings.Rules
 	now := time.Hour + rules.SlowStartDuration/2
 	if got, want := b.trafficShare(upstream, now), 2*0.5*0.0625*0.65; !near(got, want) { // 0.3 of capacity at first
--- a/balancer/slowstart.go
+++ b/balancer/slowstart.go
@@ -17,7 +17,7 @@
 // other half per Rules.OverloadWindow, so the work sent within any such window stays within the budget.
 type slowStart struct {
 	warming    bool
-	since      time.Duration // start of the upstream's process
+	startedAt  time.Duration // start of the upstream's process
 	sentWork   float64       // in units of the mean request; a request counts as at least 1
 	sentWorkAt time.Duration // when sentWork was last updated
 	lastSentAt time.Duration // last attempt, warming or warm
@@ -26,15 +26,15 @@
 // begin starts the warm-up of a process that started at a time.
 func (s *slowStart) begin(at time.Duration) {
 	s.warming = true
-	s.since = at
+	s.startedAt = at
 	s.sentWorkAt = max(s.sentWorkAt, at) // the bucket leaks from the start of the new process on
 }
 
 // capacity returns the part of its full capacity that the upstream has at least. It ends the warm-up after
 // Rules.SlowStartDuration.
 func (s *slowStart) capacity(rules *Rules, now time.Duration) float64 {
-	if s.warming && now-s.since < rules.SlowStartDuration {
-		elapsed := float64(now-s.since) / float64(rules.SlowStartDuration)
+	if s.warming && now-s.startedAt < rules.SlowStartDuration {
+		elapsed := float64(now-s.startedAt) / float64(rules.SlowStartDuration)
 		return rules.SlowStartFloor + (1-rules.SlowStartFloor)*max(0, elapsed)
 	}
 	s.warming = false
@@ -81,12 +81,12 @@
 // hasSlot reports whether the present slot is open and nothing was sent in it. If the balancer started within the slot,
 // it may have sent something before its start, so the slot counts as used.
 func (s *slowStart) hasSlot(slots *warmUpSlots, rules *Rules, balancerStartedAt, now time.Duration) bool {
-	slot, elapsed := math.Modf(slots.elapsedSlots(now-s.since, rules))
+	slot, elapsed := math.Modf(slots.elapsedSlots(now-s.startedAt, rules))
 	if elapsed >= slots.openFraction {
 		return false
 	}
 	last := max(s.lastSentAt, balancerStartedAt)
-	return last <= s.since || math.Floor(slots.elapsedSlots(last-s.since, rules)) < slot
+	return last <= s.startedAt || math.Floor(slots.elapsedSlots(last-s.startedAt, rules)) < slot
 }
 
 // beginWarmUp begins the slow start of an upstream and discards the statistics of its previous process.
@@ -100,7 +100,8 @@
 }
 
 // hasWarmUpBudget reports whether a request fits this balancer's part of a warming upstream's budget, which follows
-// from the work that warm upstreams carry. While that is unknown although there are warm upstreams, nothing fits.
+// from the work that warm upstreams carry. While that is unknown although the subset has healthy upstreams, no request
+// fits.
 func (b *Balancer) hasWarmUpBudget(upstream *upstreamState, req *request, now time.Duration) bool {
 	rules := &b.settings.Rules
 	whenWarm := b.warmUpBudget(upstream)
@@ -131,8 +132,8 @@
 }
 
 // slotPhase returns the offset of this balancer's slots at an upstream, as a part of a slot. Balancers that share an
-// upstream have neighbouring positions on the ring; steps of the golden ratio from one to the next spread their phases
-// evenly.
+// upstream have neighbouring positions on the ring. Their phases differ by steps of the golden ratio, which spreads
+// them evenly.
 func (b *Balancer) slotPhase(upstream *upstreamState) float64 {
 	balancers := b.settings.Balancers
 	place := math.Round(latticePoint(b.settings.Rank, balancers) * float64(balancers))
--- a/balancer/slowstart_test.go
+++ b/balancer/slowstart_test.go
@@ -25,7 +25,7 @@
 		{"warm", true, 10 * time.Second, 1, false},
 		{"never started lately", false, 0, 1, false},
 	} {
-		s := slowStart{warming: c.warming, since: time.Hour}
+		s := slowStart{warming: c.warming, startedAt: time.Hour}
 		if got := s.capacity(&warmUpRules, time.Hour+c.age); !near(got, c.capacity) || s.warming != c.after {
 			t.Errorf("%s: %v of its capacity, warming up: %v", c.name, got, s.warming)
 		}
@@ -39,7 +39,7 @@
 	} {
 		s := slowStart{sentWorkAt: c.countedAt}
 		s.begin(c.startedAt)
-		if !s.warming || s.since != c.startedAt || s.sentWorkAt != c.want {
+		if !s.warming || s.startedAt != c.startedAt || s.sentWorkAt != c.want {
 			t.Errorf("%+v: %+v", c, s)
 		}
 	}
@@ -120,7 +120,7 @@
 		{"the second slot, sent in it", 4600 * ms, 4500 * ms, -time.Hour, false},
 		{"the third slot, sent in the second", 7300 * ms, 4500 * ms, -time.Hour, true},
 	} {
-		s := slowStart{warming: true, since: time.Hour, lastSentAt: time.Hour + c.sent}
+		s := slowStart{warming: true, startedAt: time.Hour, lastSentAt: time.Hour + c.sent}
 		if s.hasSlot(slots, &warmUpRules, time.Hour+c.start, time.Hour+c.age) != c.has {
 			t.Errorf("%s: has its slot %v", c.name, !c.has)
 		}
@@ -183,7 +183,7 @@
 	upstream.limit.allowed, upstream.unreportedAnswers = 99, 70
 	b.beginWarmUp(upstream, time.Hour)
 	switch {
-	case !upstream.slowStart.warming || upstream.slowStart.since != time.Hour:
+	case !upstream.slowStart.warming || upstream.slowStart.startedAt != time.Hour:
 		t.Errorf("it does not warm up: %+v", upstream.slowStart)
 	case upstream.latency != latencyStats{}:
 		t.Errorf("latency left: %+v", upstream.latency)
--- a/balancer/snapshot.go
+++ b/balancer/snapshot.go
@@ -64,7 +64,7 @@
 	}
 }
 
-// copyFigures returns the values that are finite and not negative; JSON can't encode the others.
+// copyFigures returns the values that are finite and not negative. JSON can't encode NaN or infinity.
 func copyFigures(from map[string]*float64) map[string]float64 {
 	to := make(map[string]float64, len(from))
 	for name, figure := range from {
--- a/balancer/subset.go
+++ b/balancer/subset.go
@@ -11,8 +11,8 @@
 
 const (
 	targetSharers       = 4.0   // balancers that share an upstream, if there are that many
-	maxSharers          = 10.0  // most balancers that share an upstream where the arrival rate makes subsets wider
-	evennessFactor      = 4.0   // for evenness, a subset is as wide as √(evennessFactor × requests a second)
+	maxSharers          = 10.0  // bound on the sharers of an upstream when subsets are widened for evenness
+	evennessFactor      = 4.0   // for evenness, subsets are widened to √(evennessFactor × requests a second)
 	minSubsetSize       = 2     // least number of upstreams in a subset
 	minSubsetPart       = 0.125 // least part of an upstream that is in a subset, if any
 	loadFactorTolerance = 1.5   // changes of the load factor by less than this ratio are ignored
@@ -44,11 +44,11 @@
 // of them gets varies by chance as rate/k, and by the positions of turns as k/6. The sum is least at k = √(6 rate), and
 // hardly higher at the smaller k used here, which takes fewer connections.
 func baseWidth(active float64, balancers int, rate float64) (width, limitGrowth float64) {
-	sharedBy := func(sharers float64) float64 {
+	widthFor := func(sharers float64) float64 {
 		return active * sharers / max(sharers, float64(balancers)-sharers)
 	}
-	narrow := min(active, max(minSubsetSize, sharedBy(targetSharers)))
-	wide := min(sharedBy(maxSharers), math.Sqrt(evennessFactor*rate))
+	narrow := min(active, max(minSubsetSize, widthFor(targetSharers)))
+	wide := min(widthFor(maxSharers), math.Sqrt(evennessFactor*rate))
 	width = min(active, max(narrow, wide))
 	// With more sharers each one cuts its limit by less, so it must grow by less too.
 	return width, narrow / max(width, 1)
@@ -131,7 +131,7 @@
 	offset           float64 // length of the first upstream that lies before the arc
 	remaining        float64 // remaining length of the arc; negative beyond its end
 	end              float64 // value of remaining at which the walk ends in any case
-	wanted           float64 // length of healthy upstreams still wanted
+	healthyWanted    float64 // length of healthy upstreams that the arc still lacks
 	skipWarmingBelow float64 // warming upstreams are not chosen once remaining is at most this
 	minPart          float64 // least length of an upstream in the subset
 }
@@ -144,7 +144,7 @@
 		offset:           offset,
 		remaining:        length,
 		end:              -length,
-		wanted:           length * limitGrowth,
+		healthyWanted:    length * limitGrowth,
 		skipWarmingBelow: length * (1 - limitGrowth),
 		minPart:          minSubsetPart * total / max(active, 1),
 	}
@@ -155,21 +155,21 @@
 	if w.remaining <= w.end {
 		return true
 	}
-	return max(w.remaining, w.wanted) <= w.minPart/2 && visited >= minSubsetSize
+	return max(w.remaining, w.healthyWanted) <= w.minPart/2 && visited >= minSubsetSize
 }
 
 // pass goes past an upstream of the given length, and returns the length of it that lies in the arc, and whether it is
 // chosen. Fewer balancers use a warming upstream, each with more of its traffic, since otherwise all of them together
 // would overload it.
 func (w *ringWalk) pass(length float64, warming, healthy bool) (part float64, chosen bool) {
-	part = max(0, min(length-w.offset, max(w.remaining, w.wanted)))
+	part = max(0, min(length-w.offset, max(w.remaining, w.healthyWanted)))
 	w.offset = 0
 	w.remaining -= part
 	if warming && w.remaining+part <= w.skipWarmingBelow {
 		return 0, false
 	}
 	if healthy {
-		w.wanted -= part
+		w.healthyWanted -= part
 	}
 	return part, true
 }
--- a/balancer/subset_test.go
+++ b/balancer/subset_test.go
@@ -281,7 +281,7 @@
 	b, _ := start(t, s, fleet(40))
 	before := slices.Clone(b.subset.upstreams)
 	before[0].outlier.unresponsive = true
-	before[1].slowStart.warming, before[1].slowStart.since = true, time.Hour
+	before[1].slowStart.warming, before[1].slowStart.startedAt = true, time.Hour
 	b.chooseSubset(time.Hour)
 	if len(b.subset.upstreams) != len(before)+2 {
 		t.Errorf("%d upstreams in use, then %d with one unresponsive and one warming", len(before), len(b.subset.upstreams))
