--- a/balancer/share_test.go
+++ b/balancer/share_test.go
@@ -37,8 +37,8 @@
 		{share{4, 0.5, 0.25}, 0.5, 1},
 		{share{3, 1, 2}, 6, 6}, // few balancers learn an upstream that warms up
 	} {
-		if c.share.value() != c.value || c.share.inSubset() != c.inSubset {
-			t.Errorf("%+v: %v, uncut %v; want %v, %v", c.share, c.share.value(), c.share.inSubset(), c.value, c.inSubset)
+		if c.share.value() != c.value || c.share.uncut() != c.inSubset {
+			t.Errorf("%+v: %v, uncut %v; want %v, %v", c.share, c.share.value(), c.share.uncut(), c.value, c.inSubset)
 		}
 	}
 }
@@ -49,7 +49,7 @@
 	upstream := b.upstreams[0]
 	upstream.share = share{weight: 2, factor: 0.5, subsetPart: 1}
 	upstream.outlier.errorRate = 0.625 // half of what is over the tolerance: a sixteenth of the share is left
-	upstream.slowStart = slowStart{warming: true, since: time.Hour}
+	upstream.slowStart = slowStart{warming: true, startedAt: time.Hour}
 	rules := b.settings.Rules
 	now := time.Hour + rules.SlowStartDuration/2
 	if got, want := b.trafficShare(upstream, now), 2*0.5*0.0625*0.65; !near(got, want) { // 0.3 of capacity at first
@@ -71,7 +71,7 @@
 	step(2)
 	first := b.upstreams[0].share.factor
 	step(40)
-	if first >= 1 || first < deepestCut*deepestCut ||
+	if first >= 1 || first < minCutFactor*minCutFactor ||
 		b.upstreams[0].share.factor != minShareFactor || b.upstreams[1].share.factor != 1 {
 		t.Errorf("shares left: %v at first, then %v and %v", first, b.upstreams[0].share.factor, b.upstreams[1].share.factor)
 	}
--- a/balancer/slowstart_test.go
+++ b/balancer/slowstart_test.go
@@ -25,7 +25,7 @@
 		{"warm", true, 10 * time.Second, 1, false},
 		{"never started lately", false, 0, 1, false},
 	} {
-		s := slowStart{warming: c.warming, since: time.Hour}
+		s := slowStart{warming: c.warming, startedAt: time.Hour}
 		if got := s.capacity(&warmUpRules, time.Hour+c.age); !near(got, c.capacity) || s.warming != c.after {
 			t.Errorf("%s: %v of its capacity, warming up: %v", c.name, got, s.warming)
 		}
@@ -39,7 +39,7 @@
 	} {
 		s := slowStart{sentWorkAt: c.countedAt}
 		s.begin(c.startedAt)
-		if !s.warming || s.since != c.startedAt || s.sentWorkAt != c.want {
+		if !s.warming || s.startedAt != c.startedAt || s.sentWorkAt != c.want {
 			t.Errorf("%+v: %+v", c, s)
 		}
 	}
@@ -96,7 +96,7 @@
 		{1, 0, time.Second, 0.1675}, // a half of 0.335
 	} {
 		slots := warmUpSlots{budget: c.budget, phase: c.phase}
-		if got := slots.at(c.age, &warmUpRules); !near(got, c.slots) {
+		if got := slots.elapsedSlots(c.age, &warmUpRules); !near(got, c.slots) {
 			t.Errorf("%+v: %v slots", c, got)
 		}
 	}
@@ -104,7 +104,7 @@
 
 // The second slot begins 4.40 s after the upstream's start and the third at 7.23 s; a fifth of each is open.
 func TestSlowStartHasSlot(t *testing.T) {
-	slots := &warmUpSlots{budget: 1, open: 0.2}
+	slots := &warmUpSlots{budget: 1, openFraction: 0.2}
 	for _, c := range []struct {
 		name             string
 		age, sent, start time.Duration // of the upstream; when the last was sent and the balancer started, by its age
@@ -120,7 +120,7 @@
 		{"the second slot, sent in it", 4600 * ms, 4500 * ms, -time.Hour, false},
 		{"the third slot, sent in the second", 7300 * ms, 4500 * ms, -time.Hour, true},
 	} {
-		s := slowStart{warming: true, since: time.Hour, lastSentAt: time.Hour + c.sent}
+		s := slowStart{warming: true, startedAt: time.Hour, lastSentAt: time.Hour + c.sent}
 		if s.hasSlot(slots, &warmUpRules, time.Hour+c.start, time.Hour+c.age) != c.has {
 			t.Errorf("%s: has its slot %v", c.name, !c.has)
 		}
@@ -160,14 +160,14 @@
 // While there is a warm upstream, nothing goes to one that warms up before it is known what a warm one carries.
 func TestWarmUpBudgetWaitsForTheWarm(t *testing.T) {
 	for _, c := range []struct {
-		carried float64
-		hasWarm bool
-		fits    bool
+		carried    float64
+		hasHealthy bool
+		fits       bool
 	}{{0, true, false}, {0, false, true}, {10, true, true}} {
 		b, _ := start(t, settings(), fleet(1))
 		upstream := b.upstreams[0]
 		b.beginWarmUp(upstream, time.Hour)
-		b.fleet.workPerWeight, b.subset.hasWarm = c.carried, c.hasWarm
+		b.fleet.workPerWeight, b.subset.hasHealthy = c.carried, c.hasHealthy
 		if b.hasWarmUpBudget(upstream, &request{work: 1}, time.Hour+time.Second) != c.fits {
 			t.Errorf("%+v: a request fits: %v", c, !c.fits)
 		}
@@ -183,7 +183,7 @@
 	upstream.limit.allowed, upstream.unreportedAnswers = 99, 70
 	b.beginWarmUp(upstream, time.Hour)
 	switch {
-	case !upstream.slowStart.warming || upstream.slowStart.since != time.Hour:
+	case !upstream.slowStart.warming || upstream.slowStart.startedAt != time.Hour:
 		t.Errorf("it does not warm up: %+v", upstream.slowStart)
 	case upstream.latency != latencyStats{}:
 		t.Errorf("latency left: %+v", upstream.latency)
