--- a/internal/coordination/server/core_test.go
+++ b/internal/coordination/server/core_test.go
@@ -157,7 +157,7 @@
 		{
 			"a follower with a higher applied index", inside,
 			with(follower, func(h *client.Hello) { h.Applied = 6 }),
-			"applied index is 5 here, and 6 at the follower",
+			"it has come to 5, and the follower to 6",
 		},
 		{"an unknown role", inside, client.Hello{Role: 99}, "there is no role 99"},
 	}
--- a/internal/coordination/server/followers.go
+++ b/internal/coordination/server/followers.go
@@ -98,7 +98,7 @@
 	case hello.Cluster != 0 && hello.Cluster != c.identity.Cluster:
 		return c.clusterMismatch(hello)
 	case hello.Applied > c.applied:
-		return fmt.Sprintf("applied index is %d here, and %d at the follower", c.applied, hello.Applied)
+		return fmt.Sprintf("it has come to %d, and the follower to %d", c.applied, hello.Applied)
 	}
 	return ""
 }
--- a/internal/coordination/server/membership.go
+++ b/internal/coordination/server/membership.go
@@ -79,7 +79,7 @@
 ) (waitReason string, added bool) {
 	known := t.joining[voter.ID]
 	if known == nil {
-		known = &joiningVoter{waitReason: "its request to join has just arrived"}
+		known = &joiningVoter{waitReason: "its wish has just come"}
 		t.joining[voter.ID] = known
 		added = true
 	}
--- a/internal/coordination/server/replica.go
+++ b/internal/coordination/server/replica.go
@@ -90,7 +90,7 @@
 		return err
 	}
 	if decoded.FeatureLevel() > state.NewestFeatureLevel {
-		return fmt.Errorf("the ledger is at level %d, and this version knows %d: a newer one is wanted",
+		return fmt.Errorf("the state is at feature level %d, but this version knows %d: a newer version is required",
 			decoded.FeatureLevel(), state.NewestFeatureLevel)
 	}
 	metadata := snapshot.GetMetadata()
--- a/internal/coordination/state/state.go
+++ b/internal/coordination/state/state.go
@@ -81,7 +81,7 @@
 	result.Revision = s.revision
 	result.Clock = s.clock
 	if s.featureLevel > NewestFeatureLevel {
-		const format = "the state is at feature level %d, but this version supports at most %d: a newer version is required"
+		const format = "the state is at feature level %d, but this version knows %d: a newer version is required"
 		return result, fmt.Errorf(format, s.featureLevel, NewestFeatureLevel)
 	}
 	return result, nil
