--- a/internal/strictyaml/check.go
+++ b/internal/strictyaml/check.go
@@ -8,7 +8,7 @@
 	"github.com/agnivade/levenshtein"
 )
 
-// Fill sets a value that was left out to its default.
+// Fill sets a value to its default if it is zero, which means that the file leaves it out.
 func Fill[T comparable](value *T, defaultValue T) {
 	var zero T
 	if *value == zero {
@@ -16,21 +16,22 @@
 	}
 }
 
-// One records an error unless the word at a path is one of those known, and names the nearest of them.
-func (d *Doc) One(path, what, word string, known ...string) bool {
+// One reports whether the word at a path is one of the known words. Otherwise it records an error, which suggests the
+// nearest known word or lists all of them. kind says in the error what the word names.
+func (d *Doc) One(path, kind, word string, known ...string) bool {
 	if slices.Contains(known, word) {
 		return true
 	}
 	known = slices.Sorted(slices.Values(known))
-	text := fmt.Sprintf("there is no %s %q; known: %s", what, word, strings.Join(known, ", "))
+	text := fmt.Sprintf("there is no %s %q; known: %s", kind, word, strings.Join(known, ", "))
 	if near := Nearest(word, known); near != "" {
-		text = fmt.Sprintf("there is no %s %q; did you mean %q?", what, word, near)
+		text = fmt.Sprintf("there is no %s %q; did you mean %q?", kind, word, near)
 	}
 	d.Fail(path, "%s", text)
 	return false
 }
 
-// Within records an error unless low <= x <= high; NaN is never within.
+// Within records an error unless low <= x <= high; NaN is always an error.
 func (d *Doc) Within(path string, x, low, high float64) {
 	isWithin := x >= low && x <= high
 	if !isWithin {
@@ -38,10 +39,10 @@
 	}
 }
 
-// maxNameLength is the length of a name that can stand in paths and file names, in bytes.
+// maxNameLength is the maximum length of a name that Plain accepts, in bytes.
 const maxNameLength = 64
 
-// Plain reports whether a name can stand in paths and file names: ASCII letters, digits and hyphens.
+// Plain reports whether a name can be used in paths and file names: 1 to 64 ASCII letters, digits and hyphens.
 func Plain(name string) bool {
 	if name == "" || len(name) > maxNameLength {
 		return false
@@ -53,7 +54,8 @@
 	})
 }
 
-// Nearest returns the name that a wrong one was most likely meant to be, by edit distance; empty if none is near.
+// Nearest returns the name with the smallest edit distance to a wrong name, regardless of the wrong name's case. It
+// returns an empty string if the distance is more than half the wrong name's length.
 func Nearest(wrong string, names []string) string {
 	nearest := ""
 	least := len(wrong)/2 + 1
--- a/internal/strictyaml/decode.go
+++ b/internal/strictyaml/decode.go
@@ -13,7 +13,7 @@
 	"go.yaml.in/yaml/v3"
 )
 
-// Decode reads text, which came from the file of that name, into a pointer to a struct. Errors are recorded in the Doc.
+// Decode decodes the text of a file into a pointer to a struct. Errors are recorded in the Doc.
 func Decode(file string, text []byte, into any) *Doc {
 	d := &Doc{File: file}
 	if root := d.parse(text); root != nil {
@@ -22,24 +22,24 @@
 	return d
 }
 
-// decodeValue reads a node into a value, within the bounds on the number of values and their depth.
+// decodeValue decodes a node into a value, and enforces the limits on the number of values and their depth.
 func (d *Doc) decodeValue(path string, node *yaml.Node, into reflect.Value) {
 	d.valueCount++
 	if d.valueCount > d.valueLimit() {
 		if !d.tooManyValues {
 			d.tooManyValues = true
-			d.Fail(path, "the file stands for too many values")
+			d.Fail(path, "the file expands to too many values")
 		}
 		return
 	}
 	if d.depth == maxDepth {
-		d.Fail(path, "values stand within each other more than %d deep", maxDepth)
+		d.Fail(path, "values are nested more than %d deep", maxDepth)
 		return
 	}
 	d.depth++
 	defer func() { d.depth-- }()
 	d.deepest = max(d.deepest, d.depth)
-	d.noteAliases(node)
+	d.recordAliases(node)
 	if into.Kind() == reflect.Pointer {
 		into.Set(reflect.New(into.Type().Elem()))
 		into = into.Elem()
@@ -47,14 +47,14 @@
 	d.decodeKind(path, resolveAlias(node), into)
 }
 
-// noteAliases records whether a node is an alias or can have some.
-func (d *Doc) noteAliases(node *yaml.Node) {
+// recordAliases records whether a node is an alias or has an anchor.
+func (d *Doc) recordAliases(node *yaml.Node) {
 	if node.Anchor != "" || node.Kind == yaml.AliasNode {
 		d.hasAliases = true
 	}
 }
 
-// decodeKind reads a node, no alias, in the way that the kind of the Go value calls for.
+// decodeKind decodes a node, which must not be an alias, by the kind of the Go value.
 func (d *Doc) decodeKind(path string, node *yaml.Node, into reflect.Value) {
 	if unmarshaler, ok := into.Addr().Interface().(encoding.TextUnmarshaler); ok {
 		d.decodeText(path, node, unmarshaler)
@@ -86,7 +86,7 @@
 	yaml.ScalarNode:   "a single value",
 }
 
-// expectKind reports whether a node is of the wanted kind, and records an error if it is not.
+// expectKind reports whether a node has the wanted kind, and records an error otherwise.
 func (d *Doc) expectKind(path string, node *yaml.Node, want yaml.Kind) bool {
 	isNull := node.Tag == "!!null"
 	if node.Kind == want && !isNull {
@@ -100,7 +100,7 @@
 	return false
 }
 
-// decodeText reads a single value into a type that has a form of its own.
+// decodeText decodes a scalar into a type with a text format of its own.
 func (d *Doc) decodeText(path string, node *yaml.Node, into encoding.TextUnmarshaler) {
 	if !d.expectKind(path, node, yaml.ScalarNode) {
 		return
@@ -126,7 +126,7 @@
 	}
 }
 
-// decodeStruct reads a mapping into a struct, by its yaml tags.
+// decodeStruct decodes a mapping into a struct, by the struct's yaml tags.
 func (d *Doc) decodeStruct(path string, node *yaml.Node, into reflect.Value) {
 	fields := fieldsOf(into.Type())
 	d.eachEntry(path, node, func(key, value *yaml.Node) {
@@ -138,7 +138,7 @@
 	})
 }
 
-// unknownKey returns the text of an error about a key that is none of those known.
+// unknownKey returns the text of an error about an unknown key.
 func unknownKey(key string, known []string) string {
 	text := fmt.Sprintf("unknown key %q", key)
 	if near := Nearest(key, known); near != "" {
@@ -147,7 +147,7 @@
 	return text + "; known here: " + strings.Join(known, ", ")
 }
 
-// structFields caches what fieldsOf returns: a map[string]int for each reflect.Type.
+// structFields caches the results of fieldsOf: a map[string]int for each reflect.Type.
 var structFields sync.Map
 
 // fieldsOf returns the indexes of a struct's fields by their yaml tags.
@@ -166,8 +166,8 @@
 	return fields
 }
 
-// decodeScalar reads a single value into a string, a bool or a number. What does not fit is an error, and the value
-// is set to what could be read of it.
+// decodeScalar decodes a scalar into a string, a bool or a number. It records an error for a text that does not fit,
+// and still sets the value to what the conversion returned.
 func (d *Doc) decodeScalar(path string, node *yaml.Node, into reflect.Value) {
 	text := node.Value
 	switch into.Kind() {
@@ -191,16 +191,16 @@
 		}
 		into.SetInt(number)
 	default:
-		panic("strictyaml: no reading for " + into.Type().String())
+		panic("strictyaml: unsupported type " + into.Type().String())
 	}
 }
 
-// eachEntry calls entry for each entry of a mapping. A repeated key and one that is not a single value are errors.
+// eachEntry calls entry for each entry of a mapping. Keys that are repeated or not scalars are errors.
 func (d *Doc) eachEntry(path string, node *yaml.Node, entry func(key, value *yaml.Node)) {
 	keys := newKeyIndex(node)
 	for index := 0; index+1 < len(node.Content); index += 2 {
 		key := node.Content[index]
-		d.noteAliases(key)
+		d.recordAliases(key)
 		if key.Kind != yaml.ScalarNode {
 			d.failAt(d.positionOf(key), path, "a key is a single value")
 			continue
@@ -215,13 +215,13 @@
 	}
 }
 
-// maxScannedContent is the length of a mapping's content, keys and values, up to which its keys are compared one by
-// one: that takes less time than a map.
+// maxScannedContent is the maximum number of keys and values in a mapping whose keys are compared one by one, which is
+// faster than a map for few keys.
 const maxScannedContent = 32
 
 // keyIndex finds the repeated keys of a mapping.
 type keyIndex struct {
-	content []*yaml.Node   // keys and values in turn
+	content []*yaml.Node   // keys and values alternate
 	seen    map[string]int // indexes in content by key; nil for a short mapping
 }
 
@@ -233,7 +233,8 @@
 	return index
 }
 
-// firstWith returns the first index with the same key as the one at an index. It is called with growing indexes.
+// firstWith returns the smallest index whose key is the same as the key at an index. It must be called for all keys in
+// ascending order.
 func (x *keyIndex) firstWith(index int) int {
 	key := x.content[index].Value
 	if x.seen != nil {
--- a/internal/strictyaml/diagnose.go
+++ b/internal/strictyaml/diagnose.go
@@ -6,9 +6,9 @@
 	"slices"
 )
 
-// DiagnoseEntries reads the entries of a section between two offsets of the text, into a pointer to a map or a slice,
-// and returns the Doc with what is wrong with them, in the words and positions that reading the whole would give if
-// the rest is right; nil if that is in doubt.
+// DiagnoseEntries decodes the entries of a section between two offsets of the text into a pointer to a map or a slice.
+// It returns a Doc with the errors in them, whose texts and positions are those of decoding the whole text if the rest
+// is valid; nil if that is not certain.
 func DiagnoseEntries(file string, text []byte, section Section, from, end int, into any) *Doc {
 	entries := SplitEntries(text[from:end])
 	if entries == nil {
@@ -32,27 +32,29 @@
 	return doc
 }
 
-// sectionRange is a range of whole lines in the body of a section.
+// sectionRange is a range of lines in the body of a section.
 type sectionRange struct {
 	text    []byte // of the file
 	section Section
-	column  int // spaces before each entry of the section
+	column  int // number of spaces before each entry of the section
 	from    int // offset of the first line in the text
-	end     int // offset behind the last line
+	end     int // offset after the last line
 }
 
 const (
-	// contextEntries is how many entries on each side of a mistake are parsed with it.
+	// contextEntries is the number of entries that are parsed before and after the ones with an error.
 	contextEntries = 8
-	// extraComments is how many lines more stand above the text in the second of two readings.
+	// extraComments is the number of comment lines that are put above the text for the second of two parses.
 	extraComments = 3
 )
 
-// diagnoseSyntax parses what stands around a mistake twice: from another entry before it, to another one after it, and
-// with another number of lines above. A parser that goes through a text once, and reports the same for both, has
-// stopped at the mistake and for nothing that stands further away, so it would report that for the whole as well.
-func diagnoseSyntax(file string, mistake sectionRange) *Doc {
-	near := mistake.widened(contextEntries)
+// diagnoseSyntax finds the syntax error in a range by parsing the range twice with some entries around it. The second
+// parse begins at an earlier entry, ends at a later one, and has additional lines above the text. The parser reads a
+// text once from its beginning, so if both parses report the same error, it does not depend on the surroundings, and
+// parsing the whole text would report it too. diagnoseSyntax returns nil if the errors differ, or if the section has
+// too few entries around the range.
+func diagnoseSyntax(file string, invalid sectionRange) *Doc {
+	near := invalid.widened(contextEntries)
 	wide := near.widened(contextEntries)
 	if near.from == wide.from || near.end == wide.end {
 		return nil
@@ -65,7 +67,7 @@
 	return first
 }
 
-// parse parses the range under its section's key, with so many lines of comments above.
+// parse parses the range under its section's key, with a number of comment lines above.
 func (r sectionRange) parse(file string, comments int) *Doc {
 	keyLine := r.text[r.section.Start:r.section.Body]
 	lines := slices.Concat(bytes.Repeat([]byte("#\n"), comments), keyLine, r.text[r.from:r.end])
@@ -74,7 +76,7 @@
 	return d
 }
 
-// widened returns the range with so many entries more at both ends, as far as the section has them.
+// widened returns the range extended by a number of entries at both ends, or up to the ends of the section.
 func (r sectionRange) widened(entries int) sectionRange {
 	for added := 0; added < entries && r.from > r.section.Body; {
 		r.from = bytes.LastIndexByte(r.text[:r.from-1], '\n') + 1
@@ -82,19 +84,19 @@
 			added++
 		}
 	}
-	for begun := 0; r.end < r.section.End; r.end += len(firstLine(r.text[r.end:r.section.End])) {
+	for addedAfter := 0; r.end < r.section.End; r.end += len(firstLine(r.text[r.end:r.section.End])) {
 		if !r.entryBeginsAt(r.end) {
 			continue
 		}
-		if begun == entries {
+		if addedAfter == entries {
 			break
 		}
-		begun++
+		addedAfter++
 	}
 	return r
 }
 
-// entryBeginsAt reports whether the line at an offset is the first of an entry.
+// entryBeginsAt reports whether the line at an offset is the first line of an entry.
 func (r sectionRange) entryBeginsAt(offset int) bool {
 	line := r.text[offset:r.section.End]
 	if len(line) <= r.column || len(bytes.TrimLeft(line[:r.column], " ")) > 0 {
--- a/internal/strictyaml/doc.go
+++ b/internal/strictyaml/doc.go
@@ -1,5 +1,8 @@
-// Package strictyaml reads YAML into Go values and reports every error at once, each with its line and column. Unknown
-// and repeated keys are errors, with the nearest known key; so are values of the wrong kind.
+// Package strictyaml decodes YAML into Go values and reports all errors of a file at once, each with its line and
+// column. Unknown keys, repeated keys and values of the wrong kind are errors; that of an unknown key suggests the
+// nearest known one. The package can also decode a text section by section, for large files that are reloaded often. It
+// reads the files of this project: configurations, endpoint lists, scenarios and fault scripts. It does not write YAML,
+// and supports only the Go types that these files need.
 package strictyaml
 
 import (
@@ -13,27 +16,27 @@
 	"go.yaml.in/yaml/v3"
 )
 
-// maxValues, maxValuesWithAliases and maxDepth bound what a file can expand to: aliases of aliases, or one within
-// itself, grow without bound. A file with 15,000 routes, 140,000 tenants and 18,000 nodes has over half a million
-// values.
+// maxValues, maxValuesWithAliases and maxDepth bound the number of values of a file and their nesting, since aliases of
+// aliases, or an alias within its own anchor, expand without bound. A file with 15,000 routes, 140,000 tenants and
+// 18,000 endpoints has over half a million values.
 const (
 	maxValues            = 1 << 20
 	maxValuesWithAliases = 1 << 19
 	maxDepth             = 100
 )
 
-// MaxValues bounds the number of values in a file; see Doc.Values.
+// MaxValues is the maximum number of values in a file without aliases; see Doc.Values.
 const MaxValues = maxValues
 
-// Position is a place in a file; lines and columns count from 1.
+// Position is a position in a file; lines and columns count from 1.
 type Position struct{ Line, Column int }
 
-// Error is one thing wrong with a file. A Doc's errors are of this type: errors.As finds the first of a file.
+// Error is one error in a file. Doc.Err joins errors of this type, of which errors.As finds the first in the file.
 type Error struct {
 	File string
 	Position
-	// Key is the path of the value, such as "pools.maps.nodes" or "routes[2].path"; empty for an error of syntax and
-	// for one about the file as a whole.
+	// Key is the path of the value, such as "pools.maps.nodes" or "routes[2].path"; empty for a syntax error and for an
+	// error about the file as a whole.
 	Key  string
 	Text string
 }
@@ -42,34 +45,34 @@
 	return fmt.Sprintf("%s:%d:%d: %s", e.File, e.Line, e.Column, e.Text)
 }
 
-// Doc is a file, or a part of one, that has been read: the positions of its values, by path ("pools.maps.nodes",
-// "routes[2].path"), and the errors found so far. It is for one goroutine at a time.
+// Doc is a parsed file, or a parsed part of a file. It holds the positions of the values, by path ("pools.maps.nodes",
+// "routes[2].path"), and the errors recorded so far. It is not safe for concurrent use.
 type Doc struct {
 	File string
 
 	root       *yaml.Node
-	lineOffset int                 // lines of the file before the text that was read
-	section    sectionEntries      // which entries of the file the text holds, if it is a part of a section
+	lineOffset int                 // number of lines in the file before the parsed text
+	section    sectionEntries      // the entries that were parsed, if the text is a part of a section
 	positions  map[string]Position // built when a position is first asked for
 	errs       []Error
 
 	valueCount    int
 	depth         int // of the value being read
-	deepest       int // the greatest depth so far
+	deepest       int // the maximum depth so far
 	tooManyValues bool
-	hasAliases    bool // the text has anchors or aliases, so a value may stand in more than one place
+	hasAliases    bool // the text has anchors or aliases, so a node may be decoded more than once
 }
 
-// sectionEntries identifies the entries of a section that were read without the rest of the file. Paths in such a
-// Doc start below the section's key.
+// sectionEntries identifies the entries of a section that were parsed without the rest of the file. Paths in such a Doc
+// start below the section's key.
 type sectionEntries struct {
-	partial    bool   // false if whole sections were read: paths are those of the file
-	key        string // of the section; empty if it isn't known
+	partial    bool   // false if whole sections were parsed, so that paths start at the root of the file
+	key        string // of the section; empty if it is unknown
 	list       bool
-	firstIndex int // of the first entry that was read, if the section is a list
+	firstIndex int // of the first parsed entry, if the section is a list
 }
 
-// fullKey returns the path in the whole file of a path in the Doc; empty if it isn't known.
+// fullKey converts a path in the Doc to the path in the whole file; empty if that is unknown.
 func (s sectionEntries) fullKey(path string) string {
 	switch {
 	case !s.partial || path == "":
@@ -87,7 +90,7 @@
 	return itemPath(s.key, s.firstIndex+offset) + rest
 }
 
-// At returns the position of a value, or of the nearest one around it.
+// At returns the position of the value at a path, or of the innermost existing value that would contain it.
 func (d *Doc) At(path string) Position {
 	if d.positions == nil {
 		d.positions = map[string]Position{"": {d.lineOffset + 1, 1}}
@@ -102,7 +105,7 @@
 	}
 }
 
-// valueLimit returns how many values the file may expand to.
+// valueLimit returns the maximum number of values that the file may expand to.
 func (d *Doc) valueLimit() int {
 	if d.hasAliases {
 		return maxValuesWithAliases
@@ -110,7 +113,8 @@
 	return maxValues
 }
 
-// locate records the positions of a node and of those within it; remaining bounds how many nodes are still visited.
+// locate records the positions of a node and of the nodes within it. remaining is the number of nodes that may still be
+// visited.
 func (d *Doc) locate(path string, node *yaml.Node, remaining *int, depth int) {
 	*remaining--
 	if node == nil || *remaining < 0 || depth > maxDepth {
@@ -154,7 +158,7 @@
 // Failed reports whether an error has been recorded.
 func (d *Doc) Failed() bool { return len(d.errs) > 0 }
 
-// Err joins the recorded errors, each an Error, in the order of the file; it is nil if there is none.
+// Err joins the recorded errors, each an Error, in the order of their positions; it is nil if there is none.
 func (d *Doc) Err() error {
 	slices.SortStableFunc(d.errs, func(a, b Error) int {
 		return cmp.Or(cmp.Compare(a.Line, b.Line), cmp.Compare(a.Column, b.Column))
@@ -166,7 +170,7 @@
 	return errors.Join(errs...)
 }
 
-// Values returns the number of values read so far, which MaxValues bounds.
+// Values returns the number of values decoded so far.
 func (d *Doc) Values() int { return d.valueCount }
 
 // join returns the path of an entry of a mapping.
--- a/internal/strictyaml/entries.go
+++ b/internal/strictyaml/entries.go
@@ -6,23 +6,24 @@
 	"go.yaml.in/yaml/v3"
 )
 
-// Entries is the body of a section with the places where its entries begin.
+// Entries is the body of a section, or a part of it, with the positions of its entries.
 type Entries struct {
-	// Section is the key of the section, for the keys of errors; the errors have none while it is empty.
+	// Section is the key of the section, for Error.Key. If it is empty, so are the keys of errors.
 	Section string
 	Text    []byte
-	Column  int // spaces before each entry
+	Column  int // number of spaces before each entry
 	List    bool
 	Starts  []EntryStart
 }
 
-// EntryStart is the first line of an entry.
+// EntryStart is the position of an entry's first line.
 type EntryStart struct {
 	Offset int // in the body
 	Line   int // in the body, from 0
 }
 
-// SplitEntries finds the entries of a body without parsing them; nil if there is none or it can't be read in parts.
+// SplitEntries finds the entries of a body without parsing them. It returns nil if there is none, or if the body can't
+// be parsed entry by entry.
 func SplitEntries(body []byte) *Entries {
 	entries := &Entries{Text: body}
 	lineNumber := -1
@@ -51,7 +52,7 @@
 	return entries
 }
 
-// indentation returns the number of spaces before the first other character of a line that has one.
+// indentation returns the number of spaces at the beginning of a line, which must not consist of spaces alone.
 func indentation(line []byte) int {
 	column := 0
 	for line[column] == ' ' {
@@ -60,7 +61,7 @@
 	return column
 }
 
-// Offset returns where an entry begins in the text, or the end of the text for the index after the last.
+// Offset returns the offset of an entry in the text, or the end of the text for an index after the last.
 func (e *Entries) Offset(index int) int {
 	if index >= len(e.Starts) {
 		return len(e.Text)
@@ -68,10 +69,10 @@
 	return e.Starts[index].Offset
 }
 
-// Read reads the entries with indexes in [from, end) into a pointer to a map or a slice. Errors are recorded in the
-// Doc, as in a file with so many lines before the body. whole reports whether these are the entries that reading the
-// whole file gives.
-func (e *Entries) Read(file string, linesBefore, from, end int, into any) (d *Doc, whole bool) {
+// Read decodes the entries with indexes in [from, end) into a pointer to a map or a slice. Errors are recorded in the
+// Doc; their lines are those of a file with linesBefore lines before the body. exact reports whether these entries are
+// certain to be those that decoding the whole file gives.
+func (e *Entries) Read(file string, linesBefore, from, end int, into any) (d *Doc, exact bool) {
 	d = &Doc{
 		File:       file,
 		lineOffset: linesBefore + e.Starts[from].Line,
@@ -85,8 +86,8 @@
 	return d, len(d.errs) == 0 && e.matches(d, from, end)
 }
 
-// matches reports whether what was read of the entries in [from, end) is as many, each in its lines, and uses nothing
-// that stands elsewhere.
+// matches reports whether the parser found the entries in [from, end) in the lines where SplitEntries found them, and
+// no others, and whether they are self-contained.
 func (e *Entries) matches(d *Doc, from, end int) bool {
 	kind := yaml.MappingNode
 	nodesPerEntry := 2 // key and value
@@ -95,7 +96,7 @@
 		nodesPerEntry = 1
 	}
 	root := d.root
-	if !d.standsAlone() || root.Kind != kind || isFlow(root) {
+	if !d.isSelfContained() || root.Kind != kind || isFlow(root) {
 		return false
 	}
 	if root.Column != e.Column+1 || len(root.Content) != nodesPerEntry*(end-from) {
@@ -114,7 +115,8 @@
 	return true
 }
 
-// isWithin reports whether a line, counted from 0 in the body, belongs to an entry of those with indexes below end.
+// isWithin reports whether a line of the body, from 0, belongs to the entry at an index. The last entry before end has
+// no upper bound.
 func (e *Entries) isWithin(index, end, line int) bool {
 	if line < e.Starts[index].Line {
 		return false
--- a/internal/strictyaml/file.go
+++ b/internal/strictyaml/file.go
@@ -7,18 +7,18 @@
 	"os"
 )
 
-// ReadFile reads a file of at most maxSize bytes, a whole number of MiB.
+// ReadFile reads a file of at most maxSize bytes, which must be a whole number of MiB.
 func ReadFile(path string, maxSize int64) ([]byte, error) { return ReadFileInto(nil, path, maxSize) }
 
-// ReadFileInto is ReadFile into a buffer, if that is long enough, and into a new one otherwise.
+// ReadFileInto is ReadFile into a buffer, or into a new one if the buffer is too small.
 func ReadFileInto(buffer []byte, path string, maxSize int64) ([]byte, error) {
 	file, err := os.Open(path)
 	if err != nil {
 		return nil, err
 	}
-	defer func() { _ = file.Close() }() // nothing was written
+	defer func() { _ = file.Close() }() // an error is harmless: nothing was written
 	info, err := file.Stat()
-	if err == nil && info.Size()+bytes.MinRead > int64(cap(buffer)) { // MinRead: room to see the end of the file
+	if err == nil && info.Size()+bytes.MinRead > int64(cap(buffer)) { // ReadFrom needs MinRead bytes to detect the end
 		buffer = make([]byte, 0, min(info.Size()+info.Size()/64, maxSize)+bytes.MinRead)
 	}
 	text := bytes.NewBuffer(buffer[:0])
--- a/internal/strictyaml/outline.go
+++ b/internal/strictyaml/outline.go
@@ -9,23 +9,26 @@
 	"go.yaml.in/yaml/v3"
 )
 
-// A text in block style can be read section by section: its top-level entries, and of a long one its entries in turn.
-// That takes little memory at once, and of a text that has changed only what differs need be read. The result is that
-// of reading the whole, since a parser reaches each of these lines in the same state: a line that is indented no
-// further than the entries around it ends whatever stood before it, unless that is in brackets or quotes, and then the
-// section before it does not parse alone. Whatever is in doubt (anchors, which reach across sections; other line ends;
-// a key that is not a plain word) is not read in sections at all. Tests compare with reading the whole.
-
-// Section is a top-level entry of a text in block style, by offsets in the text.
+// A text in block style can be parsed section by section, where a section is a top-level entry, and a long section can
+// be parsed entry by entry. That takes less memory than parsing the whole text, and after a change only the entries
+// that differ need to be parsed.
+//
+// The result is the same, because a parser is in the same state at the first line of each section and entry: a line
+// that is not indented further than the entries around it ends everything before it, except within brackets or quotes.
+// In that case the section before it does not parse on its own. Texts for which this is not certain are not parsed in
+// sections: those with anchors, which can be used in other sections, with line ends other than a line feed, or with
+// top-level keys that are not plain words. Tests compare the results with those of parsing the whole text.
+
+// Section is a top-level entry of a text in block style. Its positions are offsets in the text.
 type Section struct {
 	Key   string
-	Start int  // of the key's line
-	Body  int  // of the line after the key's
-	End   int  // of the section
-	Block bool // nothing but the key stands in its line
+	Start int  // of the line with the key
+	Body  int  // of the line after that
+	End   int  // the offset after the section
+	Block bool // the value begins in the body: the key's line has only the key and perhaps a comment
 }
 
-// eachLine returns an iterator over the lines of a text, each with its offset and with its line feed.
+// eachLine returns an iterator over the lines of a text with their offsets. Lines include their line feed.
 func eachLine(text []byte) iter.Seq2[int, []byte] {
 	return func(yield func(offset int, line []byte) bool) {
 		for offset := 0; offset < len(text); {
@@ -38,7 +41,7 @@
 	}
 }
 
-// firstLine returns a text up to its first line feed, and with it; the whole text if there is none.
+// firstLine returns a text through its first line feed; the whole text if there is none.
 func firstLine(text []byte) []byte {
 	if end := bytes.IndexByte(text, '\n'); end >= 0 {
 		return text[:end+1]
@@ -46,15 +49,15 @@
 	return text
 }
 
-// isBlankOrComment reports whether a line holds nothing, or nothing but a comment.
+// isBlankOrComment reports whether a line has only spaces or a comment.
 func isBlankOrComment(line []byte) bool {
 	line = bytes.TrimLeft(line, " ")
 	return len(line) == 0 || line[0] == '\n' || line[0] == '#'
 }
 
-// hasUnsupportedBytes reports whether a text has what the functions of this file don't look for: another line end than
-// a line feed, or what YAML doesn't allow (bytes that are no UTF-8, control characters), also in a comment between
-// sections.
+// hasUnsupportedBytes reports whether a text has characters that the functions of this file don't handle, even if only
+// in comments: line ends other than a line feed, and characters that YAML doesn't allow (invalid UTF-8, control
+// characters).
 func hasUnsupportedBytes(text []byte) bool {
 	for offset := 0; offset < len(text); {
 		char := text[offset]
@@ -76,8 +79,8 @@
 	return false
 }
 
-// isUnsupportedRune reports whether a character beyond ASCII is a control character, another line end (U+2028, U+2029),
-// a byte order mark or no character at all.
+// isUnsupportedRune reports whether a character beyond ASCII is a control character, a line end (U+2028, U+2029), a
+// byte order mark or a noncharacter (U+FFFE, U+FFFF).
 func isUnsupportedRune(char rune) bool {
 	switch char {
 	case '\u2028', '\u2029', '\ufeff', 0xfffe, 0xffff:
@@ -86,7 +89,7 @@
 	return char < 0xa0
 }
 
-// OnlyComments reports whether whole lines are blank or comments.
+// OnlyComments reports whether all lines of a text are blank or comments. The text must consist of whole lines.
 func OnlyComments(text []byte) bool {
 	if hasUnsupportedBytes(text) {
 		return false
@@ -99,8 +102,8 @@
 	return true
 }
 
-// OnlyIndented reports whether whole lines from the body of a section stay in it, whatever stands before and after
-// them.
+// OnlyIndented reports whether all lines of a text belong to the body of a section, whatever comes before and after
+// them. The text must consist of whole lines.
 func OnlyIndented(text []byte) bool {
 	if hasUnsupportedBytes(text) {
 		return false
@@ -113,7 +116,7 @@
 	return true
 }
 
-// Outline finds the sections of a text without parsing them; nil if it can't be read in sections.
+// Outline finds the sections of a text without parsing them; nil if the text can't be parsed in sections.
 func Outline(text []byte) []Section {
 	if hasUnsupportedBytes(text) {
 		return nil
@@ -147,14 +150,15 @@
 	return sections
 }
 
-// isListItem reports whether a line without its indentation, which is not empty, begins an item of a list.
+// isListItem reports whether a line begins an item of a list. The line must come without its indentation and must not
+// be empty.
 func isListItem(line []byte) bool { return line[0] == '-' && endsToken(line[1:]) }
 
-// endsToken reports whether what follows a "-" or a ":" makes it a mark of YAML rather than part of a word.
+// endsToken reports whether a "-" or ":" before the rest of a line is a YAML indicator rather than part of a scalar.
 func endsToken(rest []byte) bool { return len(rest) == 0 || rest[0] == ' ' || rest[0] == '\n' }
 
-// plainKey returns the key that a line begins with, of lower-case letters and underscores; empty if it has another
-// form.
+// plainKey returns the key at the beginning of a line if it consists of lower-case letters and underscores; empty
+// otherwise.
 func plainKey(line []byte) string {
 	end := 0
 	for end < len(line) && (line[end] >= 'a' && line[end] <= 'z' || line[end] == '_') {
@@ -166,23 +170,23 @@
 	return string(line[:end])
 }
 
-// ReadSection reads a section into a pointer to a struct that has its key. whole reports whether the result is that of
-// reading the whole text; errors are recorded in the Doc.
-func ReadSection(file string, text []byte, section Section, into any) (d *Doc, whole bool) {
+// ReadSection decodes a section into a pointer to a struct that has the section's key. exact reports whether the result
+// is certain to be that of decoding the whole text. Errors are recorded in the Doc.
+func ReadSection(file string, text []byte, section Section, into any) (d *Doc, exact bool) {
 	d = &Doc{File: file, lineOffset: countLines(text[:section.Start])}
 	root := d.parse(text[section.Start:section.End])
 	if root == nil {
 		return d, false
 	}
 	d.decodeValue("", root, reflect.ValueOf(into).Elem())
-	return d, len(d.errs) == 0 && d.standsAlone() && isOneBlockEntry(root)
+	return d, len(d.errs) == 0 && d.isSelfContained() && isOneBlockEntry(root)
 }
 
-// standsAlone reports whether what was read means the same without the rest of its file: no anchors and aliases, and
-// depth to spare.
-func (d *Doc) standsAlone() bool { return !d.hasAliases && d.deepest <= maxDepth/2 }
+// isSelfContained reports whether the parsed text has the same values without the rest of the file: it has no anchors
+// and aliases, and is nested far less than maxDepth.
+func (d *Doc) isSelfContained() bool { return !d.hasAliases && d.deepest <= maxDepth/2 }
 
-// isOneBlockEntry reports whether a node is a block mapping of one entry that begins the text.
+// isOneBlockEntry reports whether a node is a block mapping with one entry, at the beginning of the text.
 func isOneBlockEntry(node *yaml.Node) bool {
 	if node.Kind != yaml.MappingNode || isFlow(node) || len(node.Content) != 2 {
 		return false
@@ -191,7 +195,7 @@
 	return key.Line == 1 && key.Column == 1
 }
 
-// isFlow reports whether a node is written in brackets.
+// isFlow reports whether a node is in flow style (in brackets or braces).
 func isFlow(node *yaml.Node) bool { return node.Style&yaml.FlowStyle != 0 }
 
 func countLines(text []byte) int { return bytes.Count(text, []byte("\n")) }
--- a/internal/strictyaml/parse.go
+++ b/internal/strictyaml/parse.go
@@ -10,7 +10,7 @@
 	"go.yaml.in/yaml/v3"
 )
 
-// parse returns the root of a text of one document; nil if an error was recorded.
+// parse parses a text that must be a single YAML document, and returns its root; nil if it recorded an error.
 func (d *Doc) parse(text []byte) *yaml.Node {
 	var document yaml.Node
 	reader := yaml.NewDecoder(bytes.NewReader(text))
@@ -36,14 +36,14 @@
 	return d.root
 }
 
-// failSyntax records an error of the parser, which names a line and no column.
+// failSyntax records an error of the parser, which has a line but no column.
 func (d *Doc) failSyntax(err error) {
 	line, text := splitParserError(err)
 	d.failAt(Position{d.lineOffset + line, 1}, "", text)
 }
 
-// splitParserError returns the line that an error of the parser names, or 1, and what it says without it. The parser
-// has no type for these: its texts are of the form "yaml: line 3: did not find expected key".
+// splitParserError splits an error of the parser, such as "yaml: line 3: did not find expected key", into the line and
+// the reason. The line is 1 if the error has none. The text has to be split because the parser has no error type.
 func splitParserError(err error) (line int, text string) {
 	text = strings.TrimPrefix(err.Error(), "yaml: ")
 	rest, hasLine := strings.CutPrefix(text, "line ")
