--- a/internal/route/builder.go
+++ b/internal/route/builder.go
@@ -5,22 +5,23 @@
 	"strings"
 )
 
-// anyHost stands for any host where a rule's hosts are listed.
+// anyHost represents any host in a list of a rule's hosts.
 const anyHost = "*"
 
-// builder makes a table from another one by copy-on-write: nodes and maps that it hasn't made itself it copies before
-// it changes them, so that both tables share all but the paths concerned. One goroutine uses it, once.
+// builder builds a table from another one by copy-on-write: it changes only nodes and maps that it has created itself,
+// and copies others first, so that both tables share everything except for the changed paths. It is used for one table,
+// by one goroutine.
 type builder struct {
 	table *Table
 
-	// What the builder has made itself and may change.
-	ownNodes       map[*node]bool // nil: all nodes
+	// The parts of the table that the builder has created and may change.
+	ownNodes       map[*node]bool // nil if these are all nodes
 	ownExactHosts  bool
 	ownSuffixHosts bool
 	ownRules       bool
 }
 
-// Build makes a table, or returns every error in the rules: a Malformed or a Conflict each.
+// Build builds a table, or returns all errors in the rules, each an InvalidRuleError or a ConflictError.
 func Build(rules []Rule) (*Table, []error) {
 	b := &builder{
 		table: &Table{
@@ -35,8 +36,8 @@
 	return b.add(rules)
 }
 
-// With returns a table without the rules of some names and with added ones, or what is wrong with these. t stays as it
-// is. The cost follows the paths concerned, beside a copy of the maps by name and by host.
+// With returns a table without the rules with the removed names and with the added rules, or all errors in the added
+// rules. It does not change t. It copies the nodes on the changed paths, and the maps by name and by host.
 func (t *Table) With(removed []string, added []Rule) (*Table, []error) {
 	table := *t
 	b := &builder{table: &table, ownNodes: map[*node]bool{}}
@@ -48,14 +49,14 @@
 	return b.add(added)
 }
 
-// add adds rules and returns the table, or every error in the rules.
+// add adds rules and returns the table, or all errors in the rules.
 func (b *builder) add(rules []Rule) (*Table, []error) {
 	if len(rules) > 0 {
 		b.copyRules()
 	}
 	var errs []error
 	for i := range rules {
-		rule := rules[i] // the table keeps a copy: callers may change theirs
+		rule := rules[i] // a copy, since callers may change theirs
 		if err := rule.normalize(); err != nil {
 			errs = append(errs, InvalidRuleError{Name: rule.Name, Why: err})
 			continue
@@ -76,7 +77,7 @@
 	return b.table, nil
 }
 
-// insert adds a rule under a host, or returns a rule that it ties with.
+// insert adds a rule for a host, or returns a rule that it ties with.
 func (b *builder) insert(host string, rule *Rule) (tie *Rule) {
 	at := b.writable(b.root(host))
 	b.setRoot(host, at)
@@ -92,7 +93,7 @@
 	return nil
 }
 
-// remove removes a rule from the table and from all its hosts.
+// remove removes a rule from the table, for all of the rule's hosts.
 func (b *builder) remove(rule *Rule) {
 	b.copyRules()
 	delete(b.table.rules, rule.Name)
@@ -101,7 +102,7 @@
 	}
 }
 
-// without returns a subtree without the rule at the end of a path below it; nil if nothing else is left.
+// without returns a subtree without the rule at the end of a path in it; nil if the subtree is then empty.
 func (b *builder) without(subtree *node, path []pathSegment, rule *Rule) *node {
 	if subtree == nil {
 		return nil
@@ -118,22 +119,23 @@
 	return subtree
 }
 
-// writable returns a node that may be changed: n itself if the builder made it, otherwise a copy; a new one for nil.
+// writable returns a node that may be changed: n if the builder has created it, otherwise a copy of n, or a new node if
+// n is nil.
 func (b *builder) writable(n *node) *node {
 	if n != nil && (b.ownNodes == nil || b.ownNodes[n]) {
 		return n
 	}
-	made := &node{}
+	created := &node{}
 	if n != nil {
-		made = n.clone()
+		created = n.clone()
 	}
 	if b.ownNodes != nil {
-		b.ownNodes[made] = true
+		b.ownNodes[created] = true
 	}
-	return made
+	return created
 }
 
-// root returns the root of a host's trie; nil: there is none.
+// root returns the root of a host's trie, or nil.
 func (b *builder) root(host string) *node {
 	if host == anyHost {
 		return b.table.anyHost
@@ -165,7 +167,7 @@
 	setOrDelete(b.table.exactHosts, host, root)
 }
 
-// hostSuffix returns the part of a host such as "*.example.org" behind the star.
+// hostSuffix returns the part of a host such as "*.example.org" after the star.
 func hostSuffix(host string) (suffix string, ok bool) {
 	if !strings.HasPrefix(host, "*.") {
 		return "", false
@@ -181,7 +183,7 @@
 	}
 }
 
-// copyRules makes the map of rules by name the builder's own.
+// copyRules replaces the map of rules by name with a copy that the builder may change.
 func (b *builder) copyRules() {
 	if !b.ownRules {
 		b.table.rules = maps.Clone(b.table.rules)
--- a/internal/route/host.go
+++ b/internal/route/host.go
@@ -7,37 +7,37 @@
 	"strings"
 )
 
-// ErrAmbiguous is wrapped by every error about a host or a request target that a balancer and a server could read
-// differently. Such requests are rejected, so that no spelling of a path evades the routes.
+// ErrAmbiguous is wrapped by every error about a host or a request target that a balancer and a server could interpret
+// differently. Such requests are rejected, so that no spelling of a path bypasses the routes.
 var ErrAmbiguous = errors.New("no certain reading")
 
-func ambiguous(format string, args ...any) error {
+func ambiguousError(format string, args ...any) error {
 	return fmt.Errorf("%w: %s", ErrAmbiguous, fmt.Sprintf(format, args...))
 }
 
 const (
 	maxHostLength  = 253           // bytes of a host name (RFC 1035, section 2.3.4)
-	maxLabelLength = 63            // bytes of one label of it (same section)
-	maxPortLength  = len(":65535") // bytes of a port with its colon
+	maxLabelLength = 63            // bytes of a label of a host name (same section)
+	maxPortLength  = len(":65535") // bytes of a port, including the colon
 	decimalDigits  = "0123456789"
 )
 
 // Host returns the canonical form of a Host field or of a target's authority (RFC 9110, section 7.2; RFC 3986, section
-// 3.2): lower case, without port and trailing dot; an IPv6 address stays in its brackets. Errors wrap ErrAmbiguous.
+// 3.2): in lower case and without port and trailing dot. An IPv6 address keeps its brackets. Errors wrap ErrAmbiguous.
 func Host(text string) (string, error) {
 	host, port, err := splitPort(text)
 	if err != nil {
 		return "", err
 	}
 	if port != "" && !validPort(port) {
-		return "", ambiguous("host %q: the port is no number", text)
+		return "", ambiguousError("host %q: the port is no number", text)
 	}
 	if strings.HasPrefix(host, "[") {
 		return host, nil
 	}
 	host = strings.TrimSuffix(host, ".")
 	if host == "" || len(host) > maxHostLength {
-		return "", ambiguous("host %q is empty or over %d bytes", text, maxHostLength)
+		return "", ambiguousError("host %q is empty or over %d bytes", text, maxHostLength)
 	}
 	if err := checkLabels(host, text); err != nil {
 		return "", err
@@ -45,7 +45,7 @@
 	return strings.ToLower(host), nil
 }
 
-// splitPort separates a host from the port, which keeps its colon. An IPv6 address in brackets is brought into
+// splitPort separates a host from its port, which includes the colon. An IPv6 address in brackets is converted to its
 // canonical form (RFC 5952).
 func splitPort(text string) (host, port string, err error) {
 	if !strings.HasPrefix(text, "[") {
@@ -57,11 +57,11 @@
 	}
 	end := strings.IndexByte(text, ']')
 	if end < 0 {
-		return "", "", ambiguous("host %q: a bracket is not closed", text)
+		return "", "", ambiguousError("host %q: a bracket is not closed", text)
 	}
 	ip, err := netip.ParseAddr(text[1:end])
 	if err != nil || !ip.Is6() || ip.Zone() != "" {
-		return "", "", ambiguous("host %q: no IPv6 address stands in the brackets", text)
+		return "", "", ambiguousError("host %q: no IPv6 address stands in the brackets", text)
 	}
 	return "[" + ip.String() + "]", text[end+1:], nil
 }
@@ -70,19 +70,19 @@
 	return port[0] == ':' && len(port) <= maxPortLength && strings.Trim(port[1:], decimalDigits) == ""
 }
 
-// checkLabels checks the length and the characters of a host name's labels; text is the host as it came.
+// checkLabels checks the lengths and the characters of a host name's labels; text is the host as received, for errors.
 func checkLabels(host, text string) error {
 	labelStart := 0
 	for i := 0; i <= len(host); i++ {
 		if i == len(host) || host[i] == '.' {
 			if i == labelStart || i-labelStart > maxLabelLength {
-				return ambiguous("host %q has a label that is empty or over %d bytes", text, maxLabelLength)
+				return ambiguousError("host %q has a label that is empty or over %d bytes", text, maxLabelLength)
 			}
 			labelStart = i + 1
 			continue
 		}
 		if !isHostByte(host[i]) {
-			return ambiguous("host %q has the byte %#02x; internationalised names come in their ASCII form (RFC 5890)",
+			return ambiguousError("host %q has the byte %#02x; internationalised names come in their ASCII form (RFC 5890)",
 				text, host[i])
 		}
 	}
--- a/internal/route/rule.go
+++ b/internal/route/rule.go
@@ -8,65 +8,63 @@
 	"strings"
 )
 
-// PathKind says how Rule.Path is meant.
+// PathKind is the way in which Rule.Path is matched.
 type PathKind uint8
 
-// The path kinds, in order of precedence.
+// The path kinds, in descending order of precedence.
 const (
 	Exact   PathKind = iota
-	Pattern          // segments, of which "{name}" matches any one that is not empty
-	Prefix           // whole segments: "/a" matches "/a" and "/a/b", not "/ab"
+	Pattern          // the whole path, in which "{name}" matches any one segment that is not empty
+	Prefix           // the first segments: "/a" matches "/a" and "/a/b", not "/ab"
 )
 
 // WeightedPool is one destination of a rule: a pool and its share of the traffic.
 type WeightedPool struct {
 	Pool   string
-	Weight int // its share among the rule's weights, at most maxWeight; 0: none
+	Weight int // from 0 to maxWeight, relative to the rule's other pools; a pool of weight 0 gets no requests
 }
 
 const maxWeight = 1 << 20
 
-// Header is a field that a request must have exactly once, with exactly this value.
+// Header is a header field that a request must have exactly once, with exactly this value.
 type Header struct{ Name, Value string }
 
 // Rule sends the requests that it matches to pools.
 type Rule struct {
 	Name    string
-	Hosts   []string // exact, or "*." and a suffix; none: any host
+	Hosts   []string // names, or suffixes such as "*.example.org"; any host if empty
 	Kind    PathKind
 	Path    string
-	Methods []string // none: any
+	Methods []string // any method if empty
 	Headers []Header
-	Class   string // the client must name this class; empty: any or none
+	Class   string // the class that the request must name; requests match with and without a class if empty
 	Pools   []WeightedPool
-	To      int // an index that means something to the caller, for instance into its settings of targets
+	To      int // an index for the caller's use, such as into config.Loaded.Targets
 
 	totalWeight uint64 // of Pools
 }
 
-// InvalidRuleError is a rule that can't be used.
+// InvalidRuleError is the error about a single rule that is invalid.
 type InvalidRuleError struct {
-	Name string
+	Name string // of the rule
 	Why  error
 }
 
-// Error names the rule and tells what is wrong with it.
-func (m InvalidRuleError) Error() string { return fmt.Sprintf("route %q: %v", m.Name, m.Why) }
+func (e InvalidRuleError) Error() string { return fmt.Sprintf("route %q: %v", e.Name, e.Why) }
 
-// ConflictError is a pair of rules of which neither takes precedence over the other.
+// ConflictError is the error about a tie: two rules that can match the same request with equal precedence.
 type ConflictError struct {
-	First, Second string // names
-	Where         string // host and path on which they meet
+	First, Second string // names of the rules
+	Where         string // the host and path that both rules match
 }
 
-// Error names both rules.
 func (c ConflictError) Error() string {
 	return fmt.Sprintf("routes %q and %q match the same requests on %s and neither is more specific",
 		c.First, c.Second, c.Where)
 }
 
-// normalize brings hosts, fields and path of the rule into canonical form and returns what makes the rule unusable.
-// Slices are copied before they are changed.
+// normalize brings the rule's hosts, header fields and path into canonical form, and returns an error if the rule is
+// invalid. Slices are copied before they are changed.
 func (r *Rule) normalize() error {
 	r.Hosts = slices.Clone(r.Hosts)
 	r.Headers = slices.Clone(r.Headers)
@@ -95,7 +93,7 @@
 		return "", err
 	}
 	if strings.Contains(host, ":") && !strings.HasPrefix(host, "[") {
-		return "", fmt.Errorf("host %q: a route's host has no port", host)
+		return "", fmt.Errorf("host %q: a port is not allowed in a route's host", host)
 	}
 	if isSuffix {
 		name = "*." + name
@@ -120,7 +118,7 @@
 	return nil
 }
 
-// normalizePath checks that the path is in canonical form and removes a prefix's trailing slash.
+// normalizePath checks that the path is in canonical form, and removes the trailing slash of a prefix.
 func (r *Rule) normalizePath() error {
 	withoutBraces := strings.NewReplacer("{", "", "}", "").Replace(r.Path)
 	target, err := ParseTarget(withoutBraces)
@@ -136,7 +134,7 @@
 			continue
 		}
 		if r.Kind != Pattern || !isParameter(segment) {
-			return fmt.Errorf("path %q: braces stand for a whole segment of a pattern, as in /flights/{id}", r.Path)
+			return fmt.Errorf("path %q: braces must enclose a whole segment of a pattern, as in /flights/{id}", r.Path)
 		}
 	}
 	return nil
@@ -152,7 +150,7 @@
 // pathSegment is a segment of a rule's path.
 type pathSegment struct {
 	text        string
-	isParameter bool // it matches any segment that is not empty
+	isParameter bool // matches any one segment that is not empty
 }
 
 func (r *Rule) pathSegments() []pathSegment {
@@ -185,7 +183,7 @@
 	return len(r.Headers)
 }
 
-// ties reports whether some request on the path of two rules matches both while neither takes precedence.
+// ties reports whether two rules with the same path tie.
 func ties(a, b *Rule) bool {
 	if a.methodRank() != b.methodRank() || a.fieldRank() != b.fieldRank() {
 		return false
@@ -203,7 +201,7 @@
 	return slices.ContainsFunc(a.Methods, func(method string) bool { return slices.Contains(b.Methods, method) })
 }
 
-// requireDifferentValues reports whether two rules want different values of one header field.
+// requireDifferentValues reports whether two rules require different values of the same header field.
 func requireDifferentValues(a, b *Rule) bool {
 	for _, x := range a.Headers {
 		for _, y := range b.Headers {
@@ -215,7 +213,8 @@
 	return false
 }
 
-// matches checks what the trie doesn't hold: method, class and header fields.
+// matches reports whether method, class and header fields of a request match. The table has already matched host and
+// path.
 func (r *Rule) matches(query *Query) bool {
 	if len(r.Methods) > 0 && !slices.Contains(r.Methods, query.Method) {
 		return false
@@ -225,20 +224,21 @@
 	}
 	for i := range r.Headers {
 		value, once := query.Fields.Single(r.Headers[i].Name)
-		if !once || value != r.Headers[i].Value { // of two values a server may read the other
+		if !once || value != r.Headers[i].Value { // of a repeated field, a server may use another value
 			return false
 		}
 	}
 	return true
 }
 
-// Choose returns the pool for a request whose key has this hash. The choice is sticky: the same hash leads to the same
-// pool, and if the weights move by a share, only that share of the keys moves.
+// Choose returns the pool for a request whose routing key has this hash. The same hash always gives the same pool while
+// the weights are the same. When a part of the weight is moved from one of two pools to the other, only that part of
+// the keys changes its pool.
 func (r *Rule) Choose(hash uint64) string {
 	if len(r.Pools) == 1 {
 		return r.Pools[0].Pool
 	}
-	const doubleBits = 53 // of a float64's mantissa
+	const doubleBits = 53 // precision of a float64
 	point := uint64(float64(mix(hash)>>(64-doubleBits)) / (1 << doubleBits) * float64(r.totalWeight))
 	for _, p := range r.Pools {
 		if point < uint64(p.Weight) {
@@ -249,9 +249,9 @@
 	return r.Pools[len(r.Pools)-1].Pool
 }
 
-// mix spreads similar hashes of similar keys over the whole range (Fibonacci hashing).
+// mix distributes similar hashes evenly over the whole range (Fibonacci hashing).
 func mix(hash uint64) uint64 {
-	const goldenRatio = 0x9e3779b97f4a7c15 // 2^64 divided by it
+	const goldenRatio = 0x9e3779b97f4a7c15 // 2^64 / golden ratio
 	hash ^= hash >> 31
 	hash *= goldenRatio
 	hash ^= hash >> 29
--- a/internal/route/target.go
+++ b/internal/route/target.go
@@ -2,22 +2,22 @@
 
 import "strings"
 
-// Target is the canonical form of a request target. Routes are matched on it and it is what is forwarded.
+// Target is the canonical form of a request target. It is what routes match on and what is forwarded to the server.
 type Target struct {
 	Host  string // of an absolute-form target; empty otherwise
-	Path  string // begins with a slash; percent-encoded as little as RFC 3986 allows
-	Query string // with its question mark, as received; empty if there is none
+	Path  string // begins with a slash; unreserved characters are not percent-encoded
+	Query string // as received, including the question mark; empty if there is none
 }
 
-// String is the origin-form that is forwarded to the server.
+// String returns the origin-form that is forwarded to the server.
 func (t Target) String() string { return t.Path + t.Query }
 
 const httpScheme = "http://"
 
-// ParseTarget reads an origin-form or absolute-form target (RFC 9112, section 3.2). Dot segments are resolved and
-// repeated slashes merged, also where they are percent-encoded. Encoded slashes and backslashes, control bytes, paths
-// that climb over the root, and dots before a semicolon are rejected, since servers differ in how they read them.
-// Errors wrap ErrAmbiguous.
+// ParseTarget parses an origin-form or absolute-form target (RFC 9112, section 3.2). Dot segments, plain or
+// percent-encoded, are resolved, and repeated slashes are merged. Backslashes, encoded slashes, control bytes, paths
+// that lead above the root, and dot segments with parameters ("..;x") are rejected, since servers differ in how they
+// interpret them. Errors wrap ErrAmbiguous.
 func ParseTarget(text string) (Target, error) {
 	var target Target
 	if len(text) > len(httpScheme) && strings.EqualFold(text[:len(httpScheme)], httpScheme) {
@@ -30,11 +30,11 @@
 		text = rest
 	}
 	if text == "" || text[0] != '/' {
-		return target, ambiguous("target %q is neither a path nor an http URL", text)
+		return target, ambiguousError("target %q is neither a path nor an http URL", text)
 	}
 	for i := range len(text) {
 		if !isTargetByte(text[i]) {
-			return target, ambiguous("the target has the byte %#02x", text[i])
+			return target, ambiguousError("the target has the byte %#02x", text[i])
 		}
 	}
 	path := text
@@ -47,8 +47,8 @@
 	return target, err
 }
 
-// cutAuthority separates the authority of an absolute-form target without its scheme from path and query. An empty
-// path becomes "/" (RFC 9112, section 3.2.1).
+// cutAuthority splits an absolute-form target without its scheme into the authority, and path and query. An empty path
+// becomes "/" (RFC 9112, section 3.2.1).
 func cutAuthority(text string) (authority, rest string) {
 	end := strings.IndexAny(text, "/?")
 	if end < 0 {
@@ -63,7 +63,8 @@
 
 func isTargetByte(c byte) bool { return c > ' ' && c < 0x7f && c != '#' }
 
-// isClean reports whether a path needs no change: no escape, no dot at the start of a segment, no empty segment.
+// isClean reports whether a path is certain to be canonical: it has no escape, no backslash, no segment that begins
+// with a dot, and no empty segment before the last.
 func isClean(path string) bool {
 	for i := range len(path) {
 		switch path[i] {
@@ -78,8 +79,8 @@
 	return true
 }
 
-// cleanPath resolves dot segments and merges slashes, as RFC 3986, section 5.2.4, after it has decoded what need not be
-// encoded.
+// cleanPath decodes escapes that are not needed, and then resolves dot segments (RFC 3986, section 5.2.4) and merges
+// repeated slashes.
 func cleanPath(path string) (string, error) {
 	if isClean(path) {
 		return path, nil
@@ -93,14 +94,14 @@
 	for segment := range strings.SplitSeq(decoded[1:], "/") {
 		name, _, hasParameters := strings.Cut(segment, ";")
 		if hasParameters && (name == "." || name == "..") {
-			return "", ambiguous("path %q has dots before a semicolon", path)
+			return "", ambiguousError("path %q has dots before a semicolon", path)
 		}
 		switch segment {
 		case "", ".":
 			trailingSlash = true
 		case "..":
 			if len(segments) == 0 {
-				return "", ambiguous("path %q climbs over the root", path)
+				return "", ambiguousError("path %q climbs over the root", path)
 			}
 			segments = segments[:len(segments)-1]
 			trailingSlash = true
@@ -116,14 +117,14 @@
 	return clean, nil
 }
 
-// decodeUnreserved decodes the escapes of unreserved characters and writes all others in upper case (RFC 3986, section
-// 6.2.2).
+// decodeUnreserved decodes the escapes of unreserved characters and converts all other escapes to upper case (RFC 3986,
+// section 6.2.2).
 func decodeUnreserved(path string) (string, error) {
 	var decoded strings.Builder
 	decoded.Grow(len(path))
 	for index := 0; index < len(path); index++ {
 		if path[index] == '\\' {
-			return "", ambiguous("path %q has a backslash", path)
+			return "", ambiguousError("path %q has a backslash", path)
 		}
 		if path[index] != '%' {
 			decoded.WriteByte(path[index])
@@ -143,22 +144,22 @@
 	return decoded.String(), nil
 }
 
-// decodeEscape returns the byte that the escape at a position of a path stands for.
+// decodeEscape decodes the escape at an index of a path.
 func decodeEscape(path string, at int) (byte, error) {
 	if at+2 >= len(path) {
-		return 0, ambiguous("path %q ends in half an escape", path)
+		return 0, ambiguousError("path %q ends in half an escape", path)
 	}
 	high := hexDigit(path[at+1])
 	low := hexDigit(path[at+2])
 	if high < 0 || low < 0 {
-		return 0, ambiguous("path %q has an escape that is no number", path)
+		return 0, ambiguousError("path %q has an escape that is no number", path)
 	}
 	char := byte(high<<4 | low)
 	if char == '/' || char == '\\' {
-		return 0, ambiguous("path %q has an encoded slash", path)
+		return 0, ambiguousError("path %q has an encoded slash", path)
 	}
 	if char < ' ' || char == 0x7f {
-		return 0, ambiguous("path %q has an encoded control byte", path)
+		return 0, ambiguousError("path %q has an encoded control byte", path)
 	}
 	return char, nil
 }
@@ -178,7 +179,7 @@
 	return -1
 }
 
-// isUnreserved reports whether a character never needs an escape (RFC 3986, section 2.3).
+// isUnreserved reports whether a character never needs to be percent-encoded (RFC 3986, section 2.3).
 func isUnreserved(c byte) bool {
 	return isAlphanumeric(c) || c == '-' || c == '.' || c == '_' || c == '~'
 }
--- a/internal/route/trie.go
+++ b/internal/route/trie.go
@@ -7,25 +7,25 @@
 	"strings"
 )
 
-// node is a node of a trie over the segments of paths. A nil node has no rules and no children. Once its table is
-// built, it doesn't change.
+// node is a node of a trie over path segments. A nil node has no rules and no children. Nodes of a finished table are
+// immutable.
 type node struct {
-	edges     []edge           // to the literal segments that follow, while there are fewer than minMapEdges
-	edgeMap   map[string]*node // the same in place of edges, from minMapEdges on
-	parameter *node            // what follows by a parameter; nil: none
-	rules     []*Rule          // whose path ends here, or goes on for a Prefix; sorted by addRule
+	edges     []edge           // children by literal segment, while there are fewer than minMapEdges
+	edgeMap   map[string]*node // children by literal segment, used instead of edges from minMapEdges on
+	parameter *node            // the child for a parameter, or nil
+	rules     []*Rule          // rules whose Path ends at this node, sorted by addRule
 }
 
-// edge leads to a node by a literal segment.
+// edge is an edge to a child by a literal segment.
 type edge struct {
 	segment string
 	to      *node
 }
 
-// minMapEdges is the number of edges from which on a map finds one faster than a linear search.
+// minMapEdges is the number of edges from which a map lookup is faster than a linear search.
 const minMapEdges = 8
 
-// lookup returns the rule for a request, by the precedence of the path kinds.
+// lookup returns the rule for a request, or nil. It tries the path kinds in order of precedence.
 func (n *node) lookup(query *Query) *Rule {
 	if n == nil || query.Path == "" {
 		return nil
@@ -40,8 +40,8 @@
 	return n.lookupPrefix(path, query)
 }
 
-// lookupWhole finds an Exact or Pattern rule that matches the rest of a path to its end. A literal segment goes before
-// a parameter.
+// lookupWhole finds an Exact or Pattern rule that matches the rest of a path up to its end. Literal segments take
+// precedence over parameters.
 func (n *node) lookupWhole(path string, query *Query, kind PathKind) *Rule {
 	segment, rest, more := strings.Cut(path, "/")
 	if child := n.literal(segment); child != nil {
@@ -55,7 +55,7 @@
 	return nil
 }
 
-// lookupRest goes on with lookupWhole if more of the path follows, and otherwise looks for a rule that ends here.
+// lookupRest continues lookupWhole if the path has more segments; otherwise it looks for a rule that ends at this node.
 func (n *node) lookupRest(rest string, more bool, query *Query, kind PathKind) *Rule {
 	if more {
 		return n.lookupWhole(rest, query, kind)
@@ -63,7 +63,7 @@
 	return n.firstMatch(kind, query)
 }
 
-// lookupPrefix finds the rule with the longest prefix.
+// lookupPrefix finds the matching rule with the longest prefix.
 func (n *node) lookupPrefix(path string, query *Query) *Rule {
 	segment, rest, more := strings.Cut(path, "/")
 	child := n.literal(segment)
@@ -81,7 +81,7 @@
 	return n.firstMatch(Prefix, query)
 }
 
-// firstMatch returns the first of the node's rules of a kind that matches the request.
+// firstMatch returns the node's first rule of a kind that matches the request, or nil.
 func (n *node) firstMatch(kind PathKind, query *Query) *Rule {
 	for _, rule := range n.rules {
 		if rule.Kind == kind && rule.matches(query) {
@@ -91,17 +91,17 @@
 	return nil
 }
 
-// literal returns the child by a literal segment; nil: none.
+// literal returns the child for a literal segment, or nil.
 func (n *node) literal(segment string) *node {
 	for i := range n.edges {
 		if n.edges[i].segment == segment {
 			return n.edges[i].to
 		}
 	}
-	return n.edgeMap[segment] // of a nil map: nil
+	return n.edgeMap[segment] // nil if there is no map
 }
 
-// child returns the child by a segment of a rule's path; nil: none.
+// child returns the child for a segment of a rule's path, or nil.
 func (n *node) child(segment pathSegment) *node {
 	if segment.isParameter {
 		return n.parameter
@@ -109,7 +109,7 @@
 	return n.literal(segment.text)
 }
 
-// setChild sets the child by a segment of a rule's path, or removes it if child is nil.
+// setChild sets the child for a segment of a rule's path, or removes it if child is nil.
 func (n *node) setChild(segment pathSegment, child *node) {
 	switch {
 	case segment.isParameter:
@@ -167,7 +167,7 @@
 	return len(n.rules) == 0 && len(n.edges) == 0 && len(n.edgeMap) == 0 && n.parameter == nil
 }
 
-// tieOf returns a rule of the node that ties with another one; nil: none.
+// tieOf returns a rule of the node that ties with the given one, or nil.
 func (n *node) tieOf(rule *Rule) *Rule {
 	for _, other := range n.rules {
 		if other != rule && other.Kind == rule.Kind && ties(other, rule) {
@@ -177,7 +177,7 @@
 	return nil
 }
 
-// addRule adds a rule and sorts the rules by kind, those of a kind by precedence.
+// addRule adds a rule, and sorts the rules by kind and then by precedence.
 func (n *node) addRule(rule *Rule) {
 	n.rules = append(n.rules, rule)
 	slices.SortStableFunc(n.rules, func(a, b *Rule) int {
