--- a/internal/config/batches.go
+++ b/internal/config/batches.go
@@ -7,34 +7,34 @@
 	"olivearch/internal/strictyaml"
 )
 
-// batchSize is how many entries of a long section are read at once, in about a millisecond: on a machine with one
-// processor decisions wait for no more than one batch. What the parser makes of an entry takes about 2 KB.
+// batchSize is the number of entries of a section that are parsed at once. That takes about 1 ms, for which decisions
+// have to wait on a machine with one processor, and about 2 KB of memory for each entry.
 const batchSize = 128
 
-// maxBatchReaders returns how many batches are read at the same time: half the processors, four at most, so that the
-// others serve requests meanwhile.
+// maxBatchReaders returns the maximum number of batches that are parsed concurrently: half the processors and at most
+// four, so that the other processors serve requests.
 func maxBatchReaders() int { return max(1, min(4, runtime.GOMAXPROCS(0)/2)) }
 
-// entryBatches are the entries of a section, to be read in batches.
+// entryBatches holds the entries of a section that are to be parsed in batches.
 type entryBatches struct {
 	path        string // of the file
-	linesBefore int    // lines of the file before the section's body
+	linesBefore int    // number of lines in the file before the section's body
 	entries     *strictyaml.Entries
 }
 
-// batchResult is what came of reading the batches.
+// batchResult is the combined result of all batches.
 type batchResult struct {
 	valueCount int   // number of values read
-	whole      bool  // the entries are those that reading the whole file gives
-	mistake    error // the first error that a batch had
+	exact      bool  // the entries are certain to be those that parsing the whole file gives
+	err        error // the first error of a batch, in the order in which the batches ended
 }
 
-// readInBatches reads entries into values of type T, some batches at the same time, and calls take, from several
-// goroutines, with each batch and the index of its first entry.
-func readInBatches[T any](batches entryBatches, take func(first int, read T)) batchResult {
+// readInBatches parses entries into values of type T, several batches concurrently. It calls store with each batch and
+// the index of the batch's first entry; these calls are concurrent too.
+func readInBatches[T any](batches entryBatches, store func(first int, read T)) batchResult {
 	var group sync.WaitGroup
 	var mutex sync.Mutex // guards result
-	result := batchResult{whole: true}
+	result := batchResult{exact: true}
 	slots := make(chan struct{}, maxBatchReaders())
 	count := len(batches.entries.Starts)
 	for first := 0; first < count; first += batchSize {
@@ -43,27 +43,27 @@
 			defer func() { <-slots }()
 			var read T
 			end := min(first+batchSize, count)
-			doc, whole := batches.entries.Read(batches.path, batches.linesBefore, first, end, &read)
-			if whole {
-				take(first, read)
+			doc, exact := batches.entries.Read(batches.path, batches.linesBefore, first, end, &read)
+			if exact {
+				store(first, read)
 			}
 			mutex.Lock()
 			defer mutex.Unlock()
-			result.add(doc, whole)
+			result.add(doc, exact)
 		})
 	}
 	group.Wait()
 	return result
 }
 
-// add takes the outcome of one batch into the result.
-func (r *batchResult) add(doc *strictyaml.Doc, whole bool) {
+// add adds the result of one batch.
+func (r *batchResult) add(doc *strictyaml.Doc, exact bool) {
 	r.valueCount += doc.Values()
-	if whole {
+	if exact {
 		return
 	}
-	r.whole = false
-	if r.mistake == nil {
-		r.mistake = doc.Err()
+	r.exact = false
+	if r.err == nil {
+		r.err = doc.Err()
 	}
 }
--- a/internal/config/changes.go
+++ b/internal/config/changes.go
@@ -10,17 +10,17 @@
 	"olivearch/internal/strictyaml"
 )
 
-// maxChangedEntries is how many entries of a section may differ: more are read faster in batches.
+// maxChangedEntries is the maximum number of differing entries of a section: more are parsed faster in batches.
 const maxChangedEntries = 4096
 
-// applySection applies a section that differs between the texts; false if that is in doubt or if there is a mistake.
-// common is what the whole old text has in common with the new one.
+// applySection applies a section that differs between the texts. Its result is that of apply. common describes what the
+// old text as a whole has in common with the new one.
 func (r *reloader) applySection(before, after strictyaml.Section, common commonText) bool {
 	if before.Block != after.Block {
 		return false
 	}
 	if !batchedSections[after.Key] || !after.Block {
-		return r.meansTheSame(before, after)
+		return r.isEquivalent(before, after)
 	}
 	oldBody := r.old.text[before.Body:before.End]
 	newBody := r.source.text[after.Body:after.End]
@@ -47,17 +47,17 @@
 	return applied && !r.Failed()
 }
 
-// meansTheSame reports whether a section differs by comments and the like alone.
-func (r *reloader) meansTheSame(before, after strictyaml.Section) bool {
+// isEquivalent reports whether a section has the same values in both texts, so that only comments or style differ.
+func (r *reloader) isEquivalent(before, after strictyaml.Section) bool {
 	var oldFile, newFile File
-	_, oldWhole := strictyaml.ReadSection(r.path, r.old.text, before, &oldFile)
-	_, newWhole := strictyaml.ReadSection(r.path, r.source.text, after, &newFile)
-	return oldWhole && newWhole && reflect.DeepEqual(oldFile, newFile)
+	_, oldExact := strictyaml.ReadSection(r.path, r.old.text, before, &oldFile)
+	_, newExact := strictyaml.ReadSection(r.path, r.source.text, after, &newFile)
+	return oldExact && newExact && reflect.DeepEqual(oldFile, newFile)
 }
 
-// readChanged reads the entries that differ, as they were and as they are. ok is false if they are many, if that is in
-// doubt or if there is a mistake. reusesName reports whether one of the new entries has the name of an entry that does
-// not differ.
+// readChanged reads the entries that differ, from the old text and from the new one. ok is false if there are too many,
+// if there is an error or if the entries might not be those that parseWhole reads. reusesName reports whether one of
+// the new entries has the name of an entry that does not differ.
 func readChanged[T any](
 	reload *reloader, change sectionChange, reusesName func(before, after T) bool,
 ) (before, after T, ok bool) {
@@ -75,7 +75,7 @@
 	reload.source.valueCount += doc.Values()
 	reload.bytesRead += len(change.after.Text)
 	if doc.Failed() {
-		reload.Fail("", "it has mistakes")
+		reload.Fail("", "invalid entries")
 		var diagnosed T
 		if found := reload.diagnose(&diagnosed); found != nil && !reusesName(before, diagnosed) {
 			reload.diagnosis = found.Err()
@@ -84,7 +84,7 @@
 	return before, after, ok
 }
 
-// hasTakenName reports whether a name is new among the entries that differ, and is taken by one that does not.
+// hasTakenName reports whether an added or renamed entry has the name of an unchanged entry.
 func hasTakenName[T any](before, after map[string]T, isTaken func(name string) bool) bool {
 	for name := range after {
 		if _, known := before[name]; !known && isTaken(name) {
@@ -94,7 +94,7 @@
 	return false
 }
 
-// applyTenants applies tenants that differ to the table of tenants.
+// applyTenants applies the tenants that differ to the table of tenants.
 func (r *reloader) applyTenants(change sectionChange) bool {
 	reusesName := func(before, after map[string]Tenant) bool {
 		return hasTakenName(before, after, func(name string) bool {
@@ -107,7 +107,7 @@
 		return false
 	}
 	if reusesName(before, after) {
-		r.Fail("", "a name is there twice")
+		r.Fail("", "duplicate name")
 		return false
 	}
 	if !r.quotas(after) {
@@ -131,7 +131,7 @@
 	return true
 }
 
-// quotas checks the quotas of tenants that differ, and diagnoses those that are wrong.
+// quotas checks the quotas of the tenants that differ, and diagnoses those that are invalid.
 func (r *reloader) quotas(tenants map[string]Tenant) bool {
 	var invalid []string
 	for name, tenant := range tenants {
@@ -142,7 +142,7 @@
 	if len(invalid) == 0 {
 		return true
 	}
-	r.Fail("", "there is no such quota")
+	r.Fail("", "invalid quota")
 	if found := r.diagnose(new(map[string]Tenant)); found != nil {
 		for _, name := range invalid {
 			found.Fail(name+".quota", invalidQuota)
@@ -152,19 +152,19 @@
 	return false
 }
 
-// applyRoutes applies routes that differ to the table of routes.
+// applyRoutes applies the routes that differ to the route table.
 func (r *reloader) applyRoutes(change sectionChange) bool {
-	reusesName := func(_, _ []Route) bool { return false } // names are looked at once all can be read
+	reusesName := func(_, _ []Route) bool { return false } // changedRules checks names, once all entries are read
 	before, after, ok := readChanged(r, change, reusesName)
 	if !ok {
 		return false
 	}
-	removed := make(map[string]*Route, len(before)) // or changed
+	removed := make(map[string]*Route, len(before)) // routes that were removed or changed, by name
 	for i := range before {
 		removed[before[i].Name] = &before[i]
 	}
 	r.targets = maps.Clone(r.targets)
-	r.Targets = r.Targets[:len(r.Targets):len(r.Targets)] // appending copies: the configuration before keeps its own
+	r.Targets = r.Targets[:len(r.Targets):len(r.Targets)] // append copies: the previous Targets stay unchanged
 	added, ok := r.changedRules(after, removed)
 	if !ok {
 		return false
@@ -185,8 +185,8 @@
 	return true
 }
 
-// changedRules returns the rules of routes that are new or have changed, and deletes from removed those that have not
-// changed. ok is false if a name is taken or a route is wrong.
+// changedRules returns the rules of routes that are new or have changed, and deletes unchanged routes from removed. ok
+// is false if a name is missing or taken, or if a route is invalid.
 func (r *reloader) changedRules(routes []Route, removed map[string]*Route) (rules []route.Rule, ok bool) {
 	seen := map[string]bool{}
 	for i := range routes {
@@ -194,7 +194,7 @@
 		old := removed[next.Name]
 		isTaken := old == nil && r.Table.Rule(next.Name) != nil
 		if next.Name == "" || seen[next.Name] || isTaken {
-			r.Fail("", "it needs a name of its own")
+			r.Fail("", "missing or duplicate name")
 			return nil, false
 		}
 		seen[next.Name] = true
@@ -211,7 +211,7 @@
 	return rules, true
 }
 
-// recountClasses counts the classes of the routes to each pool again. r.Table is still that before the change.
+// recountClasses updates routesByClass. r.Table must still be the table before the change.
 func (r *reloader) recountClasses(removed map[string]*Route, added []route.Rule) {
 	before := r.routesByClass
 	r.routesByClass = maps.Clone(before)
@@ -222,7 +222,7 @@
 	for _, rule := range added {
 		r.addRoutes(r.Targets[rule.To].Class, rule.Pools, 1, changedPools)
 	}
-	ignoreCount := func(int, int) bool { return true } // a pool is told its classes, however many routes have them
+	ignoreCount := func(int, int) bool { return true } // pool settings hold the classes, not their counts
 	for pool := range changedPools {
 		if !maps.EqualFunc(before[pool], r.routesByClass[pool], ignoreCount) {
 			r.poolSettings = new(settingsIdentity)
@@ -230,8 +230,8 @@
 	}
 }
 
-// applyPools applies pools that differ, if they have the same names: what was left out of a pool depends on the number
-// of pools.
+// applyPools applies the pools that differ, if their names are the same as before: default values of pools depend on
+// the number of pools.
 func (r *reloader) applyPools(change sectionChange) bool {
 	reusesName := func(before, after map[string]Pool) bool {
 		return hasTakenName(before, after, func(name string) bool {
@@ -251,13 +251,13 @@
 			return false
 		}
 		r.pool(filepath.Dir(r.path), name, &pool)
-		if pool.Tunnels != old.Tunnels { // the targets of routes have them
+		if pool.Tunnels != old.Tunnels { // the targets of routes hold copies
 			return false
 		}
 		r.Pools[name] = pool
 	}
 	if !r.Failed() {
-		r.bulkheads()
+		r.combinedLimits()
 	}
 	return true
 }
--- a/internal/config/check.go
+++ b/internal/config/check.go
@@ -6,19 +6,19 @@
 	"olivearch/internal/strictyaml"
 )
 
-// checker checks a configuration, records what is wrong and fills in what was left out.
+// checker checks a configuration, records its errors and fills in default values.
 type checker struct {
 	*strictyaml.Doc
 	*Loaded
 
-	// diagnose reads the entries that differ again, for the errors in them; it is set while a section is reloaded.
+	// diagnose reads the changed entries again to find the errors in them; it is set while a section is reloaded.
 	diagnose func(into any) *strictyaml.Doc
-	// diagnosis is what was found so: the error that reading the whole would give.
+	// diagnosis is the error that diagnose found: the one that parsing the whole text would give.
 	diagnosis error
 }
 
-// all checks everything and builds the table of routes. folder is where relative paths start.
-func (k *checker) all(folder string) {
+// checkAll checks the whole configuration and builds the route table. folder is where relative paths start.
+func (k *checker) checkAll(folder string) {
 	k.listeners()
 	k.limits()
 	k.classes()
@@ -32,7 +32,7 @@
 	if k.Failed() {
 		return
 	}
-	k.bulkheads()
+	k.combinedLimits()
 	k.Routes = nil
 	k.countClasses()
 }
--- a/internal/config/check_classes.go
+++ b/internal/config/check_classes.go
@@ -9,12 +9,12 @@
 const (
 	minAim   = Duration(10 * time.Millisecond)
 	maxWorth = 1e6
-	maxQuota = 1e9 // requests a second; quotas are below it
+	maxQuota = 1e9 // requests a second, exclusive
 	// invalidQuota is the text of an error about a quota.
-	invalidQuota = "the quota is a rate of requests a second, 0 or more"
+	invalidQuota = "the quota must be a rate of requests a second, from 0 to less than 1,000,000,000"
 )
 
-// classes checks the kinds of request.
+// classes checks the classes of requests.
 func (k *checker) classes() {
 	if len(k.Classes) == 0 {
 		k.Fail("classes", "at least one class is wanted")
@@ -27,16 +27,16 @@
 		}
 		k.repeat(path, &class)
 		if class.Aim < minAim || class.Deadline < class.Aim {
-			k.Fail(path, "aim is at least 10ms, and deadline no shorter than aim")
+			k.Fail(path, "aim must be at least 10ms, and deadline no shorter than aim")
 		}
 		if !isWithin(*class.Worth, 0, maxWorth) || !isWithin(class.LateWorth, 0, 1) {
-			k.Fail(path, "worth is from 0 to 1,000,000, and late_worth from 0 to 1")
+			k.Fail(path, "worth must be from 0 to 1,000,000, and late_worth from 0 to 1")
 		}
 		k.Classes[name] = class
 	}
 }
 
-// repeat checks whether requests of a class may run more than once, and what belongs to that.
+// repeat checks the idempotency of a class, and for keyed classes the settings of the idempotency key.
 func (k *checker) repeat(path string, class *Class) {
 	_, known := idempotencies[class.Repeat]
 	switch {
@@ -48,14 +48,14 @@
 			k.Fail(path+".group", "%q is none of all, zone and cell", class.Group)
 		}
 		if class.Memory == 0 {
-			k.Fail(path, "a keyed class needs memory: how long nodes drop repeats")
+			k.Fail(path, "a keyed class needs memory: how long endpoints remember a key")
 		}
 	case class.Group != "" || class.Memory != 0:
-		k.Fail(path, "group and memory belong to keyed classes")
+		k.Fail(path, "only keyed classes have group and memory")
 	}
 }
 
-// tenants checks the quotas of the tenants in the file's struct, and the weight of what exceeds a quota.
+// tenants checks the quotas of the tenants in the File, and the weight factor of requests over quota.
 func (k *checker) tenants() {
 	for name, tenant := range k.Loaded.File.Tenants {
 		if !isValidQuota(tenant.Quota) {
@@ -66,11 +66,11 @@
 		k.OverQuotaWorth = new(0.1)
 	}
 	if !isWithin(*k.OverQuotaWorth, 0, 1) {
-		k.Fail("over_quota_worth", "the part is from 0 to 1")
+		k.Fail("over_quota_worth", "over_quota_worth must be from 0 to 1")
 	}
 }
 
-// isValidQuota reports whether a number can be a quota; NaN can't.
+// isValidQuota reports whether a number is a valid quota; NaN is not.
 func isValidQuota(quota float64) bool { return quota >= 0 && quota < maxQuota }
 
 // isWithin reports whether low <= number <= high; NaN is never within.
@@ -85,9 +85,9 @@
 	strictyaml.Fill(&rules.TipMultiple, 3)
 	strictyaml.Fill(&rules.TipAfter, Duration(1500*time.Millisecond))
 	if rules.ColdFrom == 0 || !isWithin(rules.ColdFrom, 0, 1) {
-		k.Fail("rules.cold_from", "the part is over 0 and at most 1")
+		k.Fail("rules.cold_from", "cold_from must be over 0 and at most 1")
 	}
 	if !isWithin(rules.TipMultiple, 1, 1000) {
-		k.Fail("rules.tip_multiple", "the multiple is from 1 to 1,000")
+		k.Fail("rules.tip_multiple", "tip_multiple must be from 1 to 1,000")
 	}
 }
--- a/internal/config/check_limits.go
+++ b/internal/config/check_limits.go
@@ -8,11 +8,11 @@
 )
 
 const (
-	// reservedDescriptors are kept for listeners, logs, endpoint lists and connections that are being closed.
+	// reservedDescriptors are for listening sockets, logs, endpoint lists and connections that are being closed.
 	reservedDescriptors = 48
-	// memoryPerRequest is what a request may take while a pool holds it, in bytes: a body each way, and its heads.
+	// memoryPerRequest is what a queued or running request may take, in bytes: a body in each direction, and both heads.
 	memoryPerRequest = 160 << 10
-	// memoryWithoutRequests is what the process takes without requests, in bytes.
+	// memoryWithoutRequests is what the process takes without any request, in bytes.
 	memoryWithoutRequests = 24 << 20
 	// defaultMemory is limits.memory if it is left out, in bytes.
 	defaultMemory = 192 << 20
@@ -20,7 +20,7 @@
 	minMemory          = 32 << 20 // bytes
 	minDescriptors     = 64
 	defaultDescriptors = 1024
-	// minHead and maxHead bound the size of a request's head in bytes; memoryPerRequest counts two heads.
+	// minHead and maxHead bound Listener.Head, in bytes. memoryPerRequest includes two heads.
 	minHead = 1 << 10
 	maxHead = 64 << 10
 )
@@ -28,7 +28,7 @@
 // listenerPath returns the path of a listener in the file.
 func listenerPath(index int) string { return fmt.Sprintf("listeners[%d]", index) }
 
-// listeners checks names and addresses of the listeners and of the one for operators.
+// listeners checks the names and addresses of the listeners, and the listener for operators.
 func (k *checker) listeners() {
 	if len(k.Listeners) == 0 {
 		k.Fail("listeners", "at least one listener is wanted")
@@ -49,7 +49,7 @@
 		names[listener.Name] = true
 		addresses[address.String()] = true
 		if listener.Connections < 0 {
-			k.Fail(path+".connections", "the number is over 0")
+			k.Fail(path+".connections", "connections must be over 0")
 		}
 	}
 	if k.Admin != nil {
@@ -66,7 +66,7 @@
 	}
 }
 
-// limits checks what the process may use, its number among the instances, and the limits of each listener.
+// limits checks the limits of the process, its rank among the instances, and the limits of each listener.
 func (k *checker) limits() {
 	limits := &k.Limits
 	strictyaml.Fill(&limits.Memory, defaultMemory)
@@ -79,16 +79,16 @@
 		k.Fail("limits.descriptors", "at least 64 are needed")
 	}
 	if limits.NodeConnections < 1 {
-		k.Fail("limits.node_connections", "the number is over 0")
+		k.Fail("limits.node_connections", "node_connections must be over 0")
 	}
 	strictyaml.Fill(&k.Instances.Count, 1)
 	rank := k.Instances.Rank
 	if k.Instances.Count < 1 || rank < 0 || rank >= k.Instances.Count {
-		k.Fail("instances", "rank goes from 0 to count - 1")
+		k.Fail("instances", "rank must be from 0 to count - 1")
 	}
 	strictyaml.Fill(&limits.Bodies, limits.Memory/8)
 	if limits.Bodies < 0 || limits.Bodies >= limits.Memory {
-		k.Fail("limits.bodies", "it is a part of the memory")
+		k.Fail("limits.bodies", "bodies must not be negative, and must be less than limits.memory")
 	}
 	for i := range k.Listeners {
 		k.listenerLimits(listenerPath(i), &k.Listeners[i])
@@ -102,15 +102,16 @@
 	strictyaml.Fill(&listener.Within, Duration(10*time.Second))
 	strictyaml.Fill(&listener.Rate, 8<<10)
 	if listener.Head < minHead || listener.Head > maxHead {
-		k.Fail(path+".head", "a head has from 1KiB to 64KiB")
+		k.Fail(path+".head", "head must be from 1KiB to 64KiB")
 	}
 	if listener.Within < Duration(time.Second) {
-		k.Fail(path+".within", "at least 1s is wanted")
+		k.Fail(path+".within", "within must be at least 1s")
 	}
 }
 
-// bulkheads checks that what pools may take together is there, so that no pool can take what is another's.
-func (k *checker) bulkheads() {
+// combinedLimits checks that the limits of all listeners and pools together fit in the limits of the process, so that
+// no pool can use up the resources of another.
+func (k *checker) combinedLimits() {
 	connections := reservedDescriptors
 	for _, listener := range k.Listeners {
 		connections += listener.Connections
@@ -122,18 +123,18 @@
 	}
 	if connections > k.Limits.Descriptors {
 		k.Fail("limits.descriptors", "listeners and pools may take %d with a reserve of %d, more than the %d there are: "+
-			"lower their connections or give more", connections, reservedDescriptors, k.Limits.Descriptors)
+			"lower their connections or raise the limit", connections, reservedDescriptors, k.Limits.Descriptors)
 	}
 	for i, listener := range k.Listeners {
 		if queued > listener.Connections {
 			k.Fail(listenerPath(i)+".connections", "pools may hold %d requests, more than the %d connections: "+
-				"one that stalls could take up those of others", queued, listener.Connections)
+				"a pool that stalls could use up the connections of others", queued, listener.Connections)
 		}
 	}
 	memory := int64(memoryWithoutRequests+queued*memoryPerRequest) + int64(k.Limits.Bodies)
 	if memory > int64(k.Limits.Memory) {
 		k.Fail("limits.memory", "pools may hold %d requests, which can take %d MiB with the %d MiB of limits.bodies; "+
-			"lower their queues or give more", queued, roundedUpMiB(memory), k.Limits.Bodies>>20)
+			"lower their queues or raise the limit", queued, roundedUpMiB(memory), k.Limits.Bodies>>20)
 	}
 }
 
--- a/internal/config/check_pools.go
+++ b/internal/config/check_pools.go
@@ -11,7 +11,7 @@
 	"olivearch/internal/strictyaml"
 )
 
-// maxPoolShare bounds a pool's share.
+// maxPoolShare is the maximum of Pool.Share.
 const maxPoolShare = 1e6
 
 // pools checks the pools, in the order of their names.
@@ -26,16 +26,16 @@
 	}
 }
 
-// pool checks one pool and fills in what was left out.
+// pool checks one pool and fills in default values.
 func (k *checker) pool(folder, name string, pool *Pool) {
 	k.fillPool(pool)
 	path := "pools." + name
 	k.tunnels(path+".tunnels", pool)
 	if pool.Queue < 1 || pool.Connections < 1 || pool.MaxAttempts < 1 {
-		k.Fail(path, "queue, connections and max_attempts are over 0")
+		k.Fail(path, "queue, connections and max_attempts must be over 0")
 	}
 	if pool.Share == 0 || !isWithin(pool.Share, 0, maxPoolShare) {
-		k.Fail(path+".share", "the share is over 0 and at most 1,000,000")
+		k.Fail(path+".share", "the share must be over 0 and at most 1,000,000")
 	}
 	if pool.Drains != "any" && pool.Drains != "own" {
 		k.Fail(path+".drains", "%q is neither any nor own", pool.Drains)
@@ -49,7 +49,7 @@
 	k.nodes(path+".nodes", &pool.Nodes, folder)
 }
 
-// fillPool fills in what was left out of a pool. Its part of the connections depends on the listeners and on the
+// fillPool fills in the default values of a pool. Those of queue and connections depend on the listeners and on the
 // number of pools.
 func (k *checker) fillPool(pool *Pool) {
 	queue := k.Limits.Descriptors
@@ -79,15 +79,15 @@
 	fitPool := pool.Tunnels.Most >= 1 && pool.Tunnels.Most <= pool.Connections
 	fitNode := pool.Tunnels.PerNode >= 1 && pool.Tunnels.PerNode <= k.Limits.NodeConnections
 	if !fitPool || !fitNode {
-		k.Fail(path, "most is from 1 to the pool's connections (%d), per_node from 1 to node_connections (%d)",
+		k.Fail(path, "most must be from 1 to the pool's connections (%d), and per_node from 1 to node_connections (%d)",
 			pool.Connections, k.Limits.NodeConnections)
 	}
 }
 
-// nodes checks where a pool's endpoint list comes from.
+// nodes checks the source of a pool's endpoint list.
 func (k *checker) nodes(path string, source *NodeSource, folder string) {
 	if source.count() != 1 {
-		k.Fail(path, "exactly one of file, static and discovery says where the nodes come from")
+		k.Fail(path, "exactly one of file, static and discovery is wanted as the source of the nodes")
 		return
 	}
 	if source.Keep != "" {
@@ -101,16 +101,16 @@
 	default:
 		endpointlist.Check(k.Doc, path+".static", source.Static)
 		if source.Hold != 0 {
-			k.Fail(path+".hold", "a list that stands here is never silent")
+			k.Fail(path+".hold", "a static list has no source that can fail: hold applies to file and discovery")
 		}
 	}
 }
 
-// count returns how many sources are named.
+// count returns the number of sources that are set.
 func (s *NodeSource) count() int {
 	count := 0
-	for _, isNamed := range []bool{s.File != "", s.Static != nil, s.Discovery != ""} {
-		if isNamed {
+	for _, isSet := range []bool{s.File != "", s.Static != nil, s.Discovery != ""} {
+		if isSet {
 			count++
 		}
 	}
@@ -121,7 +121,7 @@
 func (k *checker) listCache(path string, source *NodeSource, folder string) {
 	source.Keep = absolute(source.Keep, folder)
 	if source.Discovery == "" {
-		k.Fail(path, "a list is kept for discovery alone: files and lists that stand here are on a disk already")
+		k.Fail(path, "keep applies only to discovery: file and static lists are on disk already")
 		return
 	}
 	if cacheFolder := filepath.Dir(source.Keep); !isFolder(cacheFolder) {
@@ -129,7 +129,7 @@
 	}
 }
 
-// absolute returns a path of the file, which starts at the file's folder if it is relative.
+// absolute returns a path as an absolute one; a relative path starts at the folder.
 func absolute(path, folder string) string {
 	if filepath.IsAbs(path) {
 		return path
--- a/internal/config/check_routes.go
+++ b/internal/config/check_routes.go
@@ -13,7 +13,7 @@
 	"olivearch/internal/strictyaml"
 )
 
-// Target is what applies to requests of a route beside its pools. Most routes share one with others.
+// Target holds the settings of a route's requests other than the pools. Most routes share their Target with others.
 type Target struct {
 	Class     string
 	Deadline  Duration
@@ -21,10 +21,10 @@
 	Body      Body
 	Answer    Answer
 	Upgrades  []string
-	Tunnels   Tunnels // of its first pool
+	Tunnels   Tunnels // of the route's first pool
 }
 
-// targetKey is a Target in a form that can be compared.
+// targetKey is a comparable form of a Target.
 type targetKey struct {
 	class, cookie, upgrades string
 	deadline                Duration
@@ -39,11 +39,11 @@
 		k.Fail("routes", "at least one route is wanted")
 	}
 	rules := make([]route.Rule, 0, len(k.Routes))
-	indexes := make(map[string]int, len(k.Routes)) // in the file, by name
+	indexes := make(map[string]int, len(k.Routes)) // of routes in the file, by name
 	for i := range k.Routes {
 		r := &k.Routes[i]
 		if _, repeated := indexes[r.Name]; r.Name == "" || repeated {
-			k.Fail(routePath(i), "a route needs a name of its own; %q is not", r.Name)
+			k.Fail(routePath(i), "a route needs a unique name; %q is empty or already used", r.Name)
 			continue
 		}
 		if rule, ok := k.route(routePath(i), r); ok {
@@ -62,15 +62,15 @@
 	k.Table = table
 }
 
-// routeNamedBy returns the name of the route that an error of the table is about.
+// routeNamedBy returns the name of the route that an error of route.Build is about.
 func routeNamedBy(err error) (name string, ok bool) {
 	var conflict route.ConflictError
 	if errors.As(err, &conflict) {
 		return conflict.Second, true
 	}
-	var malformed route.InvalidRuleError
-	if errors.As(err, &malformed) {
-		return malformed.Name, true
+	var invalid route.InvalidRuleError
+	if errors.As(err, &invalid) {
+		return invalid.Name, true
 	}
 	return "", false
 }
@@ -78,7 +78,7 @@
 // routePath returns the path of a route in the file.
 func routePath(index int) string { return "routes[" + strconv.Itoa(index) + "]" }
 
-// route checks one route, fills in what was left out and returns its rule.
+// route checks one route, fills in default values and returns its rule.
 func (k *checker) route(path string, entry *Route) (rule route.Rule, ok bool) {
 	k.routeClass(path, entry)
 	if (entry.Pool == "") == (len(entry.Pools) == 0) {
@@ -101,7 +101,7 @@
 	return rule, true
 }
 
-// routeClass checks the class of a route and cuts its deadline to that of the class.
+// routeClass checks the class of a route and limits the route's deadline to that of the class.
 func (k *checker) routeClass(path string, r *Route) {
 	class, known := k.Classes[r.Class]
 	if !known {
@@ -110,7 +110,7 @@
 	strictyaml.Fill(&r.Deadline, class.Deadline)
 	r.Deadline = min(r.Deadline, class.Deadline)
 	if r.RequestClass != "" && r.RequestClass != r.Class {
-		k.Fail(path+".request_class", "clients that name %q would get the class %q: the two are the same",
+		k.Fail(path+".request_class", "request_class %q and class %q must be the same",
 			r.RequestClass, r.Class)
 	}
 }
@@ -124,15 +124,16 @@
 	strictyaml.Fill(&r.Answer.Max, 1<<40)
 	strictyaml.Fill(&r.Answer.Idle, Duration(30*time.Second))
 	if r.Body.Buffer > k.Limits.Bodies {
-		k.Fail(path+".body.buffer", "%d MiB for one request, and limits.bodies is %d MiB for all",
+		k.Fail(path+".body.buffer", "%d MiB for one request, more than limits.bodies for all requests, which is %d MiB",
 			r.Body.Buffer>>20, k.Limits.Bodies>>20)
 	}
 	if r.Answer.Total != 0 && r.Answer.Total < r.Answer.Idle {
-		k.Fail(path+".answer.total", "it is shorter than idle")
+		k.Fail(path+".answer.total", "total must not be shorter than idle")
 	}
 }
 
-// upgrades checks the protocols that connections of a route may change to, and brings their names to lower case.
+// upgrades checks the protocols to which connections of a route may be upgraded, and converts their names to lower
+// case.
 func (k *checker) upgrades(path string, protocols []string) {
 	for i, name := range protocols {
 		protocols[i] = strings.ToLower(name)
@@ -161,15 +162,15 @@
 
 // methods checks the methods of a route.
 func (k *checker) methods(path string, methods []string) {
-	isNoCapital := func(char rune) bool { return char < 'A' || char > 'Z' }
+	isNotCapital := func(char rune) bool { return char < 'A' || char > 'Z' }
 	for _, method := range methods {
-		if method == "" || method == "CONNECT" || strings.ContainsFunc(method, isNoCapital) {
-			k.Fail(path+".methods", "%q is not a method that is served, in capitals", method)
+		if method == "" || method == "CONNECT" || strings.ContainsFunc(method, isNotCapital) {
+			k.Fail(path+".methods", "%q is not a method: names are in capitals, and CONNECT is not served", method)
 		}
 	}
 }
 
-// pathMatch checks and returns how a route matches paths: any path if none of the three forms is given.
+// pathMatch checks and returns the path condition of a route; it matches any path if none of the three forms is given.
 func (k *checker) pathMatch(path string, match Path) (kind route.PathKind, text string) {
 	forms := [...]string{route.Exact: match.Exact, route.Pattern: match.Pattern, route.Prefix: match.Prefix}
 	given := 0
@@ -189,7 +190,7 @@
 	return kind, text
 }
 
-// target returns the index of a route's target, which is added if no route has had it.
+// target returns the index of a route's target in Targets, and adds the target if it is new.
 func (k *checker) target(r *Route) int {
 	key := targetKey{
 		class: r.Class, cookie: r.KeyCookie, upgrades: strings.Join(r.Upgrades, "\n"),
@@ -207,7 +208,7 @@
 	return index
 }
 
-// unknownName returns the text of an error about a name that nothing of its kind has.
+// unknownName returns the text of an error about a name that doesn't exist.
 func unknownName(kind, name string, known []string) string {
 	if near := strictyaml.Nearest(name, known); near != "" {
 		return fmt.Sprintf("there is no %s %q; did you mean %q?", kind, name, near)
--- a/internal/config/compare.go
+++ b/internal/config/compare.go
@@ -6,16 +6,16 @@
 	"olivearch/internal/strictyaml"
 )
 
-// commonText is what two texts have in common, in whole lines.
+// commonText describes the lines that two texts have in common at their beginning and at their end.
 type commonText struct {
-	prefix int // bytes at the beginning
-	suffix int // bytes at the end, beyond the prefix
+	prefix int // bytes of the common lines at the beginning
+	suffix int // bytes of the common lines at the end, which do not overlap with the prefix
 }
 
-// middle returns what one of the texts has between the common parts.
+// middle returns the part of one of the texts between the common prefix and suffix.
 func (c commonText) middle(text []byte) []byte { return text[c.prefix : len(text)-c.suffix] }
 
-// commonLines returns how much two texts have in common at their beginning and, beyond that, at their end.
+// commonLines returns the common lines at the beginning and at the end of two texts.
 func commonLines(before, after []byte) commonText {
 	prefix := commonPrefix(before, after)
 	prefix = bytes.LastIndexByte(before[:prefix], '\n') + 1
@@ -25,17 +25,17 @@
 	if beginsLine(before, len(before)-suffix) && beginsLine(after, len(after)-suffix) {
 		return commonText{prefix, suffix}
 	}
-	lastDifferent := bytes.IndexByte(before[len(before)-suffix:], '\n') // the end of the last line that differs
+	lastDifferent := bytes.IndexByte(before[len(before)-suffix:], '\n') // the line feed of the last line that differs
 	if lastDifferent < 0 {
 		return commonText{prefix, 0}
 	}
 	return commonText{prefix, suffix - lastDifferent - 1}
 }
 
-// compareBlock is how many bytes are compared at once.
+// compareBlock is the number of bytes that are compared at once.
 const compareBlock = 1 << 12
 
-// commonPrefix returns the number of bytes in which two texts agree from their beginning.
+// commonPrefix returns the length of the common prefix of two texts, in bytes.
 func commonPrefix(x, y []byte) int {
 	shorter := min(len(x), len(y))
 	count := 0
@@ -48,12 +48,12 @@
 	return count
 }
 
-// commonSuffix returns the number of bytes in which two texts agree from their end.
+// commonSuffix returns the length of the common suffix of two texts, in bytes.
 func commonSuffix(x, y []byte) int {
 	shorter := min(len(x), len(y))
 	x = x[len(x)-shorter:]
 	y = y[len(y)-shorter:]
-	start := shorter // of what agrees
+	start := shorter // of the common suffix
 	for start >= compareBlock && bytes.Equal(x[start-compareBlock:start], y[start-compareBlock:start]) {
 		start -= compareBlock
 	}
@@ -66,14 +66,15 @@
 // beginsLine reports whether a line begins at an offset of a text.
 func beginsLine(text []byte, offset int) bool { return offset == 0 || text[offset-1] == '\n' }
 
-// sectionChange is a section whose entries differ between two texts, with the entries that differ.
+// sectionChange holds the entries of a section that differ between two texts.
 type sectionChange struct {
 	before, after *strictyaml.Entries
-	start         int // where the text of the entries begins, in both bodies
+	start         int // offset of the first of these entries, the same in both bodies
 }
 
-// changedEntries returns the entries in which two bodies of a section differ, with one before them if there is one,
-// whose first line both have. ok is false if the bodies can't be compared so.
+// changedEntries returns the entries in which two bodies of a section differ. They include, if there is one, the entry
+// before the first difference, since the difference may belong to it. ok is false if the bodies can't be compared entry
+// by entry.
 func changedEntries(before, after []byte, common commonText) (change sectionChange, ok bool) {
 	oldFirst := strictyaml.SplitEntries(throughFirstEntryLine(before))
 	newFirst := strictyaml.SplitEntries(throughFirstEntryLine(after))
@@ -89,14 +90,14 @@
 		common.suffix = suffixFromNextEntry(before, common.suffix, column)
 	}
 	change = splitChange(before, after, common)
-	if common.suffix > 0 && !change.isSplit() { // before the first entry, one stands in only one of them
+	if common.suffix > 0 && !change.isSplit() { // an entry was added or removed before the first one
 		common.suffix = suffixFromNextEntry(before, common.suffix, column)
 		change = splitChange(before, after, common)
 	}
 	return change, change.isSplit()
 }
 
-// splitChange splits what two bodies do not have in common into entries.
+// splitChange splits the parts that two bodies do not have in common into entries.
 func splitChange(before, after []byte, common commonText) sectionChange {
 	return sectionChange{
 		before: strictyaml.SplitEntries(common.middle(before)),
@@ -105,10 +106,10 @@
 	}
 }
 
-// isSplit reports whether there are entries in both texts.
+// isSplit reports whether both texts have entries that differ.
 func (c sectionChange) isSplit() bool { return c.before != nil && c.after != nil }
 
-// startOfEntryBefore returns where the last entry before an offset of a body begins; 0 if there is none.
+// startOfEntryBefore returns the offset of the last entry that begins before an offset of a body; 0 if there is none.
 func startOfEntryBefore(body []byte, offset, column int) int {
 	for offset > 0 {
 		offset = bytes.LastIndexByte(body[:offset-1], '\n') + 1
@@ -119,8 +120,8 @@
 	return offset
 }
 
-// suffixFromNextEntry returns the length of a body's end from where an entry begins, after the first line of a longer
-// end; 0 if there is no entry.
+// suffixFromNextEntry shortens a suffix of a body so that it begins with an entry, by one line at least. It returns the
+// new length, which is 0 if no entry begins in the rest.
 func suffixFromNextEntry(body []byte, suffix, column int) int {
 	for suffix > 0 {
 		lineEnd := bytes.IndexByte(body[len(body)-suffix:], '\n')
@@ -144,7 +145,7 @@
 	return char != ' ' && char != '#' && char != '\n'
 }
 
-// throughFirstEntryLine returns a body up to the end of its first entry's first line; nil if it has no entry.
+// throughFirstEntryLine returns a body up to the end of the first line of its first entry; nil if it has no entry.
 func throughFirstEntryLine(body []byte) []byte {
 	for offset := 0; offset < len(body); {
 		line := body[offset:]
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -68,7 +68,7 @@
 	for _, c := range []struct{ old, new, want string }{
 		{"classes:", "clases:", `c.yaml:2:1: unknown key "clases"; did you mean "classes"?`},
 		{"aim: 100ms, deadline: 1s", "aim: 100, deadline: 1s", `c.yaml:3:12: "100" is not a time with a unit`},
-		{"aim: 100ms, deadline: 1s", "aim: 100ms, deadline: 50ms", "c.yaml:3:6: aim is at least 10ms"},
+		{"aim: 100ms, deadline: 1s", "aim: 100ms, deadline: 50ms", "c.yaml:3:6: aim must be at least 10ms"},
 		{"aim: 100ms, deadline: 1s", "aim: 100ms, deadline: 1s, repeat: sometimes", `c.yaml:3:41: "sometimes" is none of`},
 		{"repeat: safe", "repeat: keyed", "a keyed class needs memory"},
 		{"pool: p, deadline", "pool: pp, deadline", `c.yaml:9:55: there is no pool "pp"; did you mean "p"?`},
@@ -76,18 +76,18 @@
 		{"{prefix: /two}", "{prefix: /one/}", `c.yaml:10:5: routes "one" and "two" match the same requests`},
 		{"{prefix: /two}", "{prefix: /two, exact: /two}", "at most one of"},
 		{"{prefix: /two}", "{prefix: two}", `c.yaml:10:5: route "two": path "two" is not in canonical form`},
-		{"name: two", "name: one", "a route needs a name of its own"},
+		{"name: two", "name: one", "a route needs a unique name; \"one\" is empty or already used"},
 		{"127.0.0.1:9001", "localhost:9001", `c.yaml:6:34: "localhost:9001" is not an IP address`},
 		{"{file: q.yaml}", "{file: q.yaml, discovery: '127.0.0.1:1'}", "exactly one of file, static and discovery"},
-		{"{file: q.yaml}", "{file: q.yaml, keep: q.kept}", "a list is kept for discovery alone"},
+		{"{file: q.yaml}", "{file: q.yaml, keep: q.kept}", "keep applies only to discovery"},
 		{"{file: q.yaml}", "{discovery: '127.0.0.1:1', keep: nowhere/q.kept}", "there is no folder"},
 		{"{file: q.yaml}", "{discovery: '127.0.0.1:1', keep: q.kept}", ""},
 		{"listeners:", "admin: {address: '0.0.0.0:81'}\nlisteners:", "can be reached by others"},
 		{"listeners:", "limits: {descriptors: 100}\nlisteners:", ""}, // what was left out fits in
 		{"listeners:", "limits: {memory: 32MiB}\nlisteners:", "c.yaml:1:18: pools may hold 512 requests"},
-		{"{file: q.yaml}", "{file: q.yaml}, queue: 600", "one that stalls could take up those of others"},
+		{"{file: q.yaml}", "{file: q.yaml}, queue: 600", "a pool that stalls could use up the connections of others"},
 		{"{file: q.yaml}", "{file: q.yaml}, connections: 2000", "c.yaml:1:1: listeners and pools may take"},
-		{"{file: q.yaml}", "{file: q.yaml}, share: -1", "the share is over 0"},
+		{"{file: q.yaml}", "{file: q.yaml}, share: -1", "the share must be over 0"},
 		{"routes:", "pools: {}\nroutes:", `"pools" stands here for a second time, first in line 5`},
 		{"address: '127.0.0.1:0'", "address: 8080", `"8080" is not an IP address and a port`},
 		{"[{address: '127.0.0.1:0'}]", "3", "c.yaml:1:12: a single value stands here; a list is wanted"},
@@ -95,7 +95,7 @@
 		{"weight: 9", "weight: x", `"x" is not a whole number`},
 		{"weight: 9", "weight: -9", `weight -9 is out of range`},
 		{"deadline: 5s", "deadline: 5s, methods: [get]", `"get" is not a method`},
-		{"deadline: 5s", "deadline: 5s, request_class: c", "the two are the same"},
+		{"deadline: 5s", "deadline: 5s, request_class: c", `request_class "c" and class "r" must be the same`},
 	} {
 		text := strings.Replace(small, c.old, c.new, 1)
 		_, err := Parse("c.yaml", []byte(text))
--- a/internal/config/cost.go
+++ b/internal/config/cost.go
@@ -2,30 +2,31 @@
 
 import "fmt"
 
-// What things take in memory, in bytes, by docs/design/configuration.md, which names the runs that gave the figures.
-// Pools and nodes count as in use, with the garbage that the collector has not freed yet.
+// Memory estimates in bytes, from the measurements in docs/design/configuration.md. Those of pools and nodes are for
+// pools in use, and include garbage that is not collected yet.
 const (
 	processBytes = 12 << 20 // a process with the smallest configuration
 	poolBytes    = 36 << 10
 	nodeBytes    = 1600
 	routeBytes   = 500
 	tenantBytes  = 48
-	textCopies   = 2 // of the file: the text of the configuration in force, and the buffer for the next
+	textCopies   = 2 // of the file: the text of the configuration in force, and the buffer for the next text
 )
 
-// descriptorsAtRest is how many descriptors a process has open beside its listeners and connections to discovery: the
-// standard ones, the system's poller with its event, the watch of the lists.
+// descriptorsAtRest is the number of descriptors that a process without clients has open beside its listeners and its
+// connections to discovery: three standard streams, the runtime's poller and its event descriptor, and the inotify
+// instance that watches endpoint lists.
 const descriptorsAtRest = 6
 
-// Cost is what a configuration takes.
+// Cost is the estimated resource use of a configuration.
 type Cost struct {
 	Pools, Nodes, Routes, Tenants int
-	Resident                      int64 // memory with all pools in use and without requests, bytes
-	Reading                       int64 // memory at most while the file is read by a new process, bytes
-	AtRest, AtMost                int   // descriptors without clients, and with all that listeners and pools may take
+	Resident                      int64 // bytes of memory with all pools in use and without requests
+	Reading                       int64 // maximum bytes of memory while a new process reads the file
+	AtRest, AtMost                int   // descriptors without clients, and with all connections of listeners and pools
 }
 
-// Cost estimates what the configuration takes with so many nodes over all its lists.
+// Cost estimates the resource use of the configuration with a number of nodes in all its endpoint lists together.
 func (c *Loaded) Cost(nodes int) Cost {
 	cost := Cost{
 		Pools: len(c.Pools), Nodes: nodes, Routes: c.Table.Len(), Tenants: c.Tenants.Len(),
@@ -49,7 +50,7 @@
 	return cost
 }
 
-// residentBytes returns the memory that the numbers of entries and a text of so many bytes take.
+// residentBytes returns the memory of a configuration with these numbers of entries and a text of textSize bytes.
 func (c Cost) residentBytes(textSize int) int64 {
 	total := int64(processBytes)
 	total += int64(c.Pools) * poolBytes
@@ -60,8 +61,8 @@
 	return total
 }
 
-// CheckCapacity returns an error, a strictyaml.Error at limits.memory, if the memory is too little for the
-// configuration with so many nodes.
+// CheckCapacity returns a strictyaml.Error at limits.memory if that is less than the memory that the configuration
+// needs with a number of nodes in all its endpoint lists together.
 func (c *Loaded) CheckCapacity(nodes int) error {
 	cost := c.Cost(nodes)
 	if cost.Resident <= int64(c.Limits.Memory) {
--- a/internal/config/diagnosis_test.go
+++ b/internal/config/diagnosis_test.go
@@ -18,7 +18,7 @@
 	lines := strings.SplitAfter(string(text), "\n")
 	for _, x := range []struct{ from, to, want string }{
 		{"quota", "qouta", `c.yaml:155000:19: unknown key "qouta"; did you mean "quota"?`},
-		{"quota: ", "quota: -", "c.yaml:155000:26: the quota is a rate"},
+		{"quota: ", "quota: -", "c.yaml:155000:26: the quota must be a rate"},
 		{"}", "", "c.yaml:154999:1: did not find expected ',' or '}'"}, // the parser's own count
 	} {
 		wrong := slices.Clone(lines)
@@ -50,7 +50,7 @@
 		{"tenant-039000: {quota", "tenant-039000: {qouta", "c.yaml:39119:19: unknown key \"qouta\""},
 		{
 			"tenant-039000: {", "tenant-039000: &x {",
-			"c.yaml:2:18: reading the file at once, as one with a mistake or with anchors has to be, takes about 75 MiB",
+			"c.yaml:2:18: reading the file as a whole, which an error or anchors in it require, takes about 75 MiB",
 		},
 	} {
 		_, err := Parse("c.yaml", []byte(strings.Replace(text, x.old, x.new, 1)))
--- a/internal/config/loaded.go
+++ b/internal/config/loaded.go
@@ -8,45 +8,47 @@
 	"olivearch/internal/strictyaml"
 )
 
-// maxFileSize bounds a configuration file, in bytes.
+// maxFileSize is the maximum size of a configuration file, in bytes.
 const maxFileSize = 16 << 20
 
-// Loaded is a configuration that has been checked, with what was left out filled in. It never changes. Routes and
-// tenants are not in the File but in tables, which share what did not change with those of the configuration before.
+// Loaded is a checked configuration with default values filled in. It is immutable. Routes and tenants are not in the
+// File but in tables. After a reload, the tables share their unchanged parts with those of the previous configuration.
 type Loaded struct {
 	File
 	Table *route.Table
-	// Targets are what the table's rules lead to, by their numbers, beside pools.
+	// Targets holds the settings of the table's rules other than the pools, by route.Rule.To.
 	Targets []Target
-	// Tenants is shared by the settings of all pools.
+	// Tenants is the table of tenants, which the settings of all pools share.
 	Tenants *balancer.Tenants
 
 	targets          map[targetKey]int // indexes in Targets
-	source           *sourceText       // nil if the text was read as a whole
-	buffers          *textBuffers      // of this configuration and those that it was reloaded from
-	bufferIndex      int               // of its text in buffers, or notBuffered
-	bytesRead        int               // of the text, read and not taken from the configuration before
+	source           *sourceText       // nil if the text was parsed as a whole
+	buffers          *textBuffers      // shared with the configurations that this one was reloaded from
+	bufferIndex      int               // index of the buffer with the text, or notBuffered
+	bytesRead        int               // bytes of the text that were parsed for this configuration
 	fileSize         int               // bytes
-	memoryLimitError strictyaml.Error  // has the position of limits.memory, and no text yet
-	// routesByClass counts the routes to each pool: pool, class, number.
+	memoryLimitError strictyaml.Error  // an error at limits.memory, still without a text
+	// routesByClass is the number of routes to each pool, by pool and class.
 	routesByClass map[string]map[string]int
 	poolSettings  *settingsIdentity
 }
 
-// settingsIdentity identifies what pools are told, but for the tenants: two configurations with the same pointer tell
-// them the same. It has a size, since pointers to values without one may be equal.
+// settingsIdentity identifies the settings of all pools except for the tenants: two configurations with the same
+// pointer have the same settings. The struct has a field because pointers to distinct zero-size values may be equal.
 type settingsIdentity struct{ _ byte }
 
-// SamePools reports whether c tells pools the same as another configuration, but for the tenants. It is certain if c
-// was reloaded from the other by what differs; for configurations that were read independently it is false.
+// SamePools reports whether c is known to have the same pool settings as another configuration, except for the tenants.
+// That is known only if c was reloaded from the other by parsing just the changes; for configurations that were parsed
+// independently the result is false.
 func (c *Loaded) SamePools(other *Loaded) bool {
 	return other != nil && c.poolSettings == other.poolSettings
 }
 
-// Read returns how much of the file was read for the configuration and not taken from the one before, in bytes.
+// Read returns how many bytes of the file were parsed for the configuration. The rest was taken over from the
+// configuration that it was reloaded from.
 func (c *Loaded) Read() int { return c.bytesRead }
 
-// newLoaded returns a configuration of a text of which nothing has been read.
+// newLoaded returns an empty configuration for a text that is yet to be parsed.
 func newLoaded(path string, text []byte, memoryLimitAt strictyaml.Position) *Loaded {
 	return &Loaded{
 		targets:          map[targetKey]int{},
@@ -59,7 +61,7 @@
 	}
 }
 
-// Load reads and checks a file. The error joins one strictyaml.Error for each thing wrong with its content.
+// Load reads and checks a file. An error about its content joins one strictyaml.Error for each error found.
 func Load(path string) (*Loaded, error) {
 	text, err := strictyaml.ReadFile(path, maxFileSize)
 	if err != nil {
@@ -68,12 +70,12 @@
 	return Parse(path, text)
 }
 
-// Parse checks the text of a file. Relative paths in it start at the file's folder. The error is as for Load.
+// Parse parses and checks the text of a file. Relative paths in it start at the file's folder. Errors are as for Load.
 func Parse(path string, text []byte) (*Loaded, error) {
 	return parse(path, text, 0)
 }
 
-// parse is Parse in a process that uses so many bytes of memory already.
+// parse is Parse in a process that already uses memoryInUse bytes.
 func parse(path string, text []byte, memoryInUse int64) (*Loaded, error) {
 	c, err := parseInSections(path, text, memoryInUse)
 	if isFinal(err) {
@@ -85,16 +87,16 @@
 	return parseWhole(path, text)
 }
 
-// parseWhole reads the whole text at once, and finds the position of each mistake.
+// parseWhole parses the whole text at once, and finds the position of each error.
 func parseWhole(path string, text []byte) (*Loaded, error) {
 	_, memoryLimitAt := memoryLimit(path, text, strictyaml.Outline(text))
 	c := newLoaded(path, text, memoryLimitAt)
 	doc := strictyaml.Decode(path, text, &c.File)
-	if err := doc.Err(); err != nil { // what could not be read would only bring errors that follow from it
+	if err := doc.Err(); err != nil { // values that can't be decoded would cause further errors in the checks
 		return nil, err
 	}
 	k := checker{Doc: doc, Loaded: c}
-	k.all(filepath.Dir(path))
+	k.checkAll(filepath.Dir(path))
 	if err := doc.Err(); err != nil {
 		return nil, err
 	}
@@ -103,7 +105,7 @@
 	return c, nil
 }
 
-// listedTenants appends the tenants of the file's struct to others.
+// listedTenants appends the tenants of the File to a list.
 func (c *Loaded) listedTenants(tenants []balancer.Tenant) []balancer.Tenant {
 	for name, tenant := range c.File.Tenants {
 		tenants = append(tenants, balancer.Tenant{Name: name, Quota: tenant.Quota})
--- a/internal/config/promises.go
+++ b/internal/config/promises.go
@@ -7,7 +7,7 @@
 	"olivearch/internal/strictyaml"
 )
 
-// maxCoordinationFileSize bounds the files of coordination servers and of their clients, in bytes.
+// maxCoordinationFileSize is the maximum size of the files of coordination servers and of their clients, in bytes.
 const maxCoordinationFileSize = 1 << 20
 
 // minWithin and maxWithin bound Promises.Within.
@@ -16,20 +16,20 @@
 	maxWithin = Duration(30 * time.Second)
 )
 
-// Promises makes a balancer a client of the coordination cluster: a part of the configuration of "olivearch serve", and
-// a file of its own for a platform's balancer (RELAY_PROMISES).
+// Promises configures a balancer as a client of the coordination cluster. It is a section of the configuration of
+// "olivearch serve", and a separate file for the balancer of a platform (RELAY_PROMISES).
 type Promises struct {
-	// The voters: names with IP addresses and ports.
+	// The voters: IP addresses with ports, by name.
 	Voters map[string]string `yaml:"voters"`
-	// A file in which the grants are cached, so that a process that starts while no voter can be reached begins with
-	// them; left out: none. A relative path starts at the configuration's folder.
+	// A file that caches the grants, for a process that starts while no voter can be reached; none if left out. A relative
+	// path starts at the configuration's folder.
 	Copy string `yaml:"copy,omitempty"`
-	// Within what time an operator's call is answered, stored by the voters or not; 1s if left out.
+	// Time within which an operator's call is answered, whether the voters have stored it or not; 1s if left out.
 	Within Duration `yaml:"within,omitempty"`
 }
 
-// LoadPromises reads and checks a file of its own with what is under the key promises otherwise, for a platform's
-// balancer. The error joins one strictyaml.Error for each thing wrong with its content.
+// LoadPromises reads and checks a separate file for a balancer of a platform, whose keys are those of the section
+// promises. An error about its content joins one strictyaml.Error for each error found.
 func LoadPromises(path string) (*Promises, error) {
 	text, err := strictyaml.ReadFile(path, maxCoordinationFileSize)
 	if err != nil {
@@ -44,7 +44,7 @@
 	return promises, doc.Err()
 }
 
-// check checks the keys under a path, which is empty for a file of its own.
+// check checks the keys under a path, which is empty for a separate file, and fills in default values.
 func (p *Promises) check(doc *strictyaml.Doc, path, folder string) {
 	if path != "" {
 		path += "."
@@ -52,7 +52,7 @@
 	checkVoters(doc, path+"voters", p.Voters)
 	strictyaml.Fill(&p.Within, Duration(time.Second))
 	if p.Within < minWithin || p.Within > maxWithin {
-		doc.Fail(path+"within", "from 50ms to 30s")
+		doc.Fail(path+"within", "within must be from 50ms to 30s")
 	}
 	if p.Copy == "" {
 		return
--- a/internal/config/reload.go
+++ b/internal/config/reload.go
@@ -7,9 +7,10 @@
 	"olivearch/internal/strictyaml"
 )
 
-// Reload reads and checks a file again that old came from. It gives what Load gives, and shares with old what has not
-// changed; if few entries differ, the work is in proportion to them, beside reading and comparing the text. It is for
-// one goroutine at a time, and of what it has returned only the last, or old, can be reloaded.
+// Reload reads and checks again the file that old was loaded from. Its result is equivalent to that of Load, and shares
+// the unchanged parts with old. If few entries differ, only these are parsed; the rest of the text is read and
+// compared. Only one goroutine at a time may call Reload for old and the configurations reloaded from it. Only old, or
+// the latest configuration that was returned, can be reloaded.
 func Reload(path string, old *Loaded) (*Loaded, error) {
 	text, index, err := old.buffers.read(path, old.bufferIndex)
 	if err != nil {
@@ -21,7 +22,7 @@
 		old.buffers.release(index)
 		return nil, err
 	}
-	if next.Tenants.Equal(old.Tenants) { // read as a whole: pools need not look
+	if next.Tenants.Equal(old.Tenants) { // by the same pointer, pools see that nothing has changed
 		next.Tenants = old.Tenants
 	}
 	next.buffers = old.buffers
@@ -30,33 +31,33 @@
 		old.buffers.release(index)
 		next.bufferIndex = notBuffered
 	}
-	return next, nil // old is reachable up to here, and with it the memory of its text
+	return next, nil // old is used up to here, so the buffer with its text is not unmapped before
 }
 
-// reparse is Parse of a text that may differ little from that of c.
+// reparse is Parse for a text that may differ little from the text of c.
 func (c *Loaded) reparse(path string, text []byte) (*Loaded, error) {
-	next, mistaken, diagnosis := c.parseChanges(path, text)
+	next, invalid, diagnosis := c.parseChanges(path, text)
 	switch {
 	case next != nil:
 		return next, nil
 	case diagnosis != nil:
 		return nil, diagnosis
-	case mistaken && c.allowsReadingWhole(text):
+	case invalid && c.allowsReadingWhole(text):
 		return parseWhole(path, text)
 	}
 	return parse(path, text, c.Cost(0).Resident)
 }
 
-// allowsReadingWhole reports whether the memory allows for reading a text at once while c is in force.
+// allowsReadingWhole reports whether limits.memory allows parsing a text as a whole while c is in force.
 func (c *Loaded) allowsReadingWhole(text []byte) bool {
-	need := readingNeed{limit: c.Limits.Memory, inUse: c.Cost(0).Resident, textSize: len(text)}
+	need := memoryNeed{limit: c.Limits.Memory, inUse: c.Cost(0).Resident, textSize: len(text)}
 	return need.check() == nil
 }
 
-// parseChanges returns the configuration of a text of which few entries differ from that of c. It returns nil if that
-// is in doubt or if there is a mistake; diagnosis is then the error that reading the whole would give, nil if that has
-// to be read.
-func (c *Loaded) parseChanges(path string, text []byte) (next *Loaded, mistaken bool, diagnosis error) {
+// parseChanges returns the configuration of a text by parsing only the entries that differ from the text of c. It
+// returns nil if the result might not be that of parseWhole, or if an error was found, which invalid reports. In the
+// latter case diagnosis is the error that parseWhole would return, or nil if only parseWhole can find it.
+func (c *Loaded) parseChanges(path string, text []byte) (next *Loaded, invalid bool, diagnosis error) {
 	if c.source == nil {
 		return nil, false, nil
 	}
@@ -73,25 +74,26 @@
 	if !r.apply() {
 		return nil, r.Failed(), r.diagnosis
 	}
-	if next.source.valueCount > maxSectionedValues || next.hasUnusedTargets() {
+	if next.source.valueCount > maxSectionedValues || next.hasManyUnusedTargets() {
 		return nil, false, nil
 	}
 	return next, false, nil
 }
 
-// hasUnusedTargets reports whether so many targets are left that no rule leads to any more that the whole is to be
-// read, which drops them.
-func (c *Loaded) hasUnusedTargets() bool { return len(c.Targets) > 2*c.Table.Len()+256 }
+// hasManyUnusedTargets reports whether so many targets are no longer used by a rule that the whole text is to be parsed
+// again, which drops them.
+func (c *Loaded) hasManyUnusedTargets() bool { return len(c.Targets) > 2*c.Table.Len()+256 }
 
-// reloader applies what differs between two texts to a copy of the configuration of the first.
+// reloader applies the differences between two texts to a copy of the first text's configuration.
 type reloader struct {
-	checker // of the copy, whose source has the new text
+	checker // of the copy, whose source is the new text
 
 	path string // of the file
 	old  *sourceText
 }
 
-// apply finds the sections that differ and applies them; false if that is in doubt or if there is a mistake.
+// apply finds the sections that differ and applies them. It returns false if there is an error or if the result might
+// not be that of parseWhole.
 func (r *reloader) apply() bool {
 	oldText := r.old.text
 	newText := r.source.text
@@ -114,8 +116,8 @@
 	return r.applyEachSection()
 }
 
-// applyEachSection compares two texts section by section, which may stand in another order, and applies those that
-// differ. An error has no diagnosis, since other sections may have errors too.
+// applyEachSection compares two texts section by section, in whichever order the sections stand, and applies those that
+// differ. Its results are those of apply. It leaves no diagnosis, since other sections may have errors too.
 func (r *reloader) applyEachSection() bool {
 	if len(r.source.sections) != len(r.old.sections) {
 		return false
@@ -142,7 +144,7 @@
 	return true
 }
 
-// sectionAround returns the index of the section whose body holds all of the text but what is common.
+// sectionAround returns the index of the section whose body contains all of the text that is not common.
 func (s *sourceText) sectionAround(common commonText) (index int, found bool) {
 	end := len(s.text) - common.suffix
 	index = slices.IndexFunc(s.sections, func(section strictyaml.Section) bool {
@@ -151,8 +153,8 @@
 	return index, index >= 0
 }
 
-// shiftedSections returns the sections of a text in which the one at an index has become longer by so many bytes; the
-// index -1 stands for what is before the first.
+// shiftedSections returns the sections after the one at an index has grown by a number of bytes. The index -1 stands
+// for the text before the first section.
 func (s *sourceText) shiftedSections(index, growth int) []strictyaml.Section {
 	sections := slices.Clone(s.sections)
 	for i := range sections {
--- a/internal/config/reload_test.go
+++ b/internal/config/reload_test.go
@@ -192,7 +192,7 @@
 		t.Errorf("after a quota: %v", err)
 	}
 	load(strings.Replace(text, "quota: 3}", "quota: -4}", 1))
-	if _, err = Reload(path, c); err == nil || !strings.Contains(err.Error(), "c.yaml:44:26: the quota is a rate") {
+	if _, err = Reload(path, c); err == nil || !strings.Contains(err.Error(), "c.yaml:44:26: the quota must be a rate") {
 		t.Errorf("%v", err)
 	}
 	load(strings.Replace(text, "/r00003", "/r3", 1))
--- a/internal/config/schema/main.go
+++ b/internal/config/schema/main.go
@@ -1,5 +1,6 @@
-// Command schema writes the JSON Schemas of the configuration, of scenarios and of fault scripts into docs/, made from
-// their Go types and the doc comments of these. Run it from the root of the module: go run ./internal/config/schema
+// Command schema generates the JSON Schemas docs/*.schema.json of configuration files, scenarios and fault scripts from
+// their Go types and the doc comments of these. It is for developers; no other program uses it. Run it from the root of
+// the module: go run ./internal/config/schema
 package main
 
 import (
@@ -15,13 +16,13 @@
 	"olivearch/internal/scenario"
 )
 
-// schemaSource is what a schema is made from.
+// schemaSource is the source of a schema.
 type schemaSource struct {
 	title string
 	value any // a pointer to a value of the type that the schema describes
 }
 
-// published are the schemas, by their file.
+// published holds the sources of the schemas, by the path of the schema's file.
 var published = map[string]schemaSource{
 	"docs/olivearch.schema.json": {"olivearch serve", &config.File{}},
 	"docs/scenario.schema.json":  {"olivearch-bench scenario", &scenario.File{}},
@@ -30,7 +31,7 @@
 	"docs/promises.schema.json":  {"RELAY_PROMISES", &config.Promises{}},
 }
 
-// commentedPackages are the folders of the packages whose doc comments describe the keys.
+// commentedPackages are the folders of the packages whose doc comments become descriptions of keys.
 var commentedPackages = []string{
 	"./internal/config", "./internal/endpointlist", "./internal/scenario", "./internal/faulttest/script",
 }
@@ -48,8 +49,8 @@
 	}
 }
 
-// schema returns the JSON Schema of a type. It changes to the root of the module, where comments are found by the
-// folders of import paths.
+// schema returns the JSON Schema of a type. It changes the working directory to the root of the module, since the
+// reflector finds doc comments by the folders of import paths.
 func schema(root string, source schemaSource) ([]byte, error) {
 	if err := os.Chdir(root); err != nil {
 		return nil, err
@@ -67,7 +68,7 @@
 	return append(text, '\n'), err
 }
 
-// textTypeSchema returns the schema of a type that is written as a text of its own form; nil for other types.
+// textTypeSchema returns the schema of a type that is written as a text in its own format; nil for other types.
 func textTypeSchema(goType reflect.Type) *jsonschema.Schema {
 	switch goType {
 	case reflect.TypeFor[config.Duration]():
--- a/internal/config/sections.go
+++ b/internal/config/sections.go
@@ -9,28 +9,28 @@
 	"olivearch/internal/strictyaml"
 )
 
-// sourceText is the text that a configuration was read from in sections. The next text is compared with it.
+// sourceText is the text of a configuration that was parsed in sections. A reload compares the new text with it.
 type sourceText struct {
 	text       []byte
 	sections   []strictyaml.Section
-	valueCount int // number of values in the text, within a few
+	valueCount int // approximate number of values in the text
 }
 
-// batchedSections are the sections that are read in batches of entries.
+// batchedSections are the keys of the sections that are read in batches of entries.
 var batchedSections = map[string]bool{"tenants": true, "routes": true, "pools": true}
 
-// parseInSections reads and checks a text section by section. It returns nil for a text that can't be read so and for
-// one with a mistake: reading the whole tells which. The error is what can be said of the mistake at less cost, if
-// anything; isFinal reports whether reading the whole is out of the question.
+// parseInSections parses and checks a text section by section. It returns no configuration for a text that has an
+// error, and for one that can't be parsed in sections; only parseWhole tells these apart. The error is nil, or one that
+// was found without parsing the whole text. If isFinal is true for it, limits.memory is too small for parseWhole.
 func parseInSections(path string, text []byte, memoryInUse int64) (*Loaded, error) {
 	sections := strictyaml.Outline(text)
 	if sections == nil {
 		return nil, nil
 	}
 	memory, memoryLimitAt := memoryLimit(path, text, sections)
-	need := readingNeed{
+	need := memoryNeed{
 		path: path, limitAt: memoryLimitAt, limit: memory, inUse: memoryInUse,
-		textSize: len(text), inSections: true, what: "the file",
+		textSize: len(text), inSections: true, subject: "the file",
 	}
 	if err := need.check(); err != nil {
 		return nil, err
@@ -40,23 +40,23 @@
 		loaded: newLoaded(path, text, memoryLimitAt),
 		source: &sourceText{text: text, sections: sections},
 	}
-	ok, mistake := reader.read()
+	ok, contentErr := reader.read()
 	if ok {
 		return reader.loaded, nil
 	}
 	need.inSections = false
-	need.what = "the file at once, as one with a mistake or with anchors has to be,"
+	need.subject = "the file as a whole, which an error or anchors in it require,"
 	err := need.check()
 	switch {
 	case err == nil:
-		return nil, mistake
-	case mistake == nil:
+		return nil, contentErr
+	case contentErr == nil:
 		return nil, err
 	}
-	return nil, partialDiagnosis{mistake}
+	return nil, partialDiagnosis{contentErr}
 }
 
-// memoryLimit returns the memory that a text gives the process, and where it says so.
+// memoryLimit returns limits.memory of a text, or its default, and its position.
 func memoryLimit(path string, text []byte, sections []strictyaml.Section) (Size, strictyaml.Position) {
 	var file File
 	position := strictyaml.Position{Line: 1, Column: 1}
@@ -78,22 +78,22 @@
 	tenants []balancer.Tenant
 }
 
-// read reads and checks all sections. If ok is false, the text has a mistake or can't be read so; mistake is what was
-// found wrong with a section, if anything.
-func (r *sectionReader) read() (ok bool, mistake error) {
+// read reads and checks all sections. If ok is false, the text has an error or can't be read in sections; contentErr is
+// the error that was found in a section, if any.
+func (r *sectionReader) read() (ok bool, contentErr error) {
 	for _, section := range r.source.sections {
-		ok, mistake = r.readSection(section)
+		ok, contentErr = r.readSection(section)
 		if !ok {
-			return false, mistake
+			return false, contentErr
 		}
 	}
 	c := r.loaded
-	c.Tenants = balancer.NewTenants(c.listedTenants(r.tenants)) // those of the struct stand in one line
+	c.Tenants = balancer.NewTenants(c.listedTenants(r.tenants)) // File.Tenants has those in flow style
 	if c.Tenants.Err() != nil || r.source.valueCount > maxSectionedValues {
 		return false, nil
 	}
 	k := checker{Doc: &strictyaml.Doc{File: r.path}, Loaded: c}
-	k.all(filepath.Dir(r.path))
+	k.checkAll(filepath.Dir(r.path))
 	if k.Failed() {
 		return false, nil
 	}
@@ -102,17 +102,17 @@
 	return true, nil
 }
 
-// maxSectionedValues bounds the values of a text that is read in sections; a text with more is read as a whole, which
-// counts them exactly.
+// maxSectionedValues is the maximum number of values of a text that is read in sections. A text with more values is
+// read as a whole, which counts them exactly.
 const maxSectionedValues = strictyaml.MaxValues / 2
 
-// readSection reads one section.
-func (r *sectionReader) readSection(section strictyaml.Section) (ok bool, mistake error) {
+// readSection reads one section. Its results are those of read.
+func (r *sectionReader) readSection(section strictyaml.Section) (ok bool, contentErr error) {
 	text := r.source.text
 	if !batchedSections[section.Key] || !section.Block {
-		doc, whole := strictyaml.ReadSection(r.path, text, section, &r.loaded.File)
+		doc, exact := strictyaml.ReadSection(r.path, text, section, &r.loaded.File)
 		r.source.valueCount += doc.Values()
-		return whole, doc.Err()
+		return exact, doc.Err()
 	}
 	entries := strictyaml.SplitEntries(text[section.Body:section.End])
 	if entries == nil || entries.List != (section.Key == "routes") {
@@ -136,7 +136,7 @@
 		r.loaded.Routes = routes
 	}
 	r.source.valueCount += result.valueCount
-	return result.whole, result.mistake
+	return result.exact, result.err
 }
 
 // readTenants reads the section of tenants.
@@ -149,7 +149,7 @@
 		}
 	})
 	for _, tenant := range tenants {
-		result.whole = result.whole && isValidQuota(tenant.Quota)
+		result.exact = result.exact && isValidQuota(tenant.Quota)
 	}
 	r.tenants = tenants
 	return result
@@ -168,7 +168,7 @@
 	})
 	hasRepeatedName := len(pools) != len(batches.entries.Starts)
 	if hasRepeatedName {
-		result.whole = false
+		result.exact = false
 	}
 	r.loaded.Pools = pools
 	return result
--- a/internal/config/settings.go
+++ b/internal/config/settings.go
@@ -9,7 +9,7 @@
 	"olivearch/internal/route"
 )
 
-// What the words of the file stand for in the decision module.
+// The keywords of the file and their values in the decision module.
 var (
 	idempotencies = map[string]balancer.Idempotency{
 		"safe":   balancer.Idempotent,
@@ -28,7 +28,7 @@
 	}
 )
 
-// Class returns a class in the form of the decision module.
+// Class converts a class to the type of the decision module.
 func (c *Loaded) Class(name string) balancer.Class {
 	class := c.Classes[name]
 	return balancer.Class{
@@ -52,8 +52,9 @@
 	}
 }
 
-// addRoutes adds n routes of a class to the counts of some pools; n may be negative. changedPools are the pools whose
-// counts are no longer shared with another configuration; a pool that is not among them gets a copy, and is added.
+// addRoutes adds n routes of a class to the counts of pools; n may be negative. changedPools holds the pools whose
+// counts are no longer shared with another configuration. The counts of any other pool are copied before the change,
+// and the pool is added to changedPools.
 func (c *Loaded) addRoutes(class string, pools []route.WeightedPool, n int, changedPools map[string]bool) {
 	for _, to := range pools {
 		if !changedPools[to.Pool] {
@@ -70,11 +71,11 @@
 	}
 }
 
-// pollInterval is how often the decision module polls for the endpoint list, if nothing is told meanwhile.
+// pollInterval is the interval at which the decision module polls for the endpoint list when it gets no updates.
 const pollInterval = 20 * time.Second
 
-// Settings returns what a pool's decision module is told: the classes of the routes to the pool and no others, so that
-// it does not notice changes elsewhere.
+// Settings returns the settings of a pool's decision module. They hold only the classes of routes to the pool, so that
+// a change of another class leaves them as they are.
 func (c *Loaded) Settings(pool string) balancer.Settings {
 	settings := balancer.Settings{
 		Zone: c.Instances.Zone, Balancers: c.Instances.Count, Rank: c.Instances.Rank,
@@ -88,7 +89,7 @@
 		Tenants:               c.Tenants,
 	}
 	names := slices.Sorted(maps.Keys(c.routesByClass[pool]))
-	if len(names) == 0 { // the module wants a class; a pool that no route names gets no request
+	if len(names) == 0 { // the module needs at least one class, even for a pool without routes
 		names = slices.Sorted(maps.Keys(c.Classes))
 	}
 	for _, name := range names {
@@ -97,7 +98,7 @@
 	return settings
 }
 
-// limits returns the limits of a pool in the form of the decision module.
+// limits converts the limits of a pool to the type of the decision module.
 func (p Pool) limits() balancer.Limits {
 	return balancer.Limits{
 		Cancel:        true,
@@ -109,7 +110,7 @@
 	}
 }
 
-// settings returns the drain and slow-start rules in the form of the decision module.
+// settings converts the drain and slow-start rules to the type of the decision module.
 func (r Rules) settings() balancer.Rules {
 	return balancer.Rules{
 		PollInterval:      pollInterval,
--- a/internal/config/textbuffers.go
+++ b/internal/config/textbuffers.go
@@ -9,16 +9,16 @@
 	"olivearch/internal/strictyaml"
 )
 
-// textBuffers is memory outside the heap for the text of the configuration in force and for the next one, in turns.
-// Between two reloads one of them holds nothing: on the heap that would be 5 MB of garbage at 15,000 routes and 140,000
-// tenants, and a collection every few reloads. Nothing that has been read from a text points into it. It is for one
-// goroutine at a time.
+// textBuffers holds two memory-mapped buffers that alternate: one holds the text of the configuration in force, and the
+// next text is read into the other. On the heap, each reload of a configuration with 15,000 routes and 140,000 tenants
+// would leave 5 MB of garbage, which causes a collection every few reloads. No value that is parsed from a text points
+// into its buffer. textBuffers is not safe for concurrent use.
 type textBuffers struct {
-	memory *[2][]byte // mapped; empty where nothing was
+	memory *[2][]byte // a buffer that is not mapped is empty
 }
 
-// newTextBuffers returns buffers without memory. What they get is unmapped once they are unreachable: code that reads
-// a text in them keeps its Loaded reachable.
+// newTextBuffers returns buffers without memory. Their memory is unmapped once the textBuffers are unreachable, so code
+// that reads a text in a buffer must keep its Loaded reachable.
 func newTextBuffers() *textBuffers {
 	b := &textBuffers{new([2][]byte)}
 	runtime.AddCleanup(b, func(memory *[2][]byte) {
@@ -32,14 +32,14 @@
 const (
 	// notBuffered is the index of a text that is in no buffer.
 	notBuffered = -1
-	// minBufferedSize is the size of a file from which its text is kept in a buffer, in bytes.
+	// minBufferedSize is the minimum size of a file whose text is kept in a buffer, in bytes.
 	minBufferedSize = 256 << 10
-	// bufferUnit is what the size of a buffer is a multiple of, in bytes.
+	// bufferUnit is the unit to which the size of a buffer is rounded up, in bytes.
 	bufferUnit = 64 << 10
 )
 
-// read reads a file into the buffer that does not hold another text. index is that of the buffer, or notBuffered for a
-// small file and for one that did not fit.
+// read reads a file into a buffer that is not the one with the index other. index is that of the buffer, or notBuffered
+// for a small file and for one that did not fit.
 func (b *textBuffers) read(path string, other int) (text []byte, index int, err error) {
 	index = b.prepare(path, other)
 	var buffer []byte
@@ -47,14 +47,14 @@
 		buffer = b.memory[index]
 	}
 	text, err = strictyaml.ReadFileInto(buffer, path, maxFileSize)
-	if index != notBuffered && !isIn(text, buffer) { // the file has grown meanwhile
+	if index != notBuffered && !isIn(text, buffer) { // the file has grown since its size was read
 		b.release(index)
 		index = notBuffered
 	}
 	return text, index, err
 }
 
-// prepare returns the index of a buffer that is not the other one and has room for a file, or notBuffered.
+// prepare returns the index of a buffer that has room for a file, which is not the index other, or notBuffered.
 func (b *textBuffers) prepare(path string, other int) int {
 	info, err := os.Stat(path)
 	if err != nil || info.Size() < minBufferedSize || info.Size() > maxFileSize {
@@ -70,10 +70,10 @@
 	return index
 }
 
-// isIn reports whether a text stands in a buffer, which is not empty.
+// isIn reports whether a text begins where a buffer begins. The buffer must not be empty.
 func isIn(text, buffer []byte) bool { return cap(text) > 0 && &text[:1][0] == &buffer[0] }
 
-// ensureSize gives a buffer room for so many bytes; false if the system gives none.
+// ensureSize grows a buffer to a size in bytes; false if the system can't provide the memory.
 func (b *textBuffers) ensureSize(index, size int) bool {
 	if len(b.memory[index]) >= size {
 		return true
@@ -89,22 +89,22 @@
 	return true
 }
 
-// unmap returns a buffer to the system. It can only fail for memory that was not mapped.
+// unmap returns the memory of a buffer to the system. That can only fail for memory that is not mapped.
 func unmap(buffer []byte) {
 	if len(buffer) > 0 {
 		_ = syscall.Munmap(buffer)
 	}
 }
 
-// release gives back the memory of a buffer, but not its addresses.
+// release returns the physical memory of a buffer to the system; the buffer stays mapped.
 func (b *textBuffers) release(index int) {
 	if index != notBuffered && len(b.memory[index]) > 0 {
-		_ = syscall.Madvise(b.memory[index], syscall.MADV_DONTNEED) // only advice: the text is read anew before use
+		_ = syscall.Madvise(b.memory[index], syscall.MADV_DONTNEED) // a failure only keeps the memory in use
 	}
 }
 
-// Commit is to be called once c is in force: the text of the configuration before it, which was kept in case that one
-// had to stay, is given back. From then on only c can be reloaded.
+// Commit must be called once c is in force. It releases the text of the previous configuration, which was kept in case
+// that one stayed in force. From then on only c can be reloaded.
 func (c *Loaded) Commit() {
 	for index := range c.buffers.memory {
 		if index != c.bufferIndex {
--- a/internal/config/units.go
+++ b/internal/config/units.go
@@ -7,11 +7,11 @@
 	"time"
 )
 
-// Duration is a time with its unit, as in 250ms.
+// Duration is a time span, written with its unit, as in 250ms.
 type Duration time.Duration
 
-// UnmarshalText reads a duration in the form of time.ParseDuration. A bare number is refused: its unit would be a
-// guess.
+// UnmarshalText reads a duration in the form of time.ParseDuration. It rejects negative durations and numbers without a
+// unit, other than 0.
 func (d *Duration) UnmarshalText(text []byte) error {
 	duration, err := time.ParseDuration(string(text))
 	if err != nil || duration < 0 {
@@ -30,7 +30,7 @@
 // sizeUnits are the units of a Size, in bytes.
 var sizeUnits = map[string]int64{"KiB": 1 << 10, "MiB": 1 << 20, "GiB": 1 << 30}
 
-// maxSizeCount bounds the number before the unit of a Size.
+// maxSizeCount is the largest number that may stand before the unit of a Size.
 const maxSizeCount = 1 << 30
 
 // UnmarshalText reads a number with the unit KiB, MiB or GiB.
--- a/internal/config/voter.go
+++ b/internal/config/voter.go
@@ -15,31 +15,31 @@
 	"olivearch/internal/strictyaml"
 )
 
-// Voter is the configuration of one server of the coordination cluster: a file for "olivearch-coordinator".
+// Voter is the configuration file of one coordination server, for "olivearch-coordinator".
 type Voter struct {
-	// This voter's name: a key of voters.
+	// Name of this voter, which is a key of voters.
 	Name string `yaml:"name"`
-	// IP address and port at which it listens; that of voters if left out. Only loopback addresses are taken unless
-	// open is set.
+	// IP address and port at which it listens; its address in voters if left out. Only loopback addresses are accepted
+	// unless open is set.
 	Listen string `yaml:"listen,omitempty"`
-	// Whether an address that others can reach is meant: voters ask for no password.
+	// Allows an address that is not loopback. Voters have no authentication.
 	Open bool `yaml:"open,omitempty"`
-	// The folder with its log and snapshots, on a disk of its own. It must exist; no two voters may have the same.
+	// The folder for its log and snapshots, on a disk of its own. It must exist, and no other voter may use it.
 	Folder string `yaml:"folder"`
-	// All voters, this one among them: names with IP addresses and ports. 3, 5 or 7; 1 keeps nothing when it is lost,
-	// and is for trials.
+	// All voters, including this one: IP addresses with ports, by name. 3, 5 or 7 voters; a single voter is for tests,
+	// since nothing survives its loss.
 	Voters map[string]string `yaml:"voters"`
-	// How many voters must have a grant on their disks before it is answered; a majority if left out, and never less.
+	// Number of voters that must have a grant on disk before it is confirmed; a majority if left out, and never fewer.
 	Copies int `yaml:"copies,omitempty" jsonschema:"minimum=1"`
-	// A voter that has not been heard for so long may be replaced by one with its name and an empty folder; 10s if left
+	// Time of silence after which a voter may be replaced by a voter of the same name with an empty folder; 10s if left
 	// out.
 	ReplaceAfter Duration `yaml:"replace_after,omitempty"`
 }
 
-// minReplaceAfter bounds Voter.ReplaceAfter: a voter that is elected anew is silent for longer than less.
+// minReplaceAfter is the minimum of Voter.ReplaceAfter: shorter silences are normal for a newly elected voter.
 const minReplaceAfter = Duration(2 * time.Second)
 
-// IsVoterFile reports whether a file is that of a coordination server: it has the key folder, which no other has.
+// IsVoterFile reports whether a file is that of a coordination server: only these have the key folder.
 func IsVoterFile(path string) bool {
 	text, err := strictyaml.ReadFile(path, maxCoordinationFileSize)
 	if err != nil {
@@ -53,7 +53,7 @@
 	return ok
 }
 
-// LoadVoter reads and checks the file of a coordination server. The error is as for ParseVoter.
+// LoadVoter reads and checks the file of a coordination server. Errors are as for ParseVoter.
 func LoadVoter(path string) (*Voter, error) {
 	text, err := strictyaml.ReadFile(path, maxCoordinationFileSize)
 	if err != nil {
@@ -62,8 +62,8 @@
 	return ParseVoter(path, text)
 }
 
-// ParseVoter checks the text of a coordination server's file. The error joins one strictyaml.Error for each thing
-// wrong.
+// ParseVoter parses and checks the text of a coordination server's file. The error joins one strictyaml.Error for each
+// error found.
 func ParseVoter(path string, text []byte) (*Voter, error) {
 	voter := &Voter{}
 	doc := strictyaml.Decode(path, text, voter)
@@ -83,10 +83,10 @@
 	}
 	strictyaml.Fill(&voter.ReplaceAfter, Duration(10*time.Second))
 	if voter.ReplaceAfter < minReplaceAfter {
-		doc.Fail("replace_after", "at least 2s: a voter that is elected anew is silent for longer than less")
+		doc.Fail("replace_after", "replace_after must be at least 2s: shorter silences are normal for a newly elected voter")
 	}
 	if voter.Copies > len(voter.Voters) || voter.Copies < 0 {
-		doc.Fail("copies", "from 1 to the number of voters")
+		doc.Fail("copies", "copies must be from 1 to the number of voters")
 	}
 	return voter, doc.Err()
 }
@@ -96,14 +96,14 @@
 	switch count {
 	case 1, 3, 5, 7:
 	case 2:
-		doc.Fail("voters", "two voters hold nothing that one of them would not: if either is lost, "+
-			"no promise can be given. 3, 5 or 7 are wanted")
+		doc.Fail("voters", "two voters tolerate no more failures than one: if either is lost, "+
+			"no grant can be given. 3, 5 or 7 are wanted")
 	default:
 		doc.Fail("voters", "%d voters: 3, 5 or 7 are wanted", count)
 	}
 }
 
-// checkListen checks that a voter is one of the voters, and the address at which it listens.
+// checkListen checks that a voter is in the list of voters, and checks the address at which it listens.
 func (v *Voter) checkListen(doc *strictyaml.Doc) {
 	own, ok := v.Voters[v.Name]
 	if !ok {
@@ -143,8 +143,8 @@
 	}
 }
 
-// AgreeVoters checks the files of several voters, by their paths, for what each of them alone can't show: folders and
-// names that two have, and lists of voters that differ.
+// AgreeVoters checks the files of several voters, by path, against each other. Two voters must not have the same folder
+// or name, and all must have the same names in their lists of voters.
 func AgreeVoters(files map[string]*Voter) error {
 	var errs []error
 	pathByFolder := map[string]string{}
@@ -157,7 +157,7 @@
 			errs = append(errs, fmt.Errorf("%s and %s: both have the folder %s", other, path, folder))
 		}
 		if other := pathByName[voter.Name]; other != "" {
-			errs = append(errs, fmt.Errorf("%s and %s: both are %s", other, path, voter.Name))
+			errs = append(errs, fmt.Errorf("%s and %s: both have the name %s", other, path, voter.Name))
 		}
 		pathByFolder[folder] = path
 		pathByName[voter.Name] = path
@@ -170,7 +170,7 @@
 	return errors.Join(errs...)
 }
 
-// resolvedFolder returns a folder without symbolic links; as it is if it can't be looked at.
+// resolvedFolder returns the path of a folder with symbolic links resolved, or unchanged if that fails.
 func resolvedFolder(folder string) string {
 	if resolved, err := filepath.EvalSymlinks(folder); err == nil {
 		return resolved
@@ -178,7 +178,7 @@
 	return folder
 }
 
-// joinedNames returns the names of voters as a text.
+// joinedNames returns the sorted names of voters, separated by commas.
 func joinedNames(voters map[string]string) string {
 	return strings.Join(slices.Sorted(maps.Keys(voters)), ", ")
 }
