--- a/internal/config/comparison_test.go
+++ b/internal/config/comparison_test.go
@@ -13,10 +13,10 @@
 	"olivearch/internal/route"
 )
 
-// contentOf returns all that a configuration says, in a form that can be compared.
+// contentOf returns the content of a configuration as a text, for comparison.
 func contentOf(c *Loaded) string {
 	var b strings.Builder
-	say := func(x ...any) {
+	write := func(x ...any) {
 		for _, x := range x {
 			text, err := json.Marshal(x)
 			if err != nil {
@@ -28,32 +28,32 @@
 	}
 	f := c.File
 	f.Pools = nil
-	say(f)
+	write(f)
 	for _, name := range slices.Sorted(maps.Keys(c.Classes)) {
-		say(c.Class(name))
+		write(c.Class(name))
 	}
 	for _, name := range slices.Sorted(maps.Keys(c.Pools)) {
 		s := c.Settings(name)
 		s.Tenants = nil
-		say(name, c.Pools[name], s)
+		write(name, c.Pools[name], s)
 	}
 	byRuleName := func(x, y *route.Rule) int { return strings.Compare(x.Name, y.Name) }
 	for _, r := range slices.SortedFunc(c.Table.Rules(), byRuleName) {
 		rule := *r
 		rule.To = 0
-		say(rule, c.Targets[r.To])
+		write(rule, c.Targets[r.To])
 	}
 	byTenantName := func(x, y balancer.Tenant) int { return strings.Compare(x.Name, y.Name) }
 	for _, t := range slices.SortedFunc(c.Tenants.All(), byTenantName) {
-		say(t)
+		write(t)
 	}
 	return b.String()
 }
 
-// firstDifference returns the first line in which two configurations differ.
+// firstDifference returns the first line in which the contents of two configurations differ.
 func firstDifference(x, y *Loaded) string {
 	if y == nil {
-		return "a mistake"
+		return "no configuration"
 	}
 	a, b := strings.Split(contentOf(x), "\n"), strings.Split(contentOf(y), "\n")
 	for i := range min(len(a), len(b)) {
@@ -64,7 +64,7 @@
 	return fmt.Sprintf("%d lines, not %d", len(a), len(b))
 }
 
-// checkSamePools fails if pools are told something else by one configuration than by another that says they are not.
+// checkSamePools fails if two configurations differ in the pools or their settings, except for the tenants.
 func checkSamePools(t *testing.T, before, after *Loaded) {
 	t.Helper()
 	if len(before.Pools) != len(after.Pools) {
@@ -74,43 +74,42 @@
 		was, is := before.Settings(name), after.Settings(name)
 		was.Tenants, is.Tenants = nil, nil
 		if !reflect.DeepEqual(was, is) || !reflect.DeepEqual(before.Pools[name], after.Pools[name]) {
-			t.Fatalf("pool %s is told something else:\n%+v\n%+v", name, was, is)
+			t.Fatalf("the settings of pool %s differ:\n%+v\n%+v", name, was, is)
 		}
 	}
 }
 
-// reparsed is what came of a text in parseChanges and parseInSections.
+// reparsed is the result of parseChanges, or else of parseInSections.
 type reparsed struct {
-	next      *Loaded // nil if the whole has to be read
-	byChanges bool    // next was made of what differs
-	diagnosed bool    // a mistake was found without reading the whole
+	next      *Loaded // nil if the whole text has to be parsed
+	byChanges bool    // next was made by parseChanges
+	diagnosed bool    // an error was found without parsing the whole text
 }
 
-// checkAgainstWhole fails unless reading what differs, and reading in sections, give what reading the whole gives, or
-// leave it to that.
+// checkAgainstWhole fails unless parseChanges and parseInSections give the result of parseWhole, or none.
 func checkAgainstWhole(t *testing.T, before *Loaded, text string) reparsed {
 	t.Helper()
 	const path = "/c/c.yaml"
-	want, wrong := parseWhole(path, []byte(text))
+	want, wantErr := parseWhole(path, []byte(text))
 	inSections, _ := parseInSections(path, []byte(text), 0)
-	if inSections != nil && (wrong != nil || contentOf(inSections) != contentOf(want)) {
-		t.Fatalf("in sections another configuration than at once (%v): %s\n%s",
-			wrong, firstDifference(inSections, want), text)
+	if inSections != nil && (wantErr != nil || contentOf(inSections) != contentOf(want)) {
+		t.Fatalf("parseInSections and parseWhole (%v) differ: %s\n%s",
+			wantErr, firstDifference(inSections, want), text)
 	}
-	changed, mistaken, diagnosis := before.parseChanges(path, []byte(text))
-	if diagnosis != nil && (wrong == nil || diagnosis.Error() != wrong.Error()) {
-		t.Fatalf("by the difference another mistake than at once:\n%v\nnot\n%v\n%s\n--- from\n%s",
-			diagnosis, wrong, text, before.source.text)
+	changed, invalid, diagnosis := before.parseChanges(path, []byte(text))
+	if diagnosis != nil && (wantErr == nil || diagnosis.Error() != wantErr.Error()) {
+		t.Fatalf("parseChanges and parseWhole have different errors:\n%v\nnot\n%v\n%s\n--- from\n%s",
+			diagnosis, wantErr, text, before.source.text)
 	}
 	if changed == nil {
-		if mistaken && wrong == nil {
-			t.Logf("a mistake was seen where there is none, and the whole was read:\n%s", text)
+		if invalid && wantErr == nil {
+			t.Logf("parseChanges reports a valid text as invalid, so that it is parsed as a whole:\n%s", text)
 		}
 		return reparsed{next: inSections, diagnosed: diagnosis != nil}
 	}
-	if wrong != nil || contentOf(changed) != contentOf(want) {
-		t.Fatalf("by the difference another configuration than at once (%v): %s\n%s\n--- from\n%s",
-			wrong, firstDifference(changed, want), text, before.source.text)
+	if wantErr != nil || contentOf(changed) != contentOf(want) {
+		t.Fatalf("parseChanges and parseWhole (%v) differ: %s\n%s\n--- from\n%s",
+			wantErr, firstDifference(changed, want), text, before.source.text)
 	}
 	if changed.SamePools(before) {
 		checkSamePools(t, before, changed)
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -13,7 +13,7 @@
 	"olivearch/internal/strictyaml"
 )
 
-const small = `listeners: [{address: '127.0.0.1:0'}]
+const smallConfig = `listeners: [{address: '127.0.0.1:0'}]
 classes:
   c: {aim: 100ms, deadline: 1s}
   r: {repeat: safe, aim: 100ms, deadline: 2s}
@@ -26,21 +26,21 @@
 `
 
 func TestDefaultsAreSafe(t *testing.T) {
-	c, err := Parse("/etc/olivearch/c.yaml", []byte(small))
+	c, err := Parse("/etc/olivearch/c.yaml", []byte(smallConfig))
 	if err != nil {
 		t.Fatal(err)
 	}
 	if c.Class("c").Idempotency != balancer.NonIdempotent {
-		t.Error("a missing repeat kind is not unsafe")
+		t.Error("the default of repeat is not unsafe")
 	}
 	if got := c.Targets[c.Table.Rule("two").To].Deadline; got != Duration(2*time.Second) {
-		t.Errorf("a route stretched its class's deadline to %v", time.Duration(got))
+		t.Errorf("the deadline of a route exceeds that of its class: %v", time.Duration(got))
 	}
 	if got := c.Pools["q"].Nodes.File; got != "/etc/olivearch/q.yaml" {
 		t.Errorf("file %q", got)
 	}
 	if s := c.Settings("q"); len(s.Classes) != 1 || s.Classes[0].Name != "r" {
-		t.Errorf("pool q is told of classes that no route of its has: %+v", s.Classes)
+		t.Errorf("the settings of pool q have classes of no route to it: %+v", s.Classes)
 	}
 	if s := c.Settings("p"); len(s.Classes) != 2 || s.Limits.Hedging {
 		t.Errorf("%+v", s)
@@ -50,8 +50,8 @@
 	}
 }
 
-// TestSample: what is shipped can be run.
-func TestSample(t *testing.T) {
+// TestShippedConfiguration: the configuration in deploy is valid, and the files of its endpoint lists exist.
+func TestShippedConfiguration(t *testing.T) {
 	folder := filepath.Join("..", "..", "deploy")
 	c, err := Load(filepath.Join(folder, "services.yaml"))
 	if err != nil {
@@ -64,7 +64,7 @@
 	}
 }
 
-func TestErrorsNameTheirPlace(t *testing.T) {
+func TestErrorPositionsAndTexts(t *testing.T) {
 	for _, c := range []struct{ old, new, want string }{
 		{"classes:", "clases:", `c.yaml:2:1: unknown key "clases"; did you mean "classes"?`},
 		{"aim: 100ms, deadline: 1s", "aim: 100, deadline: 1s", `c.yaml:3:12: "100" is not a time with a unit`},
@@ -83,7 +83,7 @@
 		{"{file: q.yaml}", "{discovery: '127.0.0.1:1', keep: nowhere/q.kept}", "there is no folder"},
 		{"{file: q.yaml}", "{discovery: '127.0.0.1:1', keep: q.kept}", ""},
 		{"listeners:", "admin: {address: '0.0.0.0:81'}\nlisteners:", "can be reached by others"},
-		{"listeners:", "limits: {descriptors: 100}\nlisteners:", ""}, // what was left out fits in
+		{"listeners:", "limits: {descriptors: 100}\nlisteners:", ""}, // the default values fit
 		{"listeners:", "limits: {memory: 32MiB}\nlisteners:", "c.yaml:1:18: pools may hold 512 requests"},
 		{"{file: q.yaml}", "{file: q.yaml}, queue: 600", "a pool that stalls could use up the connections of others"},
 		{"{file: q.yaml}", "{file: q.yaml}, connections: 2000", "c.yaml:1:1: listeners and pools may take"},
@@ -97,28 +97,28 @@
 		{"deadline: 5s", "deadline: 5s, methods: [get]", `"get" is not a method`},
 		{"deadline: 5s", "deadline: 5s, request_class: c", `request_class "c" and class "r" must be the same`},
 	} {
-		text := strings.Replace(small, c.old, c.new, 1)
+		text := strings.Replace(smallConfig, c.old, c.new, 1)
 		_, err := Parse("c.yaml", []byte(text))
-		if text == small || (err == nil) != (c.want == "") || (err != nil && !strings.Contains(err.Error(), c.want)) {
+		if text == smallConfig || (err == nil) != (c.want == "") || (err != nil && !strings.Contains(err.Error(), c.want)) {
 			t.Errorf("%q for %q: %v\nwant %q", c.new, c.old, err, c.want)
 		}
 	}
 }
 
-// TestAllErrorsAtOnce: one run of check shows all there is to mend.
+// TestAllErrorsAtOnce: all errors of a file are reported at once.
 func TestAllErrorsAtOnce(t *testing.T) {
 	text := strings.NewReplacer(
 		"pool: p, dead", "pool: x, dead",
 		"aim: 100ms, deadline: 2s", "aim: 5s, deadline: 2s",
 		"127.0.0.1:9001", "nowhere",
-	).Replace(small)
+	).Replace(smallConfig)
 	_, err := Parse("c.yaml", []byte(text))
 	if err == nil || strings.Count(err.Error(), "c.yaml:") != 3 {
-		t.Errorf("three errors wanted, got %v", err)
+		t.Errorf("got %v, want three errors", err)
 	}
 }
 
-// TestErrorHasFileLineColumnAndKey: errors.As finds the first error of a file with its place and the key.
+// TestErrorHasFileLineColumnAndKey: errors.As finds the first error of a file, with its position and key.
 func TestErrorHasFileLineColumnAndKey(t *testing.T) {
 	for _, c := range []struct {
 		name, old, new string
@@ -134,16 +134,16 @@
 		{"too little memory", "listeners:", "limits: {memory: 32MiB}\nlisteners:", 1, 18, "limits.memory"},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			_, err := Parse("c.yaml", []byte(strings.Replace(small, c.old, c.new, 1)))
-			checkErrorPlace(t, err, strictyaml.Error{
+			_, err := Parse("c.yaml", []byte(strings.Replace(smallConfig, c.old, c.new, 1)))
+			checkErrorPosition(t, err, strictyaml.Error{
 				File: "c.yaml", Position: strictyaml.Position{Line: c.line, Column: c.column}, Key: c.key,
 			})
 		})
 	}
 }
 
-// checkErrorPlace fails unless errors.As finds an error with the wanted place and key; its text is not compared.
-func checkErrorPlace(t *testing.T, err error, want strictyaml.Error) {
+// checkErrorPosition fails unless errors.As finds an error with the wanted position and key. It does not compare texts.
+func checkErrorPosition(t *testing.T, err error, want strictyaml.Error) {
 	t.Helper()
 	var got strictyaml.Error
 	if !errors.As(err, &got) {
@@ -155,10 +155,10 @@
 	}
 }
 
-// TestReloadErrorHasFileLineColumnAndKey: an error in one of the entries that differ has the key that it has when the
-// whole is read.
+// TestReloadErrorHasFileLineColumnAndKey: an error in one of the entries that differ has the same position and key as
+// when the whole text is parsed.
 func TestReloadErrorHasFileLineColumnAndKey(t *testing.T) {
-	text := string(generated(3, 30, 50))
+	text := string(generatedText(3, 30, 50))
 	loaded, err := Parse("c.yaml", []byte(text))
 	if err != nil {
 		t.Fatal(err)
@@ -175,16 +175,16 @@
 			_, err := parseWhole("c.yaml", edit)
 			var want strictyaml.Error
 			if !errors.As(err, &want) || want.Key != c.key {
-				t.Fatalf("reading the whole: %+v, want the key %s", want, c.key)
+				t.Fatalf("parseWhole: %+v, want the key %s", want, c.key)
 			}
-			checkErrorPlace(t, diagnosis, want)
+			checkErrorPosition(t, diagnosis, want)
 		})
 	}
 }
 
-// FuzzParse: no text may end the program, and what is taken can be handed to the module.
+// FuzzParse: no text may cause a panic, and the decision module accepts the settings of every valid configuration.
 func FuzzParse(f *testing.F) {
-	f.Add([]byte(small))
+	f.Add([]byte(smallConfig))
 	f.Add([]byte("a: &a [*a]"))
 	f.Add([]byte(`listeners: [{address: '[::1]:0'}]
 classes: {c: &c {aim: 1s, deadline: 1s}, d: *c}
--- a/internal/config/diagnosis_test.go
+++ b/internal/config/diagnosis_test.go
@@ -8,9 +8,10 @@
 	"time"
 )
 
-// TestMistakeInLine155000: the whole size with one mistake near its end: line and column, within 5 s.
-func TestMistakeInLine155000(t *testing.T) {
-	text := generated(490, 15000, 140000)
+// TestErrorNearEndOfLargeText: an error near the end of a configuration with 155,000 entries is reported with line and
+// column within 5 s.
+func TestErrorNearEndOfLargeText(t *testing.T) {
+	text := generatedText(490, 15000, 140000)
 	c, err := Parse("c.yaml", text)
 	if err != nil {
 		t.Fatal(err)
@@ -19,19 +20,19 @@
 	for _, x := range []struct{ from, to, want string }{
 		{"quota", "qouta", `c.yaml:155000:19: unknown key "qouta"; did you mean "quota"?`},
 		{"quota: ", "quota: -", "c.yaml:155000:26: the quota must be a rate"},
-		{"}", "", "c.yaml:154999:1: did not find expected ',' or '}'"}, // the parser's own count
+		{"}", "", "c.yaml:154999:1: did not find expected ',' or '}'"}, // the line that the parser reports
 	} {
-		wrong := slices.Clone(lines)
-		wrong[154999] = strings.Replace(wrong[154999], x.from, x.to, 1)
-		edit := []byte(strings.Join(wrong, ""))
-		if _, _, mistake := c.parseChanges("c.yaml", edit); mistake == nil {
-			t.Errorf("%q for %q: the whole is read for it", x.to, x.from)
+		invalid := slices.Clone(lines)
+		invalid[154999] = strings.Replace(invalid[154999], x.from, x.to, 1)
+		edit := []byte(strings.Join(invalid, ""))
+		if _, _, diagnosis := c.parseChanges("c.yaml", edit); diagnosis == nil {
+			t.Errorf("%q for %q: not diagnosed without parsing the whole text", x.to, x.from)
 		}
 		began := time.Now()
 		_, err := c.reparse("c.yaml", edit)
 		took := time.Since(began)
 		if took > 5*time.Second {
-			t.Errorf("%q for %q: after %v", x.to, x.from, took)
+			t.Errorf("%q for %q took %v", x.to, x.from, took)
 		}
 		if err == nil || !strings.Contains(err.Error(), x.want) || strings.Contains(err.Error(), "\n") {
 			t.Errorf("%q for %q: %v", x.to, x.from, err)
@@ -39,10 +40,10 @@
 	}
 }
 
-// TestMistakeWithLittleMemory: where the memory does not bear reading the whole at once, the batch with the mistake
-// tells its place.
-func TestMistakeWithLittleMemory(t *testing.T) {
-	text := strings.Replace(string(generated(10, 100, 40000)), "memory: 1GiB", "memory: 64MiB", 1)
+// TestErrorWithLittleMemory: if limits.memory is too small for parsing the whole text, an error still has its position,
+// from the batch in which it was found.
+func TestErrorWithLittleMemory(t *testing.T) {
+	text := strings.Replace(string(generatedText(10, 100, 40000)), "memory: 1GiB", "memory: 64MiB", 1)
 	if _, err := Parse("c.yaml", []byte(text)); err != nil {
 		t.Fatal(err)
 	}
@@ -60,31 +61,31 @@
 	}
 }
 
-// TestMistakesOfLongTexts: of random mistakes among many entries, what is told by what stands around them is what
-// reading the whole tells.
-func TestMistakesOfLongTexts(t *testing.T) {
-	text := string(generated(40, 80, 120))
+// TestDiagnosesMatchWhole: for random errors among many entries, diagnoses that are found without parsing the whole
+// text are the errors that parsing the whole text gives.
+func TestDiagnosesMatchWhole(t *testing.T) {
+	text := string(generatedText(40, 80, 120))
 	c, err := Parse("/c/c.yaml", []byte(text))
 	if err != nil {
 		t.Fatal(err)
 	}
 	rng := rand.New(rand.NewPCG(36, 155))
-	wrong, diagnosed := 0, 0
+	invalid, diagnosed := 0, 0
 	lines := strings.SplitAfter(text, "\n")
 	for range 400 {
-		at := 10 + rng.IntN(len(lines)-15) // the edits stand near each other
+		at := 10 + rng.IntN(len(lines)-15) // edits are within four lines
 		middle := withRandomEdits(rng, strings.Join(lines[at:at+4], ""))
 		edit := strings.Join(lines[:at], "") + middle + strings.Join(lines[at+4:], "")
 		result := checkAgainstWhole(t, c, edit)
 		if result.next == nil {
-			wrong++
+			invalid++
 		}
 		if result.diagnosed {
 			diagnosed++
 		}
 	}
-	if diagnosed < wrong/5 {
-		t.Errorf("%d of %d mistakes were diagnosed by what stands around them", diagnosed, wrong)
+	if diagnosed < invalid/5 {
+		t.Errorf("only %d of %d errors were diagnosed without parsing the whole text", diagnosed, invalid)
 	}
-	t.Logf("%d of %d mistakes were diagnosed by what stands around them", diagnosed, wrong)
+	t.Logf("%d of %d errors were diagnosed without parsing the whole text", diagnosed, invalid)
 }
--- a/internal/config/generated_test.go
+++ b/internal/config/generated_test.go
@@ -6,8 +6,8 @@
 	"testing"
 )
 
-// generated is a configuration of a size, in block style: one route or tenant a line.
-func generated(pools, routes, tenants int) []byte {
+// generatedText returns a configuration with the given numbers of entries, in block style with one line for each entry.
+func generatedText(pools, routes, tenants int) []byte {
 	var b strings.Builder
 	b.WriteString("listeners: [{address: '127.0.0.1:0', connections: 2000}]\n")
 	b.WriteString("limits: {memory: 1GiB, descriptors: 20000}\n")
@@ -33,7 +33,7 @@
 
 func BenchmarkParse(b *testing.B) {
 	for _, c := range []struct{ pools, routes, tenants int }{{2, 10, 0}, {490, 15000, 0}, {490, 15000, 140000}} {
-		text := generated(c.pools, c.routes, c.tenants)
+		text := generatedText(c.pools, c.routes, c.tenants)
 		b.Run(fmt.Sprintf("%d-%d-%d", c.pools, c.routes, c.tenants), func(b *testing.B) {
 			b.ReportAllocs()
 			b.SetBytes(int64(len(text)))
--- a/internal/config/promises_test.go
+++ b/internal/config/promises_test.go
@@ -74,7 +74,7 @@
 			t.Errorf("%q: %v, want %q", text, err, want)
 		}
 	}
-	for _, file := range []string{"k1.yaml", "k2.yaml", "k3.yaml"} { // those of the project
+	for _, file := range []string{"k1.yaml", "k2.yaml", "k3.yaml"} { // in deploy
 		if _, err := LoadVoter(filepath.Join("../../deploy/ledger", file)); err != nil {
 			t.Error(err)
 		}
--- a/internal/config/randomtext_test.go
+++ b/internal/config/randomtext_test.go
@@ -7,7 +7,7 @@
 	"strings"
 )
 
-// randomText returns a configuration whose entries have many forms.
+// randomText returns a random valid configuration, whose entries are written in various styles.
 func randomText(rng *rand.Rand) string {
 	entry := func(forms ...string) string { return forms[rng.IntN(len(forms))] }
 	var b strings.Builder
@@ -70,26 +70,26 @@
 	return b.String()
 }
 
-// Replacements that random edits make in a line: pairs of an old text and a new one.
+// Replacements that random edits make in a line, as pairs of old and new text.
 var (
-	// valueReplacements change what entries say.
+	// valueReplacements change the values of entries.
 	valueReplacements = []string{
 		"quota: 5", "quota: 6", "quota: 7", "quota: 0.5", "/r", "/s", "class: c", "class: r",
 		"p1", "p2", "queue: 20", "queue: 21", "weight: 3", "weight: 4", "9", "8",
 	}
-	// lineEndReplacements put marks of YAML at the ends of lines.
+	// lineEndReplacements insert YAML indicators at the ends of lines.
 	lineEndReplacements = []string{
 		"\n", " '\n", "\n", " \"\n", "\n", " |\n", "\n", " {\n", "\n", " [\n", "\n", "\r\n",
 		"\n", " >+\n", "\n", "\n---\n", "\n", "\n...\n", "\n", " &a\n", "\n", " x\n",
 	}
-	// tokenReplacements put tags, aliases and unusual characters into lines.
+	// tokenReplacements insert tags, anchors, aliases and unusual characters into lines.
 	tokenReplacements = []string{
 		"c", "&x c", "5", "!!str 5", "c", "*x", "name", "? name",
 		"t", "<<", "r", "ü", "p", "\u0085p", "2", "\u20282",
 	}
 )
 
-// withRandomEdits returns a text with a few random edits, most of which leave it right.
+// withRandomEdits returns a text with a few random edits, most of which leave it valid.
 func withRandomEdits(rng *rand.Rand, text string) string {
 	for range 1 + rng.IntN(3) {
 		lines := strings.SplitAfter(text, "\n")
@@ -139,7 +139,7 @@
 			i := rng.IntN(len(text) + 1)
 			text = text[:i] + text[min(len(text), i+1+rng.IntN(3)):]
 			continue
-		case 21: // entries to another place
+		case 21: // move a few lines
 			n := min(len(lines)-at, 1+rng.IntN(6))
 			moved := slices.Clone(lines[at : at+n])
 			lines = slices.Delete(lines, at, at+n)
--- a/internal/config/reload_test.go
+++ b/internal/config/reload_test.go
@@ -8,11 +8,11 @@
 	"testing"
 )
 
-// TestSmallWaysAreTheWhole: over random edits of random configurations, each from what the one before it has come to,
-// reading in parts and reading the difference give what reading the whole gives, or give way to it.
-func TestSmallWaysAreTheWhole(t *testing.T) {
+// TestIncrementalParsingMatchesWhole: for sequences of random edits of random configurations, parsing in sections and
+// parsing only the changes give the result of parsing the whole text, or none.
+func TestIncrementalParsingMatchesWhole(t *testing.T) {
 	rounds := 20
-	taken, diagnosed, edits := 0, 0, 0
+	incremental, diagnosed, edits := 0, 0, 0
 	if testing.Short() {
 		rounds = 10
 	}
@@ -22,14 +22,14 @@
 		c, _ := parseInSections("/c/c.yaml", []byte(text), 0)
 		if c == nil {
 			_, err := parseWhole("/c/c.yaml", []byte(text))
-			t.Fatalf("a right text is not read in parts (%v):\n%s", err, text)
+			t.Fatalf("a valid text is not parsed in sections (%v):\n%s", err, text)
 		}
 		for range 40 {
 			edit := withRandomEdits(rng, text)
 			result := checkAgainstWhole(t, c, edit)
 			edits++
 			if result.byChanges {
-				taken++
+				incremental++
 			}
 			if result.diagnosed {
 				diagnosed++
@@ -41,18 +41,19 @@
 		}
 	}
 	if diagnosed < edits/20 {
-		t.Errorf("%d mistakes in %d edits were diagnosed by what stands around them: the comparison shows little",
+		t.Errorf("only %d errors in %d edits were diagnosed without parsing the whole text, too few for a comparison",
 			diagnosed, edits)
 	}
-	if taken < edits/5 {
-		t.Errorf("%d of %d edits were read by their difference: the comparison shows little", taken, edits)
+	if incremental < edits/5 {
+		t.Errorf("only %d of %d edits were parsed incrementally, too few for a comparison", incremental, edits)
 	}
-	t.Logf("%d of %d edits were read by their difference, %d mistakes were diagnosed by what stands around them",
-		taken, edits, diagnosed)
+	t.Logf("%d of %d edits were parsed incrementally, %d errors were diagnosed without parsing the whole text",
+		incremental, edits, diagnosed)
 }
 
-// TestOddTexts: texts whose lines look like entries and are not, or the other way round, are read as the whole is.
-func TestOddTexts(t *testing.T) {
+// TestUnusualLayouts: texts with lines that look like entries and are not, or the other way round, give the same result
+// as parsing the whole text.
+func TestUnusualLayouts(t *testing.T) {
 	const text = `listeners: [{address: '127.0.0.1:0'}]
 classes: {c: {aim: 100ms, deadline: 1s}}
 tenants:
@@ -70,33 +71,33 @@
 `
 	c, _ := parseInSections("/c/c.yaml", []byte(text), 0)
 	if c == nil {
-		t.Fatal("the text is not read in parts")
+		t.Fatal("the text is not parsed in sections")
 	}
 	for _, x := range []struct {
 		old, new string
-		right    bool // the whole takes it
+		valid    bool // parseWhole accepts it
 	}{
-		{"pools:\n", "tenants:\n  d: {quota: 8}\npools:\n", false}, // a section twice
+		{"pools:\n", "tenants:\n  d: {quota: 8}\npools:\n", false}, // a repeated section
 		{"classes:", "limits: {memory: 256MiB}\nlimits: {memory: 512MiB}\nclasses:", false},
 		{"file: p.yaml}", "file: \"p\n  q: {nodes: {file: x}}\n  r.yaml\"}", true},             // entries within quotes
 		{"file: p.yaml}", "file: \"p\nroutes:\n  r.yaml\"}", true},                             // a section
-		{"  b: {quota: 6}\n", "  b: {quota:\n  6}\n", true},                                    // a value where entries begin
-		{"  b: {quota: 6}\n", "  ? b\n  : {quota: 6}\n", true},                                 // one entry in two lines
-		{"  b: {quota: 6}\n", "  b: {quota: 6}\u0085  d: {quota: 8}\n", true},                  // two in one
+		{"  b: {quota: 6}\n", "  b: {quota:\n  6}\n", true},                                    // a value where keys begin
+		{"  b: {quota: 6}\n", "  ? b\n  : {quota: 6}\n", true},                                 // an entry of two lines
+		{"  b: {quota: 6}\n", "  b: {quota: 6}\u0085  d: {quota: 8}\n", true},                  // two entries in a line
 		{"  b: {quota: 6}\n", "  b: &b {quota: 6}\n", true},                                    // an anchor
-		{"b: {quota: 6}\n  c: {quota: 7}", "b: &b {quota: 6}\n  c: *b", true},                  // and its alias
-		{"  b: {quota: 6}\n", "  a: {quota: 6}\n", false},                                      // a name twice
-		{"  c: {quota: 7}\n", "  a: {quota: 5}\n", false},                                      // far from the first
-		{"name: two", "name: one", false},                                                      // of routes
-		{"{prefix: /two}", "{prefix: /}", false},                                               // two that tie
-		{"  b: {quota: 6}\n", "  b: {quota: 6}\n   d: {quota: 8}\n", false},                    // deeper than its section
-		{"  b: {quota: 6}\n", "  b: {quota: 6}\n d: {quota: 8}\n", false},                      // less deep
+		{"b: {quota: 6}\n  c: {quota: 7}", "b: &b {quota: 6}\n  c: *b", true},                  // with an alias
+		{"  b: {quota: 6}\n", "  a: {quota: 6}\n", false},                                      // a repeated name
+		{"  c: {quota: 7}\n", "  a: {quota: 5}\n", false},                                      // apart from the first
+		{"name: two", "name: one", false},                                                      // a repeated route name
+		{"{prefix: /two}", "{prefix: /}", false},                                               // routes that tie
+		{"  b: {quota: 6}\n", "  b: {quota: 6}\n   d: {quota: 8}\n", false},                    // indented further
+		{"  b: {quota: 6}\n", "  b: {quota: 6}\n d: {quota: 8}\n", false},                      // indented less
 		{"  b: {quota: 6}\n", "  b: {quota: 6}\n- d\n", false},                                 // an item among keys
-		{"  a: {quota: 5}\n  b: {quota: 6}\n  c: {quota: 7}\n", "", false},                     // none left
-		{"  a: {quota: 5}\n  b: {quota: 6}\n  c: {quota: 7}\n", "  # none\n", false},           // but a comment
-		{"  a: {quota: 5}\n  b: {quota: 6}\n", "", true},                                       // one left
-		{"tenants:\n", "tenants: # of now\n", true},                                            // a comment behind a key
-		{"tenants:\n", "tenants: &t\n", true},                                                  // an anchor there
+		{"  a: {quota: 5}\n  b: {quota: 6}\n  c: {quota: 7}\n", "", false},                     // no entries
+		{"  a: {quota: 5}\n  b: {quota: 6}\n  c: {quota: 7}\n", "  # none\n", false},           // only a comment
+		{"  a: {quota: 5}\n  b: {quota: 6}\n", "", true},                                       // one entry
+		{"tenants:\n", "tenants: # of now\n", true},                                            // a comment after a key
+		{"tenants:\n", "tenants: &t\n", true},                                                  // an anchor after a key
 		{"tenants:\n", "%TAG ! x\ntenants:\n", false},                                          // a directive
 		{"pools:\n", "---\npools:\n", false},                                                   // another document
 		{"  b: {quota: 6}\n", "  b: {quota: 6}\r\n", true},                                     // another line end
@@ -104,14 +105,14 @@
 		{"file: p.yaml}", "file: p.yaml}\n    rest: >-\n      always\n    # not always", true}, // a block of text
 	} {
 		edit := strings.Replace(text, x.old, x.new, 1)
-		if _, err := parseWhole("/c/c.yaml", []byte(edit)); edit == text || (err == nil) != x.right {
-			t.Errorf("%q for %q: the whole says %v", x.new, x.old, err)
+		if _, err := parseWhole("/c/c.yaml", []byte(edit)); edit == text || (err == nil) != x.valid {
+			t.Errorf("%q for %q: parseWhole: %v", x.new, x.old, err)
 		}
 		checkAgainstWhole(t, c, edit)
 	}
 }
 
-// FuzzReload: any edit of a text is read as the whole is, or gives way.
+// FuzzReload: for any edit of a text, incremental parsing gives the result of parsing the whole text, or none.
 func FuzzReload(f *testing.F) {
 	for seed := range 4 {
 		f.Add(uint64(seed), 10, 20, "x")
@@ -127,9 +128,9 @@
 	})
 }
 
-// TestSmallWayIsTaken: the changes of an ordinary day are read by their difference.
-func TestSmallWayIsTaken(t *testing.T) {
-	text := string(generated(20, 300, 500))
+// TestCommonChangesAreIncremental: changes that are common in operation are parsed incrementally.
+func TestCommonChangesAreIncremental(t *testing.T) {
+	text := string(generatedText(20, 300, 500))
 	c, err := Parse("/c/c.yaml", []byte(text))
 	if err != nil {
 		t.Fatal(err)
@@ -155,63 +156,63 @@
 	} {
 		edit := strings.Replace(text, x.old, x.new, 1)
 		if edit == text {
-			t.Fatalf("%q is not there", x.old)
+			t.Fatalf("the text does not contain %q", x.old)
 		}
 		result := checkAgainstWhole(t, c, edit)
 		if !result.byChanges {
-			t.Errorf("%q for %q was not read by its difference", x.new, x.old)
+			t.Errorf("%q for %q was not parsed incrementally", x.new, x.old)
 			continue
 		}
 		c = result.next
 		text = edit
 		for name := range c.Pools {
 			if c.Settings(name).Tenants != c.Tenants {
-				t.Error("a pool has a table of its own")
+				t.Error("the settings of a pool have another table of tenants")
 			}
 		}
 	}
 }
 
-// TestReloadKeepsWhatIsSame: what does not differ is not made anew.
-func TestReloadKeepsWhatIsSame(t *testing.T) {
+// TestReloadSharesUnchangedTables: a reload shares the tables that have not changed with the previous configuration.
+func TestReloadSharesUnchangedTables(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "c.yaml")
-	text := string(generated(3, 30, 50))
-	load := func(text string) {
+	text := string(generatedText(3, 30, 50))
+	write := func(text string) {
 		if err := os.WriteFile(path, []byte(text), 0o600); err != nil {
 			t.Fatal(err)
 		}
 	}
-	load(text)
+	write(text)
 	c, err := Load(path)
 	if err != nil {
 		t.Fatal(err)
 	}
-	load(strings.Replace(text, "quota: 3}", "quota: 4}", 1))
+	write(strings.Replace(text, "quota: 3}", "quota: 4}", 1))
 	next, err := Reload(path, c)
 	if err != nil || next.Table != c.Table || next.Tenants == c.Tenants {
-		t.Errorf("after a quota: %v", err)
+		t.Errorf("after the change of a quota: %v", err)
 	}
-	load(strings.Replace(text, "quota: 3}", "quota: -4}", 1))
+	write(strings.Replace(text, "quota: 3}", "quota: -4}", 1))
 	if _, err = Reload(path, c); err == nil || !strings.Contains(err.Error(), "c.yaml:44:26: the quota must be a rate") {
 		t.Errorf("%v", err)
 	}
-	load(strings.Replace(text, "/r00003", "/r3", 1))
+	write(strings.Replace(text, "/r00003", "/r3", 1))
 	next, err = Reload(path, c)
 	if err != nil || next.Tenants != c.Tenants || next.Table == c.Table {
-		t.Errorf("after a route: %v", err)
+		t.Errorf("after the change of a route: %v", err)
 	}
 	if got := c.Table.Rule("route-00003").Path; got != "/r00003" {
-		t.Errorf("the configuration before has the path %s", got)
+		t.Errorf("the previous configuration has the path %s", got)
 	}
 	if _, err := Reload(filepath.Join(filepath.Dir(path), "none"), c); err == nil {
-		t.Error("a file that is not there was read")
+		t.Error("a missing file was loaded")
 	}
 }
 
-// TestPoolsThatComeAndGo: a pool taken out, put in or given another name, alone or with its routes, is never passed
-// over by the small way: the whole is read, and pools are told anew.
-func TestPoolsThatComeAndGo(t *testing.T) {
-	text := string(generated(20, 300, 500))
+// TestAddedAndRemovedPools: the removal, addition or renaming of a pool, alone or with its routes, is never applied
+// incrementally: the whole text is parsed, and all pools get new settings.
+func TestAddedAndRemovedPools(t *testing.T) {
+	text := string(generatedText(20, 300, 500))
 	c, err := Parse("/c/c.yaml", []byte(text))
 	if err != nil {
 		t.Fatal(err)
@@ -223,13 +224,13 @@
 		name, text string
 		pools      int
 	}{
-		{"out with its routes", strings.Replace(moved, last, "", 1), 19},
-		{"in", strings.Replace(text, last, last+strings.ReplaceAll(last, "019", "020"), 1), 21},
-		{"another name", strings.Replace(moved, last, strings.ReplaceAll(last, "019", "020"), 1), 20},
-		{"in another's place", strings.Replace(strings.Replace(moved, last, "", 1), "pools:\n", first, 1), 20},
+		{"removed with its routes", strings.Replace(moved, last, "", 1), 19},
+		{"added", strings.Replace(text, last, last+strings.ReplaceAll(last, "019", "020"), 1), 21},
+		{"renamed", strings.Replace(moved, last, strings.ReplaceAll(last, "019", "020"), 1), 20},
+		{"replaced", strings.Replace(strings.Replace(moved, last, "", 1), "pools:\n", first, 1), 20},
 	} {
-		if next, mistaken, _ := c.parseChanges("/c/c.yaml", []byte(x.text)); next != nil || mistaken {
-			t.Errorf("%s: by the difference: %v, a mistake: %v", x.name, next != nil, mistaken)
+		if next, invalid, _ := c.parseChanges("/c/c.yaml", []byte(x.text)); next != nil || invalid {
+			t.Errorf("%s: parsed incrementally: %v, invalid: %v", x.name, next != nil, invalid)
 		}
 		next, err := c.reparse("/c/c.yaml", []byte(x.text))
 		if err != nil || len(next.Pools) != x.pools || next.SamePools(c) || next.Read() < len(x.text) {
@@ -240,14 +241,14 @@
 			t.Errorf("%s: %s", x.name, firstDifference(next, want))
 		}
 	}
-	out := strings.Replace(text, last, "", 1) // its routes lead nowhere
-	if _, err := c.reparse("/c/c.yaml", []byte(out)); err == nil || !strings.Contains(err.Error(), "pool-019") {
-		t.Errorf("a pool with routes is taken out: %v", err)
+	removed := strings.Replace(text, last, "", 1) // routes to the pool remain
+	if _, err := c.reparse("/c/c.yaml", []byte(removed)); err == nil || !strings.Contains(err.Error(), "pool-019") {
+		t.Errorf("a pool with routes was removed: %v", err)
 	}
 }
 
 func BenchmarkReload(b *testing.B) {
-	text := string(generated(490, 15000, 140000))
+	text := string(generatedText(490, 15000, 140000))
 	c, err := Parse("c.yaml", []byte(text))
 	if err != nil {
 		b.Fatal(err)
@@ -263,7 +264,7 @@
 			b.ReportAllocs()
 			for b.Loop() {
 				if next, _, _ := c.parseChanges("c.yaml", edit); next == nil {
-					b.Fatal("not by the difference")
+					b.Fatal("not parsed incrementally")
 				}
 			}
 		})
--- a/internal/config/schema/golden_test.go
+++ b/internal/config/schema/golden_test.go
@@ -12,7 +12,8 @@
 	"olivearch/internal/golden"
 )
 
-// TestGoldenKeys pins the keys of each published schema by their paths, whatever the Go types are called.
+// TestGoldenKeys compares the paths and constraints of all keys of each schema with a golden file. The names of Go
+// types do not matter.
 func TestGoldenKeys(t *testing.T) {
 	for _, file := range slices.Sorted(maps.Keys(published)) {
 		t.Run(filepath.Base(file), func(t *testing.T) {
@@ -32,19 +33,19 @@
 	}
 }
 
-// schemaFromRoot makes a schema from the module's root and returns to this folder.
+// schemaFromRoot generates a schema in the module's root, and returns to this folder.
 func schemaFromRoot(t *testing.T, source schemaSource) ([]byte, error) {
 	t.Helper()
 	var text []byte
 	var err error
-	t.Run("made", func(t *testing.T) {
+	t.Run("generate", func(t *testing.T) {
 		t.Chdir("../../..")
 		text, err = schema(".", source)
 	})
 	return text, err
 }
 
-// schemaWalker collects the paths of all keys of a schema with their constraints.
+// schemaWalker collects the paths of all keys of a schema and their constraints, one a line.
 type schemaWalker struct {
 	definitions map[string]any
 	lines       map[string]bool
@@ -66,7 +67,7 @@
 	}
 }
 
-// follow walks a definition, once on each path.
+// follow walks a definition, but does not enter it again within itself.
 func (w *schemaWalker) follow(path, name string, outer []string) {
 	if slices.Contains(outer, name) {
 		w.lines[path+" (as above)"] = true
@@ -76,7 +77,7 @@
 	w.walk(path, target, append(slices.Clone(outer), name))
 }
 
-// walkObject walks properties under their own names, and any other object under its key.
+// walkObject walks properties under their names, and any other object under its key.
 func (w *schemaWalker) walkObject(path, key string, node map[string]any, outer []string) {
 	switch key {
 	case "$defs":
@@ -92,16 +93,16 @@
 }
 
 func (w *schemaWalker) walkList(path, key string, list []any, outer []string) {
-	for i, one := range list {
-		if schema, ok := one.(map[string]any); ok {
+	for i, item := range list {
+		if schema, ok := item.(map[string]any); ok {
 			w.walk(fmt.Sprintf("%s{%s %d}", path, key, i), schema, outer)
 		} else {
-			w.lines[fmt.Sprintf("%s %s %v", path, key, one)] = true
+			w.lines[fmt.Sprintf("%s %s %v", path, key, item)] = true
 		}
 	}
 }
 
-// add notes a constraint; texts for people are none.
+// add adds a constraint. It skips references, which walk follows, and keys without effect on validation.
 func (w *schemaWalker) add(path, key string, value any) {
 	switch key {
 	case "description", "$ref", "title", "$schema":
--- a/internal/config/schema/main_test.go
+++ b/internal/config/schema/main_test.go
@@ -6,7 +6,7 @@
 	"testing"
 )
 
-// TestPublished: the schemas in docs are the ones that the types give.
+// TestPublished: the schemas in docs are up to date with the Go types.
 func TestPublished(t *testing.T) {
 	t.Chdir("../../..")
 	for file, source := range published {
--- a/internal/config/size_test.go
+++ b/internal/config/size_test.go
@@ -13,10 +13,10 @@
 	"olivearch/internal/discovery"
 )
 
-// What a whole picture of the planned size takes: 18,000 nodes as a discovery service tells them, 15,000 routes and
-// 140,000 tenants as they stand in a configuration, names and addresses by chance. Plain, packed, and the CPU of
-// packing and of a digest for each part.
-func BenchmarkPicture(b *testing.B) {
+// BenchmarkFullSize measures the state of a fleet of the planned size: 18,000 endpoints in the format of a discovery
+// service, and 15,000 routes and 140,000 tenants in the format of the configuration, with random names and addresses.
+// For each part it measures the size, the size compressed with gzip, and the CPU time of compression and of a digest.
+func BenchmarkFullSize(b *testing.B) {
 	rng := rand.New(rand.NewPCG(1, 1))
 	var nodes discovery.Listing
 	for range 18_000 {
@@ -49,10 +49,10 @@
 		text    []byte
 	}{{"nodes", 18_000, listed}, {"routes", 15_000, routes.Bytes()}, {"tenants", 140_000, tenants.Bytes()}} {
 		b.Run(x.name, func(b *testing.B) {
-			var packed bytes.Buffer
+			var compressed bytes.Buffer
 			for b.Loop() {
-				packed.Reset()
-				w := gzip.NewWriter(&packed)
+				compressed.Reset()
+				w := gzip.NewWriter(&compressed)
 				if _, err := w.Write(x.text); err != nil {
 					b.Fatal(err)
 				}
@@ -62,7 +62,7 @@
 			}
 			b.ReportMetric(float64(len(x.text)), "bytes")
 			b.ReportMetric(float64(len(x.text))/float64(x.entries), "bytes/entry")
-			b.ReportMetric(float64(packed.Len()), "bytes-packed")
+			b.ReportMetric(float64(compressed.Len()), "bytes-packed")
 		})
 		b.Run(x.name+" digests", func(b *testing.B) {
 			var sum uint64
--- a/internal/config/textbuffers_test.go
+++ b/internal/config/textbuffers_test.go
@@ -8,24 +8,25 @@
 	"testing"
 )
 
-// bufferedReload is a reload of a text, which is taken into force or not.
+// bufferedReload is a reload of a text whose result is put in force or not.
 type bufferedReload struct {
 	text    string
 	adopted bool
 }
 
-// bufferTest reloads a file over and over.
+// bufferTest is a file that is reloaded many times.
 type bufferTest struct {
 	path    string
 	inForce *Loaded
-	used    map[int]int // how often a text in force was in which buffer
+	used    map[int]int // the number of texts in force by the index of their buffer
 }
 
-// TestTextsInTurns: over reloads that are adopted, that are not, that have mistakes and of files that grow and shrink,
-// what is read is what a reading of the file alone gives, and what is not the text that holds is given back.
-func TestTextsInTurns(t *testing.T) {
-	small := string(generated(10, 200, 300))
-	large := string(generated(20, 2000, 9000))
+// TestTextBuffersAlternate: over reloads that are put in force or discarded, that fail, and whose files grow and
+// shrink, each result is that of parsing the file alone. Buffers keep the text of the configuration in force and
+// release others.
+func TestTextBuffersAlternate(t *testing.T) {
+	small := string(generatedText(10, 200, 300))
+	large := string(generatedText(20, 2000, 9000))
 	if len(small) >= minBufferedSize || len(large) <= minBufferedSize {
 		t.Fatalf("texts of %d and %d bytes", len(small), len(large))
 	}
@@ -42,11 +43,11 @@
 		{strings.Replace(large, "/r00003", "/other", 1), false},
 		{strings.Replace(large, "quota: 8}", "quota: 1}", 1), true},
 		{strings.Replace(large, "quota: 8}", "quota: -1}", 1), false},
-		{large + strings.Repeat("# more\n", 1<<16), true}, // it wants other memory
+		{large + strings.Repeat("# more\n", 1<<16), true}, // needs a larger buffer
 		{large, true},
 		{small, true},
 		{large, true},
-		{strings.Replace(large, "name: route-00007,", "name: &a route-00007,", 1), true}, // read as a whole
+		{strings.Replace(large, "name: route-00007,", "name: &a route-00007,", 1), true}, // parsed as a whole
 		{large, true},
 		{strings.Replace(large, "quota: 7}", "quota: 8}", 1), true},
 	} {
@@ -58,7 +59,7 @@
 		}
 	}
 	if test.used[0] < 2 || test.used[1] < 2 || test.used[notBuffered] < 2 {
-		t.Errorf("texts were held in %v", test.used)
+		t.Errorf("number of texts by buffer: %v, want at least 2 each", test.used)
 	}
 }
 
@@ -69,13 +70,13 @@
 	}
 }
 
-// reload reloads the file, compares the result with parsing the text alone, and adopts it if that is asked for.
+// reload reloads the file, compares the result with parsing the text alone, and puts it in force if that is wanted.
 func (b *bufferTest) reload(t *testing.T, i int, reload bufferedReload) error {
 	t.Helper()
-	want, wrong := Parse(b.path, []byte(reload.text))
+	want, wantErr := Parse(b.path, []byte(reload.text))
 	next, err := Reload(b.path, b.inForce)
-	if (err == nil) != (wrong == nil) {
-		t.Fatalf("%d: %v, want %v", i, err, wrong)
+	if (err == nil) != (wantErr == nil) {
+		t.Fatalf("%d: %v, want %v", i, err, wantErr)
 	}
 	if err != nil {
 		return err
@@ -91,22 +92,22 @@
 	return nil
 }
 
-// checkTextInForce fails if the text of the configuration in force is gone.
+// checkTextInForce fails if the text of the configuration in force has been released.
 func (b *bufferTest) checkTextInForce(t *testing.T, i int) {
 	t.Helper()
 	source := b.inForce.source
 	if source != nil && (len(source.text) == 0 || source.text[0] != 'l') {
-		t.Fatalf("%d: the text that holds is gone", i)
+		t.Fatalf("%d: the text in force has been released", i)
 	}
 }
 
-// checkOthersReleased fails if a buffer holds a text that is not in force.
+// checkOthersReleased fails if a buffer still holds a text that is not in force.
 func (b *bufferTest) checkOthersReleased(t *testing.T, i int) {
 	t.Helper()
 	isNotZero := func(r byte) bool { return r != 0 }
 	for index, buffer := range b.inForce.buffers.memory {
 		if index != b.inForce.bufferIndex && slices.ContainsFunc(buffer, isNotZero) {
-			t.Errorf("%d: the text in %d is still held, the one in %d holds", i, index, b.inForce.bufferIndex)
+			t.Errorf("%d: buffer %d still holds a text; the text in force is in %d", i, index, b.inForce.bufferIndex)
 		}
 	}
 }
--- a/internal/route/builder_test.go
+++ b/internal/route/builder_test.go
@@ -9,13 +9,13 @@
 	"testing"
 )
 
-// letter draws one of the first n letters.
+// letter returns a random one of the first n letters.
 func letter(rng *rand.Rand, n int) string { return string(rune('a' + rng.IntN(n))) }
 
-// lettersAtDepth is how many letters are drawn from for each segment of a path: the root has edges enough for a map.
+// lettersAtDepth is the number of different letters for each segment of a path. The root gets enough edges for a map.
 var lettersAtDepth = []int{20, 3, 2}
 
-// randomRule draws a rule of few hosts and paths, so that many rules meet.
+// randomRule returns a rule with one of few hosts and paths, so that many rules overlap.
 func randomRule(rng *rand.Rand, name string) Rule {
 	rule := Rule{
 		Name:  name,
@@ -48,7 +48,7 @@
 	return rule
 }
 
-// randomQuery draws a query that rules of randomRule may match.
+// randomQuery returns a query that rules of randomRule may match.
 func randomQuery(rng *rand.Rand) *Query {
 	query := &Query{
 		Host:   oneOf(rng, "x.org", "y.org", "a.x.org", "z"),
@@ -66,13 +66,13 @@
 	return query
 }
 
-// version is a table and the rules that it should have, by name.
+// version is a table with the rules that it should have, by name.
 type version struct {
 	table *Table
 	rules map[string]Rule
 }
 
-// checkEqualsBuilt compares a table that comes of changes with one built at once of the same rules.
+// checkEqualsBuilt compares a table that results from changes with a table that Build makes from the same rules.
 func (v version) checkEqualsBuilt(t *testing.T, rng *rand.Rand) {
 	t.Helper()
 	built, errs := Build(slices.Collect(maps.Values(v.rules)))
@@ -95,11 +95,11 @@
 	}
 }
 
-// change is a random change of the rules of a version.
+// change is a change of the rules of a version.
 type change struct {
 	removed []string
 	added   []Rule
-	rules   map[string]Rule // that should result
+	rules   map[string]Rule // the rules after the change
 }
 
 func randomChange(rng *rand.Rand, rules map[string]Rule) change {
@@ -121,14 +121,14 @@
 	return c
 }
 
-// apply returns the next version and whether the change was accepted: exactly if a table can be built at once of the
-// same rules. Only ties may be rejected.
+// apply returns the next version and whether the change was accepted. It fails unless Build accepts the resulting rules
+// too, or rejects them too. Only ties may be rejected.
 func (v version) apply(t *testing.T, c change) (next version, accepted bool) {
 	t.Helper()
 	table, errs := v.table.With(c.removed, c.added)
 	_, buildErrs := Build(slices.Collect(maps.Values(c.rules)))
 	if (errs == nil) != (buildErrs == nil) {
-		t.Fatalf("%v, built at once %v", errs, buildErrs)
+		t.Fatalf("With: %v, Build: %v", errs, buildErrs)
 	}
 	if errs == nil {
 		return version{table: table, rules: c.rules}, true
@@ -140,9 +140,9 @@
 	return v, false
 }
 
-// TestWithIsBuild: a table that comes of many changes finds what one built at once finds and rejects what that rejects;
-// those it came of stay as they are.
-func TestWithIsBuild(t *testing.T) {
+// TestWithMatchesBuild: a table that results from many changes is equivalent to a table that Build makes from the same
+// rules, and rejects the same rules. The tables before the changes stay as they are.
+func TestWithMatchesBuild(t *testing.T) {
 	rng := rand.New(rand.NewPCG(36, 3))
 	empty, errs := Build(nil)
 	if errs != nil {
@@ -164,12 +164,12 @@
 		current.checkEqualsBuilt(t, rng)
 	}
 	if rejected < 20 || len(current.rules) < 20 {
-		t.Errorf("%d rejected, %d rules at the end: the comparison shows little", rejected, len(current.rules))
+		t.Errorf("only %d changes rejected and %d rules at the end, too few for a comparison", rejected, len(current.rules))
 	}
 	emptied, _ := current.table.With(slices.Collect(maps.Keys(current.rules)), nil)
 	left := len(emptied.exactHosts) + len(emptied.suffixHosts) + len(emptied.rules)
 	if left > 0 || emptied.anyHost != nil {
-		t.Errorf("something is left of an emptied table: %+v", emptied)
+		t.Errorf("a table without rules is not empty: %+v", emptied)
 	}
 }
 
--- a/internal/route/host_test.go
+++ b/internal/route/host_test.go
@@ -30,7 +30,7 @@
 	}
 }
 
-// FuzzHost: the canonical form is a fixed point that DNS could hold.
+// FuzzHost: the canonical form of a canonical host is the host itself, and it is short enough for DNS.
 func FuzzHost(f *testing.F) {
 	for _, seed := range []string{"A.b:80", "[::1]:1", "a..", "[fe80::1%25x]"} {
 		f.Add(seed)
@@ -41,10 +41,10 @@
 			return
 		}
 		if again, err := Host(host); again != host || err != nil {
-			t.Fatalf("%q reads as %q, and that as %q, %v", text, host, again, err)
+			t.Fatalf("the canonical form of %q is %q, and of that %q, %v", text, host, again, err)
 		}
 		if host != strings.ToLower(host) || strings.ContainsAny(host, " /@%\\") || len(host) > maxHostLength {
-			t.Errorf("%q reads as %q", text, host)
+			t.Errorf("the canonical form of %q is %q", text, host)
 		}
 	})
 }
--- a/internal/route/precedence_test.go
+++ b/internal/route/precedence_test.go
@@ -8,11 +8,11 @@
 	"testing"
 )
 
-// oneOf draws one of some choices.
+// oneOf returns a random one of the choices.
 func oneOf[T any](rng *rand.Rand, choices ...T) T { return choices[rng.IntN(len(choices))] }
 
-// scannedRule draws a rule for TestLookupAgainstScan.
-func scannedRule(rng *rand.Rand, name string) Rule {
+// randomScanRule returns a random rule for TestLookupAgainstScan.
+func randomScanRule(rng *rand.Rand, name string) Rule {
 	rule := Rule{Name: name, Kind: PathKind(rng.IntN(3)), Pools: onlyPool()}
 	if host := oneOf(rng, "a.x", "b.x", "*.x", "*.a.x", ""); host != "" {
 		rule.Hosts = []string{host}
@@ -36,8 +36,8 @@
 	return rule
 }
 
-// scannedQuery draws a query for TestLookupAgainstScan.
-func scannedQuery(rng *rand.Rand) *Query {
+// randomScanQuery returns a random query for TestLookupAgainstScan.
+func randomScanQuery(rng *rand.Rand) *Query {
 	query := &Query{
 		Host:   oneOf(rng, "a.x", "b.x", "c.a.x", "z"),
 		Method: oneOf(rng, "GET", "POST"),
@@ -52,11 +52,11 @@
 	return query
 }
 
-// withoutTies draws rules and keeps those that don't tie with earlier ones.
+// withoutTies returns random rules without ties between them.
 func withoutTies(rng *rand.Rand) []Rule {
 	var rules []Rule
 	for i := range 40 {
-		rule := scannedRule(rng, fmt.Sprint(i))
+		rule := randomScanRule(rng, fmt.Sprint(i))
 		if _, errs := Build(append(slices.Clone(rules), rule)); errs == nil {
 			rules = append(rules, rule)
 		}
@@ -71,7 +71,7 @@
 	return rule.Name
 }
 
-// TestLookupAgainstScan compares the table with a plain reading of the precedence rules on random tables.
+// TestLookupAgainstScan compares lookups in random tables with a linear scan of all rules by the documented precedence.
 func TestLookupAgainstScan(t *testing.T) {
 	rng := rand.New(rand.NewPCG(7, 1))
 	found := 0
@@ -82,7 +82,7 @@
 			t.Fatal(errs)
 		}
 		for range 200 {
-			query := scannedQuery(rng)
+			query := randomScanQuery(rng)
 			want := scan(rules, query)
 			got := table.Lookup(query)
 			if got != nil {
@@ -94,11 +94,11 @@
 		}
 	}
 	if found < 10000 {
-		t.Errorf("only %d lookups found a rule: the test shows little", found)
+		t.Errorf("only %d lookups found a rule, too few for a comparison", found)
 	}
 }
 
-// scan reads the precedence from the package comment, rule by rule.
+// scan returns the rule for a query by comparing the ranks of all rules.
 func scan(rules []Rule, query *Query) *Rule {
 	var best *Rule
 	var bestRank []int
@@ -112,10 +112,11 @@
 	return best
 }
 
-// maxSegments is more than any path of this test has.
+// maxSegments is greater than the number of segments of any path in this test.
 const maxSegments = 8
 
-// rankOf returns what decides precedence, the most significant first; nil: the rule doesn't match.
+// rankOf returns the criteria of precedence of a rule as numbers, the most significant first; nil if the rule doesn't
+// match.
 func rankOf(rule *Rule, query *Query) []int {
 	host, ok := hostRank(rule, query)
 	if !ok {
--- a/internal/route/rule_test.go
+++ b/internal/route/rule_test.go
@@ -19,10 +19,10 @@
 	}{
 		{"same prefix", Rule{Kind: Prefix, Path: "/a"}, Rule{Kind: Prefix, Path: "/a/"}, true},
 		{"same shape", Rule{Kind: Pattern, Path: "/a/{x}"}, Rule{Kind: Pattern, Path: "/a/{y}"}, true},
-		{"methods meet", exact("GET", "HEAD"), exact("HEAD"), true},
+		{"methods overlap", exact("GET", "HEAD"), exact("HEAD"), true},
 		{"methods differ", exact("GET"), exact("HEAD"), false},
 		{"one names a method", exact("GET"), exact(), false},
-		{"fields can both be there", withHeader("X", "1"), withHeader("Y", "1"), true},
+		{"different fields", withHeader("X", "1"), withHeader("Y", "1"), true},
 		{"field against class", withHeader("X", "1"), Rule{Kind: Exact, Path: "/a", Class: "c"}, true},
 		{"values differ", withHeader("x", "1"), withHeader("X", "2"), false},
 		{"kinds differ", exact(), Rule{Kind: Prefix, Path: "/a"}, false},
@@ -47,7 +47,7 @@
 	}
 }
 
-func TestBadRules(t *testing.T) {
+func TestInvalidRules(t *testing.T) {
 	for _, rule := range []Rule{
 		{Path: "x"},
 		{Path: ""},
@@ -77,7 +77,7 @@
 	}
 }
 
-func TestChooseFollowsWeightsAndSticks(t *testing.T) {
+func TestChooseFollowsWeightsAndIsSticky(t *testing.T) {
 	split := func(oldWeight, newWeight int) *Rule {
 		pools := []WeightedPool{{"old", oldWeight}, {"new", newWeight}}
 		return build(t, Rule{Name: "r", Path: "/", Kind: Prefix, Pools: pools}).Lookup(parseQuery("GET h /"))
@@ -91,12 +91,12 @@
 		before := tenth.Choose(key)
 		after := fifth.Choose(key)
 		if tenth.Choose(key) != before {
-			t.Fatal("one key, two pools")
+			t.Fatal("the same key got two different pools")
 		}
 		if before == "new" {
 			toNew++
 			if after != "new" {
-				t.Fatal("a key went back while the new pool's weight grew")
+				t.Fatal("a key moved to the old pool while the new pool's weight grew")
 			}
 		}
 		if before != after {
@@ -105,12 +105,12 @@
 	}
 	const want = keys / 10
 	if toNew < want*9/10 || toNew > want*11/10 || moved > want*11/10 {
-		t.Errorf("%d of %d to the new pool, want a tenth; %d moved with a tenth more, want as many", toNew, keys, moved)
+		t.Errorf("%d of %d keys on the new pool, %d moved by a tenth more weight; want a tenth for both", toNew, keys, moved)
 	}
 	none := split(0, 1)
 	for key := range uint64(1000) {
 		if none.Choose(key) == "old" {
-			t.Fatal("weight 0 got a request")
+			t.Fatal("a pool of weight 0 got a request")
 		}
 	}
 }
--- a/internal/route/table_test.go
+++ b/internal/route/table_test.go
@@ -8,10 +8,10 @@
 	"olivearch/internal/http1"
 )
 
-// onlyPool is the destination of rules whose pools don't matter.
+// onlyPool returns the pools of rules whose pools don't matter.
 func onlyPool() []WeightedPool { return []WeightedPool{{Pool: "p", Weight: 1}} }
 
-// build makes a table of rules; those without pools lead to onlyPool.
+// build returns a table of rules. Rules without pools get onlyPool.
 func build(t testing.TB, rules ...Rule) *Table {
 	t.Helper()
 	for i := range rules {
@@ -26,7 +26,7 @@
 	return table
 }
 
-// parseQuery reads "METHOD host path [class] [Name=value]...".
+// parseQuery parses a query in the form "METHOD host path [class] [Name=value]...".
 func parseQuery(text string) *Query {
 	words := strings.Fields(text)
 	query := &Query{Method: words[0], Host: words[1], Path: words[2]}
@@ -69,13 +69,13 @@
 	for _, c := range []struct{ query, want string }{
 		{"GET x /", "root"},
 		{"GET b.example.org /maps", "star"},
-		{"GET example.org /", "root"}, // a suffix is of whole labels, one at least
+		{"GET example.org /", "root"}, // the star stands for at least one label
 		{"GET bexample.org /", "root"},
 		{"GET maps.plano.example.org /maps/1", "star-long"},
-		{"GET maps.plano.example.org /mapsy", "star"}, // prefixes are of whole segments; then the shorter suffix
+		{"GET maps.plano.example.org /mapsy", "star"}, // prefixes match whole segments, so the shorter suffix wins
 		{"GET checkin.plano.example.org /checkin", "host"},
 		{"GET checkin.plano.example.org /checkin/", "host"},
-		{"POST checkin.plano.example.org /checkin/bulk/1", "host-deep"}, // path before method
+		{"POST checkin.plano.example.org /checkin/bulk/1", "host-deep"}, // the path takes precedence over the method
 		{"POST checkin.plano.example.org /checkin X-Kiosk=1", "host-post"},
 		{"GET checkin.plano.example.org /checkin X-Kiosk=1", "host-field"},
 		{"GET checkin.plano.example.org /checkin checkin X-Kiosk=1", "host-class"},
@@ -101,7 +101,7 @@
 	}
 }
 
-// manyRules returns a table of n rules and queries that each match one.
+// manyRules returns a table of n rules, and queries that each match one of them.
 func manyRules(t testing.TB, n int) (*Table, []*Query) {
 	t.Helper()
 	var rules []Rule
--- a/internal/route/target_test.go
+++ b/internal/route/target_test.go
@@ -41,7 +41,8 @@
 	}
 }
 
-// FuzzTarget: the canonical form is a fixed point, and has nothing that a server could read as another path.
+// FuzzTarget: the canonical form of a canonical target is the target itself, and it contains nothing that a server
+// could interpret as another path.
 func FuzzTarget(f *testing.F) {
 	for _, seed := range []string{"/a/%2e%2e//b?c", "http://H/%41", "/..;/", "/%25%32%65", "//", "/a/.."} {
 		f.Add(seed)
@@ -53,15 +54,15 @@
 		}
 		again, err := ParseTarget(target.String())
 		if err != nil || again.Path != target.Path || again.Query != target.Query {
-			t.Fatalf("%q reads as %q, and that as %q, %v", text, target, again, err)
+			t.Fatalf("the canonical form of %q is %q, and of that %q, %v", text, target, again, err)
 		}
 		for _, wrong := range []string{"//", "/./", "/../", "\\", "%2F", "%2f", "%5C", "%00", "/..;"} {
 			if strings.Contains(target.Path, wrong) {
-				t.Errorf("%q reads as %q", text, target.Path)
+				t.Errorf("the canonical form of %q is %q", text, target.Path)
 			}
 		}
 		if strings.HasSuffix(target.Path, "/..") || strings.HasSuffix(target.Path, "/.") || target.Path[0] != '/' {
-			t.Errorf("%q reads as %q", text, target.Path)
+			t.Errorf("the canonical form of %q is %q", text, target.Path)
 		}
 	})
 }
--- a/internal/strictyaml/decode_test.go
+++ b/internal/strictyaml/decode_test.go
@@ -33,7 +33,7 @@
 	if p := d.At("inner.count"); p != (Position{4, 19}) {
 		t.Errorf("inner.count is at %v", p)
 	}
-	if p := d.At("list[1].name"); p != (Position{5, 12}) { // not there: the nearest around it
+	if p := d.At("list[1].name"); p != (Position{5, 12}) { // missing, so the position of list[1]
 		t.Errorf("list[1] is at %v", p)
 	}
 }
@@ -63,7 +63,7 @@
 	}
 }
 
-// TestAliasesOfAliases: a few lines can stand for more than any memory holds.
+// TestAliasesOfAliases: a few lines that expand to more values than fit in memory are rejected.
 func TestAliasesOfAliases(t *testing.T) {
 	text := "inner: &a {list: [{}, {}, {}, {}, {}, {}, {}, {}, {}, {}]}\nlist:\n"
 	last := "a"
@@ -78,7 +78,7 @@
 	}
 }
 
-// TestErrorHasFileLineColumnAndKey: errors.As finds the first error of a file, with its place and the path of the
+// TestErrorHasFileLineColumnAndKey: errors.As finds the first error of a file, with its position and the path of the
 // value.
 func TestErrorHasFileLineColumnAndKey(t *testing.T) {
 	for _, c := range []struct {
--- a/internal/strictyaml/entries_test.go
+++ b/internal/strictyaml/entries_test.go
@@ -5,12 +5,12 @@
 	"testing"
 )
 
-// TestEntriesErrorKeysAreThoseOfTheFile: entries that are read without the rest of the file have errors with the keys
-// and lines that reading the whole gives.
+// TestEntriesErrorKeysAreThoseOfTheFile: errors in entries that are decoded without the rest of the file have the same
+// keys and positions as when the whole file is decoded.
 func TestEntriesErrorKeysAreThoseOfTheFile(t *testing.T) {
 	for _, c := range []struct {
 		text string
-		from string // the entry that is read begins with this text
+		from string // the beginning of the entry that is decoded
 		key  string
 		into func() any
 	}{
@@ -33,7 +33,7 @@
 		last := len(entries.Starts) - 1
 		read, ok := entries.Read("f", 1, last, last+1, c.into())
 		if ok {
-			t.Errorf("%q was read without an error", c.text)
+			t.Errorf("%q was decoded without an error", c.text)
 		}
 		for name, d := range map[string]*Doc{"whole": whole, "diagnosed": diagnosed, "read": read} {
 			if len(d.errs) != 1 || d.errs[0] != whole.errs[0] || d.errs[0].Key != c.key {
