--- a/internal/config/reload.go
+++ b/internal/config/reload.go
@@ -80,8 +80,8 @@
 	return next, false, nil
 }
 
-// hasManyUnusedTargets reports whether so many targets are no longer used by a rule that the whole text is to be parsed
-// again, which drops them.
+// hasManyUnusedTargets reports whether most targets are no longer used by a rule. The whole text is then parsed again,
+// which drops them.
 func (c *Loaded) hasManyUnusedTargets() bool { return len(c.Targets) > 2*c.Table.Len()+256 }
 
 // reloader applies the differences between two texts to a copy of the first text's configuration.
@@ -153,8 +153,8 @@
 	return index, index >= 0
 }
 
-// shiftedSections returns the sections after the one at an index has grown by a number of bytes. The index -1 stands
-// for the text before the first section.
+// shiftedSections returns the sections of a text in which the section at an index has grown by a number of bytes. The
+// index -1 stands for the text before the first section.
 func (s *sourceText) shiftedSections(index, growth int) []strictyaml.Section {
 	sections := slices.Clone(s.sections)
 	for i := range sections {
