--- a/internal/route/builder.go
+++ b/internal/route/builder.go
@@ -58,7 +58,7 @@
 	for i := range rules {
 		rule := rules[i] // a copy, since callers may change theirs
 		if err := rule.normalize(); err != nil {
-			errs = append(errs, InvalidRuleError{Name: rule.Name, Why: err})
+			errs = append(errs, InvalidRuleError{Name: rule.Name, Err: err})
 			continue
 		}
 		for _, p := range rule.Pools {
--- a/internal/route/rule.go
+++ b/internal/route/rule.go
@@ -47,10 +47,10 @@
 // InvalidRuleError is the error about a single rule that is invalid.
 type InvalidRuleError struct {
 	Name string // of the rule
-	Why  error
+	Err  error
 }
 
-func (e InvalidRuleError) Error() string { return fmt.Sprintf("route %q: %v", e.Name, e.Why) }
+func (e InvalidRuleError) Error() string { return fmt.Sprintf("route %q: %v", e.Name, e.Err) }
 
 // ConflictError is the error about a tie: two rules that can match the same request with equal precedence.
 type ConflictError struct {
