--- a/internal/discovery/client.go
+++ b/internal/discovery/client.go
@@ -1,7 +1,9 @@
-// Package discovery follows the endpoint list of a discovery service by long polling.
+// Package discovery follows the endpoint list of a discovery service by long polling, for the pools of a balancer. It
+// also maps the service's ids to the numbers of upstreams in the decision module.
 //
-// A service that is polled is never retried by this package after a failed call: the backoff is the decision module's.
-// An agent on the balancer's own machine, which pushes lists, costs nobody anything and is retried until it answers.
+// The source of a list is either a shared service, which is polled, or an agent on the balancer's own machine, which
+// pushes lists. After a failed call to a shared service the watch ends: the decision module chooses the backoff before
+// the next one. A failed call to an agent is retried here, as it loads no other machine.
 package discovery
 
 import (
@@ -17,31 +19,31 @@
 	"time"
 )
 
-// maxListingSize bounds what is read of an answer, in bytes.
+// maxListingSize bounds the part of an answer that is read, in bytes.
 const maxListingSize = 4 << 20
 
-// Client polls one address for the endpoint list, and posts an event for each answer and failure. Its methods may be
-// called from many goroutines.
+// Client follows the endpoint list of the service at one address, and posts an Event for each answer and failure. Its
+// methods may be called from many goroutines.
 type Client struct {
 	Address  string // host and port of the service
 	url      string
 	client   *http.Client
-	ctx      context.Context // ends all calls
+	ctx      context.Context // of all calls; Close cancels it
 	cancel   context.CancelFunc
-	revision atomic.Pointer[uint64] // of the newest listing that was posted; nil: none yet
+	revision atomic.Pointer[uint64] // of the newest listing that was posted; nil before the first
 	post     func(Event)
 }
 
-// Event is an event: an answer of the service, or the failure of a call. It names its client, as a late event of a
-// service that a new configuration has replaced must be ignored.
+// Event is an answer of the service, or the failure of a call. From lets the receiver ignore late events of a service
+// that a new configuration has replaced.
 type Event struct {
 	From *Client
 	Listing
 	Err error
 }
 
-// New returns a Client of the service at an address. It calls post with each event, from the goroutine that runs Watch
-// or Fetch.
+// New returns a Client of the service at address, a host and port. The Client calls post with each event, from the
+// goroutine that runs Watch or Fetch.
 func New(ctx context.Context, address string, post func(Event)) *Client {
 	c := &Client{
 		Address: address,
@@ -59,8 +61,9 @@
 	c.client.CloseIdleConnections()
 }
 
-// Watch follows the list until ctx or the Client ends, and where the service is polled also until a call fails.
-// Revisions of one service mean nothing to another, so without a list of its own it asks for the complete list.
+// Watch follows the list until ctx is cancelled or the Client is closed. Unless the list is pushed, it also ends after
+// the first failed call. The first call asks for the complete list if this Client has no revision yet: revisions of
+// another service cannot be compared with those of this one.
 func (c *Client) Watch(ctx context.Context, pushed bool) {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
@@ -82,10 +85,10 @@
 			c.post(Event{From: c, Listing: listing})
 			c.SetRevision(listing.Revision)
 		case !pushed:
-			<-nextCall // the decision module may retry at once
+			<-nextCall // the decision module may start the next watch immediately
 			c.post(Event{From: c, Listing: listing, Err: err})
 			return
-		case !failedBefore: // there is nothing to decide, so the first failure is enough
+		case !failedBefore: // the retry needs no decision, so only the first of several failures is posted
 			c.post(Event{From: c, Listing: listing, Err: err})
 		}
 		failedBefore = err != nil
@@ -93,8 +96,8 @@
 	}
 }
 
-// awaitChange makes one call of a watch: for changes since the newest listing, or for the complete list if there is
-// none.
+// awaitChange makes one call of a watch. It asks for changes since the newest listing, or for the complete list if no
+// listing was posted yet.
 func (c *Client) awaitChange(ctx context.Context, limits callLimits) (Listing, error) {
 	revision := c.revision.Load()
 	if revision == nil {
@@ -104,7 +107,7 @@
 	return c.call(ctx, url, limits.wait+limits.grace)
 }
 
-// Fetch asks for the complete list once.
+// Fetch asks for the complete list once, and posts the answer or failure.
 func (c *Client) Fetch() {
 	listing, err := c.call(c.ctx, c.url, ListTimeout)
 	if c.ctx.Err() != nil {
@@ -116,8 +119,8 @@
 	}
 }
 
-// SetRevision records the revision of a listing that has been posted, from which later watches go on. An older
-// revision than the recorded one has no effect.
+// SetRevision records the revision of a posted listing. Later watches ask for changes since this revision. A revision
+// older than the recorded one is ignored.
 func (c *Client) SetRevision(revision uint64) {
 	for {
 		newest := c.revision.Load()
@@ -130,16 +133,16 @@
 	}
 }
 
-// call fetches a listing and checks it. The members of the listing that it returns are sorted by id.
+// call fetches a listing, checks it and sorts its members by id.
 func (c *Client) call(ctx context.Context, url string, timeout time.Duration) (Listing, error) {
 	ctx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
 	var listing Listing
-	text, err := c.get(ctx, url)
+	body, err := c.get(ctx, url)
 	if err != nil {
 		return listing, err
 	}
-	if err := json.Unmarshal(text, &listing); err != nil {
+	if err := json.Unmarshal(body, &listing); err != nil {
 		return listing, fmt.Errorf("discovery: %w", err)
 	}
 	for i := range listing.Members {
@@ -148,13 +151,13 @@
 		}
 	}
 	if !listing.Complete && c.revision.Load() == nil {
-		return listing, errors.New("discovery: changes to a list that was never told")
+		return listing, errors.New("discovery: answer has only changes, but no complete list came before")
 	}
 	slices.SortFunc(listing.Members, func(a, b Member) int { return strings.Compare(a.ID, b.ID) })
 	return listing, nil
 }
 
-// get returns the body of a successful answer.
+// get returns the body of an answer with status 200. Any other status is an error.
 func (c *Client) get(ctx context.Context, url string) ([]byte, error) {
 	request, err := http.NewRequestWithContext(ctx, http.MethodGet, url, nil)
 	if err != nil {
@@ -166,11 +169,11 @@
 	}
 	defer response.Body.Close()
 	if response.StatusCode != http.StatusOK {
-		return nil, fmt.Errorf("discovery: answered %s", response.Status)
+		return nil, fmt.Errorf("discovery: unexpected status %s", response.Status)
 	}
-	text, err := io.ReadAll(io.LimitReader(response.Body, maxListingSize))
+	body, err := io.ReadAll(io.LimitReader(response.Body, maxListingSize))
 	if err != nil {
 		return nil, fmt.Errorf("discovery: %w", err)
 	}
-	return text, nil
+	return body, nil
 }
--- a/internal/discovery/client_test.go
+++ b/internal/discovery/client_test.go
@@ -14,10 +14,10 @@
 type testService struct {
 	*httptest.Server
 	unresponsive atomic.Bool
-	queries      chan string // of each call
+	queries      chan string // the query of each call
 }
 
-// servedRevision is the revision of the listing that a testService answers.
+// servedRevision is the revision of the listing that a testService answers with.
 const servedRevision = 5
 
 func newTestService(t *testing.T) *testService {
@@ -33,7 +33,7 @@
 			}
 			return
 		}
-		text, err := json.MarshalIndent(Listing{
+		body, err := json.MarshalIndent(Listing{
 			Revision: servedRevision,
 			Complete: true,
 			Members:  []Member{{ID: "s-1", HostPort: "127.0.0.1:1", Phase: PhaseDraining}},
@@ -41,7 +41,7 @@
 		if err != nil {
 			t.Error(err)
 		}
-		if _, err := w.Write(text); err != nil {
+		if _, err := w.Write(body); err != nil {
 			t.Logf("answer not written: %v", err) // the client may have given up
 		}
 	}))
@@ -52,7 +52,7 @@
 	return service
 }
 
-// unresponsiveWatch is a watch whose first call is not answered.
+// unresponsiveWatch is a watch whose first call gets no answer.
 type unresponsiveWatch struct {
 	service    *testService
 	events     chan Event
@@ -61,7 +61,7 @@
 	started    time.Time
 }
 
-// startUnresponsiveWatch starts a watch, and returns once its first call has failed.
+// startUnresponsiveWatch starts a watch, and returns when its first call has failed.
 func startUnresponsiveWatch(t *testing.T, pushed bool) *unresponsiveWatch {
 	t.Helper()
 	watch := &unresponsiveWatch{
@@ -82,22 +82,21 @@
 	watch.firstQuery = <-watch.service.queries
 	watch.started = time.Now()
 	if event := <-watch.events; event.Err == nil {
-		t.Fatalf("listing %v of an unresponsive service", event.Listing)
+		t.Fatalf("listing %v from an unresponsive service", event.Listing)
 	}
 	return watch
 }
 
-// TestSilentWatchIsOpenedAnew: a watch at an agent that becomes unresponsive is retried without the decision module,
-// and the list that the agent has then is posted as soon as it answers. At a service that is polled the watch ends
-// after the first failure.
-func TestSilentWatchIsOpenedAnew(t *testing.T) {
+// TestUnresponsiveWatchIsRetried: an agent that pushes lists becomes unresponsive. The watch retries by itself, and
+// posts the agent's list as soon as the agent answers again. A watch of a polled service ends after the first failure.
+func TestUnresponsiveWatchIsRetried(t *testing.T) {
 	t.Run("pushed true", func(t *testing.T) {
 		t.Parallel()
 		watch := startUnresponsiveWatch(t, true)
 		if want := "since=4&timeout_ms=1000"; watch.firstQuery != want {
 			t.Errorf("query %q, want %q", watch.firstQuery, want)
 		}
-		<-watch.service.queries // of the retry
+		<-watch.service.queries // the query of the retry
 		watch.service.unresponsive.Store(false)
 		event := <-watch.events
 		for event.Err != nil {
@@ -113,7 +112,7 @@
 		if want := "since=4&timeout_ms=2000"; watch.firstQuery != want {
 			t.Errorf("query %q, want %q", watch.firstQuery, want)
 		}
-		<-watch.ended // the decision module says when to retry
+		<-watch.ended // the decision module chooses when to retry
 		if elapsed := time.Since(watch.started); elapsed > WatchWait+WatchGrace+time.Second {
 			t.Errorf("watch ended after %v", elapsed)
 		}
--- a/internal/discovery/listing.go
+++ b/internal/discovery/listing.go
@@ -13,7 +13,8 @@
 const (
 	PhaseUp       = "up"
 	PhaseDraining = "draining"
-	// PhaseRemoved is the phase of a Member that is in the list no more. Only listings of changes name such members.
+	// PhaseRemoved is the phase of a Member that was removed from the list. Only listings of changes have such
+	// members.
 	PhaseRemoved = "removed"
 )
 
@@ -23,7 +24,7 @@
 	PhaseRemoved:  balancer.Removed,
 }
 
-// Listing is an answer of a discovery service: the complete endpoint list, or the entries that changed.
+// Listing is an answer of a discovery service: the complete endpoint list, or only the changed entries.
 type Listing struct {
 	Revision uint64   `json:"revision"`
 	Complete bool     `json:"complete"`
@@ -37,11 +38,11 @@
 	Locality  string  `json:"locality"`
 	Cell      int     `json:"cell"`
 	Phase     string  `json:"phase"`
-	Size      float64 `json:"size"`        // weight, compared with the other members
+	Size      float64 `json:"size"`        // weight, relative to the other members
 	UpSinceMS int64   `json:"up_since_ms"` // Unix time in milliseconds; 0: long ago
 }
 
-// Check returns an error that says what makes the entry unusable, or nil.
+// Check returns an error if the entry is unusable: it has no id, an unknown phase or, unless removed, no valid address.
 func (m *Member) Check() error {
 	state, known := stateOfPhase[m.Phase]
 	switch {
@@ -58,7 +59,7 @@
 	return nil
 }
 
-// Upstream returns the entry in the form of the decision module, under the number of its id.
+// Upstream returns the entry as an upstream of the decision module. id is the number that a Numbering gave its id.
 func (m *Member) Upstream(id balancer.UpstreamID) balancer.Upstream {
 	return balancer.Upstream{
 		ID:     id,
@@ -66,7 +67,7 @@
 		Cell:   m.Cell,
 		Weight: m.Size,
 		State:  stateOfPhase[m.Phase],
-		// The pool's clock is Unix time at its start, so no conversion is needed and 0 stays 0.
+		// The pool's clock starts at the current Unix time, so start times need no conversion, and 0 stays 0.
 		StartedAt: time.Duration(m.UpSinceMS) * time.Millisecond,
 	}
 }
--- a/internal/discovery/listing_bench_test.go
+++ b/internal/discovery/listing_bench_test.go
@@ -11,7 +11,7 @@
 	"time"
 )
 
-// completeListing returns a complete list of so many members, with ids and addresses of the usual length.
+// completeListing returns a complete list of the given size, with ids and addresses of typical length.
 func completeListing(size int) Listing {
 	listing := Listing{Revision: 812_345, Complete: true}
 	for i := range size {
@@ -28,8 +28,8 @@
 	return listing
 }
 
-// BenchmarkListing measures what a list costs on the wire and to read, by its size: docs/CAPACITY.md relies on it. A
-// listing of no members is a watch that ends without a change, one of 1 a change.
+// BenchmarkListing measures the bytes on the wire and the time to read a list, by its size. docs/CAPACITY.md uses the
+// results. Size 0 stands for a watch call that ends without a change, size 1 for a single change.
 func BenchmarkListing(b *testing.B) {
 	for _, size := range []int{0, 1, 37, 1000, 18_000} {
 		b.Run(fmt.Sprint(size), func(b *testing.B) { benchmarkListing(b, size) })
@@ -38,12 +38,12 @@
 
 func benchmarkListing(b *testing.B, size int) {
 	b.Helper()
-	text, err := json.Marshal(completeListing(size))
+	body, err := json.Marshal(completeListing(size))
 	if err != nil {
 		b.Fatal(err)
 	}
 	server := httptest.NewUnstartedServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
-		if _, err := w.Write(text); err != nil {
+		if _, err := w.Write(body); err != nil {
 			b.Error(err)
 		}
 	}))
@@ -60,10 +60,10 @@
 			b.Fatal(len(listing.Members), err)
 		}
 	}
-	b.ReportMetric(float64(len(text)), "bytes/list")
+	b.ReportMetric(float64(len(body)), "bytes/list")
 	b.ReportMetric(float64(listener.bytes.Load())/float64(b.N), "bytes/call")
 	if size > 0 {
-		b.ReportMetric(float64(len(text))/float64(size), "bytes/entry")
+		b.ReportMetric(float64(len(body))/float64(size), "bytes/entry")
 		b.ReportMetric(float64(b.Elapsed().Nanoseconds())/float64(b.N)/float64(size), "ns/entry")
 	}
 }
--- a/internal/discovery/listing_test.go
+++ b/internal/discovery/listing_test.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// TestStartTimeIsUnixTime: an upstream that started before this process is warming up as long as at other balancers;
-// one that started long ago is not.
+// TestStartTimeIsUnixTime: all balancers must agree on when an upstream is warm, so its start time is Unix time, also
+// if it started before this process. A start time of 0 means long ago.
 func TestStartTimeIsUnixTime(t *testing.T) {
 	member := Member{ID: "s-1", Phase: PhaseUp, UpSinceMS: time.Now().Add(-3 * time.Second).UnixMilli()}
 	age := time.Duration(time.Now().UnixNano()) - member.Upstream(1).StartedAt
--- a/internal/discovery/numbering.go
+++ b/internal/discovery/numbering.go
@@ -7,23 +7,25 @@
 	"olivearch/balancer"
 )
 
-// Numbering maps the ids of a discovery service to the numbers by which the decision module knows upstreams. It is
+// Numbering maps the ids of a discovery service to the numbers that identify upstreams in the decision module. It is
 // not safe for concurrent use.
 //
-// The module orders upstreams by these numbers, so all balancers must come to the same: an id of "s-" and up to eight
-// hex digits has that number, and any other id the FNV-1a hash of its text. If two ids come to one number, the later
-// one is hashed again with a count appended until a number is free. The entries of a list get their numbers in the
-// order of their ids, so balancers differ at most in which of two such ids came first: their rings differ then, but no
-// two upstreams are ever mixed up. An id keeps its number until Forget.
+// The decision module orders upstreams by number, so all balancers must give an id the same number. An id of "s-" and
+// up to eight hex digits has the number that these digits spell. Any other id has the FNV-1a hash of its text. If
+// another id already has that number, the id is hashed again with a counter appended until a number is free.
+//
+// The entries of a list get their numbers in the order of their ids. Balancers can still disagree on two colliding ids
+// if they received these in a different order: their rings then differ, but two upstreams never share a number. An id
+// keeps its number until Forget.
 type Numbering struct {
-	owners   map[balancer.UpstreamID]string // the id that has the number
-	rehashed map[string]balancer.UpstreamID // ids whose own number was another's
+	owners   map[balancer.UpstreamID]string // id of each number in use
+	rehashed map[string]balancer.UpstreamID // ids whose default number was taken
 }
 
-// NewNumbering returns a Names without ids.
+// NewNumbering returns a Numbering without ids.
 func NewNumbering() *Numbering { return NewNumberingWithCapacity(0) }
 
-// NewNumberingWithCapacity returns a Names without ids, with room for so many.
+// NewNumberingWithCapacity returns a Numbering without ids, with space for the given number of them.
 func NewNumberingWithCapacity(capacity int) *Numbering {
 	return &Numbering{
 		owners:   make(map[balancer.UpstreamID]string, capacity),
@@ -31,67 +33,68 @@
 	}
 }
 
-// ID returns the number of an id, which gets one if it has none.
-func (n *Numbering) ID(text string) balancer.UpstreamID {
-	number, free, known := n.lookup(text)
+// ID returns the number of an id. An id without a number is given one.
+func (n *Numbering) ID(memberID string) balancer.UpstreamID {
+	number, free, known := n.lookup(memberID)
 	if known {
 		return number
 	}
 	for attempt := 0; !free; attempt++ {
-		number = HashID(text + "#" + strconv.Itoa(attempt))
+		number = HashID(memberID + "#" + strconv.Itoa(attempt))
 		_, taken := n.owners[number]
 		free = !taken
 		if free {
-			n.rehashed[text] = number
+			n.rehashed[memberID] = number
 		}
 	}
-	n.owners[number] = text
+	n.owners[number] = memberID
 	return number
 }
 
-// lookup returns the number of an id if it has one (known), and else its own number and whether that is free.
-func (n *Numbering) lookup(text string) (id balancer.UpstreamID, free, known bool) {
+// lookup returns the number of an id, with known set, if the id has one. Else it returns the default number of the id
+// and whether that is free.
+func (n *Numbering) lookup(memberID string) (number balancer.UpstreamID, free, known bool) {
 	if len(n.rehashed) > 0 {
-		id, known = n.rehashed[text]
+		number, known = n.rehashed[memberID]
 		if known {
-			return id, false, true
+			return number, false, true
 		}
 	}
-	id = ownNumber(text)
-	owner, taken := n.owners[id]
-	return id, !taken, taken && owner == text
+	number = defaultNumber(memberID)
+	owner, taken := n.owners[number]
+	return number, !taken, taken && owner == memberID
 }
 
-// Known returns the number of an id, and whether it has one.
-func (n *Numbering) Known(text string) (id balancer.UpstreamID, ok bool) {
-	id, _, ok = n.lookup(text)
+// Known returns the number of an id, or 0 and false if the id has none.
+func (n *Numbering) Known(memberID string) (number balancer.UpstreamID, ok bool) {
+	number, _, ok = n.lookup(memberID)
 	if !ok {
-		id = 0
+		number = 0
 	}
-	return id, ok
+	return number, ok
 }
 
 // Len returns how many ids have a number.
 func (n *Numbering) Len() int { return len(n.owners) }
 
-// Forget frees the number of an id that is removed and has no attempt in flight: upstreams come and go all day under
-// ids that are always new. An id that comes back gets the number that its text gives.
-func (n *Numbering) Forget(text string) {
-	if id, known := n.Known(text); known {
-		delete(n.owners, id)
-		delete(n.rehashed, text)
+// Forget frees the number of an id. The id must be removed and have no attempt in flight. Without Forget the maps would
+// grow without limit, as new upstreams keep arriving under new ids. An id that returns later is numbered as a new one.
+func (n *Numbering) Forget(memberID string) {
+	if number, known := n.Known(memberID); known {
+		delete(n.owners, number)
+		delete(n.rehashed, memberID)
 	}
 }
 
-// ownNumber returns the number that an id has unless that is another's.
-func ownNumber(text string) balancer.UpstreamID {
-	digits, ok := strings.CutPrefix(text, "s-")
+// defaultNumber returns the number of an id that collides with no other.
+func defaultNumber(memberID string) balancer.UpstreamID {
+	digits, ok := strings.CutPrefix(memberID, "s-")
 	if !ok {
-		return HashID(text)
+		return HashID(memberID)
 	}
 	number, err := strconv.ParseUint(digits, 16, 32)
 	if err != nil {
-		return HashID(text)
+		return HashID(memberID)
 	}
 	return balancer.UpstreamID(number)
 }
@@ -102,7 +105,7 @@
 	fnvPrime       = 16777619
 )
 
-// HashID returns the 32-bit FNV-1a hash of a text.
+// HashID returns the 32-bit FNV-1a hash of a text, such as an id or the value of a cookie.
 func HashID(text string) balancer.UpstreamID {
 	hash := uint32(fnvOffsetBasis)
 	for i := range len(text) {
--- a/internal/discovery/timing.go
+++ b/internal/discovery/timing.go
@@ -2,40 +2,44 @@
 
 import "time"
 
-// NotifiedWithin is when a change counts as notified after the service had it and could be reached, whether or not it
-// arrived (PROTOCOL, Figures). The worst case is a watch that becomes unresponsive as soon as it is open, right before
-// the change: this is noticed after WatchWait and WatchGrace, then the decision module's first backoff passes, and the
-// next call waits in the service's queue. docs/design/membership.md has the sum; TestChangeIsNotifiedInTime checks it.
+// NotifiedWithin is the time after which a balancer counts as notified of a change, whether or not the change arrived.
+// It runs from when the service has the change and can be reached (PROTOCOL, Figures).
+//
+// In the worst case a watch becomes unresponsive as soon as it is open, right before the change. This is noticed after
+// WatchWait and WatchGrace. Then the decision module's first backoff passes, and the next call waits in the service's
+// queue. docs/design/membership.md has the sum; TestChangeIsNotifiedInTime checks it.
 const NotifiedWithin = 6 * time.Second
 
-// The bounds of calls to a discovery service that is polled.
+// The time limits of calls to a discovery service that is polled.
 const (
-	// WatchWait is how long the service may hold a watch call until there is a change. An unresponsive watch is
-	// noticed by nothing else: the system of a machine whose service hangs still answers TCP keep-alive.
+	// WatchWait is how long the service may hold a watch call until there is a change. Only this limit detects an
+	// unresponsive watch: the kernel of a machine whose service hangs still answers TCP keep-alive probes.
 	WatchWait = 2 * time.Second
-	// WatchGrace is how much later than WatchWait the answer may come.
+	// WatchGrace is how long after WatchWait the answer may arrive.
 	WatchGrace = 1200 * time.Millisecond
-	// ListTimeout bounds a call for the complete list. The service rejects or abandons it before that.
+	// ListTimeout bounds a call for the complete list. The service rejects or abandons the call before that.
 	ListTimeout = 2500 * time.Millisecond
 )
 
-// The bounds of calls to an agent that pushes, which answers at once or not at all.
+// The time limits of calls to an agent that pushes lists. They are shorter, as an agent answers immediately or not at
+// all.
 const (
-	// PushWait is WatchWait at an agent.
+	// PushWait is the WatchWait of calls to an agent.
 	PushWait = time.Second
-	// PushGrace is WatchGrace at an agent, and bounds a call for the complete list too.
+	// PushGrace is the WatchGrace of calls to an agent. It also bounds a call for the complete list.
 	PushGrace = 500 * time.Millisecond
 )
 
-// WatchPause is the least time from one watch call to the next: an agent that answers at once must not keep the
-// processor busy. The service takes a call up to 200 ms after its last answer for the same watch.
+// WatchPause is the minimum time from the start of one watch call to the next, so that an agent that answers
+// immediately does not keep a processor busy. It must stay below 200 ms: the service takes the next call of a watch
+// only up to that long after its last answer.
 const WatchPause = 100 * time.Millisecond
 
-// callLimits are the bounds of the calls of one watch.
+// callLimits are the time limits of the calls of one watch.
 type callLimits struct {
-	wait        time.Duration // for a change, by the service
-	grace       time.Duration // after wait, until the answer is here
-	listTimeout time.Duration // of a call for the complete list
+	wait        time.Duration // how long the service may wait for a change
+	grace       time.Duration // how long after wait the answer may arrive
+	listTimeout time.Duration // for a call for the complete list
 }
 
 var (
--- a/internal/discovery/timing_test.go
+++ b/internal/discovery/timing_test.go
@@ -5,13 +5,13 @@
 	"time"
 )
 
-// TestChangeIsNotifiedInTime checks the worst cases from a change to its event against what the protocol allows, by the
-// bounds of this package and of the decision module (docs/design/membership.md).
+// TestChangeIsNotifiedInTime adds up the worst cases from a change to its event, from the limits of this package and of
+// the decision module (docs/design/membership.md). None may exceed NotifiedWithin.
 func TestChangeIsNotifiedInTime(t *testing.T) {
 	const (
-		firstBackoff = 470 * time.Millisecond  // of the decision module: up to 3/2 of a 32nd of 10 s
+		firstBackoff = 470 * time.Millisecond  // the decision module's: up to 3/2 of 1/32 of 10 s
 		lastBackoff  = 2250 * time.Millisecond // up to 3/2 of maxWatchBackoff
-		queueTime    = 2 * time.Second         // for which the service lets a call wait before it rejects it
+		queueTime    = 2 * time.Second         // how long the service queues a call before it rejects it
 	)
 	for _, test := range []struct {
 		name  string
