--- a/internal/conventions/imports_test.go
+++ b/internal/conventions/imports_test.go
@@ -12,13 +12,13 @@
 
 const module = "olivearch/"
 
-// listedPackage is what these tests read of the output of go list.
+// listedPackage has the fields of the output of go list that these tests read.
 type listedPackage struct {
 	ImportPath string
 	Imports    []string
 }
 
-// listPackages runs go list with further arguments, from the module's root.
+// listPackages runs go list with additional arguments in the root folder of the module.
 func listPackages(t *testing.T, arguments ...string) []listedPackage {
 	t.Helper()
 	command := exec.Command("go", append([]string{"list", "-json=ImportPath,Imports"}, arguments...)...)
@@ -40,8 +40,8 @@
 	}
 }
 
-// layers are the packages that run in a balancer or a coordination server, those that import nothing of the module
-// last: docs/ARCHITECTURE.md has the same table. A package imports packages of later layers only.
+// layers are the packages that run in a balancer or a coordination server. A package imports only packages of later
+// layers, so those of the last layer import none of the others. docs/ARCHITECTURE.md has the same table.
 var layers = [][]string{
 	{"cmd/olivearch", "cmd/olivearch-coordinator", "cmd/simadapter"},
 	{"internal/service"},
@@ -75,13 +75,13 @@
 		for _, imported := range importer.Imports {
 			importedLayer, layered := layerOf[imported]
 			if layered && importedLayer <= importerLayer {
-				t.Errorf("%s imports %s, which is not of a later layer", importer.ImportPath, imported)
+				t.Errorf("%s imports %s, which is not in a later layer", importer.ImportPath, imported)
 			}
 		}
 	}
 }
 
-// TestBalancerLinksNoConsensusOrExperiments: a balancer's process carries no library that only coordination servers,
+// TestBalancerLinksNoConsensusOrExperiments: the balancer's program links no package that only coordination servers,
 // fault tests or experiments need.
 func TestBalancerLinksNoConsensusOrExperiments(t *testing.T) {
 	unwanted := []string{
@@ -99,24 +99,24 @@
 	}
 }
 
-// TestDecisionsHaveNoInputOrOutput: packages that decide take events and the time, and import nothing with which they
-// could read, write, wait or log.
+// TestDecisionsHaveNoInputOrOutput: packages that make decisions get events and the time from their caller. They import
+// no package with which they could do input or output, block or log.
 func TestDecisionsHaveNoInputOrOutput(t *testing.T) {
-	decisions := []string{
+	decisionPackages := []string{
 		"./balancer", "./internal/coordination/state", "./internal/coordination/membership", "./internal/override",
 		"./internal/sharedlimit", "./internal/route",
 	}
 	forbidden := []string{"os", "net", "net/http", "log", "log/slog", "context", "sync", "os/exec", "syscall"}
-	for _, decider := range listPackages(t, decisions...) {
-		for _, imported := range decider.Imports {
+	for _, importer := range listPackages(t, decisionPackages...) {
+		for _, imported := range importer.Imports {
 			if slices.Contains(forbidden, imported) {
-				t.Errorf("%s imports %s", decider.ImportPath, imported)
+				t.Errorf("%s imports %s", importer.ImportPath, imported)
 			}
 		}
 	}
 }
 
-// TestGoldenIsForTestsOnly: what compares golden files is linked by no program.
+// TestGoldenIsForTestsOnly: no program links the comparison of golden files.
 func TestGoldenIsForTestsOnly(t *testing.T) {
 	for _, importer := range listPackages(t, "./...") {
 		if slices.Contains(importer.Imports, module+"internal/golden") {
--- a/internal/conventions/logs_test.go
+++ b/internal/conventions/logs_test.go
@@ -13,26 +13,28 @@
 	"testing"
 )
 
-// logMessage is the form of a log message: a few lower-case words, without a figure, a colon or an end mark. What
-// varies is in the attributes.
+// logMessage is the form of a log message: lower-case letters, digits, spaces and hyphens, with a letter at both ends.
+// Variable facts belong in the attributes.
 var logMessage = regexp.MustCompile(`^[a-z][a-z0-9 -]*[a-z]$`)
 
-// logKeys are the keys of log attributes; docs/operate/on-call.md says what they mean.
+// logKeys are the keys of log attributes. docs/operate/on-call.md describes them.
 var logKeys = []string{
 	"address", "answer", "classes", "cluster", "config", "endpoints", "err", "event", "failed_reads", "id", "kind",
 	"line", "listen", "name", "newest", "overrides", "path", "pool", "pools", "previous", "reason", "replaced",
 	"request", "revision", "routes", "signal", "stack", "term", "type", "upstream", "voters",
 }
 
-// unfinishedLogs are folders whose log messages are not brought to this form yet. The list only ever gets shorter.
-var unfinishedLogs = []string{
+// uncheckedFolders are the folders whose log messages do not have this form yet. Folders are only removed from this
+// list.
+var uncheckedFolders = []string{
 	"benchmarks", "internal/demo", "internal/experiment", "internal/faulttest", "internal/standin",
 }
 
-// logWriter writes the lines that a pool's event loop has queued with logInfo: their messages are checked there.
+// logWriter is the file that writes the log lines which a pool's event loop has queued. It is not checked, as the calls
+// of logInfo that queue these lines are.
 const logWriter = "internal/pool/log.go"
 
-// logCalls are the functions of log/slog that write a line.
+// logCalls are the functions of log/slog that write a log line.
 var logCalls = []string{"Debug", "Info", "Warn", "Error"}
 
 func TestLogMessagesAndKeys(t *testing.T) {
@@ -58,7 +60,7 @@
 	}
 }
 
-// walkSources calls visit for each Go file below a folder that is no test and in no folder of unfinishedLogs.
+// walkSources calls visit for each Go file below a folder, except tests, logWriter and files in uncheckedFolders.
 func walkSources(t *testing.T, folder string, visit func(path string)) {
 	t.Helper()
 	err := filepath.WalkDir(folder, func(path string, entry fs.DirEntry, err error) error {
@@ -67,7 +69,7 @@
 		}
 		name := strings.TrimPrefix(filepath.ToSlash(path), "../../")
 		if entry.IsDir() {
-			if slices.Contains(unfinishedLogs, name) {
+			if slices.Contains(uncheckedFolders, name) {
 				return fs.SkipDir
 			}
 			return nil
@@ -82,7 +84,7 @@
 	}
 }
 
-// stringConstants are the string constants that a file declares, by name.
+// stringConstants returns the string constants that a file declares, by name.
 func stringConstants(file *ast.File) map[string]string {
 	constants := map[string]string{}
 	ast.Inspect(file, func(node ast.Node) bool {
@@ -100,7 +102,7 @@
 	return constants
 }
 
-// literal returns the value of a string literal.
+// literal returns the value of a string literal, and false for any other expression.
 func literal(expression ast.Expr) (string, bool) {
 	basic, ok := expression.(*ast.BasicLit)
 	if !ok || basic.Kind != token.STRING {
@@ -110,7 +112,7 @@
 	return text, err == nil
 }
 
-// isLogCall reports whether a call is one of slog's, with its package's name, or queues a line in an event loop.
+// isLogCall reports whether a call writes a log line with a function of slog, or queues one with logInfo.
 func isLogCall(call *ast.CallExpr) bool {
 	selector, ok := call.Fun.(*ast.SelectorExpr)
 	if !ok {
@@ -131,7 +133,7 @@
 		message, ok = constants[name.Name]
 	}
 	if !ok {
-		t.Errorf("%s: the message of a log call is no constant of its file", path)
+		t.Errorf("%s: the message of a log call is not a constant of its file", path)
 		return
 	}
 	if !logMessage.MatchString(message) {
@@ -140,9 +142,9 @@
 	for i := 1; i < len(call.Args); i += 2 {
 		key, ok := literal(call.Args[i])
 		if !ok {
-			t.Errorf("%s: log message %q: a key is no string literal", path, message)
+			t.Errorf("%s: log message %q: a key is not a string literal", path, message)
 		} else if !slices.Contains(logKeys, key) {
-			t.Errorf("%s: log message %q: the key %q is not among those of on-call.md", path, message, key)
+			t.Errorf("%s: log message %q: the key %q is not in logKeys and on-call.md", path, message, key)
 		}
 	}
 }
--- a/internal/golden/golden.go
+++ b/internal/golden/golden.go
@@ -1,7 +1,7 @@
-// Package golden compares what a test has produced with a file that an earlier version wrote. The files pin
-// what other processes, operators and stored data rely on: messages, stored forms, metric names, JSON keys
-// and flags. They change only with a deliberate change of such a form, by running the tests with
-// UPDATE_GOLDEN=1.
+// Package golden compares the output of a test with a golden file that an earlier version wrote. Only tests import it.
+//
+// Golden files pin the forms that other processes, operators and stored data rely on: messages, stored data, metric
+// names, JSON keys and flags. A deliberate change of such a form is recorded by running the tests with UPDATE_GOLDEN=1.
 package golden
 
 import (
@@ -16,13 +16,13 @@
 	"github.com/google/go-cmp/cmp"
 )
 
-// updateVariable is the environment variable that makes Compare write files instead of reading them.
+// updateVariable is the environment variable that makes Compare write golden files instead of reading them.
 const updateVariable = "UPDATE_GOLDEN"
 
-// Updating reports whether golden files are to be written anew.
+// Updating reports whether the tests are to overwrite the golden files.
 func Updating() bool { return os.Getenv(updateVariable) != "" }
 
-// Compare fails the test if got differs from the contents of testdata/name.
+// Compare fails the test if got differs from the contents of testdata/name. If Updating, it writes the file instead.
 func Compare(t testing.TB, name, got string) {
 	t.Helper()
 	path := filepath.Join("testdata", name)
@@ -44,49 +44,49 @@
 	}
 }
 
-// Keys lists the keys of the encoded form of a type, one a line with the kind of its value, as in "nodes[].id
-// string". The names come from struct tags of the given name, such as "json" or "yaml". Names of Go types and
-// fields do not show.
-func Keys(of reflect.Type, tag string) string {
+// Keys lists the keys of the encoded form of a type in order, one per line with the kind of its value, such as
+// "nodes[].id string". The keys come from struct tags of the given name, such as "json" or "yaml". A field without a
+// tag is listed by its Go name, and a struct without any tags as one value.
+func Keys(goType reflect.Type, tag string) string {
 	var lines []string
-	collectKeys(of, tag, "", nil, &lines)
+	collectKeys(goType, tag, "", nil, &lines)
 	slices.Sort(lines)
 	return strings.Join(lines, "\n") + "\n"
 }
 
-func collectKeys(of reflect.Type, tag, path string, outer []reflect.Type, lines *[]string) {
-	switch of.Kind() {
+func collectKeys(goType reflect.Type, tag, path string, enclosing []reflect.Type, lines *[]string) {
+	switch goType.Kind() {
 	case reflect.Pointer:
-		collectKeys(of.Elem(), tag, path, outer, lines)
+		collectKeys(goType.Elem(), tag, path, enclosing, lines)
 	case reflect.Slice, reflect.Array:
-		collectKeys(of.Elem(), tag, path+"[]", outer, lines)
+		collectKeys(goType.Elem(), tag, path+"[]", enclosing, lines)
 	case reflect.Map:
-		collectKeys(of.Elem(), tag, path+"{}", outer, lines)
+		collectKeys(goType.Elem(), tag, path+"{}", enclosing, lines)
 	case reflect.Struct:
-		collectStructKeys(of, tag, path, outer, lines)
+		collectStructKeys(goType, tag, path, enclosing, lines)
 	default:
-		*lines = append(*lines, path+" "+of.Kind().String())
+		*lines = append(*lines, path+" "+goType.Kind().String())
 	}
 }
 
-func collectStructKeys(of reflect.Type, tag, path string, outer []reflect.Type, lines *[]string) {
-	if slices.Contains(outer, of) {
+func collectStructKeys(goType reflect.Type, tag, path string, enclosing []reflect.Type, lines *[]string) {
+	if slices.Contains(enclosing, goType) {
 		*lines = append(*lines, path+" (as above)")
 		return
 	}
-	outer = append(slices.Clone(outer), of)
-	if of.NumField() == 0 || !hasTag(of, tag) {
+	enclosing = append(slices.Clone(enclosing), goType)
+	if goType.NumField() == 0 || !hasTag(goType, tag) {
 		*lines = append(*lines, path+" value")
 		return
 	}
-	for i := range of.NumField() {
-		field := of.Field(i)
+	for i := range goType.NumField() {
+		field := goType.Field(i)
 		name, options, _ := strings.Cut(field.Tag.Get(tag), ",")
 		if name == "-" || !field.IsExported() {
 			continue
 		}
 		if field.Anonymous && name == "" || strings.Contains(options, "inline") {
-			collectKeys(field.Type, tag, path, outer, lines)
+			collectKeys(field.Type, tag, path, enclosing, lines)
 			continue
 		}
 		if name == "" {
@@ -95,13 +95,13 @@
 		if options != "" {
 			name = fmt.Sprintf("%s(%s)", name, options)
 		}
-		collectKeys(field.Type, tag, strings.TrimPrefix(path+"."+name, "."), outer, lines)
+		collectKeys(field.Type, tag, strings.TrimPrefix(path+"."+name, "."), enclosing, lines)
 	}
 }
 
-func hasTag(of reflect.Type, tag string) bool {
-	for i := range of.NumField() {
-		if field := of.Field(i); field.Tag.Get(tag) != "" || field.Anonymous {
+func hasTag(goType reflect.Type, tag string) bool {
+	for i := range goType.NumField() {
+		if field := goType.Field(i); field.Tag.Get(tag) != "" || field.Anonymous {
 			return true
 		}
 	}
--- a/internal/protomsg/protomsg_test.go
+++ b/internal/protomsg/protomsg_test.go
@@ -7,7 +7,7 @@
 	"testing"
 )
 
-// TestWriter states the bytes of each kind of field, as protobuf.dev's page on encoding has them.
+// TestWriter compares the bytes of each kind of field with those that protobuf.dev's page on encoding gives.
 func TestWriter(t *testing.T) {
 	cases := []struct {
 		name  string
@@ -51,8 +51,9 @@
 	}
 }
 
-// TestEach states which fields a message is read as; fields of wire types that are not written here are skipped.
-func TestEach(t *testing.T) {
+// TestEachField checks which fields are read from a message. Fields of wire types that Writer does not write are
+// skipped.
+func TestEachField(t *testing.T) {
 	cases := []struct {
 		name    string
 		message []byte
@@ -60,7 +61,11 @@
 	}{
 		{name: "empty"},
 		{name: "varint", message: []byte{0x08, 0x96, 0x01}, want: []Field{{Number: 1, Uint: 150}}},
-		{name: "string", message: []byte{0x12, 0x01, 'a'}, want: []Field{{Number: 2, Raw: []byte("a"), bytes: true}}},
+		{
+			name:    "string",
+			message: []byte{0x12, 0x01, 'a'},
+			want:    []Field{{Number: 2, Raw: []byte("a"), isBytes: true}},
+		},
 		{
 			name:    "a 32-bit field between two varints",
 			message: []byte{0x08, 0x01, 0x15, 1, 2, 3, 4, 0x18, 0x02},
@@ -81,7 +86,7 @@
 	}
 }
 
-// TestMalformed states what is reported as ErrMalformed, and that an error of the visitor comes back.
+// TestMalformed checks that malformed messages are reported as ErrMalformed, and that an error of visit is returned.
 func TestMalformed(t *testing.T) {
 	ignore := func(Field) error { return nil }
 	var text string
@@ -110,6 +115,6 @@
 
 	errVisit := errors.New("stop")
 	if err := EachField([]byte{0x08, 0x01}, func(Field) error { return errVisit }); !errors.Is(err, errVisit) {
-		t.Errorf("got %v, want the visitor's error", err)
+		t.Errorf("got %v, want the error of visit", err)
 	}
 }
--- a/internal/protomsg/reader.go
+++ b/internal/protomsg/reader.go
@@ -7,33 +7,34 @@
 	"google.golang.org/protobuf/encoding/protowire"
 )
 
-// Field is one field of a message that is being read.
+// Field is one field of a message that was read.
 type Field struct {
-	Number protowire.Number
-	Uint   uint64 // value of a varint; 0 for other wire types
-	Raw    []byte // value of a string, bytes or nested message; it shares memory with the message
-	bytes  bool   // the wire type is length-delimited bytes
+	Number  protowire.Number
+	Uint    uint64 // value of a varint; 0 for other wire types
+	Raw     []byte // value of a string, bytes or nested message; shares memory with the message
+	isBytes bool   // the wire type is length-delimited bytes
 }
 
-// Int returns the value of a signed integer.
+// Int returns the value of a signed integer that Writer.Int has written.
 func (f Field) Int() int64 { return protowire.DecodeZigZag(f.Uint) }
 
 // Bool returns the value of a boolean.
 func (f Field) Bool() bool { return f.Uint != 0 }
 
-// Text stores the value of a string in *into. The error wraps ErrMalformed if the field is no string, is not valid
-// UTF-8 or is longer than maxLength bytes; *into is unchanged then.
-func (f Field) Text(into *string, maxLength int) error {
-	if !f.bytes || len(f.Raw) > maxLength || !utf8.Valid(f.Raw) {
-		return fmt.Errorf("%w: field %d is no text of at most %d bytes", ErrMalformed, f.Number, maxLength)
+// Text stores the value of a string in *target. If the field is not a string, is not valid UTF-8 or is longer than
+// maxLength bytes, it returns an error that wraps ErrMalformed and leaves *target unchanged.
+func (f Field) Text(target *string, maxLength int) error {
+	if !f.isBytes || len(f.Raw) > maxLength || !utf8.Valid(f.Raw) {
+		return fmt.Errorf("%w: field %d is not UTF-8 text of at most %d bytes",
+			ErrMalformed, f.Number, maxLength)
 	}
-	*into = string(f.Raw)
+	*target = string(f.Raw)
 	return nil
 }
 
-// EachField calls visit for each field of a message, in order, and stops at the first error. It returns the error of
-// visit as it is; one about the message itself wraps ErrMalformed. Fields of wire types that this package does not
-// write, which a newer version may use, are skipped.
+// EachField calls visit for each field of a message, in order, and stops at the first error. It returns errors of visit
+// unchanged; errors about the message itself wrap ErrMalformed. EachField skips fields of wire types that this package
+// does not write: a newer version may use them.
 func EachField(message []byte, visit func(Field) error) error {
 	for len(message) > 0 {
 		field, known, length, err := consumeField(message)
@@ -51,8 +52,8 @@
 	return nil
 }
 
-// consumeField reads the first field of a message and returns its length in bytes, tag included. Whether the wire type
-// is one that this package writes is reported by known; the field's value is set only then.
+// consumeField reads the first field of a message and returns its length in bytes, including the tag. known reports
+// whether this package writes the field's wire type; only then is the field's value set.
 func consumeField(message []byte) (field Field, known bool, length int, err error) {
 	number, wireType, tagLength := protowire.ConsumeTag(message)
 	if tagLength < 0 {
@@ -67,7 +68,7 @@
 		field.Uint, valueLength = protowire.ConsumeVarint(encoded)
 	case protowire.BytesType:
 		field.Raw, valueLength = protowire.ConsumeBytes(encoded)
-		field.bytes = true
+		field.isBytes = true
 	default:
 		known = false
 		valueLength = protowire.ConsumeFieldValue(number, wireType, encoded)
--- a/internal/protomsg/writer.go
+++ b/internal/protomsg/writer.go
@@ -5,7 +5,7 @@
 // Writer builds a message by appending its fields. The zero value is an empty message.
 type Writer struct{ encoded []byte }
 
-// Bytes returns the message as written so far. The Writer keeps appending to the same memory.
+// Bytes returns the message written so far. The Writer may append later fields to the same memory.
 func (w *Writer) Bytes() []byte { return w.encoded }
 
 // Uint appends an unsigned integer as a varint, unless it is zero.
@@ -39,7 +39,8 @@
 	}
 }
 
-// Message appends a nested message that fill writes. An empty one is written too: it counts as an element of a list.
+// Message appends a nested message, whose fields fill writes. An empty message is written too, as it may be an element
+// of a repeated field.
 func (w *Writer) Message(field protowire.Number, fill func(*Writer)) {
 	var nested Writer
 	fill(&nested)
