--- a/internal/endpointlist/filecheck.go
+++ b/internal/endpointlist/filecheck.go
@@ -7,42 +7,42 @@
 	"olivearch/internal/strictyaml"
 )
 
-// fileCheck is one check of a list's file. It runs on a goroutine of its own, as a file system may block it.
+// fileCheck is one check of the file of a list. It runs on its own goroutine, as a slow file system may block it.
 type fileCheck struct {
-	path   string
-	before FileState
-	reread bool // read the file also if its stamp is the same
-	// settled is that a change was seen some time ago. Else one that is found now may be in progress, and is left to a
-	// later check.
+	path     string
+	previous FileState // the file when it was last read
+	reread   bool      // read the file even if its stamp is unchanged
+	// settled means that a changed file may be read: the settle time has passed, or this is the first check.
+	// Otherwise a change that this check finds may be incomplete, and a later check reads the file.
 	settled bool
 
-	// The results.
-	unsettled    bool // there is a change that may be in progress
+	// The results of run.
+	unsettled    bool // the file has a change that may be incomplete
 	startedAt    time.Time
 	stamp        stamp
 	linked       bool // the path is a symbolic link
 	hash         uint64
 	stampChanged bool
 	wasRead      bool
-	parsed       bool // the text differs from the one before, and was parsed
+	parsed       bool // the text has changed and was parsed
 	list         List
-	err          error // of the file, or of its text if that was parsed
+	err          error // from access to the file, or from parsing its text
 }
 
-// checkResult is a check that has ended.
+// checkResult is a check that has ended, with its subscription.
 type checkResult struct {
 	*Subscription
 	fileCheck
 }
 
-// run checks the file. While it parses it occupies one of the slots.
+// run checks the file. It parses only while it holds one of parseSlots.
 func (c *fileCheck) run(stat statFunc, parseSlots chan struct{}) {
 	c.startedAt = time.Now()
 	c.stamp, c.linked, c.err = stat(c.path)
 	if c.err != nil {
 		return
 	}
-	c.stampChanged = c.stamp != c.before.stamp
+	c.stampChanged = c.stamp != c.previous.stamp
 	if !c.stampChanged && !c.reread {
 		return
 	}
@@ -57,26 +57,26 @@
 	}
 	c.wasRead = true
 	c.hash = maphash.Bytes(hashSeed, text)
-	if !c.before.readAt.IsZero() && c.hash == c.before.hash {
+	if !c.previous.readAt.IsZero() && c.hash == c.previous.hash {
 		return
 	}
-	parseSlots <- struct{}{} // most processors are left to requests
+	parseSlots <- struct{}{} // bounds the processors that parsing takes from requests
 	c.parsed = true
 	c.list, c.err = Parse(c.path, text)
 	<-parseSlots
 }
 
-// startCheck starts a check of a list.
+// startCheck starts a check of a list on a new goroutine.
 func (w *Watcher) startCheck(subscription *Subscription) {
 	last := subscription.lastRead
 	ambiguous := !subscription.confirmed && !last.readAt.IsZero()
 	result := &checkResult{subscription, fileCheck{
-		path:    subscription.path,
-		before:  last,
-		settled: !subscription.changeSeen.IsZero() || !subscription.checked,
-		reread:  ambiguous && time.Since(last.readAt) >= last.stamp.ambiguousFor(),
+		path:     subscription.path,
+		previous: last,
+		settled:  !subscription.changeSeenAt.IsZero() || !subscription.checked,
+		reread:   ambiguous && time.Since(last.readAt) >= last.stamp.ambiguousFor(),
 	}}
-	subscription.changeSeen = time.Time{}
+	subscription.changeSeenAt = time.Time{}
 	subscription.checked = true
 	go func() {
 		result.run(w.stat, w.parseSlots)
@@ -87,7 +87,7 @@
 	}()
 }
 
-// checkFinished takes the result of a check, and schedules the next.
+// checkFinished records the result of a check, notifies the subscriber and schedules the next check.
 func (w *Watcher) checkFinished(result *checkResult) {
 	subscription := result.Subscription
 	if subscription.stopped {
@@ -97,13 +97,13 @@
 		w.scheduleSettledCheck(subscription)
 		return
 	}
-	subscription.recordReading(&result.fileCheck)
-	subscription.notifyOf(&result.fileCheck)
+	subscription.recordState(&result.fileCheck)
+	subscription.notifyResult(&result.fileCheck)
 	w.scheduleNextCheck(subscription)
 }
 
-// recordReading records the state of the file.
-func (s *Subscription) recordReading(check *fileCheck) {
+// recordState records the state of the file that a check found.
+func (s *Subscription) recordState(check *fileCheck) {
 	s.lastRead.linked = check.linked
 	switch {
 	case check.wasRead:
@@ -114,12 +114,12 @@
 		s.lastRead.stamp = check.stamp
 		s.lastRead.hash = check.hash
 	case check.err != nil:
-		s.lastRead = FileState{} // so that the next check reads whatever is there
+		s.lastRead = FileState{} // so that the next check reads the file in any case
 	}
 }
 
-// notifyOf notifies the subscriber of what a check has found. An error is notified once, until it is another.
-func (s *Subscription) notifyOf(check *fileCheck) {
+// notifyResult notifies the subscriber of the result of a check. It skips an error that equals the last one.
+func (s *Subscription) notifyResult(check *fileCheck) {
 	switch {
 	case check.err != nil:
 		s.recordError(check.err)
@@ -135,7 +135,7 @@
 	}
 }
 
-// recordError counts an error, and notifies of it unless the check before found it too.
+// recordError counts an error, and notifies the subscriber unless the last check found the same error.
 func (s *Subscription) recordError(err error) {
 	text := err.Error()
 	if text != s.lastError {
--- a/internal/endpointlist/filestate.go
+++ b/internal/endpointlist/filestate.go
@@ -9,28 +9,28 @@
 	"olivearch/internal/strictyaml"
 )
 
-// How long after a stamp was first seen a file may still change and keep it. The system's clock for files ticks every
-// 10 ms at the slowest; a file system that keeps whole seconds only may keep every other one.
+// The times during which a file may change and keep its stamp, from when the stamp was first seen. The kernel's clock
+// for file times ticks at least every 10 ms. A file system without fractions of a second may store only even seconds.
 const (
 	ambiguousWithFineClock   = 50 * time.Millisecond
 	ambiguousWithCoarseClock = 2100 * time.Millisecond
 )
 
-// stamp identifies a state of a file, as far as the system's clock for files is fine enough: two writes of one length
-// within one of its ticks have the same stamp.
+// stamp identifies a state of a file. It is ambiguous within one tick of the kernel's clock for file times: two writes
+// of the same length within a tick leave the same stamp.
 type stamp struct {
 	dev, ino uint64
 	size     int64
-	// A file that is replaced or touched may keep its modification time (mtime), but never its status change time (ctime).
+	// A replaced or touched file may keep its modification time (mtime), but never its status change time (ctime).
 	modified, statusChanged syscall.Timespec
 }
 
-// fileID identifies a file or folder by device and inode, whatever path leads to it. The zero value is none.
+// fileID identifies a file or folder by device and inode, independent of its path. The zero value stands for no file.
 type fileID struct{ dev, ino uint64 }
 
 func (s stamp) id() fileID { return fileID{s.dev, s.ino} }
 
-// ambiguousFor returns how long after the stamp was first seen the file may still change and keep it.
+// ambiguousFor returns how long, from when the stamp was first seen, the file may change and keep this stamp.
 func (s stamp) ambiguousFor() time.Duration {
 	if s.modified.Nsec == 0 && s.statusChanged.Nsec == 0 {
 		return ambiguousWithCoarseClock
@@ -38,10 +38,10 @@
 	return ambiguousWithFineClock
 }
 
-// statFunc is statFile, or a test's replacement.
+// statFunc is the type of statFile, which tests replace.
 type statFunc func(path string) (s stamp, linked bool, err error)
 
-// statFile returns the stamp of a file, following symbolic links, and whether the path is one.
+// statFile returns the stamp of a file, and whether its path is a symbolic link. It follows links.
 func statFile(path string) (s stamp, linked bool, err error) {
 	info, err := os.Lstat(path)
 	if err == nil && info.Mode()&os.ModeSymlink != 0 {
@@ -62,7 +62,7 @@
 	return s, linked, nil
 }
 
-// FileState is the state of a list's file when it was read. The zero value is that of a file that was not read.
+// FileState is the state of the file of a list when it was read. The zero value stands for a file that was not read.
 type FileState struct {
 	stamp  stamp
 	linked bool   // the path is a symbolic link
@@ -70,14 +70,14 @@
 	readAt time.Time
 }
 
-// hashSeed is of this process: hashes are never stored.
+// hashSeed differs in each process, so hashes must not be stored.
 var hashSeed = maphash.MakeSeed()
 
-// Read reads and checks the list in a file, and returns the file's state too.
+// Read reads and checks the list in a file, and returns it with the state of the file.
 func Read(path string) (List, FileState, error) {
-	reading := FileState{readAt: time.Now()}
+	state := FileState{readAt: time.Now()}
 	var err error
-	reading.stamp, reading.linked, err = statFile(path)
+	state.stamp, state.linked, err = statFile(path)
 	if err != nil {
 		return List{}, FileState{}, err
 	}
@@ -85,7 +85,7 @@
 	if err != nil {
 		return List{}, FileState{}, err
 	}
-	reading.hash = maphash.Bytes(hashSeed, text)
+	state.hash = maphash.Bytes(hashSeed, text)
 	list, err := Parse(path, text)
-	return list, reading, err
+	return list, state, err
 }
--- a/internal/endpointlist/fixture_test.go
+++ b/internal/endpointlist/fixture_test.go
@@ -185,7 +185,7 @@
 	f.t.Helper()
 	f.waitUntil("lists are confirmed", func() bool {
 		for _, list := range lists {
-			if !list.confirmed || list.queueIndex == checkRunning || !list.changeSeen.IsZero() {
+			if !list.confirmed || list.queueIndex == checkRunning || !list.changeSeenAt.IsZero() {
 				return false
 			}
 		}
--- a/internal/endpointlist/folderevents.go
+++ b/internal/endpointlist/folderevents.go
@@ -8,13 +8,13 @@
 	"github.com/fsnotify/fsnotify"
 )
 
-// The backoff between attempts to watch folders after the system has refused that.
+// The limits of the backoff between attempts to watch folders after the system has refused a watch.
 const (
 	minRetryBackoff = time.Second
 	maxRetryBackoff = time.Minute
 )
 
-// startFolderCheck starts a check of all folders. While one is running, the next is started when it has ended.
+// startFolderCheck starts a check of all folders. If one is running, the next starts when it has ended.
 func (w *Watcher) startFolderCheck() {
 	if w.checkingFolders {
 		w.recheckFolders = true
@@ -49,14 +49,14 @@
 	}()
 }
 
-// folderCheckFinished takes the result of a folder check.
+// folderCheckFinished records the result of a folder check, and starts the next one if it is due.
 func (w *Watcher) folderCheckFinished(check *folderCheck) {
 	w.checkingFolders = false
 	if check.opened {
 		w.notifier = check.notifier
 		w.events, w.errors = check.notifier.Channels()
 	}
-	if check.notifier == w.notifier { // else the notifier was dropped meanwhile
+	if check.notifier == w.notifier { // otherwise the notifier was dropped during the check
 		w.recordWatched(check)
 		w.recordOutcome(check)
 	}
@@ -66,8 +66,8 @@
 	}
 }
 
-// recordWatched records which folders are watched, and schedules checks of the lists in those that were not: they may
-// have changed before.
+// recordWatched records which folders are watched. It schedules checks of the lists in newly watched folders, as they
+// may have changed before the watch was added.
 func (w *Watcher) recordWatched(check *folderCheck) {
 	for path := range check.followed {
 		if folder := w.folders[path]; folder != nil {
@@ -99,7 +99,7 @@
 		w.recordRefusal(check.refusal)
 		return
 	}
-	if !check.mayAdd { // nothing was attempted
+	if !check.mayAdd { // no watch was attempted
 		return
 	}
 	w.backoff = 0
@@ -119,8 +119,8 @@
 	}
 }
 
-// notifierFailed takes an error of the notifier. If events came faster than they were taken, some are lost, and all
-// lists are checked; after any other error the notifier is dropped too.
+// notifierFailed handles an error of the notifier. Events may be lost, so all lists are checked. The notifier is kept
+// only if its queue of events overflowed.
 func (w *Watcher) notifierFailed(err error) {
 	if !errors.Is(err, fsnotify.ErrEventOverflow) {
 		w.dropNotifier(err)
@@ -130,9 +130,9 @@
 	}
 }
 
-// dropNotifier closes the notifier. A later folder check opens another.
+// dropNotifier closes the notifier. A later folder check opens a new one.
 func (w *Watcher) dropNotifier(reason error) {
-	go w.notifier.Close() // it may wait until an event is taken
+	go w.notifier.Close() // may block until an event is received
 	w.notifier = nil
 	w.events = nil
 	w.errors = nil
@@ -143,9 +143,9 @@
 	w.recordRefusal(reason)
 }
 
-// eventArrived schedules checks of the lists that an event may be about.
+// eventArrived schedules checks of the lists that an event may concern.
 func (w *Watcher) eventArrived(event fsnotify.Event) {
-	// A folder was removed or renamed, or is in another one that is followed.
+	// A followed folder was removed or renamed, or is an entry of another followed folder.
 	if folder := w.folders[event.Name]; folder != nil {
 		w.folderChanged(folder, "")
 		w.startFolderCheck()
--- a/internal/endpointlist/folderwatch.go
+++ b/internal/endpointlist/folderwatch.go
@@ -9,7 +9,7 @@
 	"github.com/fsnotify/fsnotify"
 )
 
-// notifier sends events about changes in folders.
+// notifier sends events about changes in watched folders.
 type notifier interface {
 	Add(folder string) error
 	Remove(folder string) error
@@ -19,7 +19,7 @@
 	Channels() (<-chan fsnotify.Event, <-chan error)
 }
 
-// inotifyNotifier is the notifier of the system.
+// inotifyNotifier is the notifier that uses the inotify events of the system.
 type inotifyNotifier struct{ *fsnotify.Watcher }
 
 // Channels returns the channels of events and of the notifier's own errors.
@@ -33,35 +33,35 @@
 	return inotifyNotifier{watcher}, nil
 }
 
-// followedFolder is a folder with lists that are followed. While it is not watched its lists are polled.
+// followedFolder is a folder with followed lists. While the folder is not watched, its lists are polled.
 type followedFolder struct {
 	path          string
 	subscriptions map[string][]*Subscription // by file name
-	watched       fileID                     // the folder that is watched under this path; the zero value: none
+	watched       fileID                     // the folder that is watched under this path; zero if none
 }
 
-// folderCheck checks that each folder is watched, and that its path still leads to the folder that is watched. It runs
-// on a goroutine of its own, one at a time, as a file system may block it.
+// folderCheck checks that each followed folder is watched, and that its path still leads to the watched folder. It runs
+// on its own goroutine, as a slow file system may block it. Only one check runs at a time.
 type folderCheck struct {
-	notifier     notifier // nil: to be opened
+	notifier     notifier // nil: run opens one
 	openNotifier func() (notifier, error)
 	stat         statFunc
 	mayAdd       bool              // watches may be added: no backoff is running
-	followed     map[string]fileID // what was watched under the path of each folder before
-	unfollowed   []string          // paths that are followed no more
+	followed     map[string]fileID // by path: the folder that was watched under it before
+	unfollowed   []string          // paths that are no longer followed
 
-	// The results.
+	// The results of run.
 	opened  bool
-	watched map[string]fileID // what is watched under each path now
+	watched map[string]fileID // by path: the folder that is watched under it now
 	added   []string          // paths whose watches are new
-	refusal error             // the first of the system's
+	refusal error             // the first error with which the system refused a watch
 
-	owners map[fileID]string // the path under which a folder is watched
+	watchPaths map[fileID]string // the path under which each watched folder has its watch
 }
 
 func (c *folderCheck) run() {
 	c.watched = map[string]fileID{}
-	c.owners = map[fileID]string{}
+	c.watchPaths = map[fileID]string{}
 	if c.notifier == nil {
 		c.notifier, c.refusal = c.openNotifier()
 		if c.refusal != nil {
@@ -75,11 +75,11 @@
 	c.addWatches(c.findUnwatched())
 }
 
-// remove removes a watch. That fails if the system has removed it already, as the folder is gone.
+// remove removes a watch. Its error is ignored: the system has already removed the watch if the folder is gone.
 func (c *folderCheck) remove(path string) { _ = c.notifier.Remove(path) }
 
-// findUnwatched records the folders that are still watched. It returns the others that exist, and removes watches of
-// paths that lead to another folder now.
+// findUnwatched records the folders that are still watched, and removes the watches of paths that no longer lead to the
+// watched folder. It returns the existing folders that are not watched, by path.
 func (c *folderCheck) findUnwatched() map[string]fileID {
 	hasWatch := map[string]bool{}
 	for _, path := range c.notifier.WatchList() {
@@ -90,20 +90,20 @@
 		current, _, err := c.stat(path)
 		if err == nil && current.id() == before && hasWatch[path] {
 			c.watched[path] = before
-			c.owners[before] = path
+			c.watchPaths[before] = path
 			continue
 		}
 		if hasWatch[path] {
 			c.remove(path)
 		}
-		if err == nil { // a missing folder is an error of its lists
+		if err == nil { // the checks of its lists report a missing folder
 			unwatched[path] = current.id()
 		}
 	}
 	return unwatched
 }
 
-// addWatches adds watches of folders, one for all paths of a folder.
+// addWatches adds watches of folders. A folder that is followed under several paths gets only one watch.
 func (c *folderCheck) addWatches(unwatched map[string]fileID) {
 	paths := make([]string, 0, len(unwatched))
 	for path := range unwatched {
@@ -112,7 +112,7 @@
 	slices.Sort(paths)
 	for _, path := range paths {
 		folder := unwatched[path]
-		if c.owners[folder] != "" { // watched under another path
+		if c.watchPaths[folder] != "" { // watched under another path
 			c.watched[path] = folder
 			continue
 		}
@@ -125,12 +125,12 @@
 			continue
 		}
 		c.watched[path] = folder
-		c.owners[folder] = path
+		c.watchPaths[folder] = path
 		c.added = append(c.added, path)
 	}
 }
 
-// recordRefusal records the first refusal of a watch. A missing folder is none.
+// recordRefusal records the first refusal of a watch. A missing folder is not a refusal.
 func (c *folderCheck) recordRefusal(path string, err error) {
 	if c.refusal == nil && !errors.Is(err, fs.ErrNotExist) {
 		c.refusal = fmt.Errorf("watching %s: %w", path, err)
--- a/internal/endpointlist/list.go
+++ b/internal/endpointlist/list.go
@@ -1,5 +1,8 @@
-// Package endpointlist reads the endpoint lists of pools from files, checks them, and follows the files' changes. A
-// list is checked as a whole before it takes effect: a truncated or invalid one changes nothing.
+// Package endpointlist reads the endpoint lists of pools from YAML files, checks them, and follows changes of the
+// files. internal/service uses it for lists in files, internal/config for lists in the configuration. The package does
+// not look up host names, and does not speak to discovery services.
+//
+// A list is checked as a whole before it takes effect: a truncated or invalid list changes nothing.
 package endpointlist
 
 import (
@@ -8,7 +11,7 @@
 	"olivearch/internal/strictyaml"
 )
 
-// maxFileSize bounds a list's file, in bytes.
+// maxFileSize bounds the file of a list, in bytes.
 const maxFileSize = 8 << 20
 
 // Node is an entry of a list.
@@ -43,21 +46,22 @@
 	return Parse(path, text)
 }
 
-// Parse reads and checks a list from the text of a file. Errors name the file and the position in it.
+// Parse reads and checks a list from the text of a file. Errors name the file and the position of the mistake.
 func Parse(file string, text []byte) (List, error) {
 	list, ok := parseSimple(text)
 	if ok {
 		return list, nil
 	}
-	return parseAny(file, text)
+	return parseYAML(file, text)
 }
 
-// parseAny reads a list in any form of YAML.
-func parseAny(file string, text []byte) (List, error) {
+// parseYAML reads a list in any form of YAML that strictyaml permits.
+func parseYAML(file string, text []byte) (List, error) {
 	var list List
 	doc := strictyaml.Decode(file, text, &list)
-	if doc.Err() == nil && list.Nodes == nil { // a file that is truncated after its first key must not remove every node
-		doc.Fail("", `no list "nodes" stands there; to remove all nodes, write "nodes: []"`)
+	// A file that is truncated after its first key must not remove all nodes.
+	if doc.Err() == nil && list.Nodes == nil {
+		doc.Fail("", `no list "nodes" in the file; to remove all nodes, write "nodes: []"`)
 	}
 	Check(doc, "nodes", list.Nodes)
 	return list, doc.Err()
--- a/internal/endpointlist/schedule.go
+++ b/internal/endpointlist/schedule.go
@@ -7,35 +7,37 @@
 )
 
 const (
-	// settleTime is how long after a change a file is read: a writer that does not replace it at once writes in pieces,
-	// and each piece is a change. While changes never pause it is read after maxSettleTime.
+	// settleTime is how long a file must be unchanged before it is read, as a writer that does not replace the file
+	// atomically writes it in several parts. If changes never pause, the file is read after maxSettleTime.
 	settleTime    = 20 * time.Millisecond
 	maxSettleTime = 200 * time.Millisecond
-	// wakeupSlot is the raster of periodic checks: one wake-up serves all that fall into a slot.
-	wakeupSlot = 250 * time.Millisecond
-	// goldenRatio spreads the offsets of periodic checks evenly, however many lists there are.
+	// wakeupInterval divides the offsets of all periodic checks, so that one wake-up serves several lists.
+	wakeupInterval = 250 * time.Millisecond
+	// goldenRatio is the fractional part of the golden ratio. Its multiples spread the offsets of periodic checks
+	// evenly for any number of lists.
 	goldenRatio = 0.6180339887
 )
 
-// checkOffset returns the offset of the periodic checks of the list with a number, from 0 to the interval.
+// checkOffset returns the offset of the periodic checks of a list, from 0 to the interval. Lists are numbered from 1.
 func checkOffset(number int, interval time.Duration) time.Duration {
 	_, fraction := math.Modf(float64(number) * goldenRatio)
-	return time.Duration(fraction * float64(interval)).Truncate(wakeupSlot)
+	return time.Duration(fraction * float64(interval)).Truncate(wakeupInterval)
 }
 
-// folderChanged schedules checks after a change in a folder: of the lists in the file of that name, if there are any.
-// Else, of those that are symbolic links, missing or invalid, as these depend on other names. No name: of all.
+// folderChanged schedules checks after a change of a file in a folder. If lists are followed in that file, it checks
+// these. Otherwise it checks the lists of the folder that are symbolic links, missing or invalid, as they may depend on
+// the file. An empty fileName stands for any file, so all lists of the folder are checked.
 func (w *Watcher) folderChanged(folder *followedFolder, fileName string) {
 	now := time.Now()
-	ofFile := folder.subscriptions[fileName]
-	if ofFile != nil {
-		for _, subscription := range ofFile {
+	sameFile := folder.subscriptions[fileName]
+	if sameFile != nil {
+		for _, subscription := range sameFile {
 			w.fileChanged(subscription, now)
 		}
 		return
 	}
-	for _, ofFile := range folder.subscriptions {
-		for _, subscription := range ofFile {
+	for _, sameFile := range folder.subscriptions {
+		for _, subscription := range sameFile {
 			last := subscription.lastRead
 			dependsOnOthers := last.linked || last.readAt.IsZero()
 			if fileName == "" || dependsOnOthers {
@@ -45,17 +47,17 @@
 	}
 }
 
-// fileChanged schedules a check for when the file has settled, or after the check that is running.
+// fileChanged schedules a check after the settle time, or after the check that is running.
 func (w *Watcher) fileChanged(subscription *Subscription, now time.Time) {
 	if subscription.queueIndex == checkRunning {
 		subscription.recheck = true
 		return
 	}
-	if subscription.changeSeen.IsZero() {
-		subscription.changeSeen = now
+	if subscription.changeSeenAt.IsZero() {
+		subscription.changeSeenAt = now
 	}
 	due := now.Add(settleTime)
-	latest := subscription.changeSeen.Add(maxSettleTime)
+	latest := subscription.changeSeenAt.Add(maxSettleTime)
 	if due.After(latest) {
 		due = latest
 	}
@@ -63,15 +65,15 @@
 	heap.Fix(&w.queue, subscription.queueIndex)
 }
 
-// scheduleSettledCheck schedules a check after one that found a change which may be in progress.
+// scheduleSettledCheck schedules a check after the settle time. The last check found a change that may be incomplete.
 func (w *Watcher) scheduleSettledCheck(subscription *Subscription) {
-	subscription.changeSeen = time.Now()
-	subscription.due = subscription.changeSeen.Add(settleTime)
+	subscription.changeSeenAt = time.Now()
+	subscription.due = subscription.changeSeenAt.Add(settleTime)
 	heap.Push(&w.queue, subscription)
 }
 
-// scheduleNextCheck schedules the check after one that has ended: the next periodic one, or earlier if the stamp that
-// was found is ambiguous or there was a change meanwhile.
+// scheduleNextCheck schedules the next periodic check of a list whose check has ended. It schedules an earlier one if
+// the stamp of the file is ambiguous, or if the file changed during the check.
 func (w *Watcher) scheduleNextCheck(subscription *Subscription) {
 	now := time.Now()
 	interval := w.checkInterval
@@ -94,10 +96,10 @@
 	}
 }
 
-// checkRunning is the queue index of a subscription that is not in the queue, as its check is running.
+// checkRunning is the queue index of a subscription whose check is running. The subscription is not in the queue then.
 const checkRunning = -1
 
-// checkQueue is a heap of lists by the time of their next check. It implements heap.Interface.
+// checkQueue is a heap of subscriptions, ordered by the time of their next check. It implements heap.Interface.
 type checkQueue []*Subscription
 
 func (q checkQueue) Len() int           { return len(q) }
@@ -109,14 +111,14 @@
 	q[j].queueIndex = j
 }
 
-// Push appends a subscription.
+// Push appends a subscription. Part of heap.Interface.
 func (q *checkQueue) Push(element any) {
 	subscription := element.(*Subscription)
 	subscription.queueIndex = len(*q)
 	*q = append(*q, subscription)
 }
 
-// Pop removes the last subscription.
+// Pop removes and returns the last subscription. Part of heap.Interface.
 func (q *checkQueue) Pop() any {
 	last := len(*q) - 1
 	subscription := (*q)[last]
--- a/internal/endpointlist/simpleyaml.go
+++ b/internal/endpointlist/simpleyaml.go
@@ -5,27 +5,28 @@
 	"strconv"
 )
 
-// Lists are long and their form is simple, and reading YAML in general costs 50 µs a node. So the forms that encoders
-// and generators write are read here, at a hundredth of that; any other text, and any with a mistake, is read by
-// strictyaml, which knows all of YAML and names positions. What is read here is a subset of YAML that means the same
-// there:
+// This parser reads lists in the forms that encoders and generators usually write. strictyaml takes 50 µs per node, and
+// this parser a hundredth of that. It rejects all other texts, and all texts with a mistake. strictyaml then reads
+// them, as it supports more of YAML and names the positions of mistakes. A text that this parser accepts has the same
+// meaning to strictyaml:
 //
 //	nodes:
 //	- id: a
 //	  address: 10.0.0.7:8080
 //	- {id: b, address: '10.0.0.8:8080', zone: z1}
 //
-// Values are plain scalars or quoted without escapes, items and keys are indented alike, and comments have a line to
-// themselves.
+// Values are plain scalars, or quoted without escapes. All items have the same indentation, and so have all keys.
+// Comments are on lines of their own.
 
 const (
-	// maxSimpleNodes bounds the nodes of a list that is read here, below strictyaml's own bound.
+	// maxSimpleNodes bounds the nodes of a list that this parser accepts. It is below the bound of strictyaml.
 	maxSimpleNodes = 50_000
-	// maxSimpleLine bounds a line, below the length up to which YAML looks for the end of a key.
+	// maxSimpleLine bounds the length of a line, in bytes. It is below the length within which YAML must find the
+	// colon of a key.
 	maxSimpleLine = 1000
 )
 
-// nodeField is a field of a node, as a bit.
+// nodeField is a set of fields of a node, one bit for each.
 type nodeField uint
 
 const (
@@ -38,7 +39,7 @@
 	fieldStarted
 )
 
-// parseSimple reads a list in a simple form. It returns false for a list that is in another form or invalid.
+// parseSimple reads a list in a simple form. It returns false if the list is in another form or invalid.
 func parseSimple(text []byte) (List, bool) {
 	var parser simpleParser
 	parser.nodes = make([]Node, 0, bytes.Count(text, []byte("address:")))
@@ -54,14 +55,14 @@
 	return List{parser.nodes}, valid
 }
 
-// simpleParser reads line by line. Its methods return false for what is not in a simple form.
+// simpleParser parses a list line by line. Its methods return false if the text is not in a simple form.
 type simpleParser struct {
 	inNodes    bool // "nodes:" has been read
-	itemIndent int  // of the items' dashes
+	itemIndent int  // indentation of the dashes of the items
 	nodes      []Node
-	seenFields nodeField // of the last node
-	blockOpen  bool      // the next line may belong to the last node
-	lastZone   string
+	seenFields nodeField // fields of the last node that were read
+	blockOpen  bool      // the next line may have a key of the last node
+	lastZone   string    // of the last node that has a zone
 }
 
 func (p *simpleParser) parseLine(line []byte) bool {
@@ -93,7 +94,7 @@
 	return true
 }
 
-// parseItem reads what follows the dash of a new node.
+// parseItem reads the first line of a node, after the dash.
 func (p *simpleParser) parseItem(item []byte, indent int) bool {
 	if len(p.nodes) == 0 {
 		p.itemIndent = indent
@@ -111,7 +112,7 @@
 	return p.parsePair(item)
 }
 
-// parseFlow reads what follows the brace of a mapping in one line.
+// parseFlow reads a flow mapping, after its opening brace. The mapping must end with the line.
 func (p *simpleParser) parseFlow(text []byte) bool {
 	for {
 		end := flowPairEnd(text)
@@ -147,7 +148,7 @@
 	return -1
 }
 
-// parsePair reads a key and its value, with one space between.
+// parsePair reads a key, a colon, one space and a value.
 func (p *simpleParser) parsePair(text []byte) bool {
 	key, scalar, ok := bytes.Cut(text, []byte(": "))
 	if !ok {
@@ -207,7 +208,7 @@
 	return field, err == nil
 }
 
-// parseScalar returns the value of a scalar, and false if strictyaml might read it as anything else.
+// parseScalar returns the value of a scalar, or false if strictyaml might read another value.
 func parseScalar(text []byte) ([]byte, bool) {
 	if len(text) == 0 {
 		return nil, false
@@ -227,13 +228,13 @@
 		}
 	}
 	switch string(text) {
-	case "null", "Null", "NULL": // which mean that there is no value
+	case "null", "Null", "NULL": // YAML reads these as no value
 		return nil, false
 	}
 	return text, true
 }
 
-// parseQuoted returns what stands between two quotes, and false if there is a quote or an escape in it.
+// parseQuoted returns the text between the quotes of a scalar, or false if the text has a quote or a backslash.
 func parseQuoted(text []byte) ([]byte, bool) {
 	if len(text) < 2 {
 		return nil, false
--- a/internal/endpointlist/simpleyaml_test.go
+++ b/internal/endpointlist/simpleyaml_test.go
@@ -77,7 +77,7 @@
 	if !read {
 		return false
 	}
-	want, err := parseAny("n", text)
+	want, err := parseYAML("n", text)
 	if err != nil || !reflect.DeepEqual(list, want) {
 		t.Errorf("%q\nsimple: %+v\nstrict: %+v, %v", text, list, want, err)
 	}
--- a/internal/endpointlist/validate.go
+++ b/internal/endpointlist/validate.go
@@ -11,17 +11,18 @@
 // maxWeight is the largest weight of a node.
 const maxWeight = 1e6
 
-// failFunc records what is wrong with the node at an index, or with a field of it: ".address".
+// failFunc records an error of the node at an index, or of one of its fields: ".address" for example. field is empty
+// for an error of the whole node.
 type failFunc func(index int, field, format string, args ...any)
 
-// Check records what is wrong with the nodes at a path of a document, and fills in defaults.
+// Check records the errors of the nodes at a path of a document in doc, and sets the defaults of omitted fields.
 func Check(doc *strictyaml.Doc, path string, nodes []Node) {
 	checkNodes(nodes, func(index int, field, format string, args ...any) {
 		doc.Fail(fmt.Sprintf("%s[%d]%s", path, index, field), format, args...)
 	})
 }
 
-// checkNodes is Check with a function that records what is wrong. It records one fault of a node at most.
+// checkNodes checks nodes and sets their defaults. It calls fail at most once for each node.
 func checkNodes(nodes []Node, fail failFunc) {
 	ids := make(map[string]struct{}, len(nodes))
 	addresses := make(map[netip.AddrPort]int, len(nodes))
@@ -33,20 +34,21 @@
 			continue
 		}
 		if err != nil || address.Port() == 0 {
-			fail(index, ".address", "%q is not an IP address and a port, such as 10.0.0.7:8080", node.Address)
+			fail(index, ".address",
+				"%q is not an IP address and a port, such as 10.0.0.7:8080", node.Address)
 			continue
 		}
 		setDefaults(node, address)
 		_, duplicate := ids[node.ID]
 		other, taken := addresses[address]
-		validWeight := node.Weight >= 0 && node.Weight <= maxWeight // not so for NaN
+		validWeight := node.Weight >= 0 && node.Weight <= maxWeight // false for NaN
 		switch {
 		case duplicate:
 			fail(index, "", "two nodes have the id %q", node.ID)
 		case taken:
 			fail(index, ".address", "nodes %q and %q have the same address", nodes[other].ID, node.ID)
 		case !validWeight:
-			fail(index, ".weight", "the weight is over 0 and at most 1,000,000")
+			fail(index, ".weight", "the weight must be over 0 and at most 1,000,000")
 		case node.Phase != PhaseUp && node.Phase != PhaseDraining:
 			fail(index, ".phase", "%q is neither up nor draining", node.Phase)
 		case strings.ContainsFunc(node.ID, isControl):
@@ -57,11 +59,11 @@
 	}
 }
 
-// setDefaults fills in what may be left out, and writes the address in its canonical form: two spellings of one address
-// are one node.
+// setDefaults sets the defaults of omitted fields. It replaces the address by its canonical form, so that two spellings
+// of one address are recognised as the same.
 func setDefaults(node *Node, address netip.AddrPort) {
 	canonical := address.String()
-	if canonical != node.Address { // else the string is kept, which saves memory
+	if canonical != node.Address { // otherwise keep the old string, which saves memory
 		node.Address = canonical
 	}
 	if node.ID == "" {
--- a/internal/endpointlist/watcher.go
+++ b/internal/endpointlist/watcher.go
@@ -11,26 +11,27 @@
 	"github.com/fsnotify/fsnotify"
 )
 
-// defaultPollInterval is how often a list is checked while the system sends no events for it, or it is missing or
-// invalid, and how often each folder is checked for being the one that is watched. With the time to read a list it
-// brings a change into force within 1 s.
+// defaultPollInterval is the interval between checks of a list that is missing or invalid, or for which the system
+// sends no events. It is also the interval between folder checks. A change takes effect within
+// 1 s, including the time to read the list.
 const defaultPollInterval = 500 * time.Millisecond
 
-// Update is an update of a list that is followed. With neither a list nor an error, the file was checked and has not
-// changed.
+// Update is the result of a check of a followed list. If it has neither a list nor an error, the text of the file has
+// not changed.
 type Update struct {
-	List   *List // differs in its text from the one before
-	Err    error // why the list before stays in force; notified once, until it is another
-	Failed int   // how many checks in a row, before this one, failed with another error
+	List   *List // its text differs from that of the last list, or the previous check failed
+	Err    error // why the last list stays in force; not repeated while the error stays the same
+	Failed int   // number of checks right before this one that failed, all with the same other error
 }
 
-// Watcher follows many lists in files, with one inotify instance for all. A file may be replaced, or reached by a
-// symbolic link that is (as a Kubernetes ConfigMap does), so its folder is watched. In addition its stamp is checked at
-// every interval: what the system sends no event for (network file systems, links into other folders) is then found
-// late rather than never. Where the system refuses a watch, the lists are polled.
+// Watcher follows many lists in files with a single inotify instance. It watches the folder of a file, as the file may
+// be replaced, or be reached by a symbolic link that is replaced (as in a Kubernetes ConfigMap). In addition it checks
+// the stamp of each file at every interval. This finds changes for which the system sends no event: those on network
+// file systems, or behind links into other folders. If the system refuses a watch, the lists are polled.
 //
-// One goroutine owns the Watcher and never blocks. Files and folders are checked on goroutines of their own, one for a
-// list at a time. A file is read only if its stamp has changed, and parsed only if its text has.
+// One goroutine owns the Watcher and never blocks. Each check of a file or of the folders runs on its own goroutine,
+// and a list has at most one check at a time. A file is read only if its stamp has changed or is ambiguous, and parsed
+// only if its text has changed.
 type Watcher struct {
 	checkInterval, pollInterval, firstBackoff time.Duration
 
@@ -42,51 +43,51 @@
 	checks       chan *checkResult
 	folderChecks chan *folderCheck
 	done         <-chan struct{}
-	parseSlots   chan struct{} // one element for each text that is being parsed
+	parseSlots   chan struct{} // has one element for each text that is being parsed
 
 	startedAt   time.Time
-	followCount int // lists that were ever followed
+	followCount int // number of calls of Follow
 	queue       checkQueue
 
 	folders    map[string]*followedFolder // by path
-	aliases    map[fileID][]string        // the paths of each watched folder
-	unfollowed []string                   // folders that are watched and followed no more
+	aliases    map[fileID][]string        // the followed paths of each watched folder
+	unfollowed []string                   // paths that are no longer followed, and may still be watched
 
-	notifier        notifier // nil: there is none
+	notifier        notifier // nil if none is open
 	events          <-chan fsnotify.Event
 	errors          <-chan error
 	checkingFolders bool // a folder check is running
-	recheckFolders  bool // another one is due after it
-	refused         bool // the system refuses a watch, and this was reported
+	recheckFolders  bool // another folder check is due after it
+	refused         bool // the system has refused a watch, and this was reported
 	backoff         time.Duration
-	retryAt         time.Time
+	retryAt         time.Time // end of the backoff: no watch is added before it
 }
 
-// Subscription is a list that is followed. The Watcher's goroutine owns its state.
+// Subscription is a followed list. The goroutine of its Watcher owns it.
 type Subscription struct {
 	watcher  *Watcher
 	path     string
 	folder   *followedFolder
-	fileName string // in the folder
+	fileName string // last element of path
 	notify   func(Update)
 
-	lastRead  FileState // the zero value: the next check reads and parses
-	confirmed bool      // the file was read again when its stamp was not ambiguous any more
-	lastError string    // of the last check
-	failures  int       // checks in a row that found it
-	checked   bool      // a check was started
+	lastRead  FileState // if zero, the next check reads and parses the file
+	confirmed bool      // the file was read again after its stamp had stopped being ambiguous
+	lastError string    // error of the last check; empty if it succeeded
+	failures  int       // number of checks in a row that failed with lastError
+	checked   bool      // the first check was started
 	stopped   bool
 
-	checkOffset time.Duration // of its periodic checks
-	due         time.Time     // of the next check
-	queueIndex  int           // in the Watcher's queue, or checkRunning
-	changeSeen  time.Time     // the first sign of a change since the last check; zero: none
-	recheck     bool          // there was one during the check
+	checkOffset  time.Duration // offset of the periodic checks in their interval
+	due          time.Time     // time of the next check
+	queueIndex   int           // index in the Watcher's queue, or checkRunning
+	changeSeenAt time.Time     // time of the first sign of a change since the last check; zero if none
+	recheck      bool          // there was a sign of a change during the check that is running
 }
 
-// NewWatcher starts a Watcher that ends with the context. Each list is checked at every interval, whatever events the
-// system sends. report is called with the error when the system refuses a watch, and with nil when it watches all
-// folders again.
+// NewWatcher starts a Watcher that ends with the context. Each list is checked at every interval, even if the system
+// sends no event. The Watcher calls report with the error when the system refuses a watch, and with nil when all
+// folders are watched again.
 func NewWatcher(ctx context.Context, interval time.Duration, report func(error)) *Watcher {
 	w := newWatcher(ctx, interval, report)
 	go w.run(ctx)
@@ -112,8 +113,9 @@
 	}
 }
 
-// Follow follows the list in a file. notify gets each update, on the Watcher's goroutine: it must not block. A file
-// that was read before is notified when it differs from that reading; the zero Reading is of one that was not.
+// Follow follows the list in a file. It calls notify with each Update on the Watcher's goroutine, so notify must not
+// block. read is the state of a file that the caller has read: the first list is notified only if the file differs from
+// it. If read is zero, the first list is always notified.
 func (w *Watcher) Follow(path string, read FileState, notify func(Update)) *Subscription {
 	subscription := &Subscription{
 		watcher:  w,
@@ -124,7 +126,8 @@
 	}
 	w.do(func() {
 		folder := w.followFolder(filepath.Dir(path))
-		folder.subscriptions[subscription.fileName] = append(folder.subscriptions[subscription.fileName], subscription)
+		folder.subscriptions[subscription.fileName] = append(
+			folder.subscriptions[subscription.fileName], subscription)
 		subscription.folder = folder
 		w.followCount++
 		subscription.checkOffset = checkOffset(w.followCount, w.checkInterval)
@@ -134,7 +137,7 @@
 	return subscription
 }
 
-// followFolder returns the folder of a path, which is followed from now on.
+// followFolder returns the followed folder of a path. It starts to follow the folder if needed.
 func (w *Watcher) followFolder(path string) *followedFolder {
 	folder := w.folders[path]
 	if folder != nil {
@@ -147,7 +150,7 @@
 	return folder
 }
 
-// Stop ends the subscription. No update is notified once it has returned.
+// Stop ends the subscription. No update is notified after Stop has returned.
 func (s *Subscription) Stop() {
 	s.watcher.do(func() {
 		s.stopped = true
@@ -158,13 +161,13 @@
 	})
 }
 
-// unfollow removes a subscription from its folder, and the folder if it has no other.
+// unfollow removes a subscription from its folder, and the folder if no subscription remains.
 func (w *Watcher) unfollow(subscription *Subscription) {
 	folder := subscription.folder
-	ofFile := folder.subscriptions[subscription.fileName]
-	ofFile = slices.DeleteFunc(ofFile, func(other *Subscription) bool { return other == subscription })
-	folder.subscriptions[subscription.fileName] = ofFile
-	if len(ofFile) == 0 {
+	remaining := folder.subscriptions[subscription.fileName]
+	remaining = slices.DeleteFunc(remaining, func(other *Subscription) bool { return other == subscription })
+	folder.subscriptions[subscription.fileName] = remaining
+	if len(remaining) == 0 {
 		delete(folder.subscriptions, subscription.fileName)
 	}
 	if len(folder.subscriptions) == 0 {
@@ -174,7 +177,7 @@
 	}
 }
 
-// do runs a function on the Watcher's goroutine, and returns when it has run or the Watcher has ended.
+// do runs a function on the Watcher's goroutine, and waits until it has returned or the Watcher has ended.
 func (w *Watcher) do(call func()) {
 	returned := make(chan struct{})
 	wrapped := func() {
@@ -235,8 +238,8 @@
 	}
 }
 
-// Watch follows the list in a file until the context ends: updated gets each list that differs in time, failed each
-// reason why the one before stays in force.
+// Watch follows the list in a file until the context ends. It calls updated with each list that differs from the last
+// one, and failed with each error because of which the last list stays in force or the folder cannot be watched.
 func Watch(ctx context.Context, path string, interval time.Duration, updated func(List), failed func(error)) error {
 	watcher := newWatcher(ctx, interval, func(err error) {
 		if err != nil {
