--- a/internal/endpointlist/fixture_test.go
+++ b/internal/endpointlist/fixture_test.go
@@ -14,14 +14,14 @@
 	"github.com/fsnotify/fsnotify"
 )
 
-// testTimeout bounds every wait for something that must happen.
+// testTimeout bounds each wait for an expected event.
 const testTimeout = 20 * time.Second
 
-// refusingNotifier is an inotify instance that refuses watches when a test says so.
+// refusingNotifier is an inotify instance that a test can make refuse watches.
 type refusingNotifier struct {
 	*fsnotify.Watcher
 	errors  chan error
-	refusal *atomic.Pointer[syscall.Errno] // of watches; nil: none
+	refusal *atomic.Pointer[syscall.Errno] // the error of Add; nil: Add succeeds
 }
 
 func (n *refusingNotifier) Channels() (<-chan fsnotify.Event, <-chan error) {
@@ -36,19 +36,20 @@
 	return n.Watcher.Add(path)
 }
 
-// watcherFixture is a Watcher of a system that a test can make refuse instances and watches.
+// watcherFixture is a Watcher, with a notifier that a test can make refuse inotify instances and watches.
 type watcherFixture struct {
 	*Watcher
 	t            *testing.T
 	folder       string
-	reports      chan error                    // what the Watcher reported
-	openRefusal  atomic.Pointer[syscall.Errno] // of instances; nil: none
-	watchRefusal atomic.Pointer[syscall.Errno] // of watches; nil: none
+	reports      chan error                    // the arguments of the Watcher's reports
+	openRefusal  atomic.Pointer[syscall.Errno] // the error of opening an instance; nil: success
+	watchRefusal atomic.Pointer[syscall.Errno] // the error of adding a watch; nil: success
 	opened       chan *refusingNotifier
 	openCount    atomic.Int64 // attempts to open an instance
 }
 
-// newWatcherFixture returns a Watcher that has not started. It does periodic checks only as often as the test sets.
+// newWatcherFixture returns a fixture whose Watcher has not started. Its check interval is too long for a test to
+// reach, so periodic checks come only from pollInterval.
 func newWatcherFixture(t *testing.T) *watcherFixture {
 	t.Helper()
 	fixture := &watcherFixture{
@@ -79,7 +80,7 @@
 	return opened, nil
 }
 
-// start starts the Watcher, which ends with the test.
+// start starts the Watcher. It ends with the test.
 func (f *watcherFixture) start() {
 	ended := make(chan struct{})
 	go func() {
@@ -89,7 +90,7 @@
 	f.t.Cleanup(func() { <-ended })
 }
 
-// path returns the path of a name in the fixture's folder.
+// path returns the path of a file in the fixture's folder.
 func (f *watcherFixture) path(name string) string { return filepath.Join(f.folder, name) }
 
 // retryNow ends the backoff after a refusal.
@@ -97,7 +98,7 @@
 	f.do(func() { f.retryAt = time.Time{} })
 }
 
-// followedList is a list that is followed, with its updates that have a list or an error.
+// followedList is a followed list, with its updates that have a list or an error.
 type followedList struct {
 	*Subscription
 	t       *testing.T
@@ -109,7 +110,7 @@
 	return f.followFrom(path, FileState{}, func() {})
 }
 
-// followFrom follows a list that may have been read before. beforeUpdate is called first in each notification.
+// followFrom follows a list that may have been read before. It calls beforeUpdate at the start of each notification.
 func (f *watcherFixture) followFrom(path string, read FileState, beforeUpdate func()) *followedList {
 	list := &followedList{t: f.t, path: path, updates: make(chan Update, 10000)}
 	list.Subscription = f.Follow(path, read, func(update Update) {
@@ -133,7 +134,7 @@
 	}
 }
 
-// wantPort waits for the next update, and wants a list of one node with this port.
+// wantPort waits for the next update, which must be a list of one node with this port.
 func (l *followedList) wantPort(port int) Update {
 	l.t.Helper()
 	update := l.nextUpdate()
@@ -143,11 +144,11 @@
 	return update
 }
 
-// wantNoUpdate wants no update that was not taken.
+// wantNoUpdate fails the test if an update has arrived that the test has not received.
 func (l *followedList) wantNoUpdate() {
 	l.t.Helper()
 	if len(l.updates) > 0 {
-		l.t.Fatalf("%s: one more update: %+v", l.path, <-l.updates)
+		l.t.Fatalf("%s: unexpected update: %+v", l.path, <-l.updates)
 	}
 }
 
@@ -166,7 +167,7 @@
 	}
 }
 
-// waitWatched waits until folders are watched.
+// waitWatched waits until the folders at all paths are watched.
 func (f *watcherFixture) waitWatched(paths ...string) {
 	f.t.Helper()
 	f.waitUntil("folders are watched", func() bool {
@@ -180,7 +181,7 @@
 	})
 }
 
-// waitConfirmed waits until lists are checked again only after changes from now on.
+// waitConfirmed waits until all lists are confirmed, so that only later changes lead to checks.
 func (f *watcherFixture) waitConfirmed(lists ...*followedList) {
 	f.t.Helper()
 	f.waitUntil("lists are confirmed", func() bool {
@@ -193,13 +194,13 @@
 	})
 }
 
-// waitRepeatedFailure waits until more checks of a list have found the same error.
+// waitRepeatedFailure waits until several checks of a list have found the same error.
 func (f *watcherFixture) waitRepeatedFailure(list *followedList) {
 	f.t.Helper()
-	f.waitUntil("more checks find the same error", func() bool { return list.failures > 3 })
+	f.waitUntil("several checks find the same error", func() bool { return list.failures > 3 })
 }
 
-// wantReport waits for the next report. nil is the report that all folders are watched.
+// wantReport waits for the next report, which must be want. nil reports that all folders are watched.
 func (f *watcherFixture) wantReport(want error) {
 	f.t.Helper()
 	select {
@@ -212,17 +213,17 @@
 	}
 }
 
-// wantNoReport wants no report that was not taken.
+// wantNoReport fails the test if a report has arrived that the test has not received.
 func (f *watcherFixture) wantNoReport() {
 	f.t.Helper()
 	if len(f.reports) > 0 {
-		f.t.Errorf("one more report: %v", <-f.reports)
+		f.t.Errorf("unexpected report: %v", <-f.reports)
 	}
 }
 
 func localAddress(port int) string { return fmt.Sprint("127.0.0.1:", port) }
 
-// listText returns the text of a list of local nodes with these ports.
+// listText returns the text of a list of local nodes on the given ports.
 func listText(ports ...int) string {
 	var text strings.Builder
 	text.WriteString("nodes:\n")
@@ -232,7 +233,7 @@
 	return text.String()
 }
 
-// writeFile writes a file in place.
+// writeFile writes a file in place, not atomically.
 func writeFile(t *testing.T, path, text string) {
 	t.Helper()
 	if err := os.WriteFile(path, []byte(text), 0o600); err != nil {
@@ -269,7 +270,7 @@
 	}
 }
 
-// replaceLink points a symbolic link elsewhere, atomically.
+// replaceLink changes the target of a symbolic link atomically.
 func replaceLink(t *testing.T, target, path string) {
 	t.Helper()
 	makeLink(t, target, path+".new")
--- a/internal/endpointlist/fleet_test.go
+++ b/internal/endpointlist/fleet_test.go
@@ -12,14 +12,14 @@
 	"time"
 )
 
-// A fleet of services, by the number of its lists and their nodes in all.
+// The size of a fleet of services: the number of its lists, and of all nodes in them.
 const (
 	fleetLists = 490
 	fleetNodes = 18_000
 )
 
-// zipfSizes returns the sizes of so many lists, from 2 to 2,000 nodes, with at most so many nodes in all, distributed
-// as in a fleet of services.
+// zipfSizes returns the sizes of the lists of a fleet, from 2 to 2,000 nodes, with at most the given number of nodes in
+// total. As in a fleet of services, the sizes follow Zipf's law.
 func zipfSizes(lists, nodes int) []int {
 	sizes := make([]int, lists)
 	for exponent := 0.5; ; exponent += 0.01 {
@@ -34,7 +34,7 @@
 	}
 }
 
-// markedList returns the text of a list with a comment that tells it from others.
+// markedList returns the text of a list with mark as a comment, so that equal lists have different texts.
 func markedList(list, size int, mark string) string {
 	var text strings.Builder
 	fmt.Fprintf(&text, "# %s\nnodes:\n", mark)
@@ -45,8 +45,8 @@
 	return text.String()
 }
 
-// TestAllReplacedAtOnce replaces all lists of a fleet at once, each by one with one node more, and logs how long it
-// takes until there is an update of every list.
+// TestAllReplacedAtOnce replaces all lists of a fleet at the same time. Each new list has one more node. Updates of all
+// lists must arrive within 10 s; the test logs the time.
 func TestAllReplacedAtOnce(t *testing.T) {
 	fixture := newWatcherFixture(t)
 	fixture.pollInterval = time.Hour
@@ -88,8 +88,8 @@
 	}
 }
 
-// BenchmarkAtRest follows the lists of a fleet without a change, by events and by polling, and measures the CPU time of
-// ten seconds: run it with -benchtime 1x.
+// BenchmarkAtRest follows the unchanged lists of a fleet, by events and by polling. It measures the CPU time of ten
+// seconds as a percentage of a core. Run it with -benchtime 1x.
 func BenchmarkAtRest(b *testing.B) {
 	for _, polled := range []bool{false, true} {
 		b.Run(fmt.Sprint("polled=", polled), func(b *testing.B) { benchmarkAtRest(b, polled) })
@@ -118,7 +118,7 @@
 		})
 	}
 	notified.Wait()
-	time.Sleep(time.Second) // in which each list is read again
+	time.Sleep(time.Second) // until each list was read again and is confirmed
 	before := cpuTime(b)
 	const period = 10 * time.Second
 	for b.Loop() {
--- a/internal/endpointlist/folderwatch_test.go
+++ b/internal/endpointlist/folderwatch_test.go
@@ -10,11 +10,11 @@
 	"time"
 )
 
-// TestListsOfOneFolderShareAWatch: each list gets updates of its own changes, and one that is followed no more takes
-// nothing from the other.
+// TestListsOfOneFolderShareAWatch: a change of one list gives no update of the other, and the end of one subscription
+// doesn't end the watch that the other needs.
 func TestListsOfOneFolderShareAWatch(t *testing.T) {
 	fixture := newWatcherFixture(t)
-	fixture.pollInterval = time.Hour // so that only events count
+	fixture.pollInterval = time.Hour // so that only events lead to checks
 	writeFile(t, fixture.path("a"), listText(1))
 	writeFile(t, fixture.path("b"), listText(2))
 	fixture.start()
@@ -50,8 +50,8 @@
 	followedAgain.wantPort(7)
 }
 
-// TestFolderUnderTwoPathsHasOneWatch: the system sends events of a folder under one path. The list that is followed
-// under the other gets updates too, and still does when the first is followed no more.
+// TestFolderUnderTwoPathsHasOneWatch: a folder is followed under two paths, but the system sends its events under only
+// one. Both lists get updates, and the second list still does when the first is no longer followed.
 func TestFolderUnderTwoPathsHasOneWatch(t *testing.T) {
 	fixture := newWatcherFixture(t)
 	link := filepath.Join(t.TempDir(), "link")
@@ -78,8 +78,8 @@
 	linked.wantPort(3)
 }
 
-// TestFolderLinkIsRedirected: the folder's path is a link that leads to another folder now, for which the watch of the
-// old one gives no events.
+// TestFolderLinkIsRedirected: the path of a followed folder is a symbolic link, and its target changes. The watch of
+// the old folder sends no events of the new one, so that needs a new watch.
 func TestFolderLinkIsRedirected(t *testing.T) {
 	fixture := newWatcherFixture(t)
 	for i, version := range []string{"v1", "v2"} {
@@ -100,7 +100,8 @@
 	list.wantPort(3)
 }
 
-// TestRecreatedFolderIsWatchedAnew: the folder is removed with its list, of which there is one update, and comes back.
+// TestRecreatedFolderIsWatchedAnew: a folder is removed and created again with the same list. The removal gives one
+// update with an error, and the new folder is watched again.
 func TestRecreatedFolderIsWatchedAnew(t *testing.T) {
 	fixture := newWatcherFixture(t)
 	folder := fixture.path("lists")
@@ -120,11 +121,11 @@
 		fixture.waitRepeatedFailure(list)
 		makeFolder(t, folder)
 		writeFile(t, filepath.Join(folder, "b"), listText(1))
-		// The text is that of before; there is an update as the list is valid again.
+		// The text is unchanged. There is an update nevertheless, as the list was missing.
 		replaceFile(t, filepath.Join(folder, "a"), listText(1))
 		if update := list.wantPort(1); update.Failed < 3 {
 			t.Errorf("%d failed checks, want at least 3", update.Failed)
 		}
 	}
-	fixture.wantNoReport() // a missing folder is no refusal
+	fixture.wantNoReport() // a missing folder is not a refusal
 }
--- a/internal/endpointlist/list_test.go
+++ b/internal/endpointlist/list_test.go
@@ -55,7 +55,7 @@
 	}
 }
 
-// FuzzParse: no text makes the parser panic, and the nodes of a valid list have an address and an id of their own.
+// FuzzParse: no text makes the parser panic, and the nodes of a valid list have an address and a unique id.
 func FuzzParse(f *testing.F) {
 	for _, text := range []string{
 		"nodes: []",
--- a/internal/endpointlist/refusal_test.go
+++ b/internal/endpointlist/refusal_test.go
@@ -15,14 +15,14 @@
 	"golang.org/x/sys/unix"
 )
 
-// TestRefusedWatchFallsBackToPolling: the system refuses an instance or watches from the start. That is reported once,
-// and changes are found by polling. When the system refuses no more that is reported once too.
+// TestRefusedWatchFallsBackToPolling: from the start the system refuses an inotify instance or watches. This is
+// reported once, and changes are found by polling. When the system permits watches again, this is reported once too.
 func TestRefusedWatchFallsBackToPolling(t *testing.T) {
 	for _, reason := range []syscall.Errno{syscall.EMFILE, syscall.ENFILE, syscall.ENOSPC} {
 		t.Run(reason.Error(), func(t *testing.T) {
 			fixture := newWatcherFixture(t)
 			refusal := &fixture.openRefusal
-			if reason == syscall.ENOSPC { // which the system returns for watches
+			if reason == syscall.ENOSPC { // the error of inotify_add_watch
 				refusal = &fixture.watchRefusal
 			}
 			refusal.Store(&reason)
@@ -41,7 +41,9 @@
 				replaceFile(t, list.path, listText(2))
 				list.wantPort(2)
 			}
-			fixture.waitUntil("there are retries", func() bool { return fixture.backoff >= 8*time.Millisecond })
+			fixture.waitUntil("there are retries", func() bool {
+				return fixture.backoff >= 8*time.Millisecond
+			})
 			fixture.wantNoReport()
 			refusal.Store(nil)
 			fixture.retryNow()
@@ -56,8 +58,9 @@
 	}
 }
 
-// TestLaterRefusalLosesNoList: the system refuses the watch of a second folder, then the instance itself fails. The
-// first folder is watched throughout the former, and both lists are followed throughout both.
+// TestLaterRefusalLosesNoList: the system refuses the watch of a second folder, and later the inotify instance fails.
+// The first folder stays watched during the refusal. Updates of both lists arrive during the refusal and after the
+// failure.
 func TestLaterRefusalLosesNoList(t *testing.T) {
 	fixture := newWatcherFixture(t)
 	otherFolder := t.TempDir()
@@ -102,7 +105,7 @@
 	replaceFile(t, first.path, listText(5))
 	first.wantPort(5)
 
-	// The system's queue of events overflows: all lists are checked, and nothing is reported.
+	// When the system's queue of events overflows, all lists are checked and nothing is reported.
 	reopened := <-fixture.opened
 	fixture.do(func() { fixture.pollInterval = time.Hour })
 	reopened.errors <- fsnotify.ErrEventOverflow
@@ -111,7 +114,7 @@
 	fixture.wantNoReport()
 }
 
-// TestRetryBackoffGrowsToItsLimit: the backoff doubles with each refusal up to a minute, with one report in all.
+// TestRetryBackoffGrowsToItsLimit: the backoff doubles with each refusal up to a minute. Only the first is reported.
 func TestRetryBackoffGrowsToItsLimit(t *testing.T) {
 	fixture := newWatcherFixture(t)
 	fixture.firstBackoff = minRetryBackoff
@@ -128,11 +131,11 @@
 	}
 }
 
-// exhaustedVariable is the environment variable of the process that runs out of descriptors.
+// exhaustedVariable is the environment variable that makes a process run testDescriptorsExhausted.
 const exhaustedVariable = "NODELIST_EXHAUSTED"
 
-// TestDescriptorsExhausted runs in a process of its own that has no descriptors left: from the start, and then again
-// later.
+// TestDescriptorsExhausted: no file descriptors are left at the start of a Watcher, and again when it has a watch. The
+// test runs in a child process, as it lowers the limit of descriptors.
 func TestDescriptorsExhausted(t *testing.T) {
 	if os.Getenv(exhaustedVariable) != "" {
 		testDescriptorsExhausted(t)
@@ -150,7 +153,8 @@
 	t.Helper()
 	fixture := newWatcherFixture(t)
 	fixture.openNotifier = openInotify
-	writeFile(t, fixture.path("a"), listText(1)) // after which the runtime has its descriptor for polling
+	// Written before the limit, so that the Go runtime has opened its epoll descriptor.
+	writeFile(t, fixture.path("a"), listText(1))
 	writeFile(t, fixture.path("next"), listText(2))
 	_, read, err := Read(fixture.path("a"))
 	if err != nil {
@@ -163,7 +167,8 @@
 	list := fixture.followFrom(fixture.path("a"), read, func() {})
 	fixture.wantReport(syscall.EMFILE)
 	renameFile(t, fixture.path("next"), list.path)
-	if update := list.nextUpdate(); !errors.Is(update.Err, syscall.EMFILE) { // the change is seen, and can't be read
+	// Polling finds the change, but can't open the file.
+	if update := list.nextUpdate(); !errors.Is(update.Err, syscall.EMFILE) {
 		t.Fatalf("%+v", update)
 	}
 	fixture.waitRepeatedFailure(list)
@@ -175,7 +180,7 @@
 	fixture.wantReport(nil)
 	fixture.waitWatched(fixture.folder)
 
-	// Later: there are still events, and the change can't be read.
+	// Later the watch still sends events, but the changed file can't be opened.
 	writeFile(t, fixture.path("next"), listText(3))
 	descriptors.exhaust()
 	renameFile(t, fixture.path("next"), list.path)
@@ -189,7 +194,7 @@
 	descriptors.free(len(descriptors))
 }
 
-// limitDescriptors lowers the limit of this process's descriptors until the test ends.
+// limitDescriptors lowers the limit of open descriptors of this process until the test ends.
 func limitDescriptors(t *testing.T) {
 	t.Helper()
 	var before unix.Rlimit
@@ -206,7 +211,7 @@
 	})
 }
 
-// heldDescriptors are descriptors that are open for nothing.
+// heldDescriptors are descriptors that are kept open only to use up the limit.
 type heldDescriptors []int
 
 // exhaust opens descriptors until there are none left.
@@ -220,7 +225,7 @@
 	}
 }
 
-// free closes so many descriptors.
+// free closes the given number of descriptors.
 func (d *heldDescriptors) free(count int) {
 	remaining := len(*d) - count
 	for _, descriptor := range (*d)[remaining:] {
--- a/internal/endpointlist/simpleyaml_test.go
+++ b/internal/endpointlist/simpleyaml_test.go
@@ -7,7 +7,7 @@
 	"testing"
 )
 
-// blockList is the text of a list of so many nodes as an encoder writes it.
+// blockList returns the text of a list of the given size in block style, as an encoder writes it.
 func blockList(size int) []byte {
 	var text strings.Builder
 	text.WriteString("nodes:\n")
@@ -19,7 +19,7 @@
 	return []byte(text.String())
 }
 
-// flowList is the text of a list of so many nodes with one node a line.
+// flowList returns the text of a list of the given size in flow style, one node per line.
 func flowList(size int) []byte {
 	var text strings.Builder
 	text.WriteString("nodes:\n")
@@ -30,11 +30,11 @@
 	return []byte(text.String())
 }
 
-// readSimply is how many of the simpleTexts, from the first, parseSimple must read. It may leave the others to
-// strictyaml.
-const readSimply = 7
+// requiredSimpleTexts is the number of simpleTexts, from the first, that parseSimple must read. It may leave the others
+// to strictyaml.
+const requiredSimpleTexts = 7
 
-// simpleTexts are lists in simple forms, or in forms that look like them.
+// simpleTexts are lists in simple forms, and texts in similar forms.
 var simpleTexts = []string{
 	string(blockList(3)),
 	string(flowList(3)),
@@ -70,8 +70,9 @@
 	"nodes:\n- {address: 1.2.3.4:5, }\n",
 }
 
-// wantAsStrict wants that a text which parseSimple reads means the same to strictyaml, and returns whether it was read.
-func wantAsStrict(t *testing.T, text []byte) (read bool) {
+// checkEqualsYAML fails the test if parseSimple reads a text and strictyaml reads another list or an error. It returns
+// whether parseSimple has read the text.
+func checkEqualsYAML(t *testing.T, text []byte) (read bool) {
 	t.Helper()
 	list, read := parseSimple(text)
 	if !read {
@@ -86,19 +87,19 @@
 
 func TestParseSimple(t *testing.T) {
 	for i, text := range simpleTexts {
-		read := wantAsStrict(t, []byte(text))
-		if !read && i < readSimply {
+		read := checkEqualsYAML(t, []byte(text))
+		if !read && i < requiredSimpleTexts {
 			t.Errorf("not read: %q", text)
 		}
 	}
 }
 
-// FuzzParseSimple: a text that parseSimple reads means the same to strictyaml.
+// FuzzParseSimple: strictyaml reads the same list from each text that parseSimple reads.
 func FuzzParseSimple(f *testing.F) {
 	for _, text := range simpleTexts {
 		f.Add([]byte(text))
 	}
-	f.Fuzz(func(t *testing.T, text []byte) { wantAsStrict(t, text) })
+	f.Fuzz(func(t *testing.T, text []byte) { checkEqualsYAML(t, text) })
 }
 
 func BenchmarkParse(b *testing.B) {
--- a/internal/endpointlist/watcher_test.go
+++ b/internal/endpointlist/watcher_test.go
@@ -11,7 +11,7 @@
 	"time"
 )
 
-// watchByEvents follows a file without periodic checks, so that only the system's events count.
+// watchByEvents follows a file with an interval that no test reaches, so that only events of the system lead to checks.
 func watchByEvents(t *testing.T, path string) (lists chan List, errs chan error) {
 	t.Helper()
 	lists = make(chan List, 100)
@@ -30,7 +30,7 @@
 	return lists, errs
 }
 
-// waitForSize waits for a list of so many nodes.
+// waitForSize waits for a list of the given size.
 func waitForSize(t *testing.T, lists <-chan List, size int) {
 	t.Helper()
 	for list := range lists {
@@ -40,8 +40,8 @@
 	}
 }
 
-// TestWatch replaces a file, truncates it, removes it and brings it back. While it is invalid or missing there is an
-// error and no list.
+// TestWatch replaces, truncates, removes and recreates the file of a list. A truncated or missing file gives an error
+// and no list.
 func TestWatch(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "nodes.yaml")
 	const oneNode = "nodes: [{address: '127.0.0.1:1'}]"
@@ -72,7 +72,7 @@
 	waitForSize(t, lists, 1)
 }
 
-// TestWatchThroughLink points a symbolic link elsewhere, as an update of a Kubernetes ConfigMap does.
+// TestWatchThroughLink changes the target of a symbolic link, as an update of a Kubernetes ConfigMap does.
 func TestWatchThroughLink(t *testing.T) {
 	folder := t.TempDir()
 	for _, version := range []string{"v1", "v2"} {
@@ -91,8 +91,9 @@
 	waitForSize(t, lists, 0)
 }
 
-// TestSecondWriteWithinClockTickIsFound writes twice within one tick of the file system's clock, texts of one length:
-// the second leaves no trace in the stamp, and there is no event after it.
+// TestSecondWriteWithinClockTickIsFound writes two texts of the same length within one tick of the clock for file
+// times. The second write neither changes the stamp nor causes an event, so only the check of an ambiguous stamp can
+// find it.
 func TestSecondWriteWithinClockTickIsFound(t *testing.T) {
 	fixture := newWatcherFixture(t)
 	fixture.pollInterval = time.Hour
@@ -109,7 +110,7 @@
 	var notifications atomic.Int64
 	list := fixture.followFrom(path, FileState{}, func() {
 		if notifications.Add(1) == 1 {
-			writeFile(t, path, listText(2)) // after the first read, and before the second
+			writeFile(t, path, listText(2)) // between the first read and the second
 		}
 	})
 	list.wantPort(1)
@@ -118,8 +119,8 @@
 	list.wantNoUpdate()
 }
 
-// TestUnchangedTextIsNotNotified touches a file and replaces it by the same text: it is read, but there is neither a
-// list nor an error.
+// TestUnchangedTextIsNotNotified touches a file and replaces it with the same text. The file is read, but its updates
+// have neither a list nor an error.
 func TestUnchangedTextIsNotNotified(t *testing.T) {
 	fixture := newWatcherFixture(t)
 	fixture.pollInterval = time.Hour
@@ -145,7 +146,9 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		fixture.waitUntil("the new stamp is known", func() bool { return subscription.lastRead.stamp == current })
+		fixture.waitUntil("the new stamp is known", func() bool {
+			return subscription.lastRead.stamp == current
+		})
 	}
 	replaceFile(t, path, listText(2))
 	count := 1
@@ -157,8 +160,8 @@
 	}
 }
 
-// TestHungFileDelaysNoOtherList: a file system does not answer for one list. The others are followed all the same, the
-// subscription of that one ends at once, and there is no update of it when the file system answers.
+// TestHungFileDelaysNoOtherList: the file system hangs in the check of one list. The other list still gets updates. The
+// subscription of the first can be stopped meanwhile, and gets no update when the file system answers.
 func TestHungFileDelaysNoOtherList(t *testing.T) {
 	fixture := newWatcherFixture(t)
 	hung := make(chan struct{})
@@ -186,8 +189,8 @@
 	hungList.wantNoUpdate()
 }
 
-// TestChangeDuringCheckIsFound: a file changes after a check has taken its stamp. There is an update of the change, and
-// the last update is of the last text.
+// TestChangeDuringCheckIsFound: a file changes after a running check has read its stamp. The change gives an update,
+// and the last update has the last text.
 func TestChangeDuringCheckIsFound(t *testing.T) {
 	fixture := newWatcherFixture(t)
 	fixture.pollInterval = time.Hour
@@ -213,7 +216,7 @@
 	checkOfChange := func() { replaceFile(t, list.path, listText(4)) }
 	for _, test := range []struct {
 		startCheck func()
-		lastPort   int // of the change during the check
+		lastPort   int // port of the list that is written during the check
 	}{
 		{checkWithoutChange, 3},
 		{checkOfChange, 5},
@@ -233,13 +236,13 @@
 	fixture.waitConfirmed(list)
 	current, _, err := statFile(list.path)
 	if err != nil || list.lastRead.stamp != current {
-		t.Errorf("another stamp, or an error: %v", err)
+		t.Errorf("stamp of the last read differs from that of the file, or error %v", err)
 	}
 	list.wantNoUpdate()
 }
 
-// TestTruncatedListIsNotifiedOnce truncates a list of 2,000 nodes in the middle: there is one update with the position,
-// other lists are followed all the same, and there is an update when the list is valid again.
+// TestTruncatedListIsNotifiedOnce truncates a list of 2,000 nodes in the middle. This gives one update with the
+// position of the mistake, another list still gets updates, and the list gives an update when it is valid again.
 func TestTruncatedListIsNotifiedOnce(t *testing.T) {
 	fixture := newWatcherFixture(t)
 	const size = 2000
