--- a/internal/admincmd/commands.go
+++ b/internal/admincmd/commands.go
@@ -5,12 +5,12 @@
 	"strings"
 )
 
-// Handler carries out commands. Its methods may be called from many goroutines; each must return well within a second.
+// Handler executes commands. Its methods may be called from many goroutines; each must return well within a second.
 type Handler interface {
 	// Status returns nil if this process is ready to serve, or else an error that says why not.
 	Status() error
 	// TakeOutOfService takes an upstream out of service until ReturnToService. Once it has returned nil, no new
-	// request goes there. An unknown id is an error. A note that is not empty stands in the answer, after +OK.
+	// request is sent there. An unknown id is an error. The note, if it is not empty, follows +OK in the answer.
 	TakeOutOfService(id string) (note string, err error)
 	// ReturnToService undoes TakeOutOfService, however often that was called.
 	ReturnToService(id string) (note string, err error)
@@ -20,13 +20,13 @@
 	Active() error
 }
 
-// command is what a line may ask for.
+// command is an entry of commands.
 type command struct {
 	argument string // name of the argument that it takes; empty if it takes none
 	run      func(handler Handler, argument string) (note string, err error)
 }
 
-// commands has all commands by name. The names and the answers are fixed, as the operators' tools rely on them.
+// commands has all commands by name. Operators' tools rely on the names and the answers, which must not change.
 var commands = map[string]command{
 	"status":    {run: withoutArgument(Handler.Status)},
 	"maint-on":  {argument: "ID", run: Handler.TakeOutOfService},
@@ -39,8 +39,8 @@
 	return func(handler Handler, _ string) (string, error) { return "", method(handler) }
 }
 
-// execute carries out the command on a line, and returns the answer without its line end. What it does not understand
-// changes nothing.
+// execute executes the command on a line, and returns the answer without its line end. A line that is not a valid
+// command is answered with -ERR and changes nothing.
 func execute(handler Handler, line string) string {
 	words := strings.Fields(line)
 	if len(words) == 0 {
@@ -68,5 +68,5 @@
 	return strings.TrimSpace("+OK " + note)
 }
 
-// oneLine puts single spaces in the place of line ends and other white space, as an answer is one line.
+// oneLine replaces line ends and other white space by single spaces, since an answer is one line.
 func oneLine(text string) string { return strings.Join(strings.Fields(text), " ") }
--- a/internal/admincmd/server_test.go
+++ b/internal/admincmd/server_test.go
@@ -44,7 +44,7 @@
 	}
 }
 
-var longLine = strings.Repeat("x", maxLine)
+var longLine = strings.Repeat("x", maxLineBytes)
 
 const longLineAnswer = "-ERR the call is too long\r\n"
 
--- a/internal/proxy/balancer.go
+++ b/internal/proxy/balancer.go
@@ -11,21 +11,23 @@
 	"olivearch/internal/pool"
 )
 
-// Balancer is a platform's balancer: one client server and one pool. Operators' commands may come from any goroutine.
+// Balancer is a platform's balancer: one frontend server and one pool. The methods for operators' commands may be
+// called from any goroutine.
 type Balancer struct {
-	config          Config // of the start
+	config          Config // at the start
 	pool            *pool.Pool
 	router          *platformRouter
 	server          *frontend.Server
-	cancel          context.CancelFunc          // ends the pool and the shared overrides
-	previous        *PreviousProcess            // nil: this process takes over from none
-	peer            atomic.Pointer[peerProcess] // nil: there is no other process now
-	serving         atomic.Bool                 // clients are served, or will be at once
-	sharedOverrides *sharedOverrides            // nil: it takes no part in a coordination cluster
+	cancel          context.CancelFunc          // stops the pool and the shared overrides
+	previous        *PreviousProcess            // to take over from; nil: none
+	peer            atomic.Pointer[peerProcess] // nil: no hot restart is in progress
+	serving         atomic.Bool                 // clients are served, or are about to be
+	sharedOverrides *sharedOverrides            // nil: no coordination cluster is configured
 }
 
-// Start makes a balancer for the clients of a listener. Its pool follows discovery at once; clients are served by Run.
-// previous is the process that it takes over from, and whose listener this is; nil: none.
+// Start creates a balancer for the clients of a listener and starts its pool, which follows discovery. Run serves the
+// clients. previous is the process to take over from, which also serves the listener; nil: none. Start fails if the
+// settings are not valid.
 func Start(config Config, listener net.Listener, previous *PreviousProcess) (*Balancer, error) {
 	ctx, cancel := context.WithCancel(context.Background())
 	var overrides map[string]override.Entry
@@ -33,32 +35,32 @@
 	if previous != nil {
 		overrides, standby = previous.state.Overrides, previous.state.Standby
 	}
-	upstreams, err := pool.New(ctx, config.poolSpec(), nil, overrides)
+	upstreamPool, err := pool.New(ctx, config.poolSpec(), nil, overrides)
 	if err != nil {
 		cancel()
 		return nil, err
 	}
 	started := &Balancer{
 		config:   config,
-		pool:     upstreams,
-		router:   newPlatformRouter(config.Settings.Classes, upstreams),
+		pool:     upstreamPool,
+		router:   newPlatformRouter(config.Settings.Classes, upstreamPool),
 		cancel:   cancel,
 		previous: previous,
 	}
 	if config.Coordination != nil {
 		started.sharedOverrides = newSharedOverrides(config.Name, config.Coordination)
-		started.sharedOverrides.attach(started.applySharedOverrides, upstreams.ReleaseLocalOverride)
+		started.sharedOverrides.attach(started.applySharedOverrides, upstreamPool.ReleaseLocalOverride)
 		context.AfterFunc(ctx, started.sharedOverrides.close)
 	}
-	started.server = frontend.New(started.router, listener, frontend.DefaultLimits(config.clientConns()))
-	started.server.SetKeepAliveLimit(config.requestConns())
-	started.server.SetSpoolBytes(config.bodyBufferBytes())
+	started.server = frontend.New(started.router, listener, frontend.DefaultLimits(config.maxClientConns()))
+	started.server.SetKeepAliveLimit(config.keepAliveLimit())
+	started.server.SetSpoolBytes(config.spoolBytes())
 	started.server.Drain(standby)
 	return started, nil
 }
 
-// Run serves clients until ctx ends, and then until all requests that were accepted are answered. Each configuration
-// from reloads replaces the one before.
+// Run serves clients until ctx ends, and returns once all accepted requests are answered. Each configuration from
+// reloads replaces the current one.
 func (b *Balancer) Run(ctx context.Context, reloads <-chan Config) error {
 	defer b.cancel()
 	if b.previous != nil {
@@ -85,14 +87,14 @@
 	}
 }
 
-// reload gives the pool a new configuration, and then the router its classes: once clients may name a class, the
-// decision module knows it.
+// reload gives the pool a new configuration, and then the router its classes: a class must be known to the decision
+// module before clients may name it.
 func (b *Balancer) reload(config Config) {
 	b.pool.Reload(config.poolSpec(), func() { b.router.setClasses(config.Settings.Classes) })
 }
 
-// stopServing returns once all requests are answered. Other client connections go to the peer process if that has begun
-// to serve, and are closed if not.
+// stopServing returns once all accepted requests are answered. Client connections without a request are handed over to
+// the peer process if it has begun to serve, and closed otherwise.
 func (b *Balancer) stopServing() {
 	if peer := b.peer.Load(); peer != nil && peer.hasServed() {
 		b.server.HandOver(peer.link)
--- a/internal/proxy/client_connections_test.go
+++ b/internal/proxy/client_connections_test.go
@@ -169,7 +169,7 @@
 	late := b.doInBackground(b.newRequest("checkin", "", "X-Late", "1"))
 	<-s.Arrivals
 	var all []net.Conn
-	for range b.config.clientConns() + 50 {
+	for range b.config.maxClientConns() + 50 {
 		c, err := net.Dial("tcp", b.address)
 		if err != nil {
 			t.Fatal(err)
@@ -200,7 +200,7 @@
 	b := startBalancer(t, upMember("s-1", s))
 	held := b.sendRead(t, "held")
 	<-s.Arrivals
-	most := b.config.requestConns()
+	most := b.config.keepAliveLimit()
 	var kept []*bufio.Reader
 	for i := range most + surplus {
 		in := b.sendRead(t, fmt.Sprint("once", i))
--- a/internal/proxy/config.go
+++ b/internal/proxy/config.go
@@ -16,37 +16,38 @@
 	"olivearch/internal/wire"
 )
 
-// Environment variables.
+// Environment variables that LoadConfig reads.
 const (
 	envConfig       = "RELAY_CONFIG"   // path of the configuration file
 	envCoordination = "RELAY_PROMISES" // path of a file that names the coordination servers
-	envFolder       = "TMPDIR"         // of the socket for hot restarts
+	envSocketFolder = "TMPDIR"         // folder of the hot restart socket
 
-	// These go before the values of the configuration file.
+	// These take precedence over the values of the configuration file.
 	envName       = "RELAY_NAME"
 	envListen     = "RELAY_LISTEN"
 	envDiscovery  = "RELAY_DISCOVERY"
 	envManagement = "RELAY_MANAGEMENT"
 )
 
-// Config is the configuration of a balancer. It never changes: a reload makes another.
+// Config is the configuration of a Balancer. It is immutable: a reload creates another.
 type Config struct {
-	Name             string
-	Listen           string            // host:port for clients
-	Discovery        string            // host:port of discovery
-	Seed             uint64            // of the decision module's random numbers
-	MemoryMB         int               // MiB that the process may use
-	Sockets          int               // file descriptors that the process may use
-	InitialEndpoints discovery.Listing // the endpoint list that was last known, maybe stale
-	TakeoverPath     string            // path at which a new process requests a takeover; empty: none does
-	AdminAddress     string            // host:port for operators' commands; empty: none
-	Coordination     *config.Promises  // of the coordination cluster; nil: no shared overrides
-	Settings         balancer.Settings
-	Links            wire.ConnectionSettings // timeouts of upstream connections
-	keys             keySet                  // of the file, to find on a reload what is missing
+	Name               string
+	Listen             string            // host:port at which clients are served
+	Discovery          string            // host:port of the discovery service
+	Seed               uint64            // of the decision module's random number generator
+	MemoryMB           int               // MiB that the process may use
+	Sockets            int               // file descriptors that the process may use
+	InitialEndpoints   discovery.Listing // last known endpoint list, possibly stale
+	TakeoverPath       string            // socket at which a new process requests a takeover; empty: no hot restarts
+	AdminAddress       string            // host:port for operators' commands; empty: none are accepted
+	Coordination       *config.Promises  // names the coordination servers; nil: no shared overrides
+	Settings           balancer.Settings
+	ConnectionSettings wire.ConnectionSettings // of the pool's connections to upstreams
+	keys               keySet                  // in the configuration file; a reload must have them all
 }
 
-// LoadConfig reads the file that RELAY_CONFIG names. An error names the variable, or the file and the key.
+// LoadConfig reads the file that RELAY_CONFIG names and the other environment variables. An error names the variable,
+// or the file and the key.
 func LoadConfig(getenv func(string) string) (Config, error) {
 	path := getenv(envConfig)
 	if path == "" {
@@ -72,15 +73,15 @@
 			return loaded, fmt.Errorf("%s: %w", envCoordination, err)
 		}
 	}
-	if folder := getenv(envFolder); folder != "" {
+	if folder := getenv(envSocketFolder); folder != "" {
 		loaded.TakeoverPath = filepath.Join(folder, "olivearch-"+loaded.Name+".sock")
 	}
 	return loaded, nil
 }
 
-// ReloadConfig reads the file again. RELAY_DISCOVERY still names the address of the start, so the file's goes before
-// it. A key that the file had before and has no longer is an error: it would be taken for zero, which may be a legal
-// value.
+// ReloadConfig reads the file again. RELAY_DISCOVERY is ignored: the environment still has the address of the start,
+// and the file the current one. A key that is missing although the file had it before is an error: it would be read as
+// zero, which may be a legal value.
 func ReloadConfig(getenv func(string) string, before Config) (Config, error) {
 	loaded, err := LoadConfig(func(name string) string {
 		if name == envDiscovery {
@@ -93,14 +94,15 @@
 	}
 	for _, key := range slices.Sorted(maps.Keys(before.keys)) {
 		if !loaded.keys[key] {
-			return loaded, fmt.Errorf("%s: %s is missing, and stood there before", getenv(envConfig), key)
+			return loaded, fmt.Errorf("%s: %s is missing, but was set before the reload", getenv(envConfig), key)
 		}
 	}
 	return loaded, nil
 }
 
-// availableSockets is how many file descriptors the process may have: as configured, or fewer where the system allows
-// fewer. If more were divided up than there are, clients would leave none for upstreams and discovery.
+// availableSockets returns how many file descriptors the process may open: the configured number, or the system's limit
+// if that is lower. The shares of clients and upstreams are computed from it. With too high a number, clients could use
+// up all descriptors and leave none for upstreams and discovery.
 func availableSockets(configured int) int {
 	var limit syscall.Rlimit
 	if err := syscall.Getrlimit(syscall.RLIMIT_NOFILE, &limit); err != nil {
@@ -112,35 +114,36 @@
 	return int(limit.Cur)
 }
 
-// Of the file descriptors, half are for clients, who may keep a third for requests. A reserve is for the listener,
-// discovery and what is being closed. The rest is for upstreams.
+// File descriptors are shared out as follows: half are for client connections. A reserve is for the listener, discovery
+// and connections that are being closed. The rest are for upstream connections.
 
-// minReservedSockets is the least reserve.
+// minReservedSockets is the minimum of the reserve.
 const minReservedSockets = 16
 
-// clientConns is how many connections clients may have.
-func (c *Config) clientConns() int { return c.Sockets / 2 }
+// maxClientConns returns how many client connections may be open.
+func (c *Config) maxClientConns() int { return c.Sockets / 2 }
 
-// requestConns is how many connections clients may keep for requests. Clients hold a third of the descriptors between
-// them, and the server accepts nobody above it: clients that sent one request and kept the connection once filled it,
-// and up to 81 % of the requests never came here. Three eighths of the third stay free for those that come at once.
-func (c *Config) requestConns() int { return c.Sockets / 3 * 5 / 8 }
+// keepAliveLimit returns how many client connections may be active or idle before the longest idle one is closed. A
+// platform opens connections for its clients up to a third of the descriptors. When clients that had sent one request
+// and kept the connection filled that third, up to 81 % of the requests did not reach the balancer. Three eighths of
+// the third are therefore kept free for new connections.
+func (c *Config) keepAliveLimit() int { return c.Sockets / 3 * 5 / 8 }
 
-// upstreamConns is how many connections there may be to all upstreams.
-func (c *Config) upstreamConns() int { return c.Sockets/2 - max(c.Sockets/16, minReservedSockets) }
+// maxUpstreamConns returns how many connections to all upstreams together may be open.
+func (c *Config) maxUpstreamConns() int { return c.Sockets/2 - max(c.Sockets/16, minReservedSockets) }
 
-// bodyBufferBytes is how much memory client bodies may take that are read ahead, in bytes: an eighth of the process's.
-func (c *Config) bodyBufferBytes() int64 { return int64(c.MemoryMB) << 20 / 8 }
+// spoolBytes returns how much memory request bodies that are read ahead may take, in bytes: an eighth of the process's.
+func (c *Config) spoolBytes() int64 { return int64(c.MemoryMB) << 20 / 8 }
 
-// poolSpec describes the balancer's one pool.
+// poolSpec returns the configuration of the balancer's pool.
 func (c *Config) poolSpec() pool.Spec {
 	return pool.Spec{
 		Name:             c.Name,
 		Settings:         c.Settings,
-		Links:            c.Links,
+		Links:            c.ConnectionSettings,
 		Seed:             c.Seed,
 		Discovery:        c.Discovery,
 		InitialEndpoints: &c.InitialEndpoints,
-		MaxConnections:   c.upstreamConns(),
+		MaxConnections:   c.maxUpstreamConns(),
 	}
 }
--- a/internal/proxy/config_file.go
+++ b/internal/proxy/config_file.go
@@ -16,7 +16,7 @@
 	minSockets  = 64
 )
 
-// configFile is the form of the configuration file.
+// configFile is the JSON object in the configuration file.
 type configFile struct {
 	Name       string `json:"name"`
 	Listen     string `json:"listen"`
@@ -31,8 +31,8 @@
 	Settings json.RawMessage   `json:"settings"`
 }
 
-// decodeConfigFile reads a file's text. The keys are all that it has, but for those of the endpoint list, which may
-// change from one file to the next.
+// decodeConfigFile decodes the text of a configuration file. The keySet has its keys except those of the endpoint list,
+// which a reload may lack.
 func decodeConfigFile(text []byte) (*configFile, keySet, error) {
 	var file configFile
 	if err := json.Unmarshal(text, &file); err != nil {
@@ -46,7 +46,7 @@
 	return &file, keysOf(values), nil
 }
 
-// applyEnvironment replaces values by those of environment variables that are set.
+// applyEnvironment replaces values by those of the environment variables that are set.
 func (f *configFile) applyEnvironment(getenv func(string) string) {
 	for name, value := range map[string]*string{
 		envName:       &f.Name,
@@ -60,7 +60,7 @@
 	}
 }
 
-// config checks the file's values and converts them. An error names the key.
+// config validates the file's values and converts them to a Config. An error names the key.
 func (f *configFile) config() (Config, error) {
 	if err := f.checkAddresses(); err != nil {
 		return Config{}, err
@@ -119,20 +119,20 @@
 	return nil
 }
 
-// decodeSettings reads and checks the settings object. Sockets must be set before: they bound the attempts in flight.
+// decodeSettings decodes and validates the settings object. c.Sockets must be set: it bounds the attempts in flight.
 func (c *Config) decodeSettings(text json.RawMessage) error {
 	if len(text) == 0 {
 		return errors.New("settings are missing")
 	}
 	var err error
-	if c.Settings, c.Links, err = wire.DecodeSettings(text); err != nil {
+	if c.Settings, c.ConnectionSettings, err = wire.DecodeSettings(text); err != nil {
 		return err
 	}
-	c.Settings.Limits.MaxInFlight = c.upstreamConns()
+	c.Settings.Limits.MaxInFlight = c.maxUpstreamConns()
 	if err := c.Settings.Validate(); err != nil {
 		return err
 	}
-	if c.Links.KeepAlive <= 0 || c.Links.ConnectTimeout <= 0 {
+	if c.ConnectionSettings.KeepAlive <= 0 || c.ConnectionSettings.ConnectTimeout <= 0 {
 		return errors.New("settings: limits: keepalive_us and connect_timeout_us must be over zero")
 	}
 	return nil
--- a/internal/proxy/config_keys.go
+++ b/internal/proxy/config_keys.go
@@ -1,13 +1,13 @@
 package proxy
 
-// keySet is a set of paths of keys in a JSON value, such as settings.limits.cancel. A list's entries have the path
-// element "each".
+// keySet is a set of key paths in a JSON value, for example settings.limits.cancel. The path element "each" stands for
+// the entries of a list.
 type keySet map[string]bool
 
-// optionalClassKeys are keys that only some kinds of class have: another class without them lacks nothing.
+// optionalClassKeys are the keys that only some classes need. They are never reported as missing.
 var optionalClassKeys = keySet{"group": true, "memory_span_us": true, "late_worth": true, "stream": true}
 
-// keysOf returns the keys of a decoded JSON value.
+// keysOf returns the key paths of a decoded JSON value.
 func keysOf(value any) keySet {
 	switch value := value.(type) {
 	case map[string]any:
@@ -29,7 +29,7 @@
 	return keys
 }
 
-// keysOfList returns the keys that all entries have.
+// keysOfList returns the key paths that all entries have, without optionalClassKeys.
 func keysOfList(entries []any) keySet {
 	count := map[string]int{}
 	for _, entry := range entries {
--- a/internal/proxy/config_test.go
+++ b/internal/proxy/config_test.go
@@ -36,7 +36,7 @@
 	want(t, "name", c.Name, "n4")
 	want(t, "seed", c.Seed, uint64(0x8c1f30d27a5be964))
 	want(t, "known", c.InitialEndpoints.Revision, uint64(41))
-	want(t, "keep-alive", c.Links.KeepAlive, time.Minute)
+	want(t, "keep-alive", c.ConnectionSettings.KeepAlive, time.Minute)
 	want(t, "classes", len(c.Settings.Classes), 3)
 }
 
--- a/internal/proxy/doc.go
+++ b/internal/proxy/doc.go
@@ -1,11 +1,12 @@
-// Package proxy routes requests from the client connections of package frontend to pools of upstreams, and holds the
-// balancer that a platform runs as one process.
+// Package proxy routes requests from the client connections of package frontend to the pools of package pool.
 //
-// There are two routers. platformRouter has one pool and the request forms of the platform's protocol; RouteTable has
-// many pools, found by a request's route. Balancer puts a client server, a platformRouter and its pool together. It
-// carries out operators' commands, applies the overrides that all balancers share, and takes over from an old process
-// of the same balancer or hands over to a new one.
+// It has two routers. RouteTable, which package service uses, has many pools and chooses one by a request's route.
+// platformRouter has one pool and accepts the requests of the platform's protocol.
 //
-// The package decides nothing about attempts: which upstream a request is sent to, and whether it is sent again, is up
-// to package balancer.
+// Balancer is the balancer that a platform runs as one process, by cmd/olivearch: a frontend server, a platformRouter
+// and its pool. It executes operators' commands and applies the overrides that all balancers share. In a hot restart it
+// takes over from an old process of the same balancer, or hands over to a new one.
+//
+// The package decides nothing about attempts: package balancer chooses the upstream of each attempt, and decides
+// whether a request is retried.
 package proxy
--- a/internal/proxy/hotrestart.go
+++ b/internal/proxy/hotrestart.go
@@ -22,31 +22,31 @@
 //	takeOver        -- KindSnapshotRequest -->   handlePeerMessage
 //	                <-- KindSnapshot --
 //	(serves)        -- KindReady -->             peerServing
-//	                <-- KindClientConnection --  (once it is told to stop)
+//	                <-- KindClientConnection --  (once the old process stops)
 //
-// In between, either process sends a KindState after each operators' command, and the other answers with a KindAck.
+// While both run, each sends a KindState after every operator's command, and the other answers with a KindAck.
 
 const (
-	// takeoverTimeout bounds the wait for the first message of a takeover, on either side.
+	// takeoverTimeout bounds the wait of either process for the first message of a takeover.
 	takeoverTimeout = time.Second
-	// peerAnswerTimeout bounds the wait for the peer process to apply a state, or to send its snapshot.
+	// peerAnswerTimeout bounds the wait for the peer process to apply a state or to send its snapshot.
 	peerAnswerTimeout = 300 * time.Millisecond
-	// endpointsPollInterval is the time between two looks at whether the endpoint list is known.
+	// endpointsPollInterval is the time between two checks whether the endpoint list is known.
 	endpointsPollInterval = 5 * time.Millisecond
 )
 
-// errNoListener is returned where the answer to a takeover request came without the listening socket.
+// errNoListener is returned if the answer to a takeover request has no listening socket attached.
 var errNoListener = errors.New("the old process has handed over no listener")
 
-// PreviousProcess is an old process that still serves, and what it has handed over.
+// PreviousProcess is an old process that still serves, with the listener and the state that it has handed over.
 type PreviousProcess struct {
 	Listener net.Listener       // for clients, shared with the old process
 	state    hotrestart.Message // of kind KindState
 	link     *hotrestart.Link
 }
 
-// TakeOver asks the process that listens at a path for what a new one needs to serve the address listen (host:port).
-// If no process listens there, the error is an os.ErrNotExist.
+// TakeOver requests the listener and the operators' state of the process whose hot restart socket is at path, and which
+// serves clients at the address listen (host:port). The error wraps os.ErrNotExist if there is no such socket.
 func TakeOver(path, listen string) (*PreviousProcess, error) {
 	link, err := hotrestart.Dial(path)
 	if err != nil {
@@ -60,7 +60,7 @@
 	return previous, nil
 }
 
-// requestListener fills in the state and the listener of the old process.
+// requestListener requests a takeover, and sets state and Listener from the answer.
 func (p *PreviousProcess) requestListener(listen string) error {
 	request := hotrestart.Message{Kind: hotrestart.KindTakeOver, Listen: listen}
 	if err := p.link.Send(request, nil); err != nil {
@@ -84,8 +84,8 @@
 	return err
 }
 
-// listenForTakeover hands over to each new process that asks for it at a path. It returns at once; the listening ends
-// with the context.
+// listenForTakeover accepts takeover requests at a socket path until ctx ends. It returns once it listens; the requests
+// are handled in the background.
 func (b *Balancer) listenForTakeover(ctx context.Context, path string) error {
 	listener, err := hotrestart.Listen(path)
 	if err != nil {
@@ -104,7 +104,8 @@
 	return nil
 }
 
-// handOver gives the listener and the operators' state to a new process, and then follows it until its link ends.
+// handOver sends the listener and the operators' state to a new process, and then handles its messages until its link
+// ends.
 func (b *Balancer) handOver(link *hotrestart.Link) {
 	_ = link.SetReadDeadline(time.Now().Add(takeoverTimeout)) // fails on a closed link only, and so does Receive
 	request, file, err := link.Receive()
@@ -123,14 +124,15 @@
 	if err := link.Send(b.hotRestartState(), listener); err != nil {
 		slog.Warn("listener not handed over", "err", err)
 	}
-	// The peer is notified of operators' commands from here on, and not before: it would take a state without the
-	// listener for the answer to its request. Commands that came meanwhile are covered by the notification below.
+	// The peer is notified of operators' commands only after the listener has been sent: it would take an earlier
+	// state, which has no listener attached, for the answer to its request. notifyPeer covers commands that were
+	// executed in the meantime.
 	b.peer.Store(peer)
 	go b.notifyPeer()
 	b.followPeer(peer)
 }
 
-// takeOver makes this process ready to serve beside the old one, and then announces that it does.
+// takeOver prepares this process to serve beside the old one, and then announces that it is ready.
 func (b *Balancer) takeOver(ctx context.Context, previous *PreviousProcess) {
 	peer := newPeerProcess(previous.link, peerServing)
 	b.peer.Store(peer)
@@ -156,10 +158,10 @@
 	return true
 }
 
-// followPeer applies the messages of the peer process until its link ends.
+// followPeer handles the messages of the peer process until its link ends.
 func (b *Balancer) followPeer(peer *peerProcess) {
 	defer func() {
-		peer.linkEnded()
+		peer.handleLinkEnd()
 		b.peer.CompareAndSwap(peer, nil)
 		peer.link.Close()
 	}()
@@ -176,13 +178,13 @@
 	}
 }
 
-// handlePeerMessage applies a message. The caller closes the file that came with it, if there is one.
+// handlePeerMessage handles a message and the file attached to it, which may be nil. The caller closes the file.
 func (b *Balancer) handlePeerMessage(peer *peerProcess, message hotrestart.Message, file *os.File) {
 	switch message.Kind {
 	case hotrestart.KindReady:
-		peer.becameReady()
+		peer.handleReady()
 	case hotrestart.KindAck:
-		peer.acknowledged(message.Serial)
+		peer.handleAck(message.Serial)
 	case hotrestart.KindState:
 		b.applyPeerState(message)
 		ack := hotrestart.Message{Kind: hotrestart.KindAck, Serial: message.Serial}
@@ -195,11 +197,12 @@
 		if message.Snapshot != nil {
 			b.pool.Restore(*message.Snapshot)
 		}
-		peer.snapshotArrived()
+		peer.markSnapshotRestored()
 	}
 }
 
-// sendSnapshot fails if the fleet is too large for one message: the peer then serves without the snapshot.
+// sendSnapshot sends the pool's snapshot to the peer process. The snapshot of a large fleet may exceed the size limit
+// of a message: the peer then serves without it.
 func (b *Balancer) sendSnapshot(peer *peerProcess) {
 	snapshot := b.pool.Snapshot()
 	message := hotrestart.Message{Kind: hotrestart.KindSnapshot, Snapshot: &snapshot}
@@ -221,7 +224,7 @@
 	b.server.ServeConn(conn)
 }
 
-// hotRestartState is the message with what operators have set in this process so far.
+// hotRestartState returns a message with the operators' state: local overrides, and whether the balancer is drained.
 func (b *Balancer) hotRestartState() hotrestart.Message {
 	return hotrestart.Message{
 		Kind:      hotrestart.KindState,
@@ -231,14 +234,14 @@
 	}
 }
 
-// applyPeerState merges what operators have set in the peer process.
+// applyPeerState applies the operators' state of the peer process to this one.
 func (b *Balancer) applyPeerState(state hotrestart.Message) {
 	b.pool.MergeOverrides(state.Overrides)
 	b.server.Drain(state.Standby)
 }
 
-// notifyPeer sends the peer process, if there is one, what operators have set, and waits until it is applied there: a
-// command that has succeeded holds in both processes. A failure is logged only.
+// notifyPeer sends the operators' state to the peer process, if there is one, and waits until it is applied there: a
+// command that has succeeded holds in both processes. A failure to notify is only logged.
 func (b *Balancer) notifyPeer() {
 	peer := b.peer.Load()
 	if peer == nil {
--- a/internal/proxy/operator_commands.go
+++ b/internal/proxy/operator_commands.go
@@ -8,11 +8,11 @@
 	"olivearch/internal/admincmd"
 )
 
-// endpointsTimeout is how long a new process waits for an endpoint list from discovery before it serves with the one
-// that it was started with.
+// endpointsTimeout bounds a new process's wait for an endpoint list from discovery. After that the process serves with
+// the initial list of its configuration.
 const endpointsTimeout = 2 * time.Second
 
-// What Status returns while this process is not ready.
+// Errors of Status. Operators read their texts.
 var (
 	errEndpointsUnknown = errors.New("no list of upstreams has been told yet")
 	errNotServing       = errors.New("taking the place of the process before")
@@ -20,8 +20,8 @@
 
 var _ admincmd.Handler = (*Balancer)(nil)
 
-// Status returns nil once this process is ready: it serves, by an endpoint list that it has received itself, or without
-// one after endpointsTimeout.
+// Status returns nil once this process is ready: it serves, and it has received an endpoint list from discovery or
+// waited for one for endpointsTimeout.
 func (b *Balancer) Status() error {
 	if !b.endpointsKnown() {
 		return errEndpointsUnknown
@@ -32,13 +32,14 @@
 	return nil
 }
 
-// endpointsKnown tells whether discovery has answered, or has not for endpointsTimeout.
+// endpointsKnown reports whether an endpoint list has come from discovery, or endpointsTimeout has passed without one.
 func (b *Balancer) endpointsKnown() bool {
 	return b.pool.EndpointsKnown(endpointsTimeout)
 }
 
-// TakeOutOfService takes an upstream out: here at once, and then by a shared override at all balancers. Once it has
-// returned, this balancer and its peer process send nothing new there, also if the shared override has failed.
+// TakeOutOfService takes an upstream out of service: at once by a local override, and then at all balancers by a shared
+// override. If only the shared one fails, the local override still stops new requests from this balancer and its peer
+// process.
 func (b *Balancer) TakeOutOfService(id string) (note string, err error) {
 	if err := b.pool.SetOutOfService(id, true); err != nil {
 		return "", err
@@ -50,8 +51,8 @@
 	return b.sharedOverrides.set(id, time.Now())
 }
 
-// ReturnToService puts an upstream back, as one that has just started. The shared override is cleared first: while it
-// holds, the upstream stays out.
+// ReturnToService returns an upstream to service, where it is treated as one that has just started. The shared override
+// is cleared first, because the upstream stays out of service until then.
 func (b *Balancer) ReturnToService(id string) (note string, err error) {
 	var clearErr error
 	if b.sharedOverrides != nil {
@@ -75,7 +76,7 @@
 	return note, nil
 }
 
-// Standby drains the balancer: /healthz answers 503, and client connections are closed behind their answers.
+// Standby drains the balancer: /healthz answers 503, and client connections are closed after a response or once idle.
 func (b *Balancer) Standby() error { return b.setDraining(true) }
 
 // Active ends the drain.
--- a/internal/proxy/peer_process.go
+++ b/internal/proxy/peer_process.go
@@ -8,25 +8,25 @@
 	"olivearch/internal/hotrestart"
 )
 
-// peerState is how far a hot restart has come, in terms of the peer process.
+// peerState is the state of the peer process in a hot restart.
 type peerState int
 
 const (
-	peerStarting peerState = iota // has the listener, and does not serve yet
-	peerServing                   // serves clients, as this process does
-	peerFailed                    // its link ended before it served
+	peerStarting peerState = iota // has the listener, but does not serve yet
+	peerServing                   // serves clients beside this process
+	peerFailed                    // its link ended before it had served
 	peerFinished                  // its link ended after it had served
 )
 
-// peerEvent is what changes a peerState.
+// peerEvent is an event that may change a peerState.
 type peerEvent int
 
 const (
-	peerBecameReady peerEvent = iota // it has announced that it serves
+	peerBecameReady peerEvent = iota // it has announced that it is ready to serve
 	peerLinkEnded
 )
 
-// after returns the state that follows an event. Events that mean nothing in a state leave it as it is.
+// after returns the state that follows an event. An event that does not apply to a state leaves it unchanged.
 func (s peerState) after(event peerEvent) peerState {
 	switch {
 	case s == peerStarting && event == peerBecameReady:
@@ -39,44 +39,46 @@
 	return s
 }
 
-// hasServed tells whether client connections are handed over to the peer, and not closed, when this process stops. A
-// link that has ended meanwhile does not change that: the server finds out as it sends.
+// hasServed reports whether the peer serves or has served. If so, this process hands its client connections over to the
+// peer when it stops, instead of closing them. It does so even if the link has ended: the server finds out by the
+// failure to send.
 func (s peerState) hasServed() bool { return s == peerServing || s == peerFinished }
 
-// Why a notification was not confirmed.
+// Errors of notify.
 var (
-	errPeerEnded     = errors.New("it has ended")
-	errPeerNotInTime = errors.New("it does not answer")
+	errPeerLinkEnded = errors.New("the link to the peer process ended")
+	errPeerTimeout   = errors.New("the peer process did not acknowledge the state in time")
 )
 
-// peerProcess is the other process of this balancer during a hot restart. Its methods may be called from any goroutine;
-// only Balancer.followPeer receives from the link, and calls becameReady, acknowledged, snapshotArrived and linkEnded.
+// peerProcess is the other process of this balancer during a hot restart. Its methods may be called from any goroutine.
+// Only Balancer.followPeer receives from the link, and calls handleReady, handleAck, handleLinkEnd and
+// markSnapshotRestored.
 type peerProcess struct {
-	link            *hotrestart.Link
-	ended           chan struct{} // closed once the link has ended
-	snapshot        chan struct{} // closed once the peer's snapshot has been restored
-	snapshotArrived func()        // closes snapshot, once
+	link                 *hotrestart.Link
+	linkEnded            chan struct{} // closed once the link has ended
+	snapshotRestored     chan struct{} // closed once the peer's snapshot has been restored
+	markSnapshotRestored func()        // closes snapshotRestored; further calls have no effect
 
 	mu          sync.Mutex // guards the fields below
 	state       peerState
-	lastSerial  uint64                   // of the states sent
-	pendingAcks map[uint64]chan struct{} // by serial; each is closed by its ack
+	lastSerial  uint64                   // serial of the last state sent
+	pendingAcks map[uint64]chan struct{} // by the serial of the state; closed by its ack
 }
 
 func newPeerProcess(link *hotrestart.Link, state peerState) *peerProcess {
 	snapshot := make(chan struct{})
 	return &peerProcess{
-		link:            link,
-		ended:           make(chan struct{}),
-		snapshot:        snapshot,
-		snapshotArrived: sync.OnceFunc(func() { close(snapshot) }),
-		state:           state,
-		pendingAcks:     map[uint64]chan struct{}{},
+		link:                 link,
+		linkEnded:            make(chan struct{}),
+		snapshotRestored:     snapshot,
+		markSnapshotRestored: sync.OnceFunc(func() { close(snapshot) }),
+		state:                state,
+		pendingAcks:          map[uint64]chan struct{}{},
 	}
 }
 
-// notify sends a state of this process, and returns nil once the peer has applied it. It waits for peerAnswerTimeout at
-// most.
+// notify sends a state of this process, and returns nil once the peer has acknowledged it. It waits for the ack for at
+// most peerAnswerTimeout.
 func (p *peerProcess) notify(state hotrestart.Message) error {
 	state.Kind = hotrestart.KindState
 	serial, applied := p.expectAck()
@@ -88,14 +90,14 @@
 	select {
 	case <-applied:
 		return nil
-	case <-p.ended:
-		return errPeerEnded
+	case <-p.linkEnded:
+		return errPeerLinkEnded
 	case <-time.After(peerAnswerTimeout):
-		return errPeerNotInTime
+		return errPeerTimeout
 	}
 }
 
-// expectAck returns the next serial and a channel that its ack closes.
+// expectAck returns the next serial and a channel that is closed by its ack.
 func (p *peerProcess) expectAck() (serial uint64, applied <-chan struct{}) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -111,8 +113,8 @@
 	delete(p.pendingAcks, serial)
 }
 
-// acknowledged ends the wait for the ack of a serial. One that nobody waits for any longer is ignored.
-func (p *peerProcess) acknowledged(serial uint64) {
+// handleAck ends the wait for the ack of a serial. The ack of a serial that is not awaited is ignored.
+func (p *peerProcess) handleAck(serial uint64) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if applied, ok := p.pendingAcks[serial]; ok {
@@ -121,33 +123,32 @@
 	}
 }
 
-// requestSnapshot asks for what the peer has learnt of the upstreams, and returns once that is restored. Without an
-// answer within peerAnswerTimeout this process serves without it.
+// requestSnapshot requests the snapshot of the peer's pool, and returns once it is restored. If that takes longer than
+// peerAnswerTimeout, this process serves without the snapshot.
 func (p *peerProcess) requestSnapshot() {
 	if err := p.link.Send(hotrestart.Message{Kind: hotrestart.KindSnapshotRequest}, nil); err != nil {
 		return
 	}
 	select {
-	case <-p.snapshot:
-	case <-p.ended:
+	case <-p.snapshotRestored:
+	case <-p.linkEnded:
 	case <-time.After(peerAnswerTimeout):
 	}
 }
 
-func (p *peerProcess) becameReady() { p.handle(peerBecameReady) }
+func (p *peerProcess) handleReady() { p.handleEvent(peerBecameReady) }
 
-func (p *peerProcess) linkEnded() {
-	p.handle(peerLinkEnded)
-	close(p.ended)
+func (p *peerProcess) handleLinkEnd() {
+	p.handleEvent(peerLinkEnded)
+	close(p.linkEnded)
 }
 
-func (p *peerProcess) handle(event peerEvent) {
+func (p *peerProcess) handleEvent(event peerEvent) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.state = p.state.after(event)
 }
 
-// hasServed is as that of its state.
 func (p *peerProcess) hasServed() bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/internal/proxy/peer_process_test.go
+++ b/internal/proxy/peer_process_test.go
@@ -66,10 +66,10 @@
 		answer func(p *peerProcess, serial uint64)
 		want   error
 	}{
-		{"acknowledged", func(p *peerProcess, serial uint64) { p.acknowledged(serial) }, nil},
-		{"another serial", func(p *peerProcess, serial uint64) { p.acknowledged(serial + 1) }, errPeerNotInTime},
-		{"no answer", func(*peerProcess, uint64) {}, errPeerNotInTime},
-		{"the link ends", func(p *peerProcess, _ uint64) { p.linkEnded() }, errPeerEnded},
+		{"acknowledged", func(p *peerProcess, serial uint64) { p.handleAck(serial) }, nil},
+		{"another serial", func(p *peerProcess, serial uint64) { p.handleAck(serial + 1) }, errPeerTimeout},
+		{"no answer", func(*peerProcess, uint64) {}, errPeerTimeout},
+		{"the link ends", func(p *peerProcess, _ uint64) { p.handleLinkEnd() }, errPeerLinkEnded},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			peer, far := linkedPeer(t)
--- a/internal/proxy/platform_router.go
+++ b/internal/proxy/platform_router.go
@@ -14,13 +14,13 @@
 	"olivearch/internal/upstream"
 )
 
-// platformKeyCookie is the cookie with a request's key for the decision module.
+// platformKeyCookie is the cookie that carries a request's key for the decision module.
 const platformKeyCookie = "obj"
 
-// platformRouter is the router of a platform's balancer: it has one pool, and a request names its class. Its methods
+// platformRouter is the router of a platform's balancer: it has one pool, and each request names its class. Its methods
 // may be called from any goroutine.
 type platformRouter struct {
-	classes atomic.Pointer[map[string]balancer.Class] // by name; the map never changes
+	classes atomic.Pointer[map[string]balancer.Class] // by name; the map is immutable
 	pool    *pool.Pool
 }
 
@@ -41,13 +41,13 @@
 	r.classes.Store(&byName)
 }
 
-// Now is the time on the pool's clock.
+// Now returns the time on the pool's clock.
 func (r *platformRouter) Now() time.Duration { return r.pool.Now() }
 
-// Ping returns once the pool has had a turn.
+// Ping returns once the pool's event loop has handled an event.
 func (r *platformRouter) Ping() { r.pool.Ping() }
 
-// MaxDeadline is the longest deadline of a class.
+// MaxDeadline returns the longest deadline of all classes.
 func (r *platformRouter) MaxDeadline() (longest time.Duration) {
 	for _, class := range *r.classes.Load() {
 		longest = max(longest, class.Deadline)
@@ -61,17 +61,17 @@
 	pool *pool.Pool
 }
 
-// Admit hands the request to the pool, which always takes it.
+// Admit submits the request to the pool, which accepts every request.
 func (e *platformExchange) Admit() (pool.Response, error) {
 	e.pool.Submit(&e.Request)
 	return pool.Response{}, nil
 }
 
-// Done has nothing to do: the one pool does not count its requests.
+// Done does nothing: the pool does not count its requests.
 func (e *platformExchange) Done() {}
 
-// Check reads the head of a request. A field that is there must be well formed: a default in its place would serve
-// something else than the client asked for.
+// Check parses and validates the head of a request. It rejects a malformed field, as a default value would serve
+// something other than the client asked for.
 func (r *platformRouter) Check(method, target string, fields *http1.Fields) (frontend.Exchange, error) {
 	target = originForm(target)
 	if !isPath(target) {
@@ -110,7 +110,8 @@
 	return exchange, nil
 }
 
-// originForm takes scheme and host off a target in absolute form (RFC 9112, section 3.2.2).
+// originForm removes scheme and host from a target in absolute form (RFC 9112, section 3.2.2). It returns an invalid
+// target unchanged.
 func originForm(target string) string {
 	if strings.HasPrefix(target, "/") {
 		return target
@@ -122,7 +123,7 @@
 	return absolute.String()
 }
 
-// isPath tells whether a target is an absolute path of printable ASCII characters.
+// isPath reports whether a target is an absolute path of printable ASCII characters without spaces.
 func isPath(target string) bool {
 	notPrintable := func(r rune) bool { return r <= ' ' || r >= 0x7f }
 	return strings.HasPrefix(target, "/") && !strings.ContainsFunc(target, notPrintable)
@@ -135,19 +136,20 @@
 	return segment
 }
 
-// checkFitsClass checks that the method and the Idempotency-Key are those of requests of a class.
+// checkFitsClass checks that a request has the method that its class requires, and an Idempotency-Key exactly if the
+// class requires one.
 func checkFitsClass(class balancer.Class, method string, fields *http1.Fields) error {
-	classMethod := http.MethodPost
+	requiredMethod := http.MethodPost
 	if class.Idempotency == balancer.Idempotent {
-		classMethod = http.MethodGet
+		requiredMethod = http.MethodGet
 	}
-	if method != classMethod {
+	if method != requiredMethod {
 		return frontend.BadRequest("the method does not fit the class")
 	}
-	wantsKey := class.Idempotency == balancer.IdempotentWithKey
+	requiresKey := class.Idempotency == balancer.IdempotentWithKey
 	hasKey := fields.Get(fieldIdempotencyKey) != ""
 	emptyKey := !hasKey && fields.Has(fieldIdempotencyKey)
-	if wantsKey != hasKey || emptyKey {
+	if requiresKey != hasKey || emptyKey {
 		return frontend.BadRequest("Idempotency-Key does not fit the class")
 	}
 	return nil
--- a/internal/proxy/request.go
+++ b/internal/proxy/request.go
@@ -20,7 +20,7 @@
 	fieldConnection     = "Connection"
 	fieldCookie         = "Cookie"
 	fieldCostHint       = "X-Cost-Hint"   // expected work, in microseconds
-	fieldDeadline       = "X-Deadline-Ms" // from the client's sending, in milliseconds
+	fieldDeadline       = "X-Deadline-Ms" // in milliseconds from when the client sent the request
 	fieldHost           = "Host"
 	fieldIdempotencyKey = "Idempotency-Key"
 	fieldRequestID      = "X-Request-Id"
@@ -30,23 +30,24 @@
 )
 
 const (
-	// answerMargin is taken off the client's deadline, which counts from its sending: the way here and back, and a turn
-	// of the pool's goroutine.
-	answerMargin = 4 * time.Millisecond
-	// maxClientNumber bounds a time that a client gives, in the unit of its field, so that no sum overflows.
-	maxClientNumber = 1 << 40
+	// deadlineMargin is subtracted from a request's budget, since the client's deadline counts from its sending. It
+	// covers the transfer from and to the client, and one iteration of the pool's event loop.
+	deadlineMargin = 4 * time.Millisecond
+	// maxClientTime caps a time in a client's header field, in the unit of the field, so that no sum overflows.
+	maxClientTime = 1 << 40
 )
 
-// parsedRequest is a request with what its client says of it, whatever router reads it.
+// parsedRequest is a pool's request, filled in from the client's header fields. The exchanges of both routers embed it.
 type parsedRequest struct {
 	pool.Request
-	clientDeadline time.Duration // as the client gives it; 0: none
+	clientDeadline time.Duration // from X-Deadline-Ms; 0: none
 }
 
-// PoolRequest is the request as a pool takes it.
+// PoolRequest returns the request that is submitted to a pool.
 func (r *parsedRequest) PoolRequest() *pool.Request { return &r.Request }
 
-// parseFields reads the fields that have the same meaning for all classes, and drops those that end at this connection.
+// parseFields parses the fields that have the same meaning for all classes, and removes the fields that Connection
+// names (RFC 9110, section 7.6.1).
 func (r *parsedRequest) parseFields(fields *http1.Fields) error {
 	r.Tenant = fields.Get(fieldTenant)
 	r.Retry = fields.Get(fieldRetry) == "1"
@@ -55,21 +56,21 @@
 		if !ok || milliseconds == 0 {
 			return frontend.BadRequest("X-Deadline-Ms is no time")
 		}
-		r.clientDeadline = time.Duration(min(milliseconds, maxClientNumber)) * time.Millisecond
+		r.clientDeadline = time.Duration(min(milliseconds, maxClientTime)) * time.Millisecond
 	}
 	if fields.Has(fieldCostHint) {
 		microseconds, ok := http1.ParseDigits(fields.Get(fieldCostHint))
 		if !ok {
 			return frontend.BadRequest("X-Cost-Hint is no number")
 		}
-		r.Cost = time.Duration(min(microseconds, maxClientNumber)) * time.Microsecond
+		r.Cost = time.Duration(min(microseconds, maxClientTime)) * time.Microsecond
 	}
-	// A client can't drop the fields that the balancer goes by.
+	// Fields that the balancer itself relies on stay, even if Connection names them.
 	http1.DropConnectionFields(fields, frontend.SingletonFields)
 	return nil
 }
 
-// setKeyFromCookie makes the value of a cookie the request's key: as it is if it is hexadecimal, else its hash.
+// setKeyFromCookie sets the request's key from a cookie: to its value if that is hexadecimal, else to the value's hash.
 func (r *parsedRequest) setKeyFromCookie(fields http1.Fields, name string) {
 	r.Key, r.HasKey = 0, false
 	cookies := fields.Values(fieldCookie)
@@ -87,21 +88,21 @@
 	}
 }
 
-// setClass sets the class and the budget: the shortest of the client's deadline, the class's, and the limit of the
-// destination, less answerMargin.
+// setClass sets the class and the budget. The budget is the shortest of the client's deadline, the class's deadline and
+// the route's limit, less deadlineMargin. A cost above the class's deadline is discarded.
 func (r *parsedRequest) setClass(class balancer.Class, limit time.Duration) {
 	r.Class = class.Name
 	budget := min(class.Deadline, limit)
 	if r.clientDeadline > 0 {
 		budget = min(budget, r.clientDeadline)
 	}
-	r.Budget = max(0, budget-answerMargin)
+	r.Budget = max(0, budget-deadlineMargin)
 	if r.Cost > class.Deadline {
-		r.Cost = 0 // work that can't be done within the deadline is no estimate, and would move the mean of them
+		r.Cost = 0 // more work than fits the deadline is no estimate, and would distort the mean of the estimates
 	}
 }
 
-// newRequestID returns an id for a request whose client gave none.
+// newRequestID returns a random id for a request that came without one.
 func newRequestID() string {
 	var id [8]byte
 	rand.Read(id[:]) // never fails
--- a/internal/proxy/request_test.go
+++ b/internal/proxy/request_test.go
@@ -21,7 +21,7 @@
 	return request
 }
 
-// The budget is the shortest of three times, less answerMargin, and never below 0.
+// The budget is the shortest of three times, less deadlineMargin, and never below 0.
 func TestBudgetIsTheShortestTime(t *testing.T) {
 	class := balancer.Class{Name: "read", Deadline: 4 * time.Second}
 	for _, c := range []struct {
@@ -30,11 +30,11 @@
 		limit          time.Duration
 		budget         time.Duration
 	}{
-		{"the class's", "9000", 5 * time.Second, 4*time.Second - answerMargin},
-		{"the destination's", "9000", 3 * time.Second, 3*time.Second - answerMargin},
-		{"the client's", "200", 3 * time.Second, 200*time.Millisecond - answerMargin},
+		{"the class's", "9000", 5 * time.Second, 4*time.Second - deadlineMargin},
+		{"the destination's", "9000", 3 * time.Second, 3*time.Second - deadlineMargin},
+		{"the client's", "200", 3 * time.Second, 200*time.Millisecond - deadlineMargin},
 		{"under the margin", "3", 3 * time.Second, 0},
-		{"a client's too large for a duration", "18446744073709551615", 5 * time.Second, 4*time.Second - answerMargin},
+		{"a client's too large for a duration", "18446744073709551615", 5 * time.Second, 4*time.Second - deadlineMargin},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			request := parsed(t, fieldDeadline, c.clientDeadline)
--- a/internal/proxy/route_table.go
+++ b/internal/proxy/route_table.go
@@ -18,72 +18,72 @@
 )
 
 const (
-	// maxRequestID bounds a client's X-Request-Id, in bytes.
-	maxRequestID = 256
-	// fullPoolRetryAfter is when the client of a pool that is full may try again.
-	fullPoolRetryAfter = time.Second
+	// maxRequestIDBytes bounds the length of a client's X-Request-Id.
+	maxRequestIDBytes = 256
+	// unavailableRetryAfter is the Retry-After of an unavailableResponse.
+	unavailableRetryAfter = time.Second
 )
 
-// Destination is what a route does with its requests, beside naming pools.
+// Destination is how a route's requests are served, apart from the choice of the pool.
 type Destination struct {
 	Class        balancer.Class
-	Limit        time.Duration // on the wait for an answer
-	KeyCookie    string        // whose value chooses among the route's pools
-	BodyLimits   *body.Limits  // nil: the usual ones
-	Upgrades     []string      // protocols that a connection may change to (RFC 9110, section 7.8), in small letters
+	Limit        time.Duration // on the wait for a response
+	KeyCookie    string        // its value is the request's key, which chooses among the route's pools
+	BodyLimits   *body.Limits  // nil: body.DefaultLimits
+	Upgrades     []string      // protocols that a connection may switch to (RFC 9110, section 7.8), in lower case
 	TunnelLimits *body.TunnelLimits
 }
 
-// Routing is a whole set of routes with the pools that they lead to. It never changes: a reload makes another.
+// Routing is a complete set of routes with the pools that they lead to. It is immutable: a reload creates another.
 type Routing struct {
 	Table        *route.Table
-	Destinations []Destination // by the numbers of the table's rules: many routes have one in common
+	Destinations []Destination // indexed by route.Rule.To; many routes may share one
 	Pools        map[string]*pool.Pool
 }
 
-// allows tells whether a route of this name still lets a connection change to the protocol.
-func (r *Routing) allows(by upgradedBy) bool {
-	rule := r.Table.Rule(by.route)
-	return rule != nil && slices.Contains(r.Destinations[rule.To].Upgrades, by.protocol)
+// allows reports whether the route of an upgrade still exists, and still allows the protocol.
+func (r *Routing) allows(upgrade tunnelUpgrade) bool {
+	rule := r.Table.Rule(upgrade.route)
+	return rule != nil && slices.Contains(r.Destinations[rule.To].Upgrades, upgrade.protocol)
 }
 
-// RouteTable is a router that finds the pool of a request by its route. Its methods may be called from any goroutine;
-// its Routing may be replaced while requests come.
+// RouteTable is a router that chooses the pool of a request by its route. Its methods may be called from any goroutine,
+// and its Routing may be replaced while requests arrive.
 type RouteTable struct {
 	routing   atomic.Pointer[Routing]
 	startedAt time.Time
 	epoch     time.Duration // Unix time of startedAt
-	seed      maphash.Seed  // for requests without a key
+	seed      maphash.Seed  // of the hash that chooses a pool for a request without a key
 	tunnels   tunnelSet
 }
 
 var _ frontend.Router = (*RouteTable)(nil)
 
-// NewRouteTable returns a router with a first set of routes.
+// NewRouteTable returns a router with an initial set of routes.
 func NewRouteTable(r *Routing) *RouteTable {
 	t := &RouteTable{
 		startedAt: time.Now(),
 		seed:      maphash.MakeSeed(),
-		tunnels:   tunnelSet{open: map[*body.Tunnel]upgradedBy{}},
+		tunnels:   tunnelSet{open: map[*body.Tunnel]tunnelUpgrade{}},
 	}
 	t.epoch = time.Duration(t.startedAt.UnixNano())
 	t.SetRouting(r)
 	return t
 }
 
-// SetRouting replaces the routes. Requests that are in a pool stay there; tunnels whose route has gone, or does not
-// allow them any more, end within their grace.
+// SetRouting replaces the routes. Requests that are in a pool stay there. Tunnels whose route is gone, or no longer
+// allows them, are closed gracefully.
 func (t *RouteTable) SetRouting(r *Routing) {
 	t.routing.Store(r)
-	t.tunnels.endUnless(r.allows)
+	t.tunnels.closeDisallowed(r.allows)
 }
 
-// Now is Unix time at the start plus what the monotonic clock has counted since, as on the pools' clocks. Pools start
-// at other times, so their clocks differ by how far the machine's clock was set in between: a pool gets times on its
-// own.
+// Now returns the Unix time at the router's start plus the monotonic time elapsed since then. Pools' clocks work alike,
+// but start at other times, so they differ from this one if the system clock was adjusted in between: Admit converts
+// times to the clock of the request's pool.
 func (t *RouteTable) Now() time.Duration { return t.epoch + time.Since(t.startedAt) }
 
-// MaxDeadline is the longest limit of a route.
+// MaxDeadline returns the longest limit of all routes.
 func (t *RouteTable) MaxDeadline() (longest time.Duration) {
 	for _, destination := range t.routing.Load().Destinations {
 		longest = max(longest, destination.Limit)
@@ -91,30 +91,29 @@
 	return longest
 }
 
-// Ping returns once every pool has had a turn.
+// Ping returns once the event loop of every pool has handled an event.
 func (t *RouteTable) Ping() {
 	for _, p := range t.routing.Load().Pools {
 		p.Ping()
 	}
 }
 
-// routedExchange is a request with what it is matched by, until a pool has taken it: routes may change while its body
-// comes.
+// routedExchange is a request with the data for its route lookup. Admit may have to look the route up again, since the
+// routes may change while the body is read.
 type routedExchange struct {
 	parsedRequest
 	table             *RouteTable
 	query             route.Query
-	fields            http1.Fields // as they came, less those that end at the client's connection
+	fields            http1.Fields // as received, without those that Connection names
 	hasIdempotencyKey bool
 
-	// Set by lookUp, maybe again by Admit.
+	// Set by lookUp.
 	routeName   string
 	destination *Destination
 	pool        *pool.Pool
 }
 
-// Check reads the head of a request of any form that HTTP allows, brings host and target to their canonical forms, and
-// finds the route.
+// Check parses and validates the head of a request, brings host and target into canonical form, and looks up the route.
 func (t *RouteTable) Check(method, target string, fields *http1.Fields) (frontend.Exchange, error) {
 	if !isServed(method) {
 		return nil, &frontend.Rejection{Status: http.StatusNotImplemented, Reason: "the method is not served"}
@@ -127,7 +126,7 @@
 	if err != nil {
 		return nil, err
 	}
-	upgrade := requestedUpgrade(method, fields) // before parseFields drops what Connection names
+	upgrade := requestedUpgrade(method, fields) // before parseFields removes the fields that Connection names
 	requestID, err := ensureRequestID(fields)
 	if err != nil {
 		return nil, err
@@ -151,7 +150,7 @@
 		RequestLine: method + " " + parsedTarget.String(),
 		Header:      *fields,
 		Host:        host,
-		Bodied:      mayHaveBody(method),
+		Bodied:      framesEmptyBody(method),
 		Limits:      exchange.destination.BodyLimits,
 		Hints:       true,
 	}
@@ -159,7 +158,7 @@
 	return exchange, nil
 }
 
-// isServed tells whether a method is one of capital letters that is neither CONNECT nor TRACE.
+// isServed reports whether a method is served: any that consists of capital letters, except CONNECT and TRACE.
 func isServed(method string) bool {
 	notCapital := func(r rune) bool { return r < 'A' || r > 'Z' }
 	switch method {
@@ -169,8 +168,9 @@
 	return !strings.ContainsFunc(method, notCapital)
 }
 
-// mayHaveBody tells whether requests of a method go on with a length, also where that is 0.
-func mayHaveBody(method string) bool {
+// framesEmptyBody reports whether requests of a method are forwarded with a Content-Length even if they have no body
+// (RFC 9110, section 8.6).
+func framesEmptyBody(method string) bool {
 	switch method {
 	case http.MethodGet, http.MethodHead, http.MethodOptions, http.MethodDelete:
 		return false
@@ -178,8 +178,8 @@
 	return true
 }
 
-// requestHost returns the canonical host. That of an absolute target goes before the Host field, which must be there
-// all the same (RFC 9112, section 3.2).
+// requestHost returns the canonical host. The host of an absolute target takes precedence over the Host field, which is
+// required nevertheless (RFC 9112, section 3.2).
 func requestHost(target route.Target, fields *http1.Fields) (string, error) {
 	if !fields.Has(fieldHost) {
 		return "", frontend.BadRequest("Host is wanted")
@@ -194,7 +194,8 @@
 	return host, nil
 }
 
-// requestedUpgrade returns the protocol that a client asks to change to, in small letters, or "".
+// requestedUpgrade returns the protocol that a client asks to switch to (RFC 9110, section 7.8), in lower case; empty:
+// none.
 func requestedUpgrade(method string, fields *http1.Fields) string {
 	if method != http.MethodGet || !fields.HasListElement(fieldConnection, "upgrade") {
 		return ""
@@ -202,7 +203,7 @@
 	return strings.ToLower(fields.Get(fieldUpgrade))
 }
 
-// ensureRequestID returns the client's id of a request, or adds one.
+// ensureRequestID returns a request's X-Request-Id. If the client has sent none, it adds a new one.
 func ensureRequestID(fields *http1.Fields) (string, error) {
 	if !fields.Has(fieldRequestID) {
 		id := newRequestID()
@@ -210,13 +211,13 @@
 		return id, nil
 	}
 	id := fields.Get(fieldRequestID)
-	if id == "" || len(id) > maxRequestID {
+	if id == "" || len(id) > maxRequestIDBytes {
 		return "", frontend.BadRequest("X-Request-Id is empty or over 256 bytes")
 	}
 	return id, nil
 }
 
-// lookUp gives a request its route, class and pool by the current routes.
+// lookUp sets the route, class, key and pool of a request by the current routes.
 func (t *RouteTable) lookUp(exchange *routedExchange) error {
 	routing := t.routing.Load()
 	rule := routing.Table.Lookup(&exchange.query)
@@ -242,8 +243,8 @@
 	return nil
 }
 
-// allowUpgrade lets the connection change its protocol if the route names it. Else the request is an ordinary one,
-// which a client that asks for a change must expect.
+// allowUpgrade lets the connection switch to a protocol if the route allows it. Otherwise the request is forwarded
+// without the upgrade, which a client must expect (RFC 9110, section 7.8).
 func (e *routedExchange) allowUpgrade(protocol string) {
 	if protocol == "" || !slices.Contains(e.destination.Upgrades, protocol) {
 		return
@@ -252,13 +253,14 @@
 	e.Message.Tunnel = e.destination.TunnelLimits
 }
 
-// Admit hands the request to its pool. If that was retired since the head was read, the request is looked up again.
+// Admit submits the request to its pool. If that pool was retired after the head was read, Admit looks up the route
+// again.
 func (e *routedExchange) Admit() (pool.Response, error) {
 	for {
 		current := e.pool
 		acquired, full := current.Acquire()
 		if acquired {
-			e.ReceivedAt += current.Now() - e.table.Now() // on the pool's clock
+			e.ReceivedAt += current.Now() - e.table.Now() // converted to the pool's clock
 			current.Submit(&e.Request)
 			return pool.Response{}, nil
 		}
@@ -274,23 +276,23 @@
 	}
 }
 
-// Done counts the request out of its pool.
+// Done removes the request from its pool's count.
 func (e *routedExchange) Done() { e.pool.Release() }
 
-// Tunnel is called once the connection of the request has changed its protocol.
+// Tunnel registers the tunnel that the request's connection has become after an upgrade.
 func (e *routedExchange) Tunnel(tunnel *body.Tunnel) {
-	by := upgradedBy{e.routeName, e.Message.Upgrade}
-	e.table.tunnels.add(tunnel, by)
-	if !e.table.routing.Load().allows(by) { // the routes were replaced meanwhile
+	upgrade := tunnelUpgrade{e.routeName, e.Message.Upgrade}
+	e.table.tunnels.add(tunnel, upgrade)
+	if !e.table.routing.Load().allows(upgrade) { // the routes were replaced meanwhile
 		tunnel.CloseGracefully()
 	}
 }
 
-// unavailableResponse is the answer to a request that its pool does not take.
+// unavailableResponse returns the response to a request that its pool does not accept.
 func unavailableResponse() pool.Response {
 	return pool.Response{
 		Status:              http.StatusServiceUnavailable,
-		RetryAfter:          fullPoolRetryAfter,
+		RetryAfter:          unavailableRetryAfter,
 		RetryAfterInSeconds: true,
 	}
 }
--- a/internal/proxy/shared_overrides.go
+++ b/internal/proxy/shared_overrides.go
@@ -15,7 +15,7 @@
 	"olivearch/internal/override"
 )
 
-// overrideReason is the reason that overrides from operators' commands have in the coordination cluster.
+// overrideReason is the reason that the coordination cluster stores for overrides set by operators' commands.
 const overrideReason = "maint-on"
 
 // overrideProposer proposes commands to the coordination cluster.
@@ -24,15 +24,15 @@
 	Close()
 }
 
-// overrideFollower has this process's copy of the cluster's state.
+// overrideFollower keeps this process's copy of the coordination cluster's state.
 type overrideFollower interface {
 	View() *client.View
 	Close()
 }
 
-// sharedOverrides is this balancer's part in the coordination cluster: it applies the overrides that all balancers
-// share, and proposes those of its own operators. Requests do not wait for it, since the pool has its own copy. Its
-// methods may be called from any goroutine.
+// sharedOverrides is the balancer's client of the coordination cluster. It applies the overrides that all balancers
+// share, and proposes those that the balancer's operators set. Requests do not wait for it, since the pool keeps its
+// own copy of the overrides. Its methods may be called from any goroutine.
 type sharedOverrides struct {
 	balancerName string
 	timeout      time.Duration // of a proposal
@@ -42,25 +42,25 @@
 	mu        sync.Mutex // guards the fields below; held during calls of apply and release
 	overrides []state.Override
 	apply     func([]state.Override) // nil until attach
-	release   func(id string)        // as apply
-	// localUntil has the upstreams that are out by this balancer's local override, each until the follower's copy has
-	// the shared override of this revision.
-	localUntil map[string]uint64
+	release   func(id string)        // nil until attach
+	// sharedRevisions holds, by upstream id, the revision of the shared override that replaces a local one. The local
+	// override is released once the follower's copy has that revision.
+	sharedRevisions map[string]uint64
 }
 
 func newSharedOverrides(balancerName string, c *config.Promises) *sharedOverrides {
 	s := &sharedOverrides{
-		balancerName: balancerName,
-		timeout:      time.Duration(c.Within),
-		proposer:     client.New(balancerName, c.Voters),
-		localUntil:   map[string]uint64{},
+		balancerName:    balancerName,
+		timeout:         time.Duration(c.Within),
+		proposer:        client.New(balancerName, c.Voters),
+		sharedRevisions: map[string]uint64{},
 	}
 	s.follower = client.StartFollower(balancerName, c.Voters, c.Copy, s.overridesChanged)
 	return s
 }
 
-// attach calls apply with the shared overrides, now and after each change. release is called for an upstream that is
-// out by a local override, once the shared one is applied too.
+// attach sets the callbacks. apply is called with the shared overrides, now and after each change. release is called
+// with the id of an upstream whose local override is no longer needed, as its shared override has been applied.
 func (s *sharedOverrides) attach(apply func([]state.Override), release func(id string)) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -68,7 +68,8 @@
 	apply(s.overrides)
 }
 
-// overridesChanged is called by the follower, from its goroutine; while it starts, before attach.
+// overridesChanged is the follower's callback. The follower calls it from its goroutine, and once before attach, while
+// it starts.
 func (s *sharedOverrides) overridesChanged(overrides []state.Override) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -80,14 +81,14 @@
 	s.releaseReplicated()
 }
 
-// releaseReplicated releases the local overrides that this process's copy of the shared ones has by now. The caller
-// holds the lock.
+// releaseReplicated releases the local overrides whose shared overrides are in the follower's copy. The caller holds
+// the lock.
 func (s *sharedOverrides) releaseReplicated() {
 	index := s.follower.View().Index
-	for id, revision := range s.localUntil {
+	for id, revision := range s.sharedRevisions {
 		if revision <= index {
 			s.release(id)
-			delete(s.localUntil, id)
+			delete(s.sharedRevisions, id)
 		}
 	}
 }
@@ -97,8 +98,8 @@
 	s.proposer.Close()
 }
 
-// set takes an upstream out of service at all balancers. The note says how many voters have stored that. After an error
-// the local override alone is certain.
+// set takes an upstream out of service at all balancers. The note says how many voters have stored the override. After
+// an error only the local override is certain.
 func (s *sharedOverrides) set(upstreamID string, at time.Time) (note string, err error) {
 	ctx, cancel := context.WithTimeout(context.Background(), s.timeout)
 	defer cancel()
@@ -116,13 +117,13 @@
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.localUntil[upstreamID] = response.Result.Revision
+	s.sharedRevisions[upstreamID] = response.Result.Revision
 	s.releaseReplicated()
 	return storedNote(response), nil
 }
 
-// clear returns an upstream to service at all balancers. After an error, stillOut tells whether the shared override
-// holds as far as this process knows.
+// clear returns an upstream to service at all balancers. After an error, stillOut reports whether the shared override
+// is still in this process's copy.
 func (s *sharedOverrides) clear(upstreamID string) (note string, stillOut bool, err error) {
 	ctx, cancel := context.WithTimeout(context.Background(), s.timeout)
 	defer cancel()
@@ -133,11 +134,11 @@
 	if err != nil {
 		return "", s.has(subject), err
 	}
-	delete(s.localUntil, upstreamID)
+	delete(s.sharedRevisions, upstreamID)
 	return storedNote(response), false, nil
 }
 
-// has tells whether there is an override of a subject. The caller holds the lock.
+// has reports whether there is a shared override of a subject. The caller holds the lock.
 func (s *sharedOverrides) has(subject state.Subject) bool {
 	return slices.ContainsFunc(s.overrides, func(o state.Override) bool { return o.Subject == subject })
 }
@@ -146,10 +147,10 @@
 	return state.Subject{Kind: state.OutOfService, Scope: state.ScopeUpstream, Target: upstreamID}
 }
 
-// storedNote tells operators how many voters have stored a proposal.
+// storedNote returns the note to operators on how many voters have stored a proposal.
 func storedNote(r client.Response) string { return fmt.Sprintf("held by %d of %d", r.Stored, r.Voters) }
 
-// applySharedOverrides gives the pool its part of the shared overrides.
+// applySharedOverrides applies to the pool those shared overrides that concern it.
 func (b *Balancer) applySharedOverrides(overrides []state.Override) {
 	b.pool.ApplyOverrides(override.SharedForPool(overrides, b.config.Name))
 	slog.Info("shared overrides applied", "overrides", len(overrides))
--- a/internal/proxy/shared_overrides_test.go
+++ b/internal/proxy/shared_overrides_test.go
@@ -32,7 +32,7 @@
 	t.Helper()
 	shared = &sharedOverrides{
 		balancerName: "n0", timeout: time.Second, proposer: cluster, follower: cluster,
-		localUntil: map[string]uint64{},
+		sharedRevisions: map[string]uint64{},
 	}
 	released = new([]string)
 	shared.attach(func([]state.Override) {}, func(id string) { *released = append(*released, id) })
--- a/internal/proxy/tunnels.go
+++ b/internal/proxy/tunnels.go
@@ -6,19 +6,19 @@
 	"olivearch/internal/body"
 )
 
-// upgradedBy is the route and the protocol by which a tunnel was let through.
-type upgradedBy struct{ route, protocol string }
+// tunnelUpgrade is the upgrade by which a connection became a tunnel: the route that allowed it, and the protocol.
+type tunnelUpgrade struct{ route, protocol string }
 
-// tunnelSet has the tunnels that are open. Its methods may be called from any goroutine.
+// tunnelSet holds the open tunnels. Its methods may be called from any goroutine.
 type tunnelSet struct {
 	mu   sync.Mutex
-	open map[*body.Tunnel]upgradedBy
+	open map[*body.Tunnel]tunnelUpgrade
 }
 
-// add adds a tunnel until it ends.
-func (s *tunnelSet) add(tunnel *body.Tunnel, by upgradedBy) {
+// add adds a tunnel, which is removed when it ends.
+func (s *tunnelSet) add(tunnel *body.Tunnel, upgrade tunnelUpgrade) {
 	s.mu.Lock()
-	s.open[tunnel] = by
+	s.open[tunnel] = upgrade
 	s.mu.Unlock()
 	tunnel.Ended(func() {
 		s.mu.Lock()
@@ -27,12 +27,12 @@
 	})
 }
 
-// endUnless ends, within their grace, the tunnels that are no longer allowed.
-func (s *tunnelSet) endUnless(allowed func(upgradedBy) bool) {
+// closeDisallowed gracefully closes the tunnels whose upgrade is not allowed.
+func (s *tunnelSet) closeDisallowed(allowed func(tunnelUpgrade) bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	for tunnel, by := range s.open {
-		if !allowed(by) {
+	for tunnel, upgrade := range s.open {
+		if !allowed(upgrade) {
 			tunnel.CloseGracefully()
 		}
 	}
