--- a/internal/admincmd/commands_test.go
+++ b/internal/admincmd/commands_test.go
@@ -56,8 +56,8 @@
 			}
 			close(handler)
 			var executed []string
-			for call := range handler {
-				executed = append(executed, call)
+			for command := range handler {
+				executed = append(executed, command)
 			}
 			if !slices.Equal(executed, test.executed) {
 				t.Errorf("executed %q, want %q", executed, test.executed)
--- a/internal/admincmd/server_test.go
+++ b/internal/admincmd/server_test.go
@@ -11,7 +11,7 @@
 	"time"
 )
 
-// startServer serves on a loopback address until the test ends, and returns a function that connects and sends a text.
+// startServer serves on a loopback address until the test ends. dial connects to the server and sends a text.
 func startServer(t *testing.T) (dial func(text string) net.Conn) {
 	t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
@@ -48,9 +48,9 @@
 
 const longLineAnswer = "-ERR the call is too long\r\n"
 
-// TestSilentConnectionsMakeRoom: connections that send nothing, or part of a command, take all slots; a command on
-// another one is answered at once.
-func TestSilentConnectionsMakeRoom(t *testing.T) {
+// If connections that send nothing, or part of a command, take up all slots, a command on a further connection is still
+// answered at once.
+func TestOldestPendingConnectionIsClosed(t *testing.T) {
 	dial := startServer(t)
 	oldest := dial("")
 	for i := 1; i < maxConnections; i++ {
@@ -68,11 +68,11 @@
 		}
 	}
 	if took := time.Since(start); took > connectionTimeout/2 {
-		t.Errorf("answered after %v: it waited for the silent ones", took)
+		t.Errorf("answered after %v: waited for the pending connections", took)
 	}
 	_, err := oldest.Read(make([]byte, 1))
 	if err == nil || errors.Is(err, os.ErrDeadlineExceeded) {
-		t.Errorf("the connection that was silent for longest: %v, want it closed", err)
+		t.Errorf("the oldest pending connection: %v, want it closed", err)
 	}
 }
 
--- a/internal/proxy/balancer_test.go
+++ b/internal/proxy/balancer_test.go
@@ -13,33 +13,33 @@
 	"olivearch/internal/standin/scripted"
 )
 
-func TestServesUnchanged(t *testing.T) {
+func TestRequestsAreForwardedUnchanged(t *testing.T) {
 	s := scripted.Start(t, scripted.Done)
 	b := startBalancer(t, upMember("s-00000001", s))
 	for _, class := range []string{"pay", "checkin"} {
-		time.Sleep(2 * time.Millisecond) // or the second one would not use the connection again
-		q := b.newRequest(class, "body", "Connection", "X-Hop", "X-Hop", "1", "X-Extras", "a=1")
-		status, body := b.do(t, q)
+		time.Sleep(2 * time.Millisecond) // otherwise the second request would not reuse the connection
+		sent := b.newRequest(class, "body", "Connection", "X-Hop", "X-Hop", "1", "X-Extras", "a=1")
+		status, body := b.do(t, sent)
 		want(t, "status", status, 200)
 		want(t, "answer", body, "done")
-		r := <-s.Arrivals
-		text, _ := io.ReadAll(r.Body)
+		received := <-s.Arrivals
+		text, _ := io.ReadAll(received.Body)
 		want(t, "body", string(text), "body")
-		want(t, "method", r.Method, q.Method)
-		want(t, "target", r.RequestURI, "/"+class+"/x?q=%2F1")
+		want(t, "method", received.Method, sent.Method)
+		want(t, "target", received.RequestURI, "/"+class+"/x?q=%2F1")
 		for _, h := range []string{"X-Request-Id", "Idempotency-Key", "X-Extras"} {
-			want(t, h, r.Header.Get(h), q.Header.Get(h))
+			want(t, h, received.Header.Get(h), sent.Header.Get(h))
 		}
-		want(t, "X-Hop", r.Header.Get("X-Hop"), "")
-		if ms, err := strconv.Atoi(r.Header.Get("X-Deadline-Ms")); err != nil || ms <= 0 || ms >= 4000 {
-			t.Errorf("X-Deadline-Ms: got %q, want under the client's", r.Header.Get("X-Deadline-Ms"))
+		want(t, "X-Hop", received.Header.Get("X-Hop"), "")
+		if ms, err := strconv.Atoi(received.Header.Get("X-Deadline-Ms")); err != nil || ms <= 0 || ms >= 4000 {
+			t.Errorf("X-Deadline-Ms: got %q, want less than the client's", received.Header.Get("X-Deadline-Ms"))
 		}
 	}
 	want(t, "connections", s.Opened(), 1)
 }
 
-// A refused connection proves that the request never ran: it is retried at another upstream.
-func TestRefusedConnectionGoesElsewhere(t *testing.T) {
+// A refused connection proves that the request was not executed, so it is retried at another upstream.
+func TestRefusedConnectionIsRetried(t *testing.T) {
 	dead, alive := scripted.Start(t, scripted.Done), scripted.Start(t, scripted.Done)
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -54,8 +54,8 @@
 	}
 }
 
-// An upstream hangs: the client gets its one answer by its deadline, and the request is not retried.
-func TestFailsByTheDeadline(t *testing.T) {
+// If an upstream hangs, the client gets a single response, by its deadline, and the request is not retried.
+func TestHungUpstreamTimesOut(t *testing.T) {
 	release := make(chan struct{})
 	s := scripted.Start(t, func(c net.Conn, r *http.Request) bool { <-release; return scripted.Done(c, r) })
 	b := startBalancer(t, upMember("s-00000001", s), upMember("s-00000002", s))
@@ -69,9 +69,10 @@
 	want(t, "requests at the upstream", len(s.Arrivals), 1)
 }
 
-// A client that leaves stops no work. The upstream connection waits for the late answer and is used again: to close it
-// would cost the upstream a handshake. All other connections are closed after their answers here.
-func TestConnectionOutlivesItsClient(t *testing.T) {
+// A client that leaves does not cancel its attempt. The upstream connection waits for the late response and is reused,
+// since closing it would cost the upstream a handshake. The test's upstream closes all other connections after their
+// responses.
+func TestAbandonedAttemptKeepsItsConnection(t *testing.T) {
 	release := make(chan struct{})
 	from := make(chan net.Conn, 1)
 	s := scripted.Start(t, func(c net.Conn, r *http.Request) bool {
@@ -97,9 +98,9 @@
 	<-s.Arrivals
 	leave()
 	if err := <-gone; err == nil {
-		t.Fatal("the client has not left")
+		t.Fatal("the request was answered before its client left")
 	}
-	status, _ := b.do(t, b.newRequest("checkin", "")) // on a connection of its own
+	status, _ := b.do(t, b.newRequest("checkin", "")) // on another upstream connection
 	want(t, "status", status, 200)
 	<-from
 	<-s.Arrivals
@@ -112,13 +113,13 @@
 			}
 		}
 		if time.Now().After(limit) {
-			t.Fatal("the connection was not used again")
+			t.Fatal("the connection was not reused")
 		}
 	}
 }
 
-// A connection on which nothing was ever sent must not keep a stopping balancer from ending, nor end the requests in
-// flight.
+// A client connection on which nothing was sent must not keep a stopping balancer running. Requests in flight are
+// answered nevertheless.
 func TestStopClosesUnusedConnections(t *testing.T) {
 	release := make(chan struct{})
 	s := scripted.Start(t, func(c net.Conn, r *http.Request) bool { <-release; return scripted.Done(c, r) })
@@ -132,14 +133,14 @@
 	<-s.Arrivals
 	b.cancel()
 	if _, err := unused.Read(make([]byte, 1)); err == nil {
-		t.Error("bytes on an unused connection")
+		t.Error("received bytes on an unused connection")
 	}
 	close(release)
 	want(t, "status of the request in flight", <-status, outcome{status: 200})
 }
 
-// Requests that were accepted are answered after SIGTERM, and connections that are still on their way are served.
-func TestStopLosesNothing(t *testing.T) {
+// After SIGTERM, accepted requests are answered, and connections that are not accepted yet are served.
+func TestStopAnswersAcceptedRequests(t *testing.T) {
 	release := make(chan struct{})
 	s := scripted.Start(t, func(c net.Conn, r *http.Request) bool {
 		if r.Header.Get("X-Late") != "" {
@@ -174,18 +175,18 @@
 	}
 }
 
-// SIGTERM comes while discovery moves: requests that were accepted are answered all the same.
-func TestStopDuringReloadLosesNothing(t *testing.T) {
+// SIGTERM comes while a reload changes the discovery service: accepted requests are answered nevertheless.
+func TestStopDuringReloadAnswersAcceptedRequests(t *testing.T) {
 	release := make(chan struct{})
 	s := scripted.Start(t, func(c net.Conn, r *http.Request) bool { <-release; return scripted.Done(c, r) })
 	b := startBalancer(t, upMember("s-00000001", s))
 	status := b.doInBackground(b.newRequest("checkin", ""))
 	<-s.Arrivals
-	next := startRegistry(t)
+	next := startDiscovery(t)
 	c := b.config
 	c.Discovery = next.addr
 	b.reloads <- c
-	<-next.calls // the poll has moved, and waits for the list
+	<-next.polls // the new discovery service is polled, and has not answered
 	b.cancel()
 	close(release)
 	want(t, "status of the request in flight", <-status, outcome{status: 200})
@@ -205,8 +206,8 @@
 	want(t, "status", resp.StatusCode, 200)
 }
 
-// New settings hold from the reload on, and a request in flight keeps its class.
-func TestSettingsChange(t *testing.T) {
+// New settings apply from the reload on, and a request in flight keeps its class.
+func TestReloadChangesSettings(t *testing.T) {
 	release := make(chan struct{})
 	s := scripted.Start(t, func(c net.Conn, r *http.Request) bool {
 		if r.Header.Get("X-Late") != "" {
@@ -218,7 +219,7 @@
 	late := b.doInBackground(b.newRequest("read", "", "X-Late", "1"))
 	<-s.Arrivals
 	status, _ := b.do(t, b.newRequest("fresh", ""))
-	want(t, "a class that is not known yet", status, 400)
+	want(t, "a class that is not configured yet", status, 400)
 	c := b.config
 	c.Settings.Classes = append([]balancer.Class(nil), c.Settings.Classes[1:]...)
 	c.Settings.Classes = append(c.Settings.Classes, balancer.Class{
@@ -227,7 +228,7 @@
 	})
 	c.Settings.Limits.MaxAttempts = 1
 	b.reloads <- c
-	b.reloads <- c // the first is with the pool's goroutine by now, ahead of all requests to come
+	b.reloads <- c // the first one has been passed to the pool by now, ahead of all further requests
 	deadline := time.Now().Add(10 * time.Second)
 	for status, _ = b.do(t, b.newRequest("fresh", "")); status != 200; status, _ = b.do(t, b.newRequest("fresh", "")) {
 		if time.Now().After(deadline) {
@@ -237,5 +238,5 @@
 	status, _ = b.do(t, b.newRequest("read", ""))
 	want(t, "a class that was removed", status, 400)
 	close(release)
-	want(t, "a request in flight in it", <-late, outcome{status: 200})
+	want(t, "a request in flight of the removed class", <-late, outcome{status: 200})
 }
--- a/internal/proxy/client_connections_test.go
+++ b/internal/proxy/client_connections_test.go
@@ -28,29 +28,29 @@
 	noKey := b.newRequest("pay", "")
 	noKey.Header.Del("Idempotency-Key")
 	for _, c := range []struct {
-		name   string
-		r      *http.Request
-		status int
+		name    string
+		request *http.Request
+		status  int
 	}{
 		{"unknown class", b.newRequest("checkin", "", "X-Class", "nope"), 400},
 		{"path of another class", b.newRequest("checkin", "", "X-Class", "read"), 400},
 		{"no id", noID, 400},
-		{"method of another kind", get, 400},
-		{"key on an unsafe class", b.newRequest("checkin", "", "Idempotency-Key", "1"), 400},
-		{"keyed without a key", noKey, 400},
+		{"method of another class", get, 400},
+		{"key for a class without keys", b.newRequest("checkin", "", "Idempotency-Key", "1"), 400},
+		{"no key for a class that requires one", noKey, 400},
 	} {
-		status, _ := b.do(t, c.r)
+		status, _ := b.do(t, c.request)
 		want(t, c.name, status, c.status)
 	}
 	tooLong := fmt.Sprintf("X-Request-Id: 1\r\nContent-Length: %d\r\n", body.DefaultLimits.Request+1)
-	large := b.rawClient(t, checkinHead(tooLong)+"x")
+	large := b.sendRaw(t, checkinHead(tooLong)+"x")
 	want(t, "body too large", strings.HasPrefix(large, "HTTP/1.1 413"), true)
 	want(t, "requests at the upstream", len(s.Arrivals), 0)
 }
 
-// A request that can't be read, or has more than one reading, never reaches an upstream: it is rejected, and its
-// connection closed.
-func TestBadClients(t *testing.T) {
+// A request that cannot be parsed, or can be parsed in more than one way, never reaches an upstream. It is rejected,
+// and its connection is closed.
+func TestMalformedHTTPIsRejected(t *testing.T) {
 	s := scripted.Start(t, scripted.Done)
 	b := startBalancer(t, upMember("s-00000001", s))
 	const id = "X-Request-Id: 1\r\n"
@@ -58,19 +58,19 @@
 	for _, c := range []struct{ name, text, status string }{
 		{"noise", "\x00\x01\x02\r\n\r\n", "400"},
 		{"both framings", checkinHead(id + "Content-Length: 3\r\nTransfer-Encoding: chunked\r\n"), "400"},
-		{"a coding that is not known", checkinHead(id + "Transfer-Encoding: gzip, chunked\r\n"), "501"},
-		{"a chunk of no size", checkinHead(id+"Transfer-Encoding: chunked\r\n") + "x\r\n", "400"},
-		{"a chunk of over 2^63", checkinHead(id+"Transfer-Encoding: chunked\r\n") + "ffffffffffffffffff\r\n", "400"},
+		{"an unknown transfer coding", checkinHead(id + "Transfer-Encoding: gzip, chunked\r\n"), "501"},
+		{"a chunk without a size", checkinHead(id+"Transfer-Encoding: chunked\r\n") + "x\r\n", "400"},
+		{"a chunk size over 2^63", checkinHead(id+"Transfer-Encoding: chunked\r\n") + "ffffffffffffffffff\r\n", "400"},
 		{"chunks without end", checkinHead(id+"Transfer-Encoding: chunked\r\n") + strings.Repeat("1\r\nx\r\n", 20<<10), "40"},
 		{"chunks in HTTP/1.0", strings.Replace(checkinHead(id+"Transfer-Encoding: chunked\r\n"), "1.1", "1.0", 1), "505"},
-		{"a blank before the colon", checkinHead(id + "Transfer-Encoding : chunked\r\n"), "400"},
+		{"a space before the colon", checkinHead(id + "Transfer-Encoding : chunked\r\n"), "400"},
 		{"a field without a colon", checkinHead(id + "what\r\n"), "400"},
 		{"no length", checkinHead(id), "411"},
 		{"a negative length", checkinHead(id + "Content-Length: -5\r\n"), "400"},
 		{"a signed length", checkinHead(id+"Content-Length: +2\r\n") + "ab", "400"},
 		{"a huge length", checkinHead(id + "Content-Length: 99999999999999999999\r\n"), "413"},
 		{"two lengths", checkinHead(id + "Content-Length: 2\r\nContent-Length: 2\r\n"), "400"},
-		{"more than its length", checkinHead(id+"Content-Length: 2\r\n") + "abc", "400"},
+		{"a body longer than its length", checkinHead(id+"Content-Length: 2\r\n") + "abc", "400"},
 		{"two requests at once", strings.Repeat(empty, 2), "400"},
 		{"a class that does not exist", strings.Replace(empty, "X-Class: checkin", "X-Class: x", 1), "400"},
 		{"two classes", checkinHead(id + "X-Class: checkin\r\nContent-Length: 0\r\n"), "400"},
@@ -89,8 +89,8 @@
 		t.Run(c.name, func(t *testing.T) {
 			t.Parallel()
 			start := time.Now()
-			got := b.rawClient(t, c.text)
-			prefix := "" // and nothing behind it
+			got := b.sendRaw(t, c.text)
+			prefix := "" // a close without a response
 			if c.status != "" {
 				prefix = "HTTP/1.1 " + c.status
 			}
@@ -105,7 +105,8 @@
 	t.Cleanup(func() { want(t, "requests at the upstream", len(s.Arrivals), 0) })
 }
 
-// A client that is slow but goes on is a usual one on a bad line: it is served, later than an idle one is closed.
+// A client that sends slowly but steadily, over a bad line, is served. Its request takes longer than FirstByteTimeout,
+// after which a connection that sends nothing is closed.
 func TestSlowClientIsServed(t *testing.T) {
 	t.Parallel()
 	s := scripted.Start(t, scripted.Done)
@@ -122,15 +123,15 @@
 		if _, err := io.WriteString(c, text[:min(piece, len(text))]); err != nil {
 			t.Fatal(err)
 		}
-		time.Sleep(frontend.ReadStallTimeout / 2) // a slow line is what is tried
+		time.Sleep(frontend.ReadStallTimeout / 2) // simulates a slow line
 	}
 	if time.Since(start) < frontend.FirstByteTimeout {
-		t.Fatal("not slow enough to tell")
+		t.Fatal("the request was sent too fast for this test")
 	}
 	want(t, "status", readStatus(t, bufio.NewReader(c)), 200)
 }
 
-// A deadline beyond that of the class is cut to it.
+// A client's deadline above that of its class is lowered to the class's.
 func TestLongDeadlineIsServed(t *testing.T) {
 	s := scripted.Start(t, scripted.Done)
 	b := startBalancer(t, upMember("s-00000001", s))
@@ -138,14 +139,14 @@
 	want(t, "status", status, 200)
 }
 
-// Two requests with one id: while the first is in flight the second is rejected, and the first is served.
+// Of two requests with the same id, the second is rejected while the first is in flight, and the first is served.
 func TestRequestIDInUse(t *testing.T) {
 	release := make(chan struct{})
 	s := scripted.Start(t, func(c net.Conn, r *http.Request) bool { <-release; return scripted.Done(c, r) })
 	b := startBalancer(t, upMember("s-00000001", s))
-	q := b.newRequest("checkin", "")
-	second := q.Clone(t.Context())
-	first := b.doInBackground(q)
+	request := b.newRequest("checkin", "")
+	second := request.Clone(t.Context())
+	first := b.doInBackground(request)
 	<-s.Arrivals
 	status, _ := b.do(t, second)
 	want(t, "second", status, 409)
@@ -155,8 +156,8 @@
 	want(t, "once the first has ended", status, 200)
 }
 
-// Hundreds of connections without a request: the oldest are closed, a request in flight is answered, and new clients
-// are served.
+// If clients open more connections without a request than they may have, the oldest are closed, a request in flight is
+// answered, and new clients are served.
 func TestIdleConnectionsAreEvicted(t *testing.T) {
 	release := make(chan struct{})
 	s := scripted.Start(t, func(c net.Conn, r *http.Request) bool {
@@ -168,17 +169,17 @@
 	b := startBalancer(t, upMember("s-00000001", s))
 	late := b.doInBackground(b.newRequest("checkin", "", "X-Late", "1"))
 	<-s.Arrivals
-	var all []net.Conn
+	var connections []net.Conn
 	for range b.config.maxClientConns() + 50 {
 		c, err := net.Dial("tcp", b.address)
 		if err != nil {
 			t.Fatal(err)
 		}
 		defer c.Close()
-		all = append(all, c)
+		connections = append(connections, c)
 	}
-	if _, err := all[0].Read(make([]byte, 1)); err == nil {
-		t.Error("bytes on the connection that has idled longest")
+	if _, err := connections[0].Read(make([]byte, 1)); err == nil {
+		t.Error("received bytes on the connection that has been idle longest")
 	}
 	status, _ := b.do(t, b.newRequest("checkin", ""))
 	want(t, "a new client", status, 200)
@@ -186,10 +187,10 @@
 	want(t, "the request in flight", <-late, outcome{status: 200})
 }
 
-// Clients that send one request and keep their connection take up all connections that clients may have: with each
-// answer the one that has idled longest is closed, and never one with a request in flight.
-func TestKeptConnectionsAreEvicted(t *testing.T) {
-	const surplus = 20 // connections over those that may stay
+// Clients that send one request and keep their connection could take up all client connections. Above keepAliveLimit,
+// each response closes the connection that has been idle longest, and never one with a request in flight.
+func TestKeepAliveLimitIsEnforced(t *testing.T) {
+	const surplus = 20 // connections above the limit
 	release := make(chan struct{})
 	s := scripted.Start(t, func(c net.Conn, r *http.Request) bool {
 		if r.Header.Get("X-Request-Id") == "held" {
@@ -200,9 +201,9 @@
 	b := startBalancer(t, upMember("s-1", s))
 	held := b.sendRead(t, "held")
 	<-s.Arrivals
-	most := b.config.keepAliveLimit()
+	limit := b.config.keepAliveLimit()
 	var kept []*bufio.Reader
-	for i := range most + surplus {
+	for i := range limit + surplus {
 		in := b.sendRead(t, fmt.Sprint("once", i))
 		if status := readStatus(t, in); status != http.StatusOK {
 			t.Fatalf("request %d: status %d", i, status)
@@ -210,22 +211,22 @@
 		<-s.Arrivals
 		kept = append(kept, in)
 	}
-	closed := notifyClosed(kept) // the connection in flight counts too, and so do those that came last
+	closed := notifyClosed(kept) // the limit counts the connection with the request in flight too
 	for range surplus {
 		select {
 		case i := <-closed:
-			if i > len(kept)/2 { // they are closed in about the order in which they came
+			if i > len(kept)/2 { // they are closed approximately in the order of their arrival
 				t.Errorf("connection %d of %d was closed", i, len(kept))
 			}
 		case <-time.After(15 * time.Second):
-			t.Fatalf("fewer than %d of %d connections were closed, %d may stay", surplus, len(kept), most)
+			t.Fatalf("fewer than %d of %d connections were closed, %d may stay", surplus, len(kept), limit)
 		}
 	}
 	close(release)
 	want(t, "status of the request in flight", readStatus(t, held), http.StatusOK)
 }
 
-// sendRead sends a request with an id on a new connection, and returns what reads that.
+// sendRead sends a request of class read on a new connection, and returns a reader of the connection.
 func (b *testBalancer) sendRead(t *testing.T, id string) *bufio.Reader {
 	t.Helper()
 	conn := b.dial(t)
@@ -233,7 +234,7 @@
 	return bufio.NewReader(conn)
 }
 
-// notifyClosed returns a channel that gets the index of each connection that the balancer has closed.
+// notifyClosed returns a channel that receives the index of each connection that the balancer closes.
 func notifyClosed(connections []*bufio.Reader) <-chan int {
 	closed := make(chan int, len(connections))
 	for i, in := range connections {
--- a/internal/proxy/config_test.go
+++ b/internal/proxy/config_test.go
@@ -40,8 +40,8 @@
 	want(t, "classes", len(c.Settings.Classes), 3)
 }
 
-// RELAY_DISCOVERY names the address of the start. A reload goes by the file.
-func TestReloadedDiscoveryIsTheFiles(t *testing.T) {
+// RELAY_DISCOVERY sets the address of discovery at the start. A reload takes the address from the file.
+func TestReloadTakesDiscoveryFromFile(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "config.json")
 	if err := os.WriteFile(path, []byte(configText), 0o600); err != nil {
 		t.Fatal(err)
@@ -56,7 +56,7 @@
 	if c, err = ReloadConfig(getenv, c); err != nil {
 		t.Fatal(err)
 	}
-	want(t, "read again", c.Discovery, "127.0.0.1:8500")
+	want(t, "after the reload", c.Discovery, "127.0.0.1:8500")
 	want(t, "name", c.Name, "n4")
 }
 
@@ -65,7 +65,7 @@
 	if err == nil || !strings.Contains(err.Error(), "RELAY_CONFIG") {
 		t.Errorf("no file: got %v", err)
 	}
-	for _, c := range []struct{ old, new, wants string }{
+	for _, c := range []struct{ old, new, mention string }{
 		{`{"name"`, `"name"`, "invalid character"},
 		{"127.0.0.1:7070", "", "listen"},
 		{"127.0.0.1:8500", "nowhere", "discovery"},
@@ -79,13 +79,14 @@
 		{`"127.0.0.1:7"`, `"here"`, "s-5be2a07c"},
 	} {
 		_, err := loadText(t, strings.Replace(configText, c.old, c.new, 1), nil)
-		if err == nil || !strings.Contains(err.Error(), c.wants) {
-			t.Errorf("%s: got %v, want it to name %s", c.new, err, c.wants)
+		if err == nil || !strings.Contains(err.Error(), c.mention) {
+			t.Errorf("%s: got %v, want it to name %s", c.new, err, c.mention)
 		}
 	}
 }
 
-// A broken file is an error that names what is wrong; an endpoint list may lack keys that it had before.
+// A reload of an invalid file fails with an error that names what is wrong. An endpoint list may lack keys that it had
+// before.
 func TestReloadRejectsBrokenFiles(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "config.json")
 	getenv := func(name string) string { return map[string]string{"RELAY_CONFIG": path}[name] }
@@ -99,7 +100,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	for _, x := range []struct{ from, to, want string }{
+	for _, c := range []struct{ from, to, want string }{
 		{configText, "", "unexpected end"},
 		{configText[len(configText)/2:], "", "unexpected end"},
 		{`"worth_by":"work",`, ``, "settings.worth_by is missing"},
@@ -116,18 +117,18 @@
 		},
 		{`"max_attempts":3`, `"max_attempts":"3"`, "max_attempts"},
 	} {
-		text := strings.Replace(configText, x.from, x.to, 1)
+		text := strings.Replace(configText, c.from, c.to, 1)
 		if text == configText {
-			t.Fatalf("%q is not in the sample", x.from)
+			t.Fatalf("%q is not in configText", c.from)
 		}
 		write(text)
 		_, err := ReloadConfig(getenv, before)
-		if err == nil || !strings.Contains(err.Error(), x.want) {
-			t.Errorf("%q for %q: %v, want %q", x.to, x.from, err, x.want)
+		if err == nil || !strings.Contains(err.Error(), c.want) {
+			t.Errorf("%q for %q: %v, want %q", c.to, c.from, err, c.want)
 		}
 	}
 	write(strings.Replace(configText, `"members":[`, `"members":[],"more":[`, 1))
 	if _, err := ReloadConfig(getenv, before); err != nil {
-		t.Errorf("other upstreams: %v", err)
+		t.Errorf("a list without upstreams: %v", err)
 	}
 }
--- a/internal/proxy/harness_test.go
+++ b/internal/proxy/harness_test.go
@@ -21,7 +21,8 @@
 	"olivearch/internal/standin/scripted"
 )
 
-// settingsText has a class of each kind. Discovery is polled again at once after a failure.
+// settingsText has a class of each kind of idempotency. With these settings, discovery is polled again at once after a
+// failed poll.
 const settingsText = `{"az":"z1","balancers":1,"granularity_us":1000,"membership_mode":"on_request","weights":"nominal",
 "worth_by":"work","limits":{"max_attempts":3,"cancel":true,"connect_timeout_us":500000,"keepalive_us":60000000},
 "obligations":{"ask_within_us":320000,"cold_from":0.3,"ramp_time_us":9000000,"tip_after_us":1500000,"tip_multiple":3.0},
@@ -32,29 +33,30 @@
 {"name":"checkin","target_us":2000000,"give_up_us":4000000,"repeat":"non_idempotent","worth":1}],
 "reporting":{"via":"piggyback"}}`
 
-// clientTimeout bounds what a test's client waits for on a connection of its own.
+// clientTimeout bounds the use of a connection from testBalancer.dial.
 const clientTimeout = 20 * time.Second
 
-// registry is a discovery service. The test takes the query of each poll from calls, and puts its answer into answers.
-type registry struct {
+// fakeDiscovery is a discovery service. A test receives the query of each poll from polls, and sends the answer to it
+// on answers.
+type fakeDiscovery struct {
 	addr    string
-	calls   chan string
+	polls   chan string
 	answers chan discovery.Listing // a revision of 0 is answered with 503
 }
 
-func startRegistry(t *testing.T) *registry {
+func startDiscovery(t *testing.T) *fakeDiscovery {
 	t.Helper()
-	started := &registry{calls: make(chan string, 1000), answers: make(chan discovery.Listing)}
+	started := &fakeDiscovery{polls: make(chan string, 1000), answers: make(chan discovery.Listing)}
 	stop := make(chan struct{})
 	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		started.calls <- r.URL.RawQuery
+		started.polls <- r.URL.RawQuery
 		select {
 		case listing := <-started.answers:
 			if listing.Revision == 0 {
 				w.WriteHeader(http.StatusServiceUnavailable)
 				return
 			}
-			_ = json.NewEncoder(w).Encode(listing) // fails if the balancer has given up the poll
+			_ = json.NewEncoder(w).Encode(listing) // fails if the balancer has cancelled the poll
 		case <-r.Context().Done():
 		case <-stop:
 		}
@@ -70,7 +72,7 @@
 
 func drainingMember(m discovery.Member) discovery.Member { m.Phase = "draining"; return m }
 
-// listing is an endpoint list that is complete.
+// listing returns a complete endpoint list.
 func listing(revision uint64, members ...discovery.Member) discovery.Listing {
 	return discovery.Listing{Revision: revision, Complete: true, Members: members}
 }
@@ -78,19 +80,19 @@
 // testBalancer is a balancer that runs until the test ends or calls cancel.
 type testBalancer struct {
 	*Balancer
-	url      string
-	address  string // host:port
-	registry *registry
-	cancel   context.CancelFunc
-	ended    chan error // the result of Run; whoever takes it puts nil back
-	config   Config
-	reloads  chan Config
-	client   *http.Client
+	url             string
+	address         string // host:port
+	discoveryServer *fakeDiscovery
+	cancel          context.CancelFunc
+	ended           chan error // the result of Run; a test that receives it sends nil back
+	config          Config
+	reloads         chan Config
+	client          *http.Client
 }
 
 func startBalancer(t *testing.T, members ...discovery.Member) *testBalancer {
 	t.Helper()
-	discoveryService := startRegistry(t)
+	discoveryService := startDiscovery(t)
 	file := configFile{
 		Name: "n0", Listen: "127.0.0.1:0", Discovery: discoveryService.addr, Seed: "8c1f30d27a5be964",
 		Known: listing(10, members...), Settings: json.RawMessage(settingsText),
@@ -107,14 +109,14 @@
 	ctx, cancel := context.WithCancel(context.Background())
 	address := listener.Addr().String()
 	b := &testBalancer{
-		url:      "http://" + address,
-		address:  address,
-		registry: discoveryService,
-		cancel:   cancel,
-		ended:    make(chan error, 1),
-		config:   config,
-		reloads:  make(chan Config),
-		client:   &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 100}},
+		url:             "http://" + address,
+		address:         address,
+		discoveryServer: discoveryService,
+		cancel:          cancel,
+		ended:           make(chan error, 1),
+		config:          config,
+		reloads:         make(chan Config),
+		client:          &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 100}},
 	}
 	b.Balancer, err = Start(config, listener, nil)
 	if err != nil {
@@ -134,7 +136,7 @@
 
 var lastRequestID int
 
-// newRequest returns a well-formed request of a class.
+// newRequest returns a well-formed request of a class. headers are names and values of further header fields.
 func (b *testBalancer) newRequest(class, body string, headers ...string) *http.Request {
 	lastRequestID++
 	method := http.MethodPost
@@ -157,7 +159,7 @@
 	return r
 }
 
-// do sends a request and returns the whole answer.
+// do sends a request, and returns the status and the body of the response.
 func (b *testBalancer) do(t *testing.T, r *http.Request) (status int, text string) {
 	t.Helper()
 	resp, err := b.client.Do(r)
@@ -172,13 +174,13 @@
 	return resp.StatusCode, string(body)
 }
 
-// outcome is what a client gets for a request.
+// outcome is the result of a client's request.
 type outcome struct {
 	status int
 	err    error
 }
 
-// doInBackground sends a request, whose outcome comes later.
+// doInBackground sends a request, and returns a channel that receives its outcome.
 func (b *testBalancer) doInBackground(r *http.Request) <-chan outcome {
 	result := make(chan outcome, 1)
 	go func() {
@@ -193,8 +195,8 @@
 	return result
 }
 
-// arrivalsOf sends n requests and returns how many of them came to each node.
-func (b *testBalancer) arrivalsOf(t *testing.T, n int, nodes ...*scripted.Node) []int {
+// sendAndCount sends n requests, and returns how many of them arrived at each node.
+func (b *testBalancer) sendAndCount(t *testing.T, n int, nodes ...*scripted.Node) []int {
 	t.Helper()
 	counts := make([]int, len(nodes))
 	for range n {
@@ -210,7 +212,7 @@
 	return counts
 }
 
-// dial opens a connection that ends with the test, and on which nothing takes longer than clientTimeout.
+// dial opens a connection that is closed when the test ends. Its deadline is clientTimeout from now.
 func (b *testBalancer) dial(t *testing.T) net.Conn {
 	t.Helper()
 	conn, err := net.Dial("tcp", b.address)
@@ -224,7 +226,7 @@
 	return conn
 }
 
-// sendHead sends the head of a checkin request on a new connection.
+// sendHead sends the head of a checkin request on a new connection, and returns the connection and a reader of it.
 func (b *testBalancer) sendHead(t *testing.T, fields string) (net.Conn, *bufio.Reader) {
 	t.Helper()
 	conn := b.dial(t)
@@ -233,25 +235,25 @@
 	return conn, bufio.NewReader(conn)
 }
 
-// rawClient sends text on a connection of its own, and returns all that comes back until it is closed.
-func (b *testBalancer) rawClient(t *testing.T, text string) string {
+// sendRaw sends text on a new connection, and returns all that is received until the balancer closes it.
+func (b *testBalancer) sendRaw(t *testing.T, text string) string {
 	t.Helper()
 	conn := b.dial(t)
 	defer conn.Close()
 	go writeIfOpen(conn, text)
 	got, err := io.ReadAll(conn)
 	if timeout := net.Error(nil); errors.As(err, &timeout) && timeout.Timeout() {
-		t.Error("neither an answer nor a close")
+		t.Error("neither a response nor a close")
 	}
 	return string(got)
 }
 
-// checkinHead is the head of a checkin request, with fields put in.
+// checkinHead returns the head of a checkin request with additional header fields.
 func checkinHead(fields string) string {
 	return "POST /checkin HTTP/1.1\r\nHost: x\r\nX-Class: checkin\r\n" + fields + "\r\n"
 }
 
-// readStatus reads an answer and returns its status.
+// readStatus reads a response and returns its status.
 func readStatus(t *testing.T, in *bufio.Reader) int {
 	t.Helper()
 	resp, err := http.ReadResponse(in, nil)
@@ -270,11 +272,11 @@
 	}
 }
 
-// writeIfOpen writes to a connection that the other side may close before it has read all. Tests look at what arrives
-// and at what comes back.
+// writeIfOpen writes to a connection that the other side may close before it has read everything. An error is ignored:
+// tests check the data received instead.
 func writeIfOpen(conn io.Writer, text string) { _, _ = io.WriteString(conn, text) }
 
-// writeChunked writes a body in chunks of odd sizes.
+// writeChunked writes a body in chunks of growing sizes, with chunk extensions and a trailer.
 func writeChunked(conn io.Writer, body []byte) {
 	for n := 1; len(body) > 0; n = n*3 + 1 {
 		size := min(n, len(body))
@@ -284,14 +286,14 @@
 	writeIfOpen(conn, "0\r\nX-Trailer: 1\r\n\r\n")
 }
 
-// randomBytes returns n bytes that a mixed-up stream would not repeat.
+// randomBytes returns n pseudo-random bytes, so that a comparison detects any reordering. All calls have the same seed.
 func randomBytes(n int) []byte {
 	text := make([]byte, n)
 	_, _ = rand.NewChaCha8([32]byte{7}).Read(text) // never fails
 	return text
 }
 
-// oneClassSettings are the settings of a pool for requests of class c.
+// oneClassSettings returns pool settings whose only class is c.
 func oneClassSettings() balancer.Settings {
 	return balancer.Settings{
 		Balancers: 1,
@@ -307,7 +309,7 @@
 	}
 }
 
-// want reports a value that differs from the wanted one.
+// want reports an error if a value differs from the wanted one.
 func want(t *testing.T, what string, got, want any) {
 	t.Helper()
 	if got != want {
--- a/internal/proxy/operator_commands_test.go
+++ b/internal/proxy/operator_commands_test.go
@@ -9,21 +9,22 @@
 	"olivearch/internal/standin/scripted"
 )
 
-// An upstream that operators have taken out gets nothing, whatever discovery says of it, until they return it.
+// An upstream that operators have taken out of service gets no requests until they return it, whatever discovery
+// reports.
 func TestOutOfServiceByOperators(t *testing.T) {
 	one, two := scripted.Start(t, scripted.Done), scripted.Start(t, scripted.Done)
 	b := startBalancer(t, upMember("s-00000001", one), upMember("s-00000002", two))
-	<-b.registry.calls
-	for range 2 { // the command may come twice
+	<-b.discoveryServer.polls
+	for range 2 { // the command is idempotent
 		if _, err := b.TakeOutOfService("s-00000001"); err != nil {
 			t.Fatal(err)
 		}
 	}
 	list := listing(11, upMember("s-00000001", one), upMember("s-00000002", two))
-	list.Members[0].UpSinceMS = time.Now().UnixMilli() // discovery says that it has restarted, and is up
-	b.registry.answers <- list
-	<-b.registry.calls
-	want(t, "at the one that is out", b.arrivalsOf(t, 10, one, two)[0], 0)
+	list.Members[0].UpSinceMS = time.Now().UnixMilli() // discovery reports that it has restarted, and is up
+	b.discoveryServer.answers <- list
+	<-b.discoveryServer.polls
+	want(t, "requests at the upstream that is out of service", b.sendAndCount(t, 10, one, two)[0], 0)
 	for _, id := range []string{"s-00000009", ""} {
 		_, out := b.TakeOutOfService(id)
 		_, back := b.ReturnToService(id)
@@ -35,14 +36,14 @@
 		t.Fatal(err)
 	}
 	deadline := time.Now().Add(5 * time.Second)
-	for b.arrivalsOf(t, 5, one, two)[0] == 0 {
+	for b.sendAndCount(t, 5, one, two)[0] == 0 {
 		if time.Now().After(deadline) {
 			t.Fatal("not used after its return to service")
 		}
 	}
 }
 
-// While drained the balancer answers 503 at /healthz, serves requests, and closes connections after them or once idle.
+// A drained balancer answers 503 at /healthz, serves requests, and closes connections after a response or once idle.
 func TestStandbyDrainsTheBalancer(t *testing.T) {
 	b := startBalancer(t, upMember("s-00000001", scripted.Start(t, scripted.Done)))
 	health := func() int {
@@ -60,7 +61,7 @@
 		t.Fatal(err)
 	}
 	began := time.Now()
-	for range 2 { // the command may come twice
+	for range 2 { // the command is idempotent
 		if err := b.Standby(); err != nil {
 			t.Fatal(err)
 		}
@@ -77,7 +78,7 @@
 		t.Fatal(err)
 	}
 	if _, err := idle.Read(make([]byte, 1)); err == nil || os.IsTimeout(err) {
-		t.Errorf("an idle connection 4 s after the call: %v, want it closed", err)
+		t.Errorf("an idle connection 4 s after the command: %v, want it closed", err)
 	}
 	if err := b.Active(); err != nil {
 		t.Fatal(err)
--- a/internal/proxy/peer_process_test.go
+++ b/internal/proxy/peer_process_test.go
@@ -59,7 +59,7 @@
 	return newPeerProcess(near, peerStarting), far
 }
 
-// A notification succeeds by the ack of its serial. It fails by the end of the link, or without an ack in time.
+// A notification succeeds with the ack of its serial. It fails if the link ends or the ack does not come in time.
 func TestNotifyPeerWaitsForTheAck(t *testing.T) {
 	for _, c := range []struct {
 		name   string
@@ -91,7 +91,8 @@
 	}
 }
 
-// Without an old process the caller starts alone, and tells that case from a failed takeover by the error.
+// Without an old process, the error of TakeOver is os.ErrNotExist, so a caller can tell this case from a failed
+// takeover.
 func TestTakeOverWithoutAnOldProcess(t *testing.T) {
 	_, err := TakeOver(filepath.Join(t.TempDir(), "none.sock"), "127.0.0.1:7070")
 	if !errors.Is(err, os.ErrNotExist) {
@@ -99,7 +100,7 @@
 	}
 }
 
-// An old process that answers without its listener, or that serves another address, is an error.
+// TakeOver fails if the old process answers without its listener, with another kind of message, or for another address.
 func TestTakeOverRejectsWrongAnswers(t *testing.T) {
 	const address = "127.0.0.1:7070"
 	clients, err := net.Listen("tcp", "127.0.0.1:0")
@@ -128,7 +129,7 @@
 	}
 }
 
-// answerTakeover listens at a path, and gives an answer to the first request.
+// answerTakeover listens at a path, and answers the first takeover request with a message and a socket.
 func answerTakeover(t *testing.T, path string, answer hotrestart.Message, socket syscall.Conn) {
 	t.Helper()
 	listener, err := hotrestart.Listen(path)
--- a/internal/proxy/platform_router_test.go
+++ b/internal/proxy/platform_router_test.go
@@ -15,8 +15,8 @@
 	"olivearch/internal/standin/scripted"
 )
 
-// FuzzRequest reads what a client may send. What is passed on must be one request for the upstream, with nothing behind
-// it, and the same as the client's.
+// FuzzRequest reads arbitrary bytes as a client's request. The bytes forwarded must be a single request for the
+// upstream, with nothing after it, and the same as the client's.
 func FuzzRequest(f *testing.F) {
 	const id = "X-Request-Id: 1\r\n"
 	for _, text := range []string{
@@ -40,30 +40,30 @@
 		{Name: "read", Deadline: time.Second, Idempotency: balancer.Idempotent},
 	}, p)
 	f.Fuzz(func(t *testing.T, text []byte) {
-		call, err := frontend.ReadRequest(router, scripted.Saying(text))
-		if err != nil || call == nil {
+		exchange, err := frontend.ReadRequest(router, scripted.Saying(text))
+		if err != nil || exchange == nil {
 			return
 		}
-		q := call.PoolRequest()
-		if q.Budget < 0 || q.Budget > time.Second {
-			t.Errorf("budget %v", q.Budget)
+		request := exchange.PoolRequest()
+		if request.Budget < 0 || request.Budget > time.Second {
+			t.Errorf("budget %v", request.Budget)
 		}
-		in := bufio.NewReader(bytes.NewReader(q.Message.Bytes(time.Second)))
-		r, err := http.ReadRequest(in)
+		in := bufio.NewReader(bytes.NewReader(request.Message.Bytes(time.Second)))
+		received, err := http.ReadRequest(in)
 		if err != nil {
-			t.Fatalf("the upstream can't read %q: %v", q.Message.Bytes(time.Second), err)
+			t.Fatalf("the upstream can't read %q: %v", request.Message.Bytes(time.Second), err)
 		}
-		body, err := io.ReadAll(r.Body)
-		if q.Message.Upload != nil {
-			return // longer than the fuzzer's texts
+		body, err := io.ReadAll(received.Body)
+		if request.Message.Upload != nil {
+			return // a long body, which is forwarded in parts, is not compared
 		}
-		if err != nil || !bytes.Equal(body, q.Message.Body) || in.Buffered() > 0 || len(r.TransferEncoding) > 0 {
-			t.Errorf("passed on %q, of which the upstream reads %q, %v, %d more",
-				q.Message.Bytes(time.Second), body, err, in.Buffered())
+		if err != nil || !bytes.Equal(body, request.Message.Body) || in.Buffered() > 0 || len(received.TransferEncoding) > 0 {
+			t.Errorf("forwarded %q: the upstream reads %q, %v, and %d bytes remain",
+				request.Message.Bytes(time.Second), body, err, in.Buffered())
 		}
-		sameID := r.Header.Get("X-Request-Id") == q.ClientRequestID
-		if !sameID || !strings.HasPrefix(q.Message.RequestLine, r.Method+" "+r.RequestURI) {
-			t.Errorf("passed on %q", q.Message.Bytes(time.Second))
+		sameID := received.Header.Get("X-Request-Id") == request.ClientRequestID
+		if !sameID || !strings.HasPrefix(request.Message.RequestLine, received.Method+" "+received.RequestURI) {
+			t.Errorf("forwarded %q", request.Message.Bytes(time.Second))
 		}
 	})
 }
--- a/internal/proxy/request_test.go
+++ b/internal/proxy/request_test.go
@@ -11,7 +11,7 @@
 	"olivearch/internal/http1"
 )
 
-// parsed returns a request with what one header field says of it.
+// parsed returns a request that is parsed from one header field.
 func parsed(t *testing.T, name, value string) *parsedRequest {
 	t.Helper()
 	request := &parsedRequest{}
@@ -45,7 +45,7 @@
 	}
 }
 
-// A cost over the deadline of the class is no estimate.
+// A cost hint above the deadline of the class is ignored.
 func TestCostHintOverTheDeadlineIsIgnored(t *testing.T) {
 	class := balancer.Class{Name: "read", Deadline: time.Second}
 	for _, c := range []struct {
@@ -58,7 +58,7 @@
 	}
 }
 
-// The key is the cookie's value if that is hexadecimal, else its hash. Without the cookie there is none.
+// The key is the cookie's value if that is hexadecimal, else the value's hash. Without the cookie there is no key.
 func TestKeyFromCookie(t *testing.T) {
 	for _, c := range []struct {
 		name   string
@@ -82,11 +82,11 @@
 	one.setKeyFromCookie(http1.Fields{{Name: "Cookie", Value: "obj=shelf"}}, "obj")
 	other.setKeyFromCookie(http1.Fields{{Name: "Cookie", Value: "obj=book"}}, "obj")
 	if !one.HasKey || !other.HasKey || one.Key == other.Key {
-		t.Errorf("keys of names: %x and %x, want two that differ", one.Key, other.Key)
+		t.Errorf("keys of two values that are not hexadecimal: %x and %x, want different keys", one.Key, other.Key)
 	}
 }
 
-// A route table's rejections have a status that a client can decide by, as a *frontend.Rejection.
+// A route table rejects a request with a *frontend.Rejection, whose status tells the client what is wrong.
 func TestRouteTableRejections(t *testing.T) {
 	router := NewRouteTable(routesTo(t, startPool(t, "x", 1)))
 	host := http1.Field{Name: "Host", Value: "x.example.org"}
@@ -96,7 +96,7 @@
 		status               int
 	}{
 		{"a method that is not served", http.MethodConnect, "/a", http1.Fields{host}, http.StatusNotImplemented},
-		{"a method in small letters", "get", "/a", http1.Fields{host}, http.StatusNotImplemented},
+		{"a method in lower case", "get", "/a", http1.Fields{host}, http.StatusNotImplemented},
 		{"no host", http.MethodGet, "/a", nil, http.StatusBadRequest},
 		{"an absolute target and no host", http.MethodGet, "http://x.example.org/a", nil, http.StatusBadRequest},
 		{"an empty id", http.MethodGet, "/a", http1.Fields{host, {Name: "X-Request-Id"}}, http.StatusBadRequest},
--- a/internal/proxy/route_table_test.go
+++ b/internal/proxy/route_table_test.go
@@ -20,7 +20,7 @@
 	"olivearch/internal/wire"
 )
 
-// startPool starts a pool that a test's routes can lead to.
+// startPool starts a pool for the routes of a test.
 func startPool(t testing.TB, name string, queue int) *pool.Pool {
 	t.Helper()
 	ctx, cancel := context.WithCancel(context.Background())
@@ -39,23 +39,23 @@
 func routesTo(t testing.TB, pools ...*pool.Pool) *Routing {
 	t.Helper()
 	class := balancer.Class{Name: "c", Deadline: time.Second, Idempotency: balancer.NonIdempotent}
-	r := &Routing{
+	routing := &Routing{
 		Destinations: []Destination{{Class: class, Limit: time.Second, KeyCookie: "obj"}},
 		Pools:        map[string]*pool.Pool{},
 	}
 	var rules []route.Rule
 	for _, p := range pools {
-		r.Pools[p.Name()] = p
+		routing.Pools[p.Name()] = p
 		rules = append(rules, ruleTo(p.Name(), p.Name()+".example.org"))
 	}
 	var errs []error
-	if r.Table, errs = route.Build(rules); errs != nil {
+	if routing.Table, errs = route.Build(rules); errs != nil {
 		t.Fatal(errs)
 	}
-	return r
+	return routing
 }
 
-// ruleTo leads from the paths under /a of a host to a pool.
+// ruleTo returns a rule that leads from the paths under /a of a host to a pool.
 func ruleTo(poolName, host string) route.Rule {
 	return route.Rule{
 		Name: poolName, Hosts: []string{host}, Kind: route.Prefix, Path: "/a",
@@ -63,8 +63,8 @@
 	}
 }
 
-// FuzzRouted reads what a client may send to routes. What goes on is one request, and a server that reads it comes to
-// the route that was taken here.
+// FuzzRouted reads arbitrary bytes as a client's request to a route. The bytes forwarded must be a single request, for
+// which a server that reads it finds the same route.
 func FuzzRouted(f *testing.F) {
 	for _, text := range []string{
 		"POST /a/%2e%2e/a//b?x HTTP/1.1\r\nHost: X.example.org:80\r\nContent-Length: 2\r\n\r\nab",
@@ -75,73 +75,73 @@
 	} {
 		f.Add([]byte(text))
 	}
-	r := routesTo(f, startPool(f, "x", 1))
-	router := NewRouteTable(r)
+	routing := routesTo(f, startPool(f, "x", 1))
+	router := NewRouteTable(routing)
 	f.Fuzz(func(t *testing.T, text []byte) {
-		call, err := frontend.ReadRequest(router, scripted.Saying(text))
-		if err != nil || call == nil {
+		read, err := frontend.ReadRequest(router, scripted.Saying(text))
+		if err != nil || read == nil {
 			return
 		}
-		q := call.(*routedExchange)
-		sent := q.Message.Bytes(time.Second)
+		exchange := read.(*routedExchange)
+		sent := exchange.Message.Bytes(time.Second)
 		in := bufio.NewReader(bytes.NewReader(sent))
 		got, err := http.ReadRequest(in)
 		if err != nil {
 			t.Fatalf("the server can't read %q: %v", sent, err)
 		}
 		body, err := io.ReadAll(got.Body)
-		if err != nil || !bytes.Equal(body, q.Message.Body) || in.Buffered() > 0 || len(got.TransferEncoding) > 0 {
-			t.Errorf("passed on %q, of which the server reads %q, %v, %d more", sent, body, err, in.Buffered())
+		if err != nil || !bytes.Equal(body, exchange.Message.Body) || in.Buffered() > 0 || len(got.TransferEncoding) > 0 {
+			t.Errorf("forwarded %q: the server reads %q, %v, and %d bytes remain", sent, body, err, in.Buffered())
 		}
 		host, err := route.Host(got.Host)
 		target, err2 := route.ParseTarget(got.RequestURI)
 		if err != nil || err2 != nil || host != got.Host || target.String() != got.RequestURI {
-			t.Fatalf("passed on host %q and target %q: %v, %v", got.Host, got.RequestURI, err, err2)
+			t.Fatalf("forwarded host %q and target %q: %v, %v", got.Host, got.RequestURI, err, err2)
 		}
-		rule := r.Table.Lookup(&route.Query{Host: host, Path: target.Path, Method: got.Method, Fields: q.fields})
-		sameID := got.Header.Get("X-Request-Id") == q.ClientRequestID && q.ClientRequestID != ""
-		if rule == nil || r.Pools[rule.Name] != q.pool || !sameID {
-			t.Errorf("passed on %q by pool %s; the server would come to %+v", sent, q.pool.Name(), rule)
+		rule := routing.Table.Lookup(&route.Query{Host: host, Path: target.Path, Method: got.Method, Fields: exchange.fields})
+		sameID := got.Header.Get("X-Request-Id") == exchange.ClientRequestID && exchange.ClientRequestID != ""
+		if rule == nil || routing.Pools[rule.Name] != exchange.pool || !sameID {
+			t.Errorf("forwarded %q to pool %s; the server would find the route %+v", sent, exchange.pool.Name(), rule)
 		}
 	})
 }
 
-// A pool is retired between a request's head and its body: the request is looked up again and goes to the current pool.
-// The retired one ends, and never takes a request after that.
+// If a pool is retired between a request's head and its body, the route is looked up again, and the request goes to the
+// current pool. The retired pool ends, and takes no request after that.
 func TestPoolRetiredWhileRequestIsRead(t *testing.T) {
 	old, next := startPool(t, "x", 100), startPool(t, "y", 100)
-	d := NewRouteTable(routesTo(t, old))
-	heads := func(n int) (all []*routedExchange) {
+	router := NewRouteTable(routesTo(t, old))
+	readHeads := func(n int) (all []*routedExchange) {
 		for i := range n {
-			h := http1.Fields{{Name: "Host", Value: "x.example.org"}, {Name: "X-Request-Id", Value: fmt.Sprint(i)}}
-			q, err := d.Check("POST", "/a", &h)
+			fields := http1.Fields{{Name: "Host", Value: "x.example.org"}, {Name: "X-Request-Id", Value: fmt.Sprint(i)}}
+			exchange, err := router.Check("POST", "/a", &fields)
 			if err != nil {
 				t.Fatal(err)
 			}
-			q.PoolRequest().Responses = make(chan pool.Response, 1)
-			all = append(all, q.(*routedExchange))
+			exchange.PoolRequest().Responses = make(chan pool.Response, 1)
+			all = append(all, exchange.(*routedExchange))
 		}
 		return all
 	}
-	before := heads(50)
-	moved := routesTo(t, old, next)
+	exchanges := readHeads(50)
+	newRouting := routesTo(t, old, next)
 	var errs []error
-	if moved.Table, errs = route.Build([]route.Rule{ruleTo("y", "x.example.org")}); errs != nil {
+	if newRouting.Table, errs = route.Build([]route.Rule{ruleTo("y", "x.example.org")}); errs != nil {
 		t.Fatal(errs)
 	}
 	var wg sync.WaitGroup
-	for i, q := range before {
-		if i == len(before)/2 {
-			d.SetRouting(moved)
+	for i, exchange := range exchanges {
+		if i == len(exchanges)/2 {
+			router.SetRouting(newRouting)
 			old.Shutdown()
 		}
 		wg.Go(func() {
-			if a, err := q.Admit(); err != nil || a.Status != 0 {
-				t.Errorf("request %d: %v, %v", i, a, err)
+			if response, err := exchange.Admit(); err != nil || response.Status != 0 {
+				t.Errorf("request %d: %v, %v", i, response, err)
 				return
 			}
-			<-q.Responses // rejected: there is no upstream
-			q.Done()
+			<-exchange.Responses // rejected: there is no upstream
+			exchange.Done()
 		})
 	}
 	wg.Wait()
@@ -149,9 +149,9 @@
 	if ok, full := old.Acquire(); ok || full {
 		t.Error("an ended pool takes requests")
 	}
-	for _, q := range before[len(before)/2:] {
-		if q.pool != next {
-			t.Errorf("request %s went to the retired pool", q.ClientRequestID)
+	for _, exchange := range exchanges[len(exchanges)/2:] {
+		if exchange.pool != next {
+			t.Errorf("request %s went to the retired pool", exchange.ClientRequestID)
 		}
 	}
 }
--- a/internal/proxy/shared_overrides_test.go
+++ b/internal/proxy/shared_overrides_test.go
@@ -12,7 +12,7 @@
 	"olivearch/internal/coordination/state"
 )
 
-// fakeCluster answers each proposal in the same way, and shows a copy of the state at an index.
+// fakeCluster is a proposer that answers all proposals alike, and a follower whose copy is at a given log index.
 type fakeCluster struct {
 	response client.Response
 	err      error
@@ -27,7 +27,7 @@
 func (f *fakeCluster) View() *client.View { return &client.View{Index: f.index} }
 func (f *fakeCluster) Close()             {}
 
-// attachedOverrides returns sharedOverrides by a cluster, and the upstreams that it has released.
+// attachedOverrides returns the sharedOverrides of a cluster, and the upstreams whose local overrides it has released.
 func attachedOverrides(t *testing.T, cluster *fakeCluster) (shared *sharedOverrides, released *[]string) {
 	t.Helper()
 	shared = &sharedOverrides{
@@ -39,9 +39,9 @@
 	return shared, released
 }
 
-// What operators read of a shared override, and whether the local one is released at once.
+// set returns the note or the error for operators, and releases the local override if the copy has the shared one.
 func TestSetSharedOverride(t *testing.T) {
-	unsure := fmt.Errorf("voter k1: %w", client.ErrUncertain)
+	uncertain := fmt.Errorf("voter k1: %w", client.ErrUncertain)
 	for _, c := range []struct {
 		name     string
 		cluster  fakeCluster
@@ -63,8 +63,8 @@
 			err: "only here, not copied: " + client.ErrNotAttempted.Error(),
 		},
 		{
-			name: "no certainty", cause: client.ErrUncertain, cluster: fakeCluster{err: unsure, index: 9},
-			err: "only here for certain: the others may be told, or not (" + unsure.Error() + ")",
+			name: "uncertain outcome", cause: client.ErrUncertain, cluster: fakeCluster{err: uncertain, index: 9},
+			err: "only here for certain: the others may be told, or not (" + uncertain.Error() + ")",
 		},
 	} {
 		t.Run(c.name, func(t *testing.T) {
@@ -86,7 +86,7 @@
 	}
 }
 
-// A local override is released by the first copy that has the shared one, once.
+// A local override is released once, when the follower's copy first has the shared override.
 func TestLocalOverrideIsReleasedByTheCopy(t *testing.T) {
 	cluster := &fakeCluster{response: client.Response{Result: state.Result{Revision: 8}}, index: 6}
 	shared, released := attachedOverrides(t, cluster)
@@ -103,7 +103,7 @@
 	}
 }
 
-// An upstream stays out after a failed clear if the copy has the shared override.
+// After a failed clear, the upstream is still out of service if the follower's copy has the shared override.
 func TestClearSharedOverride(t *testing.T) {
 	out := []state.Override{{Subject: outOfServiceSubject("s-1")}}
 	capSubject := state.Subject{Kind: state.ConcurrencyCap, Scope: state.ScopeUpstream, Target: "s-1"}
--- a/internal/proxy/streaming_test.go
+++ b/internal/proxy/streaming_test.go
@@ -18,8 +18,9 @@
 	"olivearch/internal/standin/scripted"
 )
 
-// Bodies and answers of any size and framing come through unchanged, and the connections serve again.
-func TestAnySizeComesThrough(t *testing.T) {
+// Request and response bodies of any size and framing are forwarded unchanged. After that their memory is free, and
+// their connections serve further requests.
+func TestBodiesOfAnySizeAreForwarded(t *testing.T) {
 	readAhead := body.MaxBuffered + body.DefaultLimits.Ahead
 	for _, size := range []int{0, 1, body.MaxBuffered, body.MaxBuffered + 1, readAhead, readAhead + 1, 6 << 20} {
 		body := randomBytes(size)
@@ -38,27 +39,27 @@
 		})
 		b := startBalancer(t, upMember("s-00000001", s))
 		for _, framing := range []string{"length", "chunked", "close"} {
-			q := b.newRequest("checkin", string(body), "X-Framing", framing)
+			request := b.newRequest("checkin", string(body), "X-Framing", framing)
 			if framing != "length" {
-				q.Body, q.ContentLength = io.NopCloser(bytes.NewReader(body)), -1
+				request.Body, request.ContentLength = io.NopCloser(bytes.NewReader(body)), -1
 			}
-			status, got := b.do(t, q)
+			status, got := b.do(t, request)
 			want(t, "status", status, 200)
 			if got != string(body) {
-				t.Errorf("%d bytes, %s: the answer is another, of %d bytes", size, framing, len(got))
+				t.Errorf("%d bytes, %s: got a different response of %d bytes", size, framing, len(got))
 			}
 			sent, _ := io.ReadAll((<-s.Arrivals).Body)
 			if !bytes.Equal(sent, body) {
-				t.Errorf("%d bytes, %s: the body is another, of %d bytes", size, framing, len(sent))
+				t.Errorf("%d bytes, %s: the upstream got a different body of %d bytes", size, framing, len(sent))
 			}
 		}
 		free := b.server.FreeSpoolBytes()
-		want(t, "memory for bodies, taken", int64(b.config.MemoryMB)<<20/8-free, int64(0))
+		want(t, "memory in use for bodies", int64(b.config.MemoryMB)<<20/8-free, int64(0))
 	}
 }
 
-// Each part of an answer is forwarded at once, not when the rest has come.
-func TestAnswerGoesOnAsItComes(t *testing.T) {
+// Each part of a response is forwarded at once, not only when the response is complete.
+func TestResponseIsStreamed(t *testing.T) {
 	next := make(chan string)
 	s := scripted.Start(t, func(c net.Conn, _ *http.Request) bool {
 		writeIfOpen(c, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n")
@@ -87,12 +88,13 @@
 	}
 	close(next)
 	if rest, err := io.ReadAll(resp.Body); len(rest) > 0 || err != nil {
-		t.Errorf("%q behind it, %v", rest, err)
+		t.Errorf("%q after the last part, %v", rest, err)
 	}
 }
 
-// An upstream fails in the middle of an answer: the client gets one that is visibly cut, and nothing is retried.
-func TestCutAnswerLooksCut(t *testing.T) {
+// If an upstream fails in the middle of a response, the client can tell that the response is truncated, and the request
+// is not retried.
+func TestTruncatedResponseIsDetectable(t *testing.T) {
 	body := randomBytes(3 * body.MaxBuffered)
 	withLength := fmt.Sprintf("Content-Length: %d", len(body))
 	for _, head := range []string{withLength, "Transfer-Encoding: chunked", "X-To: close"} {
@@ -104,7 +106,7 @@
 					fmt.Fprintf(c, "%x\r\n", len(body)) // the chunk's end never comes
 				}
 				writeIfOpen(c, string(part))
-				_ = c.(*net.TCPConn).SetLinger(0) // a reset; the balancer may have closed it already
+				_ = c.(*net.TCPConn).SetLinger(0) // so that the close is a reset; fails if the balancer has closed it
 				return false
 			})
 			b := startBalancer(t, upMember("s-00000001", s))
@@ -116,16 +118,16 @@
 			got, err := io.ReadAll(resp.Body)
 			resp.Body.Close()
 			if err == nil && resp.StatusCode == 200 {
-				t.Errorf("%s, cut after %d of 3 parts: %d bytes look complete", head, share, len(got))
+				t.Errorf("%s, truncated after %d of 3 parts: %d bytes look complete", head, share, len(got))
 			}
 			want(t, "executions", len(s.Arrivals), 1)
 		}
 	}
 }
 
-// An answer that comes promptly is read to its end first: an idempotent request whose answer is cut is retried at
-// another upstream.
-func TestCutPromptAnswerIsRetried(t *testing.T) {
+// A response that comes promptly is read to its end before it is forwarded. An idempotent request whose response is
+// truncated can therefore be retried at another upstream.
+func TestTruncatedPromptResponseIsRetried(t *testing.T) {
 	bad := scripted.Start(t, func(c net.Conn, _ *http.Request) bool {
 		writeIfOpen(c, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n5\r\nab")
 		return false
@@ -142,14 +144,14 @@
 	}
 }
 
-// A body that comes slowly takes up no attempt before it has been read, as far as it is read ahead.
+// A request body that arrives slowly takes up no attempt until it has been read, up to the read-ahead limit.
 func TestSlowBodyTakesNoUpstream(t *testing.T) {
 	s := scripted.Start(t, scripted.Done)
 	b := startBalancer(t, upMember("s-00000001", s))
 	body := randomBytes(body.MaxBuffered + body.DefaultLimits.Ahead/2)
 	c, in := b.sendHead(t, fmt.Sprintf("Content-Length: %d\r\n", len(body)))
 	mustWrite(t, c, string(body[:len(body)-1]))
-	status, _ := b.do(t, b.newRequest("checkin", "")) // it came later, and is served first
+	status, _ := b.do(t, b.newRequest("checkin", "")) // sent later, but served first
 	want(t, "status", status, 200)
 	want(t, "connections to the upstream", s.Opened(), 1)
 	want(t, "requests at the upstream", len(s.Arrivals), 1)
@@ -157,8 +159,8 @@
 	want(t, "status", readStatus(t, in), 200)
 }
 
-// A long body is forwarded while it comes, and its deadline counts from its last byte.
-func TestTimeCountsFromTheLastByte(t *testing.T) {
+// A body above the read-ahead limit is forwarded while it arrives, and the deadline counts from its last byte.
+func TestDeadlineCountsFromLastBodyByte(t *testing.T) {
 	begun := make(chan struct{})
 	s := scripted.Start(t, scripted.Done)
 	b := startBalancer(t, upMember("s-00000001", s))
@@ -173,19 +175,19 @@
 	}()
 	<-begun
 	for i := len(body) - 4; i < len(body); i++ {
-		time.Sleep(150 * time.Millisecond) // a slow line is what is tried
+		time.Sleep(150 * time.Millisecond) // simulates a slow line
 		mustWrite(t, c, string(body[i:i+1]))
 	}
 	want(t, "status", readStatus(t, in), 200)
 	sent, _ := io.ReadAll((<-s.Arrivals).Body)
 	if !bytes.Equal(sent, body) {
-		t.Error("the body is another")
+		t.Error("the upstream got a different body")
 	}
 }
 
-// A client ends in the middle of a body that is being forwarded: the upstream gets no complete request, and the next
-// request is served.
-func TestClientEndsMidBody(t *testing.T) {
+// If a client closes its side in the middle of a body that is being forwarded, the upstream gets no complete request,
+// and the next request is served.
+func TestClientClosesMidBody(t *testing.T) {
 	s := scripted.Start(t, scripted.Done)
 	b := startBalancer(t, upMember("s-00000001", s))
 	for _, framing := range []string{"Content-Length: 4000000\r\n", "Transfer-Encoding: chunked\r\n"} {
@@ -206,12 +208,12 @@
 	want(t, "complete requests at the upstream", len(s.Arrivals), 1)
 }
 
-// An upstream that ends before it has the last byte of a body has not run the request: the client's answer says that a
-// retry is harmless, although the balancer can't retry. An early answer is forwarded.
-func TestUpstreamEndsMidBody(t *testing.T) {
-	for _, x := range []struct {
-		name, says string
-		status     int
+// An upstream that closes its connection before the last byte of a body has not executed the request. The client's
+// response says that a retry is safe, although the balancer cannot retry itself. An early response is forwarded.
+func TestUpstreamClosesMidBody(t *testing.T) {
+	for _, test := range []struct {
+		name, response string
+		status         int
 	}{
 		{"dies", "", 503},
 		{"rejects it", "HTTP/1.1 503 Busy\r\nX-Not-Run: 1\r\nContent-Length: 0\r\nConnection: close\r\n\r\n", 503},
@@ -229,8 +231,8 @@
 				if err != nil {
 					return
 				}
-				_, _ = io.CopyN(io.Discard, c, body.MaxBuffered) // fewer bytes come where the balancer gives up
-				writeIfOpen(c, x.says)
+				_, _ = io.CopyN(io.Discard, c, body.MaxBuffered) // fewer bytes arrive if the balancer gives up
+				writeIfOpen(c, test.response)
 				c.Close()
 			}
 		}()
@@ -239,28 +241,28 @@
 		go writeIfOpen(c, string(randomBytes(30000000)))
 		resp, err := http.ReadResponse(in, nil)
 		if err != nil {
-			t.Fatal(x.name, err)
+			t.Fatal(test.name, err)
 		}
 		resp.Body.Close()
-		want(t, x.name, resp.StatusCode, x.status)
-		want(t, "its connection ends", resp.Close, true)
+		want(t, test.name, resp.StatusCode, test.status)
+		want(t, "its connection is closed", resp.Close, true)
 	}
 }
 
-// A long request for which there is no upstream is answered at once, and its client, which still sends, can read that.
+// Without an upstream, a long request is rejected at once, and its client can read the response while it still sends.
 func TestLongRequestIsRejectedAtOnce(t *testing.T) {
 	b := startBalancer(t)
-	<-b.registry.calls
+	<-b.discoveryServer.polls
 	c, in := b.sendHead(t, "Content-Length: 8000000\r\n")
 	writeIfOpen(c, string(randomBytes(body.MaxBuffered+body.DefaultLimits.Ahead+body.BlockSize)))
 	want(t, "status", readStatus(t, in), 503)
 	writeIfOpen(c, string(randomBytes(1<<20)))
 	if _, err := c.Read(make([]byte, 1)); !errors.Is(err, io.EOF) && !errors.Is(err, os.ErrDeadlineExceeded) {
-		t.Errorf("behind the answer: %v", err)
+		t.Errorf("after the response: %v", err)
 	}
 }
 
-// Forms of requests that HTTP/1.1 allows and usual clients may send.
+// Unusual forms of requests, which HTTP/1.1 allows and common clients may send.
 func TestUnusualRequestForms(t *testing.T) {
 	s := scripted.Start(t, func(c net.Conn, r *http.Request) bool {
 		writeIfOpen(c, "HTTP/1.1 103 Early Hints\r\nLink: </x>\r\n\r\nHTTP/1.1 200 \r\ncontent-length:4\r\n\r\ndone")
@@ -276,7 +278,7 @@
 	} {
 		c := b.dial(t)
 		text = fmt.Sprintf(text, i)
-		for j := range text { // cut at every point
+		for j := range text { // one byte at a time
 			mustWrite(t, c, text[j:j+1])
 		}
 		want(t, "status", readStatus(t, bufio.NewReader(c)), 200)
