--- a/internal/proxy/config.go
+++ b/internal/proxy/config.go
@@ -114,8 +114,8 @@
 	return int(limit.Cur)
 }
 
-// File descriptors are shared out as follows: half are for client connections. A reserve is for the listener, discovery
-// and connections that are being closed. The rest are for upstream connections.
+// Half of the file descriptors are for client connections. A reserve is for the listener, discovery and connections
+// that are being closed. The rest are for upstream connections.
 
 // minReservedSockets is the minimum of the reserve.
 const minReservedSockets = 16
--- a/internal/proxy/doc.go
+++ b/internal/proxy/doc.go
@@ -3,7 +3,7 @@
 // It has two routers. RouteTable, which package service uses, has many pools and chooses one by a request's route.
 // platformRouter has one pool and accepts the requests of the platform's protocol.
 //
-// Balancer is the balancer that a platform runs as one process, by cmd/olivearch: a frontend server, a platformRouter
+// Balancer is the balancer that cmd/olivearch runs as one process for a platform: a frontend server, a platformRouter
 // and its pool. It executes operators' commands and applies the overrides that all balancers share. In a hot restart it
 // takes over from an old process of the same balancer, or hands over to a new one.
 //
--- a/internal/proxy/hotrestart.go
+++ b/internal/proxy/hotrestart.go
@@ -240,8 +240,9 @@
 	b.server.Drain(state.Standby)
 }
 
-// notifyPeer sends the operators' state to the peer process, if there is one, and waits until it is applied there: a
-// command that has succeeded holds in both processes. A failure to notify is only logged.
+// notifyPeer sends the operators' state to the peer process, if there is one, and waits until it is applied there, so
+// that a command has effect in both processes. A failure is only logged: the command may then have no effect in the
+// peer process.
 func (b *Balancer) notifyPeer() {
 	peer := b.peer.Load()
 	if peer == nil {
