--- a/internal/body/download.go
+++ b/internal/body/download.go
@@ -10,66 +10,65 @@
 )
 
 const (
-	// MaxBuffered bounds, in bytes, a body that is buffered to its end before anything of it is forwarded.
+	// MaxBuffered is the size in bytes up to which a body is buffered to its end before any part is forwarded.
 	MaxBuffered = 64 << 10
-	// bufferingTime is how long the body of a response is buffered before what there is of it is forwarded. One that is
-	// complete in that time, and no longer than Whole, can be judged first: cut or malformed, another attempt may take its
-	// place where its class allows.
+	// bufferingTime is how long the body of a response is buffered before it is streamed. A body that ends within
+	// that time and is at most MaxBuffered long is checked before it is forwarded: if it is truncated or malformed,
+	// the request may be retried where its class allows that.
 	bufferingTime = 20 * time.Millisecond
 )
 
-// part is a piece of a response that is streamed. The last one has an error, which is io.EOF if the response is
-// complete.
+// part is a part of a streamed response. The last part has an error, which is io.EOF if the response is complete.
 type part struct {
 	block *[BlockSize]byte
 	n     int // bytes of the block that are used
 	err   error
 }
 
-// Download is a response that may be streamed to the client as it comes. The attempt's goroutine calls Receive, the
-// client's calls Copy; either may end it.
+// Download is the body of a response that is buffered to its end or streamed to the client while it is received. The
+// goroutine of the attempt calls Receive, that of the client calls Copy. Either may end the download.
 type Download struct {
-	source    Source
-	framing   http1.Framing
-	limits    *Limits
-	body      *http1.Body // read by the attempt's goroutine, or by the client's if the length is known
-	forwarded chan error  // how the client's goroutine has ended reading it
-	parts     chan part
-	abandoned chan struct{} // closed once nobody wants the rest
-	abandon   func()        // closes it, once
-	begun     chan struct{} // closed once Receive's begin has returned
+	source        Source
+	framing       http1.Framing
+	limits        *Limits
+	body          *http1.Body // read by the attempt's goroutine, or by the client's if the length is known
+	forwarded     chan error  // result of the client's goroutine, if that reads the body
+	parts         chan part
+	abandoned     chan struct{} // closed once the rest of the body is no longer needed
+	abandon       func()        // closes abandoned, once
+	beginReturned chan struct{} // closed once the callback of Receive has returned
 
 	mu       sync.Mutex
-	buffered []byte // what had come before streaming; not written after that
+	buffered []byte // received before streaming; not changed afterwards
 	state    downloadState
 }
 
-// downloadState only grows.
+// downloadState is the state of a download. It only changes to a later one.
 type downloadState uint8
 
 const (
 	buffering downloadState = iota // nothing has been forwarded
-	streaming                      // it is forwarded as it comes
-	finished                       // no more is read for it
+	streaming                      // the body is forwarded while it is received
+	finished                       // no more is read from the upstream
 )
 
-// Source is a connection to an upstream that a download is read from. *http1.Stream is one.
+// Source is a connection from which a download is read. *http1.Stream implements it.
 type Source interface {
-	Body(f http1.Framing, most int64) *http1.Body
+	Body(f http1.Framing, maxBytes int64) *http1.Body
 	SetReadDeadline(time.Time) error
 }
 
-// NewDownload returns the response that comes from c, whose head has been read.
+// NewDownload returns the download of a response from c whose head has been read.
 func NewDownload(c Source, f http1.Framing, limits *Limits) *Download {
 	d := &Download{
-		source:    c,
-		framing:   f,
-		limits:    limits,
-		body:      c.Body(f, limits.Answer),
-		forwarded: make(chan error, 1),
-		parts:     make(chan part, 1),
-		abandoned: make(chan struct{}),
-		begun:     make(chan struct{}),
+		source:        c,
+		framing:       f,
+		limits:        limits,
+		body:          c.Body(f, limits.Answer),
+		forwarded:     make(chan error, 1),
+		parts:         make(chan part, 1),
+		abandoned:     make(chan struct{}),
+		beginReturned: make(chan struct{}),
 	}
 	d.abandon = sync.OnceFunc(d.stopReading)
 	return d
@@ -79,21 +78,21 @@
 	close(d.abandoned)
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	if d.state != finished { // else the connection may serve another request by now
-		_ = d.source.SetReadDeadline(expired) // fails on a closed connection, as reads do then
+	if d.state != finished { // a finished download's connection may already serve another request
+		_ = d.source.SetReadDeadline(expiredDeadline) // fails on a closed connection, as reads do then
 	}
 }
 
-// Length is the body's in bytes, where Framed is false.
+// Length returns the length of the body in bytes. It is meaningless if HasUnknownLength returns true.
 func (d *Download) Length() uint64 { return d.framing.Length }
 
-// Framed tells whether the client gets chunks: the length is not known.
-func (d *Download) Framed() bool { return d.framing.Chunked || d.framing.UntilClose }
+// HasUnknownLength reports whether the length of the body is not known before its end.
+func (d *Download) HasUnknownLength() bool { return d.framing.Chunked || d.framing.UntilClose }
 
 // Trailer returns the trailer of a response that Receive has returned complete.
 func (d *Download) Trailer() http1.Fields { return d.limits.Trailer(d.body) }
 
-// advance changes the state, if it is from.
+// advance changes the state if it equals from, and reports whether it did.
 func (d *Download) advance(from, to downloadState) bool {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -104,24 +103,24 @@
 	return true
 }
 
-// Abandon ends what nobody reads. A nil download has nothing to end.
+// Abandon ends a download whose rest is not needed. It does nothing for a nil Download.
 func (d *Download) Abandon() {
 	if d != nil {
 		d.abandon()
 	}
 }
 
-// Receive reads the body. It calls begin, from any goroutine, once there is something to forward that is not the whole;
-// if it has not, it returns the whole. It returns after begin has: were the end reported before the beginning, the end
-// of a short response would pass for an empty one.
+// Receive reads the body. If the body ends while it is being buffered, Receive returns all of it. Else it calls begin,
+// from any goroutine, when streaming starts, and returns at the end of the body, after begin has returned: if the end
+// were reported first, a short streamed response would be taken for an empty one.
 func (d *Download) Receive(begin func()) (whole []byte, err error) {
 	start := func() {
 		if d.advance(buffering, streaming) {
 			begin()
-			close(d.begun)
+			close(d.beginReturned)
 		}
 	}
-	if !d.Framed() { // it is known to be long
+	if !d.HasUnknownLength() { // a body of known length is only streamed if it is long
 		start()
 		err := d.waitForwarded()
 		d.advance(streaming, finished)
@@ -146,14 +145,14 @@
 	}
 }
 
-// waitForwarded waits until the client's goroutine has forwarded the body or given it up.
+// waitForwarded waits until the client's goroutine has forwarded the body or the download is abandoned.
 func (d *Download) waitForwarded() error {
 	select {
 	case err := <-d.forwarded:
 		return err
 	case <-d.abandoned:
 	}
-	select { // both may be ready
+	select { // a result may have come at the same time
 	case err := <-d.forwarded:
 		return err
 	default:
@@ -167,7 +166,8 @@
 	return part{block, n, err}
 }
 
-// buffer adds a part to what is buffered. It returns false, and leaves the part alone, if streaming has begun.
+// buffer appends a part to the buffered ones. If streaming has begun, it returns false and the part stays with the
+// caller.
 func (d *Download) buffer(next part) bool {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -182,7 +182,8 @@
 	return mayBuffer
 }
 
-// streamPart gives a part to the client's goroutine. It returns the part's error, or errStopped if nobody wants more.
+// streamPart passes a part to the client's goroutine. It returns the part's error, or errStopped if the download is
+// abandoned.
 func (d *Download) streamPart(next part) error {
 	select {
 	case d.parts <- next:
@@ -196,26 +197,27 @@
 	return d.setReadTimeout(d.limits.Quiet)
 }
 
-// finishStreaming returns what Receive reports of a streamed response: nil if it is complete.
+// finishStreaming returns the error that Receive returns for a streamed response: nil if the response is complete.
 func (d *Download) finishStreaming(err error) error {
 	d.advance(streaming, finished)
-	<-d.begun
+	<-d.beginReturned
 	if errors.Is(err, io.EOF) {
 		return nil
 	}
 	return err
 }
 
-// setReadTimeout bounds the next read from the upstream, unless nobody wants the rest any more.
+// setReadTimeout sets the deadline of the next read from the upstream. It returns errStopped if the download is
+// abandoned.
 func (d *Download) setReadTimeout(timeout time.Duration) error {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	select {
-	case <-d.abandoned: // the expired deadline stays
+	case <-d.abandoned: // the expired deadline must stay
 		d.state = finished
 		return errStopped
 	default:
-		_ = d.source.SetReadDeadline(time.Now().Add(timeout)) // if it fails so does the read
+		_ = d.source.SetReadDeadline(time.Now().Add(timeout)) // if it fails, so does the read
 		return nil
 	}
 }
--- a/internal/body/download_copy.go
+++ b/internal/body/download_copy.go
@@ -10,16 +10,17 @@
 	"olivearch/internal/http1"
 )
 
-// downloadWriteTimeout is how long a client may take for a part of a response that is streamed.
+// downloadWriteTimeout bounds the writing of one part of a streamed response to the client.
 const downloadWriteTimeout = 20 * time.Second
 
-var errLate = errors.New("the answer takes longer than its route lets it")
+var errTotalExceeded = errors.New("streamed response exceeds the total time of its route")
 
-// Copy streams the body to a client: by its length if that is known, or else in chunks, or up to the connection's close
-// if chunked is false. If the upstream fails the client gets no clean end, as far as that can be told without chunks.
+// Copy streams the body to a client. A body of unknown length is sent in chunks, or without framing if chunked is
+// false. If the upstream fails, the client gets no regular end of the body: no last chunk, fewer bytes than announced,
+// or a reset.
 func (d *Download) Copy(client net.Conn, chunked bool) error {
 	defer d.abandon()
-	if d.Framed() {
+	if d.HasUnknownLength() {
 		return d.copyParts(client, chunked)
 	}
 	err := d.forward(client)
@@ -51,38 +52,38 @@
 			return nil
 		case err != nil:
 			return err
-		case d.late(started):
-			return errLate
+		case d.exceedsTotal(started):
+			return errTotalExceeded
 		}
 	}
 }
 
-// copyParts writes what was buffered, and then the parts that Receive reads.
+// copyParts writes the buffered bytes, and then the parts that Receive reads.
 func (d *Download) copyParts(client net.Conn, chunked bool) error {
-	if err := http1.Chunk(client, d.buffered, chunked, downloadWriteTimeout); err != nil {
+	if err := http1.SendPart(client, d.buffered, chunked, downloadWriteTimeout); err != nil {
 		return err
 	}
 	started := time.Now()
 	for {
 		next := <-d.parts
-		err := http1.Chunk(client, next.block[:next.n], chunked, downloadWriteTimeout)
+		err := http1.SendPart(client, next.block[:next.n], chunked, downloadWriteTimeout)
 		blocks.Put(next.block)
 		switch {
 		case err != nil:
 			return err
-		case d.late(started):
-			return errLate
+		case d.exceedsTotal(started):
+			return errTotalExceeded
 		case next.err != nil:
 			return d.endParts(client, chunked, next.err)
 		}
 	}
 }
 
-// endParts ends a response whose last part has come with an error: cleanly after io.EOF only.
+// endParts ends a response after its last part, whose error is err. Only io.EOF leads to a regular end.
 func (d *Download) endParts(client net.Conn, chunked bool, err error) error {
 	if !errors.Is(err, io.EOF) {
 		logCut(err)
-		if !chunked { // a close would pass for the end
+		if !chunked { // the client would take a regular close for the end of the body
 			http1.Abort(client)
 		}
 		return err
@@ -90,10 +91,10 @@
 	if !chunked {
 		return nil
 	}
-	return http1.End(client, d.Trailer(), downloadWriteTimeout)
+	return http1.SendLastChunk(client, d.Trailer(), downloadWriteTimeout)
 }
 
-// late tells whether a response takes longer than its route allows.
-func (d *Download) late(started time.Time) bool {
+// exceedsTotal reports whether the response takes longer than its route allows.
+func (d *Download) exceedsTotal(started time.Time) bool {
 	return d.limits.Total > 0 && time.Since(started) > d.limits.Total
 }
--- a/internal/body/download_test.go
+++ b/internal/body/download_test.go
@@ -9,7 +9,8 @@
 	"olivearch/internal/http1"
 )
 
-// An upstream's response that had just begun to be streamed was once reported as complete and empty, and served so.
+// Receive returns only after its callback has. When it returned before, a response whose streaming had just started was
+// served as complete and empty.
 func TestEndIsReportedAfterBeginning(t *testing.T) {
 	for _, c := range []struct {
 		name     string
@@ -32,13 +33,13 @@
 				})
 				received <- err
 			}()
-			<-beginCalled // by the timer, and it has not returned yet
+			<-beginCalled // by the timer; it has not returned yet
 			sendAndClose(t, there, c.text)
 			takeAllParts(d)
 			select {
 			case err := <-received:
 				t.Fatalf("Receive has returned before begin: %v", err)
-			case <-time.After(bufferingTime): // it has had time to
+			case <-time.After(bufferingTime): // Receive had time to return
 			}
 			close(letBeginReturn)
 			if err := <-received; (err == nil) != c.complete {
@@ -58,7 +59,7 @@
 	}
 }
 
-// takeAllParts takes what a download passes on, up to the part with its end.
+// takeAllParts receives the parts of a download up to the last one.
 func takeAllParts(d *Download) {
 	for next := <-d.parts; next.err == nil; {
 		next = <-d.parts
--- a/internal/body/limits.go
+++ b/internal/body/limits.go
@@ -1,6 +1,6 @@
-// Package body carries long bodies between a client's connection and an upstream's: requests (Upload), responses
-// (Download) and connections that have changed their protocol (Tunnel). Each says who may end it, and bounds every
-// wait.
+// Package body moves long bodies between the connection of a client and that of an upstream: Upload for requests,
+// Download for responses, Tunnel for connections that have switched protocols. Packages frontend and upstream each
+// handle one side of them. Every wait has a time limit. The package does not read or write heads.
 package body
 
 import (
@@ -9,19 +9,19 @@
 	"olivearch/internal/http1"
 )
 
-// Limits are what bodies may take, by the route of their request.
+// Limits are the limits of the bodies of one route.
 type Limits struct {
-	Request int64         // bytes of a request's body
-	Ahead   int           // bytes of it that are read before an attempt, beyond the Whole that each may have for itself
-	Within  time.Duration // for a request's body that is sent while it comes
-	Answer  int64         // bytes of a response's body
-	Quiet   time.Duration // how long an upstream may send nothing in the middle of a response
-	Total   time.Duration // for a response that is streamed; 0: no limit
+	Request int64         // largest request body in bytes
+	Ahead   int           // bytes of a request body that are read ahead into the spool before an attempt
+	Within  time.Duration // longest time for streaming a request body
+	Answer  int64         // largest response body in bytes
+	Quiet   time.Duration // longest time without a byte from the upstream in the middle of a response
+	Total   time.Duration // longest time for streaming a response; 0: no limit
 
-	Trailers bool // trailers are forwarded
+	Trailers bool // whether trailers are forwarded
 }
 
-// Trailer returns what is forwarded of a body's trailer.
+// Trailer returns the trailer of a body, or nil if trailers are not forwarded.
 func (l *Limits) Trailer(b *http1.Body) http1.Fields {
 	if !l.Trailers {
 		return nil
@@ -29,7 +29,7 @@
 	return b.Trailer()
 }
 
-// DefaultLimits are the limits where nothing else is set.
+// DefaultLimits are the limits of messages that set none.
 var DefaultLimits = Limits{
 	Request: 48 << 20,
 	Ahead:   1 << 20,
--- a/internal/body/spool.go
+++ b/internal/body/spool.go
@@ -5,24 +5,24 @@
 	"sync/atomic"
 )
 
-// BlockSize is the size in bytes of the blocks that bodies are copied and read ahead in.
+// BlockSize is the size in bytes of the blocks in which bodies are copied and read ahead.
 const BlockSize = 32 << 10
 
-// blocks holds unused blocks, as *[Block]byte.
+// blocks holds unused blocks as *[BlockSize]byte.
 var blocks = sync.Pool{New: func() any { return new([BlockSize]byte) }}
 
-// Spool counts the memory, in bytes, that request bodies together may take beyond what each may have for itself. Any
-// goroutine may use it.
+// Spool accounts for the memory, in bytes, that all request bodies together may take to be read ahead. It allocates no
+// memory. Its methods may be called from any goroutine.
 type Spool struct{ size, free atomic.Int64 }
 
-// Set gives the spool so many bytes. If more than that are taken, nobody takes any until enough have been given back.
-func (s *Spool) Set(bytes int64) { s.free.Add(bytes - s.size.Swap(bytes)) }
+// SetSize sets the size of the spool. If more bytes are reserved, no more are until enough have been released.
+func (s *Spool) SetSize(bytes int64) { s.free.Add(bytes - s.size.Swap(bytes)) }
 
-// Free tells how many bytes are not taken.
+// Free returns the number of bytes that are not reserved. It is negative after a decrease below the reserved bytes.
 func (s *Spool) Free() int64 { return s.free.Load() }
 
-// take reserves bytes, or none if there are too few.
-func (s *Spool) take(bytes int64) bool {
+// reserve reserves bytes. If too few are free, it reserves none and returns false.
+func (s *Spool) reserve(bytes int64) bool {
 	if s.free.Add(-bytes) >= 0 {
 		return true
 	}
@@ -30,4 +30,4 @@
 	return false
 }
 
-func (s *Spool) giveBack(bytes int64) { s.free.Add(bytes) }
+func (s *Spool) release(bytes int64) { s.free.Add(bytes) }
--- a/internal/body/transfer.go
+++ b/internal/body/transfer.go
@@ -10,25 +10,25 @@
 )
 
 const (
-	// maxPart and partTimeout bound a part of a body of known length: it has as many bytes as come within partTimeout,
-	// up to maxPart.
-	maxPart     = 512 << 10
-	partTimeout = 50 * time.Millisecond
+	// maxPartBytes and partTimeout limit a part of a body of known length: a part has the bytes that arrive within
+	// partTimeout, at most maxPartBytes.
+	maxPartBytes = 512 << 10
+	partTimeout  = 50 * time.Millisecond
 )
 
-// expired is a deadline in the past: it ends reads and writes that wait, and those to come.
-var expired = time.Unix(0, 1)
+// expiredDeadline is a deadline in the past. It ends pending and future reads and writes.
+var expiredDeadline = time.Unix(0, 1)
 
-// errStopped says that one side has ended a body that the other may still have wanted.
-var errStopped = errors.New("the body is not wanted any more")
+// errStopped is the error of a transfer that this process has ended before the end of the body.
+var errStopped = errors.New("transfer of the body stopped before its end")
 
-// forwardPart moves what comes of a body of known length before the source's read deadline, and up to maxPart. It
-// returns io.EOF at the body's end. Bytes that a write has timed out on are lost in the system's pipe, so only a read
-// that times out is no error.
+// forwardPart moves the bytes of a body of known length that arrive before the read deadline of the source, at most
+// maxPartBytes. It returns io.EOF at the end of the body. A read that times out is not an error. A write that times out
+// is one, since splice(2) loses the bytes that are then in its pipe.
 func forwardPart(src *http1.Body, to net.Conn, writeTimeout time.Duration) (moved int64, err error) {
 	writeDeadline := time.Now().Add(writeTimeout)
-	_ = to.SetWriteDeadline(writeDeadline) // fails on a closed connection, as the write does then
-	moved, err = src.Forward(to, maxPart)
+	_ = to.SetWriteDeadline(writeDeadline) // if it fails, so does the write
+	moved, err = src.Forward(to, maxPartBytes)
 	if errors.Is(err, os.ErrDeadlineExceeded) && time.Now().Before(writeDeadline) {
 		err = nil
 	}
--- a/internal/body/tunnel.go
+++ b/internal/body/tunnel.go
@@ -14,48 +14,49 @@
 )
 
 const (
-	// halfOpenTimeout is how long a tunnel may be silent once one side has ended.
-	halfOpenTimeout = 30 * time.Second
-	// tunnelWriteTimeout is how long a side of a tunnel may take no byte.
+	// halfClosedTimeout is how long a tunnel may be idle once one direction has ended.
+	halfClosedTimeout = 30 * time.Second
+	// tunnelWriteTimeout bounds one write to a side of a tunnel.
 	tunnelWriteTimeout = 30 * time.Second
 )
 
-// TunnelLimits are what a connection that has changed its protocol (RFC 9110, section 7.8) may take.
+// TunnelLimits are the time limits of a tunnel.
 type TunnelLimits struct {
-	Idle  time.Duration // that neither side may send anything for
-	Total time.Duration // 0: no limit
-	Grace time.Duration // to end by itself once its upstream drains, its route has gone or the process stops
+	Idle  time.Duration // longest time without a byte from either side
+	Total time.Duration // longest time in all; 0: no limit
+	Grace time.Duration // time to end by itself once its upstream drains, its route is removed or the process stops
 }
 
-// Tunnel joins a client's connection and an upstream's. One goroutine runs Up, another Down; any may end it. While
-// neither side sends anything it holds no memory but the buffers that both connections have.
+// Tunnel copies bytes in both directions between the connections of a client and an upstream that have switched to
+// another protocol (RFC 9110, section 7.8). One goroutine runs ForwardToUpstream, another ForwardToClient. Any
+// goroutine may end the tunnel. While a tunnel is idle, it holds no memory except the read buffers of both connections.
 type Tunnel struct {
 	upstream *http1.Stream
 	limits   *TunnelLimits
 
 	mu      sync.Mutex
 	client  net.Conn // set by Bind
-	onEnded []func() // called once it has ended; nil from then on
+	onEnded []func() // called at the end of the tunnel; nil from then on
 	ended   bool
 
-	lastActivity    atomic.Int64 // when a byte last came, in Unix nanoseconds
+	lastActivity    atomic.Int64 // time of the last byte received, in Unix nanoseconds
 	endedDirections atomic.Int32
 	done            chan struct{}
-	end             func() // runs markEnded, once
-	endSoon         func() // starts the timer of the grace, once
+	end             func() // calls markEnded, once
+	startGrace      func() // starts the timer of Grace, once
 }
 
-// NewTunnel returns a tunnel to an upstream that has agreed to it. Nothing else uses the upstream's connection until
-// Done.
+// NewTunnel returns a tunnel to an upstream that has responded with status 101. Nothing else uses the connection to the
+// upstream until the tunnel has ended.
 func NewTunnel(upstream *http1.Stream, limits *TunnelLimits) *Tunnel {
 	tunnel := &Tunnel{upstream: upstream, limits: limits, done: make(chan struct{})}
 	tunnel.lastActivity.Store(time.Now().UnixNano())
 	tunnel.end = sync.OnceFunc(tunnel.markEnded)
-	tunnel.endSoon = sync.OnceFunc(func() { time.AfterFunc(limits.Grace, tunnel.Close) })
+	tunnel.startGrace = sync.OnceFunc(func() { time.AfterFunc(limits.Grace, tunnel.Close) })
 	return tunnel
 }
 
-// markEnded closes Done and calls what waits for the end.
+// markEnded closes the channel of Done and calls the callbacks that Ended has registered.
 func (t *Tunnel) markEnded() {
 	close(t.done)
 	t.mu.Lock()
@@ -68,7 +69,7 @@
 	}
 }
 
-// Bind names the client's connection. It is called before Up and Down.
+// Bind sets the connection of the client. It is called before ForwardToUpstream and ForwardToClient.
 func (t *Tunnel) Bind(client net.Conn) {
 	t.mu.Lock()
 	t.client = client
@@ -79,7 +80,8 @@
 	}
 }
 
-// Ended has callback called once the tunnel has ended, at once if it has. No goroutine waits for it.
+// Ended registers a callback for the end of the tunnel. It calls the callback at once if the tunnel has ended. It
+// starts no goroutine.
 func (t *Tunnel) Ended(callback func()) {
 	t.mu.Lock()
 	ended := t.ended
@@ -92,42 +94,43 @@
 	}
 }
 
-// Done is closed once the tunnel has ended.
+// Done returns a channel that is closed once the tunnel has ended.
 func (t *Tunnel) Done() <-chan struct{} { return t.done }
 
-// Grace is the time that the tunnel has once it is to end.
+// Grace returns the time after which CloseGracefully closes the tunnel.
 func (t *Tunnel) Grace() time.Duration { return t.limits.Grace }
 
-// CloseGracefully ends the tunnel once its grace is over, unless it ends before.
-func (t *Tunnel) CloseGracefully() { t.endSoon() }
+// CloseGracefully closes the tunnel after its grace time, unless it ends before.
+func (t *Tunnel) CloseGracefully() { t.startGrace() }
 
-// Close ends the tunnel at once. A nil one has nothing to end.
+// Close ends the tunnel at once. It does nothing for a nil Tunnel.
 func (t *Tunnel) Close() {
 	if t == nil {
 		return
 	}
 	t.end()
-	_ = t.upstream.SetDeadline(expired) // fails on a closed connection, as reads and writes do then
+	_ = t.upstream.SetDeadline(expiredDeadline) // fails only on a closed connection
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if t.client != nil {
-		_ = t.client.SetDeadline(expired)
+		_ = t.client.SetDeadline(expiredDeadline)
 	}
 }
 
-// Down moves what the upstream sends to the client, until the tunnel ends.
-func (t *Tunnel) Down() { t.relay(t.client, t.upstream) }
+// ForwardToClient copies bytes from the upstream to the client until the tunnel ends.
+func (t *Tunnel) ForwardToClient() { t.copyDirection(t.client, t.upstream) }
 
-// Up moves what the client sends to the upstream, until the tunnel ends. src reads the client's connection.
-func (t *Tunnel) Up(src *http1.Stream) { t.relay(t.upstream, src) }
+// ForwardToUpstream copies bytes from the client to the upstream until the tunnel ends. src reads the client's
+// connection.
+func (t *Tunnel) ForwardToUpstream(src *http1.Stream) { t.copyDirection(t.upstream, src) }
 
-// relay moves one direction. Once src has ended, the other direction may go on, if the connection can be closed in one
-// direction only.
-func (t *Tunnel) relay(to net.Conn, src *http1.Stream) {
-	src.Limit(math.MaxInt64) // what comes is no message any more
+// copyDirection copies the bytes of one direction. Once src has ended, it closes the write side of the other
+// connection, so that the opposite direction stays open. It ends the tunnel if it can't close only the write side.
+func (t *Tunnel) copyDirection(to net.Conn, src *http1.Stream) {
+	src.Limit(math.MaxInt64) // the limits of messages do not apply
 	err := t.copyUntilEnd(to, src)
 	if err == nil && t.endedDirections.Add(1) < 2 {
-		tcp, ok := http1.Under(to).(*net.TCPConn)
+		tcp, ok := http1.Innermost(to).(*net.TCPConn)
 		if ok && tcp.CloseWrite() == nil {
 			<-t.done
 			return
@@ -136,13 +139,13 @@
 	t.Close()
 }
 
-// copyUntilEnd moves bytes until the source ends, which is no error.
+// copyUntilEnd copies bytes until src ends, which is not an error.
 func (t *Tunnel) copyUntilEnd(target net.Conn, src *http1.Stream) error {
 	for {
 		idle := t.idleTimeout()
-		_ = src.SetReadDeadline(t.lastActive().Add(idle)) // fails on a closed connection, as the read does then
+		_ = src.SetReadDeadline(t.lastActive().Add(idle)) // if it fails, so does the read
 		select {
-		case <-t.done: // Close may have set its deadline before
+		case <-t.done: // this deadline may have replaced that of Close
 			return net.ErrClosed
 		default:
 		}
@@ -150,7 +153,8 @@
 		switch {
 		case errors.Is(err, io.EOF):
 			return nil
-		case errors.Is(err, os.ErrDeadlineExceeded) && time.Since(t.lastActive()) < idle: // the other side has sent
+		case errors.Is(err, os.ErrDeadlineExceeded) && time.Since(t.lastActive()) < idle:
+			// the other direction was active
 			continue
 		case err != nil:
 			return err
@@ -164,24 +168,24 @@
 
 func (t *Tunnel) lastActive() time.Time { return time.Unix(0, t.lastActivity.Load()) }
 
-// idleTimeout is how long neither side may send anything.
+// idleTimeout returns the longest time without a byte from either side.
 func (t *Tunnel) idleTimeout() time.Duration {
 	if t.endedDirections.Load() > 0 {
-		return min(t.limits.Idle, halfOpenTimeout)
+		return min(t.limits.Idle, halfClosedTimeout)
 	}
 	return t.limits.Idle
 }
 
-// copyAvailable moves what has come.
+// copyAvailable copies the bytes that have arrived.
 func copyAvailable(to net.Conn, src *http1.Stream) error {
 	block := blocks.Get().(*[BlockSize]byte)
 	defer blocks.Put(block)
 	for {
 		n, err := src.Read(block[:])
 		if err != nil {
-			return nil // the next Wait returns it
+			return nil // the next Wait returns the error
 		}
-		_ = to.SetWriteDeadline(time.Now().Add(tunnelWriteTimeout)) // fails on a closed connection, as the write does
+		_ = to.SetWriteDeadline(time.Now().Add(tunnelWriteTimeout)) // if it fails, so does the write
 		if _, err := to.Write(block[:n]); err != nil {
 			return err
 		}
--- a/internal/body/upload.go
+++ b/internal/body/upload.go
@@ -11,68 +11,69 @@
 	"olivearch/internal/http1"
 )
 
-// ErrClientTooSlow says that a client did not send its body in the time that one may take.
+// ErrClientTooSlow is the error of a client that did not send its body in time.
 var ErrClientTooSlow = errors.New("the body did not come whole in time")
 
-// ClientFailed says that a body did not come whole from its client.
-type ClientFailed struct{ error }
+// ClientError is the error of a transfer that failed because the client did not send its whole body.
+type ClientError struct{ error }
 
 // Unwrap returns the cause.
-func (e ClientFailed) Unwrap() error { return e.error }
+func (e ClientError) Unwrap() error { return e.error }
 
-// Floor is the least rate at which a client must send. Only the time that is spent waiting for the client counts.
-type Floor struct {
-	Rate  int           // bytes a second; 0: any
-	Grace time.Duration // that it may lose beyond that
+// MinRate is the minimum rate at which a client must send. Only time spent waiting for the client counts.
+type MinRate struct {
+	BytesPerSecond int           // bytes a second; 0: any
+	Grace          time.Duration // that it may lose beyond that
 }
 
-// Upload is what a request's body has beyond the part that stands in its message: blocks that were read ahead, and, if
-// it is larger, the client's connection. The client's goroutine makes and fills it; then the attempts that send it
-// share it. All of them may send the blocks, but only one may read from the client.
+// Upload is the part of a request body that follows upstream.Message.Body: blocks that were read ahead and, if the body
+// is longer, the rest that is still to be read from the client's connection. The client's goroutine creates it and
+// reads ahead. Then all attempts of the request share it: each may send the blocks, but only one may read from the
+// client.
 type Upload struct {
-	spool  *Spool
-	blocks [][]byte
-	limits *Limits
-	floor  Floor
-	length uint64 // of the whole body, if known
-	known  bool
-
-	src     *http1.Body  // nil: the blocks are the rest
+	spool       *Spool
+	blocks      [][]byte
+	limits      *Limits
+	minRate     MinRate
+	length      uint64 // of the whole body in bytes, if lengthKnown
+	lengthKnown bool
+
+	src     *http1.Body  // reads the rest behind the blocks; nil: there is none
 	trailer http1.Fields // of a body that was read ahead to its end
-	conn    net.Conn     // that src reads
+	conn    net.Conn     // from which src reads
 
-	users atomic.Int32 // the client's side, and each attempt that sends it
+	holders atomic.Int32 // the client's goroutine, and each attempt that sends the body
 
 	mu           sync.Mutex
-	started      bool // an attempt has read from the client: what it read can't be sent again
-	finished     bool // that attempt reads no more
-	complete     bool // it has read and sent all
-	clientFailed bool // the client did not send all
-	stopped      bool // no attempt may read any more
+	started      bool // an attempt reads or has read from the client: the body can't be sent again
+	finished     bool // that attempt has stopped reading
+	complete     bool // that attempt has read and sent the whole body
+	clientFailed bool // the client did not send the whole body
+	stopped      bool // no attempt may read from the client any more
 	done         chan error
 }
 
-// NewUpload returns the rest of a body, which conn brings. The client's side holds it until it calls Release.
+// NewUpload returns the Upload of a body that is received on conn. The caller holds it until it calls Release.
 func NewUpload(spool *Spool, conn net.Conn, f http1.Framing, limits *Limits) *Upload {
 	u := &Upload{
-		spool:  spool,
-		conn:   conn,
-		limits: limits,
-		length: f.Length,
-		known:  !f.Chunked,
-		done:   make(chan error, 1),
+		spool:       spool,
+		conn:        conn,
+		limits:      limits,
+		length:      f.Length,
+		lengthKnown: !f.Chunked,
+		done:        make(chan error, 1),
 	}
-	u.users.Store(1)
+	u.holders.Store(1)
 	return u
 }
 
-// Hurry sets the floor. It is called before the body is handed on.
-func (u *Upload) Hurry(f Floor) { u.floor = f }
+// SetMinRate sets the minimum rate. It is called before any attempt uses the Upload.
+func (u *Upload) SetMinRate(f MinRate) { u.minRate = f }
 
-// Fill reads ahead. It returns once the body is complete, or there is no more memory for it.
-func (u *Upload) Fill(src *http1.Body) error {
+// ReadAhead reads the body into blocks until it is complete, its limit is reached or the spool has no free memory.
+func (u *Upload) ReadAhead(src *http1.Body) error {
 	for range u.limits.Ahead / BlockSize {
-		if !u.spool.take(BlockSize) {
+		if !u.spool.reserve(BlockSize) {
 			break
 		}
 		block := blocks.Get().(*[BlockSize]byte)
@@ -91,58 +92,59 @@
 	return nil
 }
 
-// FixLength gives a chunked body that was read to its end the length that it turned out to have: before is how many
-// bytes of it stand elsewhere.
-func (u *Upload) FixLength(before int) {
-	if !u.Streaming() && !u.known && len(u.trailer) == 0 { // a trailer needs chunks
-		u.length = uint64(before) + u.Ahead()
-		u.known = true
+// ResolveLength sets the length of a chunked body that was read ahead to its end, so that it is sent with a
+// Content-Length. before is the number of bytes in front of the blocks.
+func (u *Upload) ResolveLength(before int) {
+	if !u.Streaming() && !u.lengthKnown && len(u.trailer) == 0 { // a trailer needs chunks
+		u.length = uint64(before) + u.BytesReadAhead()
+		u.lengthKnown = true
 	}
 }
 
-// Length is that of the whole body, if it is known.
-func (u *Upload) Length() (bytes uint64, known bool) { return u.length, u.known }
+// Length returns the length of the whole body, if it is known.
+func (u *Upload) Length() (bytes uint64, known bool) { return u.length, u.lengthKnown }
 
-// Ahead is how much has been read ahead, in bytes.
-func (u *Upload) Ahead() (bytes uint64) {
+// BytesReadAhead returns the number of bytes in the blocks.
+func (u *Upload) BytesReadAhead() (bytes uint64) {
 	for _, block := range u.blocks {
 		bytes += uint64(len(block))
 	}
 	return bytes
 }
 
-// Trailer returns the trailer of a body that was read ahead to its end.
+// Trailer returns the trailer of a body that was read ahead to its end, if trailers are forwarded.
 func (u *Upload) Trailer() http1.Fields { return u.trailer }
 
-// Hold keeps the blocks for an attempt. It fails if they have been given back.
-func (u *Upload) Hold() bool {
+// Retain keeps the blocks for an attempt until it calls Release. It returns false if they have been released already.
+func (u *Upload) Retain() bool {
 	for {
-		users := u.users.Load()
+		users := u.holders.Load()
 		if users == 0 {
 			return false
 		}
-		if u.users.CompareAndSwap(users, users+1) {
+		if u.holders.CompareAndSwap(users, users+1) {
 			return true
 		}
 	}
 }
 
-// Release gives the blocks back once nobody holds them.
+// Release ends the use of the blocks by one holder. The last one returns their memory to the spool.
 func (u *Upload) Release() {
-	if u.users.Add(-1) > 0 {
+	if u.holders.Add(-1) > 0 {
 		return
 	}
 	for _, block := range u.blocks {
 		blocks.Put((*[BlockSize]byte)(block[:BlockSize]))
-		u.spool.giveBack(BlockSize)
+		u.spool.release(BlockSize)
 	}
 	u.blocks = nil
 }
 
-// Streaming tells whether a part of the body is still with the client. A nil Upload has none.
+// Streaming reports whether a part of the body follows the blocks and is read from the client while the body is sent.
+// It returns false for a nil Upload.
 func (u *Upload) Streaming() bool { return u != nil && u.src != nil }
 
-// Unread tells whether the client has still something of the body to send.
+// Unread reports whether a part of the body has not been read from the client and sent.
 func (u *Upload) Unread() bool {
 	if !u.Streaming() {
 		return false
@@ -152,7 +154,7 @@
 	return !u.complete
 }
 
-// Failed tells whether the client has not sent the body that it began.
+// Failed reports whether the client failed to send the whole body.
 func (u *Upload) Failed() bool {
 	if !u.Streaming() {
 		return false
@@ -162,7 +164,7 @@
 	return u.clientFailed
 }
 
-// Consumed tells whether the body can't be sent once more.
+// Consumed reports whether the body can't be sent again, since an attempt has begun to read it from the client.
 func (u *Upload) Consumed() bool {
 	if !u.Streaming() {
 		return false
@@ -172,20 +174,21 @@
 	return u.started
 }
 
-// Done tells, once, how the one attempt that read from the client has ended: nil if all was read and written.
+// Done returns a channel that yields one value: the result of the attempt that read from the client, nil if the whole
+// body was read and written.
 func (u *Upload) Done() <-chan error { return u.done }
 
-// Stop keeps attempts from reading on, and returns once none does.
+// Stop ends the reading of the body and returns once no attempt reads from the client.
 func (u *Upload) Stop() {
 	u.mu.Lock()
 	u.stopped = true
 	reading := u.started && !u.finished
-	_ = u.conn.SetReadDeadline(expired) // fails on a closed connection, as reads do then
+	_ = u.conn.SetReadDeadline(expiredDeadline) // if it fails, so do the reads
 	u.mu.Unlock()
 	if reading {
-		_ = u.wait() // the body is not wanted, however the attempt ended
+		_ = u.wait() // the body is not needed, whatever the result of the attempt
 	}
 }
 
-// wait returns how the attempt that reads from the client has ended.
+// wait waits for the end of the attempt that reads from the client and returns its result.
 func (u *Upload) wait() error { return <-u.done }
--- a/internal/body/upload_send.go
+++ b/internal/body/upload_send.go
@@ -10,32 +10,32 @@
 )
 
 const (
-	// uploadReadTimeout is how long a client may send nothing of a body that is sent while it comes.
+	// uploadReadTimeout is the longest time without a byte from the client while its body is streamed.
 	uploadReadTimeout = 5 * time.Second
-	// uploadWriteTimeout is how long an upstream may take for a part of a body.
+	// uploadWriteTimeout bounds the writing of one part of a body to the upstream.
 	uploadWriteTimeout = 5 * time.Second
 )
 
-// Send writes the rest of a body to an upstream. The last byte is written only if it returns nil. The error is a
-// ClientFailed if the client is the cause.
+// Send writes the blocks and the rest of the body to an upstream. The last byte has been written only if Send returns
+// nil. The error is a ClientError if the client is the cause or the upload was stopped.
 func (u *Upload) Send(upstream net.Conn) (err error) {
 	for _, block := range u.blocks {
-		if err := http1.Chunk(upstream, block, !u.known, uploadWriteTimeout); err != nil {
+		if err := http1.SendPart(upstream, block, !u.lengthKnown, uploadWriteTimeout); err != nil {
 			return err
 		}
 	}
 	if !u.Streaming() {
 		return u.sendEnd(upstream, u.trailer)
 	}
-	if !u.start() {
-		return ClientFailed{errStopped}
+	if !u.beginReading() {
+		return ClientError{errStopped}
 	}
-	defer func() { u.finish(err) }()
-	return u.sendLive(upstream)
+	defer func() { u.endReading(err) }()
+	return u.sendFromClient(upstream)
 }
 
-// start lets one attempt read from the client, or none if the body is not wanted any more.
-func (u *Upload) start() bool {
+// beginReading reports whether an attempt may read from the client. It returns true once at most, and never after Stop.
+func (u *Upload) beginReading() bool {
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	if u.started || u.stopped {
@@ -45,24 +45,24 @@
 	return true
 }
 
-// finish records how the attempt that read from the client has ended.
-func (u *Upload) finish(err error) {
+// endReading records the result of the attempt that read from the client.
+func (u *Upload) endReading(err error) {
 	u.mu.Lock()
 	u.finished = true
 	u.complete = err == nil
-	u.clientFailed = errors.As(err, new(ClientFailed))
+	u.clientFailed = errors.As(err, new(ClientError))
 	u.mu.Unlock()
 	u.done <- err
 }
 
-// sendLive writes what the client still sends, to the body's end.
-func (u *Upload) sendLive(upstream net.Conn) error {
+// sendFromClient reads the rest of the body from the client and writes it to the upstream.
+func (u *Upload) sendFromClient(upstream net.Conn) error {
 	started := time.Now()
 	var sent int64
-	var waited time.Duration // for the client
+	var waited time.Duration // spent waiting for the client
 	for {
 		if time.Since(started) > u.limits.Within || u.tooSlow(sent, waited) {
-			return ClientFailed{ErrClientTooSlow}
+			return ClientError{ErrClientTooSlow}
 		}
 		partSent, partWaited, err := u.sendPart(upstream)
 		if errors.Is(err, io.EOF) {
@@ -76,39 +76,41 @@
 	}
 }
 
-// sendEnd writes what follows the last byte of a body, if it is chunked.
+// sendEnd writes the last chunk and the trailer, if the body is sent in chunks.
 func (u *Upload) sendEnd(upstream net.Conn, trailer http1.Fields) error {
-	if u.known {
+	if u.lengthKnown {
 		return nil
 	}
-	return http1.End(upstream, trailer, uploadWriteTimeout)
+	return http1.SendLastChunk(upstream, trailer, uploadWriteTimeout)
 }
 
-// tooSlow tells whether a client that has sent so many bytes may not be waited for any longer.
+// tooSlow reports whether the client sends below the minimum rate: sent is in bytes, waited is the time spent waiting
+// for the client.
 func (u *Upload) tooSlow(sent int64, waited time.Duration) bool {
-	if u.floor.Rate <= 0 || waited <= u.floor.Grace {
+	if u.minRate.BytesPerSecond <= 0 || waited <= u.minRate.Grace {
 		return false
 	}
-	required := float64(u.floor.Rate) * (waited - u.floor.Grace).Seconds()
+	required := float64(u.minRate.BytesPerSecond) * (waited - u.minRate.Grace).Seconds()
 	return float64(sent) < required
 }
 
-// sendPart moves a part of the body, and tells how long it has waited for the client. It is io.EOF at the body's end.
+// sendPart moves a part of the body. It returns the bytes moved, the time spent waiting for the client, and io.EOF at
+// the end of the body.
 func (u *Upload) sendPart(upstream net.Conn) (sent int64, waited time.Duration, err error) {
-	if u.known {
+	if u.lengthKnown {
 		return u.forwardNext(upstream)
 	}
 	return u.copyNext(upstream)
 }
 
-// forwardNext moves a part of a body whose length is known, once something of it has come.
+// forwardNext waits for the next byte of a body of known length and then moves a part of the body.
 func (u *Upload) forwardNext(upstream net.Conn) (sent int64, waited time.Duration, err error) {
 	if err := u.setReadTimeout(uploadReadTimeout); err != nil {
 		return 0, 0, err
 	}
 	waitStart := time.Now()
 	if err := u.src.Wait(); err != nil && !errors.Is(err, io.EOF) {
-		return 0, 0, ClientFailed{err}
+		return 0, 0, ClientError{err}
 	}
 	waited = time.Since(waitStart)
 	if err := u.setReadTimeout(partTimeout); err != nil {
@@ -116,16 +118,16 @@
 	}
 	forwardStart := time.Now()
 	sent, err = forwardPart(u.src, upstream, uploadWriteTimeout)
-	if err == nil && sent < maxPart { // what is missing has not come within partTimeout
+	if err == nil && sent < maxPartBytes { // more bytes did not arrive within partTimeout
 		waited += time.Since(forwardStart)
 	}
 	if u.isClientFault(err) {
-		err = ClientFailed{err}
+		err = ClientError{err}
 	}
 	return sent, waited, err
 }
 
-// isClientFault tells whether forwarding has failed because the client ended its connection.
+// isClientFault reports whether forwarding has failed because the client ended its connection.
 func (u *Upload) isClientFault(err error) bool {
 	if err == nil || errors.Is(err, io.EOF) {
 		return false
@@ -133,7 +135,7 @@
 	return errors.Is(err, io.ErrUnexpectedEOF) || http1.PeerClosed(u.conn)
 }
 
-// copyNext moves a part of a body whose length is not known.
+// copyNext moves a part of a body of unknown length.
 func (u *Upload) copyNext(upstream net.Conn) (sent int64, waited time.Duration, err error) {
 	if err := u.setReadTimeout(uploadReadTimeout); err != nil {
 		return 0, 0, err
@@ -143,22 +145,22 @@
 	waitStart := time.Now()
 	n, err := u.src.Read(block[:])
 	waited = time.Since(waitStart)
-	if writeErr := http1.Chunk(upstream, block[:n], true, uploadWriteTimeout); writeErr != nil {
+	if writeErr := http1.SendPart(upstream, block[:n], true, uploadWriteTimeout); writeErr != nil {
 		return 0, waited, writeErr
 	}
 	if err != nil && !errors.Is(err, io.EOF) {
-		err = ClientFailed{err}
+		err = ClientError{err}
 	}
 	return int64(n), waited, err
 }
 
-// setReadTimeout bounds the next read from the client, unless no more is to be read.
+// setReadTimeout sets the deadline of the next read from the client. It returns an error if the upload was stopped.
 func (u *Upload) setReadTimeout(timeout time.Duration) error {
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	if u.stopped {
-		return ClientFailed{errStopped}
+		return ClientError{errStopped}
 	}
-	_ = u.conn.SetReadDeadline(time.Now().Add(timeout)) // fails on a closed connection, as the read does then
+	_ = u.conn.SetReadDeadline(time.Now().Add(timeout)) // if it fails, so does the read
 	return nil
 }
--- a/internal/frontend/closing_test.go
+++ b/internal/frontend/closing_test.go
@@ -28,11 +28,11 @@
 	client.send(t, getRequest)
 	router.reply(t)
 	client.expectStatus(t, http.StatusOK, false)
-	for server.connectionsAt(stageIdle) == 0 {
+	for server.connectionsInStage(stageIdle) == 0 {
 		runtime.Gosched()
 	}
 	stopped := stopInBackground(server)
-	for server.connectionsAt(stageIdle) > 0 { // until it is to end
+	for server.connectionsInStage(stageIdle) > 0 { // until it is to end
 		runtime.Gosched()
 	}
 	client.send(t, getRequest)
--- a/internal/frontend/deadlines.go
+++ b/internal/frontend/deadlines.go
@@ -14,8 +14,8 @@
 type deadlineConn struct {
 	net.Conn
 
-	// The reader's: the end of the request that is being read, zero while none is, and the bytes per second that a body
-	// must come with beyond that.
+	// The reader's: the end of the request that is being read, zero while none is, and the bytes per second that a
+	// body must come with beyond that.
 	requestDeadline time.Time
 	minBodyRate     int
 
@@ -27,7 +27,7 @@
 }
 
 // Under is the connection itself.
-func (d *deadlineConn) Under() net.Conn { return d.Conn }
+func (d *deadlineConn) Underlying() net.Conn { return d.Conn }
 
 // SetReadDeadline bounds what is read next.
 func (d *deadlineConn) SetReadDeadline(at time.Time) error {
@@ -61,8 +61,8 @@
 	_ = d.Conn.SetReadDeadline(time.Time{}) // fails on a closed connection, as the read does then
 }
 
-// allowIdle lets a connection idle for a time, or for up to an eighth longer.
-func (d *deadlineConn) allowIdle(timeout time.Duration) {
+// setIdleDeadline lets a connection idle for a time, or for up to an eighth longer.
+func (d *deadlineConn) setIdleDeadline(timeout time.Duration) {
 	now := time.Now()
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -72,16 +72,16 @@
 	}
 }
 
-// allowWrite bounds what is written next, by the timeout or by up to twice that.
-func (d *deadlineConn) allowWrite(timeout time.Duration) {
+// setWriteTimeout bounds what is written next, by the timeout or by up to twice that.
+func (d *deadlineConn) setWriteTimeout(timeout time.Duration) {
 	now := time.Now()
 	if d.writeDeadline.Before(now.Add(timeout)) {
 		_ = d.SetWriteDeadline(now.Add(2 * timeout)) // if it fails, so does the write
 	}
 }
 
-// allowBody gives a body of so many bytes the time that it may take at the least rate.
-func (d *deadlineConn) allowBody(bytes int) {
+// extendForBody gives a body of so many bytes the time that it may take at the least rate.
+func (d *deadlineConn) extendForBody(bytes int) {
 	if d == nil {
 		return
 	}
--- a/internal/frontend/drain.go
+++ b/internal/frontend/drain.go
@@ -20,15 +20,15 @@
 	defer s.mu.Unlock()
 	switch {
 	case on && s.drainTimer == nil:
-		s.drainTimer = time.AfterFunc(drainIdlePeriod, s.retireIdleOfDrain)
+		s.drainTimer = time.AfterFunc(drainIdlePeriod, s.retireIdleForDrain)
 	case !on && s.drainTimer != nil:
 		s.drainTimer.Stop()
 		s.drainTimer = nil
 	}
 }
 
-// retireIdleOfDrain lets the idle connections end, unless the drain has ended.
-func (s *Server) retireIdleOfDrain() {
+// retireIdleForDrain lets the idle connections end, unless the drain has ended.
+func (s *Server) retireIdleForDrain() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.drainTimer != nil {
--- a/internal/frontend/hooked_server_test.go
+++ b/internal/frontend/hooked_server_test.go
@@ -191,8 +191,8 @@
 	}
 }
 
-// connectionsAt counts the connections at a stage.
-func (s *Server) connectionsAt(at stage) int {
+// connectionsInStage counts the connections at a stage.
+func (s *Server) connectionsInStage(at stage) int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.stageCounts[at]
--- a/internal/frontend/reader.go
+++ b/internal/frontend/reader.go
@@ -29,7 +29,7 @@
 			}
 		}
 		if err != nil {
-			if !s.waitsAgain(client, err) {
+			if !s.mayReadAgain(client, err) {
 				return
 			}
 			continue
@@ -60,15 +60,15 @@
 		return false
 	}
 	if client.tunnel != nil {
-		client.tunnel.Up(client.Stream)
+		client.tunnel.ForwardToUpstream(client.Stream)
 		return false
 	}
 	return true
 }
 
-// waitsAgain is called when the wait for a request has ended with an error. It reports whether the connection stays
+// mayReadAgain is called when the wait for a request has ended with an error. It reports whether the connection stays
 // open, as a request has come at the same time.
-func (s *Server) waitsAgain(client *clientConn, err error) bool {
+func (s *Server) mayReadAgain(client *clientConn, err error) bool {
 	if s.handOverConnection(client, err) {
 		return false
 	}
@@ -163,7 +163,7 @@
 	case staysOpen := <-client.responded: // answered before the body was complete
 		client.responded <- staysOpen
 	case err := <-upload.Done():
-		var failed body.ClientFailed
+		var failed body.ClientError
 		if errors.As(err, &failed) && client.claim(exchangeCanceled) {
 			client.cancelExchange()
 			s.reject(client, failed.Unwrap())
--- a/internal/frontend/request.go
+++ b/internal/frontend/request.go
@@ -175,7 +175,7 @@
 	message := &request.Message
 	limits := message.BodyLimits()
 	source := client.Body(framing, limits.Request)
-	client.conn.allowBody(bufferedBodyBytes)
+	client.conn.extendForBody(bufferedBodyBytes)
 	var err error
 	message.Body, err = source.ReadUpTo(bufferedBodyBytes)
 	if err != nil || source.Ended() {
@@ -183,14 +183,14 @@
 		return err
 	}
 	upload := body.NewUpload(&s.spool, client.conn, framing, limits)
-	client.conn.allowBody(limits.Ahead)
-	if err := upload.Fill(source); err != nil {
+	client.conn.extendForBody(limits.Ahead)
+	if err := upload.ReadAhead(source); err != nil {
 		upload.Release()
 		return err
 	}
-	upload.FixLength(len(message.Body))
+	upload.ResolveLength(len(message.Body))
 	if serverLimits := s.limits.Load(); serverLimits.Floor {
-		upload.Hurry(body.Floor{Rate: serverLimits.Rate, Grace: serverLimits.Within})
+		upload.SetMinRate(body.MinRate{BytesPerSecond: serverLimits.Rate, Grace: serverLimits.Within})
 	}
 	message.Upload = upload
 	return nil
--- a/internal/frontend/response.go
+++ b/internal/frontend/response.go
@@ -27,7 +27,7 @@
 
 // framingOfResponse returns how a response is framed, and its length where that is what frames it.
 func framingOfResponse(response pool.Response, http10 bool) (framing bodyFraming, length string) {
-	unknownLength := response.Stream != nil && response.Stream.Framed()
+	unknownLength := response.Stream != nil && response.Stream.HasUnknownLength()
 	switch {
 	case response.Tunnel != nil:
 		return upgraded, ""
@@ -57,23 +57,23 @@
 // writeResponse writes a response, with a field that announces the close of the connection where closes is set. If it
 // fails the client has left, and can tell that the response is not complete; errEndsWithClose is the exception.
 func (c *clientConn) writeResponse(response pool.Response, closes bool) error {
-	b := http1.Buffer()
-	defer http1.Done(b)
+	b := http1.GetBuffer()
+	defer http1.PutBuffer(b)
 	c.writeHead(b, response, closes)
 	if len(response.Trailer) > 0 && response.Stream == nil && !c.http10 {
 		http1.WriteChunk(b, response.Body)
-		http1.WriteEnd(b, response.Trailer)
+		http1.WriteLastChunk(b, response.Trailer)
 	} else {
 		b.Write(response.Body)
 	}
-	c.conn.allowWrite(responseWriteTimeout)
+	c.conn.setWriteTimeout(responseWriteTimeout)
 	_, err := c.Write(b.Bytes())
 	if err != nil || response.Stream == nil {
 		response.Stream.Abandon()
 		return err
 	}
 	err = response.Stream.Copy(c, !c.http10)
-	if err == nil && c.http10 && response.Stream.Framed() {
+	if err == nil && c.http10 && response.Stream.HasUnknownLength() {
 		return errEndsWithClose
 	}
 	return err
@@ -125,11 +125,11 @@
 	if c.http10 || !c.isExchangePending() {
 		return
 	}
-	b := http1.Buffer()
-	defer http1.Done(b)
+	b := http1.GetBuffer()
+	defer http1.PutBuffer(b)
 	b.WriteString("HTTP/1.1 103 Early Hints\r\n")
 	http1.WriteFields(b, response.Header)
 	b.WriteString("\r\n")
-	c.conn.allowWrite(responseWriteTimeout)
+	c.conn.setWriteTimeout(responseWriteTimeout)
 	_, _ = c.Write(b.Bytes()) // if it fails, so does the response
 }
--- a/internal/frontend/server.go
+++ b/internal/frontend/server.go
@@ -44,7 +44,7 @@
 		acceptEnded: make(chan struct{}),
 	}
 	s.limits.Store(&limits)
-	s.spool.Set(defaultSpoolBytes)
+	s.spool.SetSize(defaultSpoolBytes)
 	return s
 }
 
@@ -53,7 +53,7 @@
 func (s *Server) SetKeepAliveLimit(connections int) { s.keepAliveLimit = connections }
 
 // SetSpoolBytes gives clients' bodies so many bytes to be read ahead into.
-func (s *Server) SetSpoolBytes(bytes int64) { s.spool.Set(bytes) }
+func (s *Server) SetSpoolBytes(bytes int64) { s.spool.SetSize(bytes) }
 
 // FreeSpoolBytes returns how much of that is free, in bytes.
 func (s *Server) FreeSpoolBytes() int64 { return s.spool.Free() }
--- a/internal/frontend/stage.go
+++ b/internal/frontend/stage.go
@@ -49,7 +49,7 @@
 	if s.peerProcess != nil {
 		client.interruptRead() // the reader hands it over
 	} else {
-		client.conn.allowIdle(keepAliveTimeout)
+		client.conn.setIdleDeadline(keepAliveTimeout)
 	}
 	s.enforceKeepAliveLimit()
 	return true
--- a/internal/frontend/writer.go
+++ b/internal/frontend/writer.go
@@ -64,7 +64,7 @@
 	}
 	client.responded <- true
 	client.interruptRead() // it reads for the tunnel from now on
-	tunnel.Down()
+	tunnel.ForwardToClient()
 }
 
 // addTunnel makes a tunnel known to Stop, or ends it where Stop has closed the listener already.
--- a/internal/http1/body.go
+++ b/internal/http1/body.go
@@ -9,38 +9,38 @@
 	"net/http/httputil"
 )
 
-// preallocated is the length in bytes of the longest body that ReadUpTo reserves memory for before it has come.
-const preallocated = 4 << 10
+// maxPreallocated is the length in bytes of the longest body for which ReadUpTo allocates memory before it is received.
+const maxPreallocated = 4 << 10
 
-// Body reads a message's body to its end and no byte further. Only a body that is certain to be complete ends with
-// io.EOF. One goroutine at a time uses it, and nothing else reads its Stream until it has ended.
+// Body reads the body of a message and no byte beyond its end. It returns io.EOF only if the body is certain to be
+// complete. It is used by one goroutine at a time, and nothing else reads its Stream until the body has ended.
 type Body struct {
 	stream    *Stream
 	framing   Framing
-	remaining uint64    // bytes that may still come
-	chunks    io.Reader // decodes a chunked body; nil for the others
-	err       error     // what ended it
+	remaining uint64    // bytes that may still be read
+	chunks    io.Reader // decodes a chunked body; nil for other framings
+	err       error     // that ended the body
 
 	trailer Fields
 }
 
-// Body returns the reader of a message's body, whose head has been read. One whose length is not known may have up to
-// most bytes; a longer one ends with ErrBodyTooLarge.
-func (s *Stream) Body(f Framing, most int64) *Body {
+// Body returns the reader of the body of a message whose head has been read. A body of unknown length may have up to
+// maxBytes bytes; reading a longer one fails with ErrBodyTooLarge.
+func (s *Stream) Body(f Framing, maxBytes int64) *Body {
 	b := &Body{stream: s, framing: f, remaining: f.Length}
-	s.bound.N = math.MaxInt64 // bounded by what remains of the body
+	s.limited.N = math.MaxInt64 // Body.remaining is the limit
 	switch {
 	case f.Chunked:
-		b.chunks = httputil.NewChunkedReader(s.in)
-		b.remaining = uint64(most)
+		b.chunks = httputil.NewChunkedReader(s.reader)
+		b.remaining = uint64(maxBytes)
 	case f.UntilClose:
-		b.remaining = uint64(most)
+		b.remaining = uint64(maxBytes)
 	}
 	return b
 }
 
-// Read implements io.Reader. A body that is cut short ends with io.ErrUnexpectedEOF, one with malformed chunks or a
-// forbidden trailer with ErrFraming.
+// Read implements io.Reader. It returns io.ErrUnexpectedEOF for a truncated body, and ErrFraming for malformed chunks
+// or a forbidden trailer field.
 func (b *Body) Read(p []byte) (int, error) {
 	if b.err != nil {
 		return 0, b.err
@@ -51,18 +51,18 @@
 	return n, err
 }
 
-// read reads what comes next by the body's framing, and no more than may still come.
+// read reads from the body according to its framing, at most the remaining bytes.
 func (b *Body) read(p []byte) (n int, err error) {
 	switch {
 	case b.chunked():
 		n, err = b.readChunks(p)
 	case b.framing.UntilClose:
-		n, err = b.stream.in.Read(p)
+		n, err = b.stream.reader.Read(p)
 	case b.remaining == 0:
 		return 0, io.EOF
 	default:
-		n, err = b.stream.in.Read(p[:min(uint64(len(p)), b.remaining)])
-		err = cutShort(err)
+		n, err = b.stream.reader.Read(p[:min(uint64(len(p)), b.remaining)])
+		err = unexpectedEOF(err)
 	}
 	if uint64(n) > b.remaining {
 		return int(b.remaining), ErrBodyTooLarge
@@ -70,7 +70,7 @@
 	return n, err
 }
 
-// readChunks reads from a chunked body. Its last chunk is followed by the trailer (RFC 9112, section 7.1.2).
+// readChunks reads from a chunked body, and its trailer behind the last chunk (RFC 9112, section 7.1.2).
 func (b *Body) readChunks(p []byte) (int, error) {
 	n, err := b.chunks.Read(p)
 	switch {
@@ -85,17 +85,17 @@
 	}
 }
 
-// readTrailer reads the trailer and returns io.EOF: the body is complete.
+// readTrailer reads the trailer. It returns io.EOF if the body is complete.
 func (b *Body) readTrailer() (err error) {
-	b.stream.bound.N = MaxHead
+	b.stream.limited.N = MaxHead
 	if b.trailer, err = b.stream.trailer(); err != nil {
-		return cutShort(err)
+		return unexpectedEOF(err)
 	}
 	return io.EOF
 }
 
-// cutShort turns an end of the connection in the middle of a body into io.ErrUnexpectedEOF.
-func cutShort(err error) error {
+// unexpectedEOF replaces io.EOF, the end of the connection in the middle of a body, with io.ErrUnexpectedEOF.
+func unexpectedEOF(err error) error {
 	if errors.Is(err, io.EOF) {
 		return io.ErrUnexpectedEOF
 	}
@@ -111,21 +111,21 @@
 
 func (b *Body) hasKnownLength() bool { return !b.chunked() && !b.framing.UntilClose }
 
-// Wait returns when the next byte of a body of known length has come, and takes none; io.EOF: there is none.
+// Wait waits for the next byte of a body of known length without consuming it. It returns io.EOF at the body's end.
 func (b *Body) Wait() error {
 	if b.remaining == 0 || b.err != nil {
 		return cmp.Or(b.err, io.EOF)
 	}
-	return cutShort(b.stream.Wait())
+	return unexpectedEOF(b.stream.Wait())
 }
 
-// Forward moves up to most bytes of a body of known length to a connection, from socket to socket where the system can
-// (splice(2)). It returns io.EOF once the body has ended. It obeys the deadlines that both connections have.
-func (b *Body) Forward(to net.Conn, most int64) (int64, error) {
+// Forward moves up to maxBytes bytes of a body of known length to a connection, from socket to socket where the system
+// supports it (splice(2)). It returns io.EOF once the body has ended. The deadlines of both connections apply.
+func (b *Body) Forward(to net.Conn, maxBytes int64) (int64, error) {
 	if b.err != nil {
 		return 0, b.err
 	}
-	moved, err := b.moveTo(to, min(most, int64(b.remaining)))
+	moved, err := b.moveTo(to, min(maxBytes, int64(b.remaining)))
 	b.remaining -= uint64(moved)
 	if err == nil && b.remaining == 0 {
 		err = io.EOF
@@ -133,18 +133,18 @@
 	return moved, err
 }
 
-// moveTo moves count bytes: first those in the read buffer, then the rest from the connection itself.
+// moveTo moves count bytes, first those in the read buffer, then the others directly from the connection.
 func (b *Body) moveTo(to net.Conn, count int64) (moved int64, err error) {
 	if ready := int64(b.stream.Buffered()); ready > 0 {
-		buffered, _ := b.stream.in.Peek(int(min(ready, count))) // can't fail: they are in the buffer
+		buffered, _ := b.stream.reader.Peek(int(min(ready, count))) // can't fail: the bytes are in the buffer
 		written, err := to.Write(buffered)
-		_, _ = b.stream.in.Discard(written) // can't fail either
+		_, _ = b.stream.reader.Discard(written) // can't fail either
 		moved = int64(written)
 		if err != nil || moved == count {
 			return moved, err
 		}
 	}
-	copied, err := io.Copy(Under(to), io.LimitReader(Under(b.stream.Conn), count-moved))
+	copied, err := io.Copy(Innermost(to), io.LimitReader(Innermost(b.stream.Conn), count-moved))
 	moved += copied
 	if err == nil && moved < count {
 		err = io.ErrUnexpectedEOF
@@ -152,18 +152,19 @@
 	return moved, err
 }
 
-// Ended tells whether the whole body has been read. One of unknown length has ended once Read has returned io.EOF.
+// Ended reports whether the whole body has been read. A body of unknown length has ended once Read has returned io.EOF.
 func (b *Body) Ended() bool {
 	return errors.Is(b.err, io.EOF) || (b.hasKnownLength() && b.remaining == 0)
 }
 
-// Trailer returns the fields behind the last chunk, once the body has ended.
+// Trailer returns the trailer fields of a chunked body that has ended.
 func (b *Body) Trailer() Fields { return b.trailer }
 
-// ReadUpTo reads limit bytes, or fewer if the body ends there. Memory grows with what comes, not with what was claimed.
+// ReadUpTo reads up to limit bytes, fewer only if the body ends before. Above maxPreallocated, its memory grows with
+// the bytes received and not with the announced length.
 func (b *Body) ReadUpTo(limit int) ([]byte, error) {
 	size := b.remaining
-	if b.hasKnownLength() && size <= preallocated && size <= uint64(limit) {
+	if b.hasKnownLength() && size <= maxPreallocated && size <= uint64(limit) {
 		content := make([]byte, size)
 		_, err := io.ReadFull(b, content)
 		return content, err
--- a/internal/http1/fields.go
+++ b/internal/http1/fields.go
@@ -6,20 +6,20 @@
 	"strings"
 )
 
-// Field is one field line of a head or trailer.
+// Field is a field line of a head or trailer.
 type Field struct{ Name, Value string }
 
-// named tells whether a field has this name, without regard to case.
+// named reports whether the field has this name, ignoring case.
 func (f *Field) named(name string) bool {
 	return len(f.Name) == len(name) && strings.EqualFold(f.Name, name)
 }
 
-// Fields are the field lines of a message in the order in which they came. Names are compared without regard to case
-// (RFC 9110, section 5.1). It is a slice and no map because a head has about ten fields, and making a map of them would
-// be the largest part of the cost of reading it.
+// Fields are the field lines of a message in the order received. Names are compared ignoring case (RFC 9110, section
+// 5.1). Fields is not a map because a head has only about ten fields, and building a map would be the largest part of
+// the cost of reading the head.
 type Fields []Field
 
-// Get returns the value of the first field of a name; empty: there is none, or it is empty.
+// Get returns the value of the first field with the name, or "" if there is none.
 func (h Fields) Get(name string) string {
 	for i := range h {
 		if h[i].named(name) {
@@ -29,7 +29,7 @@
 	return ""
 }
 
-// Count tells how many fields of a name there are.
+// Count returns the number of fields with the name.
 func (h Fields) Count(name string) (count int) {
 	for i := range h {
 		if h[i].named(name) {
@@ -39,15 +39,15 @@
 	return count
 }
 
-// Has tells whether there is a field of a name.
+// Has reports whether there is a field with the name.
 func (h Fields) Has(name string) bool { return h.Count(name) > 0 }
 
-// Single returns the value of a field; ok tells whether there is exactly one of the name.
+// Single returns the value of the first field with the name; ok reports whether that is the only one.
 func (h Fields) Single(name string) (value string, ok bool) {
 	return h.Get(name), h.Count(name) == 1
 }
 
-// Values returns the values of all fields of a name, in order.
+// Values returns the values of all fields with the name, in order.
 func (h Fields) Values(name string) (values []string) {
 	for i := range h {
 		if h[i].named(name) {
@@ -57,16 +57,16 @@
 	return values
 }
 
-// Add adds a field. The caller sees to it that name and value are well formed.
+// Add appends a field. The caller ensures that name and value are well formed.
 func (h *Fields) Add(name, value string) { *h = append(*h, Field{name, value}) }
 
-// Del takes out the fields of a name.
+// Del removes the fields with the name.
 func (h *Fields) Del(name string) {
 	*h = slices.DeleteFunc(*h, func(f Field) bool { return strings.EqualFold(f.Name, name) })
 }
 
-// HasListElement tells whether the values of a name's fields, as comma-separated lists (RFC 9110, section 5.6.1),
-// hold a word.
+// HasListElement reports whether a field with the name, read as a comma-separated list (RFC 9110, section 5.6.1),
+// contains a word, ignoring case.
 func (h Fields) HasListElement(name, word string) bool {
 	for i := range h {
 		if !h[i].named(name) {
@@ -81,8 +81,8 @@
 	return false
 }
 
-// ParseDigits reads a number that is written in digits and nothing else: no sign, no blanks. It fails too if no
-// uint64 holds the number.
+// ParseDigits parses a decimal number that consists of digits only, without a sign or blanks. It fails if the number
+// overflows a uint64.
 func ParseDigits(text string) (uint64, bool) {
 	if !isDigits(text) {
 		return 0, false
--- a/internal/http1/forwarding.go
+++ b/internal/http1/forwarding.go
@@ -6,29 +6,29 @@
 	"strings"
 )
 
-// hopByHop holds, by their length, the names of fields that are not forwarded: those that belong to one connection (RFC
-// 9110, section 7.6.1), those that are written anew, and those between upstreams and a balancer.
-var hopByHop = byLength(
+// droppedFields holds the names of the fields that are not forwarded, indexed by length: hop-by-hop fields (RFC 9110,
+// section 7.6.1), fields that this balancer writes itself, and fields exchanged between upstreams and a balancer.
+var droppedFields = byLength(
 	"Connection", "Keep-Alive", "Proxy-Connection", "TE", "Trailer", "Transfer-Encoding", "Upgrade", "Expect",
 	"Content-Length", "Host", "X-Deadline-Ms", "Proxy-Authenticate", "Proxy-Authorization", "X-Load", "X-Not-Run",
 )
 
-// longestHopByHop is the length of the longest of these names, or more.
-const longestHopByHop = 23
+// maxDroppedNameLength is an upper bound of the length of the names in droppedFields.
+const maxDroppedNameLength = 23
 
-func byLength(names ...string) (all [longestHopByHop + 1][]string) {
+func byLength(names ...string) (all [maxDroppedNameLength + 1][]string) {
 	for _, name := range names {
 		all[len(name)] = append(all[len(name)], name)
 	}
 	return all
 }
 
-// isEndToEnd tells whether a field of this name is forwarded.
+// isEndToEnd reports whether fields with this name are forwarded.
 func isEndToEnd(name string) bool {
-	if len(name) >= len(hopByHop) {
+	if len(name) >= len(droppedFields) {
 		return true
 	}
-	for _, dropped := range hopByHop[len(name)] {
+	for _, dropped := range droppedFields[len(name)] {
 		if strings.EqualFold(name, dropped) {
 			return false
 		}
@@ -36,11 +36,11 @@
 	return true
 }
 
-// ClosesConnection tells whether the sender closes the connection after this message (RFC 9112, section 9.6).
+// ClosesConnection reports whether the sender closes the connection after this message (RFC 9112, section 9.6).
 func ClosesConnection(h Fields) bool { return h.HasListElement("Connection", "close") }
 
-// DropConnectionFields takes out the fields that a message's Connection field names: they were meant for that
-// connection only (RFC 9110, section 7.6.1). Those named in except stay.
+// DropConnectionFields removes the fields that the Connection field of a message names, since they apply to that
+// connection only (RFC 9110, section 7.6.1). Fields named in except are kept.
 func DropConnectionFields(h *Fields, except []string) {
 	for _, list := range h.Values("Connection") {
 		for name := range strings.SplitSeq(list, ",") {
@@ -52,8 +52,8 @@
 	}
 }
 
-// WriteFields writes the fields that are forwarded, in order. Names and values come from this package's reader, which
-// lets no line end in.
+// WriteFields writes those fields that are forwarded, in order. It does not check them: names and values come from this
+// package's reader, which rejects line breaks.
 func WriteFields(b *bytes.Buffer, h Fields) {
 	for i := range h {
 		if isEndToEnd(h[i].Name) {
--- a/internal/http1/framing.go
+++ b/internal/http1/framing.go
@@ -6,16 +6,17 @@
 	"strings"
 )
 
-// Framing says where a body ends (RFC 9112, section 6.3). The zero value is an empty body.
+// Framing is how the end of a body is found (RFC 9112, section 6.3). The zero value is an empty body.
 type Framing struct {
-	Length     uint64 // in bytes, unless one of the others is set
-	Chunked    bool   // by the last chunk (RFC 9112, section 7.1)
-	UntilClose bool   // by the end of the connection, for responses only
+	Length     uint64 // in bytes; meaningless if Chunked or UntilClose is set
+	Chunked    bool   // the last chunk ends the body (RFC 9112, section 7.1)
+	UntilClose bool   // the end of the connection ends the body; for responses only
 }
 
-// FramingOf reads a message's framing; present is false if no field gives one. More than one, or a transfer coding
-// other than chunked, is an ErrFraming, since another recipient might see another end: request smuggling (RFC 9112,
-// section 11.2). A length that no int64 holds is an ErrBodyTooLarge.
+// FramingOf returns the framing that a message's fields declare; present reports whether they declare one. Several
+// framing fields, or a transfer coding other than chunked, yield ErrFraming, since the next recipient might find
+// another end of the body, which allows request smuggling (RFC 9112, section 11.2). A length over math.MaxInt64 yields
+// ErrBodyTooLarge.
 func FramingOf(h Fields) (framing Framing, present bool, err error) {
 	codings, lengths := h.Count("Transfer-Encoding"), h.Count("Content-Length")
 	switch {
@@ -33,7 +34,7 @@
 	return Framing{}, false, nil
 }
 
-// parseContentLength reads the value of a Content-Length field (RFC 9110, section 8.6).
+// parseContentLength parses the value of a Content-Length field (RFC 9110, section 8.6).
 func parseContentLength(text string) (uint64, error) {
 	length, ok := ParseDigits(text)
 	switch {
@@ -45,9 +46,9 @@
 	return length, nil
 }
 
-// responseFraming reads the framing of a final response by the rules of RFC 9112, section 6.3.
-func responseFraming(h Fields, status int, toHead bool) (Framing, error) {
-	if toHead || status == http.StatusNoContent || status == http.StatusNotModified {
+// responseFraming returns the framing of a final response (RFC 9112, section 6.3).
+func responseFraming(h Fields, status int, isHeadRequest bool) (Framing, error) {
+	if isHeadRequest || status == http.StatusNoContent || status == http.StatusNotModified {
 		return Framing{}, nil
 	}
 	framing, present, err := FramingOf(h)
--- a/internal/http1/head.go
+++ b/internal/http1/head.go
@@ -10,21 +10,21 @@
 )
 
 const (
-	// maxFields bounds the fields of a head, and those of a trailer.
+	// maxFields is the largest number of fields in a head or in a trailer.
 	maxFields = 128
-	// keptHead bounds the memory, in bytes, that a connection keeps of its last head.
-	keptHead = 2 << 10
+	// maxKeptHead is the largest capacity, in bytes, of the head buffer that a connection keeps for its next head.
+	maxKeptHead = 2 << 10
 )
 
 var crlf = []byte("\r\n")
 
-// notInTrailer names the fields that frame or route a message.
+// notInTrailer holds the names of the fields that frame or route a message.
 var notInTrailer = []string{"Transfer-Encoding", "Content-Length", "Host", "Trailer", "TE", "Connection"}
 
-// ReadHead reads a start line and the fields behind it; the caller sets the limit. A message has one reading: a line
-// ends in CRLF, a name is a token with the colon right behind it, no line is folded, no value has a control character
-// but the tab (RFC 9112, sections 2.2 and 5). What recipients might read in different ways is an ErrMalformedHead,
-// since the next hop may read it the other way.
+// ReadHead reads a start line and the fields that follow it, up to the limit that the caller has set. It is strict: a
+// line ends in CRLF, a name is a token directly followed by the colon, no line is folded, and no value has a control
+// character other than the tab (RFC 9112, sections 2.2 and 5). Anything that another recipient might parse differently
+// yields ErrMalformedHead.
 func (s *Stream) ReadHead() (line string, header Fields, err error) {
 	text, err := s.readLines(true)
 	if err != nil {
@@ -38,8 +38,8 @@
 	return line, header, err
 }
 
-// trailer reads the fields behind the last chunk (RFC 9112, section 7.1.2). One that frames or routes a message is an
-// ErrFraming (RFC 9110, section 6.5.1): another recipient may merge it into the head.
+// trailer reads the fields that follow the last chunk (RFC 9112, section 7.1.2). A field that frames or routes a
+// message yields ErrFraming (RFC 9110, section 6.5.1), since another recipient may merge it into the head.
 func (s *Stream) trailer() (Fields, error) {
 	text, err := s.readLines(false)
 	if err != nil {
@@ -57,8 +57,8 @@
 	return fields, nil
 }
 
-// readLines reads up to an empty line and returns what comes before it as one text, which all strings of a head share.
-// One empty line before a start line is skipped (RFC 9112, section 2.2).
+// readLines reads lines up to an empty one and returns them as one string, of which all names and values of a head are
+// substrings. One empty line before a start line is skipped (RFC 9112, section 2.2).
 func (s *Stream) readLines(startLine bool) (string, error) {
 	s.head = s.head[:0]
 	for {
@@ -67,7 +67,7 @@
 		err := s.appendLine()
 		switch {
 		case err != nil:
-			return "", s.boundError(err, atStart)
+			return "", s.lineError(err, atStart)
 		case !bytes.HasSuffix(s.head[begin:], crlf):
 			return "", fmt.Errorf("%w: a line that does not end in CRLF", ErrMalformedHead)
 		case len(s.head)-begin > len(crlf): // not empty
@@ -76,7 +76,7 @@
 			startLine = false
 		default:
 			text := string(s.head[:begin])
-			if cap(s.head) > keptHead {
+			if cap(s.head) > maxKeptHead {
 				s.head = nil
 			}
 			return text, nil
@@ -84,10 +84,10 @@
 	}
 }
 
-// appendLine reads a line with its end, which may be longer than the read buffer, and appends it to s.head.
+// appendLine appends the next line with its line ending to s.head. The line may be longer than the read buffer.
 func (s *Stream) appendLine() error {
 	for {
-		part, err := s.in.ReadSlice('\n')
+		part, err := s.reader.ReadSlice('\n')
 		s.head = append(s.head, part...)
 		if !errors.Is(err, bufio.ErrBufferFull) {
 			return err
@@ -95,10 +95,10 @@
 	}
 }
 
-// boundError returns what a failed read of a line means: the bound was met, or the connection failed.
-func (s *Stream) boundError(err error, inStartLine bool) error {
+// lineError returns the error for a failed read of a line: a limit error if the limit was reached, else err.
+func (s *Stream) lineError(err error, inStartLine bool) error {
 	switch {
-	case s.bound.N > 0:
+	case s.limited.N > 0:
 		return err
 	case inStartLine:
 		return ErrStartLineTooLong
@@ -107,7 +107,7 @@
 	}
 }
 
-// parseFields reads field lines, each with its end (RFC 9112, section 5).
+// parseFields parses field lines that each end in CRLF (RFC 9112, section 5).
 func parseFields(text string) (Fields, error) {
 	count := strings.Count(text, "\n")
 	if count == 0 {
@@ -116,7 +116,7 @@
 	if count > maxFields {
 		return nil, fmt.Errorf("%w: %d fields", ErrHeadTooLong, count)
 	}
-	fields := make(Fields, 0, count+1) // the router may add one
+	fields := make(Fields, 0, count+1) // the router may append a field
 	for text != "" {
 		end := strings.IndexByte(text, '\n')
 		line := text[:end-1] // without its CR
@@ -134,10 +134,10 @@
 	return fields, nil
 }
 
-// The classes of a byte in a head.
+// Classes of the bytes in a head.
 const (
-	tokenByte   = 1 << iota // may be part of a token (RFC 9110, section 5.6.2)
-	controlByte             // must not be part of a value (RFC 9110, section 5.5)
+	tokenByte   = 1 << iota // allowed in a token (RFC 9110, section 5.6.2)
+	controlByte             // forbidden in a value (RFC 9110, section 5.5)
 )
 
 var byteClasses = func() (classes [256]uint8) {
@@ -152,7 +152,7 @@
 	return classes
 }()
 
-// tokenLength returns the length of the token that a text begins with.
+// tokenLength returns the length of the token at the start of a text.
 func tokenLength(text string) int {
 	for i := range len(text) {
 		if byteClasses[text[i]]&tokenByte == 0 {
--- a/internal/http1/response.go
+++ b/internal/http1/response.go
@@ -6,19 +6,19 @@
 	"strings"
 )
 
-// Asked is what the response to a request depends on.
-type Asked struct {
-	Head    bool         // the method was HEAD: the response has no body
-	Upgrade string       // the protocol that the request asked to change to; empty: none
-	Hint    func(Fields) // takes the fields of an interim response with status 103 (RFC 8297); nil: they are dropped
+// RequestInfo holds the properties of a request that determine how its response is read.
+type RequestInfo struct {
+	Head         bool         // the method is HEAD: the response has no body
+	Upgrade      string       // the protocol that the request asks to switch to; empty: none
+	OnEarlyHints func(Fields) // receives the fields of a 103 response (RFC 8297); nil: they are dropped
 }
 
-// ReadResponseHead reads the head of an upstream's final response and its framing; one without a body has a length of
-// 0. Interim responses (RFC 9110, section 15.2) are dropped, except early hints and a change to the protocol that was
-// asked for. It wraps ErrMalformedHead, ErrStartLineTooLong, ErrHeadTooLong, ErrFraming or ErrBodyTooLarge, or
-// returns the connection's error.
-func (s *Stream) ReadResponseHead(asked Asked) (status int, header Fields, framing Framing, err error) {
-	s.bound.N = MaxHead
+// ReadResponseHead reads the head of an upstream's response and returns its framing, with Length 0 if it has no body.
+// Interim responses (RFC 9110, section 15.2) are dropped, except early hints. A response with status 101 is returned if
+// it switches to the protocol that the request asks for, and is malformed otherwise. Errors wrap ErrMalformedHead,
+// ErrStartLineTooLong, ErrHeadTooLong, ErrFraming or ErrBodyTooLarge, or are those of the connection.
+func (s *Stream) ReadResponseHead(request RequestInfo) (status int, header Fields, framing Framing, err error) {
+	s.limited.N = MaxHead
 	for range MaxInterim + 1 {
 		line, header, err := s.ReadHead()
 		if err != nil {
@@ -29,14 +29,14 @@
 		case !ok:
 			return 0, nil, Framing{}, ErrMalformedHead
 		case status == http.StatusSwitchingProtocols:
-			if !asked.allowsUpgrade(header) {
-				return 0, nil, Framing{}, fmt.Errorf("%w: another protocol, which nobody asked for", ErrMalformedHead)
+			if !request.allowsUpgrade(header) {
+				return 0, nil, Framing{}, fmt.Errorf("%w: status 101 that was not asked for", ErrMalformedHead)
 			}
 			return status, header, Framing{}, nil
-		case status == http.StatusEarlyHints && asked.Hint != nil:
-			asked.Hint(header)
+		case status == http.StatusEarlyHints && request.OnEarlyHints != nil:
+			request.OnEarlyHints(header)
 		case status >= http.StatusOK:
-			framing, err := responseFraming(header, status, asked.Head)
+			framing, err := responseFraming(header, status, request.Head)
 			return status, header, framing, err
 		}
 	}
@@ -54,8 +54,8 @@
 	return int(number), ok && len(code) == 3 && number >= 100
 }
 
-// allowsUpgrade tells whether the fields of a response with status 101 name the protocol that was asked for (RFC 9110,
-// section 7.8).
-func (a *Asked) allowsUpgrade(header Fields) bool {
-	return a.Upgrade != "" && header.HasListElement("Connection", "upgrade") && header.HasListElement("Upgrade", a.Upgrade)
+// allowsUpgrade reports whether the fields of a response with status 101 name the protocol that the request asks for
+// (RFC 9110, section 7.8).
+func (r *RequestInfo) allowsUpgrade(header Fields) bool {
+	return r.Upgrade != "" && header.HasListElement("Connection", "upgrade") && header.HasListElement("Upgrade", r.Upgrade)
 }
--- a/internal/http1/socket.go
+++ b/internal/http1/socket.go
@@ -6,10 +6,10 @@
 	"syscall"
 )
 
-// PeerClosed looks, without waiting and without taking anything, whether the other side has closed or broken a
-// connection. A connection that is no socket counts as open.
+// PeerClosed reports, without waiting and without consuming a byte, whether the other side has closed or reset the
+// connection. A connection that is not a socket counts as open.
 func PeerClosed(c net.Conn) bool {
-	socket, ok := Under(c).(syscall.Conn)
+	socket, ok := Innermost(c).(syscall.Conn)
 	if !ok {
 		return false
 	}
@@ -19,27 +19,28 @@
 	}
 	var received int
 	var recvErr error
-	err = raw.Control(func(descriptor uintptr) { // unlike Read, Control works after a deadline
+	err = raw.Control(func(descriptor uintptr) { // unlike Read, Control works after a deadline has passed
 		var next [1]byte
 		received, _, recvErr = syscall.Recvfrom(int(descriptor), next[:], syscall.MSG_PEEK|syscall.MSG_DONTWAIT)
 	})
 	return err == nil && received <= 0 && !errors.Is(recvErr, syscall.EAGAIN)
 }
 
-// Under returns the innermost connection below c, which io.Copy can move bytes from and to without reading them.
-func Under(c net.Conn) net.Conn {
+// Innermost returns the innermost connection that c wraps. On a socket io.Copy can use splice(2).
+func Innermost(c net.Conn) net.Conn {
 	for {
-		wrapper, ok := c.(interface{ Under() net.Conn })
+		wrapper, ok := c.(interface{ Underlying() net.Conn })
 		if !ok {
 			return c
 		}
-		c = wrapper.Under()
+		c = wrapper.Underlying()
 	}
 }
 
-// Abort makes the close of a connection a reset, so that the other side does not take what was written for complete.
+// Abort makes the close of a connection send a reset, so that the other side does not take a truncated message for a
+// complete one.
 func Abort(c net.Conn) {
-	if tcp, ok := Under(c).(*net.TCPConn); ok {
-		_ = tcp.SetLinger(0) // fails on a closed connection only
+	if tcp, ok := Innermost(c).(*net.TCPConn); ok {
+		_ = tcp.SetLinger(0) // fails only on a closed connection
 	}
 }
--- a/internal/http1/stream.go
+++ b/internal/http1/stream.go
@@ -1,9 +1,10 @@
-// Package http1 reads and writes messages of HTTP/1.1 (RFC 9112) between two sockets, strictly and within bounds. It
-// has no policy: what a message means is for its callers to decide.
+// Package http1 reads and writes HTTP/1.1 messages (RFC 9112). Parsing is strict, and the size of every part of a
+// message is limited. Packages frontend, body and upstream use it; they decide what a message means and how to act on
+// it.
 //
-// The readers of net/http are not used: they drop a Content-Length that stands beside Transfer-Encoding, so that
-// nobody can see both, bound neither heads nor interim responses, and take a response without a length for complete
-// wherever it ends.
+// The readers of net/http are not used. They drop a Content-Length next to a Transfer-Encoding, so that callers can't
+// detect that both were sent, they limit neither the size of response heads nor the number of interim responses, and
+// they take a response without a length for complete wherever it ends.
 package http1
 
 import (
@@ -14,13 +15,14 @@
 )
 
 const (
-	// MaxHead bounds a head in bytes; the interim responses before a final one count with it.
+	// MaxHead is the largest size of a head in bytes. The head of a final response includes the interim ones before
+	// it.
 	MaxHead = 16 << 10
-	// MaxInterim bounds the number of interim responses (1xx) before a final one.
+	// MaxInterim is the largest number of interim responses (1xx) before a final one.
 	MaxInterim = 16
 )
 
-// What is wrong with a message that came. Any other error is the connection's.
+// Errors of a received message. Any other error is that of the connection.
 var (
 	ErrMalformedHead    = errors.New("a head that can't be read")
 	ErrStartLineTooLong = errors.New("a first line over the bound")
@@ -29,36 +31,36 @@
 	ErrBodyTooLarge     = errors.New("a body over the bound")
 )
 
-// Stream is a connection from which messages are read, each within its bounds. One goroutine at a time reads from it.
+// Stream is a connection from which messages are read, within limits. One goroutine at a time reads from it.
 type Stream struct {
 	net.Conn
-	in    *bufio.Reader
-	bound io.LimitedReader // N: bytes that may still be read off the connection
-	head  []byte           // memory that a head is gathered in
+	reader  *bufio.Reader
+	limited io.LimitedReader // N: bytes that may still be read from the connection
+	head    []byte           // buffer for the head that is being read
 }
 
-// NewStream returns a Stream with a read buffer of so many bytes.
+// NewStream returns a Stream whose read buffer has the given size in bytes.
 func NewStream(c net.Conn, buffer int) *Stream {
 	s := &Stream{Conn: c}
-	s.bound.R = c
-	s.in = bufio.NewReaderSize(&s.bound, buffer)
+	s.limited.R = c
+	s.reader = bufio.NewReaderSize(&s.limited, buffer)
 	return s
 }
 
-// Under returns the connection that is read.
-func (s *Stream) Under() net.Conn { return s.Conn }
+// Underlying returns the connection that the Stream wraps.
+func (s *Stream) Underlying() net.Conn { return s.Conn }
 
-// Limit bounds what may still be read off the connection, in bytes.
-func (s *Stream) Limit(bytes int64) { s.bound.N = bytes }
+// Limit sets how many more bytes may be read from the connection.
+func (s *Stream) Limit(bytes int64) { s.limited.N = bytes }
 
-// Read reads what comes next, first what has been read off the connection already.
-func (s *Stream) Read(p []byte) (int, error) { return s.in.Read(p) }
+// Read implements io.Reader. It returns buffered bytes first.
+func (s *Stream) Read(p []byte) (int, error) { return s.reader.Read(p) }
 
-// Buffered tells how many bytes have been read off the connection and not been taken.
-func (s *Stream) Buffered() int { return s.in.Buffered() }
+// Buffered returns the number of bytes in the read buffer.
+func (s *Stream) Buffered() int { return s.reader.Buffered() }
 
-// Wait returns when the next byte has come, and takes none.
+// Wait waits for the next byte without consuming it.
 func (s *Stream) Wait() error {
-	_, err := s.in.Peek(1)
+	_, err := s.reader.Peek(1)
 	return err
 }
--- a/internal/http1/stream_test.go
+++ b/internal/http1/stream_test.go
@@ -10,8 +10,8 @@
 	"olivearch/internal/standin/scripted"
 )
 
-// FuzzAnswer reads what an upstream may send. A response that is taken for complete must be so for net/http too, with
-// the same body.
+// FuzzAnswer reads arbitrary bytes as an upstream's response. If this package accepts a response as complete, net/http
+// must read the same status and body from the same bytes.
 func FuzzAnswer(f *testing.F) {
 	for _, text := range []string{
 		"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nab",
@@ -26,7 +26,7 @@
 	}
 	f.Fuzz(func(t *testing.T, text []byte) {
 		s := NewStream(scripted.Saying(text), 2<<10)
-		status, _, framed, err := s.ReadResponseHead(Asked{})
+		status, _, framed, err := s.ReadResponseHead(RequestInfo{})
 		if err != nil {
 			return
 		}
@@ -36,20 +36,20 @@
 		}
 		resp, err := readFinalResponse(bufio.NewReader(bytes.NewReader(text)))
 		if err != nil {
-			t.Fatalf("taken, but unreadable for others: %v", err)
+			t.Fatalf("accepted here, rejected by net/http: %v", err)
 		}
-		defer func() { _ = resp.Body.Close() }() // it has been read, or there is none
+		defer func() { _ = resp.Body.Close() }() // the body has been read, or there is none
 		if resp.StatusCode == http.StatusNoContent || resp.StatusCode == http.StatusNotModified {
-			return // these have no body there
+			return // net/http reads no body of these
 		}
 		other, err := io.ReadAll(resp.Body)
 		if status != resp.StatusCode || err != nil || !bytes.Equal(body, other) {
-			t.Errorf("got %d, %q; others read %d, %q, %v", status, body, resp.StatusCode, other, err)
+			t.Errorf("got %d, %q; net/http reads %d, %q, %v", status, body, resp.StatusCode, other, err)
 		}
 	})
 }
 
-// readFinalResponse reads a response by net/http, past its interim ones.
+// readFinalResponse reads a response with net/http and skips the interim ones before it.
 func readFinalResponse(in *bufio.Reader) (*http.Response, error) {
 	for {
 		resp, err := http.ReadResponse(in, nil)
--- a/internal/http1/write.go
+++ b/internal/http1/write.go
@@ -11,8 +11,8 @@
 // LastChunk ends a chunked body that has no trailer (RFC 9112, section 7.1).
 const LastChunk = "0\r\n\r\n"
 
-// Chunk writes a part of a body within a time. It writes a chunk if the body is chunked, and else the bytes alone.
-func Chunk(c net.Conn, part []byte, chunked bool, within time.Duration) error {
+// SendPart sends a part of a body within a timeout, as a chunk if the body is chunked.
+func SendPart(c net.Conn, part []byte, chunked bool, within time.Duration) error {
 	if len(part) == 0 { // an empty chunk would be the last
 		return nil
 	}
@@ -26,23 +26,24 @@
 	return err
 }
 
-// End writes the last chunk of a chunked body, and its trailer, within a time.
-func End(c net.Conn, trailer Fields, within time.Duration) error {
-	b := Buffer()
-	defer Done(b)
-	WriteEnd(b, trailer)
+// SendLastChunk sends the last chunk of a chunked body and its trailer within a timeout.
+func SendLastChunk(c net.Conn, trailer Fields, within time.Duration) error {
+	b := GetBuffer()
+	defer PutBuffer(b)
+	WriteLastChunk(b, trailer)
 	setWriteTimeout(c, within)
 	_, err := c.Write(b.Bytes())
 	return err
 }
 
-// setWriteTimeout bounds the next write. It fails on a closed connection only, as the write does then.
+// setWriteTimeout sets the deadline of the next write. Its error is ignored: on a closed connection the write fails
+// too.
 func setWriteTimeout(c net.Conn, timeout time.Duration) {
 	_ = c.SetWriteDeadline(time.Now().Add(timeout))
 }
 
-// WriteEnd writes the last chunk of a body and its trailer (RFC 9112, sections 7.1 and 7.1.2).
-func WriteEnd(b *bytes.Buffer, trailer Fields) {
+// WriteLastChunk writes the last chunk of a chunked body and its trailer (RFC 9112, sections 7.1 and 7.1.2).
+func WriteLastChunk(b *bytes.Buffer, trailer Fields) {
 	b.WriteString("0\r\n")
 	WriteFields(b, trailer)
 	b.WriteString("\r\n")
@@ -61,12 +62,12 @@
 
 var bufferPool = sync.Pool{New: func() any { return new(bytes.Buffer) }}
 
-// Buffer returns an empty buffer. Done gives it back.
-func Buffer() *bytes.Buffer {
+// GetBuffer returns an empty buffer from a pool. PutBuffer returns it to the pool.
+func GetBuffer() *bytes.Buffer {
 	b := bufferPool.Get().(*bytes.Buffer)
 	b.Reset()
 	return b
 }
 
-// Done gives a buffer back; nobody uses it, or what it holds, after that.
-func Done(b *bytes.Buffer) { bufferPool.Put(b) }
+// PutBuffer returns a buffer to the pool. Neither the buffer nor its bytes may be used afterwards.
+func PutBuffer(b *bytes.Buffer) { bufferPool.Put(b) }
--- a/internal/upstream/give_up_test.go
+++ b/internal/upstream/give_up_test.go
@@ -20,7 +20,7 @@
 // the next one.
 func TestGivenUpConnectionIsNotUsedAgain(t *testing.T) {
 	server := scripted.Start(t, scripted.Done)
-	attempt := newPatientAttempt(server.Addr)
+	attempt := newLongTimeoutAttempt(server.Addr)
 	result := HTTP1{ConnectTimeout: time.Minute}.Do(attempt)
 	if result.Conn == nil || !attempt.GiveUp(longAgo) {
 		t.Fatalf("got %v", result)
@@ -40,7 +40,7 @@
 		t.Fatal(err)
 	}
 	defer listener.Close()
-	attempt := newPatientAttempt(listener.Addr().String())
+	attempt := newLongTimeoutAttempt(listener.Addr().String())
 	ended := make(chan Result, 1)
 	go func() { ended <- HTTP1{ConnectTimeout: time.Minute}.Do(attempt) }()
 	accepted, err := listener.Accept()
@@ -72,8 +72,8 @@
 	<-ended
 }
 
-// newPatientAttempt returns an attempt that does not time out within a test.
-func newPatientAttempt(address string) *Attempt {
+// newLongTimeoutAttempt returns an attempt that does not time out within a test.
+func newLongTimeoutAttempt(address string) *Attempt {
 	attempt := newAttempt(address, nil, http1.Field{Name: "X-Request-Id", Value: "1"})
 	attempt.Message.RequestLine = "GET /x"
 	attempt.Timeout = time.Minute
--- a/internal/upstream/http1.go
+++ b/internal/upstream/http1.go
@@ -71,7 +71,7 @@
 	connection.limitAttemptWrites(attempt)
 	upload := attempt.Message.Upload
 	if upload != nil {
-		if !upload.Hold() { // the client's side has ended
+		if !upload.Retain() { // the client's side has ended
 			return Result{Status: balancer.NotSent, Conn: connection}
 		}
 		defer upload.Release()
@@ -113,8 +113,8 @@
 
 // writeMessage writes a message up to where Message.Rest begins. complete says whether all of that was written.
 func (c *conn) writeMessage(message *Message, wait time.Duration) (complete bool, err error) {
-	buffer := http1.Buffer()
-	defer http1.Done(buffer)
+	buffer := http1.GetBuffer()
+	defer http1.PutBuffer(buffer)
 	message.render(buffer, wait)
 	written, err := c.Write(buffer.Bytes())
 	return written == buffer.Len(), err
@@ -124,7 +124,7 @@
 // run, unless the upstream has responded early and says something else. What it says of a part of a request
 // may be of work on that part.
 func (r responseReader) readEarly(sendErr error) Result {
-	var clientFailed body.ClientFailed
+	var clientFailed body.ClientError
 	if errors.As(sendErr, &clientFailed) {
 		r.conn.Close()
 		return Result{Status: balancer.NotSent}
--- a/internal/upstream/message.go
+++ b/internal/upstream/message.go
@@ -41,8 +41,8 @@
 
 // Bytes renders the message in HTTP/1.1, up to where Rest begins, for an attempt that waits so long for its response.
 func (m *Message) Bytes(wait time.Duration) []byte {
-	buffer := http1.Buffer()
-	defer http1.Done(buffer)
+	buffer := http1.GetBuffer()
+	defer http1.PutBuffer(buffer)
 	m.render(buffer, wait)
 	return bytes.Clone(buffer.Bytes())
 }
@@ -55,7 +55,7 @@
 	}
 	http1.WriteChunk(out, m.Body)
 	if m.Upload == nil {
-		http1.WriteEnd(out, m.Trailer)
+		http1.WriteLastChunk(out, m.Trailer)
 	}
 }
 
--- a/internal/upstream/response.go
+++ b/internal/upstream/response.go
@@ -29,7 +29,7 @@
 // connection. A response that is long, or of unknown length, is streamed: the observer gets its start, and
 // the result is that of its end.
 func (r responseReader) read() Result {
-	status, header, framing, err := r.conn.ReadResponseHead(r.expectation())
+	status, header, framing, err := r.conn.ReadResponseHead(r.requestInfo())
 	if err != nil {
 		return r.fail(err)
 	}
@@ -51,17 +51,17 @@
 	return result
 }
 
-// expectation is what reading the response's head depends on.
-func (r responseReader) expectation() http1.Asked {
-	asked := http1.Asked{Head: r.message.isHead()}
+// requestInfo is what reading the response's head depends on.
+func (r responseReader) requestInfo() http1.RequestInfo {
+	info := http1.RequestInfo{Head: r.message.isHead()}
 	if r.observer == nil {
-		return asked
+		return info
 	}
-	asked.Upgrade = r.message.Upgrade
+	info.Upgrade = r.message.Upgrade
 	if r.message.Hints {
-		asked.Hint = r.observer.InterimResponse
+		info.OnEarlyHints = r.observer.InterimResponse
 	}
-	return asked
+	return info
 }
 
 // fail closes the connection and returns the result of an attempt whose response could not be read.
--- a/internal/upstream/upstreamtest/streaming.go
+++ b/internal/upstream/upstreamtest/streaming.go
@@ -57,7 +57,7 @@
 		copied <- err
 	}()
 	var source io.Reader = clientSide
-	if r.started.Download.Framed() {
+	if r.started.Download.HasUnknownLength() {
 		stream := http1.NewStream(clientSide, readBufferSize)
 		source = stream.Body(http1.Framing{Chunked: true}, 1<<30)
 	}
@@ -114,7 +114,7 @@
 	noSpool := new(body.Spool) // without capacity nothing is read ahead
 	framing := http1.Framing{Length: uint64(len(Long))}
 	upload := body.NewUpload(noSpool, balancerSide, framing, &body.DefaultLimits)
-	if err := upload.Fill(http1.NewStream(balancerSide, readBufferSize).Body(framing, 0)); err != nil {
+	if err := upload.ReadAhead(http1.NewStream(balancerSide, readBufferSize).Body(framing, 0)); err != nil {
 		t.Fatal(err)
 	}
 	attempt := newAttempt(address, nil)
@@ -148,7 +148,7 @@
 		t.Fatal(err)
 	}
 	request.client.Close()
-	if err := <-request.upload.Done(); !errors.As(err, new(body.ClientFailed)) {
+	if err := <-request.upload.Done(); !errors.As(err, new(body.ClientError)) {
 		t.Errorf("the client side's error is %v", err)
 	}
 	expect(t, "status", (<-ended).Status, balancer.NotSent)
--- a/internal/upstream/upstreamtest/upstreamtest.go
+++ b/internal/upstream/upstreamtest/upstreamtest.go
@@ -55,7 +55,7 @@
 
 // Test runs all tests of the contract.
 func Test(t *testing.T, suite Suite) {
-	for _, point := range []struct {
+	for _, testCase := range []struct {
 		name string
 		test func(*testing.T, Suite)
 	}{
@@ -75,6 +75,6 @@
 		{"drops race with writes", testDropRace},
 		{"a health check", testProbe},
 	} {
-		t.Run(point.name, func(t *testing.T) { point.test(t, suite) })
+		t.Run(testCase.name, func(t *testing.T) { testCase.test(t, suite) })
 	}
 }
