--- a/internal/frontend/client.go
+++ b/internal/frontend/client.go
@@ -11,43 +11,45 @@
 	"olivearch/internal/pool"
 )
 
-// clientConn is a client's connection. The package's comment has its goroutines, stages and the states of its exchange.
+// clientConn is the connection of a client. The package comment describes its goroutines, its stages and the states of
+// its exchange.
 type clientConn struct {
 	*http1.Stream
-	conn *deadlineConn // that Stream reads and writes
+	conn *deadlineConn // the connection that Stream wraps
 
-	// Written under the Server's lock, and by the goroutines of the connection alone where they read it without.
+	// These fields are written under the Server's lock. The goroutines of the connection read without the lock only
+	// those that they alone write.
 	stage              stage
 	stageSince         time.Time
-	readingRequest     bool         // the first byte of a request has come, and it is being read
-	tunnel             *body.Tunnel // that the connection has become; nil: none
+	readingRequest     bool         // a request of which the first byte has arrived is being read
+	tunnel             *body.Tunnel // set once the connection has become a tunnel
 	closeAfterResponse bool
 
 	exchangeState atomic.Int32 // an exchangeState
-	// exchange and what its request said are the reader's, and the writer's from pending on.
+	// The exchange and its two flags are owned by the reader, and from exchangePending on by the writer.
 	exchange       Exchange
-	closeRequested bool // the connection is closed behind the response
-	http10         bool // the request is of HTTP/1.0
+	closeRequested bool // the connection is closed after the response
+	http10         bool // the request is an HTTP/1.0 request
 
-	// closeGracefully reports that the connection ends between requests or behind a response: what the client sends at
-	// the same time is read. It is the goroutine's that ends the connection.
+	// closeGracefully requests a lingering close, since the connection ends between requests or after a response.
+	// It is written by the goroutine that ends the connection.
 	closeGracefully bool
 
-	responses chan pool.Response // has room for the final response and for an interim one
-	responded chan bool          // the writer has written the final response; false: the connection ends
+	responses chan pool.Response // has capacity for the final response and one interim response
+	responded chan bool          // signals that the final response is written; false: the connection ends
 }
 
-// exchangeState says which of a connection's goroutines has its exchange.
+// exchangeState is the state of a connection's exchange. It determines which goroutine may proceed with the exchange.
 type exchangeState int32
 
 const (
 	exchangeNone     exchangeState = iota // no pool has a request of the connection
-	exchangePending                       // a pool has one
-	exchangeAnswered                      // its response has come: what the client sends is the next request
-	exchangeCanceled                      // the reader has ended it: no response is written
+	exchangePending                       // a pool has a request, and no response has arrived
+	exchangeAnswered                      // the response has arrived: the client's next bytes are the next request
+	exchangeCanceled                      // the reader has ended the exchange: no response is written
 )
 
-// newClientConn returns a connection at the stage of reading.
+// newClientConn returns a connection in stageReading.
 func newClientConn(raw net.Conn) *clientConn {
 	conn := &deadlineConn{Conn: raw}
 	return &clientConn{
@@ -60,26 +62,27 @@
 	}
 }
 
-// claim lets the reader or the writer move a pending exchange on: one of them, once.
+// claim changes the state of a pending exchange. It returns false if the exchange is not pending, so only the first of
+// reader and writer succeeds.
 func (c *clientConn) claim(state exchangeState) bool {
 	return c.exchangeState.CompareAndSwap(int32(exchangePending), int32(state))
 }
 
-// setExchangeState is for who alone may move the exchange on.
+// setExchangeState sets the state of the exchange. Only the goroutine that owns the exchange calls it.
 func (c *clientConn) setExchangeState(state exchangeState) { c.exchangeState.Store(int32(state)) }
 
-// isExchangePending reports whether a pool has a request of the connection and no response has come.
+// isExchangePending reports whether a pool has a request of the connection and no response has arrived.
 func (c *clientConn) isExchangePending() bool {
 	return exchangeState(c.exchangeState.Load()) == exchangePending
 }
 
-// cancelExchange ends the request that a pool has.
+// cancelExchange tells the pool that the client has left, and releases the exchange.
 func (c *clientConn) cancelExchange() {
 	c.exchange.PoolRequest().ClientLeft()
 	c.releaseExchange()
 }
 
-// releaseExchange gives back the memory of the request's body, and counts the exchange out.
+// releaseExchange releases the memory of the request's body and ends the exchange.
 func (c *clientConn) releaseExchange() {
 	if upload := c.exchange.PoolRequest().Message.Upload; upload != nil {
 		upload.Release()
@@ -87,8 +90,8 @@
 	c.exchange.Done()
 }
 
-// waitWithoutDeadline lets the reader wait for as long as a pool has the request, whatever deadline stood before. It
-// fails once the response has come, so that it never undoes a deadline that the writer has set since.
+// waitWithoutDeadline removes the read deadline while a pool has the request. Once a response has arrived it returns
+// false and changes nothing, so that it can't remove a deadline that the writer has set.
 func (c *clientConn) waitWithoutDeadline() bool {
 	c.conn.mu.Lock()
 	defer c.conn.mu.Unlock()
@@ -99,12 +102,12 @@
 	return true
 }
 
-// interruptRead ends the reader's wait for bytes.
+// interruptRead ends the reader's wait for bytes with a timeout error.
 func (c *clientConn) interruptRead() {
-	_ = c.SetReadDeadline(expiredDeadline) // fails on a closed connection, as the read does then
+	_ = c.SetReadDeadline(expiredDeadline) // if it fails, so does the read
 }
 
-// closeBeforeBodyEnd ends a connection whose response was written before the client had sent its body to the end.
+// closeBeforeBodyEnd does a lingering close if the response was written before the client had sent its whole body.
 func (c *clientConn) closeBeforeBodyEnd() {
 	upload := c.exchange.PoolRequest().Message.Upload
 	if upload.Unread() {
@@ -113,8 +116,8 @@
 	}
 }
 
-// lingeringClose closes this side, and reads and drops what the client still sends, for a time and up to a number of
-// bytes. Its errors are those of a connection that the client has closed, which is what it waits for.
+// lingeringClose closes the write side, and then reads and discards up to maxBytes bytes until the client closes the
+// connection or the timeout ends. Its errors mean that the client has closed the connection, so they are ignored.
 func (c *clientConn) lingeringClose(timeout time.Duration, maxBytes int64) {
 	halfCloser, ok := c.conn.Conn.(interface {
 		net.Conn
--- a/internal/frontend/closing_test.go
+++ b/internal/frontend/closing_test.go
@@ -9,7 +9,7 @@
 	"testing"
 )
 
-// stopInBackground calls Stop, and returns a channel that is closed once it has returned.
+// stopInBackground calls Stop in a goroutine. It returns a channel that is closed once Stop has returned.
 func stopInBackground(server *Server) <-chan struct{} {
 	stopped := make(chan struct{})
 	go func() {
@@ -19,8 +19,8 @@
 	return stopped
 }
 
-// A request comes on an idle connection at the moment at which the balancer lets that end: the bytes are in the socket,
-// and the reader has not seen them when it is interrupted. It is served, and its response closes the connection.
+// A request arrives on an idle connection while Stop retires that: its bytes are in the socket, but the reader is
+// interrupted before it has read them. The request is served, and its response closes the connection.
 func TestStopServesRequestThatCrossesIt(t *testing.T) {
 	server, listener, router := newHookedServer(t)
 	gate := make(chan struct{})
@@ -32,7 +32,7 @@
 		runtime.Gosched()
 	}
 	stopped := stopInBackground(server)
-	for server.connectionsInStage(stageIdle) > 0 { // until it is to end
+	for server.connectionsInStage(stageIdle) > 0 { // until Stop has retired the connection
 		runtime.Gosched()
 	}
 	client.send(t, getRequest)
@@ -44,8 +44,8 @@
 	<-stopped
 }
 
-// Behind the last response of a connection the client has sent more than is ever read. A close over that would be a
-// reset.
+// A client has sent more bytes than the server reads when the last response is written. A plain close would reset the
+// connection, and the response would be lost.
 func TestLastResponseArrivesOverUnreadBytes(t *testing.T) {
 	_, listener, router := newHookedServer(t)
 	more := strings.Repeat("x", 64<<10)
@@ -57,7 +57,7 @@
 		}
 	})
 	sendMore <- func() {
-		// It may fail in part: the connection is closed with bytes in the socket.
+		// The write may fail in part, since the server closes the connection before it has read all bytes.
 		_, _ = io.WriteString(client, more)
 	}
 	client.send(t, strings.Replace(getRequest, "\r\n\r\n", "\r\nConnection: close\r\n\r\n", 1))
@@ -66,8 +66,8 @@
 	client.expectEnd(t)
 }
 
-// A request of which a part has come when the balancer is told to stop is served if the rest comes soon, and rejected
-// if it does not.
+// A request that has arrived in part when Stop is called is served if the rest arrives soon, and rejected if it does
+// not.
 func TestStopBoundsPartialRequest(t *testing.T) {
 	for _, test := range []struct {
 		name   string
@@ -87,7 +87,7 @@
 				runtime.Gosched()
 			}
 			stopped := stopInBackground(server)
-			// Once the unused connection has ended, those that have sent no byte are closed.
+			// The end of the unused connection shows that Stop has retired the connections without a byte.
 			if _, err := unused.Read(make([]byte, 1)); !errors.Is(err, io.EOF) {
 				t.Errorf("an unused connection ends with %v", err)
 			}
--- a/internal/frontend/connected.go
+++ b/internal/frontend/connected.go
@@ -5,8 +5,8 @@
 	"syscall"
 )
 
-// Connected examines, without waiting and without consuming a byte, whether the client is still connected. What it has
-// sent beyond its request is the reader's to see.
+// Connected reports, without waiting and without consuming a byte, whether the client is still connected. It ignores
+// bytes beyond the request, which the reader handles.
 func (c *clientConn) Connected() bool {
 	socket, ok := c.conn.Conn.(syscall.Conn)
 	if !ok {
@@ -26,7 +26,7 @@
 	return connected && !closedHere
 }
 
-// hasPendingBytes reports whether bytes of the client wait to be read.
+// hasPendingBytes reports whether bytes from the client are ready to be read.
 func (c *clientConn) hasPendingBytes() bool {
 	if c.Buffered() > 0 {
 		return true
@@ -40,14 +40,14 @@
 		return false
 	}
 	pending := false
-	_ = raw.Control(func(fd uintptr) { // fails on a closed connection, which has none
+	_ = raw.Control(func(fd uintptr) { // fails only on a closed connection, which has no pending bytes
 		n, err := peekByte(fd)
 		pending = err == nil && n > 0
 	})
 	return pending
 }
 
-// peekByte looks at the next byte of a socket without consuming it, and does not wait for one.
+// peekByte peeks at the next byte of a socket without waiting. It returns 1 if there is one, and 0 at the end of input.
 func peekByte(fd uintptr) (int, error) {
 	var b [1]byte
 	n, _, err := syscall.Recvfrom(int(fd), b[:], syscall.MSG_PEEK|syscall.MSG_DONTWAIT)
--- a/internal/frontend/connected_test.go
+++ b/internal/frontend/connected_test.go
@@ -30,7 +30,7 @@
 	return dialed.(*net.TCPConn), accepted.(*net.TCPConn)
 }
 
-// waitForEvent waits until bytes, an end or a reset have come on a connection.
+// waitForEvent waits until bytes, the end of input or a reset have arrived on a connection.
 func waitForEvent(t *testing.T, conn *net.TCPConn) {
 	t.Helper()
 	raw, err := conn.SyscallConn()
@@ -46,8 +46,8 @@
 	}
 }
 
-// A client that has closed its connection is seen to have left by who is about to forward its request, whoever reads
-// the connection; one that has sent more than its request is still there.
+// Connected finds that a client has closed or reset its connection, without reading from it. A client that has sent
+// bytes beyond its request is still connected.
 func TestConnectedSeesClientLeave(t *testing.T) {
 	for _, test := range []struct {
 		name      string
--- a/internal/frontend/deadlines.go
+++ b/internal/frontend/deadlines.go
@@ -9,27 +9,26 @@
 // expiredDeadline is a deadline in the past.
 var expiredDeadline = time.Unix(0, 1)
 
-// deadlineConn sets a connection's deadlines. To set one costs as much as a good part of a request, so the current one
-// is kept for as long as it is about right.
+// deadlineConn sets the deadlines of a connection. Setting one takes a considerable part of the time of serving a
+// request, so a deadline is only replaced if it is too early.
 type deadlineConn struct {
 	net.Conn
 
-	// The reader's: the end of the request that is being read, zero while none is, and the bytes per second that a
-	// body must come with beyond that.
-	requestDeadline time.Time
-	minBodyRate     int
+	// Used only by the reader.
+	requestDeadline time.Time // by which the current request must be read; zero: no request is being read
+	minBodyRate     int       // minimum rate of a request body, in bytes per second
 
-	writeDeadline time.Time // the current one; the writer's, or the reader's while no exchange is pending
+	writeDeadline time.Time // used by the writer, and by the reader while no exchange is pending
 
 	mu           sync.Mutex
-	readDeadline time.Time // the current one; zero: none
-	expired      bool      // the rest of an incomplete request is no longer waited for
+	readDeadline time.Time // zero: none
+	expired      bool      // set by expire: the read deadline stays in the past
 }
 
-// Under is the connection itself.
+// Underlying returns the connection that d wraps.
 func (d *deadlineConn) Underlying() net.Conn { return d.Conn }
 
-// SetReadDeadline bounds what is read next.
+// SetReadDeadline sets the deadline of reads. It has no effect after expire.
 func (d *deadlineConn) SetReadDeadline(at time.Time) error {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -40,13 +39,13 @@
 	return d.Conn.SetReadDeadline(at)
 }
 
-// SetWriteDeadline bounds what is written next. It is called by the goroutine that writes.
+// SetWriteDeadline sets the deadline of writes. It is called by the goroutine that writes.
 func (d *deadlineConn) SetWriteDeadline(at time.Time) error {
 	d.writeDeadline = at
 	return d.Conn.SetWriteDeadline(at)
 }
 
-// expire ends the wait for the rest of a request, also for what is still to be read of it.
+// expire ends the reading of an incomplete request: the current read and all later ones time out.
 func (d *deadlineConn) expire() {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -55,13 +54,13 @@
 	_ = d.Conn.SetReadDeadline(expiredDeadline) // fails on a closed connection, as the read does then
 }
 
-// removeReadDeadline lets the next read take any time. The caller holds the lock.
+// removeReadDeadline lets reads take any time. The caller holds the lock.
 func (d *deadlineConn) removeReadDeadline() {
 	d.readDeadline = time.Time{}
 	_ = d.Conn.SetReadDeadline(time.Time{}) // fails on a closed connection, as the read does then
 }
 
-// setIdleDeadline lets a connection idle for a time, or for up to an eighth longer.
+// setIdleDeadline sets the read deadline of an idle connection: after the timeout, or up to an eighth of it later.
 func (d *deadlineConn) setIdleDeadline(timeout time.Duration) {
 	now := time.Now()
 	d.mu.Lock()
@@ -72,7 +71,7 @@
 	}
 }
 
-// setWriteTimeout bounds what is written next, by the timeout or by up to twice that.
+// setWriteTimeout sets the deadline of writes to between once and twice the timeout from now.
 func (d *deadlineConn) setWriteTimeout(timeout time.Duration) {
 	now := time.Now()
 	if d.writeDeadline.Before(now.Add(timeout)) {
@@ -80,7 +79,8 @@
 	}
 }
 
-// extendForBody gives a body of so many bytes the time that it may take at the least rate.
+// extendForBody extends the request deadline by the time that a body of this size takes at the minimum rate. It does
+// nothing for a nil deadlineConn.
 func (d *deadlineConn) extendForBody(bytes int) {
 	if d == nil {
 		return
@@ -88,7 +88,7 @@
 	d.requestDeadline = d.requestDeadline.Add(time.Duration(bytes) * time.Second / time.Duration(d.minBodyRate))
 }
 
-// Read bounds each read of a request by StalledClient and by the end of the request.
+// Read implements io.Reader. Each read of a request times out after ReadStallTimeout and at the request deadline.
 func (d *deadlineConn) Read(b []byte) (int, error) {
 	if d.requestDeadline.IsZero() {
 		return d.Conn.Read(b)
@@ -100,7 +100,7 @@
 	_ = d.SetReadDeadline(deadline) // if it fails, so does the read
 	n, err := d.Conn.Read(b)
 	if err != nil {
-		// bufio reads again after an error behind half a line: that must not begin a new wait.
+		// bufio reads again after an error in the middle of a line. That read must not start a new timeout.
 		d.requestDeadline = expiredDeadline
 	}
 	return n, err
--- a/internal/frontend/drain.go
+++ b/internal/frontend/drain.go
@@ -12,9 +12,9 @@
 	return s.drainTimer != nil
 }
 
-// Drain begins a drain or ends it. Requests that come meanwhile are served: clients go on sending for a while. A
-// connection is closed by its next response, or once it has been without a request for so long that most have had one:
-// closed at once, many closes would cross with a request.
+// Drain begins or ends a drain. Requests that arrive during a drain are served. A connection is closed by its next
+// response, or after drainIdlePeriod if it is idle then. If idle connections were closed at once, many closes would
+// coincide with a request.
 func (s *Server) Drain(on bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -27,7 +27,7 @@
 	}
 }
 
-// retireIdleForDrain lets the idle connections end, unless the drain has ended.
+// retireIdleForDrain retires the idle connections, unless the drain has ended.
 func (s *Server) retireIdleForDrain() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -36,9 +36,9 @@
 	}
 }
 
-// Stop ends service without losing a request: connections that are still on their way are accepted, then the listener
-// is closed, connections without a request end, and what has been accepted is answered. A request that has come in part
-// has partialRequestGrace to be complete.
+// Stop shuts the Server down without losing a request. It accepts connections for another lameDuckPeriod, closes the
+// listener, retires connections without a request, and waits until all accepted requests are answered. A request that
+// has arrived in part must be complete within partialRequestGrace.
 func (s *Server) Stop() {
 	s.beginStop()
 	time.Sleep(lameDuckPeriod)
@@ -51,14 +51,14 @@
 	s.waitForConnections()
 }
 
-// beginStop has every response close its connection.
+// beginStop makes every response close its connection.
 func (s *Server) beginStop() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.stopping = true
 }
 
-// closeListener accepts no more connections, and lets idle ones and tunnels end.
+// closeListener closes the listener, retires idle connections and closes tunnels gracefully.
 func (s *Server) closeListener() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -72,7 +72,7 @@
 	s.retireIdle()
 }
 
-// retireUnused lets the connections end that have not sent a byte of a request.
+// retireUnused retires the connections on which no byte has arrived.
 func (s *Server) retireUnused() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -83,7 +83,7 @@
 	}
 }
 
-// expirePartialRequests ends the wait for the rest of requests that have come in part.
+// expirePartialRequests ends the reading of requests that have arrived in part.
 func (s *Server) expirePartialRequests() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -94,10 +94,10 @@
 	}
 }
 
-// isUnused reports whether a new connection has sent no byte of a request. The caller holds the Server's lock.
+// isUnused reports whether no byte has arrived on a new connection. The caller holds the Server's lock.
 func (c *clientConn) isUnused() bool { return c.stage == stageReading && !c.readingRequest }
 
-// retireIdle lets the idle connections end. The caller holds the lock.
+// retireIdle retires the idle connections. The caller holds the lock.
 func (s *Server) retireIdle() {
 	for c := range s.clients {
 		if c.stage == stageIdle {
@@ -106,15 +106,15 @@
 	}
 }
 
-// retire lets a connection without a request end: its reader looks once more whether one has come, serves that, or else
-// ends with a lingering close. Closed from here, with bytes that nobody has read, it would be reset. The caller holds
-// the lock.
+// retire makes the reader of a connection without a request end it: the reader serves a request that has arrived at the
+// same time, or else does a lingering close. If the connection were closed here, unread bytes would cause a reset. The
+// caller holds the lock.
 func (s *Server) retire(client *clientConn) {
 	s.setStage(client, stageClosing)
 	client.interruptRead()
 }
 
-// waitForConnections waits until all that was accepted is answered.
+// waitForConnections waits until all connections have ended, at most for the longest time that an exchange may take.
 func (s *Server) waitForConnections() {
 	answered := make(chan struct{})
 	go func() {
@@ -129,7 +129,7 @@
 	}
 }
 
-// tunnelGrace is the longest time that a tunnel still has.
+// tunnelGrace returns the longest grace time of all tunnels.
 func (s *Server) tunnelGrace() time.Duration {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/frontend/fuzz_test.go
+++ b/internal/frontend/fuzz_test.go
@@ -13,7 +13,7 @@
 	"olivearch/internal/upstream"
 )
 
-// echoRouter is a router whose pool answers each request at once, with the body that came.
+// echoRouter is a Router whose exchanges answer each request at once with the body of the request.
 type echoRouter struct{ requests int }
 
 type echoExchange struct {
@@ -56,8 +56,8 @@
 	}
 }
 
-// FuzzExchange lets a client send anything on one connection. It gets one response for each request that was accepted,
-// in order and readable, at most one rejection behind them, and then the end.
+// FuzzExchange sends arbitrary bytes on one connection. The server must write at most one response for each accepted
+// request or health check, and at most one rejection.
 func FuzzExchange(f *testing.F) {
 	const get = "GET /a HTTP/1.1\r\nHost: x\r\n\r\n"
 	const post = "POST /a HTTP/1.1\r\n"
@@ -87,7 +87,7 @@
 		conn := scripted.Saying(text)
 		server.ServeConn(conn)
 		server.connections.Wait()
-		if bytes.Contains(text, []byte("HTTP/1.1 ")) { // it came back as a body
+		if bytes.Contains(text, []byte("HTTP/1.1 ")) { // the body of a response may contain it too
 			return
 		}
 		output := conn.Heard.Bytes()
--- a/internal/frontend/handover.go
+++ b/internal/frontend/handover.go
@@ -7,16 +7,16 @@
 	"olivearch/internal/hotrestart"
 )
 
-// HandOver ends service where the peer process of a hot restart has the listener too: the peer process gets the
-// connections without a request, now or once their request is answered. Bytes that come meanwhile wait in the socket,
-// so no request crosses with a close.
+// HandOver ends the Server in a hot restart, once the peer process has the listener too. The peer process gets the
+// connections without a request at once, and the others when their request is answered. Bytes that arrive meanwhile
+// stay in the socket, so no request is lost to a close.
 func (s *Server) HandOver(peerProcess *hotrestart.Link) {
 	s.beginHandOver(peerProcess)
 	<-s.acceptEnded
 	s.waitForConnections()
 }
 
-// beginHandOver accepts no more connections, and has the readers that wait for a request hand theirs over.
+// beginHandOver closes the listener, and makes the readers that wait for a request hand over their connections.
 func (s *Server) beginHandOver(peerProcess *hotrestart.Link) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -30,8 +30,9 @@
 	}
 }
 
-// handOverConnection hands a connection over whose wait for a request has ended with an error, if there is a peer
-// process and no byte of a request has been read. It reports whether the connection was to be handed over.
+// handOverConnection hands a connection over to the peer process after the wait for a request has ended with err. It
+// returns false if there is no peer process, err is not a timeout, or a byte of a request has been read. It returns
+// true even if sending to the peer process failed: the connection ends in this process in either case.
 func (s *Server) handOverConnection(client *clientConn, err error) bool {
 	s.mu.Lock()
 	peerProcess := s.peerProcess
--- a/internal/frontend/hooked_server_test.go
+++ b/internal/frontend/hooked_server_test.go
@@ -17,7 +17,7 @@
 
 const getRequest = "GET /a HTTP/1.1\r\nHost: x\r\n\r\n"
 
-// heldRouter is a router whose pool answers each request when the test says so.
+// heldRouter is a Router whose exchanges hold each request until the test answers it.
 type heldRouter struct{ submitted chan *pool.Request }
 
 type heldExchange struct {
@@ -41,21 +41,21 @@
 	return pool.Response{}, nil
 }
 
-// reply answers the next request that comes.
+// reply answers the next request that is submitted.
 func (r *heldRouter) reply(t *testing.T) {
 	t.Helper()
 	select {
 	case request := <-r.submitted:
 		request.Responses <- pool.Response{Status: http.StatusOK}
 	case <-time.After(10 * time.Second):
-		t.Fatal("no request comes")
+		t.Fatal("no request was submitted within 10 s")
 	}
 }
 
-// hookedConn is a client's connection as the Server has it, with places at which a test may step in.
+// hookedConn is the server side of a client's connection, with hooks that a test can set.
 type hookedConn struct {
 	*net.TCPConn
-	secondRead  chan struct{} // not nil: a second Read begins once it is closed
+	secondRead  chan struct{} // not nil: each Read after the first waits until it is closed
 	reads       int
 	beforeWrite func() // not nil: called before each Write
 }
@@ -75,7 +75,7 @@
 	return c.TCPConn.Write(b)
 }
 
-// waitForBytes waits until so many bytes of the client are in the socket.
+// waitForBytes waits until the socket holds the given number of bytes from the client.
 func (c *hookedConn) waitForBytes(t *testing.T, bytes int) {
 	t.Helper()
 	raw, err := c.SyscallConn()
@@ -95,13 +95,13 @@
 			return
 		}
 	}
-	t.Fatal("the client's bytes do not come")
+	t.Fatal("the client's bytes did not arrive within 10 s")
 }
 
 // hookedListener accepts connections as hookedConns.
 type hookedListener struct {
 	net.Listener
-	accepted chan *hookedConn // from Accept to dial, and back once its hooks are set
+	accepted chan *hookedConn // passes a connection from Accept to dial, and back once its hooks are set
 }
 
 func (l *hookedListener) Accept() (net.Conn, error) {
@@ -115,7 +115,7 @@
 	return hooked, nil
 }
 
-// newHookedServer serves on a loopback port until the test ends.
+// newHookedServer starts a Server on a loopback port. It runs until the test ends.
 func newHookedServer(t *testing.T) (*Server, *hookedListener, *heldRouter) {
 	t.Helper()
 	tcpListener, err := net.Listen("tcp", "127.0.0.1:0")
@@ -136,13 +136,13 @@
 	return server, listener, router
 }
 
-// testClient is the client's side of a connection.
+// testClient is the client side of a connection.
 type testClient struct {
 	*net.TCPConn
 	in *bufio.Reader
 }
 
-// dial opens a connection, and lets a test set its hooks before it is served.
+// dial opens a connection and calls setHooks on its server side before that is served.
 func (l *hookedListener) dial(t *testing.T, setHooks func(*hookedConn)) (*testClient, *hookedConn) {
 	t.Helper()
 	conn, err := net.Dial("tcp", l.Addr().String())
@@ -172,7 +172,7 @@
 	t.Helper()
 	resp, err := http.ReadResponse(c.in, nil)
 	if err != nil {
-		t.Fatalf("no answer: %v", err)
+		t.Fatalf("no response: %v", err)
 	}
 	defer resp.Body.Close()
 	if _, err := io.Copy(io.Discard, resp.Body); err != nil {
@@ -183,7 +183,7 @@
 	}
 }
 
-// expectEnd reads to the end, which must be no reset: that would destroy a response under way.
+// expectEnd checks that the connection ends without more bytes and without a reset, which could destroy a response.
 func (c *testClient) expectEnd(t *testing.T) {
 	t.Helper()
 	if rest, err := io.ReadAll(c.in); err != nil || len(rest) > 0 {
@@ -191,14 +191,14 @@
 	}
 }
 
-// connectionsInStage counts the connections at a stage.
+// connectionsInStage returns the number of connections in a stage.
 func (s *Server) connectionsInStage(at stage) int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.stageCounts[at]
 }
 
-// partialRequests counts the connections on which a request is being read.
+// partialRequests returns the number of connections on which a request is being read.
 func (s *Server) partialRequests() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/frontend/limits.go
+++ b/internal/frontend/limits.go
@@ -7,27 +7,27 @@
 )
 
 const (
-	// defaultSpoolBytes is what all clients' bodies may take ahead of their attempts where nothing else is set.
+	// defaultSpoolBytes is the default memory for request bodies that are read ahead, for all clients together.
 	defaultSpoolBytes = 16 << 20
-	// readBufferBytes is the size of the buffer that a client's connection is read into.
+	// readBufferBytes is the size of the read buffer of a client connection.
 	readBufferBytes = 4 << 10
-	// bufferedBodyBytes is what of a body each request may buffer outside of the spool.
+	// bufferedBodyBytes is the part of a request body that is buffered without taking memory from the spool.
 	bufferedBodyBytes = 64 << 10
-	// defaultMinBodyRate is the least rate of a body in bytes per second where nothing else is set.
+	// defaultMinBodyRate is the default minimum rate of a request body, in bytes per second.
 	defaultMinBodyRate = 8 << 10
 )
 
-// Limits are what a listener's clients may take.
+// Limits are the limits for the clients of a listener.
 type Limits struct {
-	Connections int
-	Head        int           // bytes of a request's head
-	Within      time.Duration // for a request's head, and for as much of its body as comes at the least rate
-	Rate        int           // bytes per second: a body that comes slower is rejected
-	Floor       bool          // Rate holds for bodies that are forwarded as they come too
-	HTTP10      bool          // HTTP/1.0 is served too
+	Connections int           // largest number of connections
+	Head        int           // largest head of a request in bytes
+	Within      time.Duration // time to receive a request, plus the time that its body takes at Rate
+	Rate        int           // minimum rate of a body in bytes per second; a slower one is rejected
+	Floor       bool          // whether Rate also applies to streamed bodies
+	HTTP10      bool          // whether HTTP/1.0 is served
 }
 
-// DefaultLimits returns the limits where nothing but the number of connections is set.
+// DefaultLimits returns the default limits, with the given number of connections.
 func DefaultLimits(connections int) Limits {
 	return Limits{
 		Connections: connections,
--- a/internal/frontend/reader.go
+++ b/internal/frontend/reader.go
@@ -9,8 +9,8 @@
 	"olivearch/internal/pool"
 )
 
-// serveConnection is a connection's reader. It serves the connection until one side ends it, and starts the writer.
-// Clients send one request at a time.
+// serveConnection is the reader of a connection. It starts the writer and serves the connection until either side ends
+// it. Clients send one request at a time.
 func (s *Server) serveConnection(client *clientConn) {
 	quit := make(chan struct{})
 	defer close(quit)
@@ -44,9 +44,9 @@
 	}
 }
 
-// awaitResponse is called when bytes, an end or an interruption have come while a pool had the request. It cancels the
-// request if the client has left, or else waits until the response is written. It reports whether the connection stays
-// open.
+// awaitResponse is called when the reader's wait has ended while a pool had the request: with bytes if err is nil, else
+// with the end of the connection or an interruption. If no response has arrived it cancels the exchange, and rejects
+// pipelined bytes. Else it waits until the response is written. It reports whether the connection stays open.
 func (s *Server) awaitResponse(client *clientConn, err error) bool {
 	if client.claim(exchangeCanceled) {
 		client.cancelExchange()
@@ -67,7 +67,7 @@
 }
 
 // mayReadAgain is called when the wait for a request has ended with an error. It reports whether the connection stays
-// open, as a request has come at the same time.
+// open because a request has arrived at the same time.
 func (s *Server) mayReadAgain(client *clientConn, err error) bool {
 	if s.handOverConnection(client, err) {
 		return false
@@ -83,16 +83,16 @@
 	return false
 }
 
-// requestOutcome is what became of a request that was read.
+// requestOutcome is the result of serveRequest.
 type requestOutcome int
 
 const (
 	connectionEnds  requestOutcome = iota
-	responseWritten                // by the reader; the connection stays open
-	responsePending                // the writer writes it
+	responseWritten                // the reader has written the response; the connection stays open
+	responsePending                // the writer writes the response
 )
 
-// serveRequest reads a request and submits it to its pool, or answers it itself.
+// serveRequest reads a request and submits it to its pool, or answers it if it is invalid or a health check.
 func (s *Server) serveRequest(client *clientConn) requestOutcome {
 	if !s.enterStage(client, stageReading) {
 		return connectionEnds
@@ -120,7 +120,7 @@
 	return s.submit(client, exchange)
 }
 
-// submit submits a request to its pool. From then on the writer may write its response.
+// submit submits a request to its pool. From exchangePending on the writer may write the response.
 func (s *Server) submit(client *clientConn, exchange Exchange) requestOutcome {
 	request := exchange.PoolRequest()
 	request.Responses = client.responses
@@ -138,7 +138,7 @@
 	return responsePending
 }
 
-// answerRejected answers a request that its pool has rejected, by an error or a response.
+// answerRejected answers a request that its pool has rejected. If err is nil, rejected is the response.
 func (s *Server) answerRejected(client *clientConn, rejected pool.Response, err error) requestOutcome {
 	client.setExchangeState(exchangeNone)
 	upload := client.exchange.PoolRequest().Message.Upload
@@ -156,8 +156,8 @@
 	return responseWritten
 }
 
-// waitForUpload waits while a body is forwarded as it comes, since until then nobody else may read the connection. It
-// reports whether the connection stays open.
+// waitForUpload waits until an attempt no longer reads the streamed body from the connection, since only one goroutine
+// may read it. It reports whether the connection stays open.
 func (s *Server) waitForUpload(client *clientConn, upload *body.Upload) bool {
 	select {
 	case staysOpen := <-client.responded: // answered before the body was complete
@@ -170,7 +170,7 @@
 			return false
 		}
 	}
-	if upload.Unread() { // the writer ends the connection, and nothing more is read for a pool
+	if upload.Unread() { // the response closes the connection, and the body is no longer needed
 		<-client.responded
 		client.closeBeforeBodyEnd()
 		return false
--- a/internal/frontend/rejection.go
+++ b/internal/frontend/rejection.go
@@ -11,7 +11,8 @@
 	"olivearch/internal/pool"
 )
 
-// Rejection is the error of a request that never reaches a pool, and what its client gets.
+// Rejection is the error of a request that never reaches a pool. The client gets the status, and the reason as the
+// body.
 type Rejection struct {
 	Status int
 	Reason string
@@ -24,17 +25,17 @@
 	return &Rejection{http.StatusBadRequest, fmt.Sprintf(format, args...)}
 }
 
-// errPipelined rejects a client that sends more before it has the response to its request.
+// errPipelined is the error of a client that sends bytes behind a request before it has the response.
 var errPipelined = BadRequest("bytes behind a request that is not answered yet")
 
-// isTimeout reports whether an error is that of a deadline.
+// isTimeout reports whether an error is that of a network deadline.
 func isTimeout(err error) bool {
 	var netError net.Error
 	return errors.As(err, &netError) && netError.Timeout()
 }
 
-// rejectionFor returns what a client gets whose request could not be read or served; nil: nothing, as its connection
-// broke.
+// rejectionFor returns the rejection for the error of a request that could not be read or served. It returns nil for
+// other errors, which mean that the connection failed.
 func rejectionFor(err error) *Rejection {
 	var rejection *Rejection
 	switch {
@@ -57,8 +58,8 @@
 	}
 }
 
-// reject answers a client whose request can't be served, and closes the connection: where its next request begins is
-// not certain. One whose connection broke gets no response.
+// reject answers a request that can't be served and does a lingering close, since the start of the next request is not
+// certain. If the connection failed, it writes no response.
 func (s *Server) reject(client *clientConn, err error) {
 	if !s.enterStage(client, stageReading) {
 		return
--- a/internal/frontend/request.go
+++ b/internal/frontend/request.go
@@ -17,21 +17,23 @@
 	version10 = "HTTP/1.0"
 	version11 = "HTTP/1.1"
 
-	// healthTarget is what a health check of this balancer asks for. One with a request id is an ordinary request.
+	// healthTarget is the target of a health check of this balancer. A GET of it with an X-Request-Id is an
+	// ordinary request.
 	healthTarget = "/healthz"
 
-	// continueResponse lets a client send its body (RFC 9110, section 10.1.1).
+	// continueResponse is the interim response after which a client sends its body (RFC 9110, section 10.1.1).
 	continueResponse = "HTTP/1.1 100 Continue\r\n\r\n"
 )
 
-// SingletonFields names the fields of which a second one would leave open which of them counts.
+// SingletonFields holds the names of the fields that a request may have only once, since with several it would be
+// ambiguous which one applies.
 var SingletonFields = []string{
 	"Host", "Content-Length", "X-Request-Id", "X-Class", "X-Tenant", "X-Deadline-Ms", "Idempotency-Key",
 	"X-Retry", "X-Cost-Hint", "X-Extras", "Cookie",
 }
 
-// ReadRequest reads one request from a connection as a Server does, for tests and tools that examine what becomes of
-// it. A nil Exchange is a health check of the balancer.
+// ReadRequest reads one request from a connection as a Server does. Tests and tools use it to examine the result. A nil
+// Exchange means a health check of the balancer.
 func ReadRequest(router Router, conn net.Conn) (Exchange, error) {
 	c := &clientConn{Stream: http1.NewStream(conn, readBufferBytes)}
 	c.Limit(http1.MaxHead)
@@ -39,8 +41,8 @@
 	return exchange, err
 }
 
-// readRequest reads a client's request. A nil Exchange is a health check of this balancer. What is malformed never
-// reaches a pool.
+// readRequest reads a request from a client and returns it with its fields. A nil Exchange means a health check of this
+// balancer. A malformed request yields an error and never reaches a pool.
 func (s *Server) readRequest(client *clientConn) (Exchange, http1.Fields, error) {
 	line, header, err := client.ReadHead()
 	if err != nil {
@@ -73,7 +75,7 @@
 	}
 	if hasBody {
 		if expectation == expectsContinue && client.Buffered() == 0 {
-			_, _ = io.WriteString(client, continueResponse) // if it fails, so does the reading
+			_, _ = io.WriteString(client, continueResponse) // if it fails, so does the read
 		}
 		if err := s.readBody(client, request, framing); err != nil {
 			return nil, nil, err
@@ -82,11 +84,11 @@
 	if client.Buffered() > 0 && !request.Message.Upload.Streaming() {
 		return nil, nil, errPipelined
 	}
-	request.ReceivedAt = s.router.Now() // after its last byte
+	request.ReceivedAt = s.router.Now() // after the bytes of the body that are read before an attempt
 	return exchange, header, nil
 }
 
-// checkVersion rejects versions of HTTP that are not served, and framing that HTTP/1.0 does not have.
+// checkVersion rejects HTTP versions that are not served, and Transfer-Encoding in HTTP/1.0.
 func checkVersion(version string, http10 bool, header http1.Fields) error {
 	if version != version11 && !http10 {
 		return &Rejection{http.StatusHTTPVersionNotSupported, "HTTP/1.1 is wanted"}
@@ -97,7 +99,7 @@
 	return nil
 }
 
-// checkRepeatedFields rejects a second one of the fields that Once names.
+// checkRepeatedFields rejects a request that has one of SingletonFields more than once.
 func checkRepeatedFields(header http1.Fields) error {
 	for _, name := range SingletonFields {
 		if header.Count(name) > 1 {
@@ -111,7 +113,7 @@
 	return method == http.MethodGet && target == healthTarget && header.Get("X-Request-Id") == ""
 }
 
-// expectation is what a client expects before it sends its body (RFC 9110, section 10.1.1).
+// expectation is the meaning of a request's Expect field (RFC 9110, section 10.1.1).
 type expectation int
 
 const (
@@ -120,7 +122,7 @@
 	unknownExpectation
 )
 
-// expectationOf reads the field Expect, which is ignored in HTTP/1.0.
+// expectationOf returns the meaning of the field Expect, which is ignored in HTTP/1.0.
 func expectationOf(client *clientConn, header http1.Fields) expectation {
 	value := header.Get("Expect")
 	switch {
@@ -133,8 +135,8 @@
 	}
 }
 
-// framingOf returns how a request's body is framed, and whether it has one. A body that is malformed, too large, or not
-// expected of the message is rejected.
+// framingOf returns the framing of a request's body, and whether the request declares one. It rejects malformed
+// framing, a body that is too large, and a body that the message requires but lacks or has but must not have.
 func framingOf(method string, header http1.Fields, message *upstream.Message) (http1.Framing, bool, error) {
 	framing, hasBody, err := http1.FramingOf(header)
 	if err != nil {
@@ -154,7 +156,7 @@
 
 var errBodyTooLarge = &Rejection{http.StatusRequestEntityTooLarge, "a body of that length is not taken"}
 
-// framingRejection returns what a client gets whose framing can't be read.
+// framingRejection returns the rejection for an error of http1.FramingOf.
 func framingRejection(err error, header http1.Fields) *Rejection {
 	badRequest := func(why string) *Rejection { return &Rejection{http.StatusBadRequest, why} }
 	switch {
@@ -163,14 +165,14 @@
 	case !header.Has("Content-Length"): // RFC 9112, section 6.1
 		return &Rejection{http.StatusNotImplemented, "of transfer codings, chunked is known"}
 	case header.Has("Transfer-Encoding"):
-		// An upstream may go by the other one: the rest of the body would be a request of its own.
+		// An upstream might use the other field and take the rest of the body for another request.
 		return badRequest("Content-Length beside Transfer-Encoding")
 	default:
 		return badRequest("Content-Length is no number")
 	}
 }
 
-// readBody reads a body, or the part of it that is read ahead.
+// readBody reads a body, or the part that is read ahead of a long one, into the message.
 func (s *Server) readBody(client *clientConn, request *pool.Request, framing http1.Framing) error {
 	message := &request.Message
 	limits := message.BodyLimits()
--- a/internal/frontend/response.go
+++ b/internal/frontend/response.go
@@ -11,10 +11,11 @@
 	"olivearch/internal/pool"
 )
 
-// errEndsWithClose is that of a response whose end is the close of its connection (RFC 9112, section 6.3).
-var errEndsWithClose = errors.New("the answer ends with the connection")
+// errEndsWithClose is returned for a complete response whose end the client recognizes by the close of the connection
+// (RFC 9112, section 6.3).
+var errEndsWithClose = errors.New("response must end with the close of the connection")
 
-// bodyFraming is how a client finds the end of a response (RFC 9112, section 6.3).
+// bodyFraming is the way in which a client finds the end of a response (RFC 9112, section 6.3).
 type bodyFraming int
 
 const (
@@ -25,7 +26,7 @@
 	upgraded // the connection becomes a tunnel
 )
 
-// framingOfResponse returns how a response is framed, and its length where that is what frames it.
+// framingOfResponse returns the framing of a response, and the value of Content-Length for framedByLength.
 func framingOfResponse(response pool.Response, http10 bool) (framing bodyFraming, length string) {
 	unknownLength := response.Stream != nil && response.Stream.HasUnknownLength()
 	switch {
@@ -40,22 +41,23 @@
 	case response.Stream != nil:
 		return framedByLength, strconv.FormatUint(response.Stream.Length(), 10)
 	case response.Header.Has("Content-Length") && len(response.Body) == 0:
-		// A response to HEAD has the length that the one to GET would have.
+		// A response to HEAD has the Content-Length of the response to GET (RFC 9110, section 8.6).
 		return framedByLength, response.Header.Get("Content-Length")
 	default:
 		return framedByLength, strconv.Itoa(len(response.Body))
 	}
 }
 
-// writeField writes a header field; the name comes with colon and space.
+// writeField writes a line of a head: a name that includes its separator, such as "Connection: ", and a value.
 func writeField(b *bytes.Buffer, name, value string) {
 	b.WriteString(name)
 	b.WriteString(value)
 	b.WriteString("\r\n")
 }
 
-// writeResponse writes a response, with a field that announces the close of the connection where closes is set. If it
-// fails the client has left, and can tell that the response is not complete; errEndsWithClose is the exception.
+// writeResponse writes a response, with "Connection: close" if closes is set. It returns errEndsWithClose if the
+// response is complete and the connection must be closed. After any other error the response is not complete, and the
+// client recognizes that by the close of the connection.
 func (c *clientConn) writeResponse(response pool.Response, closes bool) error {
 	b := http1.GetBuffer()
 	defer http1.PutBuffer(b)
@@ -110,8 +112,8 @@
 	buffer.WriteString("\r\n")
 }
 
-// retryAfter formats a pause in seconds: whole ones, rounded up, where the client knows only these (RFC 9110, section
-// 10.2.3), else with milliseconds.
+// retryAfter formats the value of Retry-After in seconds: whole seconds, rounded up, if the response requires that (RFC
+// 9110, section 10.2.3), else with three decimals.
 func retryAfter(response pool.Response) string {
 	if response.RetryAfterInSeconds {
 		seconds := (response.RetryAfter + time.Second - 1) / time.Second
@@ -120,7 +122,8 @@
 	return strconv.FormatFloat(response.RetryAfter.Seconds(), 'f', 3, 64)
 }
 
-// writeEarlyHints writes an interim response (RFC 8297), unless the reader has canceled the exchange.
+// writeEarlyHints writes an interim response with status 103 (RFC 8297), unless the reader has canceled the exchange or
+// the client uses HTTP/1.0.
 func (c *clientConn) writeEarlyHints(response pool.Response) {
 	if c.http10 || !c.isExchangePending() {
 		return
--- a/internal/frontend/response_test.go
+++ b/internal/frontend/response_test.go
@@ -9,7 +9,7 @@
 	"olivearch/internal/pool"
 )
 
-// A pause is rounded up to whole seconds for clients that know only these, so that none comes back too early.
+// Retry-After is rounded up when it must be in whole seconds, so that no client retries too early.
 func TestRetryAfter(t *testing.T) {
 	for _, test := range []struct {
 		pause     time.Duration
@@ -29,7 +29,7 @@
 	}
 }
 
-// The end of a buffered response is its length, or chunks where trailers follow and the client knows them.
+// A buffered response has a Content-Length, or chunks if a trailer follows and the client does not use HTTP/1.0.
 func TestFramingOfResponse(t *testing.T) {
 	trailer := http1.Fields{}
 	trailer.Add("X-Checksum", "1")
--- a/internal/frontend/router.go
+++ b/internal/frontend/router.go
@@ -7,26 +7,26 @@
 	"olivearch/internal/pool"
 )
 
-// Router decides where a Server's requests go, and which of them never reach a pool. It is called from many goroutines.
+// Router selects the pool of each request of a Server, or rejects the request. It is called from many goroutines.
 type Router interface {
-	// Check reads what a request's head says. A malformed one is rejected with a *Rejection.
+	// Check returns the exchange for the head of a request. It may change the fields. The error for a head that
+	// can't be served is a *Rejection.
 	Check(method, target string, h *http1.Fields) (Exchange, error)
-	// Ping returns once all pools have had a turn.
+	// Ping returns once the event loops of all pools have handled an event.
 	Ping()
-	// Now is the time on the pools' clock.
+	// Now returns the time on the clock of the pools.
 	Now() time.Duration
-	// MaxDeadline is the longest time that a client waits.
+	// MaxDeadline returns the longest time that a client may wait for a response.
 	MaxDeadline() time.Duration
 }
 
-// Exchange is a request on its way from a client to a pool. It belongs to the client's connection until Admit has
-// succeeded.
+// Exchange is a request that has been routed to a pool. The client's connection owns it until Admit has succeeded.
 type Exchange interface {
-	// PoolRequest is the request as a pool takes it.
+	// PoolRequest returns the request that Admit submits.
 	PoolRequest() *pool.Request
-	// Admit submits the request to its pool. A response with a status means that the pool rejects it, and is what
-	// the client gets.
+	// Admit submits the request to its pool. If the returned response has a status, the pool has rejected the
+	// request, and the client gets that response.
 	Admit() (pool.Response, error)
-	// Done follows each Admit that has succeeded, once the request is answered or its client has left.
+	// Done is called once after each successful Admit, when the request is answered or its client has left.
 	Done()
 }
--- a/internal/frontend/server.go
+++ b/internal/frontend/server.go
@@ -12,30 +12,30 @@
 	"olivearch/internal/hotrestart"
 )
 
-// Server accepts client connections, submits their requests to pools and writes the responses.
+// Server accepts client connections on a listener, submits their requests to pools and writes the responses.
 type Server struct {
 	router   Router
 	listener net.Listener
 	limits   atomic.Pointer[Limits]
-	spool    body.Spool // for bodies that are read ahead
+	spool    body.Spool // for request bodies that are read ahead
 
-	// keepAliveLimit is the number of active and idle connections over which the one that idles longest is closed;
-	// 0: none is.
+	// keepAliveLimit is the number of active and idle connections above which the longest idle one is closed; 0: no
+	// limit.
 	keepAliveLimit int
 
 	mu             sync.Mutex
 	clients        map[*clientConn]struct{}
-	stageCounts    [stageEvicted + 1]int // of clients, by their stage
+	stageCounts    [stageEvicted + 1]int // number of clients in each stage
 	stopping       bool                  // every response closes its connection
-	drainTimer     *time.Timer           // drained: as stopping, and idle connections end when it fires; nil: not drained
-	listenerClosed bool                  // no more connections are accepted, and idle ones end
-	peerProcess    *hotrestart.Link      // takes over the connections without a request; nil: none does
+	drainTimer     *time.Timer           // closes idle connections after drainIdlePeriod; nil: no drain
+	listenerClosed bool                  // no more connections are accepted, and idle ones are closed
+	peerProcess    *hotrestart.Link      // takes over the connections without a request; nil: no hot restart
 
-	acceptEnded chan struct{}  // closed once Serve accepts no more connections
-	connections sync.WaitGroup // that are being served
+	acceptEnded chan struct{}  // closed when Serve returns
+	connections sync.WaitGroup // connections that are being served
 }
 
-// New returns a Server for a listener's clients.
+// New returns a Server for the clients of a listener.
 func New(router Router, listener net.Listener, limits Limits) *Server {
 	s := &Server{
 		router:      router,
@@ -48,23 +48,24 @@
 	return s
 }
 
-// SetKeepAliveLimit has the connection that idles longest closed whenever more than so many are active or idle. It is
-// called before Serve.
+// SetKeepAliveLimit sets the number of active and idle connections above which the longest idle one is closed; 0: no
+// limit. It is called before Serve.
 func (s *Server) SetKeepAliveLimit(connections int) { s.keepAliveLimit = connections }
 
-// SetSpoolBytes gives clients' bodies so many bytes to be read ahead into.
+// SetSpoolBytes sets the memory, in bytes, for request bodies that are read ahead.
 func (s *Server) SetSpoolBytes(bytes int64) { s.spool.SetSize(bytes) }
 
-// FreeSpoolBytes returns how much of that is free, in bytes.
+// FreeSpoolBytes returns the free part of the memory that SetSpoolBytes sets, in bytes.
 func (s *Server) FreeSpoolBytes() int64 { return s.spool.Free() }
 
-// Listener is where connections are accepted.
+// Listener returns the listener on which connections are accepted.
 func (s *Server) Listener() net.Listener { return s.listener }
 
-// Limit sets other limits. Connections over them are closed as soon as they are idle and another comes.
+// Limit changes the limits. If more connections than the new limit are open, a new connection waits until evictions and
+// regular closes have made room for it.
 func (s *Server) Limit(limits Limits) { s.limits.Store(&limits) }
 
-// Connections returns how many there are, and how many there may be.
+// Connections returns the number of open connections and its limit.
 func (s *Server) Connections() (open, limit int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -81,7 +82,7 @@
 			s.ServeConn(conn)
 		case errors.Is(err, net.ErrClosed):
 			return nil
-		default: // out of descriptors, or a connection that broke in the queue: neither ends the service
+		default: // out of file descriptors, or a connection that broke in the accept queue: Serve goes on
 			slog.Warn("connection not accepted", "err", err)
 			s.makeRoom()
 			time.Sleep(acceptRetryPause)
@@ -89,7 +90,7 @@
 	}
 }
 
-// ServeConn begins to serve a connection, once there is room for it.
+// ServeConn starts serving a connection. It waits until there is room for it.
 func (s *Server) ServeConn(raw net.Conn) {
 	for !s.makeRoom() {
 		time.Sleep(acceptRetryPause)
@@ -103,13 +104,13 @@
 	switch {
 	case s.peerProcess != nil:
 		client.interruptRead()
-	case s.listenerClosed: // accepted as the listener closed: a request that has come with it is served
+	case s.listenerClosed: // accepted while the listener was closed: a request that has arrived is still served
 		s.retire(client)
 	}
 	s.connections.Go(func() { s.runConnection(client) })
 }
 
-// runConnection serves a connection and closes it.
+// runConnection serves a connection to its end and closes it.
 func (s *Server) runConnection(client *clientConn) {
 	s.serveConnection(client)
 	if client.closeGracefully && s.enterStage(client, stageClosing) {
--- a/internal/frontend/stage.go
+++ b/internal/frontend/stage.go
@@ -2,19 +2,19 @@
 
 import "time"
 
-// stage is what a client's connection may be used for. Its transitions are in the package's comment. The order is that
-// of eviction: earlier ones are closed first.
+// stage is the stage of a client's connection. The package comment has the transitions. Connections in earlier stages
+// are evicted first.
 type stage uint8
 
 const (
-	stageClosing stage = iota // it ends once nothing more has come, or this side has ended already
-	stageReading              // no complete request has come yet, or it is being rejected
+	stageClosing stage = iota // the reader ends it unless a request has arrived, or it is in a lingering close
+	stageReading              // before the first request, or while a request is read or rejected
 	stageIdle                 // between requests
-	stageActive               // a request is in it
+	stageActive               // a complete request is being served
 	stageEvicted              // closed to make room
 )
 
-// setStage takes a connection to a stage. The caller holds the lock.
+// setStage moves a connection to a stage. The caller holds the lock.
 func (s *Server) setStage(client *clientConn, to stage) {
 	s.stageCounts[client.stage]--
 	s.stageCounts[to]++
@@ -22,7 +22,7 @@
 	client.stageSince = time.Now()
 }
 
-// remove takes a connection out of the Server's. The caller holds the lock.
+// remove removes a connection from the Server. The caller holds the lock.
 func (s *Server) remove(client *clientConn) {
 	if _, ok := s.clients[client]; ok {
 		s.stageCounts[client.stage]--
@@ -30,8 +30,9 @@
 	}
 }
 
-// enterStage takes a connection to a stage for the goroutine that serves it. It fails if the connection has been
-// evicted meanwhile, or is to end. One that was to end when a request came is served once more.
+// enterStage moves a connection to a stage. It is called by the goroutine that serves the connection. It returns false
+// if the connection has been evicted, or may not become idle because it is to end. A connection in stageClosing on
+// which a request has arrived is closed after that request.
 func (s *Server) enterStage(client *clientConn, to stage) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -47,7 +48,7 @@
 		return true
 	}
 	if s.peerProcess != nil {
-		client.interruptRead() // the reader hands it over
+		client.interruptRead() // the reader hands the connection over
 	} else {
 		client.conn.setIdleDeadline(keepAliveTimeout)
 	}
@@ -63,7 +64,8 @@
 	return !s.listenerClosed || s.peerProcess != nil
 }
 
-// enforceKeepAliveLimit lets the connection that idles longest end where there are too many. The caller holds the lock.
+// enforceKeepAliveLimit retires the longest idle connection if the keep-alive limit is exceeded. The caller holds the
+// lock.
 func (s *Server) enforceKeepAliveLimit() {
 	if s.keepAliveLimit <= 0 || s.stageCounts[stageIdle]+s.stageCounts[stageActive] <= s.keepAliveLimit {
 		return
@@ -73,8 +75,8 @@
 	}
 }
 
-// makeRoom reports whether there is room for one more connection. Where there is none it closes one, never one with a
-// request in it. Descriptors that run out would be missing to upstreams and discovery too.
+// makeRoom reports whether there is room for one more connection. At the limit it evicts a connection, but never an
+// active one. The limit keeps file descriptors available for upstreams and discovery.
 func (s *Server) makeRoom() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -85,14 +87,14 @@
 	if candidate == nil {
 		return false
 	}
-	s.setStage(candidate, stageEvicted) // closed at once, since its descriptor is needed now
+	s.setStage(candidate, stageEvicted) // without a lingering close, since its file descriptor is needed now
 	candidate.Close()
 	s.remove(candidate)
 	return true
 }
 
-// evictionCandidate returns the connection that has been longest at the first of the stages from the given one on that
-// has any, but none with a request in it; nil: there is none. The caller holds the lock.
+// evictionCandidate returns the evictable connection that isEvictedBefore orders first, of those in the stage from or a
+// later one; nil: there is none. The caller holds the lock.
 func (s *Server) evictionCandidate(from stage) *clientConn {
 	var candidate *clientConn
 	for c := range s.clients {
@@ -118,7 +120,8 @@
 	}
 }
 
-// isEvictedBefore compares two evictable connections. The caller holds the Server's lock.
+// isEvictedBefore orders evictable connections by stage, then by the time since they entered it, longest first. The
+// caller holds the Server's lock.
 func (c *clientConn) isEvictedBefore(other *clientConn) bool {
 	if c.stage != other.stage {
 		return c.stage < other.stage
--- a/internal/frontend/stage_test.go
+++ b/internal/frontend/stage_test.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// Room is made by closing a connection that is closing, else one that is reading, else one that is idle, and of these
-// the one that has been there longest; never one with a request in it or one that has just come.
+// The eviction candidate is a closing connection, else a reading one, else an idle one, and within a stage the one that
+// has been there longest. Active connections and new ones are never evicted.
 func TestEvictionOrder(t *testing.T) {
 	type connection struct {
 		name  string
--- a/internal/frontend/timing.go
+++ b/internal/frontend/timing.go
@@ -2,46 +2,51 @@
 
 import "time"
 
-// Limits of time towards clients. The platform sets two of them: within 3 s of connecting, a
-// client must get a response or see the connection closed; and 4 s after a drain began no connection may be idle.
+// Time limits towards clients. The platform requires two of them: within 3 s of connecting, a client must get a
+// response or see the connection closed; and 4 s after a drain began no connection may be idle.
 const (
-	// FirstByteTimeout is how long a new connection may send nothing, within the platform's 3 s.
+	// FirstByteTimeout bounds the wait for the first byte on a new connection, within the 3 s of the platform.
 	FirstByteTimeout = 2500 * time.Millisecond
-	// ReadStallTimeout is how long a client may send nothing in the middle of a request, within the platform's 3 s.
+	// ReadStallTimeout bounds the wait for the next byte in the middle of a request, within the 3 s of the
+	// platform.
 	ReadStallTimeout = 2300 * time.Millisecond
-	// requestTimeout is how long a client that never stalls may take over a request: it may have a slow line.
+	// requestTimeout bounds the time to receive a request from a client that never stalls but may have a slow
+	// network.
 	requestTimeout = 10 * time.Second
-	// responseWriteTimeout is how long a client may take over reading a response.
+	// responseWriteTimeout bounds the writing of a response, except the streamed part of its body.
 	responseWriteTimeout = 5 * time.Second
-	// keepAliveTimeout is how long a connection may be idle between requests.
+	// keepAliveTimeout is the longest time that a connection may be idle between requests.
 	keepAliveTimeout = 2 * time.Minute
-	// acceptRetryPause is the pause after a connection that could not be accepted or had no room.
+	// acceptRetryPause is the pause before the next try to accept a connection or to make room for it.
 	acceptRetryPause = firstByteGrace / 10
 )
 
-// The steps of a drain and of a graceful shutdown.
+// Durations of the steps of a drain and of a graceful shutdown.
 const (
-	// drainIdlePeriod is how long idle connections are kept once a drain has begun: most have had a request by then,
-	// whose response closes them, and the platform's 4 s are not over.
+	// drainIdlePeriod is the time for which idle connections are kept after a drain has begun. Within it most of
+	// them have a request, whose response closes them. It is below the 4 s of the platform.
 	drainIdlePeriod = 2500 * time.Millisecond
-	// lameDuckPeriod is how long connections are still accepted after SIGTERM: the platform goes on opening them for up
-	// to 0.4 s.
+	// lameDuckPeriod is the time for which connections are still accepted after SIGTERM. The platform opens
+	// connections for up to 0.4 s after it.
 	lameDuckPeriod = 450 * time.Millisecond
-	// firstByteGrace is how long a new connection has for the first byte of its request before it may be closed to
-	// make room; so has the last one that is accepted after SIGTERM.
+	// firstByteGrace is the time that a new connection has for its first byte before it may be evicted. In a
+	// shutdown it is also the time between the close of the listener and the close of connections without a
+	// request.
 	firstByteGrace = 50 * time.Millisecond
-	// partialRequestGrace is how long a request of which a part has come then has for the rest: one that is complete
-	// later than 0.7 s after SIGTERM may find no time for its response.
+	// partialRequestGrace is the time after firstByteGrace in which partial requests must be completed in a
+	// shutdown. If a request is complete later than 0.7 s after SIGTERM, there may be no time left for its
+	// response.
 	partialRequestGrace = 150 * time.Millisecond
 )
 
-// A lingering close reads and drops what a client still sends behind its last response: closed at once, with bytes that
-// nobody has read, the connection would be reset and the response lost (RFC 9112, section 9.6).
+// Limits of a lingering close, which reads and discards the bytes that a client sends after its last response. If the
+// connection were closed with unread bytes, it would be reset and the response lost (RFC 9112, section 9.6).
 const (
-	// lingerTimeout bounds a lingering close in time.
+	// lingerTimeout is the longest duration of a lingering close.
 	lingerTimeout = 300 * time.Millisecond
-	// lingerBytes bounds it in bytes.
+	// lingerBytes is the largest number of bytes that a lingering close discards.
 	lingerBytes = 256 << 10
-	// lingerBodyBytes bounds it in bytes where the client is still sending its body; the time is requestTimeout.
+	// lingerBodyBytes is that number if the client is still sending its body; the time limit is requestTimeout
+	// then.
 	lingerBodyBytes = 48 << 20
 )
--- a/internal/frontend/writer.go
+++ b/internal/frontend/writer.go
@@ -8,8 +8,8 @@
 	"olivearch/internal/pool"
 )
 
-// writeResponses is a connection's writer: it writes the response to each request that a pool has, until quit is
-// closed.
+// writeResponses is the writer of a connection. It writes the responses of pools until quit is closed or the connection
+// becomes a tunnel.
 func (s *Server) writeResponses(client *clientConn, quit <-chan struct{}) {
 	for {
 		var response pool.Response
@@ -36,7 +36,7 @@
 	}
 }
 
-// finishExchange writes the final response, and lets the reader go on.
+// finishExchange writes the final response and signals the reader.
 func (s *Server) finishExchange(client *clientConn, response pool.Response, bodyUnread bool) {
 	client.releaseExchange()
 	closes := client.closeRequested || response.Status == http.StatusConflict || bodyUnread
@@ -44,13 +44,13 @@
 	if staysOpen {
 		client.setExchangeState(exchangeNone)
 	} else {
-		client.interruptRead() // before responded: what the reader does then has deadlines of its own
+		client.interruptRead() // before the signal, after which the reader sets its own deadlines
 	}
 	client.responded <- staysOpen
 }
 
-// openTunnel lets a connection become a tunnel: the writer moves what the upstream sends, the reader what the client
-// does.
+// openTunnel turns a connection into a tunnel. The writer forwards the bytes of the upstream, the reader those of the
+// client.
 func (s *Server) openTunnel(client *clientConn, response pool.Response) {
 	tunnel := response.Tunnel
 	tunnel.Bind(client.conn)
@@ -63,11 +63,11 @@
 		tunnel.Close()
 	}
 	client.responded <- true
-	client.interruptRead() // it reads for the tunnel from now on
+	client.interruptRead() // the reader forwards for the tunnel from now on
 	tunnel.ForwardToClient()
 }
 
-// addTunnel makes a tunnel known to Stop, or ends it where Stop has closed the listener already.
+// addTunnel registers a tunnel to be closed by Stop, or closes it gracefully if the listener is closed already.
 func (s *Server) addTunnel(client *clientConn, tunnel *body.Tunnel) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -84,12 +84,12 @@
 	if err == nil && !closes && s.enterStage(client, stageIdle) {
 		return true
 	}
-	// After any other error the client must see that the response is not complete.
+	// After any other error there is no lingering close, so that the client sees that the response is not complete.
 	client.closeGracefully = err == nil || errors.Is(err, errEndsWithClose)
 	return false
 }
 
-// healthResponse is the response to a health check of this balancer.
+// healthResponse returns the response to a health check of this balancer.
 func (s *Server) healthResponse() pool.Response {
 	if s.closesConnections() {
 		return pool.Response{
