--- a/internal/body/upload.go
+++ b/internal/body/upload.go
@@ -38,7 +38,7 @@
 	length      uint64 // of the whole body in bytes, if lengthKnown
 	lengthKnown bool
 
-	src     *http1.Body  // reads the rest behind the blocks; nil: there is none
+	src     *http1.Body  // reads the rest after the blocks; nil: there is none
 	trailer http1.Fields // of a body that was read ahead to its end
 	conn    net.Conn     // from which src reads
 
--- a/internal/frontend/rejection.go
+++ b/internal/frontend/rejection.go
@@ -25,7 +25,7 @@
 	return &Rejection{http.StatusBadRequest, fmt.Sprintf(format, args...)}
 }
 
-// errPipelined is the error of a client that sends bytes behind a request before it has the response.
+// errPipelined is the error of a client that sends bytes after a request before it has the response.
 var errPipelined = BadRequest("bytes behind a request that is not answered yet")
 
 // isTimeout reports whether an error is that of a network deadline.
--- a/internal/frontend/response.go
+++ b/internal/frontend/response.go
@@ -41,14 +41,14 @@
 	case response.Stream != nil:
 		return framedByLength, strconv.FormatUint(response.Stream.Length(), 10)
 	case response.Header.Has("Content-Length") && len(response.Body) == 0:
-		// A response to HEAD has the Content-Length of the response to GET (RFC 9110, section 8.6).
+		// A response to HEAD has the Content-Length of that to GET (RFC 9110, section 8.6).
 		return framedByLength, response.Header.Get("Content-Length")
 	default:
 		return framedByLength, strconv.Itoa(len(response.Body))
 	}
 }
 
-// writeField writes a line of a head: a name that includes its separator, such as "Connection: ", and a value.
+// writeField writes a line of a head: the name including its separator ": ", and the value.
 func writeField(b *bytes.Buffer, name, value string) {
 	b.WriteString(name)
 	b.WriteString(value)
--- a/internal/frontend/server.go
+++ b/internal/frontend/server.go
@@ -82,7 +82,7 @@
 			s.ServeConn(conn)
 		case errors.Is(err, net.ErrClosed):
 			return nil
-		default: // out of file descriptors, or a connection that broke in the accept queue: Serve goes on
+		default: // out of file descriptors, or a connection that broke in the accept queue: neither ends Serve
 			slog.Warn("connection not accepted", "err", err)
 			s.makeRoom()
 			time.Sleep(acceptRetryPause)
--- a/internal/http1/body.go
+++ b/internal/http1/body.go
@@ -70,7 +70,7 @@
 	return n, err
 }
 
-// readChunks reads from a chunked body, and its trailer behind the last chunk (RFC 9112, section 7.1.2).
+// readChunks reads from a chunked body, and its trailer after the last chunk (RFC 9112, section 7.1.2).
 func (b *Body) readChunks(p []byte) (int, error) {
 	n, err := b.chunks.Read(p)
 	switch {
--- a/internal/upstream/attempt.go
+++ b/internal/upstream/attempt.go
@@ -5,52 +5,52 @@
 	"time"
 )
 
-// attemptStage is how far an attempt has come. An attempt leaves stageConnecting at most once, for one of the
-// two others, and stays there: see leaveConnecting.
+// attemptStage is the progress of an attempt. An attempt leaves stageConnecting at most once, for one of the two other
+// stages, and stays there.
 type attemptStage int32
 
 const (
 	// stageConnecting is the first stage: nothing has been written, and the attempt may be dropped.
 	stageConnecting attemptStage = iota
-	// stageClaimed is that of an attempt whose transport is about to write it. It counts as sent and may be given up.
+	// stageClaimed means that the transport is about to write the request. The attempt counts as sent and may be
+	// given up.
 	stageClaimed
-	// stageDropped is that of an attempt that is never written.
+	// stageDropped means that the request is never written.
 	stageDropped
 )
 
-// Attempt is one send of a message to an upstream. Its creator fills in the fields, and may then call Drop
-// and GiveUp from any goroutine while a Transport carries it.
+// Attempt is one attempt to send a message to an upstream. Its creator sets the fields, and may then call Drop and
+// GiveUp from any goroutine while a Transport makes the attempt.
 type Attempt struct {
 	Message       *Message
 	Address       string        // host:port of the upstream
 	Timeout       time.Duration // sent to the upstream as its time limit; also bounds the writing of the request
 	ReuseDelay    time.Duration // delay before the connection is reused
 	Conn          Conn          // idle connection to reuse; nil: a new one is opened
-	WriteDeadline time.Time     // the request must be written before then; zero: only Wait bounds it
+	WriteDeadline time.Time     // time by which the request must be written; zero: only Timeout bounds the writing
 	Gate          Gate          // nil: always open
 	Observer      Observer      // nil: responses are not streamed
 
 	stage  atomic.Int32       // an attemptStage
-	giveUp func(at time.Time) // set before the attempt is claimed
+	giveUp func(at time.Time) // set by Claim
 }
 
-// Drop keeps an attempt from being written. It returns false if the attempt was claimed or dropped before.
+// Drop prevents the request from being written. It returns false if the attempt was claimed or dropped before.
 func (a *Attempt) Drop() bool { return a.leaveConnecting(stageDropped) }
 
-// Claim marks an attempt as about to be written. It returns false if that was done before or the attempt was
-// dropped. Only a Transport calls it. From then on GiveUp calls giveUp, which bounds the wait for the
-// response.
+// Claim marks an attempt as about to be written. It returns false if the attempt was claimed or dropped before. Only a
+// Transport calls it. From then on GiveUp calls giveUp, which limits the wait for the response.
 func (a *Attempt) Claim(giveUp func(at time.Time)) bool {
 	a.giveUp = giveUp
 	return a.leaveConnecting(stageClaimed)
 }
 
-// leaveConnecting makes the only transition of an attempt. It returns false if that was made before.
+// leaveConnecting changes the stage from stageConnecting to next. It returns false if the stage was left before.
 func (a *Attempt) leaveConnecting(next attemptStage) bool {
 	return a.stage.CompareAndSwap(int32(stageConnecting), int32(next))
 }
 
-// MaySend returns whether the request may still be sent: its time has not passed and its gate is open.
+// MaySend reports whether the request may still be sent: WriteDeadline has not passed and Gate is open.
 func (a *Attempt) MaySend() bool {
 	if !a.WriteDeadline.IsZero() && !time.Now().Before(a.WriteDeadline) {
 		return false
@@ -58,8 +58,8 @@
 	return a.Gate == nil || a.Gate.Open()
 }
 
-// GiveUp lets a claimed attempt wait for its response until a time and no longer. It returns false if the
-// attempt has not been claimed.
+// GiveUp limits the wait of a claimed attempt for its response to the time at. It returns false if the attempt has not
+// been claimed.
 func (a *Attempt) GiveUp(at time.Time) bool {
 	if attemptStage(a.stage.Load()) != stageClaimed {
 		return false
--- a/internal/upstream/attempt_test.go
+++ b/internal/upstream/attempt_test.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// An attempt leaves its first stage once; which calls succeed afterwards depends on how it left it.
+// An attempt leaves its first stage once. Whether a later call succeeds depends on the stage that was entered.
 func TestAttemptStages(t *testing.T) {
 	drop := func(a *Attempt) bool { return a.Drop() }
 	claim := func(a *Attempt) bool { return a.Claim(func(time.Time) {}) }
@@ -34,7 +34,7 @@
 	}
 }
 
-// GiveUp passes its time to the function that the transport has set when it claimed the attempt.
+// GiveUp passes its time to the function that the transport has passed to Claim.
 func TestGiveUpReachesTheTransport(t *testing.T) {
 	attempt := new(Attempt)
 	var until time.Time
--- a/internal/upstream/conformance_test.go
+++ b/internal/upstream/conformance_test.go
@@ -15,7 +15,7 @@
 	"olivearch/internal/upstream/upstreamtest"
 )
 
-// server is an upstreamtest.Server that speaks HTTP/1.1.
+// server is an upstreamtest.Server for HTTP/1.1.
 type server struct {
 	*scripted.Node
 	behaviour atomic.Int64
@@ -38,7 +38,7 @@
 func (s *server) Arrived() <-chan string                { return s.arrived }
 func (s *server) Release()                              { s.release() }
 
-// respond is a scripted.Answer: it returns whether the connection stays open.
+// respond is a scripted.Answer. It reports whether the connection stays open.
 func (s *server) respond(c net.Conn, r *http.Request) bool {
 	<-s.Arrivals
 	if r.URL.Path == "/x" {
@@ -71,13 +71,13 @@
 	}
 }
 
-// send returns whether a response could be sent.
+// send reports whether a response could be sent.
 func send(c net.Conn, response string) bool {
 	_, err := io.WriteString(c, response)
 	return err == nil
 }
 
-// sendLong sends that many bytes of a response with the body upstreamtest.Long.
+// sendLong sends the head of a response with the body upstreamtest.Long, and the first bodyBytes bytes of the body.
 func sendLong(c net.Conn, bodyBytes int) bool {
 	head := fmt.Sprintf("HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n", len(upstreamtest.Long))
 	return send(c, head) && send(c, string(upstreamtest.Long[:bodyBytes]))
--- a/internal/upstream/connect_bench_test.go
+++ b/internal/upstream/connect_bench_test.go
@@ -10,9 +10,9 @@
 	"olivearch/internal/standin/scripted"
 )
 
-// BenchmarkConnect measures what a new connection to an upstream costs beside a reused one, in CPU time of
-// both sides, which share this process: connections to 18,000 upstreams are kept no longer than they are
-// used.
+// BenchmarkConnect compares the CPU time of a request on a new connection to an upstream with that on a reused one. The
+// CPU time is that of both sides, which share this process. The cost of a new connection matters because with 18,000
+// upstreams idle connections are not kept.
 func BenchmarkConnect(b *testing.B) {
 	for _, kept := range []bool{true, false} {
 		name := map[bool]string{true: "kept", false: "new"}[kept]
--- a/internal/upstream/connection.go
+++ b/internal/upstream/connection.go
@@ -14,24 +14,25 @@
 const readBufferSize = 2 << 10
 
 var (
-	// errGivenUp says that an attempt was given up as its response came.
-	errGivenUp = errors.New("given up")
-	// errStale says that an idle connection was closed by the other side, or that unsolicited bytes came on it.
-	errStale = errors.New("closed while idle")
+	// errGivenUp is the error of a connection whose attempt was given up while its response arrived.
+	errGivenUp = errors.New("connection unusable: its last attempt was given up")
+	// errStale is the error of an idle connection that the upstream has closed or on which unsolicited bytes
+	// arrived.
+	errStale = errors.New("idle connection closed, or unsolicited bytes received")
 )
 
-// conn is a connection to an upstream, owned by the goroutine that carries its attempt. Only giveUp is called
-// from others.
+// conn is a connection to an upstream. It is owned by the goroutine that makes its attempt. Only giveUp is called from
+// other goroutines.
 type conn struct {
 	*http1.Stream
 	address         string
 	rawConn         syscall.RawConn
 	giveUp          func(at time.Time) // see newGiveUp
 	readDeadlineSet atomic.Bool
-	writeClosed     atomic.Bool // giveUp has ended this side
+	writeClosed     atomic.Bool // giveUp has closed the write side
 	writeDeadline   time.Time
 
-	readByte  func(fd uintptr) bool // reads a byte without waiting, into readCount and readErr
+	readByte  func(fd uintptr) bool // reads a byte without waiting; sets readCount and readErr
 	readCount int
 	readErr   error
 }
@@ -48,23 +49,23 @@
 	return c
 }
 
-// newGiveUp returns the function that bounds the wait for a response. If its time has passed, it ends this
-// side at once: if that were left to the goroutine of the connection, the attempt could still be open as the
-// next one is written.
+// newGiveUp returns the function that limits the wait for a response. If the time has passed, the function closes the
+// write side at once. If the goroutine of the connection did that later, the upstream could still consider the attempt
+// open when the next one is written.
 func (c *conn) newGiveUp(socket net.Conn) func(at time.Time) {
 	return func(at time.Time) {
 		halfCloser, ok := socket.(interface{ CloseWrite() error })
 		if ok && !at.After(time.Now()) {
 			c.writeClosed.Store(true)
-			_ = halfCloser.CloseWrite() // fails only on a connection that is closed
+			_ = halfCloser.CloseWrite() // fails only on a closed connection
 		}
-		_ = c.SetReadDeadline(at) // likewise
+		_ = c.SetReadDeadline(at) // fails only on a closed connection
 	}
 }
 
 func (c *conn) Address() string { return c.address }
 
-// Reuse removes a read deadline that may have been set as the response came.
+// Reuse removes the read deadline, if one was set. It returns errGivenUp if giveUp has closed the write side.
 func (c *conn) Reuse() error {
 	if c.writeClosed.Load() {
 		return errGivenUp
@@ -75,31 +76,31 @@
 	return c.Stream.SetReadDeadline(time.Time{})
 }
 
-// SetReadDeadline bounds the reads until Reuse.
+// SetReadDeadline sets a deadline of reads, which Reuse removes.
 func (c *conn) SetReadDeadline(at time.Time) error {
 	c.readDeadlineSet.Store(true)
 	return c.Stream.SetReadDeadline(at)
 }
 
-// SetWriteDeadline bounds the writes that follow.
+// SetWriteDeadline sets the deadline of writes.
 func (c *conn) SetWriteDeadline(at time.Time) error {
 	c.writeDeadline = at
 	return c.Stream.SetWriteDeadline(at)
 }
 
-// limitWrites bounds the writes that follow by a duration or up to twice that: one deadline serves many
-// requests, since setting it costs as much as a good part of a request.
+// limitWrites sets the write deadline to between once and twice the duration from now. It keeps a deadline that is
+// within that range, since setting one takes a considerable part of the time of a request.
 func (c *conn) limitWrites(within time.Duration) {
 	now := time.Now()
 	latest := now.Add(2 * within)
 	tooEarly := c.writeDeadline.Before(now.Add(within))
 	tooLate := c.writeDeadline.After(latest)
 	if tooEarly || tooLate {
-		_ = c.SetWriteDeadline(latest) // if it fails so does the write
+		_ = c.SetWriteDeadline(latest) // if it fails, so does the write
 	}
 }
 
-// checkIdle returns an error if an idle connection can't be used again. It does not wait.
+// checkIdle returns an error if an idle connection can't be reused. It does not wait.
 func (c *conn) checkIdle() error {
 	if c.rawConn == nil {
 		return c.readErr
@@ -114,5 +115,5 @@
 	return nil
 }
 
-// hasUnsolicited returns whether checkIdle has found bytes of which no request is the cause.
+// hasUnsolicited reports whether checkIdle has found unsolicited bytes.
 func (c *conn) hasUnsolicited() bool { return c.readCount > 0 || c.Buffered() > 0 }
--- a/internal/upstream/give_up_test.go
+++ b/internal/upstream/give_up_test.go
@@ -16,8 +16,8 @@
 // longAgo is a time that has passed.
 var longAgo = time.Unix(0, 1)
 
-// An attempt that is given up in the moment in which its response has come does not leave its connection to
-// the next one.
+// An attempt may be given up while its response arrives. Its connection, whose write side is then closed, is not
+// reused.
 func TestGivenUpConnectionIsNotUsedAgain(t *testing.T) {
 	server := scripted.Start(t, scripted.Done)
 	attempt := newLongTimeoutAttempt(server.Addr)
@@ -27,12 +27,13 @@
 	}
 	defer result.Conn.Close()
 	if err := result.Conn.Reuse(); err == nil {
-		t.Error("a connection on which this side has ended serves again")
+		t.Error("Reuse succeeded on a connection with a closed write side")
 	}
 }
 
-// An attempt that is given up at once is over for its upstream before the goroutine that carries it has run: on one
-// processor, which the test does not yield, a retry would otherwise be sent while the first attempt is still open.
+// GiveUp with a time in the past closes the write side before the goroutine of the attempt has run. Otherwise a retry
+// could be sent while the first attempt is still open for its upstream. The test runs on one processor and does not
+// yield it, so that the goroutine can't run in between.
 func TestGivenUpIsOverAtOnce(t *testing.T) {
 	defer runtime.GOMAXPROCS(runtime.GOMAXPROCS(1))
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
@@ -60,7 +61,7 @@
 	peek := func(fd uintptr) {
 		readCount, _, readErr = syscall.Recvfrom(int(fd), make([]byte, 1), syscall.MSG_PEEK|syscall.MSG_DONTWAIT)
 	}
-	for !attempt.GiveUp(longAgo) { // until it is claimed
+	for !attempt.GiveUp(longAgo) { // until the attempt is claimed
 		runtime.Gosched()
 	}
 	if err := rawConn.Control(peek); err != nil {
@@ -72,7 +73,7 @@
 	<-ended
 }
 
-// newLongTimeoutAttempt returns an attempt that does not time out within a test.
+// newLongTimeoutAttempt returns an attempt that does not time out during a test.
 func newLongTimeoutAttempt(address string) *Attempt {
 	attempt := newAttempt(address, nil, http1.Field{Name: "X-Request-Id", Value: "1"})
 	attempt.Message.RequestLine = "GET /x"
--- a/internal/upstream/http1.go
+++ b/internal/upstream/http1.go
@@ -12,26 +12,26 @@
 	"olivearch/internal/http1"
 )
 
-// earlyResponseTimeout bounds the wait for the response of an upstream that has stopped reading the request.
+// earlyResponseTimeout bounds the wait for a response if the request could not be written completely.
 const earlyResponseTimeout = 50 * time.Millisecond
 
 // Paths of health checks.
 const (
-	healthPath = "/healthz" // whether the upstream runs
-	loadPath   = "/load"    // its load report
+	healthPath = "/healthz" // checks that the upstream runs
+	loadPath   = "/load"    // returns its load report
 )
 
-// HTTP1 carries attempts in HTTP/1.1, one on a connection at a time. It does not use http.Transport, which
-// may write a request again by itself when an idle connection breaks, closes the connection of an attempt
-// that is given up, and does not tell whether the last byte was written.
+// HTTP1 makes attempts over HTTP/1.1, one at a time on a connection. It does not use http.Transport, which may write a
+// request again by itself when an idle connection breaks, closes the connection of an attempt that is given up, and
+// does not report whether the last byte was written.
 type HTTP1 struct {
 	ConnectTimeout time.Duration // for opening a connection, and for a health check
-	FullResponses  bool          // clients get statuses under 500 and their fields too, not 200 and its body only
+	FullResponses  bool          // passes on all responses under 500 with their fields, not only the body of a 200
 }
 
 var _ Transport = HTTP1{}
 
-// Do makes the attempt. It writes the request at most once, whatever happens.
+// Do implements Transport.
 func (d HTTP1) Do(a *Attempt) Result {
 	if a.ReuseDelay > 0 {
 		time.Sleep(a.ReuseDelay)
@@ -46,15 +46,15 @@
 	return result
 }
 
-// connect returns the idle connection if it is still open, or a new one. unsolicited says that there were
-// bytes on the idle one.
+// connect returns the idle connection if it is still usable, or a new one. unsolicited reports whether there were
+// unsolicited bytes on the idle one.
 func (d HTTP1) connect(idle *conn, address string) (c *conn, unsolicited bool, err error) {
 	if idle != nil {
 		if idle.checkIdle() == nil {
 			return idle, false, nil
 		}
 		unsolicited = idle.hasUnsolicited()
-		idle.Close() // nothing was written on it: another connection serves as well
+		idle.Close() // no request was written on it, so a new connection can be used for the attempt
 	}
 	socket, err := net.DialTimeout("tcp", address, d.ConnectTimeout)
 	if err != nil {
@@ -71,7 +71,7 @@
 	connection.limitAttemptWrites(attempt)
 	upload := attempt.Message.Upload
 	if upload != nil {
-		if !upload.Retain() { // the client's side has ended
+		if !upload.Retain() { // the client's exchange has ended
 			return Result{Status: balancer.NotSent, Conn: connection}
 		}
 		defer upload.Release()
@@ -82,7 +82,7 @@
 		if complete && upload == nil {
 			return Result{Status: balancer.Reset}
 		}
-		return Result{Status: balancer.ConnectFailed} // certain: the last byte never left this process
+		return Result{Status: balancer.ConnectFailed} // not run: the last byte was never written
 	}
 	response := responseReader{
 		conn:          connection,
@@ -102,16 +102,16 @@
 	return response.read()
 }
 
-// limitAttemptWrites bounds the writing of an attempt: a machine that has gone silent takes bytes until its
-// buffers are full, and then none for ever.
+// limitAttemptWrites sets the deadline for writing the request. Without it the write to a machine that stops responding
+// would block for ever once the buffers are full.
 func (c *conn) limitAttemptWrites(a *Attempt) {
 	c.limitWrites(a.Timeout)
 	if !a.WriteDeadline.IsZero() && a.WriteDeadline.Before(c.writeDeadline) {
-		_ = c.SetWriteDeadline(a.WriteDeadline) // if it fails so does the write
+		_ = c.SetWriteDeadline(a.WriteDeadline) // if it fails, so does the write
 	}
 }
 
-// writeMessage writes a message up to where Message.Rest begins. complete says whether all of that was written.
+// writeMessage writes a message except Message.Upload. complete reports whether all bytes were written.
 func (c *conn) writeMessage(message *Message, wait time.Duration) (complete bool, err error) {
 	buffer := http1.GetBuffer()
 	defer http1.PutBuffer(buffer)
@@ -120,20 +120,20 @@
 	return written == buffer.Len(), err
 }
 
-// readEarly returns the result of an attempt whose last byte was not written because of sendErr: it has not
-// run, unless the upstream has responded early and says something else. What it says of a part of a request
-// may be of work on that part.
+// readEarly returns the result of an attempt whose last byte was not written because of sendErr. The request has not
+// run, unless the upstream has sent an early response with another outcome: it may have worked on the part that it
+// received.
 func (r responseReader) readEarly(sendErr error) Result {
 	var clientFailed body.ClientError
 	if errors.As(sendErr, &clientFailed) {
 		r.conn.Close()
 		return Result{Status: balancer.NotSent}
 	}
-	_ = r.conn.SetReadDeadline(time.Now().Add(earlyResponseTimeout)) // if it fails so does the read
+	_ = r.conn.SetReadDeadline(time.Now().Add(earlyResponseTimeout)) // if it fails, so does the read
 	r.observer = nil
 	result := r.read()
 	if result.Conn != nil {
-		result.Conn.Close() // the upstream still waits for the body
+		result.Conn.Close() // the upstream still expects the rest of the body
 		result.Conn = nil
 	}
 	if result.Status == balancer.Reset {
@@ -142,7 +142,7 @@
 	return result
 }
 
-// Probe asks an upstream for its load, or only whether it runs.
+// Probe implements Transport.
 func (d HTTP1) Probe(p Probe) Result {
 	idle, _ := p.Conn.(*conn)
 	c, unsolicited, err := d.connect(idle, p.Address)
@@ -159,7 +159,7 @@
 	if probe.Load {
 		path = loadPath
 	}
-	_ = c.SetReadDeadline(time.Now().Add(d.ConnectTimeout)) // if it fails so does the read
+	_ = c.SetReadDeadline(time.Now().Add(d.ConnectTimeout)) // if it fails, so does the read
 	c.limitWrites(d.ConnectTimeout)
 	request := "GET " + path + " HTTP/1.1\r\nHost: " + probe.Address + "\r\n\r\n"
 	if _, err := io.WriteString(c, request); err != nil {
--- a/internal/upstream/http1_test.go
+++ b/internal/upstream/http1_test.go
@@ -18,15 +18,14 @@
 	}
 }
 
-// newAttempt returns an attempt of a request that is read completely before its response is written.
+// newAttempt returns an attempt with a request without a body, which a server reads completely before it responds.
 func newAttempt(address string, connection Conn, header ...http1.Field) *Attempt {
 	message := &Message{RequestLine: "POST /x", Host: "x", Header: header}
 	return &Attempt{Message: message, Address: address, Conn: connection, Timeout: time.Second}
 }
 
-// http.Transport writes a GET, or a request with an idempotency key, again by itself when an idle connection
-// breaks. What was written once must be retried by the decision module only, and a non-idempotent request
-// never.
+// A request that was written on an idle connection that breaks is not written again by the transport: only the decision
+// module may retry it. http.Transport would write a GET, or a request with an idempotency key, again by itself.
 func TestOneAttemptIsOneWrite(t *testing.T) {
 	for _, c := range []struct {
 		class  string
@@ -52,7 +51,7 @@
 	}
 }
 
-// A connection that the upstream closed while it was idle is noticed before anything is written to it.
+// An idle connection that the upstream has closed is detected before a request is written on it.
 func TestStaleConnectionIsNotUsed(t *testing.T) {
 	closed := make(chan struct{}, 2)
 	server := scripted.Start(t, func(accepted net.Conn, r *http.Request) bool {
@@ -69,7 +68,7 @@
 	first := transport.Do(newAttempt(server.Addr, connection))
 	want(t, "first", first.Status, balancer.OK)
 	<-closed
-	if err := first.Conn.(*conn).Wait(); err == nil { // the end has come
+	if err := first.Conn.(*conn).Wait(); err == nil { // waits for the end of the connection
 		t.Fatal("bytes on an idle connection")
 	}
 	want(t, "second", transport.Do(newAttempt(server.Addr, first.Conn)).Status, balancer.OK)
@@ -81,7 +80,7 @@
 	refused := transport.Do(&Attempt{Message: &Message{}, Address: scripted.Refusing(t)})
 	want(t, "refused", refused.Status, balancer.ConnectFailed)
 
-	// An attempt whose request ends, or whose upstream leaves, before it is connected is not written.
+	// An attempt that is dropped before the connection is open is not written, and the connection is reusable.
 	server := scripted.Start(t, scripted.Done)
 	attempt := &Attempt{Message: &Message{RequestLine: "POST /x"}, Address: server.Addr, Timeout: time.Second}
 	want(t, "dropped", attempt.Drop(), true)
--- a/internal/upstream/load_report.go
+++ b/internal/upstream/load_report.go
@@ -11,14 +11,16 @@
 	"olivearch/internal/wire"
 )
 
-// maxUtilisation bounds the utilisation in a load report: 1 means that all cores are busy, and readings are noisy.
+// maxUtilisation is the largest utilisation in a load report. 1 means that all cores are busy; readings may exceed it,
+// since they are noisy.
 const maxUtilisation = 2
 
-// errRepeatedReport says that a response has several load reports.
+// errRepeatedReport is the error of a response with more than one load report.
 var errRepeatedReport = errors.New("X-Load stands there more than once")
 
-// parseLoadReport reads the load report of a response: pairs NAME=NUMBER between commas. No report at all is
-// no error. A report that is malformed or repeated yields no load, as shares must not move by a part of one.
+// parseLoadReport parses the load report of a response, comma-separated pairs NAME=NUMBER. A response without a report
+// is not an error. A malformed or repeated report yields no load, so that shares do not change because of a partial
+// report.
 func parseLoadReport(reports []string) (balancer.Load, error) {
 	switch len(reports) {
 	case 0:
--- a/internal/upstream/load_report_test.go
+++ b/internal/upstream/load_report_test.go
@@ -6,7 +6,7 @@
 	"olivearch/balancer"
 )
 
-// TestLoadReports reads load reports: a malformed one yields no load and says why.
+// A malformed load report yields no load, and an error with the reason.
 func TestLoadReports(t *testing.T) {
 	complete := balancer.Load{
 		Fields:  balancer.HasErrors | balancer.HasUtil | balancer.HasService,
--- a/internal/upstream/message.go
+++ b/internal/upstream/message.go
@@ -11,27 +11,28 @@
 	"olivearch/internal/http1"
 )
 
-// Message is a client's request as an upstream gets it, without the fields that are added for each attempt.
-// Method, path, query and body are forwarded unchanged.
+// Message is the request of a client as it is forwarded to an upstream, without the fields that are added for each
+// attempt. Method, path, query and body are forwarded unchanged.
 type Message struct {
 	RequestLine string // method and target
 	Header      http1.Fields
 	Host        string
-	Body        []byte       // the body, or the part of it that was read before the message was made
+	Body        []byte       // the body, or its first part
 	Upload      *body.Upload // the part of a long body that follows Body; nil: there is none
-	Bodied      bool         // the body is framed (RFC 9112, section 6), also if it is empty
+	Bodied      bool         // whether a framing field is sent (RFC 9112, section 6), also for an empty body
 
-	Trailer http1.Fields // of a complete body, which is then chunked
-	Upgrade string       // the protocol that the client asks for instead (RFC 9110, section 7.8); empty: none
+	Trailer http1.Fields // trailer of a complete body, which is then sent in chunks
+	Upgrade string       // the protocol to which the client asks to switch (RFC 9110, section 7.8); empty: none
 	Tunnel  *body.TunnelLimits
-	Hints   bool         // interim responses with status 103 are forwarded
-	Limits  *body.Limits // of its body and of its response's; nil: body.Usual
+	Hints   bool         // whether interim responses with status 103 are forwarded
+	Limits  *body.Limits // of the request's and the response's body; nil: body.DefaultLimits
 }
 
-// isHead returns whether a response to the message has no body, whatever its head says (RFC 9110, section 9.3.2).
+// isHead reports whether the method is HEAD: the response has no body, whatever its fields say (RFC 9110, section
+// 9.3.2).
 func (m *Message) isHead() bool { return strings.HasPrefix(m.RequestLine, http.MethodHead+" ") }
 
-// BodyLimits returns the limits of the message's body and of its response's.
+// BodyLimits returns the limits of the message's body and of the response's body.
 func (m *Message) BodyLimits() *body.Limits {
 	if m.Limits == nil {
 		return &body.DefaultLimits
@@ -39,7 +40,7 @@
 	return m.Limits
 }
 
-// Bytes renders the message in HTTP/1.1, up to where Rest begins, for an attempt that waits so long for its response.
+// Bytes returns the message as HTTP/1.1, except Upload. wait is the time limit that is sent to the upstream.
 func (m *Message) Bytes(wait time.Duration) []byte {
 	buffer := http1.GetBuffer()
 	defer http1.PutBuffer(buffer)
@@ -77,7 +78,7 @@
 	out.WriteString("\r\n")
 }
 
-// chunked returns whether the body is sent in chunks: its length is unknown, or trailer fields follow it.
+// chunked reports whether the body is sent in chunks, because its length is unknown or a trailer follows it.
 func (m *Message) chunked() bool {
 	if m.Upload == nil {
 		return len(m.Trailer) > 0
@@ -86,7 +87,7 @@
 	return !known
 }
 
-// framing returns the header field that tells the upstream where the body ends.
+// framing returns the line of the head that declares the framing of the body.
 func (m *Message) framing() string {
 	if m.chunked() {
 		return "Transfer-Encoding: chunked\r\n"
--- a/internal/upstream/response.go
+++ b/internal/upstream/response.go
@@ -10,9 +10,9 @@
 )
 
 const (
-	// loadHeader is the response field with a load report.
+	// loadHeader is the response field that contains a load report.
 	loadHeader = "X-Load"
-	// notRunHeader is the response field that is notRun if the upstream has not run the request.
+	// notRunHeader is the response field with the value notRun if the upstream has not run the request.
 	notRunHeader = "X-Not-Run"
 	notRun       = "1"
 )
@@ -21,13 +21,13 @@
 type responseReader struct {
 	conn          *conn
 	message       *Message
-	fullResponses bool     // HTTP1.Whole
-	observer      Observer // nil: responses are not streamed, and a long one is too large
+	fullResponses bool     // HTTP1.FullResponses
+	observer      Observer // nil: responses are not streamed, and a long one is an error
 }
 
-// read returns the result of the attempt. A malformed response means that the attempt has run, and closes the
-// connection. A response that is long, or of unknown length, is streamed: the observer gets its start, and
-// the result is that of its end.
+// read reads the response and returns the result of the attempt. A malformed response means that the request may have
+// run, and the connection is closed. A response that is long or of unknown length is streamed: the observer gets its
+// start, and read returns the result at its end.
 func (r responseReader) read() Result {
 	status, header, framing, err := r.conn.ReadResponseHead(r.requestInfo())
 	if err != nil {
@@ -41,7 +41,7 @@
 	if err := r.readBody(&result, framing); err != nil {
 		return r.fail(err)
 	}
-	// The next request's response would be read from unsolicited bytes behind this one.
+	// Unsolicited bytes after this response would be taken for the response to the next request.
 	result.Unsolicited = r.conn.Buffered() > 0
 	if closing || result.Unsolicited {
 		r.conn.Close()
@@ -51,7 +51,7 @@
 	return result
 }
 
-// requestInfo is what reading the response's head depends on.
+// requestInfo returns the properties of the request that determine how the head of the response is read.
 func (r responseReader) requestInfo() http1.RequestInfo {
 	info := http1.RequestInfo{Head: r.message.isHead()}
 	if r.observer == nil {
@@ -73,7 +73,7 @@
 	return Result{Status: balancer.Reset}
 }
 
-// isMalformed returns whether the upstream sent something that is no response, or one beyond the limits.
+// isMalformed reports whether the upstream sent bytes that are not a valid response, or a response over the limits.
 func isMalformed(err error) bool {
 	for _, malformed := range []error{
 		http1.ErrMalformedHead, http1.ErrStartLineTooLong, http1.ErrHeadTooLong, http1.ErrFraming, http1.ErrBodyTooLarge,
@@ -85,8 +85,8 @@
 	return false
 }
 
-// tunnel hands the connection over to the observer and waits for the tunnel's end. There is an observer,
-// since without one no change of the protocol is accepted.
+// tunnel passes a new tunnel to the observer and waits for its end. There is an observer, since without one no protocol
+// switch is accepted.
 func (r responseReader) tunnel(header http1.Fields) Result {
 	tunnel := body.NewTunnel(r.conn.Stream, r.message.Tunnel)
 	r.observer.ResponseStarted(Result{
@@ -100,7 +100,7 @@
 	return Result{Status: balancer.OK}
 }
 
-// classify returns the result as far as the head of the response determines it. It changes header.
+// classify returns the part of the result that the head of the response determines. It may modify header.
 func (r responseReader) classify(status int, header http1.Fields) Result {
 	result := Result{Status: balancer.Error}
 	load, err := parseLoadReport(header.Values(loadHeader))
@@ -124,19 +124,19 @@
 	return result
 }
 
-// isRejection returns whether the upstream says that it has not run the request. Without the mark it may have run it.
+// isRejection reports whether the upstream declares that it has not run the request. Without X-Not-Run it may have run.
 func isRejection(status int, header http1.Fields) bool {
 	mayReject := status == http.StatusServiceUnavailable || status == http.StatusGatewayTimeout
 	return mayReject && header.Get(notRunHeader) == notRun
 }
 
-// isForwarded returns whether a full response with this status is passed on to the client. 429 is not: it
-// would promise that the request has not run.
+// isForwarded reports whether a full response with this status is passed on to the client. 429 is not, since it would
+// tell the client that the request has not run.
 func isForwarded(status int) bool {
 	return status < http.StatusInternalServerError && status != http.StatusTooManyRequests
 }
 
-// readBody reads the body of the response into result, or streams it.
+// readBody reads the body of the response into result or streams it.
 func (r responseReader) readBody(result *Result, framing http1.Framing) error {
 	limits := r.message.BodyLimits()
 	isLong := framing.Length > body.MaxBuffered
@@ -152,7 +152,8 @@
 	}
 }
 
-// streamBody notifies the observer of the start of a streamed response and returns at the end of its body.
+// streamBody notifies the observer once streaming starts, and returns at the end of the body. A short body that ends
+// before that is only put into result.
 func (r responseReader) streamBody(result *Result, framing http1.Framing, limits *body.Limits) (err error) {
 	download := body.NewDownload(r.conn, framing, limits)
 	result.Body, err = download.Receive(func() {
@@ -164,7 +165,7 @@
 	return err
 }
 
-// readWholeBody reads a body of at most body.Whole bytes.
+// readWholeBody reads a body of at most body.MaxBuffered bytes.
 func (r responseReader) readWholeBody(result *Result, framing http1.Framing, limits *body.Limits) (err error) {
 	source := r.conn.Body(framing, limits.Answer)
 	result.Body, err = source.ReadUpTo(body.MaxBuffered + 1)
--- a/internal/upstream/response_test.go
+++ b/internal/upstream/response_test.go
@@ -14,11 +14,11 @@
 	"olivearch/internal/standin/scripted"
 )
 
-// outcomeCase is a response and what it means to the attempt.
+// outcomeCase is a response and the expected result of the attempt.
 type outcomeCase struct {
 	name      string
 	response  string
-	staysOpen bool // the upstream keeps the connection open behind the response
+	staysOpen bool // the upstream keeps the connection open after the response
 	status    balancer.Status
 	reusable  bool
 }
@@ -177,7 +177,7 @@
 	},
 }
 
-// TestOutcomes sends each response to an attempt: what status it has, and whether its connection is reusable.
+// Each response of outcomeCases yields the expected status of the attempt, and a connection only if that is reusable.
 func TestOutcomes(t *testing.T) {
 	for _, c := range outcomeCases {
 		t.Run(c.name, func(t *testing.T) {
--- a/internal/upstream/upstreamtest/attempts.go
+++ b/internal/upstream/upstreamtest/attempts.go
@@ -21,7 +21,7 @@
 	result := transport.Do(attempt)
 	expect(t, "status", result.Status, balancer.NotSent)
 	expect(t, "given up", attempt.GiveUp(time.Now()), false)
-	if result.Conn != nil { // it can be reused: nothing was written on it
+	if result.Conn != nil { // the connection must be reusable, since nothing was written on it
 		next := newAttempt(server.Address(), result.Conn)
 		expect(t, "the next", transport.Do(next).Status, balancer.OK)
 		expect(t, "what arrived", awaitArrival(t, server), requestID(next))
@@ -29,8 +29,8 @@
 	expectNoArrival(t, server)
 }
 
-// testGateClosed: a request that may no longer be sent once a connection is open is not written, and the
-// connection serves the next attempt.
+// testGateClosed checks that a request that may no longer be sent when the connection is open is not written, and that
+// the connection can be reused.
 func testGateClosed(t *testing.T, suite Suite) {
 	server := suite.Server(t)
 	transport := suite.Transport()
@@ -114,7 +114,7 @@
 	}
 }
 
-// testOneWrite: a reused connection that breaks under a request is no reason to write the request again.
+// testOneWrite checks that a request is not written again if its reused connection breaks.
 func testOneWrite(t *testing.T, suite Suite) {
 	server := suite.Server(t)
 	transport := suite.Transport()
@@ -144,12 +144,12 @@
 			t.Errorf("status %v: it may have run", result.Status)
 		}
 	case <-time.After(timeout):
-		t.Error("it waits on")
+		t.Error("the attempt still waits after it was given up")
 	}
 	server.Release()
 }
 
-// testUnsolicited: what an upstream sends beyond a response is no response to the next request.
+// testUnsolicited checks that bytes sent after a response are not taken for the response to the next request.
 func testUnsolicited(t *testing.T, suite Suite) {
 	server := suite.Server(t)
 	transport := suite.Transport()
@@ -157,8 +157,8 @@
 	first := transport.Do(newAttempt(server.Address(), nil))
 	expect(t, "status", first.Status, balancer.OK)
 	noticed := first.Unsolicited
-	if first.Conn != nil { // the unsolicited bytes have not come yet
-		const reuseDelay = 20 * time.Millisecond // longer than that of a pool
+	if first.Conn != nil { // the unsolicited bytes have not arrived yet
+		const reuseDelay = 20 * time.Millisecond // longer than the reuse delay of a pool
 		time.Sleep(reuseDelay)
 		if first.Conn.Reuse() != nil {
 			t.Fatal("the connection is broken")
@@ -171,7 +171,7 @@
 	expect(t, "unsolicited bytes noticed", noticed, true)
 }
 
-// testDropRace: each of many attempts that are dropped about when they are written was written once or never.
+// testDropRace checks that attempts that are dropped at about the time of writing are written once or not at all.
 func testDropRace(t *testing.T, suite Suite) {
 	const attempts = 50
 	server := suite.Server(t)
--- a/internal/upstream/upstreamtest/helpers.go
+++ b/internal/upstream/upstreamtest/helpers.go
@@ -13,7 +13,7 @@
 	"olivearch/internal/upstream"
 )
 
-// timeout bounds the wait for what must come. It is never what a test measures.
+// timeout bounds the waits of a test that passes without reaching it. No test measures it.
 const timeout = 10 * time.Second
 
 // recorder is an upstream.Observer that records its notifications.
@@ -45,14 +45,14 @@
 	return slices.Clone(r.events)
 }
 
-// gate is an upstream.Gate: true is open.
+// gate is an upstream.Gate that is open if true.
 type gate bool
 
 func (g gate) Open() bool { return bool(g) }
 
 var lastRequestID atomic.Int64
 
-// newAttempt returns an attempt of a request with an ID of its own.
+// newAttempt returns an attempt whose request has a unique ID.
 func newAttempt(address string, connection upstream.Conn) *upstream.Attempt {
 	message := &upstream.Message{
 		RequestLine: "POST /x",
@@ -73,7 +73,7 @@
 	case id := <-server.Arrived():
 		return id
 	case <-time.After(timeout):
-		t.Fatal("no request arrives")
+		t.Fatal("no request arrived in time")
 		return ""
 	}
 }
@@ -83,7 +83,7 @@
 	t.Helper()
 	select {
 	case id := <-server.Arrived():
-		t.Errorf("request %s was written", id)
+		t.Errorf("request %s was written unexpectedly", id)
 	default:
 	}
 }
@@ -95,10 +95,10 @@
 	}
 }
 
-// expectBroken checks the end of a response that did not come completely.
+// expectBroken checks the result of a response that was not received completely.
 func expectBroken(t *testing.T, result upstream.Result) {
 	t.Helper()
 	if result.Status == balancer.OK || result.Conn != nil {
-		t.Errorf("its end: %v, %v", result.Status, result.Conn)
+		t.Errorf("incomplete response: got status %v, connection %v", result.Status, result.Conn)
 	}
 }
--- a/internal/upstream/upstreamtest/streaming.go
+++ b/internal/upstream/upstreamtest/streaming.go
@@ -38,15 +38,15 @@
 	select {
 	case response.started = <-response.observer.began:
 	case result := <-response.ended:
-		t.Fatalf("it ends with %v before it has begun", result.Status)
+		t.Fatalf("the attempt ended with %v before its response started", result.Status)
 	case <-time.After(timeout):
-		t.Fatal("nothing begins")
+		t.Fatal("no response started in time")
 	}
 	awaitArrival(t, server)
 	return response
 }
 
-// readAsClient streams the response on and returns what a client reads of its body.
+// readAsClient streams the response to a client and returns the body that the client reads.
 func (r streamedResponse) readAsClient(t *testing.T) ([]byte, error) {
 	t.Helper()
 	balancerSide, clientSide := net.Pipe()
@@ -70,7 +70,7 @@
 	expect(t, "status", response.started.Status, balancer.OK)
 	got, err := response.readAsClient(t)
 	if err != nil || !bytes.Equal(got, Long) {
-		t.Errorf("%d bytes came on, %v", len(got), err)
+		t.Errorf("the client received %d bytes, %v", len(got), err)
 	}
 	expect(t, "status of its end", (<-response.ended).Status, balancer.OK)
 	expect(t, "notifications", fmt.Sprint(response.observer.recorded()), "[began]")
@@ -80,30 +80,30 @@
 	response := startStreaming(t, suite, Truncate)
 	got, err := response.readAsClient(t)
 	if err == nil || len(got) >= len(Long) {
-		t.Errorf("a truncated response passes for complete: %d bytes", len(got))
+		t.Errorf("a truncated response was taken for complete: %d bytes", len(got))
 	}
 	expectBroken(t, <-response.ended)
 }
 
 func testStalledResponse(t *testing.T, suite Suite) {
 	response := startStreaming(t, suite, Stall)
-	response.started.Download.Abandon() // its client has gone
+	response.started.Download.Abandon() // its client has left
 	select {
 	case result := <-response.ended:
 		expectBroken(t, result)
 	case <-time.After(timeout):
-		t.Error("it waits for ever")
+		t.Error("the attempt still waits for the stalled response")
 	}
 }
 
-// streamedRequest is an attempt whose request body is still to come from its client.
+// streamedRequest is an attempt whose request body is streamed from a client.
 type streamedRequest struct {
 	attempt *upstream.Attempt
 	client  net.Conn
 	upload  *body.Upload
 }
 
-// newStreamedRequest returns a request with the body length of Long.
+// newStreamedRequest returns a request whose body has the length of Long and is not sent yet.
 func newStreamedRequest(t *testing.T, address string) streamedRequest {
 	t.Helper()
 	balancerSide, clientSide := net.Pipe()
@@ -111,7 +111,7 @@
 		balancerSide.Close()
 		clientSide.Close()
 	})
-	noSpool := new(body.Spool) // without capacity nothing is read ahead
+	noSpool := new(body.Spool) // has no capacity, so nothing is read ahead
 	framing := http1.Framing{Length: uint64(len(Long))}
 	upload := body.NewUpload(noSpool, balancerSide, framing, &body.DefaultLimits)
 	if err := upload.ReadAhead(http1.NewStream(balancerSide, readBufferSize).Body(framing, 0)); err != nil {
@@ -149,7 +149,7 @@
 	}
 	request.client.Close()
 	if err := <-request.upload.Done(); !errors.As(err, new(body.ClientError)) {
-		t.Errorf("the client side's error is %v", err)
+		t.Errorf("got upload error %v, want a body.ClientError", err)
 	}
 	expect(t, "status", (<-ended).Status, balancer.NotSent)
 	expectNoArrival(t, server)
--- a/internal/upstream/upstreamtest/upstreamtest.go
+++ b/internal/upstream/upstreamtest/upstreamtest.go
@@ -1,5 +1,6 @@
-// Package upstreamtest tests an upstream.Transport against its contract, as testing/fstest does a file system: every
-// protocol towards upstreams runs Test with servers that speak it.
+// Package upstreamtest tests implementations of upstream.Transport against its contract, as testing/fstest tests file
+// systems. The tests of each implementation call Test with a server of its protocol. The package does not test the
+// encoding of a protocol.
 package upstreamtest
 
 import (
@@ -12,48 +13,48 @@
 // Behaviour is what a server does with a request that it has read completely.
 type Behaviour int
 
-// The behaviours. Each Server has all of them.
+// Behaviours that every Server implements.
 const (
 	Serve       Behaviour = iota // responds 200 with the body Answer
 	ServeLong                    // responds 200 with the body Long
 	Reject                       // responds that it has not run the request
-	Fail                         // runs the request and responds 500
+	Fail                         // responds 500
 	Disconnect                   // closes the connection without a response
-	Truncate                     // sends half of Long and closes the connection
-	Stall                        // sends half of Long and then nothing
-	Hold                         // sends nothing until Release, then serves
-	Unsolicited                  // serves and sends something unsolicited behind the response
+	Truncate                     // responds with half of Long and closes the connection
+	Stall                        // responds with half of Long and then sends nothing
+	Hold                         // sends nothing until Release, then responds as Serve
+	Unsolicited                  // responds as Serve and then sends unsolicited bytes
 )
 
-// Bodies that servers respond with. Long is long enough to be streamed.
+// Bodies of responses. Long is long enough to be streamed.
 var (
 	Answer = []byte("done")
 	Long   = bytes.Repeat([]byte("0123456789abcdef"), 16<<10)
 )
 
-// Server is an upstream that speaks the transport's protocol.
+// Server is an upstream that uses the protocol of the transport.
 type Server interface {
-	// Address is the host:port on which it listens.
+	// Address returns the host:port on which the server listens.
 	Address() string
 	// SetBehaviour sets the behaviour from the next request on.
 	SetBehaviour(Behaviour)
-	// Arrived yields the X-Request-Id of each completely read request.
+	// Arrived returns a channel that yields the X-Request-Id of each completely read request.
 	Arrived() <-chan string
-	// Release ends all holds.
+	// Release ends the waits of Hold and Stall.
 	Release()
 	// Opened returns the number of connections that were accepted.
 	Opened() int
 }
 
-// Suite is what is tested.
+// Suite is the transport to test, with its servers.
 type Suite struct {
 	// Transport returns a transport that passes on full responses.
 	Transport func() upstream.Transport
-	// Server starts a server that ends with the test.
+	// Server starts a server that stops when the test ends.
 	Server func(t *testing.T) Server
 }
 
-// Test runs all tests of the contract.
+// Test runs all tests of the contract as subtests.
 func Test(t *testing.T, suite Suite) {
 	for _, testCase := range []struct {
 		name string
