--- a/internal/body/download.go
+++ b/internal/body/download.go
@@ -166,8 +166,7 @@
 	return part{block, n, err}
 }
 
-// buffer appends a part to the buffered ones. If streaming has begun, it returns false and the part stays with the
-// caller.
+// buffer appends a part to the buffered ones. If streaming has begun, it returns false and does not keep the part.
 func (d *Download) buffer(next part) bool {
 	d.mu.Lock()
 	defer d.mu.Unlock()
--- a/internal/body/upload.go
+++ b/internal/body/upload.go
@@ -20,10 +20,10 @@
 // Unwrap returns the cause.
 func (e ClientError) Unwrap() error { return e.error }
 
-// MinRate is the minimum rate at which a client must send. Only time spent waiting for the client counts.
+// MinRate is the minimum rate at which a client must send, relative to the time spent waiting for the client.
 type MinRate struct {
-	BytesPerSecond int           // bytes a second; 0: any
-	Grace          time.Duration // that it may lose beyond that
+	BytesPerSecond int           // 0: no minimum
+	Grace          time.Duration // waiting time that does not count
 }
 
 // Upload is the part of a request body that follows upstream.Message.Body: blocks that were read ahead and, if the body
@@ -68,7 +68,7 @@
 }
 
 // SetMinRate sets the minimum rate. It is called before any attempt uses the Upload.
-func (u *Upload) SetMinRate(f MinRate) { u.minRate = f }
+func (u *Upload) SetMinRate(r MinRate) { u.minRate = r }
 
 // ReadAhead reads the body into blocks until it is complete, its limit is reached or the spool has no free memory.
 func (u *Upload) ReadAhead(src *http1.Body) error {
--- a/internal/frontend/deadlines.go
+++ b/internal/frontend/deadlines.go
@@ -10,7 +10,7 @@
 var expiredDeadline = time.Unix(0, 1)
 
 // deadlineConn sets the deadlines of a connection. Setting one takes a considerable part of the time of serving a
-// request, so a deadline is only replaced if it is too early.
+// request, so the deadlines of writes and of idle connections are only replaced if they are too early.
 type deadlineConn struct {
 	net.Conn
 
--- a/internal/frontend/reader.go
+++ b/internal/frontend/reader.go
@@ -156,8 +156,8 @@
 	return responseWritten
 }
 
-// waitForUpload waits until an attempt no longer reads the streamed body from the connection, since only one goroutine
-// may read it. It reports whether the connection stays open.
+// waitForUpload waits until a streamed body has been read or its request is answered, since until then only the attempt
+// may read the connection. It reports whether the connection stays open.
 func (s *Server) waitForUpload(client *clientConn, upload *body.Upload) bool {
 	select {
 	case staysOpen := <-client.responded: // answered before the body was complete
--- a/internal/frontend/request.go
+++ b/internal/frontend/request.go
@@ -136,7 +136,7 @@
 }
 
 // framingOf returns the framing of a request's body, and whether the request declares one. It rejects malformed
-// framing, a body that is too large, and a body that the message requires but lacks or has but must not have.
+// framing, a body that is too large, a missing body where the message requires one, and a body where it allows none.
 func framingOf(method string, header http1.Fields, message *upstream.Message) (http1.Framing, bool, error) {
 	framing, hasBody, err := http1.FramingOf(header)
 	if err != nil {
@@ -172,7 +172,7 @@
 	}
 }
 
-// readBody reads a body, or the part that is read ahead of a long one, into the message.
+// readBody reads a body into the message. It reads the first part of a long body, and the rest is streamed.
 func (s *Server) readBody(client *clientConn, request *pool.Request, framing http1.Framing) error {
 	message := &request.Message
 	limits := message.BodyLimits()
--- a/internal/frontend/server.go
+++ b/internal/frontend/server.go
@@ -61,8 +61,8 @@
 // Listener returns the listener on which connections are accepted.
 func (s *Server) Listener() net.Listener { return s.listener }
 
-// Limit changes the limits. If more connections than the new limit are open, a new connection waits until evictions and
-// regular closes have made room for it.
+// Limit changes the limits. If more connections are open than the new limit allows, they stay open, and each new
+// connection evicts one of them.
 func (s *Server) Limit(limits Limits) { s.limits.Store(&limits) }
 
 // Connections returns the number of open connections and its limit.
--- a/internal/frontend/timing.go
+++ b/internal/frontend/timing.go
@@ -7,8 +7,7 @@
 const (
 	// FirstByteTimeout bounds the wait for the first byte on a new connection, within the 3 s of the platform.
 	FirstByteTimeout = 2500 * time.Millisecond
-	// ReadStallTimeout bounds the wait for the next byte in the middle of a request, within the 3 s of the
-	// platform.
+	// ReadStallTimeout bounds the wait for the next byte of a partial request, within the 3 s of the platform.
 	ReadStallTimeout = 2300 * time.Millisecond
 	// requestTimeout bounds the time to receive a request from a client that never stalls but may have a slow
 	// network.
@@ -46,7 +45,7 @@
 	lingerTimeout = 300 * time.Millisecond
 	// lingerBytes is the largest number of bytes that a lingering close discards.
 	lingerBytes = 256 << 10
-	// lingerBodyBytes is that number if the client is still sending its body; the time limit is requestTimeout
+	// lingerBodyBytes is that number if the client is still sending its body. The time limit is requestTimeout
 	// then.
 	lingerBodyBytes = 48 << 20
 )
--- a/internal/http1/socket.go
+++ b/internal/http1/socket.go
@@ -26,7 +26,7 @@
 	return err == nil && received <= 0 && !errors.Is(recvErr, syscall.EAGAIN)
 }
 
-// Innermost returns the innermost connection that c wraps. On a socket io.Copy can use splice(2).
+// Innermost returns the innermost connection that c wraps. Between two sockets io.Copy can use splice(2).
 func Innermost(c net.Conn) net.Conn {
 	for {
 		wrapper, ok := c.(interface{ Underlying() net.Conn })
--- a/internal/http1/stream.go
+++ b/internal/http1/stream.go
@@ -15,8 +15,7 @@
 )
 
 const (
-	// MaxHead is the largest size of a head in bytes. The head of a final response includes the interim ones before
-	// it.
+	// MaxHead is the largest size in bytes of a head, or of all heads of a response with its interim responses.
 	MaxHead = 16 << 10
 	// MaxInterim is the largest number of interim responses (1xx) before a final one.
 	MaxInterim = 16
--- a/internal/http1/write.go
+++ b/internal/http1/write.go
@@ -12,11 +12,11 @@
 const LastChunk = "0\r\n\r\n"
 
 // SendPart sends a part of a body within a timeout, as a chunk if the body is chunked.
-func SendPart(c net.Conn, part []byte, chunked bool, within time.Duration) error {
+func SendPart(c net.Conn, part []byte, chunked bool, timeout time.Duration) error {
 	if len(part) == 0 { // an empty chunk would be the last
 		return nil
 	}
-	setWriteTimeout(c, within)
+	setWriteTimeout(c, timeout)
 	if !chunked {
 		_, err := c.Write(part)
 		return err
@@ -27,17 +27,16 @@
 }
 
 // SendLastChunk sends the last chunk of a chunked body and its trailer within a timeout.
-func SendLastChunk(c net.Conn, trailer Fields, within time.Duration) error {
+func SendLastChunk(c net.Conn, trailer Fields, timeout time.Duration) error {
 	b := GetBuffer()
 	defer PutBuffer(b)
 	WriteLastChunk(b, trailer)
-	setWriteTimeout(c, within)
+	setWriteTimeout(c, timeout)
 	_, err := c.Write(b.Bytes())
 	return err
 }
 
-// setWriteTimeout sets the deadline of the next write. Its error is ignored: on a closed connection the write fails
-// too.
+// setWriteTimeout sets the deadline of the next write. If setting it fails, so does the write.
 func setWriteTimeout(c net.Conn, timeout time.Duration) {
 	_ = c.SetWriteDeadline(time.Now().Add(timeout))
 }
--- a/internal/upstream/conformance_test.go
+++ b/internal/upstream/conformance_test.go
@@ -44,10 +44,10 @@
 	if r.URL.Path == "/x" {
 		s.arrived <- r.Header.Get("X-Request-Id")
 	}
-	answer := string(upstreamtest.Answer)
+	answer := string(upstreamtest.ShortBody)
 	switch upstreamtest.Behaviour(s.behaviour.Load()) {
 	case upstreamtest.ServeLong:
-		return sendLong(c, len(upstreamtest.Long))
+		return sendLong(c, len(upstreamtest.LongBody))
 	case upstreamtest.Reject:
 		return send(c, "HTTP/1.1 503 Busy\r\nX-Not-Run: 1\r\nContent-Length: 0\r\n\r\n")
 	case upstreamtest.Fail:
@@ -55,10 +55,10 @@
 	case upstreamtest.Disconnect:
 		return false
 	case upstreamtest.Truncate:
-		sendLong(c, len(upstreamtest.Long)/2)
+		sendLong(c, len(upstreamtest.LongBody)/2)
 		return false
 	case upstreamtest.Stall:
-		sendLong(c, len(upstreamtest.Long)/2)
+		sendLong(c, len(upstreamtest.LongBody)/2)
 		<-s.released
 		return false
 	case upstreamtest.Hold:
@@ -77,10 +77,10 @@
 	return err == nil
 }
 
-// sendLong sends the head of a response with the body upstreamtest.Long, and the first bodyBytes bytes of the body.
+// sendLong sends the head of a response with the body upstreamtest.LongBody, and the first bodyBytes bytes of the body.
 func sendLong(c net.Conn, bodyBytes int) bool {
-	head := fmt.Sprintf("HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n", len(upstreamtest.Long))
-	return send(c, head) && send(c, string(upstreamtest.Long[:bodyBytes]))
+	head := fmt.Sprintf("HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n", len(upstreamtest.LongBody))
+	return send(c, head) && send(c, string(upstreamtest.LongBody[:bodyBytes]))
 }
 
 // TestContract tests the HTTP/1.1 transport against the contract of upstream.Transport.
--- a/internal/upstream/connect_bench_test.go
+++ b/internal/upstream/connect_bench_test.go
@@ -11,8 +11,8 @@
 )
 
 // BenchmarkConnect compares the CPU time of a request on a new connection to an upstream with that on a reused one. The
-// CPU time is that of both sides, which share this process. The cost of a new connection matters because with 18,000
-// upstreams idle connections are not kept.
+// CPU time is that of both sides, which share this process. The cost of a new connection matters because connections to
+// 18,000 upstreams are not kept after use.
 func BenchmarkConnect(b *testing.B) {
 	for _, kept := range []bool{true, false} {
 		name := map[bool]string{true: "kept", false: "new"}[kept]
--- a/internal/upstream/http1.go
+++ b/internal/upstream/http1.go
@@ -26,7 +26,7 @@
 // does not report whether the last byte was written.
 type HTTP1 struct {
 	ConnectTimeout time.Duration // for opening a connection, and for a health check
-	FullResponses  bool          // passes on all responses under 500 with their fields, not only the body of a 200
+	FullResponses  bool          // passes on responses under 500 with their fields, not only the body of a 200
 }
 
 var _ Transport = HTTP1{}
--- a/internal/upstream/upstreamtest/attempts.go
+++ b/internal/upstream/upstreamtest/attempts.go
@@ -73,7 +73,7 @@
 		result := suite.Transport().Do(newAttempt(server.Address(), nil))
 		expect(t, fmt.Sprint("status of behaviour ", testCase.behaviour), result.Status, testCase.status)
 		if testCase.status == balancer.OK {
-			expect(t, "body", string(result.Body), string(Answer))
+			expect(t, "body", string(result.Body), string(ShortBody))
 		}
 		awaitArrival(t, server)
 		expectNoArrival(t, server)
@@ -165,7 +165,7 @@
 		}
 		server.SetBehaviour(Serve)
 		second := transport.Do(newAttempt(server.Address(), first.Conn))
-		expect(t, "the next", string(second.Body), string(Answer))
+		expect(t, "the next", string(second.Body), string(ShortBody))
 		noticed = second.Unsolicited
 	}
 	expect(t, "unsolicited bytes noticed", noticed, true)
--- a/internal/upstream/upstreamtest/helpers.go
+++ b/internal/upstream/upstreamtest/helpers.go
@@ -13,7 +13,7 @@
 	"olivearch/internal/upstream"
 )
 
-// timeout bounds the waits of a test that passes without reaching it. No test measures it.
+// timeout bounds each wait of a test. Passing tests do not reach it.
 const timeout = 10 * time.Second
 
 // recorder is an upstream.Observer that records its notifications.
--- a/internal/upstream/upstreamtest/streaming.go
+++ b/internal/upstream/upstreamtest/streaming.go
@@ -69,7 +69,7 @@
 	response := startStreaming(t, suite, ServeLong)
 	expect(t, "status", response.started.Status, balancer.OK)
 	got, err := response.readAsClient(t)
-	if err != nil || !bytes.Equal(got, Long) {
+	if err != nil || !bytes.Equal(got, LongBody) {
 		t.Errorf("the client received %d bytes, %v", len(got), err)
 	}
 	expect(t, "status of its end", (<-response.ended).Status, balancer.OK)
@@ -79,7 +79,7 @@
 func testTruncatedResponse(t *testing.T, suite Suite) {
 	response := startStreaming(t, suite, Truncate)
 	got, err := response.readAsClient(t)
-	if err == nil || len(got) >= len(Long) {
+	if err == nil || len(got) >= len(LongBody) {
 		t.Errorf("a truncated response was taken for complete: %d bytes", len(got))
 	}
 	expectBroken(t, <-response.ended)
@@ -103,7 +103,7 @@
 	upload  *body.Upload
 }
 
-// newStreamedRequest returns a request whose body has the length of Long and is not sent yet.
+// newStreamedRequest returns a request whose body has the length of LongBody and is not sent yet.
 func newStreamedRequest(t *testing.T, address string) streamedRequest {
 	t.Helper()
 	balancerSide, clientSide := net.Pipe()
@@ -112,7 +112,7 @@
 		clientSide.Close()
 	})
 	noSpool := new(body.Spool) // has no capacity, so nothing is read ahead
-	framing := http1.Framing{Length: uint64(len(Long))}
+	framing := http1.Framing{Length: uint64(len(LongBody))}
 	upload := body.NewUpload(noSpool, balancerSide, framing, &body.DefaultLimits)
 	if err := upload.ReadAhead(http1.NewStream(balancerSide, readBufferSize).Body(framing, 0)); err != nil {
 		t.Fatal(err)
@@ -130,7 +130,7 @@
 	request.attempt.Observer = observer
 	ended := make(chan upstream.Result, 1)
 	go func() { ended <- suite.Transport().Do(request.attempt) }()
-	if _, err := request.client.Write(Long); err != nil {
+	if _, err := request.client.Write(LongBody); err != nil {
 		t.Fatal(err)
 	}
 	expect(t, "the client side's error", <-request.upload.Done(), nil)
@@ -144,7 +144,7 @@
 	request := newStreamedRequest(t, server.Address())
 	ended := make(chan upstream.Result, 1)
 	go func() { ended <- suite.Transport().Do(request.attempt) }()
-	if _, err := request.client.Write(Long[:len(Long)/2]); err != nil {
+	if _, err := request.client.Write(LongBody[:len(LongBody)/2]); err != nil {
 		t.Fatal(err)
 	}
 	request.client.Close()
--- a/internal/upstream/upstreamtest/upstreamtest.go
+++ b/internal/upstream/upstreamtest/upstreamtest.go
@@ -15,21 +15,21 @@
 
 // Behaviours that every Server implements.
 const (
-	Serve       Behaviour = iota // responds 200 with the body Answer
-	ServeLong                    // responds 200 with the body Long
+	Serve       Behaviour = iota // responds 200 with the body ShortBody
+	ServeLong                    // responds 200 with the body LongBody
 	Reject                       // responds that it has not run the request
 	Fail                         // responds 500
 	Disconnect                   // closes the connection without a response
-	Truncate                     // responds with half of Long and closes the connection
-	Stall                        // responds with half of Long and then sends nothing
+	Truncate                     // responds with half of LongBody and closes the connection
+	Stall                        // responds with half of LongBody and then sends nothing
 	Hold                         // sends nothing until Release, then responds as Serve
 	Unsolicited                  // responds as Serve and then sends unsolicited bytes
 )
 
-// Bodies of responses. Long is long enough to be streamed.
+// Bodies of responses. LongBody is long enough to be streamed.
 var (
-	Answer = []byte("done")
-	Long   = bytes.Repeat([]byte("0123456789abcdef"), 16<<10)
+	ShortBody = []byte("done")
+	LongBody  = bytes.Repeat([]byte("0123456789abcdef"), 16<<10)
 )
 
 // Server is an upstream that uses the protocol of the transport.
