--- a/balancer/balancer_test.go
+++ b/balancer/balancer_test.go
@@ -11,21 +11,25 @@
 	"unicode/utf8"
 )
 
-// Odd figures from owners are passed over; a mean that took one in would stay poisoned.
-func TestOddFiguresPoisonNothing(t *testing.T) {
-	odd := []float64{math.NaN(), math.Inf(1), math.Inf(-1), -3, 0, math.MaxFloat64}
-	list := fleet(len(odd))
+// Values that are negative, too large or not finite must not reach a running mean, since NaN or infinity would stay in
+// it. A weight of zero is invalid too.
+func TestInvalidValuesDoNotReachStatistics(t *testing.T) {
+	invalid := []float64{math.NaN(), math.Inf(1), math.Inf(-1), -3, 0, math.MaxFloat64}
+	list := fleet(len(invalid))
 	for i := range list {
-		list[i].Weight = odd[i]
+		list[i].Weight = invalid[i]
 	}
 	b, h := start(t, settings(), append(list, list[0], Upstream{ID: 99, State: Removed, Weight: 1}))
 	now := time.Hour
 	for i := range 400 {
 		now += 20 * ms
 		id := RequestID(i + 1)
-		b.RequestArrived(now, Request{ID: id, Class: "read", Budget: time.Second, Cost: time.Duration(odd[i%3+2])})
+		b.RequestArrived(now, Request{ID: id, Class: "read", Budget: time.Second, Cost: time.Duration(invalid[i%3+2])})
 		if r := b.requests[id]; r != nil && r.inFlight > 0 {
-			l := Load{Fields: HasUtil | HasInflight | HasQueue, Util: odd[i%6], Inflight: odd[(i+1)%6], Queue: odd[(i+2)%6]}
+			l := Load{
+				Fields: HasUtil | HasInflight | HasQueue,
+				Util:   invalid[i%6], Inflight: invalid[(i+1)%6], Queue: invalid[(i+2)%6],
+			}
 			o := AttemptResult{
 				ID: id, Upstream: r.attempts[0].upstream.ID, Latency: time.Duration(i%3-1) * 30 * ms,
 				Status: OK, Closed: true, Load: l,
@@ -34,39 +38,41 @@
 			b.AttemptFinished(now, o)
 		}
 		b.HealthCheckFinished(now, HealthCheckResult{Upstream: 99, Load: Load{Fields: HasUtil, Util: 1}})
-		b.HealthCheckFinished(now, HealthCheckResult{Upstream: 2, Load: Load{Fields: HasUtil, Util: odd[i%6]}})
+		b.HealthCheckFinished(now, HealthCheckResult{Upstream: 2, Load: Load{Fields: HasUtil, Util: invalid[i%6]}})
 		b.TimerFired(now, tickToken)
 		b.TimerFired(now, 12345)
 	}
 	for _, u := range b.upstreams {
 		for name, x := range map[string]float64{
-			"mean": u.band.mean, "dev": u.band.deviation, "weight": u.share.weight, "latency": u.latency.mean,
-			"bound": u.limit.allowed, "due": u.nextTurn, "area": u.band.area, "factor": u.share.factor,
+			"mean": u.band.mean, "deviation": u.band.deviation, "weight": u.share.weight, "latency": u.latency.mean,
+			"limit": u.limit.allowed, "next turn": u.nextTurn, "area": u.band.area, "factor": u.share.factor,
 		} {
 			if math.IsNaN(x) || math.IsInf(x, 0) || x < 0 {
-				t.Errorf("upstream %d: %s is %v", u.ID, name, x)
+				t.Errorf("upstream %d: %s is %v, want it finite and not negative", u.ID, name, x)
 			}
 		}
 	}
 	if h.count("send") < 300 || h.count("timer") > 401 {
-		t.Errorf("%d sends of 400, %d timers", h.count("send"), h.count("timer"))
+		t.Errorf("%d sends for 400 requests, want at least 300; %d timers set, want at most 401",
+			h.count("send"), h.count("timer"))
 	}
 }
 
-// maxFileLines and maxColumns keep each file of the decisions to one job that can be read at a sitting.
+// maxFileLines and maxColumns keep each source file of the package short enough to read in one go.
 const maxFileLines, maxColumns = 300, 120
 
-// TestModuleSize holds each file of the decisions to a length and a width, and the deploy file to naming all of them.
+// TestModuleSize checks that each source file of the package stays within maxFileLines and maxColumns, and
+// that deploy/balancer.toml lists exactly these files.
 func TestModuleSize(t *testing.T) {
 	deploy, err := os.ReadFile("../deploy/balancer.toml")
 	if err != nil {
 		t.Fatal(err)
 	}
-	_, policy, _ := strings.Cut(string(deploy), "\npolicy = [")
-	policy, _, _ = strings.Cut(policy, "]")
-	named := map[string]bool{}
-	for name := range strings.SplitSeq(policy, ",") {
-		named[strings.Trim(name, " \"")] = true
+	_, listed, _ := strings.Cut(string(deploy), "\npolicy = [")
+	listed, _, _ = strings.Cut(listed, "]")
+	unseen := map[string]bool{}
+	for name := range strings.SplitSeq(listed, ",") {
+		unseen[strings.Trim(name, " \"")] = true
 	}
 	files, err := filepath.Glob("*.go")
 	if err != nil {
@@ -76,29 +82,30 @@
 		if strings.HasSuffix(name, "_test.go") {
 			continue
 		}
-		if !named["balancer/"+name] {
-			t.Errorf("%s is not among the policy files of deploy/balancer.toml", name)
+		if !unseen["balancer/"+name] {
+			t.Errorf("%s is not listed under policy in deploy/balancer.toml", name)
 		}
-		delete(named, "balancer/"+name)
+		delete(unseen, "balancer/"+name)
 		text, err := os.ReadFile(name)
 		if err != nil {
 			t.Fatal(err)
 		}
 		lines := bytes.Split(text, []byte("\n"))
 		if len(lines)-1 > maxFileLines {
-			t.Errorf("%s: %d lines, at most %d", name, len(lines)-1, maxFileLines)
+			t.Errorf("%s: %d lines, want at most %d", name, len(lines)-1, maxFileLines)
 		}
 		for i, line := range lines {
 			if utf8.RuneCount(line) > maxColumns {
-				t.Errorf("%s: line %d has %d characters, at most %d", name, i+1, utf8.RuneCount(line), maxColumns)
+				t.Errorf("%s: line %d has %d characters, want at most %d", name, i+1, utf8.RuneCount(line), maxColumns)
 			}
 		}
 	}
-	for name := range named {
-		t.Errorf("deploy/balancer.toml names %s, and there is no such file", name)
+	for name := range unseen {
+		t.Errorf("deploy/balancer.toml lists %s, which does not exist", name)
 	}
 }
 
+// BenchmarkRequest measures the arrival of a request and the end of its attempt, with 20 upstreams.
 func BenchmarkRequest(b *testing.B) {
 	bal, err := New(settings(), 1, 0, &silentHost{})
 	if err != nil {
@@ -114,23 +121,23 @@
 	}
 }
 
-// silentHost carries out nothing, for the benchmark.
+// silentHost is a Host that ignores sends, rejections and timers.
 type silentHost struct{ Host }
 
 func (silentHost) Send(RequestID, UpstreamID, time.Duration) {}
 func (silentHost) Reject(RequestID, time.Duration)           {}
 func (silentHost) SetTimer(time.Duration, uint64)            {}
 
-// Thousands of upstreams come and go under ids that are ever new, with ever new requests and keys: what is kept returns
-// to its size.
-func TestStateReturnsToItsSize(t *testing.T) {
+// State must not leak: after 3,000 list changes, each with a new upstream ID, and 9,000 requests, each with a new key,
+// only the state of the four listed upstreams is left.
+func TestStateShrinksAfterUpstreamsAndRequestsEnd(t *testing.T) {
 	b, h := start(t, settings(), fleet(4))
 	now := time.Hour
 	for i := range 3000 {
 		now += 400 * ms
 		list := fleet(4)
 		for j := range list {
-			list[j].ID = UpstreamID(i + j + 1) // the first goes, a new one comes
+			list[j].ID = UpstreamID(i + j + 1) // each list drops the oldest upstream and adds one
 			list[j].StartedAt = now - time.Duration(4-j)*400*ms
 		}
 		b.EndpointsUpdated(now, ListFull, list)
@@ -149,16 +156,16 @@
 	now += time.Minute
 	b.TimerFired(now, tickToken)
 	b.TimerFired(now+bandPeriod, tickToken)
-	for what, n := range map[string]int{
-		"upstreams": len(b.byID), "their list": len(b.upstreams), "the subset": len(b.subset.upstreams),
+	for name, n := range map[string]int{
+		"upstreams by ID": len(b.byID), "listed upstreams": len(b.upstreams), "subset": len(b.subset.upstreams),
 	} {
 		if n != 4 {
-			t.Errorf("%s: %d, want 4", what, n)
+			t.Errorf("%s: %d, want 4", name, n)
 		}
 	}
 	left := len(b.requests) + len(b.queue.waiting) + len(b.quota.levels) + len(b.quota.sweepOrder)
 	if left > 0 || len(b.lastLoggedAt) > 5 {
-		t.Errorf("left: %d requests, %d queued, %d tenants, %d kinds of log line",
+		t.Errorf("left: %d requests, %d queued, %d tenant levels, %d kinds of log line; want 0, 0, 0 and at most 5",
 			len(b.requests), len(b.queue.waiting), len(b.quota.levels), len(b.lastLoggedAt))
 	}
 }
--- a/balancer/bollinger_test.go
+++ b/balancer/bollinger_test.go
@@ -7,7 +7,7 @@
 	"time"
 )
 
-// near reports whether two figures are equal but for rounding.
+// near reports whether two values are equal except for rounding.
 func near(x, y float64) bool { return math.Abs(x-y) < 1e-9 }
 
 func TestBollingerBandWindowMoves(t *testing.T) {
@@ -18,12 +18,12 @@
 		mean, deviation float64
 		upper, lower    float64
 	}{
-		{"none", nil, nil, 0, 0, 0, 0},
-		{"one", []float64{0.4}, []float64{0.4}, 0.4, 0, 0.4, 0.4},
-		{"two", []float64{0.2, 0.6}, []float64{0.2, 0.6}, 0.4, 0.2, 0.8, 0},
-		{"eight", []float64{0, 1, 0, 1, 0, 1, 0, 1}, []float64{0, 1, 0, 1, 0, 1, 0, 1}, 0.5, 0.5, 1.5, -0.5},
+		{"no readings", nil, nil, 0, 0, 0, 0},
+		{"one reading", []float64{0.4}, []float64{0.4}, 0.4, 0, 0.4, 0.4},
+		{"two readings", []float64{0.2, 0.6}, []float64{0.2, 0.6}, 0.4, 0.2, 0.8, 0},
+		{"eight readings", []float64{0, 1, 0, 1, 0, 1, 0, 1}, []float64{0, 1, 0, 1, 0, 1, 0, 1}, 0.5, 0.5, 1.5, -0.5},
 		{
-			"ten: the first two are gone",
+			"ten: the first two are dropped",
 			[]float64{9, 9, 0.5, 0.5, 0.5, 0.5, 0.5, 0.5, 0.5, 0.5},
 			[]float64{0.5, 0.5, 0.5, 0.5, 0.5, 0.5, 0.5, 0.5},
 			0.5, 0, 0.5, 0.5,
@@ -40,12 +40,12 @@
 			t.Errorf("%s: mean %v, deviation %v; want %v, %v", c.name, band.mean, band.deviation, c.mean, c.deviation)
 		}
 		if !near(band.upper(), c.upper) || !near(band.lower(), c.lower) {
-			t.Errorf("%s: from %v to %v, want %v to %v", c.name, band.lower(), band.upper(), c.lower, c.upper)
+			t.Errorf("%s: band from %v to %v, want %v to %v", c.name, band.lower(), band.upper(), c.lower, c.upper)
 		}
 	}
 }
 
-// The gap is four deviations wide; the level over half use and over the fleet's counts as deviation does.
+// The band gap is four deviations wide. Mean utilisation in excess of both 0.5 and the fleet's counts like a deviation.
 func TestBollingerBandArea(t *testing.T) {
 	for _, c := range []struct {
 		name                   string
@@ -53,13 +53,13 @@
 		elapsed                time.Duration
 		area                   float64
 	}{
-		{"flat and idle", 0.3, 0, 0.3, time.Second, 0},
+		{"constant low load", 0.3, 0, 0.3, time.Second, 0},
 		{"a deviation of 0.1 for a second", 0.3, 0.1, 0.3, time.Second, 0.4},
-		{"for a quarter of it", 0.3, 0.1, 0.3, 250 * ms, 0.1},
-		{"pinned at full load, the fleet at 0.6", 1, 0, 0.6, time.Second, 1.6},
-		{"pinned at full load as all are", 1, 0, 1, time.Second, 0},
-		{"half use in an idle fleet", 0.5, 0, 0, time.Second, 0},
-		{"both", 0.9, 0.05, 0.6, 2 * time.Second, 2.8},
+		{"a deviation of 0.1 for a quarter of a second", 0.3, 0.1, 0.3, 250 * ms, 0.1},
+		{"constant full load, the fleet at 0.6", 1, 0, 0.6, time.Second, 1.6},
+		{"constant full load, the whole fleet too", 1, 0, 1, time.Second, 0},
+		{"half of full load in an idle fleet", 0.5, 0, 0, time.Second, 0},
+		{"excess and deviation for two seconds", 0.9, 0.05, 0.6, 2 * time.Second, 2.8},
 	} {
 		band := bollingerBand{mean: c.mean, deviation: c.deviation, integratedAt: time.Hour}
 		band.integrate(c.fleet, time.Hour+c.elapsed)
@@ -76,7 +76,7 @@
 		saturated       bool
 	}{
 		{0, 9, 0.4, false},
-		{3, 9, 0.4, false}, // few readings prove nothing
+		{3, 9, 0.4, false}, // under half a window of readings
 		{4, 9, 0.4, true},
 		{4, 0.4, 0.4, false},
 		{100, 0.41, 0.4, true},
@@ -95,15 +95,15 @@
 	band.integrate(0, time.Second)
 	band.restart()
 	if band.readings != 0 || band.mean != 0 || band.deviation != 0 || band.area != 0 || len(band.filled()) != 0 {
-		t.Errorf("left after a restart: %+v", band)
+		t.Errorf("state left after a restart: %+v", band)
 	}
 	band.add(0.6)
 	if band.mean != 0.6 {
-		t.Errorf("mean %v after one reading, want 0.6: the old process counts", band.mean)
+		t.Errorf("mean %v after one reading, want 0.6 without the old process's readings", band.mean)
 	}
 }
 
-func TestBollingerBandRestoreLeavesOutOddReadings(t *testing.T) {
+func TestBollingerBandRestoreIgnoresInvalidReadings(t *testing.T) {
 	var band bollingerBand
 	band.restore(12, []float64{0.5, math.NaN(), -1, math.Inf(1), 1e16, 0.7})
 	if want := []float64{0.5, 0, 0, 0, 0, 0.7, 0, 0}; band.readings != 12 || !slices.Equal(band.filled(), want) {
@@ -112,9 +112,9 @@
 }
 
 func TestMeanAndDeviation(t *testing.T) {
-	mean, dev := meanAndDeviation([]float64{0.2, 0.4, 0.4, 0.4, 0.5, 0.5, 0.7, 0.9})
-	if math.Abs(mean-0.5) > 1e-9 || math.Abs(dev-0.2) > 1e-9 { // worked by hand: squares sum to 0.32
-		t.Errorf("mean %v, deviation %v; want 0.5, 0.2", mean, dev)
+	mean, deviation := meanAndDeviation([]float64{0.2, 0.4, 0.4, 0.4, 0.5, 0.5, 0.7, 0.9})
+	if math.Abs(mean-0.5) > 1e-9 || math.Abs(deviation-0.2) > 1e-9 { // the squared differences sum to 0.32
+		t.Errorf("mean %v, deviation %v; want 0.5, 0.2", mean, deviation)
 	}
 }
 
--- a/balancer/concurrency_test.go
+++ b/balancer/concurrency_test.go
@@ -17,7 +17,7 @@
 		{3, 3, 0, false},
 		{1.5, 1, 0, true}, // rounded
 		{1.4, 1, 0, false},
-		{0.1, 0, 0, true}, // under one: an attempt at a time, with pauses
+		{0.1, 0, 0, true}, // under 1: one attempt at a time, at intervals
 		{0.1, 1, 0, false},
 		{3, 0, time.Nanosecond, false},
 	} {
@@ -51,19 +51,19 @@
 		name     string
 		allowed  float64
 		inFlight int
-		since    time.Duration // the last cut
+		since    time.Duration // time since the last cut
 		want     float64
 	}{
 		{"by the factor", 5, 9, time.Second, 4},
-		{"from what was used", 100, 4, time.Second, 4},
-		{"once for what was in flight together", 5, 9, 99 * ms, 5},
-		{"again after a round trip", 5, 9, 100 * ms, 4},
+		{"from the slots in use", 100, 4, time.Second, 4},
+		{"one cut for attempts in flight at the same time", 5, 9, 99 * ms, 5},
+		{"another cut after one latency", 5, 9, 100 * ms, 4},
 		{"to the minimum", 0.3, 0, time.Second, 0.25},
 	} {
 		limit := concurrencyLimit{allowed: c.allowed, cutAt: time.Hour - c.since}
 		limit.cut(0.8, c.inFlight, 0.25, float64(100*ms), time.Hour)
 		if !near(limit.allowed, c.want) {
-			t.Errorf("%s: %v, want %v", c.name, limit.allowed, c.want)
+			t.Errorf("%s: limit %v, want %v", c.name, limit.allowed, c.want)
 		}
 	}
 }
@@ -74,18 +74,18 @@
 		allowed, spare, growth, most float64
 		want                         float64
 	}{
-		{"a fiftieth where one objective is spare", 2, 1, 1, 10, 2.02},
-		{"by the square of it", 2, 3, 1, 10, 2.18},
+		{"by a fiftieth with one spare objective", 2, 1, 1, 10, 2.02},
+		{"by the square of the spare objectives", 2, 3, 1, 10, 2.18},
 		{"by one at most", 2, 100, 1, 10, 3},
-		{"less where more balancers share the upstream", 2, 100, 0.25, 10, 2.25},
+		{"by less where more balancers share the upstream", 2, 100, 0.25, 10, 2.25},
 		{"up to the bound", 9.5, 100, 1, 10, 10},
-		{"a bound below it takes nothing away", 12, 100, 1, 10, 12},
+		{"a bound under the limit does not lower it", 12, 100, 1, 10, 12},
 		{"without bound", 12, 100, 1, math.Inf(1), 13},
 	} {
 		limit := concurrencyLimit{allowed: c.allowed}
 		limit.grow(c.spare, c.growth, c.most)
 		if !near(limit.allowed, c.want) {
-			t.Errorf("%s: %v, want %v", c.name, limit.allowed, c.want)
+			t.Errorf("%s: limit %v, want %v", c.name, limit.allowed, c.want)
 		}
 	}
 }
@@ -111,15 +111,15 @@
 	} {
 		limit := concurrencyLimit{allowed: c.allowed, periodMax: c.before}
 		if limit.raisePeriodMax(); limit.periodMax != c.raised {
-			t.Errorf("%+v: raised to %v", c, limit.periodMax)
+			t.Errorf("%+v: bound raised to %v", c, limit.periodMax)
 		}
 		if limit.endPeriod(); limit.periodMax != c.after {
-			t.Errorf("%+v: %v in the next period", c, limit.periodMax)
+			t.Errorf("%+v: bound %v in the next period", c, limit.periodMax)
 		}
 	}
 }
 
-// next is when the upstream might have been tried before this attempt ended.
+// next is the earliest time of another attempt, as set before this attempt ended.
 func TestConcurrencyLimitSpacesAttempts(t *testing.T) {
 	for _, c := range []struct {
 		name               string
@@ -127,13 +127,13 @@
 		interval, wantNext time.Duration
 	}{
 		{"no interval: at once", 0, 100 * ms, 150 * ms, 0, 150 * ms},
-		{"idle for long: one attempt in hand", 0, 1000 * ms, 1100 * ms, 400 * ms, 1100 * ms},
-		{"sent when it was due: an interval after the answer", 1000 * ms, 1000 * ms, 1100 * ms, 400 * ms, 1500 * ms},
-		{"sent half an interval late", 800 * ms, 1000 * ms, 1100 * ms, 400 * ms, 1300 * ms},
+		{"idle for an interval or more: one attempt without a wait", 0, 1000 * ms, 1100 * ms, 400 * ms, 1100 * ms},
+		{"sent as early as permitted: an interval after the answer", 1000 * ms, 1000 * ms, 1100 * ms, 400 * ms, 1500 * ms},
+		{"sent half an interval later than permitted", 800 * ms, 1000 * ms, 1100 * ms, 400 * ms, 1300 * ms},
 	} {
 		limit := concurrencyLimit{nextSendAt: c.next}
 		if limit.attemptEnded(c.sentAt, c.interval, c.now); limit.nextSendAt != c.wantNext {
-			t.Errorf("%s: next at %v, want %v", c.name, limit.nextSendAt, c.wantNext)
+			t.Errorf("%s: next attempt at %v, want %v", c.name, limit.nextSendAt, c.wantNext)
 		}
 	}
 }
--- a/balancer/configure_test.go
+++ b/balancer/configure_test.go
@@ -5,9 +5,9 @@
 	"time"
 )
 
-// TestConfigureKeepsWhatWasLearnt changes classes, tenants and limits: windows, shares and open requests stay, and a
-// bad setting changes nothing.
-func TestConfigureKeepsWhatWasLearnt(t *testing.T) {
+// TestConfigureKeepsState checks that a change of classes and limits keeps readings, shares, concurrency limits and
+// open requests, and that invalid settings change nothing.
+func TestConfigureKeepsState(t *testing.T) {
 	s := settings()
 	b, h := start(t, s, fleet(3))
 	for _, u := range b.upstreams {
@@ -17,10 +17,10 @@
 	if h.count("send id=1") != 1 {
 		t.Fatal(h.lines)
 	}
-	bad := s
-	bad.Rules.SlowStartFloor = 0
-	if err := b.Configure(time.Hour, bad); err == nil {
-		t.Error("a bad setting was taken")
+	invalid := s
+	invalid.Rules.SlowStartFloor = 0
+	if err := b.Configure(time.Hour, invalid); err == nil {
+		t.Error("invalid settings were accepted")
 	}
 	next := s
 	added := Class{Name: "new", LatencyObjective: time.Second, Deadline: time.Second, PriorityWeight: 1}
@@ -31,23 +31,24 @@
 	}
 	for _, u := range b.upstreams {
 		if u.band.readings != 5 || u.share.factor != 0.5 || u.limit.allowed != 7 || !u.inSubset {
-			t.Errorf("upstream %d lost what was learnt: %+v", u.ID, u)
+			t.Errorf("upstream %d lost state: %+v", u.ID, u)
 		}
 	}
 	b.RequestArrived(time.Hour, Request{ID: 2, Class: "new", Budget: time.Second})
 	b.RequestArrived(time.Hour, Request{ID: 3, Class: s.Classes[0].Name, Budget: time.Second})
 	if h.count("send id=2") != 1 || h.count("refuse id=3") != 1 {
-		t.Errorf("the new class is not served, or the removed one is: %v", h.lines)
+		t.Errorf("want the new class served and the removed one rejected: %v", h.lines)
 	}
 	up := b.requests[1].attempts[0].upstream
 	b.AttemptFinished(time.Hour+ms, AttemptResult{ID: 1, Upstream: up.ID, Status: OK, Latency: ms})
 	if b.requests[1] != nil {
-		t.Error("an open request was not closed by its answer")
+		t.Error("a request from before Configure was not closed by its answer")
 	}
 }
 
-// TestMostIsNeverPassed: a node's connections are shared out, so no more attempts may be out than they are told.
-func TestMostIsNeverPassed(t *testing.T) {
+// TestUpstreamMaxInFlight checks that Upstream.MaxInFlight holds even if the concurrency limit is higher: it is this
+// Balancer's part of the upstream's connections.
+func TestUpstreamMaxInFlight(t *testing.T) {
 	list := fleet(1)
 	list[0].MaxInFlight = 2
 	b, h := start(t, settings(), list)
@@ -56,16 +57,16 @@
 		b.RequestArrived(time.Hour, Request{ID: i + 1, Class: b.settings.Classes[0].Name, Budget: time.Second})
 	}
 	if n := h.count("send"); n != 2 {
-		t.Errorf("%d sends at once, want 2", n)
+		t.Errorf("%d attempts in flight, want 2", n)
 	}
 }
 
-// TestWarmUpSharesOfOneUpstream: two Balancers of one owner, told a half each, send a warming upstream no more together
-// than one of them alone would, and each gets something.
-func TestWarmUpSharesOfOneUpstream(t *testing.T) {
-	sent := func(part float64) int {
+// TestWarmUpShare checks that two Balancers of one owner with a WarmUpShare of a half each send a warming upstream no
+// more in total than one Balancer with the whole budget would, and that each sends it some.
+func TestWarmUpShare(t *testing.T) {
+	sent := func(warmUpShare float64) int {
 		list := fleet(2)
-		list[1].WarmUpShare = part
+		list[1].WarmUpShare = warmUpShare
 		b, h := start(t, settings(), list)
 		b.beginWarmUp(b.upstreams[1], time.Hour)
 		b.fleet.workPerWeight = 100
@@ -83,23 +84,24 @@
 			}
 		}
 		if len(h.lines) < 500 {
-			t.Fatal("too few actions")
+			t.Fatal("under 500 actions")
 		}
 		return n
 	}
 	whole, half := sent(0), sent(0.5)
 	if half == 0 || 2*half > whole+2 {
-		t.Errorf("%d with a half each, %d with the whole: together they would send more", half, whole)
+		t.Errorf("%d sent with half of the budget, %d with the whole: want over 0, and at most half of the whole plus 1",
+			half, whole)
 	}
 }
 
-// TestViewShowsBands: the figures are the ones that decide.
+// TestViewShowsBands checks that a view has the bands and shares on which decisions depend.
 func TestViewShowsBands(t *testing.T) {
 	b, _ := start(t, settings(), fleet(2))
 	b.upstreams[0].band = bollingerBand{readings: 8, mean: 0.5, deviation: 0.1}
 	b.upstreams[0].share.factor = 0.5
-	views, held := b.View(time.Hour)
-	if len(views) != 2 || held != 0 {
+	views, queued := b.View(time.Hour)
+	if len(views) != 2 || queued != 0 {
 		t.Fatalf("%+v", views)
 	}
 	v := views[0]
--- a/balancer/decide_test.go
+++ b/balancer/decide_test.go
@@ -6,7 +6,8 @@
 	"time"
 )
 
-// BenchmarkDecide is a request with its outcome and its part of the ticks, at one a millisecond.
+// BenchmarkDecide measures the arrival of a request and the end of its attempt, by the number of upstreams. A request
+// arrives every millisecond, and every twentieth comes with a tick.
 func BenchmarkDecide(b *testing.B) {
 	for _, n := range []int{10, 100, 1000, 10_000} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
--- a/balancer/endpoints_test.go
+++ b/balancer/endpoints_test.go
@@ -5,30 +5,30 @@
 	"time"
 )
 
-func TestFailedDiscoveryIsAskedAgainLaterEachTime(t *testing.T) {
+func TestFailedDiscoveryCallBacksOff(t *testing.T) {
 	s := settings()
 	s.PollDiscovery = true
 	b, h := start(t, s, fleet(1))
 	if h.count("watch") != 1 {
-		t.Fatal("did not subscribe at the start")
+		t.Fatal("discovery is not watched from the start")
 	}
 	var last time.Duration
 	for range 3 {
 		b.EndpointsUpdated(time.Hour, ListFailed, nil)
 		if b.watchBackoff <= last {
-			t.Errorf("wait %v after %v", b.watchBackoff, last)
+			t.Errorf("backoff %v after a backoff of %v, want a longer one", b.watchBackoff, last)
 		}
 		last = b.watchBackoff
 	}
 	b.TimerFired(time.Hour, watchToken)
 	if h.count("watch") != 2 || len(b.upstreams) != 1 {
-		t.Error("did not ask again, or lost the list")
+		t.Error("discovery was not called again, or the endpoint list was lost")
 	}
 }
 
-// Without a list, with an emptied one, and for a budget that is used up, the answer is true and comes at once or
-// within the budget.
-func TestNobodyToSendTo(t *testing.T) {
+// A request without budget or of an unknown class is rejected at once. Once an empty endpoint list has replaced the
+// last one, a request is rejected within its budget. Events of unknown requests are ignored.
+func TestRequestWithoutUpstreamIsRejected(t *testing.T) {
 	b, h := start(t, settings(), nil)
 	b.RequestArrived(time.Hour, Request{ID: 1, Class: "write", Budget: 0})
 	b.RequestArrived(time.Hour, Request{ID: 2, Class: "write", Budget: -time.Second})
@@ -46,6 +46,6 @@
 	b.ResponseStarted(time.Hour+time.Second, 77, 0)
 	b.AttemptFinished(time.Hour+time.Second, AttemptResult{ID: 4, Attempt: -1})
 	if h.count("refuse id=4") != 1 || h.count("send") != 0 {
-		t.Errorf("with an emptied list: %v", h.lines)
+		t.Errorf("with an empty endpoint list, want one rejection and no send: %v", h.lines)
 	}
 }
--- a/balancer/example_test.go
+++ b/balancer/example_test.go
@@ -7,14 +7,14 @@
 	"olivearch/balancer"
 )
 
-// proxy carries out what the balancer decides; the embedded Host stands for the actions not shown.
+// proxy is a Host that prints the balancer's sends. The embedded Host stands for the actions not shown.
 type proxy struct{ balancer.Host }
 
 func (proxy) Send(id balancer.RequestID, up balancer.UpstreamID, timeout time.Duration) {
 	fmt.Printf("request %d goes to upstream %d\n", id, up)
 }
 
-func (proxy) SetTimer(after time.Duration, token uint64) {} // call b.Timer(now, token) when it is due
+func (proxy) SetTimer(after time.Duration, token uint64) {} // call b.TimerFired(now, token) when the time has passed
 
 func Example() {
 	settings := balancer.Settings{
--- a/balancer/fleet_test.go
+++ b/balancer/fleet_test.go
@@ -30,24 +30,24 @@
 		name                        string
 		median, lowerQuartile, want float64
 	}{
-		{"a calm fleet: noise", 0.1, 0.1, 0.4},
-		{"a fleet under load, all alike", 2, 2, 2.5},
-		{"a fleet with a wide spread", 2, 1, 6},
+		{"small areas are noise", 0.1, 0.1, 0.4},
+		{"large areas, all equal: a multiple of the median", 2, 2, 2.5},
+		{"areas that differ widely: the median and a multiple of the spread", 2, 1, 6},
 	} {
 		if got := saturationThreshold(c.median, c.lowerQuartile); got != c.want {
-			t.Errorf("%s: %v, want %v", c.name, got, c.want)
+			t.Errorf("%s: threshold %v, want %v", c.name, got, c.want)
 		}
 	}
 }
 
-// Without a warm upstream to judge by, the figure of before holds.
+// While warm upstreams carry no work, or there are none, the previous value is kept.
 func TestFleetWorkPerWeight(t *testing.T) {
 	for _, c := range []struct{ before, work, weight, want float64 }{
 		{0, 30, 3, 10}, {5, 30, 3, 10}, {5, 0, 0, 5}, {5, 0, 3, 5},
 	} {
 		f := fleetStats{workPerWeight: c.before}
 		if f.updateWorkPerWeight(c.work, c.weight); f.workPerWeight != c.want {
-			t.Errorf("%+v: %v", c, f.workPerWeight)
+			t.Errorf("%+v: work per weight %v", c, f.workPerWeight)
 		}
 	}
 }
--- a/balancer/golden_test.go
+++ b/balancer/golden_test.go
@@ -13,8 +13,9 @@
 	"olivearch/internal/golden"
 )
 
-// TestGoldenMemoryKeys pins the keys of what a Balancer hands to the process that takes its place.
-func TestGoldenMemoryKeys(t *testing.T) {
+// TestGoldenSnapshotKeys pins the JSON keys and the names of statistics in a Snapshot, which processes of other
+// versions may read.
+func TestGoldenSnapshotKeys(t *testing.T) {
 	var b Balancer
 	var u upstreamState
 	var text strings.Builder
@@ -24,30 +25,30 @@
 	golden.Compare(t, "memory-keys.txt", text.String())
 }
 
-// TestGoldenMemory pins what is handed over after a fixed course of events: each learnt figure under its own key.
-func TestGoldenMemory(t *testing.T) {
-	b := learntBalancer(t)
+// TestGoldenSnapshot pins the Snapshot after a fixed sequence of events, and that of a Balancer that has restored it.
+func TestGoldenSnapshot(t *testing.T) {
+	b := newBalancerWithHistory(t)
 	text, err := json.MarshalIndent(b.Snapshot(), "", " ")
 	if err != nil {
 		t.Fatal(err)
 	}
 	golden.Compare(t, "memory.json", string(text)+"\n")
 
-	var m Snapshot
-	if err := json.Unmarshal(text, &m); err != nil {
+	var snapshot Snapshot
+	if err := json.Unmarshal(text, &snapshot); err != nil {
 		t.Fatal(err)
 	}
-	fresh := goldenBalancer(t)
-	fresh.Restore(3*time.Second, m)
-	again, err := json.MarshalIndent(fresh.Snapshot(), "", " ")
+	restored := newBalancerWithUpstreams(t)
+	restored.Restore(3*time.Second, snapshot)
+	again, err := json.MarshalIndent(restored.Snapshot(), "", " ")
 	if err != nil {
 		t.Fatal(err)
 	}
 	golden.Compare(t, "memory-recalled.json", string(again)+"\n")
 }
 
-// goldenBalancer returns a Balancer that has been told three upstreams.
-func goldenBalancer(t *testing.T) *Balancer {
+// newBalancerWithUpstreams returns a Balancer with three upstreams and no history.
+func newBalancerWithUpstreams(t *testing.T) *Balancer {
 	t.Helper()
 	b, err := New(settings(), 1, 0, &silentHost{})
 	if err != nil {
@@ -57,10 +58,11 @@
 	return b
 }
 
-// learntBalancer returns one that has seen answers with and without load reports, errors and a timeout.
-func learntBalancer(t *testing.T) *Balancer {
+// newBalancerWithHistory returns a Balancer that has recorded answers with and without load reports, errors and
+// timeouts.
+func newBalancerWithHistory(t *testing.T) *Balancer {
 	t.Helper()
-	b := goldenBalancer(t)
+	b := newBalancerWithUpstreams(t)
 	sent := &sendRecorder{}
 	b.host = sent
 	for i := range 400 {
@@ -90,7 +92,7 @@
 	return b
 }
 
-// sendRecorder is a Host that notes to which upstream the last request went.
+// sendRecorder is a Host that records the upstream of the last send.
 type sendRecorder struct {
 	silentHost
 	upstream UpstreamID
--- a/balancer/host_test.go
+++ b/balancer/host_test.go
@@ -7,40 +7,41 @@
 	"time"
 )
 
-// recorder is a Host that writes down what it is asked to do.
+// recorder is a Host that records each action as a line that begins with its kind, such as "send". Reject is
+// recorded as refuse, HealthCheck as probe and CloseIdle as disconnect.
 type recorder struct {
 	lines []string
 	hook  func(kind string, id RequestID, up UpstreamID, d time.Duration, n uint64)
 }
 
-func (h *recorder) note(kind string, id RequestID, up UpstreamID, d time.Duration, n uint64) {
+func (h *recorder) record(kind string, id RequestID, up UpstreamID, d time.Duration, n uint64) {
 	h.lines = append(h.lines, fmt.Sprintf("%s id=%d up=%d d=%v n=%d", kind, id, up, d, n))
 	if h.hook != nil {
 		h.hook(kind, id, up, d, n)
 	}
 }
 
-func (h *recorder) Send(id RequestID, up UpstreamID, d time.Duration) { h.note("send", id, up, d, 0) }
+func (h *recorder) Send(id RequestID, up UpstreamID, d time.Duration) { h.record("send", id, up, d, 0) }
 
-func (h *recorder) Reject(id RequestID, d time.Duration) { h.note("refuse", id, 0, d, 0) }
+func (h *recorder) Reject(id RequestID, d time.Duration) { h.record("refuse", id, 0, d, 0) }
 
-func (h *recorder) Fail(id RequestID) { h.note("fail", id, 0, 0, 0) }
+func (h *recorder) Fail(id RequestID) { h.record("fail", id, 0, 0, 0) }
 
-func (h *recorder) Cancel(id RequestID, n int) { h.note("cancel", id, 0, 0, uint64(n)) }
+func (h *recorder) Cancel(id RequestID, n int) { h.record("cancel", id, 0, 0, uint64(n)) }
 
-func (h *recorder) HealthCheck(up UpstreamID) { h.note("probe", 0, up, 0, 0) }
+func (h *recorder) HealthCheck(up UpstreamID) { h.record("probe", 0, up, 0, 0) }
 
-func (h *recorder) CloseIdle(up UpstreamID) { h.note("disconnect", 0, up, 0, 0) }
+func (h *recorder) CloseIdle(up UpstreamID) { h.record("disconnect", 0, up, 0, 0) }
 
-func (h *recorder) WatchEndpoints(on bool) { h.note("watch", 0, 0, 0, 0) }
+func (h *recorder) WatchEndpoints(on bool) { h.record("watch", 0, 0, 0, 0) }
 
-func (h *recorder) FetchEndpoints() { h.note("fetch", 0, 0, 0, 0) }
+func (h *recorder) FetchEndpoints() { h.record("fetch", 0, 0, 0, 0) }
 
-func (h *recorder) SetTimer(d time.Duration, n uint64) { h.note("timer", 0, 0, d, n) }
+func (h *recorder) SetTimer(d time.Duration, n uint64) { h.record("timer", 0, 0, d, n) }
 
-func (h *recorder) Log(text string) { h.note("log: "+text, 0, 0, 0, 0) }
+func (h *recorder) Log(text string) { h.record("log: "+text, 0, 0, 0, 0) }
 
-// count tells how many recorded lines begin with prefix.
+// count returns how many recorded lines begin with prefix.
 func (h *recorder) count(prefix string) int {
 	n := 0
 	for _, l := range h.lines {
@@ -53,7 +54,7 @@
 
 const ms = time.Millisecond
 
-// settings returns valid settings with one class of each repeat kind.
+// settings returns valid settings with one class of each kind of idempotency.
 func settings() Settings {
 	return Settings{
 		Zone: "near", Balancers: 2, OverQuotaWeightFactor: 0.1, WeightByWork: true, WarmKeys: true,
@@ -80,7 +81,7 @@
 	}
 }
 
-// fleet returns n active upstreams, long started, in two zones and three cells.
+// fleet returns n active upstreams in two zones and three cells, which started long ago.
 func fleet(n int) []Upstream {
 	list := make([]Upstream, n)
 	for i := range list {
@@ -89,7 +90,7 @@
 	return list
 }
 
-// start returns a Balancer with a list, and its recorder.
+// start returns a Balancer with an endpoint list, and the recorder of its actions.
 func start(t *testing.T, s Settings, list []Upstream) (*Balancer, *recorder) {
 	t.Helper()
 	h := &recorder{}
@@ -101,7 +102,7 @@
 	return b, h
 }
 
-// serve sends a request and answers it at once; it returns the upstream that got it.
+// serve passes a request to b, which must send it at once, answers it, and returns the upstream that got it.
 func serve(t *testing.T, b *Balancer, now time.Duration, id RequestID) *upstreamState {
 	t.Helper()
 	b.RequestArrived(now, Request{ID: id, Class: "write", Budget: time.Second})
@@ -114,13 +115,13 @@
 	return u
 }
 
-// answerAfter lets an upstream answer a request of class write, of usual work.
+// answerAfter records an answer of an upstream to a request of class write and mean work.
 func answerAfter(b *Balancer, u *upstreamState, latency, now time.Duration) {
 	a := &attempt{request: &request{class: b.classes["write"], work: 1}, upstream: u}
 	b.recordOutcome(a, AttemptResult{Latency: latency, Status: OK}, now)
 }
 
-// answerIfSent answers a request's first attempt if it is in flight.
+// answerIfSent answers the first attempt of a request that has an attempt in flight.
 func answerIfSent(b *Balancer, now time.Duration, id RequestID, latency time.Duration) {
 	if r := b.requests[id]; r != nil && r.inFlight > 0 {
 		upstream := r.attempts[0].upstream.ID
--- a/balancer/interleaver_test.go
+++ b/balancer/interleaver_test.go
@@ -7,24 +7,24 @@
 
 func TestInterleaverTake(t *testing.T) {
 	for _, c := range []struct {
-		name          string
-		virtual       float64
-		due, round    float64
-		next, current float64
+		name               string
+		virtual            float64
+		due, round         float64
+		next, virtualAfter float64
 	}{
-		{"in time: a round later", 10, 10, 2, 12, 10},
-		{"in advance: virtual time goes on to it", 10, 11, 2, 13, 11},
-		{"a turn missed within a round is made up for", 10, 9, 2, 11, 10},
-		{"at most one round of them", 10, 3, 2, 10, 10},
+		{"due now: the next turn is one round later", 10, 10, 2, 12, 10},
+		{"due later: virtual time advances to the turn", 10, 11, 2, 13, 11},
+		{"overdue by less than a round: it is made up for", 10, 9, 2, 11, 10},
+		{"overdue by more: at most one round is made up for", 10, 3, 2, 10, 10},
 	} {
 		i := interleaver{virtualTime: c.virtual}
-		if next := i.take(c.due, c.round); next != c.next || i.virtualTime != c.current {
-			t.Errorf("%s: next at %v, now %v; want %v, %v", c.name, next, i.virtualTime, c.next, c.current)
+		if next := i.take(c.due, c.round); next != c.next || i.virtualTime != c.virtualAfter {
+			t.Errorf("%s: next turn at %v, virtual time %v; want %v, %v", c.name, next, i.virtualTime, c.next, c.virtualAfter)
 		}
 	}
 }
 
-// Shares of 3, 2 and 1 in six turns: each has its number, evenly spread.
+// Of every six turns, shares of 3, 2 and 1 get 3, 2 and 1.
 func TestInterleaverFollowsShares(t *testing.T) {
 	shares := []float64{3, 2, 1}
 	due := []float64{0, 0, 0}
@@ -46,14 +46,14 @@
 			count[j]++
 		}
 		if count != [3]int{3, 2, 1} {
-			t.Errorf("turns %v: %v in the six from turn %d on", order, count, from)
+			t.Errorf("turns %v: counts %v in the six from turn %d on", order, count, from)
 		}
 	}
 }
 
-// The paper's example: an even split turns 1, 3, 5 into 9, 13, 17 when one server keeps a third as
-// much as the other.
-func TestHalvedQuotaTakesEveryFourthTurn(t *testing.T) {
+// The paper's example: of two equal servers, one takes turns 1, 3 and 5. Once its share is a third of the other's, it
+// takes turns 9, 13 and 17.
+func TestQuarterOfTheTrafficIsEveryFourthTurn(t *testing.T) {
 	b, _ := start(t, settings(), fleet(2))
 	one := b.upstreams[0]
 	turns := func(from, n int) (taken []int) {
@@ -69,22 +69,22 @@
 	quarter := turns(101, 40)
 	for i := 1; i < len(even); i++ {
 		if even[i]-even[i-1] != 2 {
-			t.Errorf("even split took turns %v", even)
+			t.Errorf("equal shares: took turns %v, want every second", even)
 		}
 	}
 	for i := 2; i < len(quarter); i++ {
 		if quarter[i]-quarter[i-1] != 4 {
-			t.Errorf("a quarter took turns %v", quarter)
+			t.Errorf("a quarter of the traffic: took turns %v, want every fourth", quarter)
 		}
 	}
 	if len(even) != 10 || len(quarter) < 9 {
-		t.Errorf("took %d of 20 and %d of 40 turns", len(even), len(quarter))
+		t.Errorf("took %d of 20 and %d of 40 turns, want 10 and at least 9", len(even), len(quarter))
 	}
 }
 
-// Attempts over all upstreams keep within what connections there are: one more waits for a turn, and is not used up by
-// sends that come to nothing.
-func TestAttemptsKeepWithinAllConnections(t *testing.T) {
+// At most Limits.MaxInFlight attempts are in flight over all upstreams. Further requests are queued and take no
+// upstream's turn until an attempt has ended.
+func TestMaxInFlightOverAllUpstreams(t *testing.T) {
 	s := settings()
 	s.Limits.MaxInFlight = 4
 	b, h := start(t, s, fleet(4))
@@ -92,10 +92,10 @@
 		b.RequestArrived(time.Hour, Request{ID: i + 1, Class: "write", Budget: time.Second})
 	}
 	if n := h.count("send"); n != 4 || len(b.queue.waiting) != 2 {
-		t.Fatalf("%d sent, %d queued", n, len(b.queue.waiting))
+		t.Fatalf("%d sent, %d queued; want 4, 2", n, len(b.queue.waiting))
 	}
 	b.AttemptFinished(time.Hour+ms, AttemptResult{ID: 2, Latency: ms, Status: OK})
 	if n := h.count("send"); n != 5 || len(b.queue.waiting) != 1 || b.inFlight != 4 {
-		t.Errorf("after an answer: %d sent, %d queued, %d out", n, len(b.queue.waiting), b.inFlight)
+		t.Errorf("after an answer: %d sent, %d queued, %d in flight; want 5, 1, 4", n, len(b.queue.waiting), b.inFlight)
 	}
 }
--- a/balancer/reports_test.go
+++ b/balancer/reports_test.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-func TestRepeatedReportIsNoReading(t *testing.T) {
+func TestRepeatedReportAddsNoReading(t *testing.T) {
 	b, _ := start(t, settings(), fleet(1))
 	u := b.upstreams[0]
 	for i, util := range []float64{0.5, 0.5, 0.6, 0.6, 0.5} {
@@ -17,30 +17,32 @@
 	}
 }
 
-func TestStandInReadings(t *testing.T) {
+// Without a reported utilisation, a reading is estimated from the requests in flight and queued or, on sites without
+// load reports, from the latency.
+func TestReadingFromLoadReport(t *testing.T) {
 	for _, c := range []struct {
-		name string
-		via  ReportVia
-		load Load
-		late float64
-		want float64
+		name    string
+		reports ReportVia
+		load    Load
+		ratio   float64 // latency in multiples of the latency objective
+		want    float64
 	}{
 		{"utilisation", ReportAnswers, Load{Fields: HasUtil | HasQueue, Util: 0.7, Queue: 9}, 0.2, 0.7},
-		{"held", ReportAnswers, Load{Fields: HasInflight, Inflight: 3}, 0.2, 0.75},
-		{"waiting", ReportAnswers, Load{Fields: HasQueue, Queue: 1}, 0.2, 0.5},
-		{"no reports: latency against the aim", ReportNone, Load{}, 0.2, 0.2},
+		{"requests in flight", ReportAnswers, Load{Fields: HasInflight, Inflight: 3}, 0.2, 0.75},
+		{"requests queued", ReportAnswers, Load{Fields: HasQueue, Queue: 1}, 0.2, 0.5},
+		{"no load reports: latency in multiples of the objective", ReportNone, Load{}, 0.2, 0.2},
 	} {
 		s := settings()
-		s.Reports = c.via
+		s.Reports = c.reports
 		b, _ := start(t, s, fleet(1))
-		if b.recordLoad(b.upstreams[0], c.load, true, c.late, time.Hour); math.Abs(b.upstreams[0].band.mean-c.want) > 1e-9 {
+		if b.recordLoad(b.upstreams[0], c.load, true, c.ratio, time.Hour); math.Abs(b.upstreams[0].band.mean-c.want) > 1e-9 {
 			t.Errorf("%s: reading %v, want %v", c.name, b.upstreams[0].band.mean, c.want)
 		}
 	}
 }
 
-// Nodes that report nothing are judged by their latency: the one that a neighbour slows is cut, as with reports, and
-// the others keep theirs. Once it reports, reports count.
+// The utilisation of upstreams without load reports is estimated from their latency: the share of a slow one is cut,
+// and the others keep theirs. Once an upstream reports, its reports are used.
 func TestUpstreamWithoutReportsIsCutByItsLatency(t *testing.T) {
 	s := settings()
 	s.Reports = ReportAnswers
@@ -52,29 +54,29 @@
 			sent = up
 		}
 	}
-	play := func(length time.Duration, load Load) {
+	run := func(length time.Duration, load Load) {
 		for end := now + length; now < end; now += 5 * ms {
 			id++
 			b.RequestArrived(now, Request{ID: id, Class: "write", Budget: time.Second})
-			lat := 10 * ms
+			latency := 10 * ms
 			if sent == 1 && id > 400 {
-				lat = 45 * ms
+				latency = 45 * ms
 			}
-			b.AttemptFinished(now+lat, AttemptResult{ID: id, Upstream: sent, Latency: lat, Status: OK, Load: load})
-			now += lat
+			b.AttemptFinished(now+latency, AttemptResult{ID: id, Upstream: sent, Latency: latency, Status: OK, Load: load})
+			now += latency
 			b.TimerFired(now, tickToken)
 		}
 	}
-	play(16*time.Second, Load{})
+	run(16*time.Second, Load{})
 	views, _ := b.View(now)
 	for i, v := range views {
 		if !v.Estimated || (v.ShareFactor < 0.5) != (i == 0) || (v.Mean > 0.6) != (i == 0) {
 			t.Errorf("upstream %d: %+v", v.ID, v)
 		}
 	}
-	play(time.Second, Load{Fields: HasUtil, Util: 0.3})
+	run(time.Second, Load{Fields: HasUtil, Util: 0.3})
 	if views, _ = b.View(now); views[1].Estimated {
-		t.Error("an upstream that reports is estimated")
+		t.Error("the utilisation of an upstream that reports it is estimated")
 	}
 }
 
@@ -84,20 +86,20 @@
 		load Load
 		want float64
 	}{
-		{"utilisation counts first", Load{Fields: HasUtil | HasInflight | HasQueue, Util: 0.7, Inflight: 9}, 0.7},
+		{"utilisation takes precedence", Load{Fields: HasUtil | HasInflight | HasQueue, Util: 0.7, Inflight: 9}, 0.7},
 		{"three in flight", Load{Fields: HasInflight, Inflight: 3}, 0.75},
-		{"one in flight and two waiting", Load{Fields: HasInflight | HasQueue, Inflight: 1, Queue: 2}, 0.75},
+		{"one in flight and two queued", Load{Fields: HasInflight | HasQueue, Inflight: 1, Queue: 2}, 0.75},
 		{"nothing in flight", Load{Fields: HasInflight}, 0},
 		{"other values only", Load{Fields: HasRate | HasErrors, Rate: 100, Errors: 3}, 0},
-		{"nothing", Load{}, 0},
+		{"no values", Load{}, 0},
 	} {
 		if got := c.load.utilisation(); !near(got, c.want) {
-			t.Errorf("%s: %v, want %v", c.name, got, c.want)
+			t.Errorf("%s: utilisation %v, want %v", c.name, got, c.want)
 		}
 	}
 }
 
-// Only where upstreams report within answers, and after 64 answers in a row without a report.
+// Utilisation is estimated only where answers carry load reports, and after 64 answers in a row without one.
 func TestIsEstimated(t *testing.T) {
 	for _, c := range []struct {
 		reports    ReportVia
@@ -116,17 +118,17 @@
 	}
 }
 
-// Under 0.4 there would be room for twice as much: the limit may double within the period.
-func TestReadingsUnderHalfLetTheLimitDouble(t *testing.T) {
+// At a utilisation under 0.4 the upstream has room for twice the load, so the limit may double within the period.
+func TestLowReadingsLetTheLimitDouble(t *testing.T) {
 	for _, c := range []struct {
 		name      string
 		readings  []float64
 		periodMax float64
 	}{
 		{"a low reading", []float64{0.39}, 10},
-		{"a high one", []float64{0.41}, 4},
-		{"a low one after high ones", []float64{0.9, 0.9, 0.1}, 4},
-		{"a high one after low ones", []float64{0.1, 0.1, 0.5}, 4},
+		{"a high reading", []float64{0.41}, 4},
+		{"a low reading after high ones", []float64{0.9, 0.9, 0.1}, 4},
+		{"a high reading after low ones", []float64{0.1, 0.1, 0.5}, 4},
 	} {
 		b, _ := start(t, settings(), fleet(1))
 		upstream := b.upstreams[0]
@@ -137,7 +139,7 @@
 		upstream.limit = concurrencyLimit{allowed: 5, periodMax: 4}
 		b.addReading(upstream, c.readings[last], time.Hour)
 		if upstream.limit.periodMax != c.periodMax {
-			t.Errorf("%s: up to %v, want %v", c.name, upstream.limit.periodMax, c.periodMax)
+			t.Errorf("%s: bound %v, want %v", c.name, upstream.limit.periodMax, c.periodMax)
 		}
 	}
 }
--- a/balancer/retry_test.go
+++ b/balancer/retry_test.go
@@ -27,22 +27,22 @@
 		to       *upstreamState
 		may      bool
 	}{
-		{"a first attempt", write, nil, 0, here, true},
-		{"to a draining upstream", read, nil, 0, draining, false},
-		{"idempotent: again", read, []*attempt{ended(ms, false)}, 0, here, true},
-		{"idempotent: beside one in flight", read, []*attempt{ended(ms, false)}, 1, here, false},
-		{"idempotent: as often as allowed", read, three, 0, here, false},
+		{"first attempt", write, nil, 0, here, true},
+		{"draining upstream", read, nil, 0, draining, false},
+		{"idempotent: retry", read, []*attempt{ended(ms, false)}, 0, here, true},
+		{"idempotent: another attempt in flight, without hedging", read, []*attempt{ended(ms, false)}, 1, here, false},
+		{"idempotent: no attempts left", read, three, 0, here, false},
 		{"non-idempotent: it may have run", write, []*attempt{ended(ms, false)}, 0, here, false},
 		{"non-idempotent: it never ran", write, []*attempt{ended(ms, true)}, 0, here, true},
 		{"non-idempotent: one of two may have run", write, []*attempt{ended(ms, true), ended(ms, false)}, 0, here, false},
-		{"key for the zone, in it", keyed(KeyScopeZone), []*attempt{ended(ms, false)}, 0, sameZone, true},
-		{"key for the zone, elsewhere", keyed(KeyScopeZone), []*attempt{ended(ms, false)}, 0, sameCell, false},
-		{"key for the zone, elsewhere, never ran", keyed(KeyScopeZone), []*attempt{ended(ms, true)}, 0, sameCell, true},
-		{"key for the cell, in it", keyed(KeyScopeCell), []*attempt{ended(ms, false)}, 0, sameCell, true},
-		{"key for the cell, elsewhere", keyed(KeyScopeCell), []*attempt{ended(ms, false)}, 0, sameZone, false},
-		{"key for all", keyed(KeyScopeAll), []*attempt{ended(ms, false)}, 0, sameCell, true},
-		{"key, in time", keyed(KeyScopeAll), []*attempt{ended(379*ms, false)}, 0, here, true},
-		{"key, all but forgotten", keyed(KeyScopeAll), []*attempt{ended(380*ms, false)}, 0, here, false},
+		{"key scope zone: same zone", keyed(KeyScopeZone), []*attempt{ended(ms, false)}, 0, sameZone, true},
+		{"key scope zone: other zone", keyed(KeyScopeZone), []*attempt{ended(ms, false)}, 0, sameCell, false},
+		{"key scope zone: other zone, never ran", keyed(KeyScopeZone), []*attempt{ended(ms, true)}, 0, sameCell, true},
+		{"key scope cell: same cell", keyed(KeyScopeCell), []*attempt{ended(ms, false)}, 0, sameCell, true},
+		{"key scope cell: other cell", keyed(KeyScopeCell), []*attempt{ended(ms, false)}, 0, sameZone, false},
+		{"key scope all", keyed(KeyScopeAll), []*attempt{ended(ms, false)}, 0, sameCell, true},
+		{"key: in the window, before the margin", keyed(KeyScopeAll), []*attempt{ended(379*ms, false)}, 0, here, true},
+		{"key: in the margin at the window's end", keyed(KeyScopeAll), []*attempt{ended(380*ms, false)}, 0, here, false},
 	} {
 		r := &request{class: c.class, attempts: c.attempts, inFlight: c.inFlight, deadline: time.Hour + 1}
 		policy := retryPolicy{maxAttempts: 3, margin: 20 * ms}
@@ -65,7 +65,7 @@
 	for _, hedging := range []bool{false, true} {
 		policy := retryPolicy{maxAttempts: 3, hedging: hedging}
 		if policy.maySend(r, upstream, 0) != hedging {
-			t.Errorf("hedging %v: a second attempt %v", hedging, !hedging)
+			t.Errorf("hedging %v: second attempt permitted: %v", hedging, !hedging)
 		}
 	}
 }
@@ -83,9 +83,9 @@
 		{"non-idempotent, not sent", Class{Idempotency: NonIdempotent}, nil, true},
 		{"non-idempotent, never ran", Class{Idempotency: NonIdempotent}, []*attempt{never, never}, true},
 		{"non-idempotent, may have run", Class{Idempotency: NonIdempotent}, []*attempt{never, ran}, false},
-		{"key for all", keyed(KeyScopeAll), []*attempt{ran}, true},
-		{"key for a zone: the client may come to another", keyed(KeyScopeZone), []*attempt{ran}, false},
-		{"key for a cell, never ran", keyed(KeyScopeCell), []*attempt{never}, true},
+		{"key scope all", keyed(KeyScopeAll), []*attempt{ran}, true},
+		{"key scope zone: the client's retry may reach another zone", keyed(KeyScopeZone), []*attempt{ran}, false},
+		{"key scope cell, never ran", keyed(KeyScopeCell), []*attempt{never}, true},
 	} {
 		r := &request{class: &class{Class: c.class}, attempts: c.attempts}
 		if r.mayReject() != c.may {
@@ -104,17 +104,17 @@
 		deadline    time.Duration
 	}{
 		{"no attempt", IdempotentWithKey, nil, 0},
-		{"the first: nobody has seen it", IdempotentWithKey, []*attempt{at(1)}, 0},
-		{"the second", IdempotentWithKey, []*attempt{at(1), at(2)}, 1380 * ms},
-		{"the earliest counts", IdempotentWithKey, []*attempt{at(2), at(1), at(0)}, 1380 * ms},
-		{"one that never ran does not", IdempotentWithKey, []*attempt{neverRan, at(2), at(0)}, 2380 * ms},
+		{"first attempt: no earlier one may have run", IdempotentWithKey, []*attempt{at(1)}, 0},
+		{"second attempt", IdempotentWithKey, []*attempt{at(1), at(2)}, 1380 * ms},
+		{"the earliest window end counts", IdempotentWithKey, []*attempt{at(2), at(1), at(0)}, 1380 * ms},
+		{"an attempt that never ran does not count", IdempotentWithKey, []*attempt{neverRan, at(2), at(0)}, 2380 * ms},
 		{"without a key", Idempotent, []*attempt{at(1), at(2)}, 0},
 	} {
 		policy := retryPolicy{margin: 20 * ms}
 		requestClass := &class{Class: Class{Idempotency: c.idempotency, DeduplicationWindow: 400 * ms}}
 		r := &request{class: requestClass, attempts: c.attempts}
 		if got := policy.sendDeadline(r); got != c.deadline {
-			t.Errorf("%s: %v, want %v", c.name, got, c.deadline)
+			t.Errorf("%s: send deadline %v, want %v", c.name, got, c.deadline)
 		}
 	}
 }
--- a/balancer/ring_test.go
+++ b/balancer/ring_test.go
@@ -23,7 +23,7 @@
 			}
 		}
 		if got := latticePoint(c.count, c.count); got != 0 {
-			t.Errorf("rank %d of %d: %v, want that of rank 0", c.count, c.count, got)
+			t.Errorf("rank %d of %d: %v, want 0 as for rank 0", c.count, c.count, got)
 		}
 	}
 }
@@ -31,12 +31,12 @@
 func TestGreatestCommonDivisor(t *testing.T) {
 	for _, c := range []struct{ x, y, want int }{{12, 18, 6}, {7, 5, 1}, {0, 4, 4}, {4, 0, 4}, {9, 9, 9}} {
 		if got := greatestCommonDivisor(c.x, c.y); got != c.want {
-			t.Errorf("%+v: %d", c, got)
+			t.Errorf("%+v: got %d", c, got)
 		}
 	}
 }
 
-// The positions must never change: balancers of two versions use one ring.
+// Hashes must stay the same in all versions: balancers of different versions share one ring.
 func TestHash64(t *testing.T) {
 	for x, want := range map[uint64]uint64{
 		0: 0xca009717f87d8879, 1: 0x6c3247d3eded6346, 1 << 40: 0x287ce7552544503b,
@@ -55,14 +55,14 @@
 		active    int
 		unchanged bool
 	}{
-		{"nothing", func(*upstreamState) {}, 4, true},
-		{"its share is cut", func(u *upstreamState) { u.share.factor = 0.5 }, 4, true},
-		{"it is unresponsive", func(u *upstreamState) { u.outlier.unresponsive = true }, 4, false},
-		{"its size", func(u *upstreamState) { u.share.weight = 2 }, 4, false},
-		{"it drains", func(u *upstreamState) { u.State = Draining }, 3, false},
-		{"a draining one's size", func(u *upstreamState) { u.share.weight = 3 }, 3, true},
-		{"it is back", func(u *upstreamState) { u.State = Active }, 4, false},
-		{"it warms up", func(u *upstreamState) { u.slowStart.begin(time.Hour) }, 4, false},
+		{"no change", func(*upstreamState) {}, 4, true},
+		{"share cut", func(u *upstreamState) { u.share.factor = 0.5 }, 4, true},
+		{"unresponsive", func(u *upstreamState) { u.outlier.unresponsive = true }, 4, false},
+		{"weight changed", func(u *upstreamState) { u.share.weight = 2 }, 4, false},
+		{"draining", func(u *upstreamState) { u.State = Draining }, 3, false},
+		{"weight changed while draining", func(u *upstreamState) { u.share.weight = 3 }, 3, true},
+		{"active again", func(u *upstreamState) { u.State = Active }, 4, false},
+		{"warming up", func(u *upstreamState) { u.slowStart.begin(time.Hour) }, 4, false},
 	} {
 		c.change(b.upstreams[2])
 		active, unchanged := b.updateRing()
@@ -71,17 +71,17 @@
 		}
 		inOrder := slices.IsSortedFunc(b.subset.ring, byRingPosition)
 		if len(b.subset.ring) != c.active || !inOrder {
-			t.Errorf("%s: a ring of %d, in order: %v", c.name, len(b.subset.ring), inOrder)
+			t.Errorf("%s: ring of %d upstreams, in order: %v", c.name, len(b.subset.ring), inOrder)
 		}
 	}
 }
 
-// Live weights would move the places of all others.
+// Live weights are not used: each change of one would shift the arcs of all other upstreams.
 func TestRingLength(t *testing.T) {
 	for kind, want := range map[WeightKind]float64{WeightNone: 3, WeightNominal: 3, WeightRough: 3, WeightLive: 1} {
 		b := &Balancer{settings: Settings{Weights: kind}}
 		if got := b.ringLength(&upstreamState{share: share{weight: 3}}); got != want {
-			t.Errorf("weights of kind %d: %v, want %v", kind, got, want)
+			t.Errorf("weights of kind %d: length %v, want %v", kind, got, want)
 		}
 	}
 }
--- a/balancer/settings_test.go
+++ b/balancer/settings_test.go
@@ -7,8 +7,8 @@
 	"testing"
 )
 
-func TestBadSettings(t *testing.T) {
-	for field, spoil := range map[string]func(*Settings){
+func TestInvalidSettings(t *testing.T) {
+	for text, invalidate := range map[string]func(*Settings){
 		"Classes":               func(s *Settings) { s.Classes = nil },
 		"Balancers":             func(s *Settings) { s.Balancers = 0 },
 		"Limits.MaxAttempts":    func(s *Settings) { s.Limits.MaxAttempts = 0 },
@@ -39,23 +39,23 @@
 		},
 	} {
 		s := settings()
-		spoil(&s)
+		invalidate(&s)
 		_, err := New(s, 1, 0, &recorder{})
-		if !errors.Is(err, ErrSettings) || !strings.Contains(err.Error(), field) {
-			t.Errorf("%s: error %v", field, err)
+		if !errors.Is(err, ErrSettings) || !strings.Contains(err.Error(), text) {
+			t.Errorf("%s: error %v, want ErrSettings with this text", text, err)
 		}
 	}
 	for _, f := range []float64{math.NaN(), math.Inf(1), -1, 0} {
 		s := settings()
 		if s.Rules.OverloadMultiple = f; s.Validate() == nil {
-			t.Errorf("TipMultiple %v is taken", f)
+			t.Errorf("Rules.TipMultiple %v is accepted", f)
 		}
 		s = settings()
 		if s.Rules.SlowStartFloor = f; s.Validate() == nil {
-			t.Errorf("ColdFrom %v is taken", f)
+			t.Errorf("Rules.ColdFrom %v is accepted", f)
 		}
 	}
 	if _, err := New(settings(), 1, 0, nil); !errors.Is(err, ErrSettings) || !strings.Contains(err.Error(), "Host") {
-		t.Errorf("no host: error %v", err)
+		t.Errorf("nil Host: error %v", err)
 	}
 }
