--- a/internal/live/part.go
+++ b/internal/live/part.go
@@ -6,10 +6,10 @@
 	"slices"
 )
 
-// Part selects a part of a view.
+// Part selects which pools and endpoints a live view contains.
 type Part struct {
-	Pools []string // by name, each once; empty: all
-	Nodes string   // AllNodes, UsedNodes or NoNodes; empty: all
+	Pools []string // names of pools, each once; empty: all pools
+	Nodes string   // AllNodes, UsedNodes or NoNodes; empty: AllNodes
 }
 
 // Values of Part.Nodes.
@@ -19,10 +19,11 @@
 	NoNodes   = "none"
 )
 
-// phaseUp is the phase of a node that is neither draining nor gone.
+// phaseUp is the value of Node.Phase for an endpoint that is neither draining nor removed.
 const phaseUp = "up"
 
-// ParsePart reads a part from the query of a URL: pool=NAME, any number of times, and nodes=all, used or none.
+// ParsePart parses the query of a URL: pool=NAME any number of times, and nodes=all, nodes=used or nodes=none at most
+// once. It returns an error for any other parameter or value.
 func ParsePart(query string) (p Part, err error) {
 	parameters, err := url.ParseQuery(query)
 	if err != nil {
@@ -44,7 +45,7 @@
 	return p, nil
 }
 
-// addPools adds pools that the part does not have yet, in their order.
+// addPools appends the names that the part does not contain yet, in the given order.
 func (p *Part) addPools(names []string) {
 	for _, name := range names {
 		if !slices.Contains(p.Pools, name) {
@@ -53,7 +54,7 @@
 	}
 }
 
-// Query returns the query that ParsePart reads this part from.
+// Query returns the URL query from which ParsePart returns this part.
 func (p Part) Query() string {
 	parameters := url.Values{}
 	for _, name := range p.Pools {
@@ -65,7 +66,7 @@
 	return parameters.Encode()
 }
 
-// Of returns a pool with the nodes that are selected. It may change the given pool's slice of nodes.
+// Of returns the pool with only the selected endpoints. It may modify the slice of the given pool.
 func (p Part) Of(pool Pool) Pool {
 	switch p.Nodes {
 	case NoNodes:
@@ -76,7 +77,7 @@
 	return pool
 }
 
-// isUsed tells whether a node is one of UsedNodes.
+// isUsed reports whether UsedNodes selects this endpoint.
 func (n *Node) isUsed() bool {
 	if n.Member || n.Out != 0 {
 		return true
--- a/internal/live/table.go
+++ b/internal/live/table.go
@@ -11,13 +11,14 @@
 
 const tableHeader = "node\tphase\tshare\tcut\tlower\tmean\tupper\tarea\tout\tbound\tms\tconns\tpart\tnotes\t"
 
-// Write prints a view: listeners, the coordination cluster if there is one, and a table of nodes for each pool.
+// Write prints the view as text: the listeners, the coordination cluster if there is one, and for each pool a table of
+// its endpoints.
 func (v *View) Write(w io.Writer) error {
 	for _, l := range v.Listeners {
 		fmt.Fprintf(w, "listener %s at %s: %d of %d connections\n", l.Name, l.Address, l.Connections, l.Limit)
 	}
-	if v.Promises != nil {
-		v.Promises.write(w)
+	if v.Coordination != nil {
+		v.Coordination.write(w)
 	}
 	for i := range v.Pools {
 		if err := v.Pools[i].write(w); err != nil {
@@ -27,20 +28,20 @@
 	return nil
 }
 
-func (p *Promises) write(w io.Writer) {
+func (p *Coordination) write(w io.Writer) {
 	age := "never confirmed"
 	if p.AgeMS >= 0 {
 		age = fmt.Sprintf("confirmed %.1f s ago", float64(p.AgeMS)/1000)
 	}
-	follows := "follows " + p.Voter
+	voter := "follows " + p.Voter
 	if p.Voter == "" {
-		follows = "NO VOTER REACHED (" + p.Trouble + ")"
+		voter = "NO VOTER REACHED (" + p.FollowerFault + ")"
 	}
 	fmt.Fprintf(w, "promises: %s, leader %s, %d voters, revision %d, %s; words %v\n",
-		follows, cmp.Or(p.Leader, "unknown"), p.Voters, p.Revision, age, p.Words)
+		voter, cmp.Or(p.Leader, "unknown"), p.Voters, p.Revision, age, p.OverridesByKind)
 }
 
-// write prints a line on the pool and the table of its nodes, by ID.
+// write prints the pool's state and the table of its endpoints, sorted by ID.
 func (p *Pool) write(w io.Writer) error {
 	fmt.Fprintf(w, "\npool %s: %d of %d open, %d held, %d of %d connections, %d tunnels, ",
 		p.Name, p.Open, p.Queue, p.Held, p.Connections, p.Limit, p.Tunnels)
@@ -55,7 +56,7 @@
 	return table.Flush()
 }
 
-// listNote tells what is wrong with the pool's endpoint list; empty: nothing.
+// listNote returns the fault of the pool's endpoint list, or an empty string if there is none.
 func (p *Pool) listNote() string {
 	switch {
 	case p.Expired:
@@ -66,14 +67,14 @@
 	return ""
 }
 
-// writeRow prints the columns of tableHeader.
+// writeRow prints the endpoint's row of the table, with the columns of tableHeader.
 func (n *Node) writeRow(w io.Writer) {
 	fmt.Fprintf(w, "%s\t%s\t%.3f\t%.2f\t%.2f\t%.2f\t%.2f\t%.2f\t%d\t%.1f\t%.1f\t%d\t%.2f\t%s\t\n",
 		n.ID, n.Phase, n.Share, n.Cut, n.Lower, n.Mean, n.Upper, n.Area,
 		n.Out, n.Bound, n.LatencyMS, n.Connections, n.Part, n.notes())
 }
 
-// notes are what an operator should know of a node beyond its numbers.
+// notes returns the endpoint's conditions that have no column of their own, separated by commas.
 func (n *Node) notes() string {
 	var notes []string
 	if n.Cold {
--- a/internal/live/view.go
+++ b/internal/live/view.go
@@ -1,94 +1,95 @@
-// Package live has the form of the live view: the admin listener answers it as JSON, and "olivearch top" shows it as a
-// table.
+// Package live defines the live view, which describes the state of a running process to operators. The admin listener
+// serves it as JSON, and "olivearch top" prints it as a table. The packages service and pool fill it in.
 package live
 
 import "time"
 
-// View is the state of a process at a moment. Times are in milliseconds.
+// View is the state of a process at one point in time. Durations are in milliseconds.
 type View struct {
-	Version   string     `json:"version"`
-	UptimeMS  int64      `json:"uptime_ms"`
-	Reloads   int        `json:"reloads"` // configurations applied since the first
-	Listeners []Listener `json:"listeners"`
-	Pools     []Pool     `json:"pools"`
-	Promises  *Promises  `json:"promises,omitempty"` // nil: the process follows no coordination cluster
+	Version      string        `json:"version"`
+	UptimeMS     int64         `json:"uptime_ms"`
+	Reloads      int           `json:"reloads"` // configurations applied since the first
+	Listeners    []Listener    `json:"listeners"`
+	Pools        []Pool        `json:"pools"`
+	Coordination *Coordination `json:"promises,omitempty"` // nil: the process follows no coordination cluster
 }
 
-// Promises is the state of the coordination cluster as this process knows it.
-type Promises struct {
-	Cluster  string         `json:"cluster"`
-	Voter    string         `json:"voter,omitempty"` // that it follows; empty: none is reachable, and the last state holds
-	Leader   string         `json:"leader,omitempty"`
-	Voters   int            `json:"voters"`
-	Up       int            `json:"up"` // voters that the leader reaches; 0: not known here
-	Revision uint64         `json:"revision"`
-	AgeMS    int64          `json:"age_ms"` // since a quorum confirmed that the state is the latest; -1: never
-	Words    map[string]int `json:"words"`  // operators' overrides by kind
-	Trouble  string         `json:"trouble,omitempty"`
+// Coordination is the state of the coordination cluster as a process knows it from the voter that it follows.
+// While no voter is reachable, the last known state stays in force.
+type Coordination struct {
+	Cluster         string         `json:"cluster"`
+	Voter           string         `json:"voter,omitempty"` // the voter followed; empty: none is reachable
+	Leader          string         `json:"leader,omitempty"`
+	Voters          int            `json:"voters"`
+	VotersReached   int            `json:"up"` // by the leader; 0: not known to this process
+	Revision        uint64         `json:"revision"`
+	AgeMS           int64          `json:"age_ms"` // since a quorum confirmed that the state is the latest; -1: never
+	OverridesByKind map[string]int `json:"words"`  // number of operators' overrides by kind
+	FollowerFault   string         `json:"trouble,omitempty"`
 }
 
-// MaxAge is the longest age that is shown. A longer one means that there was no confirmation yet.
-const MaxAge = 900 * time.Hour
+// MaxConfirmationAge is the limit of Coordination.AgeMS. An age from here on means that the state was never confirmed.
+const MaxConfirmationAge = 900 * time.Hour
 
-// Listener is an address for clients.
+// Listener is the state of a client listener.
 type Listener struct {
 	Name        string `json:"name"`
 	Address     string `json:"address"`
 	Connections int    `json:"connections"`
-	Limit       int    `json:"limit"`
+	Limit       int    `json:"limit"` // maximum of Connections
 }
 
-// Pool is one pool with its list and nodes.
+// Pool is the state of a pool and of the endpoints on its list.
 type Pool struct {
 	Name        string `json:"name"`
 	Open        int    `json:"open"`  // requests in flight or queued
-	Queue       int    `json:"queue"` // limit of open
-	Held        int    `json:"held"`  // of the open ones, queued
+	Queue       int    `json:"queue"` // maximum of Open
+	Held        int    `json:"held"`  // requests among Open that are queued
 	Connections int    `json:"connections"`
-	Limit       int    `json:"limit"`   // limit of connections
-	Tunnels     int    `json:"tunnels"` // connections that have changed their protocol
+	Limit       int    `json:"limit"`   // maximum of Connections
+	Tunnels     int    `json:"tunnels"` // connections that were upgraded to another protocol
 	Served      uint64 `json:"served"`
 	Refused     uint64 `json:"refused"`
 	Failed      uint64 `json:"failed"`
-	TurnedAway  uint64 `json:"turned_away"` // rejected since the queue was full; not among the refused
+	TurnedAway  uint64 `json:"turned_away"` // requests rejected because the queue was full; not counted in Refused
 	ListAgeMS   int64  `json:"list_age_ms"` // since the list's source last confirmed it
-	HoldMS      int64  `json:"hold_ms"`     // maximum age of the list; 0: none
-	Expired     bool   `json:"expired"`     // the list is older, so all requests are refused
+	HoldMS      int64  `json:"hold_ms"`     // maximum age of the list; 0: no maximum
+	Expired     bool   `json:"expired"`     // the list is older than its maximum age, so all requests are rejected
 	Trouble     string `json:"trouble,omitempty"`
 	Nodes       []Node `json:"nodes"`
 }
 
-// Sources of a node's utilisation readings.
+// Values of Node.Load: the sources of an endpoint's utilisation readings.
 const (
-	Reported  = "reported"  // by the node, in responses or health checks
-	Estimated = "estimated" // from its latency: its responses have no reports
-	Unknown   = "unknown"   // there are none yet
+	Reported  = "reported"  // load reports in responses or health checks
+	Estimated = "estimated" // estimates from the latency, since responses have no load reports
+	Unknown   = "unknown"   // no readings yet
 )
 
-// Node is what the balancer of one pool knows of one node.
+// Node is the state of an endpoint as one pool's balancer sees it.
 type Node struct {
 	ID         string  `json:"id"`
 	Address    string  `json:"address"`
 	Phase      string  `json:"phase"`  // up, draining or gone
-	Member     bool    `json:"member"` // in the subset that this balancer uses
-	Share      float64 `json:"share"`  // of the pool's requests
-	Cut        float64 `json:"cut"`    // factor that cuts have left of its share
-	Mean       float64 `json:"mean"`   // of the utilisation readings
-	Upper      float64 `json:"upper"`
-	Lower      float64 `json:"lower"`
-	Area       float64 `json:"area"` // of the band gap, integrated over the period so far
+	Member     bool    `json:"member"` // in this balancer's subset
+	Share      float64 `json:"share"`  // of the pool's requests, from 0 to 1
+	Cut        float64 `json:"cut"`    // factor that share cuts apply to the share; 1: not cut
+	Mean       float64 `json:"mean"`   // mean of the utilisation readings
+	Upper      float64 `json:"upper"`  // upper Bollinger band
+	Lower      float64 `json:"lower"`  // lower Bollinger band
+	Area       float64 `json:"area"`   // band area: the gap between the bands, integrated since the period began
 	Readings   int     `json:"readings"`
 	Load       string  `json:"load"`       // Reported, Estimated or Unknown
-	Unreadable uint64  `json:"unreadable"` // load reports that could not be read
-	// UnreadableWhy is the error of the last of these.
+	Unreadable uint64  `json:"unreadable"` // load reports that could not be parsed
+	// UnreadableWhy is the error of the last load report that could not be parsed.
 	UnreadableWhy string  `json:"unreadable_why,omitempty"`
-	Strays        uint64  `json:"strays"` // connections on which it sent unsolicited data
+	Strays        uint64  `json:"strays"` // connections on which it sent unsolicited bytes
 	Cold          bool    `json:"cold"`   // warming up (slow start)
-	Silent        bool    `json:"silent"` // unresponsive: it gets trial requests only
+	Silent        bool    `json:"silent"` // unresponsive: it gets only trial requests
 	Out           int     `json:"out"`    // requests in flight
 	Bound         float64 `json:"bound"`  // concurrency limit
 	LatencyMS     float64 `json:"latency_ms"`
 	Connections   int     `json:"connections"`
-	Part          float64 `json:"part"`  // this pool's part of the node's slow start budget and connections
-	Limit         int     `json:"limit"` // of connections from this pool; 0: that of the pool
+	Part          float64 `json:"part"`  // this pool's fraction of the endpoint's slow start budget and connections
+	Limit         int     `json:"limit"` // maximum of connections from this pool; 0: that of the pool
 }
--- a/internal/metrics/families.go
+++ b/internal/metrics/families.go
@@ -8,8 +8,8 @@
 	"olivearch/internal/procstat"
 )
 
-// append appends all metric families to a text, each once with all its series.
-func (s *Snapshot) append(text []byte) []byte {
+// appendFamilies appends all metric families to a text. Each appears once with all its series, as the format demands.
+func (s *Snapshot) appendFamilies(text []byte) []byte {
 	out := &familyWriter{text: text}
 	out.startFamily(gauge, "info", "The version that runs; always 1.")
 	out.sample(1, "version", s.Version)
@@ -18,8 +18,8 @@
 	s.appendListeners(out)
 	s.appendSums(out)
 	s.appendPools(out)
-	if s.Promises != nil {
-		appendCoordination(out, s.Promises)
+	if s.Coordination != nil {
+		appendCoordination(out, s.Coordination)
 	}
 	appendProcess(out, s.Started)
 	return out.text
@@ -36,18 +36,18 @@
 	}
 }
 
-// appendCoordination appends what this process knows of the coordination cluster.
-func appendCoordination(out *familyWriter, p *live.Promises) {
+// appendCoordination appends the state of the coordination cluster as this process knows it.
+func appendCoordination(out *familyWriter, p *live.Coordination) {
 	out.startFamily(gauge, "promises_voter_reached",
 		"1 while a voter of the ledger is followed; what is known holds without one.")
-	out.sample(oneIf(p.Voter != ""))
+	out.sample(boolToFloat(p.Voter != ""))
 	out.startFamily(gauge, "promises_age_seconds",
 		"The time since a quorum confirmed that nothing newer was promised; absent if it never has.")
 	if p.AgeMS >= 0 {
 		out.sample(float64(p.AgeMS) / 1000)
 	}
 	out.startFamily(gauge, "promises_words", "Words of operators that hold, by kind.")
-	for kind, n := range p.Words {
+	for kind, n := range p.OverridesByKind {
 		out.sample(float64(n), "kind", kind)
 	}
 }
@@ -57,9 +57,9 @@
 	var withBalancer, withoutRequests, expired, active, draining float64
 	for i := range s.Pools {
 		p := &s.Pools[i]
-		withBalancer += oneIf(p.HasBalancer)
-		withoutRequests += oneIf(!p.HasRequests())
-		expired += oneIf(p.Expired)
+		withBalancer += boolToFloat(p.HasBalancer)
+		withoutRequests += boolToFloat(!p.HasRequests())
+		expired += boolToFloat(p.Expired)
 		active += float64(p.Active)
 		draining += float64(p.Draining)
 	}
@@ -75,7 +75,8 @@
 	out.sample(draining, "phase", "draining")
 }
 
-// appendPools appends the families of single pools: of those that have had requests or whose endpoint list is expired.
+// appendPools appends the families that have a series for each pool. They include only the pools that have had requests
+// or whose endpoint list has expired.
 func (s *Snapshot) appendPools(out *familyWriter) {
 	each := func(appendSamples func(p *Pool)) {
 		for i := range s.Pools {
@@ -113,26 +114,26 @@
 	each(func(p *Pool) { out.sample(p.ListAge.Seconds(), "pool", p.Name) })
 }
 
-// appendProcess appends what the operating system knows of this process, under the names of Prometheus's client
-// libraries. A family that cannot be read is left out.
+// appendProcess appends the process metrics that Prometheus's client libraries expose, under the same names. A family
+// whose value cannot be read from the operating system is omitted.
 func appendProcess(out *familyWriter, started time.Time) {
-	out.startProcessFamily("process_start_time_seconds", gauge, "Start of the process since the Unix epoch.")
+	out.startUnprefixedFamily("process_start_time_seconds", gauge, "Start of the process since the Unix epoch.")
 	out.sample(float64(started.UnixMilli()) / 1000)
 	if cpu, err := procstat.CPU(os.Getpid()); err == nil {
-		out.startProcessFamily("process_cpu_seconds_total", counter,
+		out.startUnprefixedFamily("process_cpu_seconds_total", counter,
 			"Processor time that the threads of the process have used.")
 		out.sample(cpu.Seconds())
 	}
 	if usage, err := procstat.Of(os.Getpid()); err == nil {
-		out.startProcessFamily("process_resident_memory_bytes", gauge, "Resident memory.")
+		out.startUnprefixedFamily("process_resident_memory_bytes", gauge, "Resident memory.")
 		out.sample(usage.ResidentMB * (1 << 20))
-		out.startProcessFamily("process_open_fds", gauge, "Open descriptors.")
+		out.startUnprefixedFamily("process_open_fds", gauge, "Open descriptors.")
 		out.sample(float64(usage.Descriptors))
 	}
 }
 
-// oneIf is the value of a gauge that is 1 or 0.
-func oneIf(condition bool) float64 {
+// boolToFloat returns 1 if a condition holds and 0 if not, the values of a gauge for a condition.
+func boolToFloat(condition bool) float64 {
 	if condition {
 		return 1
 	}
--- a/internal/metrics/handler.go
+++ b/internal/metrics/handler.go
@@ -9,28 +9,30 @@
 	"sync/atomic"
 )
 
-// maxScrapes is how many scrapes are answered at the same time. Further ones get 503 with Retry-After.
-const maxScrapes = 2
+// maxConcurrentScrapes is the number of scrapes that are served at the same time. Further ones get the status 503 with
+// Retry-After.
+const maxConcurrentScrapes = 2
 
-// Handler answers scrapes with what snapshot returns. It asks no pool's goroutine.
+// Handler returns a handler that serves each scrape from a new result of snapshot, which may be called from several
+// goroutines at once. A scrape does not involve the pools' event loops.
 func Handler(snapshot func() Snapshot) http.Handler {
-	h := &handler{snapshot: snapshot, slots: make(chan struct{}, maxScrapes)}
+	h := &handler{snapshot: snapshot, slots: make(chan struct{}, maxConcurrentScrapes)}
 	h.compressors.New = func() any {
-		compressor, _ := gzip.NewWriterLevel(io.Discard, gzip.BestSpeed) // fails only for an unknown level
+		compressor, _ := gzip.NewWriterLevel(io.Discard, gzip.BestSpeed) // it fails only for an unknown level
 		return compressor
 	}
 	return h
 }
 
-// handler answers scrapes. Its methods may be called from any goroutine.
+// handler serves scrapes. Its methods may be called from any goroutine.
 type handler struct {
-	snapshot    func() Snapshot
-	slots       chan struct{} // holds one value for each scrape that is being answered
-	longest     atomic.Int64  // length of the longest text so far, in bytes: the next is about as long
-	compressors sync.Pool     // of *gzip.Writer
+	snapshot     func() Snapshot
+	slots        chan struct{} // holds one value for each scrape that is being served
+	maxTextBytes atomic.Int64  // size of the longest text so far, by which the next buffer is allocated
+	compressors  sync.Pool     // of *gzip.Writer
 }
 
-// ServeHTTP answers one scrape, compressed if the client accepts gzip.
+// ServeHTTP serves one scrape, compressed if the client accepts gzip.
 func (h *handler) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	select {
 	case h.slots <- struct{}{}:
@@ -45,23 +47,23 @@
 	header.Set("Content-Type", "text/plain; version=0.0.4; charset=utf-8")
 	header.Set("Vary", "Accept-Encoding")
 	if !acceptsGzip(r.Header.Values("Accept-Encoding")) {
-		_, _ = w.Write(text) // fails if the client has gone
+		_, _ = w.Write(text) // it fails only if the client has disconnected
 		return
 	}
 	header.Set("Content-Encoding", "gzip")
 	h.writeCompressed(w, text)
 }
 
-// text returns the metrics of a new snapshot.
+// text returns the metrics of a new snapshot as text.
 func (h *handler) text() []byte {
 	snapshot := h.snapshot()
-	longest := h.longest.Load()
-	text := snapshot.append(make([]byte, 0, longest+longest/16))
-	h.longest.Store(max(h.longest.Load(), int64(len(text))))
+	maxTextBytes := h.maxTextBytes.Load()
+	text := snapshot.appendFamilies(make([]byte, 0, maxTextBytes+maxTextBytes/16))
+	h.maxTextBytes.Store(max(h.maxTextBytes.Load(), int64(len(text))))
 	return text
 }
 
-// writeCompressed writes a text with gzip. Errors mean that the client has gone.
+// writeCompressed writes a text with gzip. It ignores errors, since they mean that the client has disconnected.
 func (h *handler) writeCompressed(w io.Writer, text []byte) {
 	compressor := h.compressors.Get().(*gzip.Writer)
 	compressor.Reset(w)
@@ -70,8 +72,8 @@
 	h.compressors.Put(compressor)
 }
 
-// acceptsGzip tells whether a client accepts gzip by its Accept-Encoding fields (RFC 9110, section 12.5.3). The name
-// "*" does not count.
+// acceptsGzip reports whether the values of a client's Accept-Encoding fields accept gzip (RFC 9110, section 12.5.3).
+// It does not treat the wildcard "*" as gzip.
 func acceptsGzip(fields []string) bool {
 	for _, field := range fields {
 		for coding := range strings.SplitSeq(field, ",") {
--- a/internal/metrics/metrics.go
+++ b/internal/metrics/metrics.go
@@ -1,6 +1,8 @@
 // Package metrics exposes a process's counters and gauges in Prometheus's text format, version 0.0.4
-// (https://prometheus.io/docs/instrumenting/exposition_formats/). The size of a response grows with the pools that are
-// in use, not with endpoints, routes or tenants: pools without requests are only counted in sums.
+// (https://prometheus.io/docs/instrumenting/exposition_formats/). The admin listener serves it; the package collects no
+// values itself. The size of a response grows with the number of pools in use, not with that of endpoints, routes or
+// tenants: a pool that has had no requests is counted only in sums over all pools, unless its endpoint list has
+// expired.
 package metrics
 
 import (
@@ -10,17 +12,17 @@
 	"olivearch/internal/pool"
 )
 
-// Snapshot has the values of all metrics at a moment.
+// Snapshot has the values of all metrics at one point in time.
 type Snapshot struct {
-	Version   string
-	Started   time.Time
-	Reloads   int // configurations applied since the first
-	Listeners []live.Listener
-	Pools     []Pool
-	Promises  *live.Promises // nil: the process follows no coordination cluster
+	Version      string
+	Started      time.Time
+	Reloads      int // configurations applied since the first
+	Listeners    []live.Listener
+	Pools        []Pool
+	Coordination *live.Coordination // nil: the process follows no coordination cluster
 }
 
-// Pool has the values of one pool, by its name.
+// Pool has the values of one pool.
 type Pool struct {
 	Name string
 	pool.Stats
--- a/internal/metrics/metrics_test.go
+++ b/internal/metrics/metrics_test.go
@@ -71,7 +71,7 @@
 			{"old", pool.Stats{Active: 2, Expired: true, ListAge: time.Minute}},
 			{`odd "name"` + "\n\\", pool.Stats{Served: 1, Active: 1, HasBalancer: true}},
 		},
-		Promises: &live.Promises{Voter: "v1", AgeMS: 250, Words: map[string]int{"out": 2}},
+		Coordination: &live.Coordination{Voter: "v1", AgeMS: 250, OverridesByKind: map[string]int{"out": 2}},
 	}
 }
 
@@ -181,22 +181,22 @@
 func TestTooManyReaders(t *testing.T) {
 	come, goOn := make(chan struct{}), make(chan struct{})
 	h := Handler(func() Snapshot { come <- struct{}{}; <-goOn; return Snapshot{} })
-	done := make(chan int, maxScrapes)
-	for range maxScrapes {
+	done := make(chan int, maxConcurrentScrapes)
+	for range maxConcurrentScrapes {
 		go func() {
 			w := httptest.NewRecorder()
 			h.ServeHTTP(w, httptest.NewRequest(http.MethodGet, "/metrics", nil))
 			done <- w.Code
 		}()
 	}
-	for range maxScrapes {
+	for range maxConcurrentScrapes {
 		<-come
 	}
 	if status, _, _ := read(t, h); status != http.StatusServiceUnavailable {
 		t.Errorf("one more is answered %d", status)
 	}
 	close(goOn)
-	for range maxScrapes {
+	for range maxConcurrentScrapes {
 		if status := <-done; status != http.StatusOK {
 			t.Errorf("answered %d", status)
 		}
--- a/internal/metrics/text.go
+++ b/internal/metrics/text.go
@@ -5,7 +5,7 @@
 	"strings"
 )
 
-// namePrefix begins the names of this program's metrics.
+// namePrefix is the prefix of the names of this program's own metrics.
 const namePrefix = "olivearch_"
 
 // Types of metric families.
@@ -14,24 +14,25 @@
 	gauge   = "gauge"
 )
 
-// familyWriter appends metric families to a text, one after the other.
+// familyWriter appends metric families to a text. The methods startFamily and startUnprefixedFamily begin a family, and
+// sample adds a value to it.
 type familyWriter struct {
 	text []byte
-	name string // of the family that its samples belong to
+	name string // of the current family
 }
 
-// startFamily starts a family of this program, whose names all begin with namePrefix.
+// startFamily begins a family of this program's own metrics. It puts namePrefix before the name.
 func (w *familyWriter) startFamily(kind, name, help string) {
-	w.startProcessFamily(namePrefix+name, kind, help)
+	w.startUnprefixedFamily(namePrefix+name, kind, help)
 }
 
-// startProcessFamily starts a family by its whole name.
-func (w *familyWriter) startProcessFamily(name, kind, help string) {
+// startUnprefixedFamily begins a family whose name is used as given.
+func (w *familyWriter) startUnprefixedFamily(name, kind, help string) {
 	w.name = name
 	w.write("# HELP ", name, " ", help, "\n# TYPE ", name, " ", kind, "\n")
 }
 
-// sample appends a value of the family with its labels: names and values in turn.
+// sample appends a value of the current family with its labels, given as alternating names and values.
 func (w *familyWriter) sample(value float64, labels ...string) {
 	w.write(w.name)
 	for i := 0; i+1 < len(labels); i += 2 {
@@ -56,7 +57,7 @@
 
 var labelEscapes = strings.NewReplacer(`\`, `\\`, `"`, `\"`, "\n", `\n`)
 
-// escapeLabel returns a label's value as it stands between quotes.
+// escapeLabel escapes a label's value for use between double quotes.
 func escapeLabel(value string) string {
 	if !strings.ContainsAny(value, "\\\"\n") {
 		return value
--- a/internal/service/admin.go
+++ b/internal/service/admin.go
@@ -20,15 +20,15 @@
 	adminMaxHeaderBytes    = 8 << 10
 )
 
-// adminListener serves operators: GET /v1/live answers the live view as JSON, all of it or a part; GET /metrics the
-// counters and gauges in Prometheus's text format.
+// adminListener serves operators: GET /v1/live returns the live view or a part of it as JSON, GET /metrics the counters
+// and gauges in Prometheus's text format.
 type adminListener struct {
-	configured string // address in the configuration
-	address    net.Addr
-	server     *http.Server
+	configuredAddress string
+	address           net.Addr // that the socket is bound to
+	server            *http.Server
 }
 
-// startAdmin listens at an address, and serves from a goroutine of its own until stop.
+// startAdmin listens on an address and serves it in a new goroutine until stop is called.
 func startAdmin(
 	address string, view func(live.Part) (live.View, error), snapshot func() metrics.Snapshot,
 ) (*adminListener, error) {
@@ -51,11 +51,11 @@
 			slog.Error("admin listener failed", "err", err)
 		}
 	}()
-	return &adminListener{configured: address, address: socket.Addr(), server: server}, nil
+	return &adminListener{configuredAddress: address, address: socket.Addr(), server: server}, nil
 }
 
-// liveHandler answers the part of the live view that the query asks for: 400 if it cannot be read, 404 if it names a
-// pool that does not exist.
+// liveHandler returns a handler that responds with the part of the live view that the query selects. The status is 400
+// for an invalid query and 404 if the query names a pool that does not exist.
 func liveHandler(view func(live.Part) (live.View, error)) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
 		part, err := live.ParsePart(r.URL.RawQuery)
@@ -72,7 +72,7 @@
 		encoder := json.NewEncoder(w)
 		encoder.SetIndent("", "  ")
 		if err := encoder.Encode(v); err != nil {
-			slog.Debug("live view not written", "err", err) // the reader has gone
+			slog.Debug("live view not written", "err", err) // the client has disconnected
 		}
 	}
 }
--- a/internal/service/apply.go
+++ b/internal/service/apply.go
@@ -2,38 +2,38 @@
 
 import "olivearch/internal/config"
 
-// Apply moves to a configuration. Pools and listeners that stay go on with all that they hold. An error changes
-// nothing.
+// Apply replaces the running configuration. Pools and client listeners that both configurations have keep their
+// requests, connections and statistics. After an error the previous pools, routes and listeners stay in force.
 func (s *Service) Apply(c *config.Loaded) error {
-	now := s.state.Load()
-	plan, err := s.newPlan(now, c)
+	current := s.state.Load()
+	plan, err := s.newPlan(current, c)
 	if err != nil {
 		return err
 	}
-	if now.config == nil || now.config.Limits.NodeConnections != c.Limits.NodeConnections {
+	if current.config == nil || current.config.Limits.NodeConnections != c.Limits.NodeConnections {
 		s.endpoints.SetConnectionLimit(c.Limits.NodeConnections)
 	}
 	s.sharedOverrides.configure(c.Promises)
-	if err := s.openPools(now, plan); err != nil {
+	if err := s.openPools(current, plan); err != nil {
 		return err
 	}
-	s.updatePools(now, plan)
+	s.updatePools(current, plan)
 	s.updateRouting(plan.next)
-	s.updateListeners(now, plan)
+	s.updateListeners(current, plan)
 	s.state.Store(plan.next)
-	s.applyOverridesToNewPools(now, plan.next)
-	s.retireRemovedPools(now, plan.next)
+	s.applyOverridesToNewPools(current, plan.next)
+	s.retireRemovedPools(current, plan.next)
 	return nil
 }
 
-// openPools starts the pools that are new. After an error none of them is left, nor an open listener of the plan.
-func (s *Service) openPools(now *runtimeState, p *plan) error {
+// openPools starts the new pools. If one fails, it retires those already started and closes the plan's sockets.
+func (s *Service) openPools(current *runtimeState, p *plan) error {
 	for name := range p.specs {
-		if now.pools[name] != nil {
+		if current.pools[name] != nil {
 			continue
 		}
 		if err := s.openPool(p, name); err != nil {
-			s.retireNewPools(now, p.next)
+			s.retireNewPools(current, p.next)
 			p.closeListeners()
 			return err
 		}
@@ -41,35 +41,35 @@
 	return nil
 }
 
-func (s *Service) retireNewPools(now, next *runtimeState) {
+func (s *Service) retireNewPools(current, next *runtimeState) {
 	for name, opened := range next.pools {
-		if now.pools[name] == nil {
+		if current.pools[name] == nil {
 			s.retirePool(opened)
 		}
 	}
 }
 
-// updatePools brings the pools that stay to the next configuration.
-func (s *Service) updatePools(now *runtimeState, p *plan) {
+// updatePools updates the pools that both states have to the next configuration.
+func (s *Service) updatePools(current *runtimeState, p *plan) {
 	for name := range p.specs {
-		if old := now.pools[name]; old != nil {
+		if old := current.pools[name]; old != nil {
 			s.updatePool(p, name, old)
 		}
 	}
 }
 
-// applyOverridesToNewPools applies the shared overrides to pools that have just become part of the state. They had them
-// when they were opened, but a change since then has only reached the pools of the state before.
-func (s *Service) applyOverridesToNewPools(now, next *runtimeState) {
+// applyOverridesToNewPools applies the shared overrides to the new pools again, once the next state is stored. openPool
+// has applied them already, but a change since then has reached only the pools of the previous state.
+func (s *Service) applyOverridesToNewPools(current, next *runtimeState) {
 	for name, p := range next.pools {
-		if now.pools[name] == nil {
+		if current.pools[name] == nil {
 			s.sharedOverrides.applyTo(name, p)
 		}
 	}
 }
 
-func (s *Service) retireRemovedPools(now, next *runtimeState) {
-	for name, old := range now.pools {
+func (s *Service) retireRemovedPools(current, next *runtimeState) {
+	for name, old := range current.pools {
 		if next.pools[name] == nil {
 			s.retirePool(old)
 		}
--- a/internal/service/client_listeners.go
+++ b/internal/service/client_listeners.go
@@ -19,12 +19,13 @@
 	address net.Addr
 }
 
-// updateListeners starts the listeners that a plan has opened, sets the limits of those that stay and stops the others.
-func (s *Service) updateListeners(now *runtimeState, p *plan) {
+// updateListeners starts the client listeners that a plan has opened, updates the limits of those that run already and
+// stops those that the next configuration lacks. It also stops an admin listener that is no longer configured.
+func (s *Service) updateListeners(current *runtimeState, p *plan) {
 	next := p.next
 	spoolBytes := int64(next.config.Limits.Bodies) / int64(len(next.config.Listeners))
 	for _, l := range next.config.Listeners {
-		listener := now.listeners[l.Address]
+		listener := current.listeners[l.Address]
 		if listener != nil {
 			listener.Limit(clientLimits(l))
 			listener.SetSpoolBytes(spoolBytes)
@@ -33,17 +34,18 @@
 		}
 		next.listeners[l.Address] = listener
 	}
-	for address, old := range now.listeners {
+	for address, old := range current.listeners {
 		if next.listeners[address] == nil {
 			s.retiring.Go(old.Stop)
 		}
 	}
-	if now.admin != nil && now.admin != next.admin {
-		now.admin.stop()
+	if current.admin != nil && current.admin != next.admin {
+		current.admin.stop()
 	}
 }
 
-// startListener serves the connections of a socket from a goroutine of its own. Failed receives the error that ends it.
+// startListener starts a goroutine that serves the connections of a socket. The channel of Failed receives the error
+// that ends it.
 func (s *Service) startListener(l config.Listener, socket net.Listener, spoolBytes int64) *clientListener {
 	listener := &clientListener{
 		Server:  frontend.New(s.routeTable, socket, clientLimits(l)),
@@ -58,13 +60,13 @@
 		}
 		select {
 		case s.failed <- fmt.Errorf("listener %s: %w", listener.name, err):
-		default: // an earlier failure has not been received yet
+		default: // an earlier error has not been received yet
 		}
 	}()
 	return listener
 }
 
-// clientLimits returns the limits of a listener's clients.
+// clientLimits returns the limits that a listener's configuration sets for its clients.
 func clientLimits(l config.Listener) frontend.Limits {
 	return frontend.Limits{
 		Connections: l.Connections,
@@ -76,7 +78,7 @@
 	}
 }
 
-// listenerViews returns the client listeners' part of the live view, by name.
+// listenerViews returns the client listeners for the live view, sorted by name.
 func (state *runtimeState) listenerViews() []live.Listener {
 	views := []live.Listener{}
 	for _, l := range state.listeners {
--- a/internal/service/endpoint_lists.go
+++ b/internal/service/endpoint_lists.go
@@ -15,47 +15,48 @@
 	"olivearch/internal/pool"
 )
 
-// initialList is the endpoint list of a pool as it was when its source was new.
+// initialList is the first endpoint list that a pool gets from a new source.
 type initialList struct {
 	endpoints []endpointlist.Node
-	reading   endpointlist.FileState // from which a file is followed
+	fileState endpointlist.FileState // of the read, from which on the file is followed
 	err       error
 }
 
-// readLists reads the files of the pools that are named, on as many goroutines as there are processors.
+// readLists reads the list files of the named pools, with one goroutine per processor. The result is by pool name.
 func readLists(c *config.Loaded, names []string) map[string]initialList {
-	read := make([]initialList, len(names))
+	results := make([]initialList, len(names))
 	var next atomic.Int64
 	var readers sync.WaitGroup
 	for range min(runtime.GOMAXPROCS(0), len(names)) {
 		readers.Go(func() {
 			for i := next.Add(1) - 1; int(i) < len(names); i = next.Add(1) - 1 {
-				read[i] = readList(c, names[i])
+				results[i] = readList(c, names[i])
 			}
 		})
 	}
 	readers.Wait()
 	lists := make(map[string]initialList, len(names))
 	for i, name := range names {
-		lists[name] = read[i]
+		lists[name] = results[i]
 	}
 	return lists
 }
 
 func readList(c *config.Loaded, name string) initialList {
-	list, reading, err := endpointlist.Read(c.Pools[name].Nodes.File)
+	list, fileState, err := endpointlist.Read(c.Pools[name].Nodes.File)
 	if err != nil {
 		err = fmt.Errorf("pool %s: nodes: %w", name, err)
 	}
-	return initialList{endpoints: list.Nodes, reading: reading, err: err}
+	return initialList{endpoints: list.Nodes, fileState: fileState, err: err}
 }
 
-// CheckLists reads the endpoint lists that a configuration names, as a start would. It returns the number of endpoints
-// in them and in the configuration itself.
-func CheckLists(loaded *config.Loaded) (nodes int, err error) {
+// CheckLists reads the endpoint list files that a configuration names, as Start would. It returns the number of
+// endpoints in these files and in the configuration itself, and the joined errors of all files and of the capacity
+// check.
+func CheckLists(loaded *config.Loaded) (endpointCount int, err error) {
 	var names []string
 	for name, settings := range loaded.Pools {
-		nodes += len(settings.Nodes.Static)
+		endpointCount += len(settings.Nodes.Static)
 		if settings.Nodes.File != "" {
 			names = append(names, name)
 		}
@@ -63,24 +64,25 @@
 	var errs []error
 	lists := readLists(loaded, names)
 	for _, name := range slices.Sorted(maps.Keys(lists)) {
-		nodes += len(lists[name].endpoints)
+		endpointCount += len(lists[name].endpoints)
 		errs = append(errs, lists[name].err)
 	}
-	errs = append(errs, loaded.CheckCapacity(nodes))
-	return nodes, errors.Join(errs...)
+	errs = append(errs, loaded.CheckCapacity(endpointCount))
+	return endpointCount, errors.Join(errs...)
 }
 
-// logWatchState logs once that the system refuses to notify of changes in lists, and once (nil) that it does so again.
-func logWatchState(refused error) {
-	if refused != nil {
-		slog.Warn("endpoint lists polled without change notifications", "err", refused)
+// logWatchState logs that endpoint list files are only polled, since the system refuses change notifications (err), or
+// that notifications work again (nil). The watcher calls it once for each such change.
+func logWatchState(err error) {
+	if err != nil {
+		slog.Warn("endpoint lists polled without change notifications", "err", err)
 		return
 	}
 	slog.Info("change notifications of endpoint lists resumed")
 }
 
-// followList gives a pool the changes of its list's file, if it has one, from how the file stood at a reading. It stops
-// when stop returns.
+// followList updates a pool with each change of its list file since the given state of the file. It does nothing if the
+// source is no file. Once stop has returned, no further update is made.
 func (s *Service) followList(
 	name string, target *pool.Pool, source config.NodeSource, since endpointlist.FileState,
 ) (stop func()) {
--- a/internal/service/memory.go
+++ b/internal/service/memory.go
@@ -9,31 +9,31 @@
 )
 
 const (
-	// heapHeadroom is what the heap may grow by over the live heap before the collector runs, in bytes: the least heap
-	// of 4 MiB times the percentage that a small configuration has. A percentage of a large heap would allow more, which
-	// is not needed to collect as seldom.
+	// heapHeadroom is how far the heap may grow beyond the live heap before a collection starts, in bytes. It
+	// equals the growth that a small configuration gets: maxGCPercent of Go's minimum heap of 4 MiB. The same
+	// percentage of a large live heap would use more memory than is needed to keep collections as rare.
 	heapHeadroom = 16 << 20
-	// maxGCPercent is the percentage of a live heap of minLiveHeap and less.
+	// maxGCPercent is the percentage for debug.SetGCPercent if the live heap is minLiveHeap or smaller.
 	maxGCPercent = 400
-	// minLiveHeap is the least live heap that the percentage is computed for, in bytes.
+	// minLiveHeap is the live heap, in bytes, below which the percentage does not rise any further.
 	minLiveHeap = heapHeadroom * 100 / maxGCPercent
-	// largeConfig is the size of a configuration's file from which the memory that reading it took is returned to the
-	// system at once, in bytes.
+	// largeConfig is the size of a configuration file, in bytes, from which on the memory that was used to read it
+	// is returned to the system at once.
 	largeConfig = 256 << 10
 )
 
-// LimitMemory sets the collector's soft limit to 80 % of the memory that the configuration gives. It bounds the cost of
-// collecting less often. It is for a process that runs one service and nothing else.
+// LimitMemory sets the soft memory limit of the garbage collector to 80 % of the configured memory, which bounds the
+// memory that rarer collections cost. It is only for a process that runs nothing but one service.
 func LimitMemory(c *config.Loaded) {
 	debug.SetMemoryLimit(int64(c.Limits.Memory) / 10 * 8)
 }
 
-// PrepareConfigLoad keeps garbage from piling up while a configuration is read. It is for the start of a process: later
-// FinishConfigLoad has set the percentage by the live heap.
+// PrepareConfigLoad bounds the garbage that accumulates while the first configuration is read. Reloads do not need it:
+// the percentage that FinishConfigLoad has set by then fits the live heap.
 func PrepareConfigLoad() { debug.SetGCPercent(100) }
 
-// FinishConfigLoad returns the memory that reading a configuration took to the system if that was much, which takes one
-// collection, and bounds the growth of the heap over the live heap.
+// FinishConfigLoad bounds the growth of the heap beyond the live heap by heapHeadroom. After a large configuration it
+// first returns the memory that was used to read it to the system, which takes one collection.
 func FinishConfigLoad(c *config.Loaded) {
 	if c.Read() >= largeConfig {
 		debug.FreeOSMemory()
@@ -46,7 +46,7 @@
 	return int(math.Ceil(float64(heapHeadroom) / float64(max(liveBytes, minLiveHeap)) * 100))
 }
 
-// liveHeap returns what was live at the end of the last collection, in bytes.
+// liveHeap returns the size of the live heap at the end of the last collection, in bytes.
 func liveHeap() uint64 {
 	sample := []metrics.Sample{{Name: "/gc/heap/live:bytes"}}
 	metrics.Read(sample)
--- a/internal/service/plan.go
+++ b/internal/service/plan.go
@@ -11,32 +11,34 @@
 	"olivearch/internal/pool"
 )
 
-// plan is a step from one state to the next. Making it does what can fail, so that an error changes nothing.
+// plan is the change from the current state to the next. The steps that are likely to fail, reading endpoint lists and
+// opening sockets, are done while the plan is made, before it changes anything that runs.
 type plan struct {
 	next      *runtimeState
 	listeners map[string]net.Listener // opened for the next state, by the address in the configuration
-	lists     map[string]initialList  // of pools whose source is new, or stands in the configuration
+	lists     map[string]initialList  // of pools with a new list file, or with a static list or discovery
 	specs     map[string]pool.Spec    // of all pools
-	unchanged map[string]bool         // pools whose specification stays
+	unchanged map[string]bool         // pools whose specification does not change
 }
 
-// planner makes a plan and collects all errors on the way.
+// planner makes a plan and collects the errors of all its steps.
 type planner struct {
 	service *Service
-	now     *runtimeState
+	current *runtimeState
 	config  *config.Loaded
 	plan    *plan
 	errs    []error
 }
 
-// newPlan checks and opens what a configuration needs.
-func (s *Service) newPlan(now *runtimeState, c *config.Loaded) (*plan, error) {
+// newPlan makes the plan for a configuration. If it returns an error, which joins those of all steps, it has closed
+// every socket that it opened.
+func (s *Service) newPlan(current *runtimeState, c *config.Loaded) (*plan, error) {
 	planning := &planner{
 		service: s,
-		now:     now,
+		current: current,
 		config:  c,
 		plan: &plan{
-			next:      newRuntimeState(c, now.reloads+1),
+			next:      newRuntimeState(c, current.reloads+1),
 			listeners: map[string]net.Listener{},
 			specs:     make(map[string]pool.Spec, len(c.Pools)),
 			unchanged: make(map[string]bool, len(c.Pools)),
@@ -53,101 +55,102 @@
 	return planning.plan, nil
 }
 
-func (m *planner) fail(err error) { m.errs = append(m.errs, err) }
+func (pl *planner) fail(err error) { pl.errs = append(pl.errs, err) }
 
-// readNewLists reads the files of endpoint lists that the pools of now do not follow yet.
-func (m *planner) readNewLists() {
+// readNewLists reads the endpoint list files that the pools of the current state do not follow yet, and checks that the
+// planned capacity suffices for their endpoints.
+func (pl *planner) readNewLists() {
 	var names []string
-	for name, p := range m.config.Pools {
+	for name, p := range pl.config.Pools {
 		file := p.Nodes.File
-		old := m.now.pools[name]
+		old := pl.current.pools[name]
 		if file != "" && (old == nil || old.source.File != file) {
 			names = append(names, name)
 		}
 	}
-	m.plan.lists = readLists(m.config, names)
+	pl.plan.lists = readLists(pl.config, names)
 	endpoints := 0
-	for _, list := range m.plan.lists {
+	for _, list := range pl.plan.lists {
 		endpoints += len(list.endpoints)
 	}
-	m.fail(m.config.CheckCapacity(endpoints))
+	pl.fail(pl.config.CheckCapacity(endpoints))
 }
 
-// planPools finds the specification of each pool, and checks those that are new or change.
-func (m *planner) planPools() {
-	samePools := m.config.SamePools(m.now.config)
-	for _, name := range slices.Sorted(maps.Keys(m.config.Pools)) {
-		old := m.now.pools[name]
-		spec, unchanged := m.poolSpec(name, old, samePools)
-		m.plan.specs[name] = spec
+// planPools determines the specification of each pool and validates those that are new or changed.
+func (pl *planner) planPools() {
+	samePools := pl.config.SamePools(pl.current.config)
+	for _, name := range slices.Sorted(maps.Keys(pl.config.Pools)) {
+		old := pl.current.pools[name]
+		spec, unchanged := pl.poolSpec(name, old, samePools)
+		pl.plan.specs[name] = spec
 		if unchanged {
-			m.plan.unchanged[name] = true
+			pl.plan.unchanged[name] = true
 		} else if err := spec.Settings.Validate(); err != nil {
-			m.fail(fmt.Errorf("pool %s: %w", name, err))
+			pl.fail(fmt.Errorf("pool %s: %w", name, err))
 		}
-		if err := m.plan.lists[name].err; err != nil {
-			m.fail(err)
+		if err := pl.plan.lists[name].err; err != nil {
+			pl.fail(err)
 		}
-		if source := m.config.Pools[name].Nodes; source.File == "" {
-			m.plan.lists[name] = initialList{endpoints: source.Static}
+		if source := pl.config.Pools[name].Nodes; source.File == "" {
+			pl.plan.lists[name] = initialList{endpoints: source.Static}
 		}
 	}
 }
 
-// poolSpec returns the specification of a pool, and whether it is that of the pool that runs under this name (nil:
-// none does). With samePools, which only holds if all pools run, only the table of tenants can have changed.
-func (m *planner) poolSpec(name string, old *runningPool, samePools bool) (spec pool.Spec, unchanged bool) {
+// poolSpec returns the specification of a pool, and whether the running pool of this name (old; nil: there is none) has
+// it already. If samePools is set, all pools run already and only the tenant table can differ.
+func (pl *planner) poolSpec(name string, old *runningPool, samePools bool) (spec pool.Spec, unchanged bool) {
 	if samePools {
 		spec = old.spec
-		spec.Settings.Tenants = m.config.Tenants
+		spec.Settings.Tenants = pl.config.Tenants
 		return spec, spec.Settings.Tenants == old.spec.Settings.Tenants
 	}
-	spec = newPoolSpec(m.config, name)
+	spec = newPoolSpec(pl.config, name)
 	return spec, old != nil && sameSpec(&old.spec, &spec)
 }
 
-// openListeners opens the sockets of listeners that do not run yet.
-func (m *planner) openListeners() {
-	for _, l := range m.config.Listeners {
-		if m.now.listeners[l.Address] != nil {
+// openListeners opens the sockets of client listeners that do not run yet.
+func (pl *planner) openListeners() {
+	for _, l := range pl.config.Listeners {
+		if pl.current.listeners[l.Address] != nil {
 			continue
 		}
 		socket, err := net.Listen("tcp", l.Address)
 		if err != nil {
-			m.fail(fmt.Errorf("listener %s: %w", l.Name, err))
+			pl.fail(fmt.Errorf("listener %s: %w", l.Name, err))
 			continue
 		}
-		m.plan.listeners[l.Address] = socket
+		pl.plan.listeners[l.Address] = socket
 	}
 }
 
-// openAdmin starts the admin listener, unless there is none or it runs already.
-func (m *planner) openAdmin() {
-	if m.config.Admin == nil {
+// openAdmin starts the admin listener if the configuration has one that does not run yet.
+func (pl *planner) openAdmin() {
+	if pl.config.Admin == nil {
 		return
 	}
-	address := m.config.Admin.Address
-	if m.now.admin != nil && m.now.admin.configured == address {
-		m.plan.next.admin = m.now.admin
+	address := pl.config.Admin.Address
+	if pl.current.admin != nil && pl.current.admin.configuredAddress == address {
+		pl.plan.next.admin = pl.current.admin
 		return
 	}
-	admin, err := startAdmin(address, m.service.PartialView, m.service.Metrics)
+	admin, err := startAdmin(address, pl.service.PartialView, pl.service.Metrics)
 	if err != nil {
-		m.fail(fmt.Errorf("admin: %w", err))
+		pl.fail(fmt.Errorf("admin: %w", err))
 		return
 	}
-	m.plan.next.admin = admin
+	pl.plan.next.admin = admin
 }
 
-// discard closes what was opened for a plan that has failed.
-func (m *planner) discard() {
-	m.plan.closeListeners()
-	if admin := m.plan.next.admin; admin != nil && admin != m.now.admin {
+// discard closes the client listeners' sockets and the admin listener that were opened for a failed plan.
+func (pl *planner) discard() {
+	pl.plan.closeListeners()
+	if admin := pl.plan.next.admin; admin != nil && admin != pl.current.admin {
 		admin.stop()
 	}
 }
 
-// closeListeners closes the sockets of a plan that is not carried out.
+// closeListeners closes the client listeners' sockets of a plan that is not carried out.
 func (p *plan) closeListeners() {
 	for _, socket := range p.listeners {
 		socket.Close()
--- a/internal/service/pools.go
+++ b/internal/service/pools.go
@@ -14,21 +14,21 @@
 	"olivearch/internal/wire"
 )
 
-// Values of a pool's keys in the configuration.
+// Values of keys in a pool's configuration.
 const (
-	drainsOwnOnly    = "own"         // of drains
-	restsAfterStrays = "after_stray" // of rest
+	drainsOwnOnly              = "own"         // of the key drains
+	reuseDelayAfterUnsolicited = "after_stray" // of the key rest
 )
 
-// runningPool is a pool with what follows its endpoint list.
+// runningPool is a pool with its specification and the source of its endpoint list.
 type runningPool struct {
 	*pool.Pool
 	spec       pool.Spec
 	source     config.NodeSource
-	stopFollow func() // returns when the list is no longer followed
+	stopFollow func() // stops updates from the list file, and returns once none is under way
 }
 
-// newPoolSpec returns the specification of a pool in a configuration.
+// newPoolSpec returns the specification of the pool that a configuration has under a name.
 func newPoolSpec(c *config.Loaded, name string) pool.Spec {
 	settings := c.Pools[name]
 	return pool.Spec{
@@ -44,7 +44,7 @@
 		MaxRequests:                    settings.Queue,
 		SharedWeight:                   settings.Share,
 		IgnoreDrainsOfOthers:           settings.Drains == drainsOwnOnly,
-		ReuseDelayOnlyAfterUnsolicited: settings.Rest == restsAfterStrays,
+		ReuseDelayOnlyAfterUnsolicited: settings.Rest == reuseDelayAfterUnsolicited,
 		Tunnels: pool.TunnelLimits{
 			Total:       settings.Tunnels.Most,
 			PerEndpoint: settings.Tunnels.PerNode,
@@ -53,29 +53,29 @@
 	}
 }
 
-// sameSpec tells whether a pool that has the old specification needs nothing to follow the next. A table of tenants
-// that was made anew counts as another: comparing its entries for each pool would take too long.
+// sameSpec reports whether a running pool with the old specification needs no update for the next one. Tenant tables
+// are compared by identity, since comparing their entries for each pool would take too long.
 func sameSpec(old, next *pool.Spec) bool {
 	if old.Settings.Tenants != next.Settings.Tenants {
 		return false
 	}
 	a, b := *old, *next
 	a.Settings.Tenants, b.Settings.Tenants = nil, nil
-	// These are for the start of a pool only.
+	// These fields are used only when a pool starts.
 	a.Seed = b.Seed
 	a.InitialEndpoints = b.InitialEndpoints
 	a.EndpointStore = b.EndpointStore
 	return reflect.DeepEqual(a, b)
 }
 
-// openPool starts a pool of a plan, and gives it its endpoint list and overrides.
+// openPool starts a pool of a plan with its endpoint list and shared overrides, and adds it to the plan's next state.
 func (s *Service) openPool(plan *plan, name string) error {
 	spec := plan.specs[name]
 	source := plan.next.config.Pools[name].Nodes
 	spec.Seed = rand.Uint64()
 	if source.Keep != "" {
 		cached, err := endpointcache.Load(source.Keep)
-		if err != nil { // a damaged cache must not keep the process from serving
+		if err != nil { // a damaged cache must not prevent the process from serving
 			slog.Warn("cached endpoint list not loaded", "pool", name, "err", err)
 		}
 		spec.InitialEndpoints = cached
@@ -96,14 +96,14 @@
 		Pool:       opened,
 		spec:       spec,
 		source:     source,
-		stopFollow: s.followList(name, opened, source, list.reading),
+		stopFollow: s.followList(name, opened, source, list.fileState),
 	}
 	plan.next.pools[name] = next
 	s.sharedOverrides.applyTo(name, next)
 	return nil
 }
 
-// updatePool brings a pool that stays to the configuration of a plan.
+// updatePool updates a running pool to the configuration of a plan.
 func (s *Service) updatePool(plan *plan, name string, old *runningPool) {
 	list := plan.lists[name]
 	next := *old
@@ -113,25 +113,26 @@
 
 	usedDiscovery := old.source.Discovery != ""
 	usesDiscovery := next.source.Discovery != ""
-	moved := old.source.File != next.source.File || usedDiscovery != usesDiscovery
-	if moved { // so that a late update from the old source is not taken for one from the new
+	sourceChanged := old.source.File != next.source.File || usedDiscovery != usesDiscovery
+	if sourceChanged { // first, so that a late update from the old source cannot overwrite the new list
 		old.stopFollow()
 	}
 	if !plan.unchanged[name] {
-		if err := old.Configure(next.spec); err != nil { // its settings are valid: it has ended
+		if err := old.Configure(next.spec); err != nil { // the settings are valid, so the pool has ended
 			slog.Error("pool configuration not changed", "pool", name, "err", err)
 		}
 	}
 	staticChanged := next.source.File == "" && !slices.Equal(old.source.Static, next.source.Static)
-	if !usesDiscovery && (moved || staticChanged) {
+	if !usesDiscovery && (sourceChanged || staticChanged) {
 		old.UpdateEndpoints(list.endpoints)
 	}
-	if moved {
-		next.stopFollow = s.followList(name, old.Pool, next.source, list.reading)
+	if sourceChanged {
+		next.stopFollow = s.followList(name, old.Pool, next.source, list.fileState)
 	}
 }
 
-// retirePool ends a pool once its requests are answered. It does not wait for that.
+// retirePool shuts a pool down gracefully: it ends once its requests are answered. retirePool does not wait for the
+// end.
 func (s *Service) retirePool(p *runningPool) {
 	p.stopFollow()
 	p.Shutdown()
--- a/internal/service/routing.go
+++ b/internal/service/routing.go
@@ -9,7 +9,7 @@
 	"olivearch/internal/proxy"
 )
 
-// updateRouting puts the routes of a state into effect.
+// updateRouting puts the routes of the next state into effect.
 func (s *Service) updateRouting(next *runtimeState) {
 	routing := newRouting(next)
 	if s.routeTable == nil {
@@ -35,7 +35,8 @@
 	return routing
 }
 
-// destination returns what requests of a target get, which is given by its index in the configuration.
+// destination returns the class, limits and upgrades for requests to the target that has this index in the
+// configuration.
 func destination(c *config.Loaded, index int) proxy.Destination {
 	target := &c.Targets[index]
 	return proxy.Destination{
--- a/internal/service/service.go
+++ b/internal/service/service.go
@@ -1,5 +1,7 @@
-// Package service runs what a configuration describes: listeners, routes, pools, endpoint lists and the admin listener.
-// It moves from one configuration to the next while traffic flows.
+// Package service runs the load balancer that a configuration describes: client listeners, routes, pools, endpoint
+// lists and the admin listener. It applies later configurations without interrupting traffic. The olivearch command
+// uses it. It does not read configuration files or handle signals, and it leaves load balancing decisions to package
+// balancer.
 package service
 
 import (
@@ -15,10 +17,11 @@
 	"olivearch/internal/proxy"
 )
 
-// listPollInterval is how often the file of an endpoint list is read even if no change is notified.
+// listPollInterval is how often the file of an endpoint list is read even without a change notification.
 const listPollInterval = 5 * time.Second
 
-// Service is a running configuration. Apply and Stop belong to one goroutine. The other methods may be called from any.
+// Service is a running load balancer. Apply and Stop must be called from one goroutine. The other methods may be called
+// from any goroutine.
 type Service struct {
 	version         string
 	started         time.Time
@@ -30,15 +33,16 @@
 	state           atomic.Pointer[runtimeState]
 	sharedOverrides *sharedOverrides
 	failed          chan error
-	retiring        sync.WaitGroup // listeners and pools that a reload has removed, or Stop ends
+	retiring        sync.WaitGroup // listeners and pools that are shutting down after a reload or Stop
 }
 
-// runtimeState is what runs now. It never changes once stored: Apply makes another.
+// runtimeState is the configuration in force and everything that runs for it. It is immutable once stored: Apply stores
+// a new one.
 type runtimeState struct {
-	config    *config.Loaded             // nil before the first
+	config    *config.Loaded             // nil before the first configuration
 	listeners map[string]*clientListener // by the address in the configuration
 	pools     map[string]*runningPool    // by name
-	admin     *adminListener             // nil: none
+	admin     *adminListener             // nil: no admin listener
 	reloads   int                        // configurations applied since the first
 }
 
@@ -51,13 +55,13 @@
 	}
 }
 
-// Start runs a configuration. Version is shown in the live view.
+// Start starts a service with its first configuration. The live view and the metrics show the version.
 func Start(c *config.Loaded, version string) (*Service, error) {
 	s := &Service{version: version, started: time.Now(), failed: make(chan error, 1)}
 	s.ctx, s.cancel = context.WithCancel(context.Background())
 	s.endpoints = pool.NewEndpointRegistry(s.ctx, c.Limits.NodeConnections)
 	s.listWatcher = endpointlist.NewWatcher(s.ctx, listPollInterval, logWatchState)
-	s.state.Store(newRuntimeState(nil, -1)) // the first configuration is no reload
+	s.state.Store(newRuntimeState(nil, -1)) // the first configuration does not count as a reload
 	s.sharedOverrides = &sharedOverrides{pools: func() map[string]*runningPool { return s.state.Load().pools }}
 	if err := s.Apply(c); err != nil {
 		s.cancel()
@@ -66,30 +70,31 @@
 	return s, nil
 }
 
-// Failed receives the error of a listener that has ended by itself.
+// Failed returns the channel that receives the error of a client listener that stopped serving unexpectedly. It keeps
+// one error; further ones are dropped until that one is received.
 func (s *Service) Failed() <-chan error { return s.failed }
 
-// Stop shuts down gracefully: it returns once the requests that were accepted are answered.
+// Stop shuts down gracefully: it returns once all accepted requests are answered.
 func (s *Service) Stop() {
-	now := s.state.Load()
+	current := s.state.Load()
 	var listeners sync.WaitGroup
-	for _, l := range now.listeners {
+	for _, l := range current.listeners {
 		listeners.Go(l.Stop)
 	}
 	listeners.Wait()
-	for _, p := range now.pools {
+	for _, p := range current.pools {
 		s.retirePool(p)
 	}
 	s.retiring.Wait()
-	if now.admin != nil {
-		now.admin.stop()
+	if current.admin != nil {
+		current.admin.stop()
 	}
 	s.sharedOverrides.close()
 	s.cancel()
 }
 
-// Address returns where a listener of the configuration listens: its port may have been the system's to choose. It is
-// nil if there is no such listener.
+// Address returns the address that a client listener is bound to, given the one in the configuration. The two differ if
+// the configuration leaves the port to the system. It returns nil if there is no such listener.
 func (s *Service) Address(configured string) net.Addr {
 	if l := s.state.Load().listeners[configured]; l != nil {
 		return l.address
@@ -97,7 +102,7 @@
 	return nil
 }
 
-// AdminAddress returns where the admin listener listens; nil if there is none.
+// AdminAddress returns the address that the admin listener is bound to, or nil if there is none.
 func (s *Service) AdminAddress() net.Addr {
 	if a := s.state.Load().admin; a != nil {
 		return a.address
--- a/internal/service/shared_overrides.go
+++ b/internal/service/shared_overrides.go
@@ -15,26 +15,26 @@
 	"olivearch/internal/override"
 )
 
-// defaultFollowerName begins a follower's name if the host's is not known.
+// defaultFollowerName is the first part of a follower's name if the host name is not known.
 const defaultFollowerName = "olivearch"
 
 // sharedOverrides follows the coordination cluster and gives each pool the overrides that all balancers share. Requests
-// do not wait for it, since each pool has its own copy. Its methods may be called from any goroutine, except configure
-// and close, which belong to the service's.
+// do not wait for it, since each pool has its own copy. configure and close must be called from the goroutine that
+// calls Service.Apply; the other methods may be called from any goroutine.
 type sharedOverrides struct {
 	pools func() map[string]*runningPool // of the current state
 
 	mu        sync.Mutex // guards the fields below; held while overrides are applied
 	overrides []state.Override
-	follower  *client.Follower // nil: this process follows no cluster
-	config    config.Promises  // of the follower
+	follower  *client.Follower // nil: this process follows no coordination cluster
+	config    config.Promises  // with which the follower was started
 }
 
-// configure follows the cluster of a configuration; nil: none. Overrides of the cluster before hold until the follower
-// of the next has its own.
+// configure follows the given coordination cluster, or none if it is nil. On a change of cluster the overrides of the
+// previous one stay in force until the new follower delivers its own.
 func (o *sharedOverrides) configure(cluster *config.Promises) {
-	old, done := o.followsAlready(cluster)
-	if done {
+	old, unchanged := o.currentFollower(cluster)
+	if unchanged {
 		return
 	}
 	if old != nil {
@@ -42,14 +42,14 @@
 	}
 	if cluster == nil {
 		o.setFollower(nil, config.Promises{})
-		o.overridesChanged(nil)
+		o.updateOverrides(nil)
 		return
 	}
-	o.setFollower(client.StartFollower(followerName(), cluster.Voters, cluster.Copy, o.overridesChanged), *cluster)
+	o.setFollower(client.StartFollower(followerName(), cluster.Voters, cluster.Copy, o.updateOverrides), *cluster)
 }
 
-// followsAlready returns the follower that runs, and whether a configuration leaves all as it is.
-func (o *sharedOverrides) followsAlready(c *config.Promises) (follower *client.Follower, done bool) {
+// currentFollower returns the running follower, and whether a configuration leaves it and the overrides unchanged.
+func (o *sharedOverrides) currentFollower(c *config.Promises) (follower *client.Follower, unchanged bool) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	if c == nil {
@@ -61,7 +61,8 @@
 	return o.follower, maps.Equal(c.Voters, o.config.Voters) && c.Copy == o.config.Copy
 }
 
-// followerName returns a name that differs between processes, also on one host: it spreads followers over the voters.
+// followerName returns a name that differs between processes, even on one host. The followers' names determine how they
+// spread over the voters.
 func followerName() string {
 	host, err := os.Hostname()
 	if err != nil {
@@ -77,9 +78,9 @@
 	o.config = c
 }
 
-// overridesChanged gives each pool its part of the shared overrides. The follower calls it from its goroutine, and
-// while it starts.
-func (o *sharedOverrides) overridesChanged(overrides []state.Override) {
+// updateOverrides replaces the shared overrides and gives each pool those that concern it. The follower calls it from
+// its own goroutine, and already while it starts.
+func (o *sharedOverrides) updateOverrides(overrides []state.Override) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	o.overrides = overrides
@@ -89,7 +90,7 @@
 	slog.Info("shared overrides applied", "overrides", len(overrides))
 }
 
-// applyTo gives a pool that has just been opened its part of the shared overrides.
+// applyTo gives a newly opened pool the shared overrides that concern it.
 func (o *sharedOverrides) applyTo(name string, p *runningPool) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
@@ -107,30 +108,30 @@
 	}
 }
 
-// view returns the cluster's state as this process knows it; nil if it follows none.
-func (o *sharedOverrides) view() *live.Promises {
+// view returns the state of the coordination cluster as this process knows it, or nil if it follows none.
+func (o *sharedOverrides) view() *live.Coordination {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	if o.follower == nil {
 		return nil
 	}
-	copied := o.follower.View()
-	view := &live.Promises{
-		Cluster:  fmt.Sprintf("%x", copied.Cluster),
-		Voter:    copied.Voter,
-		Leader:   copied.Leader,
-		Voters:   copied.Voters,
-		Up:       copied.ReachableVoters,
-		Revision: copied.Index,
-		AgeMS:    -1,
-		Words:    map[string]int{},
-		Trouble:  copied.Fault,
+	followed := o.follower.View()
+	view := &live.Coordination{
+		Cluster:         fmt.Sprintf("%x", followed.Cluster),
+		Voter:           followed.Voter,
+		Leader:          followed.Leader,
+		Voters:          followed.Voters,
+		VotersReached:   followed.ReachableVoters,
+		Revision:        followed.Index,
+		AgeMS:           -1,
+		OverridesByKind: map[string]int{},
+		FollowerFault:   followed.Fault,
 	}
-	if age := copied.Age(time.Now()); age < live.MaxAge {
+	if age := followed.Age(time.Now()); age < live.MaxConfirmationAge {
 		view.AgeMS = age.Milliseconds()
 	}
-	for _, shared := range copied.Overrides {
-		view.Words[shared.Kind.String()]++
+	for _, shared := range followed.Overrides {
+		view.OverridesByKind[shared.Kind.String()]++
 	}
 	return view
 }
--- a/internal/service/subset_size.go
+++ b/internal/service/subset_size.go
@@ -6,29 +6,29 @@
 	"olivearch/balancer"
 )
 
-// idleHost is the host of a Balancer that is only asked for its subset: it ignores all calls.
-type idleHost struct{}
+// noopHost is a balancer.Host that ignores all calls. It is for a Balancer that is used only to compute a subset.
+type noopHost struct{}
 
-func (idleHost) Send(balancer.RequestID, balancer.UpstreamID, time.Duration) {}
-func (idleHost) Reject(balancer.RequestID, time.Duration)                    {}
-func (idleHost) Fail(balancer.RequestID)                                     {}
-func (idleHost) Cancel(balancer.RequestID, int)                              {}
-func (idleHost) HealthCheck(balancer.UpstreamID)                             {}
-func (idleHost) CloseIdle(balancer.UpstreamID)                               {}
-func (idleHost) SetTimer(time.Duration, uint64)                              {}
-func (idleHost) WatchEndpoints(bool)                                         {}
-func (idleHost) FetchEndpoints()                                             {}
-func (idleHost) Log(string)                                                  {}
+func (noopHost) Send(balancer.RequestID, balancer.UpstreamID, time.Duration) {}
+func (noopHost) Reject(balancer.RequestID, time.Duration)                    {}
+func (noopHost) Fail(balancer.RequestID)                                     {}
+func (noopHost) Cancel(balancer.RequestID, int)                              {}
+func (noopHost) HealthCheck(balancer.UpstreamID)                             {}
+func (noopHost) CloseIdle(balancer.UpstreamID)                               {}
+func (noopHost) SetTimer(time.Duration, uint64)                              {}
+func (noopHost) WatchEndpoints(bool)                                         {}
+func (noopHost) FetchEndpoints()                                             {}
+func (noopHost) Log(string)                                                  {}
 
-// SubsetSize returns how many of so many upstreams, all of one weight, a balancer with these settings has in its first
-// subset.
-func SubsetSize(s balancer.Settings, nodes int) (int, error) {
-	const now = time.Hour // any time
-	b, err := balancer.New(s, 1, now, idleHost{})
+// SubsetSize returns the size of the first subset that a balancer with these settings chooses from the given number of
+// upstreams, all of the same weight. It returns an error if the settings are invalid.
+func SubsetSize(s balancer.Settings, upstreamCount int) (int, error) {
+	const now = time.Hour // the subset does not depend on the time
+	b, err := balancer.New(s, 1, now, noopHost{})
 	if err != nil {
 		return 0, err
 	}
-	upstreams := make([]balancer.Upstream, nodes)
+	upstreams := make([]balancer.Upstream, upstreamCount)
 	for i := range upstreams {
 		upstreams[i] = balancer.Upstream{ID: balancer.UpstreamID(i + 1), Weight: 1}
 	}
--- a/internal/service/view.go
+++ b/internal/service/view.go
@@ -10,50 +10,50 @@
 	"olivearch/internal/metrics"
 )
 
-// View returns the state of all listeners and pools.
+// View returns the live view of all listeners and pools.
 func (s *Service) View() live.View {
-	v, _ := s.PartialView(live.Part{}) // fails only for a pool that was asked for
+	v, _ := s.PartialView(live.Part{}) // it fails only for an unknown pool that was selected
 	return v
 }
 
-// PartialView returns a part of the state. The goroutines of pools that are not asked for are not disturbed. The
-// error names a pool that does not exist.
+// PartialView returns the selected part of the live view. It does not involve the event loops of pools that are not
+// selected. It returns an error if a selected pool does not exist.
 func (s *Service) PartialView(part live.Part) (live.View, error) {
-	now := s.state.Load()
+	current := s.state.Load()
 	view := live.View{
 		Version:   s.version,
 		UptimeMS:  time.Since(s.started).Milliseconds(),
-		Reloads:   now.reloads,
-		Listeners: now.listenerViews(),
+		Reloads:   current.reloads,
+		Listeners: current.listenerViews(),
 		Pools:     []live.Pool{},
 	}
 	names := part.Pools
 	if len(names) == 0 {
-		names = slices.Sorted(maps.Keys(now.pools))
+		names = slices.Sorted(maps.Keys(current.pools))
 	}
 	for _, name := range names {
-		p := now.pools[name]
+		p := current.pools[name]
 		if p == nil {
 			return view, fmt.Errorf("there is no pool %.64q", name)
 		}
 		view.Pools = append(view.Pools, p.PartialView(part))
 	}
-	view.Promises = s.sharedOverrides.view()
+	view.Coordination = s.sharedOverrides.view()
 	return view, nil
 }
 
-// Metrics returns the process's counters and gauges. No pool's goroutine is asked for them.
+// Metrics returns the process's counters and gauges. It does not involve the pools' event loops.
 func (s *Service) Metrics() metrics.Snapshot {
-	now := s.state.Load()
+	current := s.state.Load()
 	snapshot := metrics.Snapshot{
-		Version:   s.version,
-		Started:   s.started,
-		Reloads:   now.reloads,
-		Listeners: now.listenerViews(),
-		Promises:  s.sharedOverrides.view(),
+		Version:      s.version,
+		Started:      s.started,
+		Reloads:      current.reloads,
+		Listeners:    current.listenerViews(),
+		Coordination: s.sharedOverrides.view(),
 	}
-	for _, name := range slices.Sorted(maps.Keys(now.pools)) {
-		snapshot.Pools = append(snapshot.Pools, metrics.Pool{Name: name, Stats: now.pools[name].Stats()})
+	for _, name := range slices.Sorted(maps.Keys(current.pools)) {
+		snapshot.Pools = append(snapshot.Pools, metrics.Pool{Name: name, Stats: current.pools[name].Stats()})
 	}
 	return snapshot
 }
