--- a/internal/live/golden_test.go
+++ b/internal/live/golden_test.go
@@ -7,7 +7,7 @@
 	"olivearch/internal/golden"
 )
 
-// TestGoldenKeys pins the keys of the live view.
+// TestGoldenKeys compares the JSON keys of the live view with the golden file.
 func TestGoldenKeys(t *testing.T) {
 	golden.Compare(t, "keys.txt", golden.Keys(reflect.TypeFor[View](), "json"))
 }
--- a/internal/live/part_test.go
+++ b/internal/live/part_test.go
@@ -6,9 +6,9 @@
 	"testing"
 )
 
-// TestParts: a part is the same after it was written as a query and read, bad queries are errors, and each choice of
-// nodes has its nodes.
-func TestParts(t *testing.T) {
+// TestPartQueryAndSelection: ParsePart returns the same part for the query of a part, an invalid query is an error, and
+// each value of Part.Nodes selects the right nodes.
+func TestPartQueryAndSelection(t *testing.T) {
 	for query, want := range map[string]Part{
 		"":                            {},
 		"pool=a&pool=b&pool=a":        {Pools: []string{"a", "b"}},
@@ -21,7 +21,7 @@
 			t.Errorf("%s: %+v, %v", query, got, err)
 		}
 		if again, err := ParsePart(got.Query()); err != nil || !reflect.DeepEqual(again, got) {
-			t.Errorf("%s: said as %s and read as %+v, %v", query, got.Query(), again, err)
+			t.Errorf("%s: written as %s and parsed as %+v, %v", query, got.Query(), again, err)
 		}
 	}
 	for query, want := range map[string]string{
@@ -34,7 +34,7 @@
 			t.Errorf("%s: %v", query, err)
 		}
 	}
-	x := Pool{Name: "p", Nodes: []Node{
+	whole := Pool{Name: "p", Nodes: []Node{
 		{ID: "idle", Phase: "up"},
 		{ID: "used", Phase: "up", Member: true},
 		{ID: "out", Phase: "up", Out: 1},
@@ -43,15 +43,15 @@
 		{ID: "leaving", Phase: "draining"},
 	}}
 	for which, want := range map[string]int{"": 6, AllNodes: 6, UsedNodes: 5, NoNodes: 0} {
-		of := x
-		of.Nodes = append([]Node{}, x.Nodes...)
-		got := Part{Nodes: which}.Of(of)
+		pool := whole
+		pool.Nodes = append([]Node{}, whole.Nodes...)
+		got := Part{Nodes: which}.Of(pool)
 		if len(got.Nodes) != want || got.Nodes == nil {
 			t.Errorf("%q: %+v, want %d nodes", which, got.Nodes, want)
 			continue
 		}
 		if want == 5 && got.Nodes[0].ID != "used" {
-			t.Errorf("%q: the first is %+v", which, got.Nodes[0])
+			t.Errorf("%q: the first node is %+v, want the one named used", which, got.Nodes[0])
 		}
 	}
 }
--- a/internal/live/size_test.go
+++ b/internal/live/size_test.go
@@ -7,7 +7,8 @@
 	"testing"
 )
 
-// BenchmarkView measures the size of a live view by its nodes, indented as the admin listener writes it and plain.
+// BenchmarkView measures the bytes of a live view per node, with the indentation of the admin listener and without, and
+// the time to encode it.
 func BenchmarkView(b *testing.B) {
 	for _, n := range []int{40, 1800, 18_000} {
 		v := View{Version: "1"}
@@ -38,7 +39,7 @@
 			b.Fatal(err)
 		}
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
-			var size counter
+			var size byteCounter
 			for b.Loop() {
 				size = 0
 				out := json.NewEncoder(&size)
@@ -54,8 +55,8 @@
 	}
 }
 
-type counter int
+type byteCounter int
 
-func (c *counter) Write(p []byte) (int, error) { *c += counter(len(p)); return len(p), nil }
+func (c *byteCounter) Write(p []byte) (int, error) { *c += byteCounter(len(p)); return len(p), nil }
 
-var _ io.Writer = (*counter)(nil)
+var _ io.Writer = (*byteCounter)(nil)
--- a/internal/metrics/families.go
+++ b/internal/metrics/families.go
@@ -78,7 +78,7 @@
 // appendPools appends the families that have a series for each pool. They include only the pools that have had requests
 // or whose endpoint list has expired.
 func (s *Snapshot) appendPools(out *familyWriter) {
-	each := func(appendSamples func(p *Pool)) {
+	forEachPool := func(appendSamples func(p *Pool)) {
 		for i := range s.Pools {
 			p := &s.Pools[i]
 			if p.HasRequests() || p.Expired {
@@ -88,7 +88,7 @@
 	}
 	out.startFamily(counter, "requests_total",
 		"Requests by their final answer; turned_away are those that found the queue full.")
-	each(func(p *Pool) {
+	forEachPool(func(p *Pool) {
 		out.sample(float64(p.Served), "pool", p.Name, "result", "served")
 		out.sample(float64(p.Refused), "pool", p.Name, "result", "refused")
 		out.sample(float64(p.Failed), "pool", p.Name, "result", "failed")
@@ -96,22 +96,22 @@
 	})
 	out.startFamily(counter, "served_seconds_total",
 		"The time that served requests took, from their coming to the head of their answer, in sum.")
-	each(func(p *Pool) { out.sample(p.ServedFor.Seconds(), "pool", p.Name) })
+	forEachPool(func(p *Pool) { out.sample(p.ServedFor.Seconds(), "pool", p.Name) })
 	out.startFamily(gauge, "requests_open", "Requests that a pool holds, sent or waiting.")
-	each(func(p *Pool) { out.sample(float64(p.Open), "pool", p.Name) })
+	forEachPool(func(p *Pool) { out.sample(float64(p.Open), "pool", p.Name) })
 	out.startFamily(gauge, "requests_held", "Of these, the ones that wait for a turn.")
-	each(func(p *Pool) { out.sample(float64(p.Queued), "pool", p.Name) })
+	forEachPool(func(p *Pool) { out.sample(float64(p.Queued), "pool", p.Name) })
 	out.startFamily(gauge, "connections", "Connections to nodes.")
-	each(func(p *Pool) { out.sample(float64(p.Connections), "pool", p.Name) })
+	forEachPool(func(p *Pool) { out.sample(float64(p.Connections), "pool", p.Name) })
 	out.startFamily(gauge, "tunnels", "Connections that have changed their protocol.")
-	each(func(p *Pool) { out.sample(float64(p.Tunnels), "pool", p.Name) })
+	forEachPool(func(p *Pool) { out.sample(float64(p.Tunnels), "pool", p.Name) })
 	out.startFamily(gauge, "pool_nodes", "Nodes listed, by what holds at this balancer.")
-	each(func(p *Pool) {
+	forEachPool(func(p *Pool) {
 		out.sample(float64(p.Active), "pool", p.Name, "phase", "up")
 		out.sample(float64(p.Draining), "pool", p.Name, "phase", "draining")
 	})
 	out.startFamily(gauge, "list_age_seconds", "The time since the last good word from the list's source.")
-	each(func(p *Pool) { out.sample(p.ListAge.Seconds(), "pool", p.Name) })
+	forEachPool(func(p *Pool) { out.sample(p.ListAge.Seconds(), "pool", p.Name) })
 }
 
 // appendProcess appends the process metrics that Prometheus's client libraries expose, under the same names. A family
--- a/internal/metrics/golden_test.go
+++ b/internal/metrics/golden_test.go
@@ -13,9 +13,9 @@
 	"olivearch/internal/golden"
 )
 
-// TestGoldenNames pins the name, type and labels of each metric.
+// TestGoldenNames compares the name, type and labels of each metric with the golden file.
 func TestGoldenNames(t *testing.T) {
-	_, text, _ := read(t, Handler(sample))
+	_, text, _ := scrape(t, Handler(sample))
 	parser := expfmt.NewTextParser(model.LegacyValidation)
 	families, err := parser.TextToMetricFamilies(strings.NewReader(text))
 	if err != nil {
--- a/internal/metrics/metrics_test.go
+++ b/internal/metrics/metrics_test.go
@@ -21,8 +21,9 @@
 	"olivearch/internal/pool"
 )
 
-// read asks once, as something that gathers does.
-func read(t *testing.T, h http.Handler, header ...string) (status int, text string, size int) {
+// scrape requests the metrics once, with header fields given as alternating names and values. It returns the response's
+// status, its body after decompression, and its size in bytes before.
+func scrape(t *testing.T, h http.Handler, header ...string) (status int, text string, size int) {
 	t.Helper()
 	w, r := httptest.NewRecorder(), httptest.NewRequest(http.MethodGet, "/metrics", nil)
 	for i := 0; i+1 < len(header); i += 2 {
@@ -32,11 +33,11 @@
 	size = w.Body.Len()
 	var body io.Reader = w.Body
 	if w.Header().Get("Content-Encoding") == "gzip" {
-		unpacked, err := gzip.NewReader(w.Body)
+		decompressed, err := gzip.NewReader(w.Body)
 		if err != nil {
 			t.Fatal(err)
 		}
-		body = unpacked
+		body = decompressed
 	}
 	all, err := io.ReadAll(body)
 	if err != nil {
@@ -75,7 +76,7 @@
 	}
 }
 
-// sampleLines are lines, or the beginnings of lines, that the metrics of sample have.
+// sampleLines are lines, or the beginnings of lines, that the metrics of sample contain.
 var sampleLines = []string{
 	`olivearch_info{version="1.2"} 1`,
 	`olivearch_reloads_total 3`,
@@ -106,20 +107,20 @@
 	"process_resident_memory_bytes",
 }
 
-// TestWhatIsTold: the metrics have all values, pass Prometheus's linter and are read by its parser.
-func TestWhatIsTold(t *testing.T) {
+// TestMetricsContent: the metrics contain all values of a snapshot, and Prometheus's linter and parser accept them.
+func TestMetricsContent(t *testing.T) {
 	h := Handler(sample)
-	status, text, _ := read(t, h)
+	status, text, _ := scrape(t, h)
 	if status != http.StatusOK {
 		t.Fatal(status)
 	}
 	for _, want := range sampleLines {
 		if !strings.Contains(text, want+"\n") && !strings.Contains(text, "\n"+want) {
-			t.Errorf("not told: %s", want)
+			t.Errorf("missing: %s", want)
 		}
 	}
 	if strings.Contains(text, `"never"`) {
-		t.Error("a pool that nobody has asked has series of its own")
+		t.Error("a pool without requests has series of its own")
 	}
 	problems, err := promlint.New(strings.NewReader(text)).Lint()
 	if err != nil {
@@ -139,16 +140,16 @@
 		t.Fatalf("%d samples, want 12: %v", len(samples), requests)
 	}
 	if name := samples[8].GetLabel()[0].GetValue(); name != "odd \"name\"\n\\" {
-		t.Errorf("escaped name is read as %q", name)
+		t.Errorf("the escaped name is parsed as %q", name)
 	}
 	if served := samples[0].GetCounter().GetValue(); served != 10 {
 		t.Errorf("%v served, want 10", served)
 	}
 }
 
-// TestBytes: 490 pools that are all used take a tenth of the 29 KB a second that a balancer may spend on control, at
-// one scrape each 15 s. Pools without requests take next to nothing.
-func TestBytes(t *testing.T) {
+// TestResponseSize: a balancer may use 29 KB per second for control traffic. At one scrape per 15 s the metrics of 490
+// pools in use must take at most a tenth of that, compressed. Pools without requests must add almost nothing.
+func TestResponseSize(t *testing.T) {
 	var s Snapshot
 	for i := range 490 {
 		s.Pools = append(s.Pools, Pool{fmt.Sprintf("service-%03d", i), pool.Stats{
@@ -162,25 +163,26 @@
 		}})
 	}
 	h := Handler(func() Snapshot { return s })
-	_, _, packed := read(t, h, "Accept-Encoding", "gzip")
-	if most := 15 * 2900; packed > most {
-		t.Errorf("%d bytes packed, want at most %d", packed, most)
+	_, _, compressed := scrape(t, h, "Accept-Encoding", "gzip")
+	if maxBytes := 15 * 2900; compressed > maxBytes {
+		t.Errorf("%d bytes compressed, want at most %d", compressed, maxBytes)
 	}
-	_, _, plain := read(t, h)
+	_, _, plain := scrape(t, h)
 	for i := range s.Pools {
 		s.Pools[i].Stats = pool.Stats{Active: 37}
 	}
-	if _, _, quiet := read(t, h); quiet > 8192 {
-		t.Errorf("%d bytes though nobody has asked", quiet)
+	if _, _, unused := scrape(t, h); unused > 8192 {
+		t.Errorf("%d bytes with no pool in use, want at most 8192", unused)
 	} else {
-		t.Logf("%d bytes plain, %d packed; %d plain with no pool asked", plain, packed, quiet)
+		t.Logf("%d bytes, %d compressed; %d with no pool in use", plain, compressed, unused)
 	}
 }
 
-// TestTooManyReaders: while two are answered a third is told to come back, and they are answered.
-func TestTooManyReaders(t *testing.T) {
-	come, goOn := make(chan struct{}), make(chan struct{})
-	h := Handler(func() Snapshot { come <- struct{}{}; <-goOn; return Snapshot{} })
+// TestConcurrentScrapeLimit: while as many scrapes are served as may be, a further one is rejected and the others
+// succeed.
+func TestConcurrentScrapeLimit(t *testing.T) {
+	started, proceed := make(chan struct{}), make(chan struct{})
+	h := Handler(func() Snapshot { started <- struct{}{}; <-proceed; return Snapshot{} })
 	done := make(chan int, maxConcurrentScrapes)
 	for range maxConcurrentScrapes {
 		go func() {
@@ -190,21 +192,21 @@
 		}()
 	}
 	for range maxConcurrentScrapes {
-		<-come
+		<-started
 	}
-	if status, _, _ := read(t, h); status != http.StatusServiceUnavailable {
-		t.Errorf("one more is answered %d", status)
+	if status, _, _ := scrape(t, h); status != http.StatusServiceUnavailable {
+		t.Errorf("a further scrape got the status %d, want 503", status)
 	}
-	close(goOn)
+	close(proceed)
 	for range maxConcurrentScrapes {
 		if status := <-done; status != http.StatusOK {
-			t.Errorf("answered %d", status)
+			t.Errorf("got the status %d, want 200", status)
 		}
 	}
 }
 
-// TestEncodings: gzip for whom accepts it, and for nobody else.
-func TestEncodings(t *testing.T) {
+// TestContentEncoding: only a client that accepts gzip gets it.
+func TestContentEncoding(t *testing.T) {
 	for accepts, want := range map[string]bool{
 		"":                     false,
 		"gzip":                 true,
@@ -221,16 +223,16 @@
 		}
 		Handler(sample).ServeHTTP(w, r)
 		if got := w.Header().Get("Content-Encoding") == "gzip"; got != want || w.Header().Get("Vary") != "Accept-Encoding" {
-			t.Errorf("%q: packed %v", accepts, got)
+			t.Errorf("%q: compressed %v", accepts, got)
 		}
-		_, text, _ := read(t, Handler(sample), "Accept-Encoding", accepts)
+		_, text, _ := scrape(t, Handler(sample), "Accept-Encoding", accepts)
 		if !strings.Contains(text, "olivearch_reloads_total 3\n") {
 			t.Errorf("%q: %.80q", accepts, text)
 		}
 	}
 }
 
-// BenchmarkScrape is a scrape of 490 pools in use.
+// BenchmarkScrape scrapes the metrics of 490 pools in use.
 func BenchmarkScrape(b *testing.B) {
 	var s Snapshot
 	for i := range 490 {
@@ -250,17 +252,17 @@
 	}
 }
 
-// TestPageNamesAll: the operators' page has each family.
-func TestPageNamesAll(t *testing.T) {
+// TestMetricsAreDocumented: docs/operate/metrics.md names each metric family of this program.
+func TestMetricsAreDocumented(t *testing.T) {
 	page, err := os.ReadFile("../../docs/operate/metrics.md")
 	if err != nil {
 		t.Fatal(err)
 	}
-	_, text, _ := read(t, Handler(sample))
+	_, text, _ := scrape(t, Handler(sample))
 	typeLine := regexp.MustCompile(`(?m)^# TYPE (olivearch_\w+) `)
 	for _, m := range typeLine.FindAllStringSubmatch(text, -1) {
 		if !bytes.Contains(page, []byte("`"+m[1]+"`")) {
-			t.Errorf("%s is not on the page", m[1])
+			t.Errorf("%s is not in docs/operate/metrics.md", m[1])
 		}
 	}
 }
--- a/internal/service/admin_test.go
+++ b/internal/service/admin_test.go
@@ -15,15 +15,15 @@
 	"olivearch/internal/standin/fleet"
 )
 
-// TestAdmin reads the live view as top does.
-func TestAdmin(t *testing.T) {
+// TestLiveViewTable reads the live view from the admin listener and prints it as "olivearch top" does.
+func TestLiveViewTable(t *testing.T) {
 	j, folder := fleet.NewJudge(time.Second), t.TempDir()
 	all := startNodes(t, j, 1, fleet.Spec{})
 	writeEndpoints(t, j, folder, "a.yaml", all[0].Entry("up"))
 	writeEndpoints(t, j, folder, "b.yaml", all[0].Entry("up"))
 	x := startService(t, j, folder, twoPools)
 	x.waitFor(
-		"shares are told",
+		"both pools have an allotment of the node",
 		func(live.View) bool { p := x.pool("a"); return len(p.Nodes) == 1 && p.Nodes[0].Part == 0.5 },
 	)
 	resp, err := http.Get("http://" + x.AdminAddress().String() + "/v1/live")
@@ -46,7 +46,7 @@
 	}
 }
 
-// getAdmin asks the admin listener.
+// getAdmin sends a GET request to the admin listener.
 func (x *testService) getAdmin(path string) (status int, text string) {
 	x.t.Helper()
 	resp, err := http.Get("http://" + x.AdminAddress().String() + path)
@@ -61,7 +61,7 @@
 	return resp.StatusCode, string(body)
 }
 
-// livePart asks the admin listener for a part of the live view.
+// livePart reads the part of the live view that a query selects from the admin listener.
 func (x *testService) livePart(query string) (v live.View) {
 	x.t.Helper()
 	status, text := x.getAdmin("/v1/live?" + query)
@@ -71,7 +71,8 @@
 	return v
 }
 
-// metricsWith returns the metrics once they have a line, or as they are after 5 s: gauges are up to a second old.
+// metricsWith returns the metrics once they contain a line, or after 5 s. It has to wait since gauges are up to a
+// second old.
 func (x *testService) metricsWith(line string) string {
 	x.t.Helper()
 	for end := time.Now().Add(5 * time.Second); ; time.Sleep(10 * time.Millisecond) {
@@ -82,15 +83,16 @@
 	}
 }
 
-// TestMetricsAndParts: counters by service are told without asking any pool, one that nobody asked has no series; a
-// part of the live view has what was asked for and names what there is not.
-func TestMetricsAndParts(t *testing.T) {
+// TestMetricsAndPartialViews: the metrics have series for pools with requests and none for others. A part of the live
+// view has the selected pools and endpoints, and an unknown pool or value is an error. A reload does not reset
+// counters.
+func TestMetricsAndPartialViews(t *testing.T) {
 	j, folder := fleet.NewJudge(time.Second), t.TempDir()
 	all := startNodes(t, j, 2, fleet.Spec{})
 	writeEndpoints(t, j, folder, "a.yaml", all[0].Entry("up"), all[1].Entry("draining"))
 	writeEndpoints(t, j, folder, "b.yaml", all[0].Entry("up"))
 	x := startService(t, j, folder, twoPools)
-	x.waitFor("lists and shares are told", func(live.View) bool {
+	x.waitFor("both pools have their endpoints", func(live.View) bool {
 		p := x.pool("a")
 		return len(p.Nodes) == 2 && p.Nodes[0].Phase == "up" && len(x.pool("b").Nodes) == 1
 	})
@@ -113,7 +115,7 @@
 		}
 	}
 	if strings.Contains(text, `pool="b"`) {
-		t.Error("pool b, which nobody has asked, has series of its own")
+		t.Error("pool b has had no requests but has series of its own")
 	}
 	if v := x.livePart("pool=b&pool=a"); len(v.Pools) != 2 || v.Pools[0].Name != "b" || len(v.Pools[1].Nodes) != 2 {
 		t.Errorf("%+v", v.Pools)
@@ -124,7 +126,7 @@
 		len(v.Listeners) != 1 {
 		t.Errorf("%+v", v)
 	}
-	if v := x.livePart("nodes=used"); len(v.Pools[0].Nodes) != 2 || len(v.Pools[1].Nodes) != 0 { // nothing of b is used
+	if v := x.livePart("nodes=used"); len(v.Pools[0].Nodes) != 2 || len(v.Pools[1].Nodes) != 0 { // pool b uses no node
 		t.Errorf("%+v", v.Pools)
 	}
 	if status, text := x.getAdmin(
@@ -144,17 +146,17 @@
 		"/metrics",
 	); !strings.Contains(text, `olivearch_requests_total{pool="a",result="served"} 1`) ||
 		!strings.Contains(text, "olivearch_reloads_total 1") {
-		t.Errorf("a reload begins counters anew:\n%s", text)
+		t.Errorf("a reload reset the counters:\n%s", text)
 	}
 }
 
-// TestWhoReports: the live view and its table tell which node reports its load, which one is estimated, and what is
-// wrong with reports that can't be read.
-func TestWhoReports(t *testing.T) {
+// TestLoadSources: the live view and its table show which nodes report their load, for which it is estimated, and why
+// load reports could not be parsed.
+func TestLoadSources(t *testing.T) {
 	j, folder := fleet.NewJudge(time.Second), t.TempDir()
 	var entries []endpointlist.Node
-	for id, says := range map[string]string{"speaks": "util=0.3", "silent": "", "mumbles": "cpu=30%"} {
-		n, err := fleet.NewNode(fleet.Spec{ID: id, Cores: 2, Queue: 50, Says: says}, j)
+	for id, report := range map[string]string{"reporting": "util=0.3", "silent": "", "malformed": "cpu=30%"} {
+		n, err := fleet.NewNode(fleet.Spec{ID: id, Cores: 2, Queue: 50, Says: report}, j)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -167,12 +169,13 @@
 	ctx, cancel := context.WithCancel(t.Context())
 	var wg sync.WaitGroup
 	wg.Go(func() { x.clients("a.example.org", "a", fleet.Unsafe, 400).Run(ctx) })
-	x.waitFor("each node's load is told", func(v live.View) bool {
+	x.waitFor("the source of each node's load is known", func(v live.View) bool {
 		loads := map[string]string{}
 		for _, n := range x.pool("a").Nodes {
 			loads[n.ID] = n.Load
 		}
-		return loads["speaks"] == live.Reported && loads["silent"] == live.Estimated && loads["mumbles"] == live.Estimated
+		return loads["reporting"] == live.Reported && loads["silent"] == live.Estimated &&
+			loads["malformed"] == live.Estimated
 	})
 	cancel()
 	wg.Wait()
--- a/internal/service/apply_test.go
+++ b/internal/service/apply_test.go
@@ -10,7 +10,7 @@
 	"olivearch/internal/config"
 )
 
-// plannedSizeConfig returns a configuration of the planned size, and writes the lists that it names.
+// plannedSizeConfig returns a configuration of the planned size, and writes its endpoint lists into a folder.
 func plannedSizeConfig(b *testing.B, folder string) string {
 	b.Helper()
 	const pools, routes, tenants = 490, 15000, 140000
@@ -48,16 +48,17 @@
 	return t.String()
 }
 
-// BenchmarkApply moves a service of the planned size to a configuration in which one thing differs, and back.
+// BenchmarkApply reloads a service of the planned size with a configuration that has a single change, and with the
+// original one, in turn.
 func BenchmarkApply(b *testing.B) {
 	folder := b.TempDir()
 	path, text := filepath.Join(folder, "c.yaml"), plannedSizeConfig(b, folder)
-	put := func(text string) {
+	writeConfig := func(text string) {
 		if err := os.WriteFile(path, []byte(text), 0o600); err != nil {
 			b.Fatal(err)
 		}
 	}
-	put(text)
+	writeConfig(text)
 	c, err := config.Load(path)
 	if err != nil {
 		b.Fatal(err)
@@ -76,7 +77,7 @@
 		b.Run(x.name, func(b *testing.B) {
 			b.ReportAllocs()
 			for i := 0; b.Loop(); i++ {
-				put(texts[i%2])
+				writeConfig(texts[i%2])
 				if c, err = config.Reload(path, c); err != nil {
 					b.Fatal(err)
 				}
--- a/internal/service/differential_test.go
+++ b/internal/service/differential_test.go
@@ -22,23 +22,23 @@
 var exchanges = flag.Int(
 	"exchanges",
 	4000,
-	"how many random exchanges the differential run has; 100,000 before a landing that changes the data path",
+	"number of random exchanges in TestDifferential; run 100,000 before merging a change to the data path",
 )
 
-// exchange is a random request with the answer that it is to get.
+// exchange is a random request with the response that the node sends to it.
 type exchange struct {
-	method  string
-	body    []byte
-	chunked bool
-	trailer string
-	status  int
-	answer  []byte
-	framing string // of the answer: length, chunked, close
-	replied string // its trailer
-	pieces  int
-	cut     bool // the node ends its answer in the middle
-	seen    atomic.Int32
-	wrong   atomic.Value
+	method          string
+	requestBody     []byte
+	requestChunked  bool
+	requestTrailer  string
+	status          int
+	responseBody    []byte
+	responseFraming string // length, chunked or close
+	responseTrailer string
+	writes          int
+	truncated       bool // the node ends its response in the middle
+	requestCount    atomic.Int32
+	requestError    atomic.Value
 }
 
 func newExchange(r *rand.Rand) *exchange {
@@ -64,77 +64,85 @@
 	x := &exchange{
 		method: []string{"GET", "HEAD", "POST", "PUT", "DELETE"}[r.IntN(5)],
 		status: []int{200, 200, 200, 201, 204, 304, 404}[r.IntN(7)],
-		answer: fill(
+		responseBody: fill(
 			size(),
 		),
-		framing: []string{"length", "chunked", "close"}[r.IntN(3)],
-		pieces:  1 + r.IntN(4),
-		cut:     r.IntN(200) == 0,
+		responseFraming: []string{"length", "chunked", "close"}[r.IntN(3)],
+		writes:          1 + r.IntN(4),
+		truncated:       r.IntN(200) == 0,
 	}
 	if x.method == "POST" || x.method == "PUT" {
-		x.body, x.chunked = fill(size()), r.IntN(2) == 0
-		if x.chunked && r.IntN(2) == 0 {
-			x.trailer = strconv.Itoa(r.IntN(1000))
+		x.requestBody, x.requestChunked = fill(size()), r.IntN(2) == 0
+		if x.requestChunked && r.IntN(2) == 0 {
+			x.requestTrailer = strconv.Itoa(r.IntN(1000))
 		}
 	}
-	if x.framing == "chunked" && r.IntN(2) == 0 {
-		x.replied = strconv.Itoa(r.IntN(1000))
+	if x.responseFraming == "chunked" && r.IntN(2) == 0 {
+		x.responseTrailer = strconv.Itoa(r.IntN(1000))
 	}
 	if x.status == 204 || x.status == 304 {
-		x.answer, x.cut = nil, false
+		x.responseBody, x.truncated = nil, false
 	}
-	x.cut = x.cut && len(x.answer) > 1 && x.method != "HEAD" && x.framing != "close" // to the close nobody can tell
+	// A response that ends with the connection does not show that it is truncated.
+	x.truncated = x.truncated && len(x.responseBody) > 1 && x.method != "HEAD" && x.responseFraming != "close"
 	return x
 }
 
-// ServeHTTP is the node.
+// ServeHTTP is the node's side of the exchange: it checks the request and writes the response.
 func (x *exchange) ServeHTTP(w http.ResponseWriter, r *http.Request) {
-	x.seen.Add(1)
+	x.requestCount.Add(1)
 	body, err := io.ReadAll(r.Body)
-	if err != nil || r.Method != x.method || !bytes.Equal(body, x.body) ||
-		(x.trailer != "" && r.Trailer.Get("X-T") != x.trailer) {
-		x.wrong.Store(
-			fmt.Sprintf("the node got %s with %d of %d bytes, trailer %v, %v", r.Method, len(body), len(x.body), r.Trailer, err),
+	if err != nil || r.Method != x.method || !bytes.Equal(body, x.requestBody) ||
+		(x.requestTrailer != "" && r.Trailer.Get("X-T") != x.requestTrailer) {
+		x.requestError.Store(
+			fmt.Sprintf(
+				"the node got %s with %d of %d bytes, trailer %v, %v",
+				r.Method,
+				len(body),
+				len(x.requestBody),
+				r.Trailer,
+				err,
+			),
 		)
 	}
 	h := w.Header()
-	h.Set("X-Sum", fmt.Sprintf("%x", sha256.Sum256(x.answer)))
+	h.Set("X-Sum", fmt.Sprintf("%x", sha256.Sum256(x.responseBody)))
 	switch {
-	case x.framing == "length" && len(x.answer) > 0:
-		h.Set("Content-Length", strconv.Itoa(len(x.answer)))
-	case x.framing == "close":
+	case x.responseFraming == "length" && len(x.responseBody) > 0:
+		h.Set("Content-Length", strconv.Itoa(len(x.responseBody)))
+	case x.responseFraming == "close":
 		h.Set("Connection", "close")
 		h.Set("Transfer-Encoding", "identity")
-	case x.replied != "":
+	case x.responseTrailer != "":
 		h.Set("Trailer", "X-R")
 	}
 	w.WriteHeader(x.status)
-	rest := x.answer
-	if x.cut {
+	rest := x.responseBody
+	if x.truncated {
 		rest = rest[:len(rest)/2]
 	}
-	for i := range x.pieces {
+	for i := range x.writes {
 		n := len(rest)
-		if i < x.pieces-1 {
+		if i < x.writes-1 {
 			n /= 2
 		}
-		_, _ = w.Write(rest[:n]) // what the client got is compared in play
+		_, _ = w.Write(rest[:n]) // run compares what the client got
 		rest = rest[n:]
-		if x.framing == "chunked" {
+		if x.responseFraming == "chunked" {
 			w.(http.Flusher).Flush()
 		}
 	}
-	if x.cut {
+	if x.truncated {
 		w.(http.Flusher).Flush()
 		panic(http.ErrAbortHandler)
 	}
-	if x.replied != "" {
-		h.Set("X-R", x.replied)
+	if x.responseTrailer != "" {
+		h.Set("X-R", x.responseTrailer)
 	}
 }
 
-// TestDifferential: Go's own client and server, at both ends, see the same bytes as without the balancer between
-// them, or an answer that looks cut where the node cut it, and no request runs twice.
+// TestDifferential puts the balancer between the client and the server of Go's standard library. Both must see the same
+// bytes as without it, a response that the node truncates must be recognisable as such, and no request may run twice.
 func TestDifferential(t *testing.T) {
 	var all sync.Map
 	node := httptest.NewUnstartedServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
@@ -165,17 +173,17 @@
 				e := newExchange(r)
 				path := fmt.Sprintf("/%d/%d", worker, i)
 				all.Store(path, e)
-				if err := e.play(client, x.url+path); err != nil {
+				if err := e.run(client, x.url+path); err != nil {
 					t.Errorf(
-						"exchange %s: %s of %d bytes (chunked %v), %d with %d bytes by %s, cut %v: %v",
+						"exchange %s: %s of %d bytes (chunked %v), response %d with %d bytes, framing %s, truncated %v: %v",
 						path,
 						e.method,
-						len(e.body),
-						e.chunked,
+						len(e.requestBody),
+						e.requestChunked,
 						e.status,
-						len(e.answer),
-						e.framing,
-						e.cut,
+						len(e.responseBody),
+						e.responseFraming,
+						e.truncated,
 						err,
 					)
 				}
@@ -186,46 +194,46 @@
 	wg.Wait()
 }
 
-// request makes the request of an exchange.
+// request returns the client's request.
 func (x *exchange) request(url string) (*http.Request, error) {
 	r, err := http.NewRequestWithContext(context.Background(), x.method, url, nil)
 	if err != nil {
 		return nil, err
 	}
 	if x.method == "POST" || x.method == "PUT" {
-		r.Body, r.ContentLength = io.NopCloser(bytes.NewReader(x.body)), int64(len(x.body))
-		if x.chunked {
+		r.Body, r.ContentLength = io.NopCloser(bytes.NewReader(x.requestBody)), int64(len(x.requestBody))
+		if x.requestChunked {
 			r.ContentLength = -1
 		}
-		if len(x.body) == 0 && !x.chunked {
+		if len(x.requestBody) == 0 && !x.requestChunked {
 			r.Body = http.NoBody
 		}
-		if x.trailer != "" {
-			r.Trailer = http.Header{"X-T": {x.trailer}}
+		if x.requestTrailer != "" {
+			r.Trailer = http.Header{"X-T": {x.requestTrailer}}
 		}
 	}
 	return r, nil
 }
 
-// maxRetries is how often a request that was refused is sent again.
+// maxRetries is how often the client sends a rejected request again.
 const maxRetries = 500
 
-// play sends the request, and tells what is not as it should be.
-func (x *exchange) play(client *http.Client, url string) error {
+// run sends the request, and returns an error if the request or the response was not transferred correctly.
+func (x *exchange) run(client *http.Client, url string) error {
 	r, err := x.request(url)
 	if err != nil {
 		return err
 	}
 	resp, err := client.Do(r)
 	for retries := 0; retries < maxRetries; retries++ {
-		refused := err == nil && resp.StatusCode == http.StatusServiceUnavailable
-		if !refused || x.seen.Load() > 0 {
+		rejected := err == nil && resp.StatusCode == http.StatusServiceUnavailable
+		if !rejected || x.requestCount.Load() > 0 {
 			break
 		}
-		resp.Body.Close() // refused: it never ran, and another try is harmless
+		resp.Body.Close() // no node got the rejected request, so sending it again is harmless
 		time.Sleep(5 * time.Millisecond)
 		if r.Body != nil && r.Body != http.NoBody {
-			r.Body = io.NopCloser(bytes.NewReader(x.body))
+			r.Body = io.NopCloser(bytes.NewReader(x.requestBody))
 		}
 		resp, err = client.Do(r)
 	}
@@ -234,26 +242,26 @@
 	}
 	defer resp.Body.Close()
 	got, err := io.ReadAll(resp.Body)
-	want := x.answer
+	want := x.responseBody
 	if x.method == "HEAD" {
 		want = nil
 	}
-	wrong := x.wrong.Load()
+	requestError := x.requestError.Load()
 	switch {
-	case wrong != nil:
-		return fmt.Errorf("%s", wrong)
-	case x.seen.Load() != 1:
-		return fmt.Errorf("it ran %d times", x.seen.Load())
-	case x.cut && (resp.StatusCode == http.StatusBadGateway || err != nil):
-		return nil // it was told, or looks cut
-	case x.cut:
-		return fmt.Errorf("a cut answer passes for whole: %d, %d bytes", resp.StatusCode, len(got))
+	case requestError != nil:
+		return fmt.Errorf("%s", requestError)
+	case x.requestCount.Load() != 1:
+		return fmt.Errorf("the request ran %d times, want 1", x.requestCount.Load())
+	case x.truncated && (resp.StatusCode == http.StatusBadGateway || err != nil):
+		return nil // the client can tell that the response is not complete
+	case x.truncated:
+		return fmt.Errorf("a truncated response appears complete: %d, %d bytes", resp.StatusCode, len(got))
 	case err != nil:
 		return err
 	case resp.StatusCode != x.status || !bytes.Equal(got, want):
-		return fmt.Errorf("got %d with %d bytes", resp.StatusCode, len(got))
-	case x.replied != "" && len(want) > 0 && resp.Trailer.Get("X-R") != x.replied:
-		return fmt.Errorf("trailer %v, want %s", resp.Trailer, x.replied)
+		return fmt.Errorf("got %d with %d bytes, or other bytes than expected", resp.StatusCode, len(got))
+	case x.responseTrailer != "" && len(want) > 0 && resp.Trailer.Get("X-R") != x.responseTrailer:
+		return fmt.Errorf("trailer %v, want %s", resp.Trailer, x.responseTrailer)
 	}
 	return nil
 }
--- a/internal/service/endpoint_lists.go
+++ b/internal/service/endpoint_lists.go
@@ -22,7 +22,8 @@
 	err       error
 }
 
-// readLists reads the list files of the named pools, with one goroutine per processor. The result is by pool name.
+// readLists reads the list files of the named pools, with one goroutine per processor. The result is keyed by pool
+// name.
 func readLists(c *config.Loaded, names []string) map[string]initialList {
 	results := make([]initialList, len(names))
 	var next atomic.Int64
--- a/internal/service/endpoint_lists_test.go
+++ b/internal/service/endpoint_lists_test.go
@@ -13,29 +13,29 @@
 	"olivearch/internal/live"
 )
 
-// fleetOfLists writes so many lists, the longest of 2,000 nodes and the shortest of 2, and returns the pools that
-// follow them, as text of a configuration.
-func fleetOfLists(t *testing.T, folder string, pools int) (text string, sizes []int) {
+// writeManyLists writes one endpoint list per pool, with 2,000 down to 2 endpoints. It returns a configuration of the
+// pools that follow these lists, and the number of endpoints on each.
+func writeManyLists(t *testing.T, folder string, pools int) (text string, sizes []int) {
 	t.Helper()
 	var b strings.Builder
 	b.WriteString("limits: {descriptors: 4096, memory: 1GiB}\nclasses: {c: {aim: 250ms, deadline: 1s}}\npools:\n")
 	for i := range pools {
 		n := max(2, int(2000/math.Pow(float64(i+1), 0.91)))
 		sizes = append(sizes, n)
-		writeText(t, filepath.Join(folder, fmt.Sprintf("p%03d.yaml", i)), listText(i, n, -1))
+		replaceFile(t, filepath.Join(folder, fmt.Sprintf("p%03d.yaml", i)), listYAML(i, n, -1))
 		fmt.Fprintf(&b, "  p%03d: {nodes: {file: p%03d.yaml}, connections: 4, queue: 1}\n", i, i)
 	}
 	b.WriteString("routes: [{name: r, hosts: [a.example.org], class: c, pool: p000}]\n")
 	return b.String(), sizes
 }
 
-// listText is a list of n nodes at which nothing listens, of which one drains; -1: none.
-func listText(list, n, drains int) string {
+// listYAML returns a list of n endpoints at which nothing listens. The one at drainingIndex is draining (-1: none).
+func listYAML(list, n, drainingIndex int) string {
 	var b strings.Builder
 	b.WriteString("nodes:\n")
 	for i := range n {
 		phase := "up"
-		if i == drains {
+		if i == drainingIndex {
 			phase = "draining"
 		}
 		fmt.Fprintf(
@@ -52,7 +52,7 @@
 	return b.String()
 }
 
-func writeText(t *testing.T, path, text string) {
+func replaceFile(t *testing.T, path, text string) {
 	t.Helper()
 	if err := os.WriteFile(path+".new", []byte(text), 0o600); err != nil {
 		t.Fatal(err)
@@ -62,7 +62,7 @@
 	}
 }
 
-func processorTime(t *testing.T) time.Duration {
+func cpuTime(t *testing.T) time.Duration {
 	t.Helper()
 	var u syscall.Rusage
 	if err := syscall.Getrusage(syscall.RUSAGE_SELF, &u); err != nil {
@@ -81,8 +81,8 @@
 	return n
 }
 
-// awaitPhases waits up to 20 s until a pool has so many nodes by phase.
-func (x *testService) awaitPhases(pool string, want map[string]int) {
+// waitForPhases waits up to 20 s until a pool has the wanted number of endpoints in the phases up and draining.
+func (x *testService) waitForPhases(pool string, want map[string]int) {
 	x.t.Helper()
 	for end := time.Now().Add(20 * time.Second); ; time.Sleep(time.Millisecond) {
 		phases := map[string]int{}
@@ -98,14 +98,14 @@
 	}
 }
 
-// TestManyLists starts 490 pools, each with a list of its own, which are more than there are inotify instances, and
-// drains a node in a short list and in the longest: each is in force within a second. The times are shown.
+// TestManyLists starts 490 pools, each with a list of its own. These are more lists than a user may have inotify
+// instances. It drains an endpoint on a short list and on the longest one: each drain must take effect within a second.
 func TestManyLists(t *testing.T) {
 	folder := t.TempDir()
-	text, sizes := fleetOfLists(t, folder, 490)
+	text, sizes := writeManyLists(t, folder, 490)
 	x := &testService{t: t, folder: folder}
 	c := x.parse(text)
-	began, cpu := time.Now(), processorTime(t)
+	began, cpu := time.Now(), cpuTime(t)
 	s, err := Start(c, "test")
 	if err != nil {
 		t.Fatal(err)
@@ -118,43 +118,43 @@
 			short = i
 		}
 	}
-	await := func(list, draining int) {
+	waitForList := func(list, draining int) {
 		t.Helper()
-		x.awaitPhases(fmt.Sprintf("p%03d", list), map[string]int{"up": sizes[list] - draining, "draining": draining})
+		x.waitForPhases(fmt.Sprintf("p%03d", list), map[string]int{"up": sizes[list] - draining, "draining": draining})
 	}
 	for i := range sizes {
-		await(i, 0)
+		waitForList(i, 0)
 	}
 	total := 0
 	for _, n := range sizes {
 		total += n
 	}
-	t.Logf("490 pools, %d nodes: all up after %v, %v of CPU", total, time.Since(began), processorTime(t)-cpu)
+	t.Logf("490 pools, %d endpoints: all up after %v, %v of CPU time", total, time.Since(began), cpuTime(t)-cpu)
 	if n := inotifyInstances(); n > 1 {
-		t.Errorf("%d inotify instances", n)
+		t.Errorf("%d inotify instances, want at most 1", n)
 	}
 	for _, list := range []int{short, 0} {
-		for _, drains := range []int{0, -1, 1} {
-			draining := min(1, 1+drains)
+		for _, drainingIndex := range []int{0, -1, 1} {
+			draining := min(1, 1+drainingIndex)
 			began := time.Now()
-			writeText(t, filepath.Join(folder, fmt.Sprintf("p%03d.yaml", list)), listText(list, sizes[list], drains))
-			await(list, draining)
+			replaceFile(t, filepath.Join(folder, fmt.Sprintf("p%03d.yaml", list)), listYAML(list, sizes[list], drainingIndex))
+			waitForList(list, draining)
 			took := time.Since(began)
-			t.Logf("a drain in a list of %d: in force after %v", sizes[list], took)
-			if took > time.Second && drains >= 0 {
-				t.Errorf("a drain in a list of %d: in force after %v", sizes[list], took)
+			t.Logf("list of %d endpoints: change in effect after %v", sizes[list], took)
+			if took > time.Second && drainingIndex >= 0 {
+				t.Errorf("list of %d endpoints: drain in effect after %v, want at most 1 s", sizes[list], took)
 			}
 		}
 	}
 }
 
-// TestErrorsOfManyLists: lists are read on many goroutines, and all that is wrong is told in the order of the pools'
-// names.
-func TestErrorsOfManyLists(t *testing.T) {
+// TestListErrorsAreSorted: although several goroutines read the lists, the error names every faulty list, in the order
+// of the pools' names.
+func TestListErrorsAreSorted(t *testing.T) {
 	folder := t.TempDir()
-	text, _ := fleetOfLists(t, folder, 40)
+	text, _ := writeManyLists(t, folder, 40)
 	for _, i := range []int{31, 7, 19} {
-		writeText(t, filepath.Join(folder, fmt.Sprintf("p%03d.yaml", i)), "nodes:\n- {address: nowhere}\n")
+		replaceFile(t, filepath.Join(folder, fmt.Sprintf("p%03d.yaml", i)), "nodes:\n- {address: nowhere}\n")
 	}
 	os.Remove(filepath.Join(folder, "p002.yaml"))
 	c := (&testService{t: t, folder: folder}).parse(text)
@@ -163,7 +163,7 @@
 		_, checked := CheckLists(c)
 		for _, err := range []error{err, checked} {
 			if err == nil {
-				t.Fatal("taken")
+				t.Fatal("no error for lists that cannot be read")
 			}
 			lines := strings.Split(err.Error(), "\n")
 			if len(lines) != 4 || !strings.HasPrefix(lines[0], "pool p002: nodes: ") ||
@@ -176,10 +176,10 @@
 	}
 }
 
-// TestUnchangedListHolds: a list that is looked at and stays as it is is good word of its source.
-func TestUnchangedListHolds(t *testing.T) {
+// TestUnchangedListIsConfirmed: a poll that finds the list file unchanged confirms the list, which resets its age.
+func TestUnchangedListIsConfirmed(t *testing.T) {
 	folder := t.TempDir()
-	writeText(t, filepath.Join(folder, "a.yaml"), listText(0, 2, -1))
+	replaceFile(t, filepath.Join(folder, "a.yaml"), listYAML(0, 2, -1))
 	x := &testService{t: t, folder: folder}
 	s, err := Start(
 		x.parse(
@@ -194,9 +194,9 @@
 	}
 	x.Service = s
 	defer s.Stop()
-	x.waitFor("the list was told", func(live.View) bool { return len(x.pool("a").Nodes) == 2 })
+	x.waitFor("the pool has the list", func(live.View) bool { return len(x.pool("a").Nodes) == 2 })
 	age := x.pool("a").ListAgeMS
-	x.waitFor("a look that found nothing new", func(live.View) bool {
+	x.waitFor("a poll confirmed the unchanged list", func(live.View) bool {
 		before := age
 		age = x.pool("a").ListAgeMS
 		return age < before
--- a/internal/service/endpoint_sources_test.go
+++ b/internal/service/endpoint_sources_test.go
@@ -14,9 +14,10 @@
 	"olivearch/internal/standin/fleet"
 )
 
-// TestSilentList: the list of a is torn while that of b goes on. The last one holds, its age and trouble are shown, and
-// after its hold the pool refuses at once; a whole list ends that.
-func TestSilentList(t *testing.T) {
+// TestInvalidListExpires: the list file of pool a becomes invalid. The pool keeps its last list and shows the error.
+// Once the list exceeds its maximum age the pool rejects requests at once, until it gets a valid list. Pool b is not
+// affected.
+func TestInvalidListExpires(t *testing.T) {
 	j, folder := fleet.NewJudge(time.Second), t.TempDir()
 	all := startNodes(t, j, 2, fleet.Spec{})
 	writeEndpoints(t, j, folder, "a.yaml", all[0].Entry("up"))
@@ -31,11 +32,11 @@
 	if err := os.WriteFile(filepath.Join(folder, "a.yaml"), []byte("nodes: [{addr"), 0o600); err != nil {
 		t.Fatal(err)
 	}
-	x.waitFor("the trouble", func(live.View) bool { return strings.Contains(x.pool("a").Trouble, "a.yaml:1:") })
+	x.waitFor("the error of the list", func(live.View) bool { return strings.Contains(x.pool("a").Trouble, "a.yaml:1:") })
 	if p := x.pool("a"); len(p.Nodes) != 1 || p.Nodes[0].Phase != "up" {
-		t.Errorf("a torn list changed something: %+v", p.Nodes)
+		t.Errorf("an invalid list changed the endpoints: %+v", p.Nodes)
 	}
-	x.waitFor("the hold is over", func(live.View) bool { return x.pool("a").Expired })
+	x.waitFor("the list is expired", func(live.View) bool { return x.pool("a").Expired })
 	before := time.Now()
 	if status := ask("a.example.org", "1"); status != 503 || time.Since(before) > 500*time.Millisecond {
 		t.Errorf("with an expired list: %d after %v", status, time.Since(before))
@@ -44,14 +45,14 @@
 		t.Errorf("the other pool: %d", status)
 	}
 	x.writeList("a.yaml", all[0].Entry("up"))
-	x.waitFor("the list is whole", func(live.View) bool { return !x.pool("a").Expired })
+	x.waitFor("the pool has a valid list", func(live.View) bool { return !x.pool("a").Expired })
 	if status := ask("a.example.org", "3"); status != 200 {
-		t.Errorf("with a whole list: %d", status)
+		t.Errorf("with a valid list: %d", status)
 	}
 	x.wantNoBreaches()
 }
 
-// TestDiscoverySource: a pool's list comes from a discovery service, and a reload moves it to a file and back.
+// TestDiscoverySource: reloads switch the source of a pool's list between a discovery service and a file.
 func TestDiscoverySource(t *testing.T) {
 	j, folder := fleet.NewJudge(time.Second), t.TempDir()
 	all := startNodes(t, j, 2, fleet.Spec{})
@@ -91,7 +92,7 @@
 			return up == want
 		})
 		if status := x.clients("a.example.org", "x", fleet.Unsafe, 1).Ask(fmt.Sprint(i)); status != 200 {
-			t.Errorf("by source %d: %d", i, status)
+			t.Errorf("with source %d: status %d", i, status)
 		}
 	}
 	if a, b := all[0].Runs(), all[1].Runs(); a != 2 || b != 2 {
--- a/internal/service/harness_test.go
+++ b/internal/service/harness_test.go
@@ -13,21 +13,21 @@
 	"olivearch/internal/standin/fleet"
 )
 
-// testService is a running service with simulated nodes.
+// testService is a running service, usually with simulated nodes, and the tools to test it.
 type testService struct {
 	*Service
 	t      *testing.T
 	judge  *fleet.Judge // checks each request and its response
-	folder string       // of configuration and endpoint lists
-	url    string       // of the listener for clients
+	folder string       // of the configuration and the endpoint lists
+	url    string       // of the client listener
 	stop   func()       // may be called more than once
 }
 
-// listener is the address that test configurations have for clients: the system chooses the port.
+// listener is the address of the client listener in test configurations. The system chooses the port.
 const listener = "127.0.0.1:0"
 
-// startService starts a service with a configuration, to which parse adds the listeners. It is stopped at the end of
-// the test.
+// startService starts a service with the configuration that parse makes from a text, and stops it at the end of the
+// test.
 func startService(t *testing.T, j *fleet.Judge, folder, text string) *testService {
 	t.Helper()
 	x := &testService{t: t, judge: j, folder: folder}
@@ -41,7 +41,7 @@
 	return x
 }
 
-// parse reads a configuration, with a listener for clients and one for operators before the text.
+// parse parses a configuration that consists of a client listener, an admin listener and the text.
 func (x *testService) parse(text string) *config.Loaded {
 	x.t.Helper()
 	c, err := config.Parse(
@@ -54,7 +54,7 @@
 	return c
 }
 
-// apply reloads with a configuration, which must be accepted.
+// apply applies a configuration, and fails the test if the service does not accept it.
 func (x *testService) apply(text string) {
 	x.t.Helper()
 	if err := x.Apply(x.parse(text)); err != nil {
@@ -94,7 +94,7 @@
 	}
 }
 
-// clients returns clients of a host that send requests per second, with IDs that begin with the prefix.
+// clients returns clients that send requests to a host at a rate per second. The request IDs begin with the prefix.
 func (x *testService) clients(host, prefix string, effect fleet.Effect, rate float64) *fleet.Clients {
 	return fleet.NewClients(fleet.Traffic{
 		URL: x.url + "/", Host: host, Method: "POST", Body: "b", Effect: effect, Deadline: time.Second, Rate: rate,
@@ -102,17 +102,17 @@
 	}, x.judge)
 }
 
-// waitFor waits up to 20 s for the live view to show something.
-func (x *testService) waitFor(what string, seen func(live.View) bool) {
+// waitFor waits up to 20 s until a condition holds for the live view.
+func (x *testService) waitFor(description string, holds func(live.View) bool) {
 	x.t.Helper()
-	for end := time.Now().Add(20 * time.Second); !seen(x.View()); time.Sleep(2 * time.Millisecond) {
+	for end := time.Now().Add(20 * time.Second); !holds(x.View()); time.Sleep(2 * time.Millisecond) {
 		if time.Now().After(end) {
-			x.t.Fatalf("not seen in time: %s\n%+v", what, x.View())
+			x.t.Fatalf("condition not met in time: %s\n%+v", description, x.View())
 		}
 	}
 }
 
-// pool returns a pool's part of the live view; the zero value if there is none.
+// pool returns a pool's part of the live view, or the zero value if there is no such pool.
 func (x *testService) pool(name string) live.Pool {
 	for _, p := range x.View().Pools {
 		if p.Name == name {
@@ -122,7 +122,7 @@
 	return live.Pool{}
 }
 
-// wantNoBreaches fails the test if a request broke one of the judge's rules, and returns the counts.
+// wantNoBreaches fails the test if a request broke one of the judge's rules, and returns the judge's counts.
 func (x *testService) wantNoBreaches() fleet.Summary {
 	x.t.Helper()
 	s := x.judge.Verdict(250 * time.Millisecond)
@@ -142,7 +142,7 @@
   - {name: b, hosts: [b.example.org], class: r, pool: b}
 `
 
-// roundTrip sends bytes on a new connection and reads one response.
+// roundTrip sends a request on a new connection and reads the head of one response.
 func (x *testService) roundTrip(text string) response {
 	x.t.Helper()
 	return x.dial(text).readResponse()
--- a/internal/service/memory.go
+++ b/internal/service/memory.go
@@ -23,7 +23,7 @@
 )
 
 // LimitMemory sets the soft memory limit of the garbage collector to 80 % of the configured memory, which bounds the
-// memory that rarer collections cost. It is only for a process that runs nothing but one service.
+// memory that a high GC percentage costs. It is only for a process that runs nothing but one service.
 func LimitMemory(c *config.Loaded) {
 	debug.SetMemoryLimit(int64(c.Limits.Memory) / 10 * 8)
 }
--- a/internal/service/memory_test.go
+++ b/internal/service/memory_test.go
@@ -2,8 +2,8 @@
 
 import "testing"
 
-// TestHeadroomIsBounded: a small heap is collected as seldom as ever, and a large one may grow by no more bytes than
-// that.
+// TestHeadroomIsBounded: the percentage is 400 for a small live heap. For a large one it allows the heap to grow by no
+// more bytes than for a small one.
 func TestHeadroomIsBounded(t *testing.T) {
 	for live, want := range map[uint64]int{
 		0:        400,
@@ -15,7 +15,7 @@
 		1 << 40:  1,
 	} {
 		if got := gcPercent(live); got != want {
-			t.Errorf("%d bytes live: %d %%, want %d", live, got, want)
+			t.Errorf("%d bytes live: %d %%, want %d %%", live, got, want)
 		}
 	}
 }
--- a/internal/service/plan.go
+++ b/internal/service/plan.go
@@ -12,12 +12,12 @@
 )
 
 // plan is the change from the current state to the next. The steps that are likely to fail, reading endpoint lists and
-// opening sockets, are done while the plan is made, before it changes anything that runs.
+// opening sockets, are done while the plan is made, before anything that runs is changed.
 type plan struct {
 	next      *runtimeState
 	listeners map[string]net.Listener // opened for the next state, by the address in the configuration
 	lists     map[string]initialList  // of pools with a new list file, or with a static list or discovery
-	specs     map[string]pool.Spec    // of all pools
+	specs     map[string]pool.Spec    // of all pools, by name
 	unchanged map[string]bool         // pools whose specification does not change
 }
 
@@ -57,8 +57,8 @@
 
 func (pl *planner) fail(err error) { pl.errs = append(pl.errs, err) }
 
-// readNewLists reads the endpoint list files that the pools of the current state do not follow yet, and checks that the
-// planned capacity suffices for their endpoints.
+// readNewLists reads the endpoint list files that the pools of the current state do not follow yet, and checks that
+// limits.memory suffices for the endpoints that it read.
 func (pl *planner) readNewLists() {
 	var names []string
 	for name, p := range pl.config.Pools {
--- a/internal/service/pools_test.go
+++ b/internal/service/pools_test.go
@@ -13,10 +13,10 @@
 	"olivearch/internal/standin/fleet"
 )
 
-// TestStalledPoolHarmsNoOther: every node of pool a takes requests and answers none, and its aim is so long that the
-// module goes on holding what comes: without the queue bound pool a would hold all of the listener's connections.
-// Pool b goes on in time, and each request of a gets one final answer.
-func TestStalledPoolHarmsNoOther(t *testing.T) {
+// TestStalledPoolDoesNotAffectOthers: every node of pool a accepts requests and answers none, and the latency objective
+// is so long that the balancer keeps queueing requests. Without the limit on queued requests pool a would occupy all of
+// the listener's connections. Pool b must stay fast, and each request to a must get exactly one final response.
+func TestStalledPoolDoesNotAffectOthers(t *testing.T) {
 	const connections = 150
 	j, folder := fleet.NewJudge(time.Second), t.TempDir()
 	all := startNodes(t, j, 4, fleet.Spec{Work: 5 * time.Millisecond})
@@ -40,22 +40,22 @@
 	defer cancel()
 	var wg sync.WaitGroup
 	wg.Go(func() { a.Run(ctx) })
-	x.waitFor("pool a holds all that it may", func(live.View) bool { return x.pool("a").Open == 80 })
+	x.waitFor("pool a has as many requests as it may", func(live.View) bool { return x.pool("a").Open == 80 })
 	wg.Go(func() { b.Run(ctx) })
 	wg.Wait()
 	s := x.wantNoBreaches()
-	if most := x.View().Listeners[0].Limit; most != connections {
-		t.Errorf("the listener takes %d connections, the test is made for %d", most, connections)
+	if limit := x.View().Listeners[0].Limit; limit != connections {
+		t.Errorf("the listener takes %d connections, the test needs %d", limit, connections)
 	}
 	if b.Served() < 100 || b.Quantile(0.99) > 250*time.Millisecond {
 		t.Errorf("pool b: %d served, p99 %v", b.Served(), b.Quantile(0.99))
 	}
 	if a.Served() > 0 || s.Refused+s.Failed < 400 {
-		t.Errorf("pool a: %d served by nodes that answer none; %d refused, %d failed", a.Served(), s.Refused, s.Failed)
+		t.Errorf("pool a: %d served by stalled nodes; %d refused, %d failed", a.Served(), s.Refused, s.Failed)
 	}
 }
 
-// firstNodePhase is the phase of node n0 in a pool; "none" if it is not listed.
+// firstNodePhase returns the phase of node n0 in a pool, or "none" if it is not listed.
 func (x *testService) firstNodePhase(pool string) string {
 	for _, n := range x.pool(pool).Nodes {
 		if n.ID == "n0" {
@@ -65,9 +65,9 @@
 	return "none"
 }
 
-// TestDrains: a node drains in the list of a and not in that of b. By default no pool sends there; where b goes by
-// its own list, b does.
-func TestDrains(t *testing.T) {
+// TestDrainsAcrossPools: a node is draining on the list of pool a and up on that of pool b. By default neither pool
+// sends requests to it. With "drains: own" pool b does.
+func TestDrainsAcrossPools(t *testing.T) {
 	for _, own := range []bool{false, true} {
 		j, folder := fleet.NewJudge(time.Second), t.TempDir()
 		all := startNodes(t, j, 2, fleet.Spec{})
@@ -83,32 +83,32 @@
 			func(live.View) bool { return x.firstNodePhase("a") == "up" && x.firstNodePhase("b") == "up" },
 		)
 		writeEndpoints(t, fleet.NewJudge(0), folder, "a.yaml", all[0].Entry(endpointlist.PhaseDraining), all[1].Entry("up"))
-		x.waitFor("the drain in a", func(live.View) bool { return x.firstNodePhase("a") == "draining" })
+		x.waitFor("the node drains in pool a", func(live.View) bool { return x.firstNodePhase("a") == "draining" })
 		if own {
-			x.waitFor("b keeps the node", func(live.View) bool { return x.firstNodePhase("b") == "up" })
+			x.waitFor("the node stays up in pool b", func(live.View) bool { return x.firstNodePhase("b") == "up" })
 		} else {
-			x.waitFor("b has heard", func(live.View) bool { return x.firstNodePhase("b") == "draining" })
+			x.waitFor("the node drains in pool b", func(live.View) bool { return x.firstNodePhase("b") == "draining" })
 		}
 		before := all[0].Runs()
 		for i := range 20 {
 			x.clients("a.example.org", "a", fleet.Unsafe, 1).Ask(fmt.Sprint("a", i))
 		}
 		if got := all[0].Runs(); got != before {
-			t.Errorf("own %v: pool a sent %d to a node that drains", own, got-before)
+			t.Errorf("own %v: pool a sent %d requests to a draining node", own, got-before)
 		}
 		for i := range 20 {
 			x.clients("b.example.org", "b", fleet.Safe, 1).Ask(fmt.Sprint("b", i))
 		}
 		if got := all[0].Runs() - before; (got > 0) != own {
-			t.Errorf("own %v: pool b sent %d to a node that drains by a's list", own, got)
+			t.Errorf("own %v: pool b sent %d requests to a node that drains on pool a's list", own, got)
 		}
 		x.wantNoBreaches()
 	}
 }
 
-// TestQueueBound: a pool that holds as many requests as it may turns the next one away at once, with when to come
-// back in whole seconds, and does not close the connection.
-func TestQueueBound(t *testing.T) {
+// TestQueueLimit: a pool that has as many requests as it may rejects the next one at once with a Retry-After in whole
+// seconds, and keeps the client's connection open.
+func TestQueueLimit(t *testing.T) {
 	j, folder := fleet.NewJudge(time.Second), t.TempDir()
 	all := startNodes(t, j, 1, fleet.Spec{})
 	writeEndpoints(t, j, folder, "a.yaml", all[0].Entry("up"))
@@ -132,14 +132,15 @@
 	all[0].Stall(false)
 	wg.Wait()
 	if got := x.pool("a").TurnedAway; got != 1 {
-		t.Errorf("%d turned away", got)
+		t.Errorf("%d requests counted as turned away, want 1", got)
 	}
 	x.wantNoBreaches()
 }
 
-// TestAllConnectionsOfANodeServe: a pool uses all connections that a node gives it, also those that it may once need
-// for late answers; when some are needed for these, the others go on.
-func TestAllConnectionsOfANodeServe(t *testing.T) {
+// TestAllNodeConnectionsAreUsed: a pool uses all connections that limits.node_connections permits to a node, including
+// those that it may need later to receive late responses. Late responses must not prevent it from serving on all of
+// them.
+func TestAllNodeConnectionsAreUsed(t *testing.T) {
 	const connections = 8
 	j, folder := fleet.NewJudge(time.Second), t.TempDir()
 	all := startNodes(t, j, 2, fleet.Spec{Cores: 2 * connections, Queue: 50})
@@ -174,20 +175,20 @@
 		wg.Wait()
 		return served
 	}
-	for i := range 40 { // the bound goes up while requests wait
+	for i := range 40 { // the concurrency limit rises while requests are queued
 		ask(2*connections, fmt.Sprint("warm", i, "-"))
 	}
-	if most, _ := all[0].Connections(); most != connections {
-		t.Errorf("%d connections were used of %d", most, connections)
+	if peak, _ := all[0].Connections(); peak != connections {
+		t.Errorf("%d of %d connections were used", peak, connections)
 	}
 	all[0].Stall(true)
 	ask(connections, "late")
 	all[0].Stall(false)
 	if served := ask(connections, "after"); served != connections {
-		t.Errorf("%d of %d served after late answers", served, connections)
+		t.Errorf("%d of %d requests served after late responses", served, connections)
 	}
-	if most, _ := all[0].Connections(); most > connections {
-		t.Errorf("%d connections at once, %d are allowed", most, connections)
+	if peak, _ := all[0].Connections(); peak > connections {
+		t.Errorf("%d connections at once, want at most %d", peak, connections)
 	}
 	x.wantNoBreaches()
 }
--- a/internal/service/reload_test.go
+++ b/internal/service/reload_test.go
@@ -19,8 +19,8 @@
 	"olivearch/internal/standin/fleet"
 )
 
-// TestReloadsUnderLoad reloads ten times a second: the route of b moves to and fro between pools, the pool "extra"
-// comes and goes, and pool a does not change: it keeps its windows. No request is lost, none runs twice.
+// TestReloadsUnderLoad reloads ten times a second under traffic. Each reload moves the route of pool b to the new pool
+// "extra" or back. Pool a does not change and must keep its readings. No request may be lost or run twice.
 func TestReloadsUnderLoad(t *testing.T) {
 	j, folder := fleet.NewJudge(time.Second), t.TempDir()
 	all := startNodes(t, j, 3, fleet.Spec{Work: 5 * time.Millisecond})
@@ -70,13 +70,13 @@
 		)
 	}
 	if got := x.View().Reloads; got != reloads {
-		t.Errorf("%d reloads shown, %d made", got, reloads)
+		t.Errorf("the live view shows %d reloads, want %d", got, reloads)
 	}
 }
 
-// TestRemovedPoolAnswersWhatItHolds: a reload moves the route away and removes the pool while a request waits at a
-// node.
-func TestRemovedPoolAnswersWhatItHolds(t *testing.T) {
+// TestRemovedPoolAnswersItsRequests: a reload removes a pool while one of its requests is in flight. That request must
+// still be answered, and the next one must go to the pool that the route now leads to.
+func TestRemovedPoolAnswersItsRequests(t *testing.T) {
 	j, folder := fleet.NewJudge(time.Second), t.TempDir()
 	all := startNodes(t, j, 2, fleet.Spec{})
 	writeEndpoints(t, j, folder, "a.yaml", all[0].Entry("up"))
@@ -85,7 +85,7 @@
 	all[0].Stall(true)
 	answered := make(chan int)
 	go func() { answered <- x.clients("a.example.org", "x", fleet.Unsafe, 1).Ask("held") }()
-	x.waitFor("the request is at the node", func(live.View) bool {
+	x.waitFor("the request is in flight", func(live.View) bool {
 		for _, n := range x.pool("a").Nodes {
 			if n.Out == 1 {
 				return true
@@ -99,18 +99,19 @@
 routes: [{name: a, hosts: [a.example.org], class: c, pool: b}]
 `)
 	if status := x.clients("a.example.org", "x", fleet.Unsafe, 1).Ask("next"); status != 200 || all[1].Runs() != 1 {
-		t.Errorf("after the move: %d, %d runs at the new pool's node", status, all[1].Runs())
+		t.Errorf("after the reload: status %d, %d runs at the new pool's node", status, all[1].Runs())
 	}
 	all[0].Stall(false)
 	if status := <-answered; status != 200 {
-		t.Errorf("the held request got %d", status)
+		t.Errorf("the request in flight got %d", status)
 	}
 	x.retiring.Wait() // the removed pool ends
 	x.wantNoBreaches()
 }
 
-// TestBadReloadChangesNothing: a listener that can't be had, or a new pool whose list is torn, stop the whole reload.
-func TestBadReloadChangesNothing(t *testing.T) {
+// TestFailedReloadChangesNothing: a listener whose address is in use, or a new pool whose list cannot be read, makes
+// the whole reload fail without any effect.
+func TestFailedReloadChangesNothing(t *testing.T) {
 	j, folder := fleet.NewJudge(time.Second), t.TempDir()
 	all := startNodes(t, j, 1, fleet.Spec{})
 	writeEndpoints(t, j, folder, "a.yaml", all[0].Entry("up"))
@@ -129,13 +130,13 @@
 		strings.Replace(twoPools, "routes:", "  c: {nodes: {file: none.yaml}}\nroutes:", 1),
 	} {
 		if err := x.Apply(x.parse(strings.Replace(text, "pool: b}", "pool: c}", 1))); err == nil {
-			t.Error("a bad reload was taken")
+			t.Error("no error for a list that cannot be read")
 		}
 	}
 	c := x.parse(strings.Replace(twoPools, "pool: b}", "pool: a}", 1))
 	c.Listeners = append(c.Listeners, config.Listener{Name: "second", Address: taken.Addr().String(), Connections: 10})
 	if err := x.Apply(c); err == nil || !strings.Contains(err.Error(), "second") {
-		t.Errorf("a listener that is taken: %v", err)
+		t.Errorf("a listener whose address is in use: %v", err)
 	}
 	if v := x.View(); v.Reloads != 0 || len(v.Pools) != 2 || len(v.Listeners) != 1 {
 		t.Errorf("%+v", v)
@@ -146,9 +147,9 @@
 	x.wantNoBreaches()
 }
 
-// TestFailedListsChangeNothing: a reload that moves a pool, adds another whose list can't be read, drops a route and
-// changes a quota is refused as a whole: routes, lists, listeners and settings are those that held.
-func TestFailedListsChangeNothing(t *testing.T) {
+// TestUnreadableListFailsReload: a reload adds a pool whose list cannot be read, and also changes another pool's list,
+// a route and a quota. It must fail as a whole, with the previous routes, lists, listeners and settings still in force.
+func TestUnreadableListFailsReload(t *testing.T) {
 	j, folder := fleet.NewJudge(time.Second), t.TempDir()
 	all := startNodes(t, j, 2, fleet.Spec{Work: time.Millisecond})
 	writeEndpoints(t, j, folder, "a.yaml", all[0].Entry("up"))
@@ -170,7 +171,7 @@
 	}
 	if x.state.Load() != before || x.state.Load().config.Table != routing || x.View().Reloads != view.Reloads ||
 		len(x.View().Pools) != 2 {
-		t.Errorf("something changed: %+v", x.View())
+		t.Errorf("the failed reload changed something: %+v", x.View())
 	}
 	for _, host := range []string{"a.example.org", "b.example.org"} {
 		r, err := http.NewRequest("POST", x.url+"/x", strings.NewReader("b"))
@@ -183,14 +184,14 @@
 			t.Fatal(err)
 		}
 		if resp.Body.Close(); resp.StatusCode == http.StatusNotFound {
-			t.Errorf("%s: the route has gone", host)
+			t.Errorf("%s: the route is missing", host)
 		}
 	}
 }
 
-// TestReloadLeavesOthersAlone: of three pools a reload changes one; the others are not told anything, and a quota
-// reaches all.
-func TestReloadLeavesOthersAlone(t *testing.T) {
+// TestReloadUpdatesOnlyChangedPools: a reload that changes one of three pools leaves the others' specification
+// unchanged, a changed route leaves that of all three unchanged, and a changed quota affects all of them.
+func TestReloadUpdatesOnlyChangedPools(t *testing.T) {
 	text := func(queue, quota int, path string) string {
 		return fmt.Sprintf(`classes: {c: {aim: 250ms, deadline: 1s}}
 tenants: {t: {quota: %d}}
@@ -203,10 +204,10 @@
 `, quota, queue, path)
 	}
 	x := startService(t, fleet.NewJudge(time.Second), t.TempDir(), text(10, 5, "/x"))
-	stay := func(text string) (names []string) {
+	applyAndListUnchanged := func(text string) (names []string) {
 		t.Helper()
 		c := x.parse(text)
-		if c.Tenants.Equal(x.state.Load().config.Tenants) { // as config.Reload has it
+		if c.Tenants.Equal(x.state.Load().config.Tenants) { // config.Reload also keeps an equal table
 			c.Tenants = x.state.Load().config.Tenants
 		}
 		p, err := x.newPlan(x.state.Load(), c)
@@ -228,8 +229,8 @@
 		{text(11, 5, "/y"), []string{"a", "b", "c"}},
 		{text(11, 6, "/y"), nil},
 	} {
-		if got := stay(step.text); !slices.Equal(got, step.want) {
-			t.Errorf("left alone: %q, want %q", got, step.want)
+		if got := applyAndListUnchanged(step.text); !slices.Equal(got, step.want) {
+			t.Errorf("unchanged pools: %q, want %q", got, step.want)
 		}
 	}
 }
--- a/internal/service/requests_test.go
+++ b/internal/service/requests_test.go
@@ -15,11 +15,11 @@
 	"olivearch/internal/standin/scripted"
 )
 
-// arrival is a request as a node got it.
+// arrival is the host and the target of a request as a node received it.
 type arrival struct{ host, target string }
 
-// startRecordingNode starts a node that sends what arrives, and answers 201 with fields of which the client gets
-// X-Kept only.
+// startRecordingNode starts a node that sends each arrival to a channel. It responds with 201 and several header
+// fields, of which the client must get only X-Kept.
 func startRecordingNode(t *testing.T, arrived chan<- arrival) net.Addr {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
@@ -29,19 +29,19 @@
 	node := &http.Server{Handler: http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		arrived <- arrival{r.Host, r.RequestURI}
 		w.Header().Set("X-Kept", "yes")
-		w.Header().Set("X-Load", "util=0.5") // for the balancer, as is what Connection names
+		w.Header().Set("X-Load", "util=0.5") // for the balancer only, as are the fields that Connection names
 		w.Header().Set("X-Hop", "1")
 		w.Header().Set("Connection", "X-Hop")
 		w.WriteHeader(http.StatusCreated)
 	})}
-	go func() { _ = node.Serve(l) }() // until it is closed
+	go func() { _ = node.Serve(l) }() // returns when the node is closed
 	t.Cleanup(func() { node.Close() })
 	return l.Addr()
 }
 
-// TestOneReading: however host and path are spelt, a request comes to the route of its canonical reading or is turned
-// away, and the node gets that reading.
-func TestOneReading(t *testing.T) {
+// TestCanonicalTarget: whatever the spelling of host and path, a request is routed by their canonical form or rejected,
+// and the node receives the canonical form. Otherwise another spelling could bypass the rules of a route.
+func TestCanonicalTarget(t *testing.T) {
 	arrived := make(chan arrival, 1)
 	address := startRecordingNode(t, arrived)
 	x := startService(t, fleet.NewJudge(0), t.TempDir(), fmt.Sprintf(`
@@ -63,7 +63,7 @@
 		{"POST /open/x?q=/../y", "Host: A.example.org:80", 201, "a.example.org", "/open/x?q=/../y"},
 		{"POST http://a.example.org/open", "Host: b.example.org", 201, "a.example.org", "/open"}, // RFC 9112, section 3.2.2
 		{"POST http://b.example.org/open", "Host: a.example.org", 404, "", ""},
-		{"POST /open/%2e%2e/key", "Host: a.example.org", 400, "", ""}, // it is the keyed route's, and has no key
+		{"POST /open/%2e%2e/key", "Host: a.example.org", 400, "", ""}, // the keyed route, without a key
 		{"POST /open/%2e%2e/key", "Host: a.example.org\r\nIdempotency-Key: 1", 201, "a.example.org", "/key"},
 		{"POST //open//x", "Host: a.example.org", 201, "a.example.org", "/open/x"},
 		{"POST /%6fpen", "Host: a.example.org", 201, "a.example.org", "/open"},
@@ -74,7 +74,7 @@
 		{"POST /open", "Host: a.example.org\r\nHost: a.example.org", 400, "", ""},
 		{"POST /open", "X-Nothing: 1", 400, "", ""},
 		{"POST http://a.example.org/open", "X-Nothing: 1", 400, "", ""},
-		{"POST /open", "Host: a.example.org\r\nX-Class: d", 400, "", ""}, // host and path say c
+		{"POST /open", "Host: a.example.org\r\nX-Class: d", 400, "", ""}, // host and path lead to class c
 		{"POST /open", "Host: a.example.org\r\nX-Class: c", 201, "a.example.org", "/open"},
 		{"POST /field", "Host: a.example.org\r\nX-Gate: 7", 201, "a.example.org", "/field"},
 		{"POST /field", "Host: a.example.org\r\nX-Gate: 7\r\nX-Gate: 8", 404, "", ""},
@@ -89,17 +89,17 @@
 			if g := <-arrived; g != (arrival{c.host, c.target}) || resp.Header.Get("X-Kept") != "yes" ||
 				resp.Header.Get("X-Load") != "" ||
 				resp.Header.Get("X-Hop") != "" {
-				t.Errorf("%s: the node got %+v; fields %v", c.line, g, resp.Header)
+				t.Errorf("%s: the node got %+v; response fields %v", c.line, g, resp.Header)
 			}
 		}
 	}
 	if len(arrived) > 0 {
-		t.Errorf("a request that was turned away reached a node: %+v", <-arrived)
+		t.Errorf("a rejected request reached the node: %+v", <-arrived)
 	}
 }
 
-// TestClientsDeadlineWins: of client, route and class the shortest wait counts.
-func TestClientsDeadlineWins(t *testing.T) {
+// TestShortestDeadlineApplies: the shortest of the deadlines of client, route and class applies.
+func TestShortestDeadlineApplies(t *testing.T) {
 	j, folder := fleet.NewJudge(time.Second), t.TempDir()
 	all := startNodes(t, j, 1, fleet.Spec{})
 	writeEndpoints(t, j, folder, "a.yaml", all[0].Entry("up"))
@@ -111,19 +111,19 @@
   - {name: long, path: {prefix: /long}, class: c, pool: p, deadline: 60s}
   - {name: short, path: {prefix: /short}, class: c, pool: p, deadline: 300ms}
 `)
-	for path, client := range map[string]int{"/long": 300, "/short": 20000} {
+	for path, clientMS := range map[string]int{"/long": 300, "/short": 20000} {
 		at := time.Now()
 		resp := x.roundTrip(
-			fmt.Sprintf("POST %s HTTP/1.1\r\nHost: x\r\nX-Deadline-Ms: %d\r\nContent-Length: 0\r\n\r\n", path, client),
+			fmt.Sprintf("POST %s HTTP/1.1\r\nHost: x\r\nX-Deadline-Ms: %d\r\nContent-Length: 0\r\n\r\n", path, clientMS),
 		)
 		if took := time.Since(at); resp.StatusCode < 500 || took > 10*time.Second {
-			t.Errorf("%s with a client that waits %d ms: %d after %v", path, client, resp.StatusCode, took)
+			t.Errorf("%s with a client deadline of %d ms: %d after %v", path, clientMS, resp.StatusCode, took)
 		}
 	}
 }
 
-// TestHTTP10: clients of HTTP/1.0 get no chunks: an answer of no known length ends with the connection, and one that
-// was cut with a reset.
+// TestHTTP10: a client of HTTP/1.0 gets no chunked response. A response of unknown length ends when the connection is
+// closed, and a truncated one with a reset of the connection.
 func TestHTTP10(t *testing.T) {
 	long := strings.Repeat("x", 100<<10)
 	n := scripted.Start(t, func(c net.Conn, r *http.Request) bool {
@@ -141,7 +141,7 @@
 	x := startWithNodes(t, "", "", n)
 	c := x.dial("GET /a HTTP/1.0\r\nHost: x\r\n\r\n")
 	if resp := c.readResponse(); resp.StatusCode != http.StatusOK || !resp.Close {
-		t.Errorf("without keep-alive: %d, closes: %v", resp.StatusCode, resp.Close)
+		t.Errorf("without keep-alive: %d, close %v", resp.StatusCode, resp.Close)
 	}
 	c = x.dial("GET /a HTTP/1.0\r\nHost: x\r\nConnection: Keep-Alive\r\n\r\n")
 	for range 2 {
@@ -156,20 +156,21 @@
 	resp := c.readResponse()
 	body, err := io.ReadAll(resp.Body)
 	if len(resp.TransferEncoding) > 0 || resp.ContentLength >= 0 || string(body) != long || err != nil {
-		t.Errorf("no known length: %v, %d bytes, %v", resp.Header, len(body), err)
+		t.Errorf("unknown length: %v, %d bytes, %v", resp.Header, len(body), err)
 	}
 	c = x.dial("GET /cut HTTP/1.0\r\nHost: x\r\n\r\n")
 	if body, err = io.ReadAll(c.readResponse().Body); err == nil {
-		t.Errorf("a cut answer passes for whole, with %d bytes", len(body))
+		t.Errorf("a truncated response appears complete, with %d bytes", len(body))
 	}
 	c = x.dial("POST /a HTTP/1.0\r\nHost: x\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n")
 	if resp := c.readResponse(); resp.StatusCode != http.StatusBadRequest {
-		t.Errorf("chunks in HTTP/1.0: %d", resp.StatusCode)
+		t.Errorf("a chunked request of HTTP/1.0: %d", resp.StatusCode)
 	}
 }
 
-// TestTrailersAndHints: trailers and early hints go on, in both framings and directions.
-func TestTrailersAndHints(t *testing.T) {
+// TestTrailersAndEarlyHints: the balancer forwards early hints to the client and trailers in both directions, whether
+// it reads a body ahead or streams it.
+func TestTrailersAndEarlyHints(t *testing.T) {
 	n := scripted.Start(t, func(c net.Conn, r *http.Request) bool {
 		fmt.Fprint(
 			c,
@@ -178,7 +179,7 @@
 				"HTTP/1.1 103 Early Hints\r\nLink: </b.css>\r\n\r\n",
 		)
 		fmt.Fprint(c, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n")
-		for range 1 + len(r.Trailer.Get("X-Long")) { // long ones go on as they come
+		for range 1 + len(r.Trailer.Get("X-Long")) { // a response of several chunks is streamed
 			fmt.Fprintf(c, "%x\r\n%s\r\n", 40<<10, strings.Repeat("x", 40<<10))
 		}
 		fmt.Fprintf(c, "0\r\nX-Sum: %s\r\n\r\n", r.Trailer.Get("X-Sum"))
@@ -186,25 +187,26 @@
 	})
 	x := startWithNodes(t, "", "", n)
 	for _, long := range []string{"", "11"} {
-		for _, part := range []int{10, 70 << 10, 2 << 20} { // whole, read ahead, goes on as it comes
+		for _, size := range []int{10, 70 << 10, 2 << 20} { // read in full, read ahead, streamed
 			c := x.dial("POST /u HTTP/1.1\r\nHost: x\r\nTransfer-Encoding: chunked\r\nTrailer: X-Sum, X-Long\r\n\r\n")
-			go fmt.Fprintf(c, "%x\r\n%s\r\n0\r\nX-Sum: 7\r\nX-Long: %s\r\n\r\n", part, strings.Repeat("y", part), long)
+			go fmt.Fprintf(c, "%x\r\n%s\r\n0\r\nX-Sum: 7\r\nX-Long: %s\r\n\r\n", size, strings.Repeat("y", size), long)
 			hint := c.readResponse()
 			if hint.StatusCode != http.StatusEarlyHints || hint.Header.Get("Link") != "</a.css>" {
-				t.Fatalf("%d bytes: got %d, %v, want the first hint", part, hint.StatusCode, hint.Header)
+				t.Fatalf("%d bytes: got %d, %v, want the first hint", size, hint.StatusCode, hint.Header)
 			}
 			resp := c.readResponse()
 			got, err := io.ReadAll(resp.Body)
 			if err != nil || len(got) != (1+len(long))*40<<10 || resp.Trailer.Get("X-Sum") != "7" {
-				t.Errorf("%d bytes, %q: got %d bytes, trailer %v, %v", part, long, len(got), resp.Trailer, err)
+				t.Errorf("%d bytes, %q: got %d bytes, trailer %v, %v", size, long, len(got), resp.Trailer, err)
 			}
 			c.Close()
 		}
 	}
 }
 
-// TestLimitsHaveTheirStatus: each limit has its status, and a client that is turned away can read it.
-func TestLimitsHaveTheirStatus(t *testing.T) {
+// TestStatusOfLimits: a request that exceeds a limit or is malformed gets the status of its error, and the client can
+// read the response although it has sent more than the balancer reads.
+func TestStatusOfLimits(t *testing.T) {
 	const chunkedPost = "POST / HTTP/1.1\r\nHost: x\r\nTransfer-Encoding: chunked\r\n\r\n"
 	longField := "X-A: " + strings.Repeat("b", 1000) + "\r\n"
 	n := scripted.Start(t, scripted.Done)
@@ -234,50 +236,50 @@
 		}
 	}
 	if len(n.Arrivals) > 0 {
-		t.Errorf("%d of them came to the node", len(n.Arrivals))
+		t.Errorf("%d rejected requests reached the node", len(n.Arrivals))
 	}
 }
 
-// unsafeRequest is a whole request of an unsafe class, the last of its connection.
+// unsafeRequest is a complete request of the unsafe class, after which the connection is closed.
 const unsafeRequest = "POST /u HTTP/1.1\r\nHost: x\r\nTransfer-Encoding: chunked\r\nConnection: close\r\n\r\n" +
 	"4\r\nbody\r\n0\r\n\r\n"
 
-// TestCutsAtEveryByte: a cut at each byte of a response ends in exactly one answer that is whole or looks cut, or in
-// a close; never in a hang, and an unsafe request never runs twice.
-func TestCutsAtEveryByte(t *testing.T) {
-	const says = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\nX-A: b\r\n\r\n" +
+// TestResponseTruncatedAtEveryByte truncates a node's response after each byte. The client must get exactly one
+// response that is complete or recognisably truncated. The balancer must not hang or send the unsafe request again.
+func TestResponseTruncatedAtEveryByte(t *testing.T) {
+	const nodeResponse = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\nX-A: b\r\n\r\n" +
 		"5\r\nhello\r\n3;x=y\r\nyou\r\n0\r\nX-T: 1\r\n\r\n"
-	const sites = 30 // a node that fails often is tried now and then only, so each has few cuts
-	for k := range sites {
-		t.Run(fmt.Sprint("part ", k), func(t *testing.T) {
+	const parts = 30 // they run in parallel
+	for first := range parts {
+		t.Run(fmt.Sprint("part ", first), func(t *testing.T) {
 			t.Parallel()
-			for cut := k; cut <= len(says); cut += sites {
+			for cut := first; cut <= len(nodeResponse); cut += parts {
 				n := scripted.Start(t, func(c net.Conn, r *http.Request) bool {
-					fmt.Fprint(c, says[:cut])
-					return cut == len(says)
+					fmt.Fprint(c, nodeResponse[:cut])
+					return cut == len(nodeResponse)
 				})
 				c := startWithNodes(t, "", "", n).dial(unsafeRequest)
 				resp := c.readResponse()
 				body, err := io.ReadAll(resp.Body)
-				whole := resp.StatusCode == http.StatusOK && err == nil
-				if whole != (cut == len(says)) || (whole && string(body) != "helloyou") {
-					t.Errorf("cut at %d of %d: %d, %q, %v", cut, len(says), resp.StatusCode, body, err)
+				complete := resp.StatusCode == http.StatusOK && err == nil
+				if complete != (cut == len(nodeResponse)) || (complete && string(body) != "helloyou") {
+					t.Errorf("truncated after %d of %d bytes: %d, %q, %v", cut, len(nodeResponse), resp.StatusCode, body, err)
 				}
 				if runs := len(n.Arrivals); runs != 1 {
-					t.Errorf("cut at %d: the request was written %d times", cut, runs)
+					t.Errorf("truncated after %d bytes: the request was sent %d times, want once", cut, runs)
 				}
 			}
 		})
 	}
 }
 
-// TestRequestCutsAtEveryByte: a request that its client cuts at any byte is never written to a node.
-func TestRequestCutsAtEveryByte(t *testing.T) {
+// TestRequestTruncatedAtEveryByte: a request that its client truncates after any byte is never sent to a node.
+func TestRequestTruncatedAtEveryByte(t *testing.T) {
 	n := scripted.Start(t, scripted.Done)
 	x := startWithNodes(t, "", "", n)
 	for at := range unsafeRequest {
 		c := x.dial(unsafeRequest[:at])
-		_ = c.CloseWrite() // fails if the service has closed already
+		_ = c.CloseWrite() // fails if the service has closed the connection already
 		resp, err := http.ReadResponse(c.reader, nil)
 		c.Close()
 		if err != nil {
@@ -285,22 +287,22 @@
 		}
 		resp.Body.Close()
 		if resp.StatusCode < 400 {
-			t.Errorf("a request that ends at %d: %d", at, resp.StatusCode)
+			t.Errorf("a request truncated after %d bytes: %d", at, resp.StatusCode)
 		}
 	}
 	if runs := len(n.Arrivals); runs != 0 {
-		t.Errorf("%d requests that never ended were written", runs)
+		t.Errorf("%d truncated requests were sent to the node", runs)
 	}
 }
 
-// TestSlowClientsHoldNobodyUp: many clients that send a byte now and then do not keep ordinary ones out, and none of
-// them takes a node.
-func TestSlowClientsHoldNobodyUp(t *testing.T) {
+// TestSlowClientsDoNotBlockOthers: many clients that send one byte every 50 ms must not prevent ordinary clients from
+// being served, and none of their incomplete requests may reach the node.
+func TestSlowClientsDoNotBlockOthers(t *testing.T) {
 	n := scripted.Start(t, scripted.Done)
 	x := startWithNodes(t, "", "", n)
 	ctx, stop := context.WithCancel(t.Context())
 	defer stop()
-	const slow = 300 // more than the listener takes at once with the ordinary ones
+	const slow = 300 // together with the ordinary clients more than the listener accepts at once
 	for range slow {
 		c, err := net.Dial("tcp", strings.TrimPrefix(x.url, "http://"))
 		if err != nil {
@@ -315,7 +317,7 @@
 				select {
 				case <-ctx.Done():
 					return
-				case <-time.After(50 * time.Millisecond): // a slow line is what is tried
+				case <-time.After(50 * time.Millisecond): // simulates a slow client
 				}
 			}
 		}()
@@ -334,6 +336,6 @@
 		<-n.Arrivals
 	}
 	if len(n.Arrivals) > 0 {
-		t.Errorf("%d slow requests came to the node", len(n.Arrivals))
+		t.Errorf("%d incomplete requests reached the node", len(n.Arrivals))
 	}
 }
--- a/internal/service/shared_endpoint_test.go
+++ b/internal/service/shared_endpoint_test.go
@@ -11,46 +11,49 @@
 	"olivearch/internal/standin/fleet"
 )
 
-// TestSharedColdNode restarts a node that six pools list, each beside a busy node of its own by which it judges what
-// a whole one can do. The fleet's judge sees what comes to it from all of them. The node bears a quarter of what the
-// configuration says, so that the module's own margins do not hide the parts: without them it falls over.
-func TestSharedColdNode(t *testing.T) {
-	x, all := sharedNode(t, 64)
+// TestSharedNodeWarmsUp restarts a node that six pools share. Each pool also has a busy node of its own, from which it
+// estimates how much a warm node can serve. While the shared node warms up, all pools together must not overload it. It
+// tolerates a quarter of the load that the configuration assumes, so that the margins of the balancer's slow start do
+// not hide missing allotments: without allotments the node is overloaded and fails.
+func TestSharedNodeWarmsUp(t *testing.T) {
+	x, all := startSharedNode(t, 64)
 	shared := all[len(all)-1]
 	ctx, cancel := context.WithTimeout(t.Context(), 7*time.Second)
 	defer cancel()
-	wait := x.drive(ctx)
+	wait := x.startTraffic(ctx)
 	shared.Crash()
 	if err := shared.Restart(); err != nil {
 		t.Fatal(err)
 	}
-	x.sharedLists(all)
+	x.writeSharedLists(all)
 	wait()
 	if shared.Fallen() || shared.Runs() == 0 {
-		t.Errorf("the cold node: fallen %v, %d runs", shared.Fallen(), shared.Runs())
+		t.Errorf("the node while it warmed up: overloaded %v, %d runs", shared.Fallen(), shared.Runs())
 	}
-	t.Logf("the cold node was sent %.2f of what pushes it over", shared.ColdPeak())
+	t.Logf("the node got at most %.2f of the load that overloads it while it warms up", shared.ColdPeak())
 	x.wantNoBreaches()
 }
 
-// TestSharedNodesConnections: six pools hold no more connections to a node together than it takes, by the node's count.
-func TestSharedNodesConnections(t *testing.T) {
-	const most = 6
-	x, all := sharedNode(t, most)
+// TestSharedNodeConnectionLimit: six pools together open no more connections to a node than limits.node_connections
+// permits, as counted by the node.
+func TestSharedNodeConnectionLimit(t *testing.T) {
+	const limit = 6
+	x, all := startSharedNode(t, limit)
 	ctx, cancel := context.WithTimeout(t.Context(), 3*time.Second)
 	defer cancel()
-	x.drive(ctx)()
+	x.startTraffic(ctx)()
 	shared := all[len(all)-1]
-	if n, _ := shared.Connections(); n > most || shared.Runs() < 50 {
-		t.Errorf("the shared node had %d connections at once, %d are allowed over all pools; %d runs", n, most, shared.Runs())
+	if n, _ := shared.Connections(); n > limit || shared.Runs() < 50 {
+		t.Errorf("the shared node had %d connections at once, want at most %d; %d runs", n, limit, shared.Runs())
 	}
 	x.wantNoBreaches()
 }
 
 const sharingPools = 6
 
-// sharedNode starts a service with pools that list a node of their own each, and the last one all together.
-func sharedNode(t *testing.T, connections int) (*testService, []*fleet.Node) {
+// startSharedNode starts nodes and a service with sharingPools pools. Each pool lists a node of its own and the last
+// node, which all pools share.
+func startSharedNode(t *testing.T, connections int) (*testService, []*fleet.Node) {
 	t.Helper()
 	j, folder := fleet.NewJudge(time.Second), t.TempDir()
 	all := startNodes(t, j, sharingPools+1, fleet.Spec{
@@ -73,25 +76,26 @@
 		routes += fmt.Sprintf("  - {name: r%d, hosts: [h%d], class: c, pool: p%d}\n", i, i, i)
 	}
 	x := &testService{t: t, judge: j, folder: folder}
-	x.sharedLists(all)
+	x.writeSharedLists(all)
 	return startService(t, j, folder, text+routes), all
 }
 
-func (x *testService) sharedLists(all []*fleet.Node) {
+func (x *testService) writeSharedLists(all []*fleet.Node) {
 	x.t.Helper()
 	for i := range sharingPools {
 		x.writeList(fmt.Sprintf("p%d.yaml", i), all[i].Entry("up"), all[sharingPools].Entry("up"))
 	}
 }
 
-// drive sends to all pools, and returns once they have learnt how long nodes take. What it returns waits for the end.
-func (x *testService) drive(ctx context.Context) (wait func()) {
+// startTraffic sends requests to all pools until the context ends. It returns once each pool has served enough of them
+// to know the latency of its nodes. The returned function waits for the end of all clients.
+func (x *testService) startTraffic(ctx context.Context) (wait func()) {
 	x.t.Helper()
 	var wg sync.WaitGroup
 	for i := range sharingPools {
 		wg.Go(func() { x.clients(fmt.Sprint("h", i), fmt.Sprint("p", i), fleet.Unsafe, 90).Run(ctx) })
 	}
-	x.waitFor("all pools have learnt", func(v live.View) bool {
+	x.waitFor("each pool has served 100 requests", func(v live.View) bool {
 		for _, p := range v.Pools {
 			if p.Served < 100 {
 				return false
--- a/internal/service/shared_overrides.go
+++ b/internal/service/shared_overrides.go
@@ -115,22 +115,22 @@
 	if o.follower == nil {
 		return nil
 	}
-	followed := o.follower.View()
+	followerView := o.follower.View()
 	view := &live.Coordination{
-		Cluster:         fmt.Sprintf("%x", followed.Cluster),
-		Voter:           followed.Voter,
-		Leader:          followed.Leader,
-		Voters:          followed.Voters,
-		VotersReached:   followed.ReachableVoters,
-		Revision:        followed.Index,
+		Cluster:         fmt.Sprintf("%x", followerView.Cluster),
+		Voter:           followerView.Voter,
+		Leader:          followerView.Leader,
+		Voters:          followerView.Voters,
+		VotersReached:   followerView.ReachableVoters,
+		Revision:        followerView.Index,
 		AgeMS:           -1,
 		OverridesByKind: map[string]int{},
-		FollowerFault:   followed.Fault,
+		FollowerFault:   followerView.Fault,
 	}
-	if age := followed.Age(time.Now()); age < live.MaxConfirmationAge {
+	if age := followerView.Age(time.Now()); age < live.MaxConfirmationAge {
 		view.AgeMS = age.Milliseconds()
 	}
-	for _, shared := range followed.Overrides {
+	for _, shared := range followerView.Overrides {
 		view.OverridesByKind[shared.Kind.String()]++
 	}
 	return view
--- a/internal/service/streams_test.go
+++ b/internal/service/streams_test.go
@@ -15,15 +15,16 @@
 	"olivearch/internal/standin/scripted"
 )
 
-// TestSlowBodyIsGivenUp: a client that is slower than its listener's rate in a body that goes on as it comes is given
-// up, in both framings, and its node is free again; a reload gives bodies other memory.
-func TestSlowBodyIsGivenUp(t *testing.T) {
+// TestSlowUploadTimesOut: a client that sends a streamed body more slowly than the minimum rate of its listener gets
+// the status 408, with either framing, and the node's connection is free again. The listener's limits come from a
+// reload, which also changes the memory for request bodies.
+func TestSlowUploadTimesOut(t *testing.T) {
 	for _, framing := range []string{"Content-Length: 90000000", "Transfer-Encoding: chunked"} {
-		t.Run(framing, func(t *testing.T) { testSlowBody(t, framing) })
+		t.Run(framing, func(t *testing.T) { testSlowUpload(t, framing) })
 	}
 }
 
-func testSlowBody(t *testing.T, framing string) {
+func testSlowUpload(t *testing.T, framing string) {
 	t.Helper()
 	n := scripted.Start(t, scripted.Done)
 	x := startWithNodes(t, "", "", n)
@@ -39,21 +40,21 @@
 		t.Fatal(err)
 	}
 	if free := x.state.Load().listeners[listener].FreeSpoolBytes(); free != 8<<20 {
-		t.Errorf("%d bytes for bodies after a reload that gives them %d", free, 8<<20)
+		t.Errorf("%d bytes of memory for bodies after the reload, want %d", free, 8<<20)
 	}
 	c := x.dial("POST /u HTTP/1.1\r\nHost: x\r\n" + framing + "\r\n\r\n")
 	if strings.HasPrefix(framing, "Transfer") {
 		c.send("4000000\r\n")
 	}
-	c.send(strings.Repeat("\x00", 2<<20)) // over the buffer: it is on its way
+	c.send(strings.Repeat("\x00", 2<<20)) // more than the buffer holds, so it is streamed to the node
 	done := make(chan struct{})
 	go func() {
 		defer close(done)
-		for { // never silent for long
+		for { // the client is slow but never idle for long
 			if _, err := c.Write([]byte("x")); err != nil {
 				return
 			}
-			time.Sleep(10 * time.Millisecond) // a slow line is what is tried
+			time.Sleep(10 * time.Millisecond) // simulates a slow client
 		}
 	}()
 	if resp := c.readResponse(); resp.StatusCode != http.StatusRequestTimeout {
@@ -61,12 +62,12 @@
 	}
 	c.Close()
 	<-done
-	x.waitFor("its connection is free", func(v live.View) bool { return v.Pools[0].Nodes[0].Out == 0 })
+	x.waitFor("no request is in flight at the node", func(v live.View) bool { return v.Pools[0].Nodes[0].Out == 0 })
 }
 
-// TestSlowDownloadsAreNoLoad: long answers that clients read slowly hold connections and are no load: the node looks
-// as busy as it says, and queries go on.
-func TestSlowDownloadsAreNoLoad(t *testing.T) {
+// TestSlowDownloadsDoNotCountAsLoad: long responses that clients read slowly occupy connections but do not count as
+// requests in flight. The node's utilisation is what its load reports say, and other requests are served meanwhile.
+func TestSlowDownloadsDoNotCountAsLoad(t *testing.T) {
 	const downloads = 40
 	release := make(chan struct{})
 	n := scripted.Start(t, func(c net.Conn, r *http.Request) bool {
@@ -89,14 +90,14 @@
 	for i := range 50 {
 		c := x.dial("GET /a HTTP/1.1\r\nHost: x\r\nConnection: close\r\n\r\n")
 		if resp := c.readResponse(); resp.StatusCode != http.StatusOK {
-			t.Fatalf("query %d beside them: %d", i, resp.StatusCode)
+			t.Fatalf("request %d during the downloads: %d", i, resp.StatusCode)
 		}
 		<-n.Arrivals
 	}
-	x.waitFor("the load that the node tells", func(v live.View) bool { return v.Pools[0].Nodes[0].Mean > 0.8 })
+	x.waitFor("the utilisation that the node reports", func(v live.View) bool { return v.Pools[0].Nodes[0].Mean > 0.8 })
 	if v := x.pool("p"); v.Nodes[0].Out != 0 || v.Connections < downloads {
 		t.Errorf(
-			"%d out, %d connections; want none out and at least %d connections",
+			"%d requests in flight, %d connections; want none in flight and at least %d connections",
 			v.Nodes[0].Out,
 			v.Connections,
 			downloads,
@@ -105,14 +106,14 @@
 	close(release)
 	for _, resp := range streams {
 		if got, err := io.ReadAll(resp.Body); err != nil || len(got) != 1<<20 {
-			t.Errorf("%d bytes came, %v", len(got), err)
+			t.Errorf("got %d bytes, %v", len(got), err)
 		}
 	}
 }
 
-// TestSlowUploadsAreNoSilence: a body that goes on as it comes, however long that takes, is nothing that its node
-// owes: queries beside it are served.
-func TestSlowUploadsAreNoSilence(t *testing.T) {
+// TestSlowUploadsKeepNodeResponsive: a node that has not yet responded to a slow, streamed upload must not count as
+// unresponsive, since it waits for the client. Other requests to it are served meanwhile.
+func TestSlowUploadsKeepNodeResponsive(t *testing.T) {
 	n := scripted.Start(t, scripted.Done)
 	x := startService(
 		t,
@@ -125,22 +126,22 @@
 	)
 	const size = 4 << 20
 	up := x.dial(fmt.Sprintf("POST /u HTTP/1.1\r\nHost: x\r\nContent-Length: %d\r\n\r\n", size))
-	up.send(strings.Repeat("\x00", size/2)) // over the buffer: it is on its way
-	x.waitFor("it is out", func(v live.View) bool {
+	up.send(strings.Repeat("\x00", size/2)) // more than the buffer holds, so it is streamed to the node
+	x.waitFor("the upload is in flight", func(v live.View) bool {
 		return len(v.Pools) == 1 && len(v.Pools[0].Nodes) == 1 && v.Pools[0].Nodes[0].Out == 1
 	})
 	for i := range 20 {
-		time.Sleep(100 * time.Millisecond) // a slow client is what is tried
+		time.Sleep(100 * time.Millisecond) // simulates a slow client
 		up.send("x")
 		if x.pool("p").Nodes[0].Silent {
-			t.Fatal("the node counts as silent, and owes nothing")
+			t.Fatal("the node counts as unresponsive while the client is slow")
 		}
-		if i%10 != 9 { // an answer would show that it lives
+		if i%10 != 9 { // few requests, since each response shows that the node is responsive
 			continue
 		}
 		c := x.dial("GET /a HTTP/1.1\r\nHost: x\r\nConnection: close\r\n\r\n")
 		if resp := c.readResponse(); resp.StatusCode != http.StatusOK {
-			t.Errorf("a query beside it: %d", resp.StatusCode)
+			t.Errorf("a request during the upload: %d", resp.StatusCode)
 		}
 	}
 	up.send(strings.Repeat("\x00", size-size/2-20))
@@ -149,9 +150,9 @@
 	}
 }
 
-// TestStreamsOutliveTheirRoute: a reload that takes away route and pool, and a stop, let a long answer and a long
-// body come to their end.
-func TestStreamsOutliveTheirRoute(t *testing.T) {
+// TestStreamsSurviveReloadAndStop: a reload that removes the route and the pool of a long download and a long upload,
+// and a graceful stop of the service, must let both finish.
+func TestStreamsSurviveReloadAndStop(t *testing.T) {
 	for _, how := range []string{"reload", "stop"} {
 		t.Run(how, func(t *testing.T) {
 			release := make(chan struct{})
@@ -170,8 +171,8 @@
 			down := c.readResponse()
 			const size = 4 << 20
 			up := x.dial(fmt.Sprintf("POST /u HTTP/1.1\r\nHost: x\r\nConnection: close\r\nContent-Length: %d\r\n\r\n", size))
-			up.send(strings.Repeat("\x00", size/2)) // more than is read ahead: it is on its way to the node
-			x.waitFor("both are there", func(v live.View) bool { return v.Pools[0].Connections >= 2 })
+			up.send(strings.Repeat("\x00", size/2)) // more than the buffer holds, so it is streamed
+			x.waitFor("both requests have a connection", func(v live.View) bool { return v.Pools[0].Connections >= 2 })
 			if how == "stop" {
 				go x.stop()
 			} else {
@@ -179,29 +180,30 @@
 			}
 			up.send(strings.Repeat("\x00", size-size/2))
 			if resp := up.readResponse(); resp.StatusCode != http.StatusOK {
-				t.Errorf("the body: %d", resp.StatusCode)
+				t.Errorf("the upload: %d", resp.StatusCode)
 			}
 			close(release)
 			if got, err := io.ReadAll(down.Body); string(got) != "firstlast" || err != nil {
-				t.Errorf("the answer: %q, %v", got, err)
+				t.Errorf("the download: %q, %v", got, err)
 			}
 		})
 	}
 }
 
-// startEarlyNode starts a node that answers in full after 200 KiB of what is sent, and reads the rest of it or no more.
-func startEarlyNode(t *testing.T, readsOn bool) (address string, stop func()) {
+// startEarlyResponseNode starts a node that sends its whole response after it has read 200 KiB of a request. It then
+// reads the rest of the request only if readsRest is set.
+func startEarlyResponseNode(t *testing.T, readsRest bool) (address string, stop func()) {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
 	done := make(chan struct{})
-	answerEarly := func(c net.Conn) {
+	respondEarly := func(c net.Conn) {
 		defer c.Close()
 		_, _ = io.CopyN(io.Discard, c, 200<<10)
 		fmt.Fprint(c, "HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nearly")
-		if readsOn {
+		if readsRest {
 			_, _ = io.Copy(io.Discard, c)
 		}
 		<-done
@@ -212,7 +214,7 @@
 			if err != nil {
 				return
 			}
-			go answerEarly(c)
+			go respondEarly(c)
 		}
 	}()
 	stop = func() {
@@ -222,15 +224,16 @@
 	return l.Addr().String(), stop
 }
 
-// TestNodeAnswersWhileTheClientSends: a node that answers in full while the client still sends is heard: at the end
-// of the body if it reads on, and once it has taken nothing for a while if it does not.
-func TestNodeAnswersWhileTheClientSends(t *testing.T) {
-	for name, readsOn := range map[string]bool{"and reads on": true, "and reads no more": false} {
+// TestResponseBeforeEndOfRequest: a node sends its whole response while the client still sends the body. The client
+// must get it: at the end of the body if the node reads the rest, and otherwise once the node has read nothing for a
+// while.
+func TestResponseBeforeEndOfRequest(t *testing.T) {
+	for name, readsRest := range map[string]bool{"reads rest": true, "stops reading": false} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			address, stop := startEarlyNode(t, readsOn)
+			address, stop := startEarlyResponseNode(t, readsRest)
 			defer stop()
-			const size = 40 << 20 // more than all sockets on the way hold
+			const size = 40 << 20 // more than the buffers of all sockets on the way hold
 			x := startWithNodes(t, "", "", &scripted.Node{Addr: address})
 			c := x.dial(fmt.Sprintf("POST /u HTTP/1.1\r\nHost: x\r\nContent-Length: %d\r\n\r\n", size))
 			sent := make(chan error, 1)
@@ -242,10 +245,10 @@
 			if body, err := io.ReadAll(resp.Body); resp.StatusCode != http.StatusOK || string(body) != "early" || err != nil {
 				t.Errorf("got %d, %q, %v", resp.StatusCode, body, err)
 			}
-			if err := <-sent; readsOn && (err != nil || resp.Close) {
-				t.Errorf("the body went through: %v, and the connection ends: %v", err, resp.Close)
-			} else if !readsOn && !resp.Close {
-				t.Error("the connection goes on in the middle of a body")
+			if err := <-sent; readsRest && (err != nil || resp.Close) {
+				t.Errorf("sending the body: %v; connection closed: %v", err, resp.Close)
+			} else if !readsRest && !resp.Close {
+				t.Error("the connection stays open in the middle of a body")
 			}
 		})
 	}
--- a/internal/service/subset_size_test.go
+++ b/internal/service/subset_size_test.go
@@ -6,11 +6,12 @@
 	"olivearch/internal/config"
 )
 
-// TestUses: what check tells: few balancers use all nodes; many a few, and more with more traffic.
-func TestUses(t *testing.T) {
+// TestSubsetSize tests the subset size that "olivearch check" prints. A single balancer uses all nodes. Each of many
+// balancers uses a few, and more if the quotas permit more traffic.
+func TestSubsetSize(t *testing.T) {
 	for _, c := range []struct {
-		instances, tenants string
-		nodes, least, most int
+		instances, tenants        string
+		nodes, minNodes, maxNodes int
 	}{
 		{"{count: 1}", "", 100, 100, 100},
 		{"{count: 300, rank: 17}", "", 200, 2, 4},
@@ -26,8 +27,9 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		if n, err := SubsetSize(f.Settings("p"), c.nodes); err != nil || n < c.least || n > c.most {
-			t.Errorf("%s %s: %d of %d nodes, %v; want %d to %d", c.instances, c.tenants, n, c.nodes, err, c.least, c.most)
+		if n, err := SubsetSize(f.Settings("p"), c.nodes); err != nil || n < c.minNodes || n > c.maxNodes {
+			t.Errorf("%s %s: %d of %d nodes, %v; want %d to %d",
+				c.instances, c.tenants, n, c.nodes, err, c.minNodes, c.maxNodes)
 		}
 	}
 }
