--- a/internal/live/view.go
+++ b/internal/live/view.go
@@ -28,7 +28,8 @@
 	FollowerFault   string         `json:"trouble,omitempty"`
 }
 
-// MaxConfirmationAge is the limit of Coordination.AgeMS. An age from here on means that the state was never confirmed.
+// MaxConfirmationAge is the upper limit of Coordination.AgeMS. If the last confirmation seems to be older, there was
+// none.
 const MaxConfirmationAge = 900 * time.Hour
 
 // Listener is the state of a client listener.
--- a/internal/service/endpoint_lists.go
+++ b/internal/service/endpoint_lists.go
@@ -18,7 +18,7 @@
 // initialList is the first endpoint list that a pool gets from a new source.
 type initialList struct {
 	endpoints []endpointlist.Node
-	fileState endpointlist.FileState // of the read, from which on the file is followed
+	fileState endpointlist.FileState // at the time of the read; later changes are followed
 	err       error
 }
 
--- a/internal/service/memory.go
+++ b/internal/service/memory.go
@@ -11,7 +11,7 @@
 const (
 	// heapHeadroom is how far the heap may grow beyond the live heap before a collection starts, in bytes. It
 	// equals the growth that a small configuration gets: maxGCPercent of Go's minimum heap of 4 MiB. The same
-	// percentage of a large live heap would use more memory than is needed to keep collections as rare.
+	// percentage of a large live heap would use more memory than is needed to collect as infrequently.
 	heapHeadroom = 16 << 20
 	// maxGCPercent is the percentage for debug.SetGCPercent if the live heap is minLiveHeap or smaller.
 	maxGCPercent = 400
--- a/internal/service/plan.go
+++ b/internal/service/plan.go
@@ -97,8 +97,8 @@
 	}
 }
 
-// poolSpec returns the specification of a pool, and whether the running pool of this name (old; nil: there is none) has
-// it already. If samePools is set, all pools run already and only the tenant table can differ.
+// poolSpec returns the specification of a pool, and whether the running pool of this name already has it. That pool is
+// old, which is nil if there is none. If samePools is set, all pools run already and only the tenant table can differ.
 func (pl *planner) poolSpec(name string, old *runningPool, samePools bool) (spec pool.Spec, unchanged bool) {
 	if samePools {
 		spec = old.spec
--- a/internal/service/reload_test.go
+++ b/internal/service/reload_test.go
@@ -117,24 +117,24 @@
 	writeEndpoints(t, j, folder, "a.yaml", all[0].Entry("up"))
 	writeEndpoints(t, j, folder, "b.yaml", all[0].Entry("up"))
 	x := startService(t, j, folder, twoPools)
-	taken, err := net.Listen("tcp", "127.0.0.1:0")
+	occupied, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer taken.Close()
-	if err := os.WriteFile(filepath.Join(folder, "torn.yaml"), []byte("nodes: ["), 0o600); err != nil {
+	defer occupied.Close()
+	if err := os.WriteFile(filepath.Join(folder, "invalid.yaml"), []byte("nodes: ["), 0o600); err != nil {
 		t.Fatal(err)
 	}
 	for _, text := range []string{
-		strings.Replace(twoPools, "routes:", "  c: {nodes: {file: torn.yaml}}\nroutes:", 1),
-		strings.Replace(twoPools, "routes:", "  c: {nodes: {file: none.yaml}}\nroutes:", 1),
+		strings.Replace(twoPools, "routes:", "  c: {nodes: {file: invalid.yaml}}\nroutes:", 1),
+		strings.Replace(twoPools, "routes:", "  c: {nodes: {file: missing.yaml}}\nroutes:", 1),
 	} {
 		if err := x.Apply(x.parse(strings.Replace(text, "pool: b}", "pool: c}", 1))); err == nil {
 			t.Error("no error for a list that cannot be read")
 		}
 	}
 	c := x.parse(strings.Replace(twoPools, "pool: b}", "pool: a}", 1))
-	c.Listeners = append(c.Listeners, config.Listener{Name: "second", Address: taken.Addr().String(), Connections: 10})
+	c.Listeners = append(c.Listeners, config.Listener{Name: "second", Address: occupied.Addr().String(), Connections: 10})
 	if err := x.Apply(c); err == nil || !strings.Contains(err.Error(), "second") {
 		t.Errorf("a listener whose address is in use: %v", err)
 	}
@@ -159,14 +159,14 @@
 	err := x.Apply(
 		x.parse(
 			strings.NewReplacer(
-				"  b: {nodes: {file: b.yaml}", "  c: {nodes: {file: none.yaml}}\n  b: {nodes: {file: a.yaml}",
+				"  b: {nodes: {file: b.yaml}", "  c: {nodes: {file: missing.yaml}}\n  b: {nodes: {file: a.yaml}",
 				"name: a,", "name: other,",
 			).
 				Replace(twoPools) +
 				"tenants: {t: {quota: 6}}\n",
 		),
 	)
-	if err == nil || !strings.Contains(err.Error(), "none.yaml") {
+	if err == nil || !strings.Contains(err.Error(), "missing.yaml") {
 		t.Fatalf("got %v", err)
 	}
 	if x.state.Load() != before || x.state.Load().config.Table != routing || x.View().Reloads != view.Reloads ||
