--- a/internal/live/view.go
+++ b/internal/live/view.go
@@ -23,7 +23,7 @@
 	Voters          int            `json:"voters"`
 	VotersReached   int            `json:"up"` // by the leader; 0: not known to this process
 	Revision        uint64         `json:"revision"`
-	AgeMS           int64          `json:"age_ms"` // since a quorum confirmed that the state is the latest; -1: never
+	AgeMS           int64          `json:"age_ms"` // since a quorum confirmed the state as the latest; -1: never
 	OverridesByKind map[string]int `json:"words"`  // number of operators' overrides by kind
 	FollowerFault   string         `json:"trouble,omitempty"`
 }
--- a/internal/service/admin_test.go
+++ b/internal/service/admin_test.go
@@ -126,7 +126,7 @@
 		len(v.Listeners) != 1 {
 		t.Errorf("%+v", v)
 	}
-	if v := x.livePart("nodes=used"); len(v.Pools[0].Nodes) != 2 || len(v.Pools[1].Nodes) != 0 { // pool b uses no node
+	if v := x.livePart("nodes=used"); len(v.Pools[0].Nodes) != 2 || len(v.Pools[1].Nodes) != 0 { // b uses none
 		t.Errorf("%+v", v.Pools)
 	}
 	if status, text := x.getAdmin(
--- a/internal/service/differential_test.go
+++ b/internal/service/differential_test.go
@@ -175,7 +175,7 @@
 				all.Store(path, e)
 				if err := e.run(client, x.url+path); err != nil {
 					t.Errorf(
-						"exchange %s: %s of %d bytes (chunked %v), response %d with %d bytes, framing %s, truncated %v: %v",
+						"%s: %s of %d bytes (chunked %v); %d with %d bytes (%s, truncated %v): %v",
 						path,
 						e.method,
 						len(e.requestBody),
--- a/internal/service/endpoint_lists_test.go
+++ b/internal/service/endpoint_lists_test.go
@@ -120,7 +120,8 @@
 	}
 	waitForList := func(list, draining int) {
 		t.Helper()
-		x.waitForPhases(fmt.Sprintf("p%03d", list), map[string]int{"up": sizes[list] - draining, "draining": draining})
+		x.waitForPhases(fmt.Sprintf("p%03d", list),
+			map[string]int{"up": sizes[list] - draining, "draining": draining})
 	}
 	for i := range sizes {
 		waitForList(i, 0)
@@ -137,12 +138,14 @@
 		for _, drainingIndex := range []int{0, -1, 1} {
 			draining := min(1, 1+drainingIndex)
 			began := time.Now()
-			replaceFile(t, filepath.Join(folder, fmt.Sprintf("p%03d.yaml", list)), listYAML(list, sizes[list], drainingIndex))
+			replaceFile(t, filepath.Join(folder, fmt.Sprintf("p%03d.yaml", list)),
+				listYAML(list, sizes[list], drainingIndex))
 			waitForList(list, draining)
 			took := time.Since(began)
 			t.Logf("list of %d endpoints: change in effect after %v", sizes[list], took)
 			if took > time.Second && drainingIndex >= 0 {
-				t.Errorf("list of %d endpoints: drain in effect after %v, want at most 1 s", sizes[list], took)
+				t.Errorf("list of %d endpoints: drain in effect after %v, want at most 1 s",
+					sizes[list], took)
 			}
 		}
 	}
--- a/internal/service/endpoint_sources_test.go
+++ b/internal/service/endpoint_sources_test.go
@@ -32,7 +32,9 @@
 	if err := os.WriteFile(filepath.Join(folder, "a.yaml"), []byte("nodes: [{addr"), 0o600); err != nil {
 		t.Fatal(err)
 	}
-	x.waitFor("the error of the list", func(live.View) bool { return strings.Contains(x.pool("a").Trouble, "a.yaml:1:") })
+	x.waitFor("the error of the list", func(live.View) bool {
+		return strings.Contains(x.pool("a").Trouble, "a.yaml:1:")
+	})
 	if p := x.pool("a"); len(p.Nodes) != 1 || p.Nodes[0].Phase != "up" {
 		t.Errorf("an invalid list changed the endpoints: %+v", p.Nodes)
 	}
--- a/internal/service/pools_test.go
+++ b/internal/service/pools_test.go
@@ -83,11 +83,14 @@
 			func(live.View) bool { return x.firstNodePhase("a") == "up" && x.firstNodePhase("b") == "up" },
 		)
 		writeEndpoints(t, fleet.NewJudge(0), folder, "a.yaml", all[0].Entry(endpointlist.PhaseDraining), all[1].Entry("up"))
-		x.waitFor("the node drains in pool a", func(live.View) bool { return x.firstNodePhase("a") == "draining" })
+		x.waitFor("the node drains in pool a",
+			func(live.View) bool { return x.firstNodePhase("a") == "draining" })
 		if own {
-			x.waitFor("the node stays up in pool b", func(live.View) bool { return x.firstNodePhase("b") == "up" })
+			x.waitFor("the node stays up in pool b",
+				func(live.View) bool { return x.firstNodePhase("b") == "up" })
 		} else {
-			x.waitFor("the node drains in pool b", func(live.View) bool { return x.firstNodePhase("b") == "draining" })
+			x.waitFor("the node drains in pool b",
+				func(live.View) bool { return x.firstNodePhase("b") == "draining" })
 		}
 		before := all[0].Runs()
 		for i := range 20 {
--- a/internal/service/reload_test.go
+++ b/internal/service/reload_test.go
@@ -134,7 +134,8 @@
 		}
 	}
 	c := x.parse(strings.Replace(twoPools, "pool: b}", "pool: a}", 1))
-	c.Listeners = append(c.Listeners, config.Listener{Name: "second", Address: occupied.Addr().String(), Connections: 10})
+	c.Listeners = append(c.Listeners,
+		config.Listener{Name: "second", Address: occupied.Addr().String(), Connections: 10})
 	if err := x.Apply(c); err == nil || !strings.Contains(err.Error(), "second") {
 		t.Errorf("a listener whose address is in use: %v", err)
 	}
@@ -159,7 +160,8 @@
 	err := x.Apply(
 		x.parse(
 			strings.NewReplacer(
-				"  b: {nodes: {file: b.yaml}", "  c: {nodes: {file: missing.yaml}}\n  b: {nodes: {file: a.yaml}",
+				"  b: {nodes: {file: b.yaml}",
+				"  c: {nodes: {file: missing.yaml}}\n  b: {nodes: {file: a.yaml}",
 				"name: a,", "name: other,",
 			).
 				Replace(twoPools) +
--- a/internal/service/requests_test.go
+++ b/internal/service/requests_test.go
@@ -114,10 +114,12 @@
 	for path, clientMS := range map[string]int{"/long": 300, "/short": 20000} {
 		at := time.Now()
 		resp := x.roundTrip(
-			fmt.Sprintf("POST %s HTTP/1.1\r\nHost: x\r\nX-Deadline-Ms: %d\r\nContent-Length: 0\r\n\r\n", path, clientMS),
+			fmt.Sprintf("POST %s HTTP/1.1\r\nHost: x\r\nX-Deadline-Ms: %d\r\nContent-Length: 0\r\n\r\n",
+				path, clientMS),
 		)
 		if took := time.Since(at); resp.StatusCode < 500 || took > 10*time.Second {
-			t.Errorf("%s with a client deadline of %d ms: %d after %v", path, clientMS, resp.StatusCode, took)
+			t.Errorf("%s with a client deadline of %d ms: %d after %v",
+				path, clientMS, resp.StatusCode, took)
 		}
 	}
 }
@@ -189,15 +191,18 @@
 	for _, long := range []string{"", "11"} {
 		for _, size := range []int{10, 70 << 10, 2 << 20} { // read in full, read ahead, streamed
 			c := x.dial("POST /u HTTP/1.1\r\nHost: x\r\nTransfer-Encoding: chunked\r\nTrailer: X-Sum, X-Long\r\n\r\n")
-			go fmt.Fprintf(c, "%x\r\n%s\r\n0\r\nX-Sum: 7\r\nX-Long: %s\r\n\r\n", size, strings.Repeat("y", size), long)
+			go fmt.Fprintf(c, "%x\r\n%s\r\n0\r\nX-Sum: 7\r\nX-Long: %s\r\n\r\n",
+				size, strings.Repeat("y", size), long)
 			hint := c.readResponse()
 			if hint.StatusCode != http.StatusEarlyHints || hint.Header.Get("Link") != "</a.css>" {
-				t.Fatalf("%d bytes: got %d, %v, want the first hint", size, hint.StatusCode, hint.Header)
+				t.Fatalf("%d bytes: got %d, %v, want the first hint",
+					size, hint.StatusCode, hint.Header)
 			}
 			resp := c.readResponse()
 			got, err := io.ReadAll(resp.Body)
 			if err != nil || len(got) != (1+len(long))*40<<10 || resp.Trailer.Get("X-Sum") != "7" {
-				t.Errorf("%d bytes, %q: got %d bytes, trailer %v, %v", size, long, len(got), resp.Trailer, err)
+				t.Errorf("%d bytes, %q: got %d bytes, trailer %v, %v",
+					size, long, len(got), resp.Trailer, err)
 			}
 			c.Close()
 		}
@@ -263,10 +268,12 @@
 				body, err := io.ReadAll(resp.Body)
 				complete := resp.StatusCode == http.StatusOK && err == nil
 				if complete != (cut == len(nodeResponse)) || (complete && string(body) != "helloyou") {
-					t.Errorf("truncated after %d of %d bytes: %d, %q, %v", cut, len(nodeResponse), resp.StatusCode, body, err)
+					t.Errorf("truncated after %d of %d bytes: %d, %q, %v",
+						cut, len(nodeResponse), resp.StatusCode, body, err)
 				}
 				if runs := len(n.Arrivals); runs != 1 {
-					t.Errorf("truncated after %d bytes: the request was sent %d times, want once", cut, runs)
+					t.Errorf("truncated after %d bytes: the request was sent %d times, want once",
+						cut, runs)
 				}
 			}
 		})
--- a/internal/service/shared_endpoint_test.go
+++ b/internal/service/shared_endpoint_test.go
@@ -44,7 +44,8 @@
 	x.startTraffic(ctx)()
 	shared := all[len(all)-1]
 	if n, _ := shared.Connections(); n > limit || shared.Runs() < 50 {
-		t.Errorf("the shared node had %d connections at once, want at most %d; %d runs", n, limit, shared.Runs())
+		t.Errorf("the shared node had %d connections at once, want at most %d; %d runs",
+			n, limit, shared.Runs())
 	}
 	x.wantNoBreaches()
 }
--- a/internal/service/streams_test.go
+++ b/internal/service/streams_test.go
@@ -94,7 +94,8 @@
 		}
 		<-n.Arrivals
 	}
-	x.waitFor("the utilisation that the node reports", func(v live.View) bool { return v.Pools[0].Nodes[0].Mean > 0.8 })
+	x.waitFor("the utilisation that the node reports",
+		func(v live.View) bool { return v.Pools[0].Nodes[0].Mean > 0.8 })
 	if v := x.pool("p"); v.Nodes[0].Out != 0 || v.Connections < downloads {
 		t.Errorf(
 			"%d requests in flight, %d connections; want none in flight and at least %d connections",
@@ -172,7 +173,8 @@
 			const size = 4 << 20
 			up := x.dial(fmt.Sprintf("POST /u HTTP/1.1\r\nHost: x\r\nConnection: close\r\nContent-Length: %d\r\n\r\n", size))
 			up.send(strings.Repeat("\x00", size/2)) // more than the buffer holds, so it is streamed
-			x.waitFor("both requests have a connection", func(v live.View) bool { return v.Pools[0].Connections >= 2 })
+			x.waitFor("both requests have a connection",
+				func(v live.View) bool { return v.Pools[0].Connections >= 2 })
 			if how == "stop" {
 				go x.stop()
 			} else {
--- a/internal/service/tunnels_test.go
+++ b/internal/service/tunnels_test.go
@@ -84,7 +84,8 @@
 		c := x.dial(upgradeRequest)
 		if resp := c.readResponse(); resp.StatusCode != http.StatusServiceUnavailable ||
 			resp.Header.Get("Retry-After") == "" {
-			t.Errorf("%s: a third tunnel: %d, Retry-After %q", limits, resp.StatusCode, resp.Header.Get("Retry-After"))
+			t.Errorf("%s: a third tunnel: %d, Retry-After %q",
+				limits, resp.StatusCode, resp.Header.Get("Retry-After"))
 		}
 		c = x.dial("GET /a HTTP/1.1\r\nHost: x\r\n\r\n")
 		if resp := c.readResponse(); resp.StatusCode != http.StatusOK {
