--- a/cmd/olivearch-coordinator/main.go
+++ b/cmd/olivearch-coordinator/main.go
@@ -114,7 +114,7 @@
 		fmt.Fprintf(out, "%s: well: voter %s of %d, at %s\n",
 			path, settings.Name, len(settings.Voters), settings.Listen)
 	}
-	return errors.Join(append(errs, config.AgreeVoters(valid))...)
+	return errors.Join(append(errs, config.CheckVotersAgree(valid))...)
 }
 
 // recoverFolder makes one server's folder that of a new cluster, after a majority has been lost for good.
--- a/cmd/olivearch/check.go
+++ b/cmd/olivearch/check.go
@@ -32,7 +32,7 @@
 			c.checkService(path)
 		}
 	}
-	c.errs = append(c.errs, config.AgreeVoters(c.voters))
+	c.errs = append(c.errs, config.CheckVotersAgree(c.voters))
 	return errors.Join(c.errs...)
 }
 
@@ -112,8 +112,8 @@
 		"about %d MiB of memory with all pools in use and no request, %d MiB while a new process reads the file; "+
 		"%d descriptors at rest, %d at most\n",
 		cost.Pools, cost.Nodes, cost.Routes, cost.Tenants,
-		mebibytes(cost.Resident), mebibytes(cost.Reading),
-		cost.AtRest, cost.AtMost)
+		mebibytes(cost.ResidentBytes), mebibytes(cost.ReadingBytes),
+		cost.IdleDescriptors, cost.MaxDescriptors)
 }
 
 // mebibytes returns a number of bytes in MiB, rounded up.
--- a/internal/body/download.go
+++ b/internal/body/download.go
@@ -64,7 +64,7 @@
 		source:        c,
 		framing:       f,
 		limits:        limits,
-		body:          c.Body(f, limits.Answer),
+		body:          c.Body(f, limits.MaxResponseBytes),
 		forwarded:     make(chan error, 1),
 		parts:         make(chan part, 1),
 		abandoned:     make(chan struct{}),
@@ -193,7 +193,7 @@
 	if next.err != nil {
 		return next.err
 	}
-	return d.setReadTimeout(d.limits.Quiet)
+	return d.setReadTimeout(d.limits.StallTimeout)
 }
 
 // finishStreaming returns the error that Receive returns for a streamed response: nil if the response is complete.
--- a/internal/body/download_copy.go
+++ b/internal/body/download_copy.go
@@ -37,7 +37,7 @@
 func (d *Download) forward(client net.Conn) error {
 	started := time.Now()
 	for {
-		if err := d.setReadTimeout(d.limits.Quiet); err != nil {
+		if err := d.setReadTimeout(d.limits.StallTimeout); err != nil {
 			return err
 		}
 		if err := d.body.Wait(); err != nil && !errors.Is(err, io.EOF) {
@@ -96,5 +96,5 @@
 
 // exceedsTotal reports whether the response takes longer than its route allows.
 func (d *Download) exceedsTotal(started time.Time) bool {
-	return d.limits.Total > 0 && time.Since(started) > d.limits.Total
+	return d.limits.DownloadTimeout > 0 && time.Since(started) > d.limits.DownloadTimeout
 }
--- a/internal/body/limits.go
+++ b/internal/body/limits.go
@@ -11,12 +11,12 @@
 
 // Limits are the limits of the bodies of one route.
 type Limits struct {
-	Request int64         // largest request body in bytes
-	Ahead   int           // bytes of a request body that are read ahead into the spool before an attempt
-	Within  time.Duration // longest time for streaming a request body
-	Answer  int64         // largest response body in bytes
-	Quiet   time.Duration // longest time without a byte from the upstream in the middle of a response
-	Total   time.Duration // longest time for streaming a response; 0: no limit
+	MaxRequestBytes  int64         // largest request body in bytes
+	ReadAheadBytes   int           // bytes of a request body that are read ahead into the spool before an attempt
+	UploadTimeout    time.Duration // longest time for streaming a request body
+	MaxResponseBytes int64         // largest response body in bytes
+	StallTimeout     time.Duration // longest time without a byte from the upstream in the middle of a response
+	DownloadTimeout  time.Duration // longest time for streaming a response; 0: no limit
 
 	Trailers bool // whether trailers are forwarded
 }
@@ -31,9 +31,9 @@
 
 // DefaultLimits are the limits of messages that set none.
 var DefaultLimits = Limits{
-	Request: 48 << 20,
-	Ahead:   1 << 20,
-	Within:  5 * time.Minute,
-	Answer:  48 << 20,
-	Quiet:   30 * time.Second,
+	MaxRequestBytes:  48 << 20,
+	ReadAheadBytes:   1 << 20,
+	UploadTimeout:    5 * time.Minute,
+	MaxResponseBytes: 48 << 20,
+	StallTimeout:     30 * time.Second,
 }
--- a/internal/body/tunnel.go
+++ b/internal/body/tunnel.go
@@ -56,7 +56,7 @@
 	return tunnel
 }
 
-// markEnded closes the channel of Done and calls the callbacks that Ended has registered.
+// markEnded closes the channel of Done and calls the callbacks that OnEnd has registered.
 func (t *Tunnel) markEnded() {
 	close(t.done)
 	t.mu.Lock()
@@ -76,13 +76,13 @@
 	t.mu.Unlock()
 	if t.limits.Total > 0 {
 		timer := time.AfterFunc(t.limits.Total, t.Close)
-		t.Ended(func() { timer.Stop() })
+		t.OnEnd(func() { timer.Stop() })
 	}
 }
 
-// Ended registers a callback for the end of the tunnel. It calls the callback at once if the tunnel has ended. It
+// OnEnd registers a callback for the end of the tunnel. It calls the callback at once if the tunnel has ended. It
 // starts no goroutine.
-func (t *Tunnel) Ended(callback func()) {
+func (t *Tunnel) OnEnd(callback func()) {
 	t.mu.Lock()
 	ended := t.ended
 	if !ended {
--- a/internal/body/upload.go
+++ b/internal/body/upload.go
@@ -72,7 +72,7 @@
 
 // ReadAhead reads the body into blocks until it is complete, its limit is reached or the spool has no free memory.
 func (u *Upload) ReadAhead(src *http1.Body) error {
-	for range u.limits.Ahead / BlockSize {
+	for range u.limits.ReadAheadBytes / BlockSize {
 		if !u.spool.reserve(BlockSize) {
 			break
 		}
--- a/internal/body/upload_send.go
+++ b/internal/body/upload_send.go
@@ -61,7 +61,7 @@
 	var sent int64
 	var waited time.Duration // spent waiting for the client
 	for {
-		if time.Since(started) > u.limits.Within || u.tooSlow(sent, waited) {
+		if time.Since(started) > u.limits.UploadTimeout || u.tooSlow(sent, waited) {
 			return ClientError{ErrClientTooSlow}
 		}
 		partSent, partWaited, err := u.sendPart(upstream)
--- a/internal/capacity/hollow/hollow.go
+++ b/internal/capacity/hollow/hollow.go
@@ -157,7 +157,7 @@
 // large is from how many bytes of a configuration on service.FinishConfigLoad collects what reading it took.
 const large = 256 << 10
 
-func (b *balancer) readMuch() bool { return b.config != nil && b.config.Read() >= large }
+func (b *balancer) readMuch() bool { return b.config != nil && b.config.BytesRead() >= large }
 
 func (b *balancer) start() error {
 	c, err := config.Load(b.file)
--- a/internal/config/check_classes.go
+++ b/internal/config/check_classes.go
@@ -21,7 +21,7 @@
 	}
 	for name, class := range k.Classes {
 		path := "classes." + name
-		strictyaml.Fill(&class.Repeat, "unsafe")
+		strictyaml.SetDefault(&class.Repeat, "unsafe")
 		if class.Worth == nil {
 			class.Worth = new(1.0)
 		}
@@ -43,7 +43,7 @@
 	case !known:
 		k.Fail(path+".repeat", "%q is none of safe, keyed and unsafe", class.Repeat)
 	case class.Repeat == "keyed":
-		strictyaml.Fill(&class.Group, "all")
+		strictyaml.SetDefault(&class.Group, "all")
 		if _, ok := keyScopes[class.Group]; !ok {
 			k.Fail(path+".group", "%q is none of all, zone and cell", class.Group)
 		}
@@ -79,11 +79,11 @@
 // rules checks the drain and slow-start rules.
 func (k *checker) rules() {
 	rules := &k.Rules
-	strictyaml.Fill(&rules.DrainGrace, Duration(time.Second))
-	strictyaml.Fill(&rules.ColdFrom, 0.33)
-	strictyaml.Fill(&rules.RampTime, Duration(9*time.Second))
-	strictyaml.Fill(&rules.TipMultiple, 3)
-	strictyaml.Fill(&rules.TipAfter, Duration(1500*time.Millisecond))
+	strictyaml.SetDefault(&rules.DrainGrace, Duration(time.Second))
+	strictyaml.SetDefault(&rules.ColdFrom, 0.33)
+	strictyaml.SetDefault(&rules.RampTime, Duration(9*time.Second))
+	strictyaml.SetDefault(&rules.TipMultiple, 3)
+	strictyaml.SetDefault(&rules.TipAfter, Duration(1500*time.Millisecond))
 	if rules.ColdFrom == 0 || !isWithin(rules.ColdFrom, 0, 1) {
 		k.Fail("rules.cold_from", "cold_from must be over 0 and at most 1")
 	}
--- a/internal/config/check_limits.go
+++ b/internal/config/check_limits.go
@@ -39,7 +39,7 @@
 		path := listenerPath(i)
 		listener := &k.Listeners[i]
 		address, ok := k.address(path+".address", listener.Address)
-		strictyaml.Fill(&listener.Name, listener.Address)
+		strictyaml.SetDefault(&listener.Name, listener.Address)
 		if ok && addresses[address.String()] {
 			k.Fail(path+".address", "two listeners have the address %s", address)
 		}
@@ -69,9 +69,9 @@
 // limits checks the limits of the process, its rank among the instances, and the limits of each listener.
 func (k *checker) limits() {
 	limits := &k.Limits
-	strictyaml.Fill(&limits.Memory, defaultMemory)
-	strictyaml.Fill(&limits.Descriptors, defaultDescriptors)
-	strictyaml.Fill(&limits.NodeConnections, 64)
+	strictyaml.SetDefault(&limits.Memory, defaultMemory)
+	strictyaml.SetDefault(&limits.Descriptors, defaultDescriptors)
+	strictyaml.SetDefault(&limits.NodeConnections, 64)
 	if limits.Memory < minMemory {
 		k.Fail("limits.memory", "at least 32MiB are needed")
 	}
@@ -81,12 +81,12 @@
 	if limits.NodeConnections < 1 {
 		k.Fail("limits.node_connections", "node_connections must be over 0")
 	}
-	strictyaml.Fill(&k.Instances.Count, 1)
+	strictyaml.SetDefault(&k.Instances.Count, 1)
 	rank := k.Instances.Rank
 	if k.Instances.Count < 1 || rank < 0 || rank >= k.Instances.Count {
 		k.Fail("instances", "rank must be from 0 to count - 1")
 	}
-	strictyaml.Fill(&limits.Bodies, limits.Memory/8)
+	strictyaml.SetDefault(&limits.Bodies, limits.Memory/8)
 	if limits.Bodies < 0 || limits.Bodies >= limits.Memory {
 		k.Fail("limits.bodies", "bodies must not be negative, and must be less than limits.memory")
 	}
@@ -97,10 +97,10 @@
 
 // listenerLimits checks the limits of one listener.
 func (k *checker) listenerLimits(path string, listener *Listener) {
-	strictyaml.Fill(&listener.Connections, max(1, k.Limits.Descriptors/2/len(k.Listeners)))
-	strictyaml.Fill(&listener.Head, 16<<10)
-	strictyaml.Fill(&listener.Within, Duration(10*time.Second))
-	strictyaml.Fill(&listener.Rate, 8<<10)
+	strictyaml.SetDefault(&listener.Connections, max(1, k.Limits.Descriptors/2/len(k.Listeners)))
+	strictyaml.SetDefault(&listener.Head, 16<<10)
+	strictyaml.SetDefault(&listener.Within, Duration(10*time.Second))
+	strictyaml.SetDefault(&listener.Rate, 8<<10)
 	if listener.Head < minHead || listener.Head > maxHead {
 		k.Fail(path+".head", "head must be from 1KiB to 64KiB")
 	}
--- a/internal/config/check_routes.go
+++ b/internal/config/check_routes.go
@@ -107,7 +107,7 @@
 	if !known {
 		k.Fail(path+".class", "%s", unknownName("class", r.Class, slices.Collect(maps.Keys(k.Classes))))
 	}
-	strictyaml.Fill(&r.Deadline, class.Deadline)
+	strictyaml.SetDefault(&r.Deadline, class.Deadline)
 	r.Deadline = min(r.Deadline, class.Deadline)
 	if r.RequestClass != "" && r.RequestClass != r.Class {
 		k.Fail(path+".request_class", "request_class %q and class %q must be the same",
@@ -117,12 +117,12 @@
 
 // routeLimits checks the limits of a route's requests and responses.
 func (k *checker) routeLimits(path string, r *Route) {
-	strictyaml.Fill(&r.KeyCookie, "obj")
-	strictyaml.Fill(&r.Body.Max, 1<<30)
-	strictyaml.Fill(&r.Body.Buffer, 1<<20)
-	strictyaml.Fill(&r.Body.Within, Duration(time.Hour))
-	strictyaml.Fill(&r.Answer.Max, 1<<40)
-	strictyaml.Fill(&r.Answer.Idle, Duration(30*time.Second))
+	strictyaml.SetDefault(&r.KeyCookie, "obj")
+	strictyaml.SetDefault(&r.Body.Max, 1<<30)
+	strictyaml.SetDefault(&r.Body.Buffer, 1<<20)
+	strictyaml.SetDefault(&r.Body.Within, Duration(time.Hour))
+	strictyaml.SetDefault(&r.Answer.Max, 1<<40)
+	strictyaml.SetDefault(&r.Answer.Idle, Duration(30*time.Second))
 	if r.Body.Buffer > k.Limits.Bodies {
 		k.Fail(path+".body.buffer", "%d MiB for one request, more than limits.bodies for all requests, which is %d MiB",
 			r.Body.Buffer>>20, k.Limits.Bodies>>20)
--- a/internal/config/comparison_test.go
+++ b/internal/config/comparison_test.go
@@ -111,7 +111,7 @@
 		t.Fatalf("parseChanges and parseWhole (%v) differ: %s\n%s\n--- from\n%s",
 			wantErr, firstDifference(changed, want), text, before.source.text)
 	}
-	if changed.SamePools(before) {
+	if changed.HasSamePoolSettings(before) {
 		checkSamePools(t, before, changed)
 	}
 	return reparsed{next: changed, byChanges: true, diagnosed: diagnosis != nil}
--- a/internal/config/cost.go
+++ b/internal/config/cost.go
@@ -20,31 +20,31 @@
 
 // Cost is the estimated resource use of a configuration.
 type Cost struct {
-	Pools, Nodes, Routes, Tenants int
-	Resident                      int64 // bytes of memory with all pools in use and without requests
-	Reading                       int64 // maximum bytes of memory while a new process reads the file
-	AtRest, AtMost                int   // descriptors without clients, and with all connections of listeners and pools
+	Pools, Nodes, Routes, Tenants   int
+	ResidentBytes                   int64 // bytes of memory with all pools in use and without requests
+	ReadingBytes                    int64 // maximum bytes of memory while a new process reads the file
+	IdleDescriptors, MaxDescriptors int   // descriptors without clients, and with all connections of listeners and pools
 }
 
 // Cost estimates the resource use of the configuration with a number of nodes in all its endpoint lists together.
 func (c *Loaded) Cost(nodes int) Cost {
 	cost := Cost{
 		Pools: len(c.Pools), Nodes: nodes, Routes: c.Table.Len(), Tenants: c.Tenants.Len(),
-		Reading: processBytes + readingBytes(c.source != nil, c.fileSize),
-		AtRest:  descriptorsAtRest + len(c.Listeners),
-		AtMost:  reservedDescriptors,
+		ReadingBytes:    processBytes + readingBytes(c.source != nil, c.fileSize),
+		IdleDescriptors: descriptorsAtRest + len(c.Listeners),
+		MaxDescriptors:  reservedDescriptors,
 	}
-	cost.Resident = cost.residentBytes(c.fileSize)
+	cost.ResidentBytes = cost.residentBytes(c.fileSize)
 	if c.Admin != nil {
-		cost.AtRest++
+		cost.IdleDescriptors++
 	}
 	for _, listener := range c.Listeners {
-		cost.AtMost += listener.Connections
+		cost.MaxDescriptors += listener.Connections
 	}
 	for _, pool := range c.Pools {
-		cost.AtMost += pool.Connections
+		cost.MaxDescriptors += pool.Connections
 		if pool.Nodes.Discovery != "" {
-			cost.AtRest++
+			cost.IdleDescriptors++
 		}
 	}
 	return cost
@@ -61,16 +61,16 @@
 	return total
 }
 
-// CheckCapacity returns a strictyaml.Error at limits.memory if that is less than the memory that the configuration
+// CheckMemory returns a strictyaml.Error at limits.memory if that is less than the memory that the configuration
 // needs with a number of nodes in all its endpoint lists together.
-func (c *Loaded) CheckCapacity(nodes int) error {
+func (c *Loaded) CheckMemory(nodes int) error {
 	cost := c.Cost(nodes)
-	if cost.Resident <= int64(c.Limits.Memory) {
+	if cost.ResidentBytes <= int64(c.Limits.Memory) {
 		return nil
 	}
 	err := c.memoryLimitError
 	err.Text = fmt.Sprintf("%d pools, %d nodes, %d routes and %d tenants take about %d MiB without any request, "+
 		"more than the %d MiB of limits.memory", cost.Pools, cost.Nodes, cost.Routes, cost.Tenants,
-		roundedUpMiB(cost.Resident), c.Limits.Memory>>20)
+		roundedUpMiB(cost.ResidentBytes), c.Limits.Memory>>20)
 	return err
 }
--- a/internal/config/loaded.go
+++ b/internal/config/loaded.go
@@ -37,16 +37,16 @@
 // pointer have the same settings. The struct has a field because pointers to distinct zero-size values may be equal.
 type settingsIdentity struct{ _ byte }
 
-// SamePools reports whether c is known to have the same pool settings as another configuration, except for the tenants.
-// That is known only if c was reloaded from the other by parsing just the changes; for configurations that were parsed
-// independently the result is false.
-func (c *Loaded) SamePools(other *Loaded) bool {
+// HasSamePoolSettings reports whether c is known to have the same pool settings as another configuration, except for
+// the tenants. That is known only if c was reloaded from the other by parsing just the changes; for configurations that
+// were parsed independently the result is false.
+func (c *Loaded) HasSamePoolSettings(other *Loaded) bool {
 	return other != nil && c.poolSettings == other.poolSettings
 }
 
-// Read returns how many bytes of the file were parsed for the configuration. The rest was taken over from the
+// BytesRead returns how many bytes of the file were parsed for the configuration. The rest was taken over from the
 // configuration that it was reloaded from.
-func (c *Loaded) Read() int { return c.bytesRead }
+func (c *Loaded) BytesRead() int { return c.bytesRead }
 
 // newLoaded returns an empty configuration for a text that is yet to be parsed.
 func newLoaded(path string, text []byte, memoryLimitAt strictyaml.Position) *Loaded {
--- a/internal/config/promises.go
+++ b/internal/config/promises.go
@@ -50,7 +50,7 @@
 		path += "."
 	}
 	checkVoters(doc, path+"voters", p.Voters)
-	strictyaml.Fill(&p.Within, Duration(time.Second))
+	strictyaml.SetDefault(&p.Within, Duration(time.Second))
 	if p.Within < minWithin || p.Within > maxWithin {
 		doc.Fail(path+"within", "within must be from 50ms to 30s")
 	}
--- a/internal/config/promises_test.go
+++ b/internal/config/promises_test.go
@@ -50,7 +50,7 @@
 			"one has the voters",
 		},
 	} {
-		err := AgreeVoters(map[string]*Voter{"1.yaml": a, "2.yaml": c.other})
+		err := CheckVotersAgree(map[string]*Voter{"1.yaml": a, "2.yaml": c.other})
 		if (err == nil) != (c.want == "") || (err != nil && !strings.Contains(err.Error(), c.want)) {
 			t.Errorf("%v, want %q", err, c.want)
 		}
--- a/internal/config/reload.go
+++ b/internal/config/reload.go
@@ -45,12 +45,12 @@
 	case invalid && c.allowsReadingWhole(text):
 		return parseWhole(path, text)
 	}
-	return parse(path, text, c.Cost(0).Resident)
+	return parse(path, text, c.Cost(0).ResidentBytes)
 }
 
 // allowsReadingWhole reports whether limits.memory allows parsing a text as a whole while c is in force.
 func (c *Loaded) allowsReadingWhole(text []byte) bool {
-	need := memoryNeed{limit: c.Limits.Memory, inUse: c.Cost(0).Resident, textSize: len(text)}
+	need := memoryNeed{limit: c.Limits.Memory, inUse: c.Cost(0).ResidentBytes, textSize: len(text)}
 	return need.check() == nil
 }
 
--- a/internal/config/reload_test.go
+++ b/internal/config/reload_test.go
@@ -233,7 +233,8 @@
 			t.Errorf("%s: parsed incrementally: %v, invalid: %v", x.name, next != nil, invalid)
 		}
 		next, err := c.reparse("/c/c.yaml", []byte(x.text))
-		if err != nil || len(next.Pools) != x.pools || next.SamePools(c) || next.Read() < len(x.text) {
+		if err != nil || len(next.Pools) != x.pools || next.HasSamePoolSettings(c) ||
+			next.BytesRead() < len(x.text) {
 			t.Errorf("%s: %v", x.name, err)
 			continue
 		}
--- a/internal/config/sections.go
+++ b/internal/config/sections.go
@@ -66,7 +66,7 @@
 			position = doc.At("limits.memory")
 		}
 	}
-	strictyaml.Fill(&file.Limits.Memory, defaultMemory)
+	strictyaml.SetDefault(&file.Limits.Memory, defaultMemory)
 	return file.Limits.Memory, position
 }
 
--- a/internal/config/voter.go
+++ b/internal/config/voter.go
@@ -70,7 +70,7 @@
 	if err := doc.Err(); err != nil {
 		return nil, err
 	}
-	if !strictyaml.Plain(voter.Name) {
+	if !strictyaml.IsPlainName(voter.Name) {
 		doc.Fail("name", "a name of letters, digits and hyphens is wanted, at most 64 characters")
 	}
 	checkVoters(doc, "voters", voter.Voters)
@@ -81,7 +81,7 @@
 	} else {
 		voter.Folder = absolute(voter.Folder, filepath.Dir(path))
 	}
-	strictyaml.Fill(&voter.ReplaceAfter, Duration(10*time.Second))
+	strictyaml.SetDefault(&voter.ReplaceAfter, Duration(10*time.Second))
 	if voter.ReplaceAfter < minReplaceAfter {
 		doc.Fail("replace_after", "replace_after must be at least 2s: shorter silences are normal for a newly elected voter")
 	}
@@ -109,7 +109,7 @@
 	if !ok {
 		doc.Fail("name", "%s", unknownName("voter", v.Name, slices.Collect(maps.Keys(v.Voters))))
 	}
-	strictyaml.Fill(&v.Listen, own)
+	strictyaml.SetDefault(&v.Listen, own)
 	address, err := netip.ParseAddrPort(v.Listen)
 	switch {
 	case err != nil:
@@ -128,7 +128,7 @@
 	names := map[netip.AddrPort]string{}
 	for _, name := range slices.Sorted(maps.Keys(voters)) {
 		voterPath := path + "." + name
-		if !strictyaml.Plain(name) {
+		if !strictyaml.IsPlainName(name) {
 			doc.Fail(voterPath, "a name of letters, digits and hyphens is wanted, at most 64 characters")
 		}
 		address, err := netip.ParseAddrPort(voters[name])
@@ -143,9 +143,9 @@
 	}
 }
 
-// AgreeVoters checks the files of several voters, by path, against each other. Two voters must not have the same folder
-// or name, and all must have the same names in their lists of voters.
-func AgreeVoters(files map[string]*Voter) error {
+// CheckVotersAgree checks the files of several voters, by path, against each other. Two voters must not have the same
+// folder or name, and all must have the same names in their lists of voters.
+func CheckVotersAgree(files map[string]*Voter) error {
 	var errs []error
 	pathByFolder := map[string]string{}
 	pathByName := map[string]string{}
--- a/internal/coordination/client/fields.go
+++ b/internal/coordination/client/fields.go
@@ -19,7 +19,7 @@
 // writeMembers writes each member as a field with the given number.
 func writeMembers(w *protomsg.Writer, number protomsg.Number, members []state.Member) {
 	for _, member := range members {
-		w.Message(number, member.Write)
+		w.Message(number, member.EncodeFields)
 	}
 }
 
@@ -29,7 +29,7 @@
 		return fmt.Errorf("%w: more than %d members", protomsg.ErrMalformed, maxMembers)
 	}
 	var member state.Member
-	err := protomsg.EachField(field.Raw, member.Read)
+	err := protomsg.EachField(field.Raw, member.DecodeField)
 	*members = append(*members, member)
 	return err
 }
--- a/internal/coordination/membership/change.go
+++ b/internal/coordination/membership/change.go
@@ -33,8 +33,8 @@
 
 // Timeouts are the configured durations of silence after which members are replaced or removed.
 type Timeouts struct {
-	ReplaceAfter time.Duration // a voter that is silent for this long may be replaced
-	LearnerIdle  time.Duration // a learner that is silent for longer is removed
+	ReplaceAfter       time.Duration // a voter that is silent for this long may be replaced
+	RemoveLearnerAfter time.Duration // a learner that is silent for longer is removed
 }
 
 // NextChange returns the next change, and for each joining voter, by id, a human-readable reason why it has to wait.
@@ -57,11 +57,11 @@
 	return change, waitReasons
 }
 
-// planLearnerRemoval plans to remove a learner that is no longer admitted, has been silent for longer than LearnerIdle,
-// or has lost its disk again, so that a new incarnation of it wants to join.
+// planLearnerRemoval plans to remove a learner that is no longer admitted, has been silent for longer than
+// RemoveLearnerAfter, or has lost its disk again, so that a new incarnation of it wants to join.
 func (v View) planLearnerRemoval(timeouts Timeouts) Change {
 	for _, learner := range v.learners() {
-		isIdle := learner.silentFor() > timeouts.LearnerIdle
+		isIdle := learner.silentFor() > timeouts.RemoveLearnerAfter
 		isSuperseded := v.hasNewIncarnation(learner) && learner.silentFor() > aliveTimeout
 		if !v.isAdmitted(learner.Name) || isIdle || isSuperseded {
 			return Change{Kind: RemoveMember, ReplacedID: learner.ID}
@@ -71,7 +71,7 @@
 }
 
 // hasNewIncarnation reports whether a process with the member's name and another id wants to join.
-func (v View) hasNewIncarnation(member Peer) bool {
+func (v View) hasNewIncarnation(member MemberStatus) bool {
 	return slices.ContainsFunc(v.JoiningVoters, func(joining JoiningVoter) bool {
 		return joining.Name == member.Name && joining.ID != member.ID
 	})
@@ -114,7 +114,7 @@
 		if voter.ID != v.Self {
 			return Change{Kind: RemoveMember, ReplacedID: voter.ID}
 		}
-		successor := slices.MinFunc(others, func(a, b Peer) int { return cmp.Compare(a.SinceContact, b.SinceContact) })
+		successor := slices.MinFunc(others, func(a, b MemberStatus) int { return cmp.Compare(a.SinceContact, b.SinceContact) })
 		return Change{Kind: TransferLeadership, Member: successor.Member}
 	}
 	return Change{}
--- a/internal/coordination/membership/change_test.go
+++ b/internal/coordination/membership/change_test.go
@@ -9,18 +9,18 @@
 	"olivearch/internal/coordination/state"
 )
 
-var testTimeouts = Timeouts{ReplaceAfter: 10 * time.Second, LearnerIdle: time.Minute}
+var testTimeouts = Timeouts{ReplaceAfter: 10 * time.Second, RemoveLearnerAfter: time.Minute}
 
 // viewOfFive returns the view of leader a in a cluster of five live voters, a to e, with the ids 1 to 5. Each of peers
 // replaces the voter with its id, or is a further member if there is none.
-func viewOfFive(peers ...Peer) View {
+func viewOfFive(peers ...MemberStatus) View {
 	view := View{Self: 1, Admitted: map[string]string{}, CommitIndex: 1000, FeatureLevel: 1}
 	for i, name := range []string{"a", "b", "c", "d", "e"} {
 		view.Members = append(view.Members, voter(uint64(i+1), name))
 		view.Admitted[name] = name
 	}
 	for _, peer := range peers {
-		i := slices.IndexFunc(view.Members, func(member Peer) bool { return member.ID == peer.ID })
+		i := slices.IndexFunc(view.Members, func(member MemberStatus) bool { return member.ID == peer.ID })
 		if i < 0 {
 			view.Members = append(view.Members, peer)
 		} else {
@@ -31,19 +31,19 @@
 }
 
 // voter returns a voter that is alive and has the complete log.
-func voter(id uint64, name string) Peer {
+func voter(id uint64, name string) MemberStatus {
 	member := state.Member{ID: id, Name: name}
-	return Peer{Member: member, SinceAdded: time.Hour, MatchIndex: 1000, Level: 1}
+	return MemberStatus{Member: member, SinceAdded: time.Hour, MatchIndex: 1000, Level: 1}
 }
 
-func silentVoter(id uint64, name string) Peer {
+func silentVoter(id uint64, name string) MemberStatus {
 	peer := voter(id, name)
 	peer.SinceContact = time.Hour
 	return peer
 }
 
 // newerVoter returns a voter whose version knows feature level 2.
-func newerVoter(id uint64, name string) Peer {
+func newerVoter(id uint64, name string) MemberStatus {
 	peer := voter(id, name)
 	peer.Level = 2
 	return peer
@@ -53,7 +53,7 @@
 var (
 	joiningB       = JoiningVoter{VoterReport: VoterReport{Name: "b", ID: 22, Level: 1}, Address: "addr"}
 	learnerMemberB = state.Member{ID: 22, Name: "b", Learner: true}
-	learnerB       = Peer{Member: learnerMemberB, SinceAdded: time.Hour, MatchIndex: 1000, Level: 1}
+	learnerB       = MemberStatus{Member: learnerMemberB, SinceAdded: time.Hour, MatchIndex: 1000, Level: 1}
 
 	addLearnerB = Change{
 		Kind:   AddLearner,
@@ -63,7 +63,7 @@
 
 type changeCase struct {
 	name         string
-	peers        []Peer // see viewOfFive
+	peers        []MemberStatus // see viewOfFive
 	joining      []JoiningVoter
 	admitted     string // admitted in addition to a to e; empty: none
 	notAdmitted  string // one of a to e that is no longer admitted; empty: none
@@ -84,13 +84,13 @@
 	},
 	{
 		name:    "the voter with the name of the joining one has been silent for long",
-		peers:   []Peer{silentVoter(2, "b")},
+		peers:   []MemberStatus{silentVoter(2, "b")},
 		joining: []JoiningVoter{joiningB},
 		want:    addLearnerB,
 	},
 	{
 		name: "a new leader has not received a message from the voter yet",
-		peers: []Peer{{
+		peers: []MemberStatus{{
 			Member:       state.Member{ID: 2, Name: "b"},
 			SinceContact: time.Hour,
 			SinceAdded:   time.Second,
@@ -102,7 +102,7 @@
 	},
 	{
 		name: "declared lost",
-		peers: []Peer{{
+		peers: []MemberStatus{{
 			Member:       state.Member{ID: 2, Name: "b"},
 			SinceContact: 3 * time.Second,
 			SinceAdded:   time.Hour,
@@ -115,7 +115,7 @@
 	},
 	{
 		name: "declared lost, but alive",
-		peers: []Peer{{
+		peers: []MemberStatus{{
 			Member:       state.Member{ID: 2, Name: "b"},
 			SinceAdded:   time.Hour,
 			MatchIndex:   1000,
@@ -132,14 +132,14 @@
 	},
 	{
 		name:         "the version of the joining voter is below the feature level",
-		peers:        []Peer{silentVoter(2, "b")},
+		peers:        []MemberStatus{silentVoter(2, "b")},
 		joining:      []JoiningVoter{joiningB},
 		featureLevel: 2,
 		wantReason:   "knows level 1",
 	},
 	{
 		name: "a learner with another name exists",
-		peers: []Peer{
+		peers: []MemberStatus{
 			silentVoter(2, "b"),
 			{Member: state.Member{ID: 33, Name: "c", Learner: true}, SinceAdded: time.Hour},
 		},
@@ -151,25 +151,25 @@
 var learnerCases = []changeCase{
 	{
 		name:  "the learner has caught up",
-		peers: []Peer{silentVoter(2, "b"), learnerB},
+		peers: []MemberStatus{silentVoter(2, "b"), learnerB},
 		want:  Change{Kind: ReplaceVoter, Member: learnerMemberB, ReplacedID: 2},
 	},
 	{
 		name:  "the learner has not caught up",
-		peers: []Peer{silentVoter(2, "b"), {Member: learnerMemberB, SinceAdded: time.Hour, MatchIndex: 500, Level: 1}},
+		peers: []MemberStatus{silentVoter(2, "b"), {Member: learnerMemberB, SinceAdded: time.Hour, MatchIndex: 500, Level: 1}},
 	},
 	{
 		name:     "another change is in progress",
-		peers:    []Peer{silentVoter(2, "b"), learnerB},
+		peers:    []MemberStatus{silentVoter(2, "b"), learnerB},
 		changing: true,
 	},
 	{
 		name:  "no quorum is alive",
-		peers: []Peer{silentVoter(2, "b"), silentVoter(3, "c"), silentVoter(4, "d"), learnerB},
+		peers: []MemberStatus{silentVoter(2, "b"), silentVoter(3, "c"), silentVoter(4, "d"), learnerB},
 	},
 	{
 		name: "the learner has lost its disk again",
-		peers: []Peer{{
+		peers: []MemberStatus{{
 			Member:       learnerMemberB,
 			SinceContact: 5 * time.Second,
 			SinceAdded:   time.Hour,
@@ -180,8 +180,10 @@
 		want:    Change{Kind: RemoveMember, ReplacedID: 22},
 	},
 	{
-		name:  "the leader has just added the learner and received no message from it yet",
-		peers: []Peer{{Member: learnerMemberB, SinceContact: time.Hour, SinceAdded: time.Second, Level: 1}},
+		name: "the leader has just added the learner and received no message from it yet",
+		peers: []MemberStatus{
+			{Member: learnerMemberB, SinceContact: time.Hour, SinceAdded: time.Second, Level: 1},
+		},
 	},
 }
 
@@ -198,7 +200,7 @@
 	},
 	{
 		name:        "a voter is no longer admitted, but no quorum of the others is alive",
-		peers:       []Peer{silentVoter(2, "b"), silentVoter(4, "d"), silentVoter(5, "e")},
+		peers:       []MemberStatus{silentVoter(2, "b"), silentVoter(4, "d"), silentVoter(5, "e")},
 		notAdmitted: "c",
 	},
 	{
@@ -212,7 +214,7 @@
 	},
 	{
 		name: "all members know a higher feature level",
-		peers: []Peer{
+		peers: []MemberStatus{
 			newerVoter(1, "a"),
 			newerVoter(2, "b"),
 			newerVoter(3, "c"),
@@ -223,7 +225,7 @@
 	},
 	{
 		name: "one member does not know the higher feature level",
-		peers: []Peer{
+		peers: []MemberStatus{
 			newerVoter(1, "a"),
 			newerVoter(2, "b"),
 			newerVoter(3, "c"),
--- a/internal/coordination/membership/quorum_test.go
+++ b/internal/coordination/membership/quorum_test.go
@@ -36,7 +36,7 @@
 	}
 	if rng.IntN(2) == 0 {
 		name := view.Members[rng.IntN(5)].Name
-		view.Members = append(view.Members, Peer{
+		view.Members = append(view.Members, MemberStatus{
 			Member:       state.Member{ID: 50, Name: name, Learner: true},
 			MatchIndex:   uint64(900 + rng.IntN(101)),
 			SinceContact: silences[rng.IntN(3)],
@@ -76,9 +76,9 @@
 }
 
 // votersAfter returns the voters after a change.
-func votersAfter(view View, change Change) []Peer {
+func votersAfter(view View, change Change) []MemberStatus {
 	givesVote := change.Kind == ReplaceVoter || change.Kind == PromoteLearner
-	var voters []Peer
+	var voters []MemberStatus
 	for _, member := range view.Members {
 		staysVoter := !member.Learner && member.ID != change.ReplacedID
 		becomesVoter := givesVote && member.ID == change.Member.ID
@@ -89,7 +89,7 @@
 	return voters
 }
 
-func countAlive(members []Peer) int {
+func countAlive(members []MemberStatus) int {
 	alive := 0
 	for _, member := range members {
 		if member.SinceContact <= aliveTimeout {
--- a/internal/coordination/membership/view.go
+++ b/internal/coordination/membership/view.go
@@ -9,8 +9,8 @@
 
 // View is what the leader knows about the members and the processes that want to join.
 type View struct {
-	Self          uint64 // the leader's id
-	Members       []Peer // voters and learners
+	Self          uint64         // the leader's id
+	Members       []MemberStatus // voters and learners
 	JoiningVoters []JoiningVoter
 	Admitted      map[string]string // name -> address of servers that may vote
 	CommitIndex   uint64            // index of the last committed log entry
@@ -18,8 +18,8 @@
 	FeatureLevel  uint32            // the cluster's feature level
 }
 
-// Peer is a member as the leader sees it.
-type Peer struct {
+// MemberStatus is a member as the leader sees it.
+type MemberStatus struct {
 	state.Member
 	SinceContact time.Duration // time since the leader last received a message from it; 0 for the leader itself
 	SinceAdded   time.Duration // time for which the leader has known it as a member and could receive from it
@@ -44,9 +44,9 @@
 
 // silentFor returns how long the leader has received nothing from a member. The time before the leader could receive
 // from the member does not count.
-func (p Peer) silentFor() time.Duration { return min(p.SinceContact, p.SinceAdded) }
+func (p MemberStatus) silentFor() time.Duration { return min(p.SinceContact, p.SinceAdded) }
 
-func (p Peer) isAlive() bool { return p.SinceContact <= aliveTimeout }
+func (p MemberStatus) isAlive() bool { return p.SinceContact <= aliveTimeout }
 
 func (v View) isAdmitted(name string) bool {
 	_, admitted := v.Admitted[name]
@@ -54,13 +54,13 @@
 }
 
 // voters returns the members with a vote.
-func (v View) voters() []Peer { return v.filterMembers(false) }
+func (v View) voters() []MemberStatus { return v.filterMembers(false) }
 
 // learners returns the members without a vote.
-func (v View) learners() []Peer { return v.filterMembers(true) }
+func (v View) learners() []MemberStatus { return v.filterMembers(true) }
 
-func (v View) filterMembers(learner bool) []Peer {
-	var members []Peer
+func (v View) filterMembers(learner bool) []MemberStatus {
+	var members []MemberStatus
 	for _, member := range v.Members {
 		if member.Learner == learner {
 			members = append(members, member)
@@ -83,7 +83,7 @@
 }
 
 // hasQuorum reports whether a majority of the voters is alive.
-func hasQuorum(voters []Peer) bool {
+func hasQuorum(voters []MemberStatus) bool {
 	alive := 0
 	for _, voter := range voters {
 		if voter.isAlive() {
@@ -94,16 +94,16 @@
 }
 
 // indexOfName returns the index of the first member with a name, or -1.
-func indexOfName(members []Peer, name string) int {
-	return slices.IndexFunc(members, func(member Peer) bool { return member.Name == name })
+func indexOfName(members []MemberStatus, name string) int {
+	return slices.IndexFunc(members, func(member MemberStatus) bool { return member.Name == name })
 }
 
 // withoutMember returns a copy of members without the member at index.
-func withoutMember(members []Peer, index int) []Peer {
+func withoutMember(members []MemberStatus, index int) []MemberStatus {
 	return slices.Delete(slices.Clone(members), index, index+1)
 }
 
 // withMember returns a copy of members with added appended.
-func withMember(members []Peer, added Peer) []Peer {
+func withMember(members []MemberStatus, added MemberStatus) []MemberStatus {
 	return append(slices.Clone(members), added)
 }
--- a/internal/coordination/server/membership.go
+++ b/internal/coordination/server/membership.go
@@ -106,8 +106,8 @@
 }
 
 // peer returns the leader's view of a member. The member's log is known to match the leader's up to matchIndex.
-func (t *membershipTracker) peer(member state.Member, matchIndex uint64, now time.Time) membership.Peer {
-	peer := membership.Peer{
+func (t *membershipTracker) peer(member state.Member, matchIndex uint64, now time.Time) membership.MemberStatus {
+	peer := membership.MemberStatus{
 		Member:       member,
 		MatchIndex:   matchIndex,
 		Level:        t.levels[member.ID],
@@ -155,7 +155,7 @@
 	if c.state.NextExpiry() <= c.leadership.clock.at(now) {
 		c.proposeInternal(&state.AdvanceClock{})
 	}
-	timeouts := membership.Timeouts{ReplaceAfter: c.ReplaceAfter, LearnerIdle: learnerIdleTimeout}
+	timeouts := membership.Timeouts{ReplaceAfter: c.ReplaceAfter, RemoveLearnerAfter: learnerIdleTimeout}
 	change, waitReasons := membership.NextChange(c.membershipView(now), timeouts)
 	for id, voter := range c.members.joining {
 		voter.waitReason = waitReasons[id]
--- a/internal/coordination/state/codec_members.go
+++ b/internal/coordination/state/codec_members.go
@@ -42,16 +42,16 @@
 	fieldMemberLearner = 4
 )
 
-// Write appends the fields of a member to a message.
-func (m *Member) Write(w *protomsg.Writer) {
+// EncodeFields appends the fields of a member to a message.
+func (m *Member) EncodeFields(w *protomsg.Writer) {
 	w.Uint(fieldMemberID, m.ID)
 	w.String(fieldMemberName, m.Name)
 	w.String(fieldMemberAddress, m.Address)
 	w.Bool(fieldMemberLearner, m.Learner)
 }
 
-// Read decodes one field of a member and skips an unknown one. The error wraps protomsg.ErrMalformed.
-func (m *Member) Read(field protomsg.Field) error {
+// DecodeField decodes one field of a member and skips an unknown one. The error wraps protomsg.ErrMalformed.
+func (m *Member) DecodeField(field protomsg.Field) error {
 	switch field.Number {
 	case fieldMemberID:
 		m.ID = field.Uint
@@ -65,8 +65,8 @@
 	return nil
 }
 
-func (c *RegisterMember) encode(w *protomsg.Writer)         { c.Write(w) }
-func (c *RegisterMember) decode(field protomsg.Field) error { return c.Read(field) }
+func (c *RegisterMember) encode(w *protomsg.Writer)         { c.EncodeFields(w) }
+func (c *RegisterMember) decode(field protomsg.Field) error { return c.DecodeField(field) }
 
 const fieldUnregisterMemberID = 1
 
--- a/internal/coordination/state/codec_state.go
+++ b/internal/coordination/state/codec_state.go
@@ -51,7 +51,7 @@
 		writer.Message(fieldStateAdmittedVoter, voter.encode)
 	}
 	for _, member := range s.Members() {
-		writer.Message(fieldStateMember, member.Write)
+		writer.Message(fieldStateMember, member.EncodeFields)
 	}
 }
 
@@ -110,7 +110,7 @@
 
 func (s *State) decodeMember(encoded []byte) error {
 	var member Member
-	if err := protomsg.EachField(encoded, member.Read); err != nil {
+	if err := protomsg.EachField(encoded, member.DecodeField); err != nil {
 		return err
 	}
 	s.members[member.ID] = member
--- a/internal/faulttest/script/check.go
+++ b/internal/faulttest/script/check.go
@@ -86,29 +86,29 @@
 }
 
 func (k checker) whole() {
-	if !strictyaml.Plain(k.Name) {
+	if !strictyaml.IsPlainName(k.Name) {
 		k.Fail("name", "a name of letters, digits and hyphens is wanted, at most 64 characters")
 	}
-	strictyaml.Fill(&k.Seed, 1)
-	k.Within("seed", float64(k.Seed), 1, 1<<53)
+	strictyaml.SetDefault(&k.Seed, 1)
+	k.InRange("seed", float64(k.Seed), 1, 1<<53)
 	k.span("length", k.Length, 100*time.Millisecond, maxLength)
-	k.Within("relay", k.Relay, 0, 1e9)
-	k.Within("peers.count", float64(k.Peers.Count), 0, 20)
-	strictyaml.Fill(&k.Peers.Rate, 20)
-	k.Within("peers.rate", k.Peers.Rate, 0.1, 1000)
+	k.InRange("relay", k.Relay, 0, 1e9)
+	k.InRange("peers.count", float64(k.Peers.Count), 0, 20)
+	strictyaml.SetDefault(&k.Peers.Rate, 20)
+	k.InRange("peers.rate", k.Peers.Rate, 0.1, 1000)
 }
 
 func (k checker) balancers() {
 	b := &k.Balancers
-	strictyaml.Fill(&b.Memory, 64<<20)
-	strictyaml.Fill(&b.Descriptors, 512)
-	strictyaml.Fill(&b.Known, "last")
-	strictyaml.Fill(&b.Run, "platform")
-	k.Within("balancers.count", float64(b.Count), 1, maxCount)
-	k.Within("balancers.descriptors", float64(b.Descriptors), 64, 20000)
-	k.Within("balancers.memory", float64(b.Memory>>20), 16, 1<<14)
-	k.One("balancers.known", "kind of list", b.Known, "last", "first", "none")
-	k.One("balancers.run", "way to run", b.Run, "platform", "serve")
+	strictyaml.SetDefault(&b.Memory, 64<<20)
+	strictyaml.SetDefault(&b.Descriptors, 512)
+	strictyaml.SetDefault(&b.Known, "last")
+	strictyaml.SetDefault(&b.Run, "platform")
+	k.InRange("balancers.count", float64(b.Count), 1, maxCount)
+	k.InRange("balancers.descriptors", float64(b.Descriptors), 64, 20000)
+	k.InRange("balancers.memory", float64(b.Memory>>20), 16, 1<<14)
+	k.OneOf("balancers.known", "kind of list", b.Known, "last", "first", "none")
+	k.OneOf("balancers.run", "way to run", b.Run, "platform", "serve")
 	if len(b.Zones) == 0 {
 		b.Zones = []string{"z0"}
 	}
@@ -116,17 +116,17 @@
 
 func (k checker) nodes() {
 	n := &k.Nodes
-	strictyaml.Fill(&n.Cores, 2)
-	strictyaml.Fill(&n.Queue, 64)
-	strictyaml.Fill(&n.Reports, config.Duration(300*time.Millisecond))
-	strictyaml.Fill(&n.ColdFrom, 0.33)
-	strictyaml.Fill(&n.RampTime, config.Duration(9*time.Second))
-	strictyaml.Fill(&n.TipMultiple, 3)
-	strictyaml.Fill(&n.TipAfter, config.Duration(1500*time.Millisecond))
-	k.Within("nodes.count", float64(n.Count), 1, maxCount)
-	k.Within("nodes.cores", float64(n.Cores), 1, 1000)
-	k.Within("nodes.cold_from", n.ColdFrom, 0.01, 1)
-	k.Within("nodes.tip_multiple", n.TipMultiple, 1, 1000)
+	strictyaml.SetDefault(&n.Cores, 2)
+	strictyaml.SetDefault(&n.Queue, 64)
+	strictyaml.SetDefault(&n.Reports, config.Duration(300*time.Millisecond))
+	strictyaml.SetDefault(&n.ColdFrom, 0.33)
+	strictyaml.SetDefault(&n.RampTime, config.Duration(9*time.Second))
+	strictyaml.SetDefault(&n.TipMultiple, 3)
+	strictyaml.SetDefault(&n.TipAfter, config.Duration(1500*time.Millisecond))
+	k.InRange("nodes.count", float64(n.Count), 1, maxCount)
+	k.InRange("nodes.cores", float64(n.Cores), 1, 1000)
+	k.InRange("nodes.cold_from", n.ColdFrom, 0.01, 1)
+	k.InRange("nodes.tip_multiple", n.TipMultiple, 1, 1000)
 	if len(n.Zones) == 0 {
 		n.Zones = k.Balancers.Zones
 	}
@@ -134,9 +134,9 @@
 	k.span("nodes.reports", n.Reports, time.Millisecond, time.Minute)
 	k.span("nodes.ramp_time", n.RampTime, time.Millisecond, time.Hour)
 	k.span("nodes.tip_after", n.TipAfter, time.Millisecond, time.Minute)
-	strictyaml.Fill(&k.List.Notice, config.Duration(500*time.Millisecond))
-	strictyaml.Fill(&k.List.Answers, 1)
-	k.Within("list.answers", k.List.Answers, 0.001, 1)
+	strictyaml.SetDefault(&k.List.Notice, config.Duration(500*time.Millisecond))
+	strictyaml.SetDefault(&k.List.Answers, 1)
+	k.InRange("list.answers", k.List.Answers, 0.001, 1)
 	k.span("list.notice", k.List.Notice, 0, time.Minute)
 }
 
@@ -145,38 +145,38 @@
 	if v.Count == 0 {
 		return
 	}
-	strictyaml.Fill(&v.ReplaceAfter, config.Duration(2*time.Second))
-	strictyaml.Fill(&v.Clients, 6)
-	strictyaml.Fill(&v.Rate, 20)
+	strictyaml.SetDefault(&v.ReplaceAfter, config.Duration(2*time.Second))
+	strictyaml.SetDefault(&v.Clients, 6)
+	strictyaml.SetDefault(&v.Rate, 20)
 	if n := v.Count; n != 1 && n != 3 && n != 5 && n != 7 {
 		k.Fail("voters.count", "1, 3, 5 or 7 voters")
 	}
-	k.Within("voters.copies", float64(v.Copies), 0, float64(v.Count))
-	k.Within("voters.clients", float64(v.Clients), 1, 200)
-	k.Within("voters.rate", v.Rate, 0.01, 1000)
-	k.Within("voters.flood", float64(v.Flood), 0, 1000)
+	k.InRange("voters.copies", float64(v.Copies), 0, float64(v.Count))
+	k.InRange("voters.clients", float64(v.Clients), 1, 200)
+	k.InRange("voters.rate", v.Rate, 0.01, 1000)
+	k.InRange("voters.flood", float64(v.Flood), 0, 1000)
 	k.span("voters.replace_after", v.ReplaceAfter, 2*time.Second, time.Hour)
 	if v.Plant != "" {
-		k.One("voters.plant", "breach", v.Plant, "early", "amnesia", "unfenced", "unsynced")
+		k.OneOf("voters.plant", "breach", v.Plant, "early", "amnesia", "unfenced", "unsynced")
 	}
 }
 
 func (k checker) load() {
 	l := &k.Load
-	strictyaml.Fill(&l.Repeat, "unsafe")
-	strictyaml.Fill(&l.Work, config.Duration(20*time.Millisecond))
-	strictyaml.Fill(&l.Aim, config.Duration(250*time.Millisecond))
-	strictyaml.Fill(&l.Deadline, config.Duration(750*time.Millisecond))
-	k.Within("load.rate", l.Rate, 0.01, 1e5)
-	k.One("load.repeat", "class", l.Repeat, "unsafe", "keyed", "safe")
+	strictyaml.SetDefault(&l.Repeat, "unsafe")
+	strictyaml.SetDefault(&l.Work, config.Duration(20*time.Millisecond))
+	strictyaml.SetDefault(&l.Aim, config.Duration(250*time.Millisecond))
+	strictyaml.SetDefault(&l.Deadline, config.Duration(750*time.Millisecond))
+	k.InRange("load.rate", l.Rate, 0.01, 1e5)
+	k.OneOf("load.repeat", "class", l.Repeat, "unsafe", "keyed", "safe")
 	k.span("load.work", l.Work, 100*time.Microsecond, time.Minute)
 	k.span("load.aim", l.Aim, time.Millisecond, time.Minute)
 	k.span("load.deadline", l.Deadline, time.Duration(l.Aim), time.Minute)
 	if len(l.Heavy.Of) > 0 || l.Heavy.Times != 0 {
 		k.picks("load.heavy.of", l.Heavy.Of, Balancer)
-		k.Within("load.heavy.times", l.Heavy.Times, 0.01, 1000)
+		k.InRange("load.heavy.times", l.Heavy.Times, 0.01, 1000)
 	}
-	k.Within("load.retries", float64(l.Retries), 0, 10)
+	k.InRange("load.retries", float64(l.Retries), 0, 10)
 }
 
 // kind is what a fault of that kind wants.
@@ -194,19 +194,19 @@
 			k.Fail(at, "slow wants a delay or a jitter")
 		}
 	}},
-	"throttle": {link: true, needs: func(k checker, at string, x *Fault) { k.Within(at+".rate", float64(x.Rate), 1, 1e10) }},
+	"throttle": {link: true, needs: func(k checker, at string, x *Fault) { k.InRange(at+".rate", float64(x.Rate), 1, 1e10) }},
 	"reset":    {link: true, needs: share}, "half-close": {link: true, needs: share},
 	"lossy": {link: true, needs: func(k checker, at string, x *Fault) {
-		k.Within(at+".loss", x.Loss, 0, 1)
-		k.Within(at+".twice", x.Twice, 0, 1)
-		k.Within(at+".reorder", x.Reorder, 0, 1)
+		k.InRange(at+".loss", x.Loss, 0, 1)
+		k.InRange(at+".twice", x.Twice, 0, 1)
+		k.InRange(at+".reorder", x.Reorder, 0, 1)
 		if x.Loss+x.Twice+x.Reorder == 0 {
 			k.Fail(at, "lossy wants loss, twice or reorder")
 		}
 	}},
 	"break":        {link: true},
 	"kill":         {of: []string{Balancer, Peer, Voter}},
-	"kill-on-send": {of: []string{Balancer}, needs: func(k checker, at string, x *Fault) { k.Within(at+".count", float64(x.Count), 1, 1e6) }},
+	"kill-on-send": {of: []string{Balancer}, needs: func(k checker, at string, x *Fault) { k.InRange(at+".count", float64(x.Count), 1, 1e6) }},
 	"stop":         {of: []string{Balancer, Peer, Voter}},
 	"terminate":    {of: []string{Balancer, Voter}},
 	"lose":         {of: []string{Balancer, Voter}},
@@ -217,7 +217,7 @@
 		}
 	}},
 	"disk": {of: []string{Balancer, Voter}, needs: func(k checker, at string, x *Fault) {
-		k.One(at+".disk", "disk fault", x.Disk, "full", "error", "slow", "torn")
+		k.OneOf(at+".disk", "disk fault", x.Disk, "full", "error", "slow", "torn")
 	}},
 	"crash": {of: []string{Node}}, "drain": {of: []string{Node}}, "stall": {of: []string{Node}},
 	"word": {of: []string{Node}, needs: func(k checker, at string, x *Fault) {
@@ -225,13 +225,13 @@
 			k.Fail(at, "staff speak through the ledger, and there are no voters")
 		}
 	}},
-	"slow-node": {of: []string{Node}, needs: func(k checker, at string, x *Fault) { k.Within(at+".factor", x.Factor, 1, 1e4) }},
+	"slow-node": {of: []string{Node}, needs: func(k checker, at string, x *Fault) { k.InRange(at+".factor", x.Factor, 1, 1e4) }},
 	"list-old":  {}, "list-down": {}, "list-silent": {}, "list-reset": {},
 	"list-answers": {needs: share},
 	"list-split":   {of: []string{Node}},
 }
 
-func share(k checker, at string, x *Fault) { k.Within(at+".share", x.Share, 0.0001, 1) }
+func share(k checker, at string, x *Fault) { k.InRange(at+".share", x.Share, 0.0001, 1) }
 
 func (k checker) fault(at string, x *Fault) {
 	var names []string
@@ -240,20 +240,20 @@
 	}
 	what, known := kinds[x.Kind]
 	if !known {
-		k.One(at+".kind", "fault", x.Kind, names...)
+		k.OneOf(at+".kind", "fault", x.Kind, names...)
 		return
 	}
 	if x.At > k.Length {
 		k.Fail(at+".at", "it comes after the end of the load")
 	}
-	k.Within(at+".times", float64(x.Times), 0, maxTimes)
+	k.InRange(at+".times", float64(x.Times), 0, maxTimes)
 	if x.Times > 1 && (x.Every <= x.For || x.For == 0) {
 		k.Fail(at+".every", "a fault that comes again ends before: every is longer than for")
 	} else if last := x.At + x.Every*config.Duration(max(0, x.Times-1)); last > k.Length {
 		k.Fail(at+".times", "the last of them comes after the end of the load")
 	}
-	strictyaml.Fill(&x.Way, "both")
-	k.One(at+".way", "way", x.Way, "both", "there", "back")
+	strictyaml.SetDefault(&x.Way, "both")
+	k.OneOf(at+".way", "way", x.Way, "both", "there", "back")
 	if what.link {
 		k.picks(at+".from", x.From, Clients, Balancer, Peer, Voter)
 		k.picks(at+".to", x.To, Balancer, Node, ListService, Peer, Voter)
@@ -320,7 +320,7 @@
 	}
 	for i, b := range k.Bounds {
 		at := fmt.Sprintf("bounds[%d]", i)
-		k.One(at+".figure", "figure", b.Figure, names...)
+		k.OneOf(at+".figure", "figure", b.Figure, names...)
 		if b.Most == nil && b.Least == nil {
 			k.Fail(at, "a bound wants most, least or both")
 		}
--- a/internal/frontend/limits.go
+++ b/internal/frontend/limits.go
@@ -19,20 +19,20 @@
 
 // Limits are the limits for the clients of a listener.
 type Limits struct {
-	Connections int           // largest number of connections
-	Head        int           // largest head of a request in bytes
-	Within      time.Duration // time to receive a request, plus the time that its body takes at Rate
-	Rate        int           // minimum rate of a body in bytes per second; a slower one is rejected
-	Floor       bool          // whether Rate also applies to streamed bodies
-	HTTP10      bool          // whether HTTP/1.0 is served
+	Connections    int           // largest number of connections
+	MaxHeadBytes   int           // largest head of a request in bytes
+	RequestTimeout time.Duration // time to receive a request, plus the time that its body takes at MinBodyRate
+	MinBodyRate    int           // minimum rate of a body in bytes per second; a slower one is rejected
+	Floor          bool          // whether MinBodyRate also applies to streamed bodies
+	HTTP10         bool          // whether HTTP/1.0 is served
 }
 
 // DefaultLimits returns the default limits, with the given number of connections.
 func DefaultLimits(connections int) Limits {
 	return Limits{
-		Connections: connections,
-		Head:        http1.MaxHead,
-		Within:      requestTimeout,
-		Rate:        defaultMinBodyRate,
+		Connections:    connections,
+		MaxHeadBytes:   http1.MaxHead,
+		RequestTimeout: requestTimeout,
+		MinBodyRate:    defaultMinBodyRate,
 	}
 }
--- a/internal/frontend/reader.go
+++ b/internal/frontend/reader.go
@@ -17,7 +17,7 @@
 	go s.writeResponses(client, quit)
 	pending := false
 	for {
-		client.Limit(int64(s.limits.Load().Head))
+		client.Limit(int64(s.limits.Load().MaxHeadBytes))
 		err := client.Wait()
 		if pending {
 			if isTimeout(err) && client.waitWithoutDeadline() {
@@ -98,8 +98,8 @@
 		return connectionEnds
 	}
 	limits := s.limits.Load()
-	client.conn.requestDeadline = time.Now().Add(limits.Within)
-	client.conn.minBodyRate = limits.Rate
+	client.conn.requestDeadline = time.Now().Add(limits.RequestTimeout)
+	client.conn.minBodyRate = limits.MinBodyRate
 	exchange, header, err := s.readRequest(client)
 	client.conn.requestDeadline = time.Time{}
 	if err != nil {
--- a/internal/frontend/request.go
+++ b/internal/frontend/request.go
@@ -144,11 +144,11 @@
 	}
 	notEmpty := framing.Chunked || framing.Length > 0
 	switch {
-	case framing.Length > uint64(message.BodyLimits().Request):
+	case framing.Length > uint64(message.BodyLimits().MaxRequestBytes):
 		err = errBodyTooLarge
-	case !hasBody && message.Bodied:
+	case !hasBody && message.HasBodyFraming:
 		err = &Rejection{http.StatusLengthRequired, "a Content-Length or chunks are wanted"}
-	case notEmpty && !message.Bodied:
+	case notEmpty && !message.HasBodyFraming:
 		err = BadRequest("%s with a body", method)
 	}
 	return framing, hasBody, err
@@ -176,7 +176,7 @@
 func (s *Server) readBody(client *clientConn, request *pool.Request, framing http1.Framing) error {
 	message := &request.Message
 	limits := message.BodyLimits()
-	source := client.Body(framing, limits.Request)
+	source := client.Body(framing, limits.MaxRequestBytes)
 	client.conn.extendForBody(bufferedBodyBytes)
 	var err error
 	message.Body, err = source.ReadUpTo(bufferedBodyBytes)
@@ -185,14 +185,17 @@
 		return err
 	}
 	upload := body.NewUpload(&s.spool, client.conn, framing, limits)
-	client.conn.extendForBody(limits.Ahead)
+	client.conn.extendForBody(limits.ReadAheadBytes)
 	if err := upload.ReadAhead(source); err != nil {
 		upload.Release()
 		return err
 	}
 	upload.ResolveLength(len(message.Body))
 	if serverLimits := s.limits.Load(); serverLimits.Floor {
-		upload.SetMinRate(body.MinRate{BytesPerSecond: serverLimits.Rate, Grace: serverLimits.Within})
+		upload.SetMinRate(body.MinRate{
+			BytesPerSecond: serverLimits.MinBodyRate,
+			Grace:          serverLimits.RequestTimeout,
+		})
 	}
 	message.Upload = upload
 	return nil
--- a/internal/frontend/server.go
+++ b/internal/frontend/server.go
@@ -61,9 +61,9 @@
 // Listener returns the listener on which connections are accepted.
 func (s *Server) Listener() net.Listener { return s.listener }
 
-// Limit changes the limits. If more connections are open than the new limit allows, they stay open, and each new
+// SetLimits changes the limits. If more connections are open than the new limit allows, they stay open, and each new
 // connection evicts one of them.
-func (s *Server) Limit(limits Limits) { s.limits.Store(&limits) }
+func (s *Server) SetLimits(limits Limits) { s.limits.Store(&limits) }
 
 // Connections returns the number of open connections and its limit.
 func (s *Server) Connections() (open, limit int) {
--- a/internal/override/local.go
+++ b/internal/override/local.go
@@ -17,7 +17,7 @@
 
 // PutBack ends the local override of an upstream, however often TakeOut was called. It reports whether there was one.
 func (t *Table) PutBack(id string, now time.Duration) bool {
-	if !t.OutLocally(id) {
+	if !t.OutOfServiceLocally(id) {
 		return false
 	}
 	t.setLocal(id, false, now)
@@ -40,8 +40,8 @@
 	t.local[id] = Entry{Out: out, At: max(int64(now), t.local[id].At+1)}
 }
 
-// OutLocally reports whether a local override takes an upstream out of service.
-func (t *Table) OutLocally(id string) bool { return t.local[id].Out }
+// OutOfServiceLocally reports whether a local override takes an upstream out of service.
+func (t *Table) OutOfServiceLocally(id string) bool { return t.local[id].Out }
 
 // putBackLocallyAt returns when PutBack last ended a local override, as Unix time; 0 if that is not remembered or the
 // upstream is out.
--- a/internal/override/local_test.go
+++ b/internal/override/local_test.go
@@ -11,7 +11,7 @@
 	var table Table
 	want := func(id string, out bool, putBackAt time.Duration) {
 		t.Helper()
-		gotOut, gotPutBackAt := table.OutLocally(id), table.putBackLocallyAt(id)
+		gotOut, gotPutBackAt := table.OutOfServiceLocally(id), table.putBackLocallyAt(id)
 		if gotOut != out || gotPutBackAt != putBackAt {
 			t.Errorf("%s: out %v, put back at %v, want %v, %v", id, gotOut, gotPutBackAt, out, putBackAt)
 		}
@@ -53,8 +53,9 @@
 	y.Merge(fromX)
 	for _, table := range []*Table{&x, &y} {
 		for id, out := range map[string]bool{"a": false, "b": true, "c": true, "d": false} {
-			if table.OutLocally(id) != out {
-				t.Errorf("%s: out %v, want %v: %+v", id, table.OutLocally(id), out, table.Entries())
+			if table.OutOfServiceLocally(id) != out {
+				t.Errorf("%s: out %v, want %v: %+v",
+					id, table.OutOfServiceLocally(id), out, table.Entries())
 			}
 		}
 	}
--- a/internal/override/shared_test.go
+++ b/internal/override/shared_test.go
@@ -60,7 +60,7 @@
 
 	// After its local override is released, a stays out by the shared one.
 	table.ReleaseLocal("a", 3)
-	if table.OutLocally("a") {
+	if table.OutOfServiceLocally("a") {
 		t.Error("a is still out locally")
 	}
 	wantOut("a", "y", true)
--- a/internal/override/table.go
+++ b/internal/override/table.go
@@ -32,7 +32,7 @@
 
 // OutOfService reports whether a local or a shared override takes an upstream of a zone out of service.
 func (t *Table) OutOfService(id, zone string) bool {
-	return t.OutLocally(id) || t.shared.WholePool || t.shared.Upstreams[id] || t.shared.Zones[zone]
+	return t.OutOfServiceLocally(id) || t.shared.WholePool || t.shared.Upstreams[id] || t.shared.Zones[zone]
 }
 
 // PutBackAt returns when an upstream of a zone was last put back, by the clearing of a local or a shared override, as
@@ -65,7 +65,7 @@
 // cleared in the meantime, the upstream is put back now.
 func (t *Table) ReleaseLocal(id string, now time.Duration) {
 	switch {
-	case !t.OutLocally(id):
+	case !t.OutOfServiceLocally(id):
 	case t.shared.Upstreams[id]:
 		delete(t.local, id)
 	default:
--- a/internal/pool/loop.go
+++ b/internal/pool/loop.go
@@ -91,11 +91,11 @@
 	l.fullResponses = spec.FullResponses
 	l.tunnelLimits = spec.Tunnels
 	l.connections.transport = upstream.HTTP1{
-		ConnectTimeout: spec.Links.ConnectTimeout,
+		ConnectTimeout: spec.ConnectionSettings.ConnectTimeout,
 		FullResponses:  spec.FullResponses,
 	}
 	l.connections.max = spec.MaxConnections
-	l.connections.idleTimeout = max(spec.Links.KeepAlive-idleMargin, spec.Links.KeepAlive/2)
+	l.connections.idleTimeout = max(spec.ConnectionSettings.KeepAlive-idleMargin, spec.ConnectionSettings.KeepAlive/2)
 	l.connections.delayOnlyAfterUnsolicited = spec.ReuseDelayOnlyAfterUnsolicited
 }
 
--- a/internal/pool/manual_loop_test.go
+++ b/internal/pool/manual_loop_test.go
@@ -31,7 +31,7 @@
 		Discovery:        "127.0.0.1:9",
 		MaxConnections:   400,
 		InitialEndpoints: &discovery.Listing{},
-		Links: wire.ConnectionSettings{
+		ConnectionSettings: wire.ConnectionSettings{
 			KeepAlive:      time.Minute,
 			ConnectTimeout: 500 * time.Millisecond,
 		},
@@ -133,7 +133,7 @@
 	request.Client = client
 	request.Class = class
 	request.Message.RequestLine = "POST /" + class
-	request.Message.Bodied = true
+	request.Message.HasBodyFraming = true
 	request.Message.Header = requestIDHeader(name)
 	h.accept(request)
 	return request
--- a/internal/pool/overrides.go
+++ b/internal/pool/overrides.go
@@ -30,7 +30,7 @@
 }
 
 func (e outOfServiceRequested) apply(l *loop) {
-	if !l.isListed(e.endpointName) && !l.overrides.OutLocally(e.endpointName) {
+	if !l.isListed(e.endpointName) && !l.overrides.OutOfServiceLocally(e.endpointName) {
 		e.done <- fmt.Errorf("there is no upstream %.40q", e.endpointName)
 		return
 	}
--- a/internal/pool/request.go
+++ b/internal/pool/request.go
@@ -119,7 +119,7 @@
 	request.deadline = request.ReceivedAt + request.Budget
 	request.Budget = max(0, request.deadline-now)
 	if request.Message.Upload.Streaming() { // the budget starts at the last byte, which has not arrived
-		request.deadline = now + request.Message.BodyLimits().Within
+		request.deadline = now + request.Message.BodyLimits().UploadTimeout
 		request.BodyStreaming = true
 	}
 }
--- a/internal/pool/running_pool_test.go
+++ b/internal/pool/running_pool_test.go
@@ -15,7 +15,7 @@
 	spec.Discovery = ""
 	spec.InitialEndpoints = nil
 	spec.MaxRequests = 1000
-	spec.Links.KeepAlive = 200 * time.Millisecond
+	spec.ConnectionSettings.KeepAlive = 200 * time.Millisecond
 	spec.Settings.PollDiscovery = false
 	spec.Settings.SuspendWhenIdle = true
 	return spec
--- a/internal/pool/spec.go
+++ b/internal/pool/spec.go
@@ -10,10 +10,10 @@
 
 // Spec configures a pool. Name, Seed, InitialEndpoints and EndpointStore apply only when the pool is created.
 type Spec struct {
-	Name     string
-	Settings balancer.Settings
-	Links    wire.ConnectionSettings
-	Seed     uint64 // of the balancer's random number generator
+	Name               string
+	Settings           balancer.Settings
+	ConnectionSettings wire.ConnectionSettings
+	Seed               uint64 // of the balancer's random number generator
 
 	// InitialEndpoints is the last list that was received before this start, which may be stale; nil: none.
 	InitialEndpoints *discovery.Listing
--- a/internal/pool/stats_test.go
+++ b/internal/pool/stats_test.go
@@ -76,7 +76,7 @@
 func checkRandomSteps(t *testing.T, server *scripted.Node, rng *rand.Rand, created, dormant *atomic.Int64) {
 	spec := suspendableSpec()
 	spec.MaxEndpointAge = time.Hour
-	spec.Links.KeepAlive = time.Hour
+	spec.ConnectionSettings.KeepAlive = time.Hour
 	spec.Settings.Rules.SlowStartDuration = 50 * time.Millisecond
 	p := startPool(t, spec, time.Hour, nil)
 	p.setEndpoints(randomList(rng, server)...)
@@ -194,7 +194,7 @@
 func TestShortWaitWithoutEvents(t *testing.T) {
 	server := startServer(t)
 	spec := suspendableSpec()
-	spec.Links.KeepAlive = time.Hour
+	spec.ConnectionSettings.KeepAlive = time.Hour
 	p := startPool(t, spec, time.Hour, nil)
 	p.setEndpoints(listEntry("a", server))
 	want(t, "status", p.request("1").Status, http.StatusOK)
--- a/internal/pool/suspend_test.go
+++ b/internal/pool/suspend_test.go
@@ -337,7 +337,8 @@
 	})
 	spec := suspendableSpec()
 	spec.Tunnels = TunnelLimits{Total: 1, PerEndpoint: 1}
-	spec.Links.KeepAlive = 2 * releaseDelay // so that the tunnel, not the keep-alive time, holds the balancer
+	// so that the tunnel, not the keep-alive time, holds the balancer
+	spec.ConnectionSettings.KeepAlive = 2 * releaseDelay
 	p := startPool(t, spec, releaseDelay, nil)
 	p.setEndpoints(listEntry("a", server))
 	request := newRequest("1", p.Now(), time.Second)
@@ -361,7 +362,7 @@
 func heldByConnection(t *testing.T) {
 	t.Parallel()
 	spec := suspendableSpec()
-	spec.Links.KeepAlive = 1200 * time.Millisecond
+	spec.ConnectionSettings.KeepAlive = 1200 * time.Millisecond
 	p := startPool(t, spec, releaseDelay, nil)
 	p.setEndpoints(listEntry("a", startServer(t)))
 	want(t, "status", p.request("1").Status, http.StatusOK)
@@ -479,7 +480,7 @@
 		b.Run(fmt.Sprintf("%d of %d", c.endpoints, c.balancers), func(b *testing.B) {
 			spec := suspendableSpec()
 			spec.Settings.Balancers = c.balancers
-			spec.Links = wire.ConnectionSettings{KeepAlive: time.Minute, ConnectTimeout: time.Second}
+			spec.ConnectionSettings = wire.ConnectionSettings{KeepAlive: time.Minute, ConnectTimeout: time.Second}
 			l := newLoop(b.Context(), spec)
 			if err := l.start(nil); err != nil {
 				b.Fatal(err)
--- a/internal/proxy/client_connections_test.go
+++ b/internal/proxy/client_connections_test.go
@@ -42,7 +42,7 @@
 		status, _ := b.do(t, c.request)
 		want(t, c.name, status, c.status)
 	}
-	tooLong := fmt.Sprintf("X-Request-Id: 1\r\nContent-Length: %d\r\n", body.DefaultLimits.Request+1)
+	tooLong := fmt.Sprintf("X-Request-Id: 1\r\nContent-Length: %d\r\n", body.DefaultLimits.MaxRequestBytes+1)
 	large := b.sendRaw(t, checkinHead(tooLong)+"x")
 	want(t, "body too large", strings.HasPrefix(large, "HTTP/1.1 413"), true)
 	want(t, "requests at the upstream", len(s.Arrivals), 0)
--- a/internal/proxy/config.go
+++ b/internal/proxy/config.go
@@ -138,12 +138,12 @@
 // poolSpec returns the configuration of the balancer's pool.
 func (c *Config) poolSpec() pool.Spec {
 	return pool.Spec{
-		Name:             c.Name,
-		Settings:         c.Settings,
-		Links:            c.ConnectionSettings,
-		Seed:             c.Seed,
-		Discovery:        c.Discovery,
-		InitialEndpoints: &c.InitialEndpoints,
-		MaxConnections:   c.maxUpstreamConns(),
+		Name:               c.Name,
+		Settings:           c.Settings,
+		ConnectionSettings: c.ConnectionSettings,
+		Seed:               c.Seed,
+		Discovery:          c.Discovery,
+		InitialEndpoints:   &c.InitialEndpoints,
+		MaxConnections:     c.maxUpstreamConns(),
 	}
 }
--- a/internal/proxy/platform_router.go
+++ b/internal/proxy/platform_router.go
@@ -102,10 +102,10 @@
 	exchange.setKeyFromCookie(*fields, platformKeyCookie)
 	exchange.setClass(class, class.Deadline)
 	exchange.Message = upstream.Message{
-		RequestLine: method + " " + target,
-		Header:      *fields,
-		Host:        fields.Get(fieldHost),
-		Bodied:      method == http.MethodPost,
+		RequestLine:    method + " " + target,
+		Header:         *fields,
+		Host:           fields.Get(fieldHost),
+		HasBodyFraming: method == http.MethodPost,
 	}
 	return exchange, nil
 }
--- a/internal/proxy/route_table.go
+++ b/internal/proxy/route_table.go
@@ -24,27 +24,28 @@
 	unavailableRetryAfter = time.Second
 )
 
-// Destination is how a route's requests are served, apart from the choice of the pool.
-type Destination struct {
-	Class        balancer.Class
-	Limit        time.Duration // on the wait for a response
-	KeyCookie    string        // its value is the request's key, which chooses among the route's pools
-	BodyLimits   *body.Limits  // nil: body.DefaultLimits
-	Upgrades     []string      // protocols that a connection may switch to (RFC 9110, section 7.8), in lower case
+// RouteSettings is how a route's requests are served, apart from the choice of the pool.
+type RouteSettings struct {
+	Class           balancer.Class
+	ResponseTimeout time.Duration // on the wait for a response
+	KeyCookie       string        // its value is the request's key, which chooses among the route's pools
+	BodyLimits      *body.Limits  // nil: body.DefaultLimits
+	// Upgrades are protocols that a connection may switch to (RFC 9110, section 7.8), in lower case.
+	Upgrades     []string
 	TunnelLimits *body.TunnelLimits
 }
 
 // Routing is a complete set of routes with the pools that they lead to. It is immutable: a reload creates another.
 type Routing struct {
-	Table        *route.Table
-	Destinations []Destination // indexed by route.Rule.To; many routes may share one
-	Pools        map[string]*pool.Pool
+	Table         *route.Table
+	RouteSettings []RouteSettings // indexed by route.Rule.To; many routes may share one
+	Pools         map[string]*pool.Pool
 }
 
 // allows reports whether the route of an upgrade still exists, and still allows the protocol.
 func (r *Routing) allows(upgrade tunnelUpgrade) bool {
 	rule := r.Table.Rule(upgrade.route)
-	return rule != nil && slices.Contains(r.Destinations[rule.To].Upgrades, upgrade.protocol)
+	return rule != nil && slices.Contains(r.RouteSettings[rule.To].Upgrades, upgrade.protocol)
 }
 
 // RouteTable is a router that chooses the pool of a request by its route. Its methods may be called from any goroutine,
@@ -85,8 +86,8 @@
 
 // MaxDeadline returns the longest limit of all routes.
 func (t *RouteTable) MaxDeadline() (longest time.Duration) {
-	for _, destination := range t.routing.Load().Destinations {
-		longest = max(longest, destination.Limit)
+	for _, destination := range t.routing.Load().RouteSettings {
+		longest = max(longest, destination.ResponseTimeout)
 	}
 	return longest
 }
@@ -109,7 +110,7 @@
 
 	// Set by lookUp.
 	routeName   string
-	destination *Destination
+	destination *RouteSettings
 	pool        *pool.Pool
 }
 
@@ -147,12 +148,12 @@
 		return nil, err
 	}
 	exchange.Message = upstream.Message{
-		RequestLine: method + " " + parsedTarget.String(),
-		Header:      *fields,
-		Host:        host,
-		Bodied:      framesEmptyBody(method),
-		Limits:      exchange.destination.BodyLimits,
-		Hints:       true,
+		RequestLine:    method + " " + parsedTarget.String(),
+		Header:         *fields,
+		Host:           host,
+		HasBodyFraming: framesEmptyBody(method),
+		Limits:         exchange.destination.BodyLimits,
+		Hints:          true,
 	}
 	exchange.allowUpgrade(upgrade)
 	return exchange, nil
@@ -224,7 +225,7 @@
 	if rule == nil {
 		return &frontend.Rejection{Status: http.StatusNotFound, Reason: "no route leads there"}
 	}
-	destination := &routing.Destinations[rule.To]
+	destination := &routing.RouteSettings[rule.To]
 	exchange.routeName, exchange.destination = rule.Name, destination
 	class := destination.Class
 	if named := exchange.query.Class; named != "" && named != class.Name {
@@ -239,7 +240,7 @@
 		poolHash = maphash.String(t.seed, exchange.ClientRequestID)
 	}
 	exchange.pool = routing.Pools[rule.Choose(poolHash)]
-	exchange.setClass(class, destination.Limit)
+	exchange.setClass(class, destination.ResponseTimeout)
 	return nil
 }
 
--- a/internal/proxy/route_table_test.go
+++ b/internal/proxy/route_table_test.go
@@ -27,8 +27,8 @@
 	t.Cleanup(cancel)
 	p, err := pool.New(ctx, pool.Spec{
 		Name: name, MaxRequests: queue, SharedWeight: 1, MaxConnections: 10,
-		Links:    wire.ConnectionSettings{KeepAlive: time.Minute, ConnectTimeout: time.Second},
-		Settings: oneClassSettings(),
+		ConnectionSettings: wire.ConnectionSettings{KeepAlive: time.Minute, ConnectTimeout: time.Second},
+		Settings:           oneClassSettings(),
 	}, pool.NewEndpointRegistry(ctx, 10), nil)
 	if err != nil {
 		t.Fatal(err)
@@ -40,8 +40,8 @@
 	t.Helper()
 	class := balancer.Class{Name: "c", Deadline: time.Second, Idempotency: balancer.NonIdempotent}
 	routing := &Routing{
-		Destinations: []Destination{{Class: class, Limit: time.Second, KeyCookie: "obj"}},
-		Pools:        map[string]*pool.Pool{},
+		RouteSettings: []RouteSettings{{Class: class, ResponseTimeout: time.Second, KeyCookie: "obj"}},
+		Pools:         map[string]*pool.Pool{},
 	}
 	var rules []route.Rule
 	for _, p := range pools {
--- a/internal/proxy/streaming_test.go
+++ b/internal/proxy/streaming_test.go
@@ -21,7 +21,7 @@
 // Request and response bodies of any size and framing are forwarded unchanged. After that their memory is free, and
 // their connections serve further requests.
 func TestBodiesOfAnySizeAreForwarded(t *testing.T) {
-	readAhead := body.MaxBuffered + body.DefaultLimits.Ahead
+	readAhead := body.MaxBuffered + body.DefaultLimits.ReadAheadBytes
 	for _, size := range []int{0, 1, body.MaxBuffered, body.MaxBuffered + 1, readAhead, readAhead + 1, 6 << 20} {
 		body := randomBytes(size)
 		s := scripted.Start(t, func(c net.Conn, r *http.Request) bool {
@@ -148,7 +148,7 @@
 func TestSlowBodyTakesNoUpstream(t *testing.T) {
 	s := scripted.Start(t, scripted.Done)
 	b := startBalancer(t, upMember("s-00000001", s))
-	body := randomBytes(body.MaxBuffered + body.DefaultLimits.Ahead/2)
+	body := randomBytes(body.MaxBuffered + body.DefaultLimits.ReadAheadBytes/2)
 	c, in := b.sendHead(t, fmt.Sprintf("Content-Length: %d\r\n", len(body)))
 	mustWrite(t, c, string(body[:len(body)-1]))
 	status, _ := b.do(t, b.newRequest("checkin", "")) // sent later, but served first
@@ -164,7 +164,7 @@
 	begun := make(chan struct{})
 	s := scripted.Start(t, scripted.Done)
 	b := startBalancer(t, upMember("s-00000001", s))
-	body := randomBytes(body.MaxBuffered + body.DefaultLimits.Ahead + 3*body.BlockSize)
+	body := randomBytes(body.MaxBuffered + body.DefaultLimits.ReadAheadBytes + 3*body.BlockSize)
 	c, in := b.sendHead(t, fmt.Sprintf("X-Deadline-Ms: 400\r\nContent-Length: %d\r\n", len(body)))
 	mustWrite(t, c, string(body[:len(body)-4]))
 	go func() { // the attempt begins before the last byte has come
@@ -195,7 +195,7 @@
 		if strings.HasPrefix(framing, "Transfer") {
 			mustWrite(t, c, "3d0900\r\n")
 		}
-		mustWrite(t, c, string(randomBytes(2*body.DefaultLimits.Ahead)))
+		mustWrite(t, c, string(randomBytes(2*body.DefaultLimits.ReadAheadBytes)))
 		if err := c.(*net.TCPConn).CloseWrite(); err != nil {
 			t.Fatal(err)
 		}
@@ -254,7 +254,7 @@
 	b := startBalancer(t)
 	<-b.discoveryServer.polls
 	c, in := b.sendHead(t, "Content-Length: 8000000\r\n")
-	writeIfOpen(c, string(randomBytes(body.MaxBuffered+body.DefaultLimits.Ahead+body.BlockSize)))
+	writeIfOpen(c, string(randomBytes(body.MaxBuffered+body.DefaultLimits.ReadAheadBytes+body.BlockSize)))
 	want(t, "status", readStatus(t, in), 503)
 	writeIfOpen(c, string(randomBytes(1<<20)))
 	if _, err := c.Read(make([]byte, 1)); !errors.Is(err, io.EOF) && !errors.Is(err, os.ErrDeadlineExceeded) {
--- a/internal/proxy/tunnels.go
+++ b/internal/proxy/tunnels.go
@@ -20,7 +20,7 @@
 	s.mu.Lock()
 	s.open[tunnel] = upgrade
 	s.mu.Unlock()
-	tunnel.Ended(func() {
+	tunnel.OnEnd(func() {
 		s.mu.Lock()
 		defer s.mu.Unlock()
 		delete(s.open, tunnel)
--- a/internal/scenario/check.go
+++ b/internal/scenario/check.go
@@ -68,27 +68,27 @@
 }
 
 func (k checker) whole() {
-	if !strictyaml.Plain(k.Name) {
+	if !strictyaml.IsPlainName(k.Name) {
 		k.Fail("name", "a name of letters, digits and hyphens is wanted, at most 64 characters")
 	}
-	strictyaml.Fill(&k.Seed, 1)
-	strictyaml.Fill(&k.Repeats, 3)
-	strictyaml.Fill(&k.Warmup, config.Duration(time.Second))
-	strictyaml.Fill(&k.Modes, "both")
-	strictyaml.Fill(&k.Balancers, 1)
-	strictyaml.Fill(&k.Busy.Times, 1)
-	strictyaml.Fill(&k.Connections, 64)
-	strictyaml.Fill(&k.Queue, 500)
-	strictyaml.Fill(&k.Threads, 2)
-	k.One("modes", "mode", k.Modes, "both", "sockets", "simulated")
-	k.Within("seed", float64(k.Seed), 1, 1<<53)
-	k.Within("repeats", float64(k.Repeats), 1, 100)
-	k.Within("balancers", float64(k.Balancers), 1, 1000)
-	k.Within("busy.count", float64(k.Busy.Count), 0, float64(k.Balancers))
-	k.Within("busy.times", k.Busy.Times, 0.001, 1e6)
-	k.Within("connections", float64(k.Connections), 1, 10000)
-	k.Within("queue", float64(k.Queue), 1, 100000)
-	k.Within("threads", float64(k.Threads), 1, 64)
+	strictyaml.SetDefault(&k.Seed, 1)
+	strictyaml.SetDefault(&k.Repeats, 3)
+	strictyaml.SetDefault(&k.Warmup, config.Duration(time.Second))
+	strictyaml.SetDefault(&k.Modes, "both")
+	strictyaml.SetDefault(&k.Balancers, 1)
+	strictyaml.SetDefault(&k.Busy.Times, 1)
+	strictyaml.SetDefault(&k.Connections, 64)
+	strictyaml.SetDefault(&k.Queue, 500)
+	strictyaml.SetDefault(&k.Threads, 2)
+	k.OneOf("modes", "mode", k.Modes, "both", "sockets", "simulated")
+	k.InRange("seed", float64(k.Seed), 1, 1<<53)
+	k.InRange("repeats", float64(k.Repeats), 1, 100)
+	k.InRange("balancers", float64(k.Balancers), 1, 1000)
+	k.InRange("busy.count", float64(k.Busy.Count), 0, float64(k.Balancers))
+	k.InRange("busy.times", k.Busy.Times, 0.001, 1e6)
+	k.InRange("connections", float64(k.Connections), 1, 10000)
+	k.InRange("queue", float64(k.Queue), 1, 100000)
+	k.InRange("threads", float64(k.Threads), 1, 64)
 	if k.Length < config.Duration(100*time.Millisecond) || k.Length > config.Duration(maxLength) {
 		k.Fail("length", "a length from 100ms to %v is wanted", maxLength)
 	}
@@ -107,22 +107,22 @@
 	names, total := map[string]bool{}, 0
 	for i := range k.Fleet {
 		g, at := &k.Fleet[i], fmt.Sprintf("fleet[%d]", i)
-		if !strictyaml.Plain(g.Name) || names[g.Name] {
+		if !strictyaml.IsPlainName(g.Name) || names[g.Name] {
 			k.Fail(at+".name", "a name of its own is wanted, of letters, digits and hyphens; %q is not", g.Name)
 		}
 		names[g.Name] = true
-		strictyaml.Fill(&g.Count, 1)
-		strictyaml.Fill(&g.Cores, 1)
-		strictyaml.Fill(&g.Queue, 1000)
-		strictyaml.Fill(&g.Weight, 1)
-		strictyaml.Fill(&g.ColdFrom, 1)
-		strictyaml.Fill(&g.TipAfter, config.Duration(1500*time.Millisecond))
-		k.Within(at+".count", float64(g.Count), 1, maxNodes)
-		k.Within(at+".cores", float64(g.Cores), 1, 10000)
-		k.Within(at+".queue", float64(g.Queue), 1, 1e6)
-		k.Within(at+".weight", g.Weight, 1e-3, 1e6)
-		k.Within(at+".cold_from", g.ColdFrom, 1e-3, 1)
-		k.Within(at+".tip_multiple", g.TipMultiple, 0, 1000)
+		strictyaml.SetDefault(&g.Count, 1)
+		strictyaml.SetDefault(&g.Cores, 1)
+		strictyaml.SetDefault(&g.Queue, 1000)
+		strictyaml.SetDefault(&g.Weight, 1)
+		strictyaml.SetDefault(&g.ColdFrom, 1)
+		strictyaml.SetDefault(&g.TipAfter, config.Duration(1500*time.Millisecond))
+		k.InRange(at+".count", float64(g.Count), 1, maxNodes)
+		k.InRange(at+".cores", float64(g.Cores), 1, 10000)
+		k.InRange(at+".queue", float64(g.Queue), 1, 1e6)
+		k.InRange(at+".weight", g.Weight, 1e-3, 1e6)
+		k.InRange(at+".cold_from", g.ColdFrom, 1e-3, 1)
+		k.InRange(at+".tip_multiple", g.TipMultiple, 0, 1000)
 		if g.Service <= 0 || g.Service > config.Duration(time.Minute) {
 			k.Fail(at+".service", "a time over 0 and at most a minute is wanted")
 		}
@@ -143,34 +143,34 @@
 	names := map[string]bool{}
 	for i := range k.Load {
 		l, at := &k.Load[i], fmt.Sprintf("load[%d]", i)
-		if !strictyaml.Plain(l.Name) || names[l.Name] {
+		if !strictyaml.IsPlainName(l.Name) || names[l.Name] {
 			k.Fail(at+".name", "a name of its own is wanted, of letters, digits and hyphens; %q is not", l.Name)
 		}
 		names[l.Name] = true
-		strictyaml.Fill(&l.Repeat, "unsafe")
-		strictyaml.Fill(&l.Aim, config.Duration(250*time.Millisecond))
-		strictyaml.Fill(&l.Deadline, max(l.Aim, config.Duration(time.Second)))
-		strictyaml.Fill(&l.Worth, 1)
-		k.One(at+".repeat", "repeat kind", l.Repeat, "safe", "unsafe")
+		strictyaml.SetDefault(&l.Repeat, "unsafe")
+		strictyaml.SetDefault(&l.Aim, config.Duration(250*time.Millisecond))
+		strictyaml.SetDefault(&l.Deadline, max(l.Aim, config.Duration(time.Second)))
+		strictyaml.SetDefault(&l.Worth, 1)
+		k.OneOf(at+".repeat", "repeat kind", l.Repeat, "safe", "unsafe")
 		if l.Aim < config.Duration(10*time.Millisecond) || l.Deadline < l.Aim || l.Deadline > config.Duration(time.Minute) {
 			k.Fail(at, "aim is at least 10ms, deadline no shorter than aim and at most a minute")
 		}
-		k.Within(at+".worth", l.Worth, 0, 1e6)
-		k.Within(at+".quota", l.Quota, 0, maxRate)
+		k.InRange(at+".worth", l.Worth, 0, 1e6)
+		k.InRange(at+".quota", l.Quota, 0, maxRate)
 		if (l.Rate == 0) == (l.Closed == 0) {
 			k.Fail(at, "exactly one of rate and closed is wanted")
 		}
 		if l.Rate != 0 {
-			k.Within(at+".rate", l.Rate, 0.01, maxRate)
+			k.InRange(at+".rate", l.Rate, 0.01, maxRate)
 		}
-		k.Within(at+".closed", float64(l.Closed), 0, 10000)
+		k.InRange(at+".closed", float64(l.Closed), 0, 10000)
 		if l.Closed > 0 && (len(l.Curve) > 0 || l.Burst != nil) {
 			k.Fail(at, "curve and burst belong to a rate")
 		}
 		if l.Tenant == "" && l.Quota != 0 {
 			k.Fail(at+".quota", "a quota belongs to a tenant")
 		}
-		if l.Tenant != "" && !strictyaml.Plain(l.Tenant) {
+		if l.Tenant != "" && !strictyaml.IsPlainName(l.Tenant) {
 			k.Fail(at+".tenant", "a name of letters, digits and hyphens is wanted")
 		}
 		k.curve(at, l)
@@ -180,13 +180,13 @@
 
 func (k checker) curve(at string, l *Load) {
 	for j, p := range l.Curve {
-		k.Within(fmt.Sprintf("%s.curve[%d].rate", at, j), p.Rate, 0, 1000)
+		k.InRange(fmt.Sprintf("%s.curve[%d].rate", at, j), p.Rate, 0, 1000)
 		if j == 0 && p.At != 0 || j > 0 && p.At <= l.Curve[j-1].At {
 			k.Fail(fmt.Sprintf("%s.curve[%d].at", at, j), "a curve begins at 0s and its points stand in order")
 		}
 	}
 	if b := l.Burst; b != nil {
-		k.Within(at+".burst.factor", b.Factor, 0, 1000)
+		k.InRange(at+".burst.factor", b.Factor, 0, 1000)
 		if b.Length <= 0 || b.Every <= b.Length {
 			k.Fail(at+".burst", "length is over 0 and under every")
 		}
@@ -194,20 +194,20 @@
 }
 
 func (k checker) sizes(at string, s *Sizes) {
-	strictyaml.Fill(&s.Kind, "constant")
-	if !k.One(at+".kind", "distribution", s.Kind, slices.Collect(maps.Keys(distributions))...) {
+	strictyaml.SetDefault(&s.Kind, "constant")
+	if !k.OneOf(at+".kind", "distribution", s.Kind, slices.Collect(maps.Keys(distributions))...) {
 		return
 	}
 	switch s.Kind {
 	case "uniform":
-		k.Within(at+".spread", s.Spread, 0, 1)
+		k.InRange(at+".spread", s.Spread, 0, 1)
 	case "lognormal":
-		k.Within(at+".sigma", s.Sigma, 0.01, 3)
+		k.InRange(at+".sigma", s.Sigma, 0.01, 3)
 	case "pareto":
-		k.Within(at+".alpha", s.Alpha, 1.05, 10)
+		k.InRange(at+".alpha", s.Alpha, 1.05, 10)
 	case "bimodal":
-		k.Within(at+".share", s.Share, 0.0001, 0.9999)
-		k.Within(at+".factor", s.Factor, 1, 10000)
+		k.InRange(at+".share", s.Share, 0.0001, 0.9999)
+		k.InRange(at+".factor", s.Factor, 1, 10000)
 	}
 }
 
@@ -222,7 +222,7 @@
 	for i := range k.Troubles {
 		t, at := &k.Troubles[i], fmt.Sprintf("troubles[%d]", i)
 		kinds := []string{"slow", "neighbour", "stall", "black-hole", "crash", "drain", "silent-list", "torn-list"}
-		if !k.One(at+".kind", "kind of trouble", t.Kind, kinds...) {
+		if !k.OneOf(at+".kind", "kind of trouble", t.Kind, kinds...) {
 			continue
 		}
 		if t.At >= k.Length {
@@ -238,12 +238,12 @@
 			}
 		}
 		if t.Kind == "slow" {
-			k.Within(at+".factor", t.Factor, 0.01, 10000)
+			k.InRange(at+".factor", t.Factor, 0.01, 10000)
 		} else if t.Factor != 0 {
 			k.Fail(at+".factor", "a factor belongs to slow")
 		}
 		if t.Kind == "neighbour" {
-			k.Within(at+".cores", float64(t.Cores), 1, 10000)
+			k.InRange(at+".cores", float64(t.Cores), 1, 10000)
 		} else if t.Cores != 0 {
 			k.Fail(at+".cores", "cores belong to neighbour")
 		}
@@ -261,7 +261,7 @@
 	seen := map[string]bool{}
 	for i, name := range k.Contenders {
 		at := fmt.Sprintf("contenders[%d]", i)
-		k.One(at, "contender", name, append(slices.Clone(all), Reverse)...)
+		k.OneOf(at, "contender", name, append(slices.Clone(all), Reverse)...)
 		if seen[name] {
 			k.Fail(at, "%q stands here for a second time", name)
 		}
@@ -272,11 +272,11 @@
 func (k checker) bounds() {
 	for i := range k.Bounds {
 		b, at := &k.Bounds[i], fmt.Sprintf("bounds[%d]", i)
-		k.One(at+".figure", "figure", b.Figure, slices.Collect(maps.Keys(Figures))...)
-		strictyaml.Fill(&b.Of, Olivearch)
-		k.One(at+".of", "contender here", b.Of, k.Contenders...)
+		k.OneOf(at+".figure", "figure", b.Figure, slices.Collect(maps.Keys(Figures))...)
+		strictyaml.SetDefault(&b.Of, Olivearch)
+		k.OneOf(at+".of", "contender here", b.Of, k.Contenders...)
 		if b.Against != "" && b.Against != "best" {
-			k.One(at+".against", "contender here", b.Against, k.Contenders...)
+			k.OneOf(at+".against", "contender here", b.Against, k.Contenders...)
 		}
 		if (b.Most == nil) == (b.Least == nil) {
 			k.Fail(at, "exactly one of most and least is wanted")
--- a/internal/service/client_listeners.go
+++ b/internal/service/client_listeners.go
@@ -27,7 +27,7 @@
 	for _, l := range next.config.Listeners {
 		listener := current.listeners[l.Address]
 		if listener != nil {
-			listener.Limit(clientLimits(l))
+			listener.SetLimits(clientLimits(l))
 			listener.SetSpoolBytes(spoolBytes)
 		} else {
 			listener = s.startListener(l, p.listeners[l.Address], spoolBytes)
@@ -69,12 +69,12 @@
 // clientLimits returns the limits that a listener's configuration sets for its clients.
 func clientLimits(l config.Listener) frontend.Limits {
 	return frontend.Limits{
-		Connections: l.Connections,
-		Head:        int(l.Head),
-		Within:      time.Duration(l.Within),
-		Rate:        int(l.Rate),
-		Floor:       true,
-		HTTP10:      true,
+		Connections:    l.Connections,
+		MaxHeadBytes:   int(l.Head),
+		RequestTimeout: time.Duration(l.Within),
+		MinBodyRate:    int(l.Rate),
+		Floor:          true,
+		HTTP10:         true,
 	}
 }
 
--- a/internal/service/endpoint_lists.go
+++ b/internal/service/endpoint_lists.go
@@ -68,7 +68,7 @@
 		endpointCount += len(lists[name].endpoints)
 		errs = append(errs, lists[name].err)
 	}
-	errs = append(errs, loaded.CheckCapacity(endpointCount))
+	errs = append(errs, loaded.CheckMemory(endpointCount))
 	return endpointCount, errors.Join(errs...)
 }
 
--- a/internal/service/memory.go
+++ b/internal/service/memory.go
@@ -35,7 +35,7 @@
 // FinishConfigLoad bounds the growth of the heap beyond the live heap by heapHeadroom. After a large configuration it
 // first returns the memory that was used to read it to the system, which takes one collection.
 func FinishConfigLoad(c *config.Loaded) {
-	if c.Read() >= largeConfig {
+	if c.BytesRead() >= largeConfig {
 		debug.FreeOSMemory()
 	}
 	debug.SetGCPercent(gcPercent(liveHeap()))
--- a/internal/service/plan.go
+++ b/internal/service/plan.go
@@ -73,12 +73,12 @@
 	for _, list := range pl.plan.lists {
 		endpoints += len(list.endpoints)
 	}
-	pl.fail(pl.config.CheckCapacity(endpoints))
+	pl.fail(pl.config.CheckMemory(endpoints))
 }
 
 // planPools determines the specification of each pool and validates those that are new or changed.
 func (pl *planner) planPools() {
-	samePools := pl.config.SamePools(pl.current.config)
+	samePools := pl.config.HasSamePoolSettings(pl.current.config)
 	for _, name := range slices.Sorted(maps.Keys(pl.config.Pools)) {
 		old := pl.current.pools[name]
 		spec, unchanged := pl.poolSpec(name, old, samePools)
--- a/internal/service/pools.go
+++ b/internal/service/pools.go
@@ -36,7 +36,7 @@
 		Settings:       c.Settings(name),
 		Discovery:      settings.Nodes.Discovery,
 		MaxEndpointAge: time.Duration(settings.Nodes.Hold),
-		Links: wire.ConnectionSettings{
+		ConnectionSettings: wire.ConnectionSettings{
 			KeepAlive:      time.Duration(settings.IdleTimeout),
 			ConnectTimeout: time.Duration(settings.ConnectTimeout),
 		},
--- a/internal/service/routing.go
+++ b/internal/service/routing.go
@@ -22,12 +22,12 @@
 func newRouting(state *runtimeState) *proxy.Routing {
 	c := state.config
 	routing := &proxy.Routing{
-		Table:        c.Table,
-		Destinations: make([]proxy.Destination, len(c.Targets)),
-		Pools:        make(map[string]*pool.Pool, len(state.pools)),
+		Table:         c.Table,
+		RouteSettings: make([]proxy.RouteSettings, len(c.Targets)),
+		Pools:         make(map[string]*pool.Pool, len(state.pools)),
 	}
 	for i := range c.Targets {
-		routing.Destinations[i] = destination(c, i)
+		routing.RouteSettings[i] = destination(c, i)
 	}
 	for name, p := range state.pools {
 		routing.Pools[name] = p.Pool
@@ -37,20 +37,20 @@
 
 // destination returns the class, limits and upgrades for requests to the target that has this index in the
 // configuration.
-func destination(c *config.Loaded, index int) proxy.Destination {
+func destination(c *config.Loaded, index int) proxy.RouteSettings {
 	target := &c.Targets[index]
-	return proxy.Destination{
-		Class:     c.Class(target.Class),
-		Limit:     time.Duration(target.Deadline),
-		KeyCookie: target.KeyCookie,
+	return proxy.RouteSettings{
+		Class:           c.Class(target.Class),
+		ResponseTimeout: time.Duration(target.Deadline),
+		KeyCookie:       target.KeyCookie,
 		BodyLimits: &body.Limits{
-			Request:  int64(target.Body.Max),
-			Ahead:    int(target.Body.Buffer),
-			Within:   time.Duration(target.Body.Within),
-			Answer:   int64(target.Answer.Max),
-			Quiet:    time.Duration(target.Answer.Idle),
-			Total:    time.Duration(target.Answer.Total),
-			Trailers: true,
+			MaxRequestBytes:  int64(target.Body.Max),
+			ReadAheadBytes:   int(target.Body.Buffer),
+			UploadTimeout:    time.Duration(target.Body.Within),
+			MaxResponseBytes: int64(target.Answer.Max),
+			StallTimeout:     time.Duration(target.Answer.Idle),
+			DownloadTimeout:  time.Duration(target.Answer.Total),
+			Trailers:         true,
 		},
 		Upgrades: target.Upgrades,
 		TunnelLimits: &body.TunnelLimits{
--- a/internal/strictyaml/check.go
+++ b/internal/strictyaml/check.go
@@ -8,17 +8,17 @@
 	"github.com/agnivade/levenshtein"
 )
 
-// Fill sets a value to its default if it is zero, which means that the file leaves it out.
-func Fill[T comparable](value *T, defaultValue T) {
+// SetDefault sets a value to its default if it is zero, which means that the file leaves it out.
+func SetDefault[T comparable](value *T, defaultValue T) {
 	var zero T
 	if *value == zero {
 		*value = defaultValue
 	}
 }
 
-// One reports whether the word at a path is one of the known words. Otherwise it records an error, which suggests the
+// OneOf reports whether the word at a path is one of the known words. Otherwise it records an error, which suggests the
 // nearest known word or lists all of them. kind says in the error what the word names.
-func (d *Doc) One(path, kind, word string, known ...string) bool {
+func (d *Doc) OneOf(path, kind, word string, known ...string) bool {
 	if slices.Contains(known, word) {
 		return true
 	}
@@ -31,19 +31,19 @@
 	return false
 }
 
-// Within records an error unless low <= x <= high; NaN is always an error.
-func (d *Doc) Within(path string, x, low, high float64) {
+// InRange records an error unless low <= x <= high; NaN is always an error.
+func (d *Doc) InRange(path string, x, low, high float64) {
 	isWithin := x >= low && x <= high
 	if !isWithin {
 		d.Fail(path, "%v is not from %v to %v", x, low, high)
 	}
 }
 
-// maxNameLength is the maximum length of a name that Plain accepts, in bytes.
+// maxNameLength is the maximum length of a name that IsPlainName accepts, in bytes.
 const maxNameLength = 64
 
-// Plain reports whether a name can be used in paths and file names: 1 to 64 ASCII letters, digits and hyphens.
-func Plain(name string) bool {
+// IsPlainName reports whether a name can be used in paths and file names: 1 to 64 ASCII letters, digits and hyphens.
+func IsPlainName(name string) bool {
 	if name == "" || len(name) > maxNameLength {
 		return false
 	}
--- a/internal/upstream/message.go
+++ b/internal/upstream/message.go
@@ -14,12 +14,12 @@
 // Message is the request of a client as it is forwarded to an upstream, without the fields that are added for each
 // attempt. Method, path, query and body are forwarded unchanged.
 type Message struct {
-	RequestLine string // method and target
-	Header      http1.Fields
-	Host        string
-	Body        []byte       // the body, or its first part
-	Upload      *body.Upload // the part of a long body that follows Body; nil: there is none
-	Bodied      bool         // whether a framing field is sent (RFC 9112, section 6), also for an empty body
+	RequestLine    string // method and target
+	Header         http1.Fields
+	Host           string
+	Body           []byte       // the body, or its first part
+	Upload         *body.Upload // the part of a long body that follows Body; nil: there is none
+	HasBodyFraming bool         // whether a framing field is sent (RFC 9112, section 6), also for an empty body
 
 	Trailer http1.Fields // trailer of a complete body, which is then sent in chunks
 	Upgrade string       // the protocol to which the client asks to switch (RFC 9110, section 7.8); empty: none
@@ -72,7 +72,7 @@
 		http1.WriteField(out, "Connection", "Upgrade")
 		http1.WriteField(out, "Upgrade", m.Upgrade)
 	}
-	if m.Bodied {
+	if m.HasBodyFraming {
 		out.WriteString(m.framing())
 	}
 	out.WriteString("\r\n")
--- a/internal/upstream/response.go
+++ b/internal/upstream/response.go
@@ -140,7 +140,7 @@
 func (r responseReader) readBody(result *Result, framing http1.Framing) error {
 	limits := r.message.BodyLimits()
 	isLong := framing.Length > body.MaxBuffered
-	isTooLarge := framing.Length > uint64(limits.Answer)
+	isTooLarge := framing.Length > uint64(limits.MaxResponseBytes)
 	mayStream := r.observer != nil && result.Status == balancer.OK
 	switch {
 	case isTooLarge, isLong && r.observer == nil:
@@ -167,7 +167,7 @@
 
 // readWholeBody reads a body of at most body.MaxBuffered bytes.
 func (r responseReader) readWholeBody(result *Result, framing http1.Framing, limits *body.Limits) (err error) {
-	source := r.conn.Body(framing, limits.Answer)
+	source := r.conn.Body(framing, limits.MaxResponseBytes)
 	result.Body, err = source.ReadUpTo(body.MaxBuffered + 1)
 	if err != nil {
 		return err
--- a/internal/upstream/upstreamtest/helpers.go
+++ b/internal/upstream/upstreamtest/helpers.go
@@ -55,11 +55,11 @@
 // newAttempt returns an attempt whose request has a unique ID.
 func newAttempt(address string, connection upstream.Conn) *upstream.Attempt {
 	message := &upstream.Message{
-		RequestLine: "POST /x",
-		Host:        "x",
-		Header:      http1.Fields{{Name: "X-Request-Id", Value: fmt.Sprintf("%016x", lastRequestID.Add(1))}},
-		Body:        []byte("b"),
-		Bodied:      true,
+		RequestLine:    "POST /x",
+		Host:           "x",
+		Header:         http1.Fields{{Name: "X-Request-Id", Value: fmt.Sprintf("%016x", lastRequestID.Add(1))}},
+		Body:           []byte("b"),
+		HasBodyFraming: true,
 	}
 	return &upstream.Attempt{Message: message, Address: address, Timeout: timeout, Conn: connection}
 }
