--- a/balancer/limits_test.go
+++ b/balancer/limits_test.go
@@ -6,15 +6,15 @@
 	"time"
 )
 
-func TestCrowdedUpstreamRests(t *testing.T) {
+func TestLateAnswersCutTheLimit(t *testing.T) {
 	b, _ := start(t, settings(), fleet(1))
 	u, now := b.upstreams[0], time.Hour
-	answer := func(id RequestID, lat time.Duration) {
+	answer := func(id RequestID, latency time.Duration) {
 		now += time.Second
 		b.RequestArrived(now, Request{ID: id, Class: "write", Budget: time.Second})
 		if r := b.requests[id]; r != nil && r.inFlight == 1 {
-			now += lat
-			b.AttemptFinished(now, AttemptResult{ID: id, Upstream: u.ID, Latency: lat, Status: OK, Closed: true})
+			now += latency
+			b.AttemptFinished(now, AttemptResult{ID: id, Upstream: u.ID, Latency: latency, Status: OK, Closed: true})
 		}
 	}
 	for i := range 30 {
@@ -30,11 +30,12 @@
 	u.limit.nextSendAt = now
 	answer(500, 80*ms)
 	if u.limit.allowed < b.limits.initial {
-		t.Error("the limit does not come back with a good answer")
+		t.Error("the limit does not recover after an answer in time")
 	}
 }
 
-// With many balancers the trickle of all together once kept a choked server from the rest it needs.
+// The minimum holds for all balancers together. With a minimum for each, many balancers together sent a congested
+// server too much for it to recover.
 func TestMinimumLimitIsATotalOverAllBalancers(t *testing.T) {
 	for _, n := range []int{2, 24} {
 		s := settings()
@@ -44,13 +45,13 @@
 			b.cutLimit(b.upstreams[0], time.Hour+time.Duration(i)*time.Second, limitCutFactor)
 		}
 		if total := b.upstreams[0].limit.allowed * float64(n); math.Abs(total-minLimitTotal) > 1e-9 {
-			t.Errorf("%d balancers: %v attempts over all, want %v", n, total, minLimitTotal)
+			t.Errorf("%d balancers: total limit %v, want %v", n, total, minLimitTotal)
 		}
 	}
 }
 
-// A balancer that started while a server was choked once took its slow answers for usual.
-func TestUpstreamCrowdedFromItsFirstAnswerIsComparedWithTheFleet(t *testing.T) {
+// A balancer that started while a server was congested once took its slow answers for its unloaded latency.
+func TestUpstreamWithoutLatencyIsComparedWithFleet(t *testing.T) {
 	b, _ := start(t, settings(), fleet(8))
 	for _, u := range b.upstreams {
 		u.band.readings, u.latency.best, u.latency.unloaded = 1, float64(60*ms), float64(60*ms)
@@ -60,30 +61,30 @@
 	b.endPeriod(time.Hour + bandPeriod)
 	answerAfter(b, u, 200*ms, time.Hour+2*bandPeriod)
 	if u.limit.allowed >= b.limits.initial {
-		t.Errorf("limit %v after an answer three times as slow as the fleet's least", u.limit.allowed)
+		t.Errorf("limit %v after an answer three times as slow as the fleet's least latency", u.limit.allowed)
 	}
 }
 
-// Balancers that began in overload once let limits grow at servers that were busy already.
+// Balancers that started under overload once raised the limits of servers that were already at full utilisation.
 func TestLimitDoesNotGrowAtFullUtilisation(t *testing.T) {
 	for _, c := range []struct {
-		use   float64
+		load  float64
 		grows bool
 	}{{0.5, true}, {0.97, false}} {
 		b, _ := start(t, settings(), fleet(1))
 		u := b.upstreams[0]
-		u.band.mean, u.band.readings, u.latency.best, b.queue.lastFullAt = c.use, bandWindow, float64(50*ms), time.Hour
+		u.band.mean, u.band.readings, u.latency.best, b.queue.lastFullAt = c.load, bandWindow, float64(50*ms), time.Hour
 		before := u.limit.allowed
 		answerAfter(b, u, 50*ms, time.Hour)
 		if (u.limit.allowed > before) != c.grows {
-			t.Errorf("use %v: limit %v, then %v", c.use, before, u.limit.allowed)
+			t.Errorf("utilisation %v: limit %v, then %v", c.load, before, u.limit.allowed)
 		}
 	}
 }
 
-// One balancer of four was left for ten seconds, and rejected most of its requests beside idle servers: live
-// weights rise with idleness, and a server of weight 3 was judged against a third of the fleet's latency.
-func TestIdleUpstreamOfHighWeightIsNotTakenForCrowded(t *testing.T) {
+// Live weights rise while a server is idle. A server of weight 3 was once compared with a third of the fleet's latency
+// and taken for congested, so one balancer of four rejected most of its requests for 10 s while servers were idle.
+func TestIdleUpstreamOfHighWeightIsNotTakenForCongested(t *testing.T) {
 	b, _ := start(t, settings(), fleet(4))
 	for _, u := range b.upstreams {
 		u.band.mean, u.band.readings = 0.2, bandWindow
@@ -98,23 +99,24 @@
 	}
 }
 
-// Where many balancers see few answers each, a server whose latency merely varies was cut again and again.
-func TestVaryingLatencyIsNotCrowding(t *testing.T) {
-	set := settings()
-	set.Balancers = 8
-	b, _ := start(t, set, fleet(4))
+// With many balancers, each sees few answers. The limit of a server with varying latency was once cut again and again.
+func TestVaryingLatencyIsNotCongestion(t *testing.T) {
+	s := settings()
+	s.Balancers = 8
+	b, _ := start(t, s, fleet(4))
 	u := b.upstreams[0]
 	for i := range 30 {
-		lat := []time.Duration{190, 60, 60, 60}[i%4] * ms
+		latency := []time.Duration{190, 60, 60, 60}[i%4] * ms
 		now := 2*time.Hour + time.Duration(i)*time.Second
-		answerAfter(b, u, lat, now)
+		answerAfter(b, u, latency, now)
 		if i > 8 && u.limit.allowed < b.limits.initial {
-			t.Fatalf("answer %d after %v: limit %v, want %v", i, lat, u.limit.allowed, b.limits.initial)
+			t.Fatalf("answer %d after %v: limit %v, want %v", i, latency, u.limit.allowed, b.limits.initial)
 		}
 	}
 }
 
-// Bounds once doubled each round trip: many balancers choked a fleet before the first reading told of full use.
+// Limits once doubled with each answer: many balancers overloaded a fleet before the first reading showed full
+// utilisation.
 func TestLimitAtMostDoublesBetweenPeriods(t *testing.T) {
 	b, _ := start(t, settings(), fleet(1))
 	u := b.upstreams[0]
@@ -136,16 +138,16 @@
 	}
 }
 
-// Answers in a small part of the objective leave no doubt, and many such pass in a period: their nodes' limits go up
-// with them, or what they could serve was rejected for want of turns. They stop as soon as answers take longer.
+// Answers that take a small part of the objective can't have waited in a queue, so they raise the limit within the
+// period. Otherwise requests were rejected for lack of slots. The growth stops once answers take longer.
 func TestIdleUpstreamsLimitGrowsWithinThePeriod(t *testing.T) {
 	b, _ := start(t, settings(), fleet(1))
 	u := b.upstreams[0]
 	u.inFlight = make([]*attempt, 100)
-	answers := func(lat time.Duration) {
+	answers := func(latency time.Duration) {
 		for range 50 {
 			b.queue.lastFullAt = time.Hour
-			answerAfter(b, u, lat, time.Hour)
+			answerAfter(b, u, latency, time.Hour)
 		}
 	}
 	answers(ms)
@@ -155,108 +157,110 @@
 	}
 	answers(20 * ms)
 	if u.limit.allowed > grown {
-		t.Errorf("limit %v went on to %v although answers take longer", grown, u.limit.allowed)
+		t.Errorf("limit %v grew to %v although answers take longer", grown, u.limit.allowed)
 	}
 }
 
-// Single late answers are chance where latency varies; each once cut the limit, and turns were rejected.
-func TestOnlyCrowdingCutsTheLimit(t *testing.T) {
+// Where latency varies, single late answers are chance. Each once cut the limit, and requests were rejected.
+func TestOnlyCongestionCutsTheLimit(t *testing.T) {
 	for _, c := range []struct {
-		name  string
-		lat   time.Duration
-		calm  time.Duration
-		short bool
+		name            string
+		meanLatency     time.Duration
+		unloadedLatency time.Duration
+		cut             bool
 	}{
-		{"usual latency near the aim", 280 * ms, 200 * ms, false},
-		{"twice the calm latency, a third of the aim", 100 * ms, 50 * ms, false},
-		{"twice the calm latency, most of the aim", 240 * ms, 120 * ms, true},
+		{"usual latency near the objective", 280 * ms, 200 * ms, false},
+		{"twice the unloaded latency, a third of the objective", 100 * ms, 50 * ms, false},
+		{"twice the unloaded latency, most of the objective", 240 * ms, 120 * ms, true},
 	} {
 		b, _ := start(t, settings(), fleet(1))
 		u := b.upstreams[0]
-		u.latency.mean, u.latency.work = float64(c.lat), 1
-		u.latency.smoothed, u.latency.unloaded = float64(c.calm), float64(c.calm)
-		answerAfter(b, u, c.lat, 2*time.Hour)
-		if (u.limit.allowed < b.limits.initial) != c.short {
-			t.Errorf("%s: limit %v, at first %v", c.name, u.limit.allowed, b.limits.initial)
+		u.latency.mean, u.latency.work = float64(c.meanLatency), 1
+		u.latency.smoothed, u.latency.unloaded = float64(c.unloadedLatency), float64(c.unloadedLatency)
+		answerAfter(b, u, c.meanLatency, 2*time.Hour)
+		if (u.limit.allowed < b.limits.initial) != c.cut {
+			t.Errorf("%s: limit %v, initially %v", c.name, u.limit.allowed, b.limits.initial)
 		}
 	}
 }
 
-// Where flows are thin an answer near the least latency is rare, and limits stayed where they began while the
-// servers idled: a third of the requests was rejected. Readings decide there.
-func TestThinFlowGrowsByReadings(t *testing.T) {
+// Where answers are sparse, few are near the least latency, so readings decide on growth. Otherwise limits kept their
+// initial values while servers were idle, and a third of the requests was rejected.
+func TestSparseAnswersGrowLimitByReadings(t *testing.T) {
 	for _, c := range []struct {
-		balancers int
-		use       float64
-		grows     bool
+		balancers   int
+		utilisation float64
+		grows       bool
 	}{{8, 0.4, true}, {8, 0.9, false}, {2, 0.4, false}} {
 		s := settings()
 		s.Balancers = c.balancers
 		b, _ := start(t, s, fleet(1))
 		u := b.upstreams[0]
-		u.band.readings, u.band.mean = bandWindow, c.use
+		u.band.readings, u.band.mean = bandWindow, c.utilisation
 		u.latency.best, u.latency.smoothed, u.latency.unloaded = float64(30*ms), float64(60*ms), float64(60*ms)
 		b.queue.lastFullAt = time.Hour
-		answerAfter(b, u, 60*ms, time.Hour) // twice the least
+		answerAfter(b, u, 60*ms, time.Hour) // twice the least latency
 		if (u.limit.allowed > b.limits.initial) != c.grows {
-			t.Errorf("%+v: limit %v, at first %v", c, u.limit.allowed, b.limits.initial)
+			t.Errorf("%+v: limit %v, initially %v", c, u.limit.allowed, b.limits.initial)
 		}
 	}
 }
 
-// Single long answers of heavy-tailed work cut the limits of thin flows at half use, and a fifth was rejected.
-func TestThinFlowIsNotCutAtSpareUse(t *testing.T) {
+// Where answers are sparse, single slow ones do not cut the limit below full utilisation. With heavy-tailed work they
+// did at half of the utilisation, and a fifth of the requests was rejected.
+func TestSparseAnswersDoNotCutLimitBelowFullUtilisation(t *testing.T) {
 	for _, c := range []struct {
-		balancers int
-		use       float64
-		cut       bool
+		balancers   int
+		utilisation float64
+		cut         bool
 	}{{8, 0.5, false}, {8, 0.95, true}, {2, 0.5, true}} {
 		s := settings()
 		s.Balancers = c.balancers
 		b, _ := start(t, s, fleet(1))
 		u := b.upstreams[0]
-		u.band.readings, u.band.mean = 1, c.use
+		u.band.readings, u.band.mean = 1, c.utilisation
 		u.latency.mean, u.latency.work = float64(250*ms), 1
 		u.latency.smoothed, u.latency.unloaded = float64(60*ms), float64(60*ms)
 		answerAfter(b, u, 250*ms, 2*time.Hour)
 		if (u.limit.allowed < b.limits.initial) != c.cut {
-			t.Errorf("%+v: limit %v, at first %v", c, u.limit.allowed, b.limits.initial)
+			t.Errorf("%+v: limit %v, initially %v", c, u.limit.allowed, b.limits.initial)
 		}
 	}
 }
 
-// Requests come by chance. Spaced evenly by its pause, a thin flow left turns unused and rejected at others.
-func TestIdleUpstreamHasOneAttemptInHand(t *testing.T) {
+// Requests arrive irregularly. With a pause after every attempt, some slots stayed unused while at other times requests
+// were rejected. So an upstream that was idle may get one attempt without the pause.
+func TestIdleUpstreamGetsOneAttemptWithoutPause(t *testing.T) {
 	b, _ := start(t, settings(), fleet(1))
 	u := b.upstreams[0]
 	u.limit.allowed, u.latency.mean = 0.2, float64(100*ms)
-	answer := func(sent time.Duration) {
+	answer := func(sendTime time.Duration) {
 		u.limit.allowed = 0.2
-		a := &attempt{request: &request{class: b.classes["write"], work: 1}, upstream: u, sentAt: sent}
-		b.recordOutcome(a, AttemptResult{Latency: 100 * ms, Status: Error}, sent+100*ms)
+		a := &attempt{request: &request{class: b.classes["write"], work: 1}, upstream: u, sentAt: sendTime}
+		b.recordOutcome(a, AttemptResult{Latency: 100 * ms, Status: Error}, sendTime+100*ms)
 	}
-	now := 2 * time.Hour // idle for long
+	now := 2 * time.Hour // long idle
 	if answer(now); u.limit.nextSendAt > now+100*ms {
-		t.Errorf("after one attempt: free after %v", u.limit.nextSendAt-now)
+		t.Errorf("after one attempt: the next after %v", u.limit.nextSendAt-now)
 	}
 	if answer(now + 100*ms); u.limit.nextSendAt < now+500*ms {
-		t.Errorf("after two in a row: free after %v", u.limit.nextSendAt-now)
+		t.Errorf("after two in a row: the next after %v", u.limit.nextSendAt-now)
 	}
 }
 
-// A limit of one and a half attempts counts as two: cut to one, upstreams stood at half their use while requests were
-// rejected, since the way there and back leaves them without work.
+// A limit of 1.5 attempts counts as two. Rounded down to one, upstreams were at half utilisation while requests were
+// rejected, since they have no work during the network round trip.
 func TestLimitIsRounded(t *testing.T) {
-	b, h := start(t, settings(), fleet(2)) // of two balancers each has half of boundStart
+	b, h := start(t, settings(), fleet(2)) // two balancers, each with half of initialLimitTotal
 	for i := range RequestID(10) {
 		b.RequestArrived(time.Hour, Request{ID: i + 1, Class: "write", Budget: time.Second})
 	}
 	if n := h.count("send"); b.limits.initial != 1.5 || n != 4 {
-		t.Errorf("%d sent at a limit of %v for each of two, want 4", n, b.limits.initial)
+		t.Errorf("%d sent to two upstreams with a limit of %v each, want 4", n, b.limits.initial)
 	}
 }
 
-// Where a cap lies under the limit, the limit stays where it was tried: it once went to ten thousand with 16 in use.
+// The limit does not grow beyond the cap or what is in use. It once grew to ten thousand with 16 in flight.
 func TestLimitStaysAtWhatTheCapAllows(t *testing.T) {
 	list := fleet(1)
 	list[0].MaxInFlight = 16
@@ -276,11 +280,11 @@
 		answerAfter(b, u, ms, time.Hour)
 	}
 	if u.limit.allowed != 16 {
-		t.Errorf("limit %v with four in use", u.limit.allowed)
+		t.Errorf("limit %v with four in flight, want 16", u.limit.allowed)
 	}
 }
 
-// An objective of 320 ms: an answer within 20 ms leaves no doubt that nothing waited.
+// With an objective of 320 ms, a request answered within 20 ms has not waited in a queue.
 func TestGrowthBound(t *testing.T) {
 	for _, c := range []struct {
 		name        string
@@ -289,10 +293,10 @@
 		want        float64
 	}{
 		{"up to twice the limit in a period", 100 * ms, 0, 6},
-		{"no further than the cap", 100 * ms, 4, 4},
-		{"the cap lies higher", 100 * ms, 9, 6},
-		{"an idle upstream", 19 * ms, 0, math.Inf(1)},
-		{"an idle upstream with a cap", 19 * ms, 9, 9},
+		{"at most the cap", 100 * ms, 4, 4},
+		{"a higher cap", 100 * ms, 9, 6},
+		{"an unqueued answer", 19 * ms, 0, math.Inf(1)},
+		{"an unqueued answer and a cap", 19 * ms, 9, 9},
 	} {
 		upstream := &upstreamState{Upstream: Upstream{MaxInFlight: c.maxInFlight}, limit: concurrencyLimit{periodMax: 6}}
 		got := growthBound(upstream, &answer{latency: float64(c.latency), objective: float64(320 * ms)})
@@ -302,38 +306,39 @@
 	}
 }
 
-// The least latency for a unit of work is 50 ms, the objective 300 ms; the limit is 4 of at first 3.
+// The least latency per unit of work is 50, the initial limit 3. Each answer has a latency, an objective, a latency per
+// unit of work, and whether answers are sparse.
 func TestAdjustLimit(t *testing.T) {
 	const cut, kept, grown = 3.2, 4.0, 4.5
 	for _, c := range []struct {
-		name   string
-		answer answer
-		use    float64
-		limit  float64
-		full   bool // a request had to wait
-		want   float64
+		name        string
+		answer      answer
+		utilisation float64
+		limit       float64
+		lacking     bool // a request found no slot
+		want        float64
 	}{
-		{"as usual", answer{50, 300, 50, false}, 0.5, 4, true, grown},
-		{"no request had to wait", answer{50, 300, 50, false}, 0.5, 4, false, kept},
-		{"at full use", answer{50, 300, 50, false}, 0.9, 4, true, kept},
-		{"a queue begins", answer{80, 300, 79, false}, 0.5, 4, true, kept},
-		{"a sparse answer says little of latency", answer{50, 300, 79, true}, 0.5, 4, true, grown},
-		{"crowded", answer{160, 300, 160, false}, 0.5, 4, true, cut},
-		{"crowded, far under the objective", answer{160, 900, 160, false}, 0.5, 4, true, kept},
-		{"a sparse late answer at spare use", answer{160, 300, 160, true}, 0.5, 4, false, kept},
-		{"a sparse late answer at full use", answer{160, 300, 160, true}, 0.9, 4, false, cut},
-		{"it had been cut: its rest is over", answer{50, 300, 50, false}, 0.5, 0.3, false, 3},
+		{"uncongested", answer{50, 300, 50, false}, 0.5, 4, true, grown},
+		{"no request lacked a slot", answer{50, 300, 50, false}, 0.5, 4, false, kept},
+		{"at full utilisation", answer{50, 300, 50, false}, 0.9, 4, true, kept},
+		{"a queue forms", answer{80, 300, 79, false}, 0.5, 4, true, kept},
+		{"sparse: latency does not count", answer{50, 300, 79, true}, 0.5, 4, true, grown},
+		{"congested", answer{160, 300, 160, false}, 0.5, 4, true, cut},
+		{"congested, far below the objective", answer{160, 900, 160, false}, 0.5, 4, true, kept},
+		{"sparse and late, below full utilisation", answer{160, 300, 160, true}, 0.5, 4, false, kept},
+		{"sparse and late, at full utilisation", answer{160, 300, 160, true}, 0.9, 4, false, cut},
+		{"cut before: back to the initial limit", answer{50, 300, 50, false}, 0.5, 0.3, false, 3},
 	} {
 		b, _ := start(t, settings(), fleet(1))
 		b.limits = limitSettings{initial: 3, growth: 1}
 		b.queue.lastFullAt = time.Hour
-		if !c.full {
+		if !c.lacking {
 			b.queue.lastFullAt = 0
 		}
 		upstream := b.upstreams[0]
 		upstream.limit = concurrencyLimit{allowed: c.limit, periodMax: 100}
 		upstream.latency = latencyStats{best: 50, unloaded: 50}
-		upstream.band.mean = c.use
+		upstream.band.mean = c.utilisation
 		upstream.inFlight = make([]*attempt, 5)
 		if b.adjustLimit(upstream, &c.answer, time.Hour); !near(upstream.limit.allowed, c.want) {
 			t.Errorf("%s: %v, want %v", c.name, upstream.limit.allowed, c.want)
--- a/balancer/outlier_test.go
+++ b/balancer/outlier_test.go
@@ -12,11 +12,11 @@
 		failed []bool
 		rate   float64
 	}{
-		{"none", nil, 0},
-		{"an answer", []bool{false}, 0},
+		{"no answers", nil, 0},
+		{"a success", []bool{false}, 0},
 		{"an error", []bool{true}, 0.125},
 		{"two errors", []bool{true, true}, 0.234375},
-		{"an error, then an answer", []bool{true, false}, 0.109375},
+		{"an error, then a success", []bool{true, false}, 0.109375},
 	} {
 		var o outlierDetector
 		for _, failed := range c.failed {
@@ -28,7 +28,8 @@
 	}
 }
 
-// Errors that all upstreams make cost nobody; a quarter more is chance; beyond it the share falls by the fourth power.
+// Errors up to the mean rate of the fleet cut no share, and neither does an excess of up to a quarter, which may be
+// chance. Beyond it the share falls with the fourth power.
 func TestOutlierShareFactor(t *testing.T) {
 	for _, c := range []struct{ rate, fleet, excess, factor float64 }{
 		{0, 0, 0, 1},
@@ -46,13 +47,14 @@
 	}
 }
 
-// Ejected for a second: the safest class has its trial then, others a wait later; each trial doubles the wait.
+// Ejected for 1 s: then a request of the safest class may be the trial, and after another such wait one of any class.
+// Each trial doubles the wait.
 func TestOutlierTrials(t *testing.T) {
 	var o outlierDetector
 	o.eject(time.Hour, time.Second)
 	for i, c := range []struct {
-		after        time.Duration
-		safest, rest bool // due for these
+		after          time.Duration
+		safest, others bool // whether a trial is due for the safest class and for others
 	}{
 		{time.Second - 1, false, false},
 		{time.Second, true, false},
@@ -60,8 +62,8 @@
 		{2 * time.Second, true, true},
 	} {
 		now := time.Hour + c.after
-		if o.trialDue(true, now) != c.safest || o.trialDue(false, now) != c.rest {
-			t.Errorf("case %d: due for the safest %v, for others %v", i, o.trialDue(true, now), o.trialDue(false, now))
+		if o.trialDue(true, now) != c.safest || o.trialDue(false, now) != c.others {
+			t.Errorf("case %d: due for the safest class %v, for others %v", i, o.trialDue(true, now), o.trialDue(false, now))
 		}
 	}
 	o.trialSent(2 * time.Hour)
@@ -70,7 +72,7 @@
 	}
 	o.responded(3*time.Hour, 20*ms)
 	if o.unresponsive || o.backoff != 20*ms || o.lastResponseAt != 3*time.Hour {
-		t.Errorf("after an answer: %+v", o)
+		t.Errorf("after a response: %+v", o)
 	}
 }
 
@@ -79,12 +81,12 @@
 	for i, want := range []struct{ wait, backoff time.Duration }{
 		{100 * ms, 200 * ms},
 		{200 * ms, 400 * ms},
-		{400 * ms, 500 * ms}, // the longest
+		{400 * ms, 500 * ms}, // the limit
 		{500 * ms, 500 * ms},
 	} {
 		retryAt := o.connectFailed(time.Hour, 500*ms)
 		if retryAt != time.Hour+want.wait || o.backoff != want.backoff {
-			t.Errorf("failure %d: again after %v, then %v; want %+v", i, retryAt-time.Hour, o.backoff, want)
+			t.Errorf("failure %d: retry after %v, next backoff %v; want %+v", i, retryAt-time.Hour, o.backoff, want)
 		}
 	}
 }
@@ -97,13 +99,13 @@
 	}
 }
 
-// flow sends requests one by one, 5 ms apart, and has each answered after 20 ms, or with an error at once where sick
-// says so. It tells how many came to the first upstream, how many failed and how many were sent.
+// flow sends n requests, 5 ms apart. Each is answered after 20 ms, or at once with an error by an upstream for which
+// failing returns true. It returns the numbers of attempts to the first upstream, of failures, and of all attempts.
 func flow(
-	t *testing.T, b *Balancer, from time.Duration, first RequestID, n int, sick func(u *upstreamState) bool,
-) (atFirst, failed, sent int) {
+	t *testing.T, b *Balancer, from time.Duration, first RequestID, n int, failing func(u *upstreamState) bool,
+) (toFirst, failed, sent int) {
 	t.Helper()
-	f := flowing{b: b, sick: sick, now: from, seen: map[*attempt]bool{}}
+	f := flowState{b: b, failing: failing, now: from, seen: map[*attempt]bool{}}
 	for i := range n {
 		f.now += 5 * ms
 		for len(f.due) > 0 && f.due[0].at <= f.now {
@@ -114,27 +116,27 @@
 			b.TimerFired(f.now, tickToken)
 		}
 		b.RequestArrived(f.now, Request{ID: first + RequestID(i), Class: "write", Budget: time.Second})
-		for f.answerNew(i) { // an outcome may send what is queued
+		for f.answerNew(i) { // a failure may lead to another attempt
 		}
 	}
 	for _, d := range f.due {
 		b.AttemptFinished(f.now+20*ms, d.o)
 	}
-	return f.atFirst, f.failed, f.sent
+	return f.toFirst, f.failed, f.sent
 }
 
-// flowing is the state of a flow.
-type flowing struct {
+// flowState is the state of a call of flow.
+type flowState struct {
 	b                     *Balancer
-	sick                  func(u *upstreamState) bool
+	failing               func(u *upstreamState) bool
 	now                   time.Duration
 	due                   []outcomeDue
 	seen                  map[*attempt]bool
-	atFirst, failed, sent int
+	toFirst, failed, sent int
 }
 
-// answerNew decides how the attempts end that it has not seen, and reports whether there were any.
-func (f *flowing) answerNew(i int) (found bool) {
+// answerNew ends or schedules the end of the attempts in flight that are new, and reports whether there are any.
+func (f *flowState) answerNew(i int) (found bool) {
 	for _, u := range f.b.upstreams {
 		for _, a := range slices.Clone(u.inFlight) {
 			if f.seen[a] {
@@ -147,17 +149,17 @@
 	return found
 }
 
-// answer lets an attempt fail at once, or has it answered later.
-func (f *flowing) answer(a *attempt, i int) {
+// answer lets an attempt fail at once, or schedules its answer.
+func (f *flowState) answer(a *attempt, i int) {
 	f.sent++
 	if a.upstream == f.b.upstreams[0] {
-		f.atFirst++
+		f.toFirst++
 	}
 	o := AttemptResult{
 		ID: a.request.ID, Upstream: a.upstream.ID, Latency: 20 * ms, Status: OK, Closed: true,
 		Load: Load{Fields: HasUtil, Util: 0.3 + float64(i%7)/1000},
 	}
-	if f.sick(a.upstream) {
+	if f.failing(a.upstream) {
 		o.Status, o.Latency, o.Closed = Error, ms, false
 		f.failed++
 		f.b.AttemptFinished(f.now, o)
@@ -166,9 +168,9 @@
 	f.due = append(f.due, outcomeDue{f.now + 20*ms, o})
 }
 
-// An upstream that answers every request with an error at once gets trials only, the rarer the longer it lasts, and its
-// share again once it is well.
-func TestErrorsTurnAnUpstreamIntoATrial(t *testing.T) {
+// An upstream that answers all requests with errors gets only trial requests, at growing intervals. Once it answers
+// without errors it gets its share again.
+func TestFailingUpstreamGetsOnlyTrials(t *testing.T) {
 	b, _ := start(t, settings(), fleet(5))
 	none := func(*upstreamState) bool { return false }
 	flow(t, b, time.Hour, 1, 1000, none)
@@ -178,14 +180,14 @@
 		t.Errorf("%d of %d sent failed within 10 s, want a few trials", failed, sent)
 	}
 	flow(t, b, time.Hour+30*time.Second, 20000, 2000, none)
-	at, _, sent := flow(t, b, time.Hour+50*time.Second, 30000, 1000, none)
-	if at < sent/8 {
-		t.Errorf("%d of %d at it once it is well, want a fifth or so", at, sent)
+	toFirst, _, sent := flow(t, b, time.Hour+50*time.Second, 30000, 1000, none)
+	if toFirst < sent/8 {
+		t.Errorf("%d of %d sent to it after its recovery, want about a fifth", toFirst, sent)
 	}
 }
 
-// Errors that all upstreams make are of the requests: nobody is cut, and everything is still sent.
-func TestErrorsOfAllCutNobody(t *testing.T) {
+// Errors of all upstreams are due to the requests: no upstream is ejected, and all requests are sent.
+func TestErrorsOfAllUpstreamsEjectNone(t *testing.T) {
 	for _, n := range []int{1, 2, 5} {
 		b, _ := start(t, settings(), fleet(n))
 		flow(t, b, time.Hour, 1, 600, func(*upstreamState) bool { return true })
--- a/balancer/queue_test.go
+++ b/balancer/queue_test.go
@@ -7,7 +7,7 @@
 	"time"
 )
 
-// queuedRequests returns requests that came at seconds 1, 2, …, with these weights and with so many seconds to wait.
+// queuedRequests returns requests queued at 1 s, 2 s and so on, with these weights and times that each may wait.
 func queuedRequests(weights []float64, waits []time.Duration) []*request {
 	list := make([]*request, len(weights))
 	for i := range list {
@@ -33,15 +33,15 @@
 		waits      []time.Duration
 		order      []RequestID
 	}{
-		{"turns suffice: as they came", false, []float64{1, 9, 1, 9}, even, []RequestID{1, 2, 3, 4}},
+		{"not overloaded: in order of arrival", false, []float64{1, 9, 1, 9}, even, []RequestID{1, 2, 3, 4}},
 		{
-			"the one due first goes first", false,
+			"not overloaded: the earliest due first", false,
 			[]float64{1, 1, 1, 1},
 			[]time.Duration{9 * time.Second, 9 * time.Second, time.Second, 9 * time.Second},
 			[]RequestID{3, 1, 2, 4},
 		},
-		{"turns are short: most weight first", true, []float64{1, 3, 2, 4}, even, []RequestID{4, 2, 3, 1}},
-		{"the newest first among equals", true, []float64{1, 2, 1, 2}, even, []RequestID{4, 2, 3, 1}},
+		{"overloaded: the greatest weight first", true, []float64{1, 3, 2, 4}, even, []RequestID{4, 2, 3, 1}},
+		{"overloaded: the newest first among equal weights", true, []float64{1, 2, 1, 2}, even, []RequestID{4, 2, 3, 1}},
 	} {
 		q := admissionQueue{overloaded: c.overloaded}
 		for _, r := range queuedRequests(c.weights, c.waits) {
@@ -59,53 +59,53 @@
 	list := queuedRequests([]float64{1, 1}, []time.Duration{time.Hour, time.Hour})
 	q.add(list[0], 2*time.Hour)
 	if q.overloaded || q.lastDispatchAt != 2*time.Hour || q.lastFullAt != 2*time.Hour || q.queueingInterval != 0 {
-		t.Errorf("the first of a queue: %+v", q)
+		t.Errorf("after the first request: %+v", q)
 	}
 	q.add(list[1], 2*time.Hour+5*ms)
 	if q.lastDispatchAt != 2*time.Hour || q.lastFullAt != 2*time.Hour+5*ms || q.queueingInterval != float64(5*ms) {
-		t.Errorf("the second: %+v", q)
+		t.Errorf("after the second request: %+v", q)
 	}
 	if r := list[1]; !r.queued || r.queuedAt != 2*time.Hour+5*ms || !slices.Equal(ids(q.waiting), []RequestID{1, 2}) {
 		t.Errorf("queued %v at %v, in order %v", r.queued, r.queuedAt, ids(q.waiting))
 	}
 	q.dispatched(2*time.Hour + 8*ms)
 	if q.dispatchInterval != float64(8*ms) || q.lastDispatchAt != 2*time.Hour+8*ms {
-		t.Errorf("after a turn: %+v", q)
+		t.Errorf("after a dispatch: %+v", q)
 	}
 }
 
-// Turns are short from the first loss on while requests come faster than turns, and until all that is queued starts
-// before the first is due.
+// The queue becomes overloaded when a request is lost while requests are queued faster than they are dispatched. It
+// stays so until all queued requests can be dispatched before the first of them is due.
 func TestQueueIsOverloaded(t *testing.T) {
 	for _, c := range []struct {
-		name            string
-		before, lost    bool
-		queueing, turns time.Duration // intervals
-		queued          int
-		firstDue        time.Duration
-		after           bool
+		name               string
+		before, lost       bool
+		queueing, dispatch time.Duration // intervals
+		queued             int
+		firstDue           time.Duration
+		after              bool
 	}{
-		{"a loss, turns are rarer than requests", false, true, ms, 5 * ms, 10, 100 * ms, true},
-		{"a loss, turns are as frequent", false, true, 5 * ms, 5 * ms, 10, 100 * ms, false},
+		{"a loss, dispatches are rarer than requests", false, true, ms, 5 * ms, 10, 100 * ms, true},
+		{"a loss, dispatches are as frequent", false, true, 5 * ms, 5 * ms, 10, 100 * ms, false},
 		{"no loss", false, false, ms, 5 * ms, 10, 10 * ms, false},
-		{"still: the last starts after the first is due", true, false, ms, 5 * ms, 21, 100 * ms, true},
-		{"over: all start in time", true, false, ms, 5 * ms, 20, 100 * ms, false},
-		{"over: nothing is queued", true, false, ms, 5 * ms, 0, 0, false},
+		{"still overloaded: the last is dispatched after the first is due", true, false, ms, 5 * ms, 21, 100 * ms, true},
+		{"no longer: all are dispatched in time", true, false, ms, 5 * ms, 20, 100 * ms, false},
+		{"no longer: nothing is queued", true, false, ms, 5 * ms, 0, 0, false},
 	} {
 		q := admissionQueue{
-			overloaded: c.before, queueingInterval: float64(c.queueing), dispatchInterval: float64(c.turns),
+			overloaded: c.before, queueingInterval: float64(c.queueing), dispatchInterval: float64(c.dispatch),
 			lastDispatchAt: time.Hour, lastFullAt: time.Hour,
 		}
 		for i := range c.queued {
 			q.waiting = append(q.waiting, &request{sendBy: time.Hour + c.firstDue + time.Duration(i)})
 		}
 		if q.updateOrder(time.Hour, c.lost); q.overloaded != c.after {
-			t.Errorf("%s: %v", c.name, q.overloaded)
+			t.Errorf("%s: overloaded: %v", c.name, q.overloaded)
 		}
 	}
 }
 
-// A change puts what is queued into the other order.
+// A change between overloaded and not overloaded sorts the queue into the other order.
 func TestQueueIsSortedAgain(t *testing.T) {
 	waits := []time.Duration{time.Minute, time.Minute, time.Minute}
 	waiting := queuedRequests([]float64{1, 3, 2}, waits)
@@ -118,26 +118,26 @@
 	}
 	q.updateOrder(4*time.Second, false)
 	if got := ids(q.waiting); !slices.Equal(got, []RequestID{1, 2, 3}) {
-		t.Errorf("no longer: %v", got)
+		t.Errorf("no longer overloaded: %v", got)
 	}
 }
 
-// An answer takes 100 ms. The wait is for the turns of what is queued and for an upstream that may be tried, at most 2
-// s.
+// An answer takes 100 ms. The wait lasts until the queued requests are dispatched and an upstream may get an attempt,
+// and at most 2 s.
 func TestQueueRetryAfter(t *testing.T) {
 	for _, c := range []struct {
 		name    string
 		waits   []time.Duration // of the upstreams, each with a limit of two
-		ejected time.Duration   // the first one gets its next trial then; 0: it is not ejected
+		ejected time.Duration   // time to the next trial of the first upstream; 0: not ejected
 		queued  int
 		want    time.Duration
 	}{
 		{"no upstream", nil, 0, 0, 2 * time.Second},
-		{"one free, nothing queued", []time.Duration{0}, 0, 0, 50 * ms},
-		{"one free, nine queued", []time.Duration{0}, 0, 9, 500 * ms},
-		{"two free, nine queued", []time.Duration{0, 0}, 0, 9, 250 * ms},
-		{"the next is free in a second", []time.Duration{3 * time.Second, time.Second}, 0, 0, time.Second},
-		{"the next gets a trial before", []time.Duration{time.Second}, 300 * ms, 0, 300 * ms},
+		{"one upstream free, nothing queued", []time.Duration{0}, 0, 0, 50 * ms},
+		{"one upstream free, nine queued", []time.Duration{0}, 0, 9, 500 * ms},
+		{"two upstreams free, nine queued", []time.Duration{0, 0}, 0, 9, 250 * ms},
+		{"the first is free in 1 s", []time.Duration{3 * time.Second, time.Second}, 0, 0, time.Second},
+		{"a trial is due sooner", []time.Duration{time.Second}, 300 * ms, 0, 300 * ms},
 		{"many queued", []time.Duration{0}, 0, 1000, 2 * time.Second},
 	} {
 		s := settings()
@@ -158,13 +158,13 @@
 		}
 		b.settings.Limits.RetryAfter = false
 		if got := b.retryAfter(time.Hour); got != 0 {
-			t.Errorf("%s: %v where clients are not told", c.name, got)
+			t.Errorf("%s: %v without Limits.RetryAfter, want 0", c.name, got)
 		}
 	}
 }
 
-// A request with a short budget was once queued past its deadline, since the queue is looked at once a tick.
-func TestShortBudgetIsAnsweredInTime(t *testing.T) {
+// Queued requests are checked once per tick. A request with a short budget was once queued past its deadline.
+func TestShortBudgetIsRejectedInTime(t *testing.T) {
 	b, h := start(t, settings(), fleet(1))
 	b.upstreams[0].limit.nextSendAt = 2 * time.Hour
 	b.RequestArrived(time.Hour, Request{ID: 1, Class: "write", Budget: 10 * ms})
@@ -173,7 +173,7 @@
 	}
 }
 
-func TestQueuedRequestsWaitForTheListAndMostWeightGoesFirst(t *testing.T) {
+func TestQueuedRequestsWaitForEndpointsThenGreatestWeightGoesFirst(t *testing.T) {
 	b, h := start(t, settings(), nil)
 	for i, class := range []string{"read", "write", "keyed"} {
 		b.RequestArrived(time.Hour, Request{ID: RequestID(i + 1), Class: class, Budget: time.Second})
@@ -190,37 +190,37 @@
 	}
 }
 
-// A rejection tells when to come back, where the settings allow it: later the more is queued, and within the limit.
+// Where the settings allow it, a rejection has a Retry-After that grows with the queue, up to a limit.
 func TestRejectionsSetRetryAfter(t *testing.T) {
 	for _, allowed := range []bool{true, false} {
 		s := settings()
 		s.Limits.RetryAfter, s.Limits.MaxRetryAfter = allowed, 400*ms
 		b, h := start(t, s, nil)
-		var told []time.Duration
+		var retryAfters []time.Duration
 		h.hook = func(kind string, _ RequestID, _ UpstreamID, d time.Duration, _ uint64) {
 			if kind == "refuse" {
-				told = append(told, d)
+				retryAfters = append(retryAfters, d)
 			}
 		}
-		b.RequestArrived(time.Hour, Request{ID: 1, Class: "write", Budget: 10 * ms}) // nobody to send it to
+		b.RequestArrived(time.Hour, Request{ID: 1, Class: "write", Budget: 10 * ms}) // no upstream is known
 		b.EndpointsUpdated(time.Hour, ListFull, fleet(2))
 		for i := range RequestID(200) {
 			b.RequestArrived(time.Hour, Request{ID: 2 + i, Class: "write", Budget: time.Second})
 		}
-		b.RequestArrived(time.Hour, Request{ID: 900, Class: "write", Budget: 10 * ms}) // all turns are taken
-		if len(told) != 2 {
-			t.Fatalf("%d rejections, want 2: %v", len(told), h.lines)
+		b.RequestArrived(time.Hour, Request{ID: 900, Class: "write", Budget: 10 * ms}) // all slots are taken
+		if len(retryAfters) != 2 {
+			t.Fatalf("%d rejections, want 2: %v", len(retryAfters), h.lines)
 		}
-		for i, d := range told {
+		for i, d := range retryAfters {
 			if (d > 0) != allowed || d > s.Limits.MaxRetryAfter {
-				t.Errorf("allowed %v, refusal %d: come back in %v", allowed, i, d)
+				t.Errorf("allowed %v, rejection %d: retry after %v", allowed, i, d)
 			}
 		}
 	}
 }
 
-// Once turns are short, queued requests stand by weight, and the newest first among equals.
-func TestQueuedRequestsStandInOrder(t *testing.T) {
+// Under overload, queued requests are sorted by weight, and the newest first among equal weights.
+func TestQueueIsSortedByWeightUnderOverload(t *testing.T) {
 	s := settings()
 	s.WeightByWork = false
 	b, _ := start(t, s, nil)
@@ -230,11 +230,11 @@
 		b.RequestArrived(at, Request{ID: i + 1, Class: class, Budget: time.Second, Cost: cost})
 	}
 	if first := b.queue.waiting[0]; b.queue.overloaded || first.sendBy > b.queue.waiting[59].sendBy {
-		t.Errorf("before turns are known to be short: %v; request %d is first", b.queue.overloaded, first.ID)
+		t.Errorf("before a loss: overloaded: %v, request %d is first", b.queue.overloaded, first.ID)
 	}
-	b.queue.updateOrder(time.Hour+ms, true) // as when one is lost by waiting
+	b.queue.updateOrder(time.Hour+ms, true) // as if a request had been lost in the queue
 	if b.dispatchQueued(time.Hour + 2*ms); !b.queue.overloaded {
-		t.Error("turns suffice again although none has come")
+		t.Error("no longer overloaded although nothing was dispatched")
 	}
 	want := slices.Clone(b.queue.waiting)
 	slices.SortStableFunc(want, func(x, y *request) int {
@@ -247,43 +247,43 @@
 		return int(y.ID) - int(x.ID)
 	})
 	if len(want) != 60 || !slices.Equal(want, b.queue.waiting) {
-		t.Errorf("%d queued, out of order", len(b.queue.waiting))
+		t.Errorf("%d queued, or in another order", len(b.queue.waiting))
 	}
 }
 
-// queue is one upstream that takes one request at a time for a while, with requests that come at other times. It
-// returns how long the served ones waited, in order of arrival, 0 for those rejected.
-func queue(t *testing.T, work time.Duration, arrivals []time.Duration) (waits []time.Duration, refused int) {
+// queue simulates an upstream that serves one request at a time. It returns for each request, in order of
+// arrival, the time until its answer, or 0 if it was rejected.
+func queue(t *testing.T, serviceTime time.Duration, arrivals []time.Duration) (waits []time.Duration, rejected int) {
 	list := fleet(1)
 	list[0].MaxInFlight = 1
 	b, h := start(t, settings(), list)
-	b.latency = float64(work)
+	b.latency = float64(serviceTime)
 	waits = make([]time.Duration, len(arrivals))
 	var now, endAt time.Duration
-	var out RequestID
+	var inFlight RequestID
 	h.hook = func(kind string, id RequestID, _ UpstreamID, d time.Duration, _ uint64) {
 		switch kind {
 		case "send":
-			out, endAt = id, now+work
+			inFlight, endAt = id, now+serviceTime
 			waits[id-1] = endAt - time.Hour - arrivals[id-1]
 		case "refuse":
-			refused++
+			rejected++
 		}
 	}
 	tickAt := time.Hour
-	for i := 0; i < len(arrivals) || out != 0 || len(b.queue.waiting) > 0; {
+	for i := 0; i < len(arrivals) || inFlight != 0 || len(b.queue.waiting) > 0; {
 		next := tickAt
-		if out != 0 {
+		if inFlight != 0 {
 			next = min(next, endAt)
 		}
 		if i < len(arrivals) {
 			next = min(next, time.Hour+arrivals[i])
 		}
 		switch now = next; {
-		case out != 0 && now == endAt:
-			id := out
-			out = 0
-			b.AttemptFinished(now, AttemptResult{ID: id, Upstream: 1, Latency: work, Status: OK})
+		case inFlight != 0 && now == endAt:
+			id := inFlight
+			inFlight = 0
+			b.AttemptFinished(now, AttemptResult{ID: id, Upstream: 1, Latency: serviceTime, Status: OK})
 		case i < len(arrivals) && now == time.Hour+arrivals[i]:
 			i++
 			b.RequestArrived(now, Request{ID: RequestID(i), Class: "read", Budget: time.Second})
@@ -292,36 +292,37 @@
 			b.TimerFired(now, tickToken)
 		}
 	}
-	return waits, refused
+	return waits, rejected
 }
 
-// A standing queue that drains within the objective once made the oldest wait until the objective was spent: 64 clients
-// over 32 connections saw a 99th percentile of 220 ms beside a median of 8, and 3 % rejected.
-func TestNobodyIsPassedOverWhileTurnsSuffice(t *testing.T) {
+// While all queued requests can be served within the objective, the oldest goes first. When newer ones went first, the
+// oldest waited until the objective had passed: with 64 clients over 32 connections, the 99th percentile was 220 ms at
+// a median of 8 ms, and 3 % were rejected.
+func TestOldestFirstWhileNotOverloaded(t *testing.T) {
 	var arrivals []time.Duration
-	for i := range 400 { // ten waiting, then one for each that ends
+	for i := range 400 { // eleven at once, then one for each answer
 		arrivals = append(arrivals, max(0, time.Duration(i-10))*5*ms)
 	}
-	waits, refused := queue(t, 5*ms, arrivals)
-	if longest := slices.Max(waits); refused > 0 || longest > 70*ms {
-		t.Errorf("%d rejected, the longest wait %v", refused, longest)
+	waits, rejected := queue(t, 5*ms, arrivals)
+	if longest := slices.Max(waits); rejected > 0 || longest > 70*ms {
+		t.Errorf("%d rejected, the longest wait %v", rejected, longest)
 	}
 }
 
-// In a burst that turns do not suffice for, the newest go first: their answers come in time whatever was lost before.
-func TestNewestFirstOnceTurnsAreShort(t *testing.T) {
+// In a burst above the capacity, the newest go first: they are answered in time even if older ones are lost.
+func TestNewestFirstUnderOverload(t *testing.T) {
 	var arrivals []time.Duration
-	for i := range 600 { // twice what is served
+	for i := range 600 { // at twice the rate that is served
 		arrivals = append(arrivals, time.Duration(i)*5*ms/2)
 	}
-	waits, refused := queue(t, 5*ms, arrivals)
+	waits, rejected := queue(t, 5*ms, arrivals)
 	slices.Sort(waits[200:])
 	served := slices.DeleteFunc(waits[200:], func(d time.Duration) bool { return d == 0 })
 	median, longest := served[len(served)/2], served[len(served)-1]
-	if refused < 200 || len(served) < 190 || median > 20*ms || longest > 300*ms {
-		t.Errorf("%d rejected, of the last 400 %d served, median %v, longest %v", refused, len(served), median, longest)
+	if rejected < 200 || len(served) < 190 || median > 20*ms || longest > 300*ms {
+		t.Errorf("%d rejected, of the last 400 %d served, median %v, longest %v", rejected, len(served), median, longest)
 	}
-	// And once it is over, order returns: nothing of what comes then is passed over.
+	// After the burst, requests are served in order of arrival again, and none is rejected.
 	for i := range 200 {
 		arrivals = append(arrivals, 3*time.Second+time.Duration(i)*5*ms+time.Duration(i%2)*9*ms)
 	}
--- a/balancer/requests_test.go
+++ b/balancer/requests_test.go
@@ -5,32 +5,32 @@
 	"time"
 )
 
-// The class has an objective of 300 ms and a deadline of a second; budgets of a second are usual.
+// The class has a latency objective of 300 ms, a deadline of 1 s and a longest budget of 1 s.
 func TestIsLateRetry(t *testing.T) {
 	for _, c := range []struct {
 		name           string
 		budget, margin time.Duration
 		late           bool
 	}{
-		{"a first try", time.Second, 100 * ms, false},
-		{"a budget that is hardly shorter", 940 * ms, 400 * ms, false},
+		{"a first attempt", time.Second, 100 * ms, false},
+		{"a budget that is slightly shorter", 940 * ms, 400 * ms, false},
 		{"a retry in time", 850 * ms, 100 * ms, false},
 		{"a retry with less than the margin left to the objective", 799 * ms, 100 * ms, true},
 		{"a retry past the objective", 500 * ms, 100 * ms, true},
 	} {
 		requestClass := &class{Class: Class{LatencyObjective: 300 * ms, Deadline: time.Second}, maxBudget: time.Second}
 		if requestClass.isLateRetry(c.budget, c.margin) != c.late {
-			t.Errorf("%s: a late retry: %v", c.name, !c.late)
+			t.Errorf("%s: taken for a late retry: %v", c.name, !c.late)
 		}
 	}
 }
 
-// The longest budget so far is no retry's.
-func TestLongestBudgetIsFollowed(t *testing.T) {
+// A request with the longest budget so far is not taken for a retry.
+func TestMaxBudgetFollowsLongestRequest(t *testing.T) {
 	b, _ := start(t, settings(), nil)
 	for _, c := range []struct {
 		budget, longest time.Duration
-		weight          float64 // half of it is left to a late retry
+		weight          float64 // a late retry keeps half of it
 	}{{500 * ms, 500 * ms, 1}, {time.Second, time.Second, 1}, {500 * ms, time.Second, 0.5}} {
 		r := b.newRequest(Request{Class: "read", Budget: c.budget}, b.classes["read"], time.Hour)
 		if r.weight != c.weight || b.classes["read"].maxBudget != c.longest {
@@ -39,8 +39,8 @@
 	}
 }
 
-// The margin before the objective is 1.83 usual latencies where late answers keep half of their weight, and 2.33 where
-// they keep none; a tick of 18.75 ms comes on top.
+// The margin before the objective is 1.83 mean latencies for a class whose late answers keep half of their weight, and
+// 2.33 where they keep none, plus a tick of 18.75 ms.
 func TestNewRequest(t *testing.T) {
 	const readMargin, writeMargin = 91500*time.Microsecond + 18750*time.Microsecond, 233*ms + 18750*time.Microsecond
 	read := Request{Class: "read", Budget: time.Second}
@@ -56,9 +56,9 @@
 		weight, work float64
 		sendBy       time.Duration // after its arrival
 	}{
-		{"as usual", read, true, 1, 1, 300*ms - readMargin},
-		{"its class takes twice the usual time", write, true, 2, 2, 300*ms - writeMargin},
-		{"weight for a unit of work", write, false, 1, 2, 300*ms - writeMargin},
+		{"the mean request", read, true, 1, 1, 300*ms - readMargin},
+		{"its class takes twice the mean latency", write, true, 2, 2, 300*ms - writeMargin},
+		{"weights don't follow the work", write, false, 1, 2, 300*ms - writeMargin},
 		{"a tenant over its quota", overQuota, true, 0.1, 1, 300*ms - readMargin},
 		{"a short budget", short, true, 1, 1, 100*ms - readMargin},
 		{"a cost hint of half the mean", hinted, true, 1, 0.5, 300*ms - readMargin},
@@ -85,11 +85,11 @@
 	r := &request{attempts: []*attempt{first, second}}
 	for n, want := range map[int]*attempt{-1: nil, 0: first, 1: second, 2: nil} {
 		if r.attempt(n) != want {
-			t.Errorf("attempt %d is not the one", n)
+			t.Errorf("attempt(%d) returned another attempt", n)
 		}
 	}
 	if (*request)(nil).attempt(0) != nil {
-		t.Error("no request has an attempt")
+		t.Error("a nil request has an attempt")
 	}
 }
 
@@ -104,9 +104,9 @@
 	}
 }
 
-// A short class was once rejected whenever no turn was free: the mean latency of all classes exceeded its objective, so
-// there never seemed to be time to hold it.
-func TestShortClassIsQueuedByItsOwnLatency(t *testing.T) {
+// The time that a request may queue follows from the latency of its own class. With the mean latency of all classes, a
+// fast class was rejected whenever no slot was free.
+func TestFastClassIsQueuedByItsOwnLatency(t *testing.T) {
 	s := settings()
 	s.Classes[2].LatencyObjective = 200 * ms
 	b, h := start(t, s, fleet(1))
@@ -125,27 +125,27 @@
 	b.upstreams[0].limit.nextSendAt = now + time.Minute
 	b.RequestArrived(now, Request{ID: 1000, Class: "write", Budget: time.Second})
 	if r := b.requests[1000]; r == nil || !r.queued || r.work > 0.5 {
-		t.Errorf("with five times its usual latency left to its objective it was not queued: %v", h.lines[len(h.lines)-1])
+		t.Errorf("not queued although the objective is five times the mean latency of its class: %v", h.lines[len(h.lines)-1])
 	}
 }
 
-// In overload a third of all turns went to clients' retries whose objective had passed before they were sent.
-func TestLateRetryYieldsWhileTurnsAreShort(t *testing.T) {
+// Under overload a third of all slots went to clients' retries whose objective had passed before they were sent.
+func TestLateRetryIsRejectedWhileSlotsAreShort(t *testing.T) {
 	for _, c := range []struct {
-		name   string
-		budget time.Duration // of 1 s; the objective is 300 ms
-		tight  bool
-		sent   bool
+		name       string
+		budget     time.Duration // the longest is 1 s, the objective 300 ms
+		slotsShort bool
+		sent       bool
 	}{
-		{"first try", time.Second, true, true},
-		{"later try with time left", 950 * ms, true, true},
-		{"later try past the aim", 500 * ms, true, false},
-		{"later try past the aim, turns free", 500 * ms, false, true},
+		{"first attempt", time.Second, true, true},
+		{"retry with time left", 950 * ms, true, true},
+		{"retry past the objective", 500 * ms, true, false},
+		{"retry past the objective, slots free", 500 * ms, false, true},
 	} {
 		b, h := start(t, settings(), fleet(4))
 		b.RequestArrived(time.Hour, Request{ID: 1, Class: "write", Budget: time.Second})
 		now := time.Hour + time.Second
-		if c.tight {
+		if c.slotsShort {
 			b.queue.lastFullAt = now
 		}
 		b.RequestArrived(now, Request{ID: 2, Class: "write", Budget: c.budget})
@@ -155,10 +155,9 @@
 	}
 }
 
-// The only upstream is taken out while a request's attempt still waits for a connection: that attempt never ran, and
-// the request waits for an upstream as one that has just come. It was rejected though one came back well within its
-// objective.
-func TestDroppedAttemptWaitsForAnUpstream(t *testing.T) {
+// The only upstream drains while an attempt waits for a connection. The attempt never ran, so the request is queued
+// until an upstream is active. It was once rejected although the upstream came back well within the objective.
+func TestRequestIsQueuedAfterUnsentAttempt(t *testing.T) {
 	list := fleet(1)
 	b, h := start(t, settings(), list)
 	b.RequestArrived(time.Hour, Request{ID: 1, Class: "write", Budget: time.Second})
@@ -169,7 +168,7 @@
 	b.EndpointsUpdated(time.Hour, ListDelta, list)
 	b.AttemptFinished(time.Hour+ms, AttemptResult{ID: 1, Upstream: list[0].ID, Latency: ms, Status: NotSent})
 	if n := h.count("refuse id=1") + h.count("fail id=1"); n != 0 {
-		t.Fatalf("given up at once: %v", h.lines)
+		t.Fatalf("rejected or failed at once: %v", h.lines)
 	}
 	list[0].State = Active
 	b.EndpointsUpdated(time.Hour+2*ms, ListDelta, list)
--- a/balancer/size_test.go
+++ b/balancer/size_test.go
@@ -640,23 +640,23 @@
 	}
 }
 
-// The budget of a warming upstream holds for 1,500 balancers that all have requests for it at the same moments, as it
-// does for 300 (TestColdBudgetHoldsForTheFleet, which plays them more often). The first call comes at once.
-func TestColdBudgetHoldsFor1500(t *testing.T) {
-	for _, capacity := range []float64{3, 40} { // requests a second of the upstream when it is warm
-		for _, fault := range []string{"", "restart", "late", "all cold"} {
+// 1,500 balancers that have requests at the same times keep within the budget of a warming upstream, and send it a
+// request within its first second. TestWarmUpBudgetHoldsForTheFleet has up to 300 balancers and shorter gaps.
+func TestWarmUpBudgetHoldsFor1500Balancers(t *testing.T) {
+	for _, capacity := range []float64{3, 40} { // requests a second of a warm upstream
+		for _, fault := range []string{"", "restart", "late", "all warming"} {
 			t.Run(fmt.Sprint(capacity, fault), func(t *testing.T) {
 				t.Parallel()
-				f := newWarmUpFleet(t, planBalancers, capacity, fault == "all cold")
-				f.play(250*ms, fault)
-				most, breach := f.worst(capacity)
+				f := newWarmUpFleet(t, planBalancers, capacity, fault == "all warming")
+				f.run(250*ms, fault)
+				peak, breach := f.peakLoad(capacity)
 				switch {
 				case breach != "":
 					t.Error(breach)
-				case len(f.sent) == 0 || f.sent[0] > f.born+time.Second:
-					t.Errorf("%d sent, none in the first second", len(f.sent))
+				case len(f.sentAt) == 0 || f.sentAt[0] > f.startedAt+time.Second:
+					t.Errorf("%d sent, none in the first second", len(f.sentAt))
 				}
-				t.Logf("%d sent, %.2f of the budget at most", len(f.sent), most)
+				t.Logf("%d sent, at most %.2f of the budget", len(f.sentAt), peak)
 			})
 		}
 	}
--- a/balancer/slowstart_fleet_test.go
+++ b/balancer/slowstart_fleet_test.go
@@ -6,136 +6,136 @@
 	"time"
 )
 
-// warmUpFleet is many balancers that ramp one warming upstream, each with more requests than it may send there.
+// warmUpFleet is a set of balancers that share a warming upstream. Each has more requests than it may send there.
 type warmUpFleet struct {
-	t          *testing.T
-	s          Settings
-	all        []*Balancer
-	born       time.Duration
-	allWarming bool            // so are all others
-	took       time.Duration   // by each answer
-	sent       []time.Duration // to the warming one
-	seq        int
+	t             *testing.T
+	s             Settings
+	instances     []*Balancer
+	startedAt     time.Duration // start of the warming upstream
+	allWarming    bool          // the other upstreams warm up too
+	answerLatency time.Duration
+	sentAt        []time.Duration // times of the attempts sent to the warming upstream
+	lastID        int
 }
 
 const warmingID = 3
 
-// newWarmUpFleet starts balancers that know how much a warm upstream carries, or where all warm up how long an answer
-// takes.
-func newWarmUpFleet(t *testing.T, balancers int, capacity float64, cold bool) *warmUpFleet {
+// newWarmUpFleet starts balancers that know the latency of answers and, unless no upstream is warm, how much a warm
+// upstream carries. The capacity is that of a warm upstream, in requests a second.
+func newWarmUpFleet(t *testing.T, balancers int, capacity float64, noneWarm bool) *warmUpFleet {
 	f := &warmUpFleet{
-		t: t, s: settings(), all: make([]*Balancer, balancers), born: time.Hour, allWarming: cold,
-		took: time.Duration(float64(time.Second) / capacity),
+		t: t, s: settings(), instances: make([]*Balancer, balancers), startedAt: time.Hour, allWarming: noneWarm,
+		answerLatency: time.Duration(float64(time.Second) / capacity),
 	}
 	f.s.Balancers = balancers
-	slices := 0.0
+	subsetParts := 0.0
 	for rank := range balancers {
-		f.begin(rank, f.born)
-		for _, u := range f.all[rank].subset.upstreams {
+		f.startBalancer(rank, f.startedAt)
+		for _, u := range f.instances[rank].subset.upstreams {
 			if u.ID == warmingID && u.inSubset {
-				slices += u.share.subsetPart
+				subsetParts += u.share.subsetPart
 			}
 		}
 	}
-	for _, b := range f.all {
-		if b.latency = float64(f.took); !cold {
-			b.fleet.workPerWeight = capacity / slices
+	for _, b := range f.instances {
+		if b.latency = float64(f.answerLatency); !noneWarm {
+			b.fleet.workPerWeight = capacity / subsetParts
 		}
 	}
 	return f
 }
 
-// play asks from the upstream's start until it is warm.
-func (f *warmUpFleet) play(gap time.Duration, fault string) {
-	again, heard := f.born+f.s.Rules.SlowStartDuration/2, f.born+2*time.Second
-	for now := f.born + ms; now < f.born+f.s.Rules.SlowStartDuration; now += gap {
-		for rank := range f.all {
+// run sends a request at each balancer every gap, from the upstream's start until it is warm.
+func (f *warmUpFleet) run(gap time.Duration, fault string) {
+	restartAt, lateUntil := f.startedAt+f.s.Rules.SlowStartDuration/2, f.startedAt+2*time.Second
+	for now := f.startedAt + ms; now < f.startedAt+f.s.Rules.SlowStartDuration; now += gap {
+		for rank := range f.instances {
 			third := rank%3 == 0
-			if fault == "restart" && third && now >= again && now < again+gap {
-				f.begin(rank, now) // it has no reading yet
+			if fault == "restart" && third && now >= restartAt && now < restartAt+gap {
+				f.startBalancer(rank, now) // it has no readings yet
 			}
-			if fault != "late" || !third || now >= heard {
-				f.ask(rank, now)
+			if fault != "late" || !third || now >= lateUntil {
+				f.sendRequest(rank, now)
 			}
 		}
 	}
 }
 
-func (f *warmUpFleet) list() []Upstream {
+func (f *warmUpFleet) endpoints() []Upstream {
 	list := fleet(3)
 	for i := range list {
 		if f.allWarming || list[i].ID == warmingID {
-			list[i].StartedAt = f.born
+			list[i].StartedAt = f.startedAt
 		}
 	}
 	return list
 }
 
-// begin starts a process, which has learnt nothing.
-func (f *warmUpFleet) begin(rank int, now time.Duration) {
+// startBalancer starts or restarts the balancer of a rank, without statistics.
+func (f *warmUpFleet) startBalancer(rank int, now time.Duration) {
 	s := f.s
 	s.Rank = rank
 	b, err := New(s, uint64(rank)+1, now, &recorder{})
 	if err != nil {
 		f.t.Fatal(err)
 	}
-	b.EndpointsUpdated(now, ListCached, f.list())
-	f.all[rank] = b
+	b.EndpointsUpdated(now, ListCached, f.endpoints())
+	f.instances[rank] = b
 }
 
-// ask lets a balancer have a request that only the warming upstream can take now.
-func (f *warmUpFleet) ask(rank int, now time.Duration) {
-	b := f.all[rank]
+// sendRequest gives a balancer a request that no other upstream than the warming one may take now.
+func (f *warmUpFleet) sendRequest(rank int, now time.Duration) {
+	b := f.instances[rank]
 	for _, u := range b.upstreams {
 		if u.ID != warmingID {
 			u.limit.nextSendAt = now + time.Hour
 		} else {
-			u.limit.nextSendAt, u.limit.allowed = now, 100 // what binds is the budget
+			u.limit.nextSendAt, u.limit.allowed = now, 100 // only the budget restricts it
 		}
 	}
-	f.seq++
-	id := RequestID(f.seq)
+	f.lastID++
+	id := RequestID(f.lastID)
 	b.RequestArrived(now, Request{ID: id, Class: "write", Budget: time.Second})
 	r := b.requests[id]
 	if r == nil {
 		return
 	}
 	if r.inFlight > 0 {
-		f.sent = append(f.sent, now)
-		b.AttemptFinished(now, AttemptResult{ID: id, Upstream: warmingID, Latency: f.took, Status: OK, Closed: true})
+		f.sentAt = append(f.sentAt, now)
+		b.AttemptFinished(now, AttemptResult{ID: id, Upstream: warmingID, Latency: f.answerLatency, Status: OK, Closed: true})
 	} else {
 		b.ClientLeft(now, id)
 		b.dispatchQueued(now)
 	}
 }
 
-// worst is how much of what it bears the warming upstream was sent in any window, and where that is over it.
-func (f *warmUpFleet) worst(capacity float64) (most float64, breach string) {
+// peakLoad returns the most that the warming upstream was sent in any window, as a ratio of its budget at that time. If
+// the budget was exceeded, breach describes the first time.
+func (f *warmUpFleet) peakLoad(capacity float64) (peak float64, breach string) {
 	first, rules := 0, f.s.Rules
-	for i, at := range f.sent {
-		for f.sent[first] <= at-rules.OverloadWindow {
+	for i, at := range f.sentAt {
+		for f.sentAt[first] <= at-rules.OverloadWindow {
 			first++
 		}
-		ramp := rules.SlowStartFloor + (1-rules.SlowStartFloor)*float64(at-f.born)/float64(rules.SlowStartDuration)
-		n, fit := i-first+1, rules.OverloadMultiple*capacity*rules.OverloadWindow.Seconds()*ramp
-		most = max(most, float64(n)/fit)
-		if float64(n) > max(1, fit) && breach == "" {
-			breach = fmt.Sprintf("%d sent within %v at %v, %.1f fit", n, f.s.Rules.OverloadWindow, at-f.born, fit)
+		ramp := rules.SlowStartFloor + (1-rules.SlowStartFloor)*float64(at-f.startedAt)/float64(rules.SlowStartDuration)
+		n, budget := i-first+1, rules.OverloadMultiple*capacity*rules.OverloadWindow.Seconds()*ramp
+		peak = max(peak, float64(n)/budget)
+		if float64(n) > max(1, budget) && breach == "" {
+			breach = fmt.Sprintf("%d sent within %v at %v, budget %.1f", n, f.s.Rules.OverloadWindow, at-f.startedAt, budget)
 		}
 	}
-	return most, breach
+	return peak, breach
 }
 
-// All balancers' parts of a warming upstream's budget add up to no more than the budget, for any count of balancers and
-// any window: also where a part is under one call, where all have requests at the same moments, where a third of the
-// processes are started anew in the middle and have forgotten what they sent and learnt, where a third hear late of the
-// upstream, and where there is no warm one to judge by.
-func TestColdBudgetHoldsForTheFleet(t *testing.T) {
+// All balancers together keep within the budget of a warming upstream in every window, for any number of balancers. All
+// have requests at the same times, and the part of one balancer may be under one request. The faults: a third of the
+// balancers restart halfway and lose their statistics, a third learn late of the upstream, or no upstream is warm.
+func TestWarmUpBudgetHoldsForTheFleet(t *testing.T) {
 	for _, balancers := range []int{1, 2, 3, 5, 8, 13, 20, 30, 60, 150, 300} {
 		t.Run(fmt.Sprint(balancers), func(t *testing.T) {
 			t.Parallel()
-			for _, capacity := range []float64{3, 10, 40} { // requests a second of the upstream when it is warm
-				// The gap is between two requests at each balancer, at the same moments everywhere.
+			for _, capacity := range []float64{3, 10, 40} { // requests a second of a warm upstream
+				// The gap is the time between two requests at each balancer.
 				for _, gap := range []time.Duration{20 * ms, 250 * ms} {
 					checkWarmUpBudget(t, balancers, capacity, gap)
 				}
@@ -146,17 +146,17 @@
 
 func checkWarmUpBudget(t *testing.T, balancers int, capacity float64, gap time.Duration) {
 	t.Helper()
-	for _, fault := range []string{"", "restart", "late", "all cold"} {
-		f := newWarmUpFleet(t, balancers, capacity, fault == "all cold")
-		f.play(gap, fault)
-		most, breach := f.worst(capacity)
-		name := fmt.Sprintf("%v a second, one each %v, %q", capacity, gap, fault)
+	for _, fault := range []string{"", "restart", "late", "all warming"} {
+		f := newWarmUpFleet(t, balancers, capacity, fault == "all warming")
+		f.run(gap, fault)
+		peak, breach := f.peakLoad(capacity)
+		name := fmt.Sprintf("capacity %v a second, a request every %v, fault %q", capacity, gap, fault)
 		if breach != "" {
 			t.Errorf("%s: %s", name, breach)
 		}
-		if len(f.sent) == 0 {
-			t.Errorf("%s: nothing is sent", name)
+		if len(f.sentAt) == 0 {
+			t.Errorf("%s: nothing was sent to the warming upstream", name)
 		}
-		t.Logf("%s: %d sent, %.2f of the budget at most", name, len(f.sent), most)
+		t.Logf("%s: %d sent, at most %.2f of the budget", name, len(f.sentAt), peak)
 	}
 }
--- a/balancer/tenants_test.go
+++ b/balancer/tenants_test.go
@@ -11,48 +11,47 @@
 	"time"
 )
 
-// countsForEver counts every tenant's requests for ever: what overQuota has to equal.
-type countsForEver struct {
+// quotaReference is a reference for overQuota. It never discards the level of a tenant that has a quota.
+type quotaReference struct {
 	s      Settings
 	levels map[string]*tenantLevel
 }
 
-func (k *countsForEver) rate(name string) (float64, bool) {
-	quota, known := k.s.Tenants.Quota(name)
-	return quota / float64(k.s.Balancers), known
+func (r *quotaReference) rate(name string) (float64, bool) {
+	quota, known := r.s.Tenants.Quota(name)
+	return quota / float64(r.s.Balancers), known
 }
 
-func (k *countsForEver) over(name string, now time.Duration) bool {
-	rate, known := k.rate(name)
+func (r *quotaReference) over(name string, now time.Duration) bool {
+	rate, known := r.rate(name)
 	if !known {
 		return false
 	}
-	x := k.levels[name]
-	if x == nil {
-		x = &tenantLevel{updatedAt: now}
-		k.levels[name] = x
+	tenant := r.levels[name]
+	if tenant == nil {
+		tenant = &tenantLevel{updatedAt: now}
+		r.levels[name] = tenant
 	}
-	x.level, x.updatedAt = max(0, x.level-rate*(now.Seconds()-x.updatedAt.Seconds()))+1, now
-	return x.level > max(rate, 1)
+	tenant.level, tenant.updatedAt = max(0, tenant.level-rate*(now.Seconds()-tenant.updatedAt.Seconds()))+1, now
+	return tenant.level > max(rate, 1)
 }
 
-// configure holds that what is counted stays at what it is by now, and the new rate counts from now on.
-func (k *countsForEver) configure(s Settings, now time.Duration) {
-	for name, x := range k.levels {
-		rate, _ := k.rate(name)
+// configure brings levels up to date at the old rates, so that the new rates apply from now on.
+func (r *quotaReference) configure(s Settings, now time.Duration) {
+	for name, tenant := range r.levels {
+		rate, _ := r.rate(name)
 		quota, known := s.Tenants.Quota(name)
 		if !known {
-			delete(k.levels, name)
+			delete(r.levels, name)
 		} else if next := quota / float64(s.Balancers); next != rate {
-			x.level, x.updatedAt = max(0, x.level-rate*(now.Seconds()-x.updatedAt.Seconds())), now
+			tenant.level, tenant.updatedAt = max(0, tenant.level-rate*(now.Seconds()-tenant.updatedAt.Seconds())), now
 		}
 	}
-	k.s = s
+	r.s = s
 }
 
-// TestForgettingIsKeeping: letting go of tenants whose level has run dry decides as keeping all does, over random
-// requests, pauses and changes of quotas; and few are kept.
-func TestForgettingIsKeeping(t *testing.T) {
+// Removing the empty levels of tenants changes no decision, over random requests, pauses and changes of quotas.
+func TestSweepingLevelsChangesNoDecision(t *testing.T) {
 	rng := rand.New(rand.NewPCG(36, 1))
 	var list []Tenant
 	for i := range 300 {
@@ -61,61 +60,61 @@
 	s := settings()
 	s.Balancers, s.Tenants = 3, NewTenants(list)
 	b, _ := start(t, s, nil)
-	all := &countsForEver{s, map[string]*tenantLevel{}}
-	now, overs, most := time.Hour, 0, 0
+	reference := &quotaReference{s, map[string]*tenantLevel{}}
+	now, overCount, mostLevels := time.Hour, 0, 0
 	for i := range 100000 {
 		now += time.Duration(rng.ExpFloat64() * float64(5*ms))
 		if rng.IntN(5000) == 0 {
 			now += time.Duration(rng.IntN(30)) * time.Second
 		}
 		if rng.IntN(500) == 0 {
-			s = otherQuotas(s, rng)
+			s = changeQuotas(s, rng)
 			if err := b.Configure(now, s); err != nil {
 				t.Fatal(err)
 			}
-			all.configure(s, now)
+			reference.configure(s, now)
 		}
-		name := fmt.Sprintf("t%d", int(math.Pow(rng.Float64(), 4)*320)) // some send much, some are not known
-		got, want := b.overQuota(name, now), all.over(name, now)
+		name := fmt.Sprintf("t%d", int(math.Pow(rng.Float64(), 4)*320)) // a few send most requests, some have no quota
+		got, want := b.overQuota(name, now), reference.over(name, now)
 		if got != want {
-			t.Fatalf("request %d of %s: over its quota: %v, keeping all says %v", i, name, got, want)
+			t.Fatalf("request %d of %s: over its quota: %v, the reference says %v", i, name, got, want)
 		}
 		if got {
-			overs++
+			overCount++
 		}
-		most = max(most, len(b.quota.sweepOrder))
+		mostLevels = max(mostLevels, len(b.quota.sweepOrder))
 		if len(b.quota.sweepOrder) != len(b.quota.levels) {
-			t.Fatal("the ring and the map differ")
+			t.Fatal("the sweep order and the levels differ in length")
 		}
 	}
-	if overs < 1000 || overs > 99000 {
-		t.Errorf("%d of 100000 over: the comparison shows nothing", overs)
+	if overCount < 1000 || overCount > 99000 {
+		t.Errorf("%d of 100000 requests over quota, want 1000 to 99000", overCount)
 	}
-	t.Logf("%d over; at most %d of %d kept", overs, most, len(all.levels))
+	t.Logf("%d over quota; at most %d of %d levels kept", overCount, mostLevels, len(reference.levels))
 }
 
-// otherQuotas changes a tenant's quota, and now and then drops a tenant or changes the number of balancers.
-func otherQuotas(s Settings, rng *rand.Rand) Settings {
-	x := Tenant{fmt.Sprintf("t%d", rng.IntN(310)), 20 * rng.Float64()}
-	var gone []string
+// changeQuotas changes a tenant's quota, and sometimes removes a tenant or changes the number of balancers.
+func changeQuotas(s Settings, rng *rand.Rand) Settings {
+	changed := Tenant{fmt.Sprintf("t%d", rng.IntN(310)), 20 * rng.Float64()}
+	var removed []string
 	if rng.IntN(3) == 0 {
-		gone = []string{fmt.Sprintf("t%d", rng.IntN(310))}
+		removed = []string{fmt.Sprintf("t%d", rng.IntN(310))}
 	}
-	s.Tenants = s.Tenants.With([]Tenant{x}, gone)
+	s.Tenants = s.Tenants.With([]Tenant{changed}, removed)
 	if rng.IntN(10) == 0 {
 		s.Balancers = 1 + rng.IntN(5)
 	}
 	return s
 }
 
-// TestNoSecondQuota: a tenant has spent its quota and falls silent while others send, so that the sweep comes by often.
-// Back before its level has run dry it is over at once; back later it has what a new one has, and no more.
-func TestNoSecondQuota(t *testing.T) {
+// A tenant that has used up its quota pauses while others send, so that its level is swept often. If it resumes before
+// its level is empty, it is still over its quota. If it resumes later, it has the quota of a new tenant.
+func TestSweepGrantsNoExtraQuota(t *testing.T) {
 	s := settings()
 	s.Balancers, s.Tenants = 1, NewTenants([]Tenant{{"a", 10}, {"b", 1000}, {"c", 1000}, {"d", 1000}})
 	b, _ := start(t, s, nil)
 	now := time.Hour
-	allowed := func() (n int) {
+	countWithinQuota := func() (n int) {
 		for range 100 {
 			if !b.overQuota("a", now) {
 				n++
@@ -123,35 +122,35 @@
 		}
 		return n
 	}
-	pass := func(d time.Duration) {
+	othersSend := func(d time.Duration) {
 		for end := now + d; now < end; now += ms {
 			b.overQuota([]string{"b", "c", "d"}[now/ms%3], now)
 		}
 	}
-	if n := allowed(); n != 10 {
-		t.Fatalf("a new tenant has %d of 10", n)
+	if n := countWithinQuota(); n != 10 {
+		t.Fatalf("a new tenant had %d of 100 requests within its quota, want 10", n)
 	}
-	pass(9 * time.Second) // 100 sent, 10 a second: dry after 10 s
-	if n := allowed(); n != 0 {
-		t.Errorf("%d more 1 s before its level is dry: a second quota", n)
+	othersSend(9 * time.Second) // the level of 100 falls by 10 a second, so it is empty after 10 s
+	if n := countWithinQuota(); n != 0 {
+		t.Errorf("%d requests within its quota 1 s before its level was empty, want 0", n)
 	}
 	if !b.quota.hasNonEmptyLevels(now) || b.quota.levels["a"] == nil {
-		t.Error("a tenant whose level is not dry was let go")
+		t.Error("the level of a tenant was removed before it was empty")
 	}
-	pass(12 * time.Second)
+	othersSend(12 * time.Second)
 	if b.quota.levels["a"] != nil {
-		t.Error("a tenant whose level is dry is kept")
+		t.Error("the empty level of a tenant was kept")
 	}
-	if n := allowed(); n != 10 {
-		t.Errorf("back later it has %d of 10", n)
+	if n := countWithinQuota(); n != 10 {
+		t.Errorf("after its level was empty, %d of 100 requests were within its quota, want 10", n)
 	}
 	now += time.Minute
 	if b.quota.hasNonEmptyLevels(now) || len(b.quota.sweepOrder) != 0 {
-		t.Errorf("%d tenants owe something a minute later", len(b.quota.sweepOrder))
+		t.Errorf("%d tenants have a level a minute later", len(b.quota.sweepOrder))
 	}
 }
 
-// TestQuotaChanges: the level of a tenant that has sent stays, and the new rate counts from then on.
+// A change of its quota keeps the level of a tenant. The new rate applies from then on.
 func TestQuotaChanges(t *testing.T) {
 	s := settings()
 	s.Balancers, s.Tenants = 1, NewTenants([]Tenant{{"a", 10}})
@@ -159,7 +158,7 @@
 	for range 20 {
 		b.overQuota("a", time.Hour)
 	}
-	now := time.Hour + time.Second // 10 of the 20 are worked off
+	now := time.Hour + time.Second // the level has fallen from 20 to 10
 	s.Tenants = s.Tenants.With([]Tenant{{"a", 2}}, nil)
 	if err := b.Configure(now, s); err != nil {
 		t.Fatal(err)
@@ -170,34 +169,33 @@
 	s.Tenants = s.Tenants.With(nil, []string{"a"})
 	err := b.Configure(now, s)
 	if err != nil || len(b.quota.sweepOrder) != 0 || b.overQuota("a", now) || b.quota.fairRate != 0 {
-		t.Errorf("after it has gone: %v, %d kept", err, len(b.quota.sweepOrder))
+		t.Errorf("after its removal: %v, %d levels kept", err, len(b.quota.sweepOrder))
 	}
 }
 
-// TestTenantsTable compares tables with a map over random changes: what is made stays as it is, and one change copies
-// little.
+// Compares tables with maps over random changes. Later changes must leave earlier tables as they are.
 func TestTenantsTable(t *testing.T) {
 	rng := rand.New(rand.NewPCG(36, 2))
 	table, want := NewTenants(nil), map[string]float64{}
 	var versions []tableVersion
 	for range 300 {
 		var changed []Tenant
-		var gone []string
+		var removed []string
 		for range rng.IntN(20) {
-			gone = append(gone, fmt.Sprint(rng.IntN(3000)))
+			removed = append(removed, fmt.Sprint(rng.IntN(3000)))
 		}
 		for range rng.IntN(60) {
 			changed = append(changed, Tenant{fmt.Sprint(rng.IntN(3000)), rng.Float64()})
 		}
 		before := table
-		table, want = table.With(changed, gone), changedMap(want, changed, gone)
+		table, want = table.With(changed, removed), withChanges(want, changed, removed)
 		versions = append(versions, tableVersion{table, want})
-		if table.Equal(before) && !sameMap(want, versions[max(0, len(versions)-2)].want) {
-			t.Fatal("a changed table is equal to the one before")
+		if table.Equal(before) && !equalQuotas(want, versions[max(0, len(versions)-2)].want) {
+			t.Fatal("a changed table equals the previous one")
 		}
 	}
-	for _, x := range versions {
-		x.check(t)
+	for _, version := range versions {
+		version.check(t)
 	}
 	var list []Tenant
 	for name, quota := range want {
@@ -205,51 +203,51 @@
 	}
 	fresh, empty := NewTenants(list), (*Tenants)(nil)
 	if !fresh.Equal(table) || !table.Equal(fresh) || fresh.Equal(nil) || !empty.Equal(NewTenants(nil)) {
-		t.Error("Equal is wrong")
+		t.Error("Equal took equal tables for different or different ones for equal")
 	}
 }
 
-// tableVersion is a table and what it is to hold.
+// tableVersion is a table and the quotas that it must hold.
 type tableVersion struct {
 	table *Tenants
 	want  map[string]float64
 }
 
-func (x tableVersion) check(t *testing.T) {
+func (v tableVersion) check(t *testing.T) {
 	t.Helper()
 	sum, n := 0.0, 0
-	for e := range x.table.All() {
-		if quota, known := x.want[e.Name]; !known || quota != e.Quota {
+	for e := range v.table.All() {
+		if quota, known := v.want[e.Name]; !known || quota != e.Quota {
 			t.Fatalf("%q has %v, want %v", e.Name, e.Quota, quota)
 		}
 		n++
 	}
-	for name, quota := range x.want {
-		if got, known := x.table.Quota(name); !known || got != quota {
+	for name, quota := range v.want {
+		if got, known := v.table.Quota(name); !known || got != quota {
 			t.Fatalf("%q has %v (%v), want %v", name, got, known, quota)
 		}
 		sum += quota / 4
 	}
-	if n != len(x.want) || x.table.Len() != n || math.Abs(x.table.ratePerBalancer(4)-sum) > 1e-6 {
-		t.Fatalf("%d tenants with %v in all, want %d with %v", n, x.table.ratePerBalancer(4), len(x.want), sum)
+	if n != len(v.want) || v.table.Len() != n || math.Abs(v.table.ratePerBalancer(4)-sum) > 1e-6 {
+		t.Fatalf("%d tenants with %v in all, want %d with %v", n, v.table.ratePerBalancer(4), len(v.want), sum)
 	}
 }
 
-// changedMap is what a table of these quotas is to hold after a change.
-func changedMap(quotas map[string]float64, changed []Tenant, gone []string) map[string]float64 {
+// withChanges returns the quotas that a table must hold after a change.
+func withChanges(quotas map[string]float64, changed []Tenant, removed []string) map[string]float64 {
 	next := map[string]float64{}
 	for name, quota := range quotas {
-		if !slices.Contains(gone, name) {
+		if !slices.Contains(removed, name) {
 			next[name] = quota
 		}
 	}
-	for _, x := range changed {
-		next[x.Name] = x.Quota
+	for _, tenant := range changed {
+		next[tenant.Name] = tenant.Quota
 	}
 	return next
 }
 
-func sameMap(x, y map[string]float64) bool {
+func equalQuotas(x, y map[string]float64) bool {
 	for name, quota := range x {
 		if q, known := y[name]; !known || q != quota {
 			return false
@@ -258,8 +256,8 @@
 	return len(x) == len(y)
 }
 
-// TestBadTenantsStayBad: a table made from a bad one is not mended by chance, and names the tenant.
-func TestBadTenantsStayBad(t *testing.T) {
+// The error of an invalid table names the tenant. A table derived from another one is validated too.
+func TestInvalidTenantsAreRejected(t *testing.T) {
 	for _, list := range [][]Tenant{{{"x", 1}, {"y", 2}, {"x", 3}}, {{"x", math.Inf(1)}}, {{"x", -1}}} {
 		s := settings()
 		s.Tenants = NewTenants(list)
@@ -270,7 +268,7 @@
 	}
 	s := settings()
 	if s.Tenants = s.Tenants.With([]Tenant{{"big", math.NaN()}}, nil); s.Validate() == nil {
-		t.Error("a quota that is no number is taken")
+		t.Error("a quota that is not a number was accepted")
 	}
 }
 
