--- a/balancer/idle_test.go
+++ b/balancer/idle_test.go
@@ -11,36 +11,36 @@
 	"time"
 )
 
-// timerSet is a timer that a Balancer has asked for.
-type timerSet struct {
+// timerEntry is a timer that a Balancer has set.
+type timerEntry struct {
 	at    time.Duration
 	token uint64
 }
 
-type timerHeap []timerSet
+type timerHeap []timerEntry
 
 func (h timerHeap) Len() int           { return len(h) }
 func (h timerHeap) Less(i, j int) bool { return h[i].at < h[j].at }
 func (h timerHeap) Swap(i, j int)      { h[i], h[j] = h[j], h[i] }
-func (h *timerHeap) Push(x any)        { *h = append(*h, x.(timerSet)) }
+func (h *timerHeap) Push(x any)        { *h = append(*h, x.(timerEntry)) }
 func (h *timerHeap) Pop() any {
 	x := (*h)[len(*h)-1]
 	*h = (*h)[:len(*h)-1]
 	return x
 }
 
-// twin is one of two Balancers that have the same events, with its timers and what it has done.
+// twin is one of two Balancers that get the same events. It fires the timers and records the actions.
 type twin struct {
 	*Balancer
 	recorder
-	timers timerHeap
-	now    time.Duration
-	ticks  int
-	acts   []string
-	sent   []sentTo
+	timers  timerHeap
+	now     time.Duration
+	ticks   int
+	actions []string
+	sent    []sentAttempt
 }
 
-type sentTo struct {
+type sentAttempt struct {
 	id RequestID
 	up UpstreamID
 }
@@ -51,14 +51,14 @@
 	w.hook = func(kind string, id RequestID, up UpstreamID, d time.Duration, n uint64) {
 		switch kind {
 		case "timer":
-			heap.Push(&w.timers, timerSet{w.now + d, n})
+			heap.Push(&w.timers, timerEntry{w.now + d, n})
 			if n == tickToken {
 				return
 			}
 		case "send":
-			w.sent = append(w.sent, sentTo{id, up})
+			w.sent = append(w.sent, sentAttempt{id, up})
 		}
-		w.acts = append(w.acts, fmt.Sprint(w.now, " ", w.lines[len(w.lines)-1]))
+		w.actions = append(w.actions, fmt.Sprint(w.now, " ", w.lines[len(w.lines)-1]))
 		w.lines = w.lines[:0]
 	}
 	var err error
@@ -68,10 +68,10 @@
 	return w
 }
 
-// turn lets the timers go off that are due.
-func (w *twin) turn(now time.Duration) {
+// advance advances the clock to now, and fires the timers that are due.
+func (w *twin) advance(now time.Duration) {
 	for len(w.timers) > 0 && w.timers[0].at <= now {
-		x := heap.Pop(&w.timers).(timerSet)
+		x := heap.Pop(&w.timers).(timerEntry)
 		w.now = x.at
 		if x.token == tickToken {
 			w.ticks++
@@ -81,10 +81,10 @@
 	w.now = now
 }
 
-// state is all that a Balancer goes by, but for whether it ticks.
+// state returns the state of the Balancer as text, without whether its ticks are suspended.
 func (w *twin) state() string {
 	b := w.Balancer
-	b.catchUp(w.now) // after what is not for a rest, such as the end of an attempt that is not known
+	b.catchUp(w.now) // events that are ignored, such as the end of an unknown attempt, do not catch up
 	rng, _ := b.rngSource.MarshalBinary()
 	var s strings.Builder
 	fmt.Fprintf(&s, "%x %v %v %v\n", rng, b.inFlight, len(b.queue.waiting), len(b.requests))
@@ -106,10 +106,10 @@
 	return s.String()
 }
 
-// The oracle of a module that rests: with the same events at the same times it does what one does that ticks, to the
-// bit, and comes to the same state, its draws included. Pauses go from a millisecond to minutes.
-func TestRestingDecidesAsTicking(t *testing.T) {
-	rested, ticked := 0, 0
+// With the same events, a Balancer that suspends its ticks takes the same actions as one that ticks, and reaches the
+// same state bit for bit, including the random source. Pauses between events last from 1 ms to over 1 min.
+func TestSuspendedTicksChangeNothing(t *testing.T) {
+	suspended, ticked := 0, 0
 	for seed := range uint64(16) {
 		rng := rand.New(rand.NewPCG(seed, 7))
 		s := settings()
@@ -122,45 +122,47 @@
 		}
 		s.Granularity = time.Duration(40+rng.IntN(100)) * ms
 		now := time.Hour
-		plain := newTwin(t, s, seed)
+		ticking := newTwin(t, s, seed)
 		s.SuspendWhenIdle = true
-		rest := newTwin(t, s, seed)
-		newComparison(t, rng, s, now, plain, rest).play()
+		suspending := newTwin(t, s, seed)
+		newComparison(t, rng, s, now, ticking, suspending).run()
 		if t.Failed() {
 			t.Fatalf("seed %d", seed)
 		}
-		rested, ticked = rested+rest.ticks, ticked+plain.ticks
+		suspended, ticked = suspended+suspending.ticks, ticked+ticking.ticks
 	}
-	if rested*3 > ticked {
-		t.Errorf("%d ticks at rest, %d without: it hardly rests", rested, ticked)
+	if suspended*3 > ticked {
+		t.Errorf("%d ticks with suspension, %d without, want at most a third", suspended, ticked)
 	}
-	t.Logf("%d ticks instead of %d", rested, ticked)
+	t.Logf("%d ticks instead of %d", suspended, ticked)
 }
 
-// outcomeDue is the end of an attempt that a test has decided on.
-type outcomeDue struct {
+// scheduledResult is the result of an attempt that a test reports at a later time.
+type scheduledResult struct {
 	at time.Duration
 	o  AttemptResult
 }
 
-// comparison lets two twins have the same events by chance, and compares what they do.
+// comparison feeds two twins with the same random events, and compares their actions and states.
 type comparison struct {
-	t           *testing.T
-	rng         *rand.Rand
-	s           Settings
-	now         time.Duration
-	plain, rest *twin
-	list        []Upstream
-	ends        []outcomeDue
-	open        []RequestID
-	attempts    map[RequestID]int
-	id          RequestID
-	busy        int // events left of a busy spell
+	t                   *testing.T
+	rng                 *rand.Rand
+	s                   Settings
+	now                 time.Duration
+	ticking, suspending *twin
+	list                []Upstream
+	results             []scheduledResult
+	requests            []RequestID
+	attempts            map[RequestID]int
+	lastID              RequestID
+	burst               int // remaining events of a burst
 }
 
-func newComparison(t *testing.T, rng *rand.Rand, s Settings, now time.Duration, plain, rest *twin) *comparison {
+func newComparison(t *testing.T, rng *rand.Rand, s Settings, now time.Duration, ticking, suspending *twin) *comparison {
 	t.Helper()
-	c := &comparison{t: t, rng: rng, s: s, now: now, plain: plain, rest: rest, attempts: map[RequestID]int{}}
+	c := &comparison{
+		t: t, rng: rng, s: s, now: now, ticking: ticking, suspending: suspending, attempts: map[RequestID]int{},
+	}
 	c.list = fleet(1 + rng.IntN(40))
 	for i := range c.list {
 		c.list[i].Weight = 1 + float64(rng.IntN(3))
@@ -170,13 +172,13 @@
 }
 
 func (c *comparison) both(do func(w *twin)) {
-	for _, w := range []*twin{c.plain, c.rest} {
-		w.turn(c.now)
+	for _, w := range []*twin{c.ticking, c.suspending} {
+		w.advance(c.now)
 		do(w)
 	}
 }
 
-func (c *comparison) play() {
+func (c *comparison) run() {
 	c.t.Helper()
 	for range 200 {
 		c.finishUntil(c.now + c.pause())
@@ -188,49 +190,49 @@
 	}
 }
 
-// pause is the time to the next event.
+// pause returns a random time to the next event.
 func (c *comparison) pause() time.Duration {
 	wait := time.Duration(c.rng.IntN(20)) * ms
-	c.busy--
-	if c.busy < 0 {
+	c.burst--
+	if c.burst < 0 {
 		waits := []time.Duration{
 			ms, 40 * ms, time.Second, 3 * time.Second, 3 * time.Second, 20 * time.Second, 20 * time.Second, time.Minute,
 		}
 		wait = waits[c.rng.IntN(8)]
 		wait += time.Duration(c.rng.IntN(1000)) * time.Millisecond / 3
 		if c.rng.IntN(2) == 0 {
-			c.busy = c.rng.IntN(60)
+			c.burst = c.rng.IntN(60)
 		}
 	}
 	return wait
 }
 
-// finishUntil lets attempts end that are due, in order.
+// finishUntil reports the results of attempts until a time, in order.
 func (c *comparison) finishUntil(until time.Duration) {
 	c.t.Helper()
-	slices.SortStableFunc(c.ends, func(x, y outcomeDue) int { return int(x.at - y.at) })
-	for len(c.ends) > 0 && c.ends[0].at <= until {
-		c.now = c.ends[0].at
-		o := c.ends[0].o
-		c.ends = c.ends[1:]
+	slices.SortStableFunc(c.results, func(x, y scheduledResult) int { return int(x.at - y.at) })
+	for len(c.results) > 0 && c.results[0].at <= until {
+		c.now = c.results[0].at
+		o := c.results[0].o
+		c.results = c.results[1:]
 		c.both(func(w *twin) { w.AttemptFinished(c.now, o) })
 		c.compareActions()
 	}
 	c.now = until
 }
 
-// event lets something happen that is not the end of an attempt.
+// event feeds a random event other than the result of an attempt.
 func (c *comparison) event(n int) {
 	c.t.Helper()
 	switch {
 	case n < 12:
 		c.request()
-	case n < 13 && len(c.open) > 0:
-		x := c.open[c.rng.IntN(len(c.open))]
+	case n < 13 && len(c.requests) > 0:
+		x := c.requests[c.rng.IntN(len(c.requests))]
 		c.both(func(w *twin) { w.ClientLeft(c.now, x) })
 	case n < 14:
-		c.changeEndpoint()
-	case n < 15: // the whole list, without one
+		c.updateEndpoint()
+	case n < 15: // the full list, except for one endpoint
 		i := c.rng.IntN(len(c.list))
 		list := slices.Delete(slices.Clone(c.list), i, i+1)
 		c.both(func(w *twin) { w.EndpointsUpdated(c.now, ListFull, slices.Clone(list)) })
@@ -240,10 +242,10 @@
 	case n < 17:
 		c.configure()
 	case n < 18:
-		m := c.plain.Snapshot()
-		c.both(func(w *twin) { w.Restore(c.now, m) })
+		snapshot := c.ticking.Snapshot()
+		c.both(func(w *twin) { w.Restore(c.now, snapshot) })
 	case n < 19:
-		load := Load{Fields: HasUtil, Util: float64(c.id%10) / 10}
+		load := Load{Fields: HasUtil, Util: float64(c.lastID%10) / 10}
 		result := HealthCheckResult{Upstream: c.list[c.rng.IntN(len(c.list))].ID, Status: OK, Load: load}
 		c.both(func(w *twin) { w.HealthCheckFinished(c.now, result) })
 	default:
@@ -252,17 +254,17 @@
 }
 
 func (c *comparison) request() {
-	c.id++
+	c.lastID++
 	q := Request{
-		ID: c.id, Class: []string{"read", "keyed", "write"}[c.rng.IntN(3)],
+		ID: c.lastID, Class: []string{"read", "keyed", "write"}[c.rng.IntN(3)],
 		Budget: time.Duration(100+c.rng.IntN(900)) * ms,
 		Tenant: []string{"", "big", "small"}[c.rng.IntN(3)], Cost: time.Duration(c.rng.IntN(3)) * 10 * ms,
 	}
-	c.open = append(c.open, c.id)
+	c.requests = append(c.requests, c.lastID)
 	c.both(func(w *twin) { w.RequestArrived(c.now, q) })
 }
 
-func (c *comparison) changeEndpoint() {
+func (c *comparison) updateEndpoint() {
 	i := c.rng.IntN(len(c.list))
 	switch c.rng.IntN(4) {
 	case 0:
@@ -285,7 +287,7 @@
 	c.s.Classes = slices.Clone(c.s.Classes)
 	c.s.Classes[0].LatencyObjective = time.Duration(100+c.rng.IntN(300)) * ms
 	c.both(func(w *twin) {
-		c.s.SuspendWhenIdle = w == c.rest
+		c.s.SuspendWhenIdle = w == c.suspending
 		if err := w.Configure(c.now, c.s); err != nil {
 			c.t.Fatal(err)
 		}
@@ -295,26 +297,26 @@
 func (c *comparison) compareViews() {
 	c.t.Helper()
 	var views [2]string
-	for i, w := range []*twin{c.plain, c.rest} {
-		w.turn(c.now)
-		v, held := w.View(c.now)
-		views[i] = fmt.Sprintf("%+v %d", v, held)
+	for i, w := range []*twin{c.ticking, c.suspending} {
+		w.advance(c.now)
+		v, queued := w.View(c.now)
+		views[i] = fmt.Sprintf("%+v %d", v, queued)
 	}
 	if views[0] != views[1] {
-		c.t.Fatalf("at %v: view\n%s\nticking\n%s", c.now, views[1], views[0])
+		c.t.Fatalf("at %v: view with suspension\n%s\nwithout\n%s", c.now, views[1], views[0])
 	}
 }
 
-// compareActions compares what the two have done, and decides how what they have sent ends.
+// compareActions compares the actions of the twins, and schedules random results of the attempts that they sent.
 func (c *comparison) compareActions() {
 	c.t.Helper()
-	if x, y := c.plain.acts, c.rest.acts; !slices.Equal(x, y) {
-		c.t.Fatalf("at %v: did\n%s\nticking\n%s", c.now, strings.Join(y, "\n"), strings.Join(x, "\n"))
+	if x, y := c.ticking.actions, c.suspending.actions; !slices.Equal(x, y) {
+		c.t.Fatalf("at %v: actions with suspension\n%s\nwithout\n%s", c.now, strings.Join(y, "\n"), strings.Join(x, "\n"))
 	}
-	if c.rng.IntN(8) == 0 { // to write it down takes long
+	if c.rng.IntN(8) == 0 { // comparing states is slow
 		c.compareStates()
 	}
-	for _, x := range c.plain.sent {
+	for _, x := range c.ticking.sent {
 		n := c.attempts[x.id]
 		c.attempts[x.id]++
 		o := AttemptResult{ID: x.id, Upstream: x.up, Attempt: n, Latency: time.Duration(1+c.rng.IntN(200)) * ms}
@@ -322,28 +324,28 @@
 		if c.rng.IntN(2) == 0 {
 			o.Load = Load{Fields: HasUtil, Util: c.rng.Float64()}
 		}
-		c.ends = append(c.ends, outcomeDue{c.now + o.Latency, o})
+		c.results = append(c.results, scheduledResult{c.now + o.Latency, o})
 	}
-	c.plain.sent, c.rest.sent = nil, nil
-	c.plain.acts, c.rest.acts = nil, nil
+	c.ticking.sent, c.suspending.sent = nil, nil
+	c.ticking.actions, c.suspending.actions = nil, nil
 }
 
 func (c *comparison) compareStates() {
 	c.t.Helper()
-	x, y := c.plain.state(), c.rest.state()
+	x, y := c.ticking.state(), c.suspending.state()
 	if x == y {
 		return
 	}
 	a, b := strings.Split(x, "\n"), strings.Split(y, "\n")
 	for i := range min(len(a), len(b)) {
 		if a[i] != b[i] {
-			c.t.Fatalf("at %v: state, line %d of %d:\n%s\nticking, of %d\n%s", c.now, i, len(b), b[i], len(a), a[i])
+			c.t.Fatalf("at %v: line %d of %d suspended:\n%s\nof %d ticking:\n%s", c.now, i, len(b), b[i], len(a), a[i])
 		}
 	}
-	c.t.Fatalf("at %v: state of %d lines, ticking of %d", c.now, len(b), len(a))
+	c.t.Fatalf("at %v: state of %d lines with suspension, of %d without", c.now, len(b), len(a))
 }
 
-// The source goes on by any number of draws as if each had been made.
+// Skipping draws leaves the random source in the same state as making them.
 func TestSkipDraws(t *testing.T) {
 	b, _ := start(t, settings(), fleet(3))
 	c, _ := start(t, settings(), fleet(3))
@@ -360,15 +362,16 @@
 	}
 }
 
-// A gather that is left out because nothing has moved would have come to the same: what was chosen, and the draws.
-func TestSubsetChoiceLeftOut(t *testing.T) {
+// While its inputs are unchanged, the choice of the subset is skipped. Making it would choose the same subset and leave
+// the random source in the same state.
+func TestSkippedSubsetChoiceChangesNothing(t *testing.T) {
 	s := settings()
 	s.Balancers, s.Rank = 12, 5
 	list := fleet(60)
 	b, _ := start(t, s, list)
 	c, _ := start(t, s, list)
 	rng := rand.New(rand.NewPCG(1, 1))
-	left := 0
+	skipped := 0
 	for i := range 2000 {
 		now := time.Hour + time.Duration(i)*100*ms
 		for _, w := range []*Balancer{b, c} {
@@ -392,43 +395,43 @@
 			continue
 		}
 		b.chooseSubset(now)
-		c.subset.inputs = subsetInputs{} // it always looks
+		c.subset.inputs = subsetInputs{} // so that c never skips the choice
 		c.chooseSubset(now)
 		if b.subset.unchanged {
-			left++
+			skipped++
 		}
 		x, _ := b.rngSource.MarshalBinary()
 		y, _ := c.rngSource.MarshalBinary()
 		if !bytes.Equal(x, y) || b.limits.initial != c.limits.initial || b.subset.hasHealthy != c.subset.hasHealthy ||
 			len(b.subset.upstreams) != len(c.subset.upstreams) {
-			t.Fatalf("turn %d: not the same", i)
+			t.Fatalf("step %d: the subsets or random sources differ", i)
 		}
 		for j, u := range b.subset.upstreams {
 			v := c.subset.upstreams[j]
 			if u.ID != v.ID || u.inSubset != v.inSubset || u.share.subsetPart != v.share.subsetPart ||
 				u.nextTurn != v.nextTurn || u.limit.nextSendAt != v.limit.nextSendAt {
-				t.Fatalf("turn %d: upstream %d is not the same", i, u.ID)
+				t.Fatalf("step %d: upstream %d differs", i, u.ID)
 			}
 		}
 	}
-	if left < 100 {
-		t.Errorf("left out %d times", left)
+	if skipped < 100 {
+		t.Errorf("skipped %d times, want at least 100", skipped)
 	}
 }
 
-// Two hours and a half go by at once: longer than the work of before fades in, down to the least figure there is.
+// The pauses are long enough for work to decay to 0, by way of the smallest floating-point numbers.
 func TestLongIdleTime(t *testing.T) {
 	s := settings()
 	s.Granularity, s.Tenants = 250*ms, nil
 	now := time.Hour
-	plain := newTwin(t, s, 3)
+	ticking := newTwin(t, s, 3)
 	s.SuspendWhenIdle = true
-	rest := newTwin(t, s, 3)
+	suspending := newTwin(t, s, 3)
 	list := fleet(30)
 	for i := range list {
-		list[i].Weight = 1000 // what is carried for it comes to 0 sooner than the work
+		list[i].Weight = 1000 // work per weight reaches 0 before the work does
 	}
-	for _, w := range []*twin{plain, rest} {
+	for _, w := range []*twin{ticking, suspending} {
 		w.EndpointsUpdated(now, ListFull, list)
 		for i := range 40 {
 			id := RequestID(i + 1)
@@ -444,19 +447,19 @@
 	}
 	for _, pause := range []time.Duration{time.Second, time.Minute, time.Hour, 90 * time.Minute, time.Minute} {
 		now += pause
-		for _, w := range []*twin{plain, rest} {
-			w.turn(now)
+		for _, w := range []*twin{ticking, suspending} {
+			w.advance(now)
 		}
-		if x, y := plain.state(), rest.state(); x != y {
-			t.Fatalf("after %v: state\n%s\nticking\n%s", pause, y, x)
+		if x, y := ticking.state(), suspending.state(); x != y {
+			t.Fatalf("after %v: state with suspension\n%s\nwithout\n%s", pause, y, x)
 		}
 	}
-	if rest.ticks > 10 {
-		t.Errorf("%d ticks", rest.ticks)
+	if suspending.ticks > 10 {
+		t.Errorf("%d ticks, want at most 10", suspending.ticks)
 	}
 }
 
-// BenchmarkCatchUp is the cost of the first event after a rest.
+// BenchmarkCatchUp measures the cost of catching up at the first event after a pause.
 func BenchmarkCatchUp(b *testing.B) {
 	for _, n := range []int{10, 100, 2000} {
 		for _, pause := range []time.Duration{time.Minute, time.Hour} {
@@ -469,18 +472,18 @@
 				id := RequestID(0)
 				for b.Loop() {
 					b.StopTimer()
-					for range 2 * n { // all have work that fades
+					for range 2 * n { // until all upstreams have work that decays
 						id++
 						w.RequestArrived(now, Request{ID: id, Class: "read", Budget: time.Second})
 						for _, x := range w.sent {
 							w.AttemptFinished(now, AttemptResult{ID: x.id, Upstream: x.up, Latency: 20 * ms, Status: OK})
 						}
-						w.sent, w.acts = nil, nil
+						w.sent, w.actions = nil, nil
 						now += ms
-						w.turn(now)
+						w.advance(now)
 					}
 					now += 200 * ms
-					w.turn(now)
+					w.advance(now)
 					now += pause
 					b.StartTimer()
 					w.catchUp(now)
@@ -490,7 +493,7 @@
 	}
 }
 
-// Ticks of 20 ms, of which the first that is left out was due at 1 s.
+// The tick interval is 20 ms, and the first omitted tick was due at 1 s.
 func TestIdleTicks(t *testing.T) {
 	s := idleState{suspended: true, nextTickAt: time.Second}
 	for _, c := range []struct{ at, from, until time.Duration }{
@@ -522,8 +525,8 @@
 		{"an open request", func(b *Balancer) { b.requests[1] = &request{} }, false},
 		{"a queued request", func(b *Balancer) { b.queue.waiting = []*request{{}} }, false},
 		{"an attempt in flight", func(b *Balancer) { b.inFlight = 1 }, false},
-		{"health checks tell of load", func(b *Balancer) { b.settings.Reports = ReportHealthChecks }, false},
-		{"it must not suspend", func(b *Balancer) { b.settings.SuspendWhenIdle = false }, false},
+		{"health checks report load", func(b *Balancer) { b.settings.Reports = ReportHealthChecks }, false},
+		{"suspension is not allowed", func(b *Balancer) { b.settings.SuspendWhenIdle = false }, false},
 	} {
 		s := settings()
 		s.SuspendWhenIdle = true
@@ -534,8 +537,8 @@
 	}
 }
 
-// Work of 10 and 20 fades by a tenth each period; only the first counts as warm, at half use.
-func TestIdleWorkFades(t *testing.T) {
+// Work of 10 and 20 decays by a tenth per period. Only the first upstream counts as warm, at half utilisation.
+func TestIdleWorkDecays(t *testing.T) {
 	for _, c := range []struct {
 		periods       int
 		means         [2]float64
@@ -550,10 +553,10 @@
 		fleet := fleetStats{workPerWeight: 99}
 		work.decay(c.periods, &fleet)
 		if !near(upstreams[0].workload.mean, c.means[0]) || !near(upstreams[1].workload.mean, c.means[1]) {
-			t.Errorf("%d periods: %v, %v", c.periods, upstreams[0].workload.mean, upstreams[1].workload.mean)
+			t.Errorf("%d periods: mean work %v, %v", c.periods, upstreams[0].workload.mean, upstreams[1].workload.mean)
 		}
 		if !near(fleet.workPerWeight, c.workPerWeight) {
-			t.Errorf("%d periods: %v carried, want %v", c.periods, fleet.workPerWeight, c.workPerWeight)
+			t.Errorf("%d periods: work per weight %v, want %v", c.periods, fleet.workPerWeight, c.workPerWeight)
 		}
 	}
 }
--- a/balancer/outlier_test.go
+++ b/balancer/outlier_test.go
@@ -130,7 +130,7 @@
 	b                     *Balancer
 	failing               func(u *upstreamState) bool
 	now                   time.Duration
-	due                   []outcomeDue
+	due                   []scheduledResult
 	seen                  map[*attempt]bool
 	toFirst, failed, sent int
 }
@@ -165,7 +165,7 @@
 		f.b.AttemptFinished(f.now, o)
 		return
 	}
-	f.due = append(f.due, outcomeDue{f.now + 20*ms, o})
+	f.due = append(f.due, scheduledResult{f.now + 20*ms, o})
 }
 
 // An upstream that answers all requests with errors gets only trial requests, at growing intervals. Once it answers
--- a/balancer/size_test.go
+++ b/balancer/size_test.go
@@ -12,21 +12,21 @@
 	"time"
 )
 
-// What docs/CAPACITY.md says of the module at 1,500 balancers, 18,000 upstreams, 490 services and 250,000 requests a
-// second comes from the benchmarks of this file: go test -run - -bench
+// The benchmarks of this file produce the figures of docs/CAPACITY.md for the decision module with 1,500 balancers,
+// 18,000 upstreams, 490 services and 250,000 requests a second: go test -run - -bench
 // 'Users|AllServices|Held|Thin|ColdAt|Silent|Slow|Parts|Told' -benchtime 1x .
 
 const (
 	planBalancers = 1500
-	planRate      = 250_000.0 / 18_000 // requests a second of an upstream
+	planRate      = 250_000.0 / 18_000 // requests a second per upstream
 )
 
-// planned returns a Balancer of a service with n upstreams.
-func planned(b *testing.B, balancers, rank, n int, hook actionHook) *Balancer {
+// newPlannedBalancer returns a Balancer of a service with n upstreams.
+func newPlannedBalancer(b *testing.B, balancers, rank, n int, hook actionHook) *Balancer {
 	s := settings()
 	s.Balancers, s.Rank, s.Tenants = balancers, rank, nil
-	s.Rules.SlowStartFloor = 0.33 // as serve has it
-	x, err := New(s, uint64(rank)+1, 0, quietHost{hook})
+	s.Rules.SlowStartFloor = 0.33 // as in the serve command
+	x, err := New(s, uint64(rank)+1, 0, hookHost{hook})
 	if err != nil {
 		b.Fatal(err)
 	}
@@ -34,32 +34,32 @@
 	return x
 }
 
-// actionHook is told what a Balancer asks its Host to do.
+// actionHook is called with each action that a Balancer asks of its Host.
 type actionHook func(kind string, id RequestID, up UpstreamID, d time.Duration, n uint64)
 
-// quietHost tells a hook and keeps nothing.
-type quietHost struct{ hook actionHook }
+// hookHost is a Host that passes some actions to a hook and records nothing.
+type hookHost struct{ hook actionHook }
 
-func (h quietHost) tell(kind string, id RequestID, up UpstreamID, d time.Duration, n uint64) {
+func (h hookHost) act(kind string, id RequestID, up UpstreamID, d time.Duration, n uint64) {
 	if h.hook != nil {
 		h.hook(kind, id, up, d, n)
 	}
 }
 
-func (h quietHost) Send(id RequestID, up UpstreamID, d time.Duration) { h.tell("send", id, up, d, 0) }
+func (h hookHost) Send(id RequestID, up UpstreamID, d time.Duration) { h.act("send", id, up, d, 0) }
 
-func (h quietHost) Reject(id RequestID, d time.Duration) { h.tell("refuse", id, 0, d, 0) }
+func (h hookHost) Reject(id RequestID, d time.Duration) { h.act("refuse", id, 0, d, 0) }
 
-func (h quietHost) Fail(id RequestID)                  { h.tell("fail", id, 0, 0, 0) }
-func (h quietHost) Cancel(id RequestID, n int)         {}
-func (h quietHost) HealthCheck(up UpstreamID)          {}
-func (h quietHost) CloseIdle(up UpstreamID)            {}
-func (h quietHost) WatchEndpoints(on bool)             {}
-func (h quietHost) SetTimer(d time.Duration, n uint64) { h.tell("timer", 0, 0, d, n) }
-func (h quietHost) FetchEndpoints()                    {}
-func (h quietHost) Log(string)                         {}
+func (h hookHost) Fail(id RequestID)                  { h.act("fail", id, 0, 0, 0) }
+func (h hookHost) Cancel(id RequestID, n int)         {}
+func (h hookHost) HealthCheck(up UpstreamID)          {}
+func (h hookHost) CloseIdle(up UpstreamID)            {}
+func (h hookHost) WatchEndpoints(on bool)             {}
+func (h hookHost) SetTimer(d time.Duration, n uint64) { h.act("timer", 0, 0, d, n) }
+func (h hookHost) FetchEndpoints()                    {}
+func (h hookHost) Log(string)                         {}
 
-// How many upstreams a balancer uses of services of all sizes, and how many balancers an upstream has.
+// BenchmarkUsers reports how many upstreams of a service a balancer uses, and how many balancers use an upstream.
 func BenchmarkUsers(b *testing.B) {
 	for _, n := range []int{2, 10, 37, 150, 300, 2000} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
@@ -68,7 +68,7 @@
 				clear(users)
 				used = 0
 				for rank := range planBalancers {
-					for _, u := range planned(b, planBalancers, rank, n, nil).subset.upstreams {
+					for _, u := range newPlannedBalancer(b, planBalancers, rank, n, nil).subset.upstreams {
 						users[u.ID]++
 						used++
 					}
@@ -85,8 +85,8 @@
 	}
 }
 
-// sizes are those of 490 services with 18,000 upstreams, 2 to 2,000 each, by Zipf's law.
-func sizes() []int {
+// serviceSizes returns the numbers of upstreams of 490 services: 18,000 in total, 2 to 2,000 each, by Zipf's law.
+func serviceSizes() []int {
 	at := func(scale float64) (all []int, sum int) {
 		for i := range 490 {
 			n := int(min(2000, max(2, scale*math.Pow(float64(i+1), -1.1))))
@@ -103,20 +103,21 @@
 		}
 	}
 	all, sum := at(low)
-	for i := 100; sum < 18_000; i, sum = i+1, sum+1 { // what rounding has left
+	for i := 100; sum < 18_000; i, sum = i+1, sum+1 { // the rest from rounding
 		all[i]++
 	}
 	return all
 }
 
-// What one balancer uses of all services: upstreams, connections that stand open and that are opened anew a second
-// where one is closed after 55 s without use, and for how much of its requests the upstream has filled a window of
-// readings within so many seconds. Requests are even by upstream, or by Zipf's law over services of any size, a tenth
-// of which has none. A sixth: each balancer has every sixth service.
+// BenchmarkAllServices reports, for one balancer and all services, the number of upstreams that it uses, its open
+// connections, the connections that it opens per second if each is closed after 55 s without use, and the part of its
+// requests that go to upstreams whose window of readings fills within the given seconds. Requests are even over the
+// upstreams, or follow Zipf's law over the services, a tenth of which get none. "A sixth" means that each balancer has
+// only every sixth service.
 func BenchmarkAllServices(b *testing.B) {
-	for _, how := range []string{"even", "skewed", "a sixth, even", "a sixth, skewed"} {
-		b.Run(how, func(b *testing.B) {
-			p := newServicePlan(how)
+	for _, traffic := range []string{"even", "skewed", "a sixth, even", "a sixth, skewed"} {
+		b.Run(traffic, func(b *testing.B) {
+			p := newServicePlan(traffic)
 			var use serviceUse
 			for b.Loop() {
 				use = serviceUse{within: make([]float64, len(useWindows))}
@@ -138,53 +139,53 @@
 }
 
 const (
-	useRanks       = 10   // balancers that are looked at of each service
-	useIdleSeconds = 55.0 // after them an unused connection is closed
+	useRanks       = 10   // balancers sampled per service
+	useIdleSeconds = 55.0 // time after which an unused connection is closed
 )
 
 var useWindows = [...]float64{8, 30, 60, 300} // seconds
 
-// servicePlan is how many upstreams the services have, and which part of all requests.
+// servicePlan holds the number of upstreams of each service and its part of all requests.
 type servicePlan struct {
-	groups, balancers int // services that share a balancer; balancers of a service
+	groups, balancers int // each balancer has every groups-th service; balancers per service
 	upstreams         []int
-	parts             []float64
-	sum               float64 // of the parts
+	parts             []float64 // not normalised
+	sum               float64   // of the parts
 }
 
-func newServicePlan(how string) *servicePlan {
-	skewed := strings.HasSuffix(how, "skewed")
-	p := &servicePlan{groups: 1, upstreams: sizes()}
-	if strings.HasPrefix(how, "a sixth") {
+func newServicePlan(traffic string) *servicePlan {
+	skewed := strings.HasSuffix(traffic, "skewed")
+	p := &servicePlan{groups: 1, upstreams: serviceSizes()}
+	if strings.HasPrefix(traffic, "a sixth") {
 		p.groups = 6
 	}
 	p.balancers = planBalancers / p.groups
 	p.parts = make([]float64, len(p.upstreams))
-	places := rand.New(rand.NewPCG(1, 1)).Perm(len(p.upstreams))
+	popularityRank := rand.New(rand.NewPCG(1, 1)).Perm(len(p.upstreams))
 	for i, n := range p.upstreams {
 		switch {
 		case !skewed:
 			p.parts[i] = float64(n)
-		case places[i] < len(p.upstreams)*9/10:
-			p.parts[i] = 1 / float64(places[i]+1)
+		case popularityRank[i] < len(p.upstreams)*9/10:
+			p.parts[i] = 1 / float64(popularityRank[i]+1)
 		}
 		p.sum += p.parts[i]
 	}
 	return p
 }
 
-// balancer is one of service i, with n upstreams and its usual rate.
+// balancer returns one of the balancers of service i, which has n upstreams, at its rate of requests.
 func (p *servicePlan) balancer(b *testing.B, i, n, rank int) *Balancer {
-	x := planned(b, p.balancers, (rank*p.balancers/useRanks+i)%p.balancers, n, nil)
+	x := newPlannedBalancer(b, p.balancers, (rank*p.balancers/useRanks+i)%p.balancers, n, nil)
 	x.arrivals.perSecond = planRate * 18_000 / float64(p.balancers) * p.parts[i] / p.sum
 	x.chooseSubset(0)
 	return x
 }
 
-// serviceUse is what one balancer uses of all services, in the mean.
+// serviceUse is the mean use of all services by one balancer.
 type serviceUse struct {
-	used, open, opened float64
-	within             []float64
+	used, open, opened float64   // upstreams; connections; connections opened per second
+	within             []float64 // part of requests, by useWindows
 }
 
 func (use *serviceUse) add(x *Balancer, hasRequests bool, groups int) {
@@ -208,7 +209,7 @@
 	}
 }
 
-// What a module holds, in bytes of heap, by its upstreams.
+// BenchmarkHeld reports the heap use of a Balancer by its number of upstreams.
 func BenchmarkHeld(b *testing.B) {
 	for _, upstreams := range []int{0, 37, 370, 2000} {
 		b.Run(fmt.Sprint(upstreams), func(b *testing.B) {
@@ -223,7 +224,7 @@
 				runtime.ReadMemStats(&before)
 				all := make([]*Balancer, modules)
 				for i := range all {
-					all[i], _ = New(s, 1, 0, quietHost{})
+					all[i], _ = New(s, 1, 0, hookHost{})
 					if upstreams > 0 {
 						all[i].EndpointsUpdated(0, ListFull, list)
 					}
@@ -239,10 +240,11 @@
 	}
 }
 
-// What a warming upstream gets from 1,500 balancers: each has its own even part of the service's requests, by chance in
-// time, and a window of readings when the upstream starts anew. Reported are the seconds until its first call, what it
-// was sent in its ramp as a part of what a warm one gets in that time, and the most in any window as a part of that
-// window's budget; over several starts, the mean and the worst. Of 250 balancers: where one in six has the service.
+// BenchmarkColdAt reports the requests that a warming upstream gets from 1,500 balancers, or from the 250 that have the
+// service if one in six has it. Each balancer has an even part of the service's requests, at random times, and a full
+// window of readings when the upstream restarts. It reports over several starts the time until the first request (mean
+// and worst), the requests during slow start as a ratio of those to a warm upstream (mean), and the most requests in a
+// window as a ratio of its budget (worst).
 func BenchmarkColdAt(b *testing.B) {
 	const all, sixth = planBalancers, planBalancers / 6
 	for _, x := range []struct{ n, balancers int }{
@@ -279,82 +281,85 @@
 	}
 }
 
-// balancerAt is one of many balancers of a service, which do not talk: so one plays after the other.
-type balancerAt struct {
+// simulatedBalancer simulates one of many balancers of a service with its requests. The balancers do not communicate,
+// so they can be simulated one after the other.
+type simulatedBalancer struct {
 	*Balancer
-	now, ticks, next time.Duration
-	owed             []answerAt
-	asked            RequestID
-	rate             float64 // requests a second
-	took             time.Duration
-	rng              *rand.Rand
-	sent             func(up UpstreamID)
-	refused, tries   int // tries: sent to one that is dead
-	dead             func(up UpstreamID) bool
-	slow             UpstreamID // it takes three times as long, and says that it is full
-	came             map[RequestID]time.Duration
-	attempts         map[RequestID]int
-	waited           time.Duration // of those that were sent, together
+	now, tickAt, arrivalAt time.Duration
+	answers                []scheduledAnswer // by time
+	arrived                RequestID         // number of requests, and ID of the last one
+	rate                   float64           // requests a second
+	answerLatency          time.Duration
+	rng                    *rand.Rand
+	onSend                 func(up UpstreamID)
+	lost, silentSends      int // requests rejected or failed; attempts sent to silent upstreams
+	isSilent               func(up UpstreamID) bool
+	slow                   UpstreamID // takes three times as long and reports nearly full utilisation
+	arrivedAt              map[RequestID]time.Duration
+	attempts               map[RequestID]int
+	waited                 time.Duration // total time from arrival to each attempt
 }
 
-type answerAt struct {
+type scheduledAnswer struct {
 	at time.Duration
 	id RequestID
 	up UpstreamID
-	n  int // of the request's attempts
+	n  int // index of the attempt
 	ok bool
 }
 
-func newBalancerAt(b *testing.B, balancers, rank, n int, rng *rand.Rand) *balancerAt {
-	x := &balancerAt{
-		rate: planRate * float64(n) / float64(balancers), took: 50 * ms, rng: rng,
-		sent: func(UpstreamID) {}, dead: func(UpstreamID) bool { return false },
-		came: map[RequestID]time.Duration{}, attempts: map[RequestID]int{},
+func newSimulatedBalancer(b *testing.B, balancers, rank, n int, rng *rand.Rand) *simulatedBalancer {
+	x := &simulatedBalancer{
+		rate: planRate * float64(n) / float64(balancers), answerLatency: 50 * ms, rng: rng,
+		onSend: func(UpstreamID) {}, isSilent: func(UpstreamID) bool { return false },
+		arrivedAt: map[RequestID]time.Duration{}, attempts: map[RequestID]int{},
 	}
-	x.Balancer = planned(b, balancers, rank, n, func(kind string, r RequestID, up UpstreamID, d time.Duration, n uint64) {
+	x.Balancer = newPlannedBalancer(b, balancers, rank, n, func(
+		kind string, r RequestID, up UpstreamID, d time.Duration, n uint64,
+	) {
 		switch {
 		case kind == "send":
-			a := answerAt{x.now + x.took, r, up, x.attempts[r], true}
+			a := scheduledAnswer{x.now + x.answerLatency, r, up, x.attempts[r], true}
 			if up == x.slow {
-				a.at += 2 * x.took
+				a.at += 2 * x.answerLatency
 			}
-			if x.attempts[r]++; x.dead(up) {
+			if x.attempts[r]++; x.isSilent(up) {
 				a.at, a.ok = x.now+500*ms, false
-				x.tries++
+				x.silentSends++
 			}
-			at, _ := slices.BinarySearchFunc(x.owed, a, func(p, q answerAt) int { return cmp.Compare(p.at, q.at) })
-			x.owed = slices.Insert(x.owed, at, a)
-			x.waited += x.now - x.came[r]
-			x.sent(up)
+			at, _ := slices.BinarySearchFunc(x.answers, a, func(p, q scheduledAnswer) int { return cmp.Compare(p.at, q.at) })
+			x.answers = slices.Insert(x.answers, at, a)
+			x.waited += x.now - x.arrivedAt[r]
+			x.onSend(up)
 		case kind == "refuse" || kind == "fail":
-			x.refused++
+			x.lost++
 		case kind == "timer" && n == tickToken:
-			x.ticks = x.now + d
+			x.tickAt = x.now + d
 		}
 	})
-	x.ticks, x.next = x.tickInterval, x.gap()
+	x.tickAt, x.arrivalAt = x.tickInterval, x.arrivalGap()
 	return x
 }
 
-func (x *balancerAt) gap() time.Duration {
+func (x *simulatedBalancer) arrivalGap() time.Duration {
 	return time.Duration(x.rng.ExpFloat64() / x.rate * float64(time.Second))
 }
 
-// load is what an upstream reports: a use about a half, or about all.
-func (x *balancerAt) load(up UpstreamID) Load {
-	use := 0.5
+// load returns the load that an upstream reports: a utilisation of about 0.5, or 0.95 if it is slow.
+func (x *simulatedBalancer) load(up UpstreamID) Load {
+	utilisation := 0.5
 	if up == x.slow {
-		use = 0.95
+		utilisation = 0.95
 	}
-	return Load{Fields: HasUtil, Util: min(1, use+0.03*x.rng.NormFloat64())}
+	return Load{Fields: HasUtil, Util: min(1, utilisation+0.03*x.rng.NormFloat64())}
 }
 
-// play goes on to a moment.
-func (x *balancerAt) play(until time.Duration) {
+// run simulates until a time.
+func (x *simulatedBalancer) run(until time.Duration) {
 	for {
-		at := min(x.ticks, x.next)
-		if len(x.owed) > 0 {
-			at = min(at, x.owed[0].at)
+		at := min(x.tickAt, x.arrivalAt)
+		if len(x.answers) > 0 {
+			at = min(at, x.answers[0].at)
 		}
 		if at >= until {
 			x.now = until
@@ -362,89 +367,91 @@
 		}
 		x.now = at
 		switch {
-		case len(x.owed) > 0 && x.owed[0].at == at:
-			a := x.owed[0]
-			x.owed = x.owed[1:]
+		case len(x.answers) > 0 && x.answers[0].at == at:
+			a := x.answers[0]
+			x.answers = x.answers[1:]
 			o := AttemptResult{
-				ID: a.id, Upstream: a.up, Attempt: a.n, Latency: x.took, Status: OK, Closed: true, Load: x.load(a.up),
+				ID: a.id, Upstream: a.up, Attempt: a.n, Latency: x.answerLatency, Status: OK, Closed: true, Load: x.load(a.up),
 			}
 			if a.up == x.slow {
-				o.Latency = 3 * x.took
+				o.Latency = 3 * x.answerLatency
 			}
 			if !a.ok {
 				o = AttemptResult{ID: a.id, Upstream: a.up, Attempt: a.n, Latency: 500 * ms, Status: ConnectFailed}
 			}
 			x.AttemptFinished(at, o)
-		case x.ticks == at:
-			x.ticks = math.MaxInt64
+		case x.tickAt == at:
+			x.tickAt = math.MaxInt64
 			x.TimerFired(at, tickToken)
 		default:
-			x.asked++
-			x.next = at + x.gap()
-			x.came[x.asked] = at
-			x.RequestArrived(at, Request{ID: x.asked, Class: "read", Budget: time.Second})
+			x.arrived++
+			x.arrivalAt = at + x.arrivalGap()
+			x.arrivedAt[x.arrived] = at
+			x.RequestArrived(at, Request{ID: x.arrived, Class: "read", Budget: time.Second})
 		}
 	}
 }
 
-// What becomes of the requests of a service while nothing happens, where each balancer sees few of them: the part that
-// is rejected in the first two minutes and in the ten after them, and how long one waits in the mean.
+// BenchmarkThin simulates a service without faults of which each balancer gets few requests. It reports the part of
+// requests that is rejected or fails in the first 2 min and in the 10 min after them, and the mean wait of a request.
 func BenchmarkThin(b *testing.B) {
 	for _, n := range []int{2, 10, 37, 150, 300} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
-			var asked, refused [2]float64
+			var arrived, lost [2]float64
 			waited := 0.0
 			for b.Loop() {
-				asked, refused, waited = [2]float64{}, [2]float64{}, 0
+				arrived, lost, waited = [2]float64{}, [2]float64{}, 0
 				rng := rand.New(rand.NewPCG(uint64(n), 9))
 				for rank := 0; rank < planBalancers; rank += max(1, n/10) {
-					x := newBalancerAt(b, planBalancers, rank, n, rng)
-					x.play(2 * time.Minute)
-					asked[0], refused[0] = asked[0]+float64(x.asked), refused[0]+float64(x.refused)
-					first, before := x.refused, x.asked
-					x.play(12 * time.Minute)
-					asked[1], refused[1] = asked[1]+float64(x.asked-before), refused[1]+float64(x.refused-first)
+					x := newSimulatedBalancer(b, planBalancers, rank, n, rng)
+					x.run(2 * time.Minute)
+					arrived[0], lost[0] = arrived[0]+float64(x.arrived), lost[0]+float64(x.lost)
+					lostBefore, before := x.lost, x.arrived
+					x.run(12 * time.Minute)
+					arrived[1], lost[1] = arrived[1]+float64(x.arrived-before), lost[1]+float64(x.lost-lostBefore)
 					waited += x.waited.Seconds() * 1000
 				}
 			}
-			b.ReportMetric(refused[0]/asked[0], "refused-first-2min")
-			b.ReportMetric(refused[1]/asked[1], "refused-then")
-			b.ReportMetric(waited/(asked[0]+asked[1]), "ms-waited")
-			b.ReportMetric(asked[0]+asked[1], "requests")
+			b.ReportMetric(lost[0]/arrived[0], "refused-first-2min")
+			b.ReportMetric(lost[1]/arrived[1], "refused-then")
+			b.ReportMetric(waited/(arrived[0]+arrived[1]), "ms-waited")
+			b.ReportMetric(arrived[0]+arrived[1], "requests")
 		})
 	}
 }
 
-// playSlowStart plays one start of an upstream of a service with n.
+// playSlowStart simulates the start of one upstream of a service with n upstreams. It returns the seconds until its
+// first request, its requests during slow start as a ratio of those to a warm upstream, the worst ratio of the requests
+// in a window to its budget, and the number of balancers that use it.
 func playSlowStart(b *testing.B, balancers, n int, seed uint64) (first, part, worst float64, users int) {
-	const born = 2 * time.Minute // readings come rarely at this size
+	const startedAt = 2 * time.Minute // readings are rare at this size
 	id := UpstreamID(1 + seed%uint64(n))
 	rng := rand.New(rand.NewPCG(seed, 7))
 	var sent []time.Duration
 	rules := settings().Rules
 	for rank := range balancers {
-		x := newBalancerAt(b, balancers, rank, n, rng)
+		x := newSimulatedBalancer(b, balancers, rank, n, rng)
 		if n > 10 && !slices.ContainsFunc(x.subset.upstreams, func(u *upstreamState) bool { return u.ID == id }) {
-			continue // its stretch lies elsewhere; among few each may come to use it
+			continue // in a service with few upstreams, it may enter the subset later
 		}
 		users++
-		x.sent = func(up UpstreamID) {
-			if up == id && x.now >= born {
-				sent = append(sent, x.now-born)
+		x.onSend = func(up UpstreamID) {
+			if up == id && x.now >= startedAt {
+				sent = append(sent, x.now-startedAt)
 			}
 		}
-		x.play(born)
+		x.run(startedAt)
 		list := fleet(n)[id-1 : id]
-		list[0].StartedAt = born
-		x.EndpointsUpdated(born, ListDelta, list)
-		x.play(born + rules.SlowStartDuration)
+		list[0].StartedAt = startedAt
+		x.EndpointsUpdated(startedAt, ListDelta, list)
+		x.run(startedAt + rules.SlowStartDuration)
 	}
 	slices.Sort(sent)
 	first = math.Inf(1)
 	if len(sent) > 0 {
 		first = sent[0].Seconds()
 	}
-	capacity := planRate / 0.5 // it stands at half of its use
+	capacity := planRate / 0.5 // of a warm upstream, which is at half utilisation
 	ramp := func(at time.Duration) float64 { return 0.33 + (1-0.33)*at.Seconds()/rules.SlowStartDuration.Seconds() }
 	for i, j := 0, 0; i < len(sent); i++ {
 		for ; sent[j] <= sent[i]-rules.OverloadWindow; j++ {
@@ -454,33 +461,34 @@
 	return first, float64(len(sent)) / (planRate * rules.SlowStartDuration.Seconds()), worst, users
 }
 
-// How much of what a tenant sends within its quota counts as over it, where each of 1,500 balancers has an even part of
-// the quota: by the quota, the part of it that is sent, and over how many balancers that comes.
+// BenchmarkParts reports the part of a tenant's requests that count as over its quota although their total is within
+// it. Each of 1,500 balancers has an even part of the quota. The result depends on the quota, on the part of it that is
+// used, and on the number of balancers that get the requests.
 func BenchmarkParts(b *testing.B) {
 	for _, x := range []struct {
-		quota, part float64
-		over        int
+		quota, used float64
+		users       int
 	}{{10, 0.5, 1500}, {10, 0.5, 4}, {1500, 0.5, 1500}, {1500, 0.5, 150}, {15000, 0.5, 1500}, {15000, 0.9, 1500}} {
-		b.Run(fmt.Sprintf("quota %v of it %v over %v", x.quota, x.part, x.over), func(b *testing.B) {
-			asked, flagged := 0.0, 0.0
+		b.Run(fmt.Sprintf("quota %v of it %v over %v", x.quota, x.used, x.users), func(b *testing.B) {
+			requests, over := 0.0, 0.0
 			for b.Loop() {
-				asked, flagged = 0, 0
+				requests, over = 0, 0
 				rng := rand.New(rand.NewPCG(1, 2))
 				for range 20 { // balancers
-					asked += 5000
-					flagged += float64(countOver(b, rng, x.quota, x.quota*x.part/float64(x.over), 5000))
+					requests += 5000
+					over += float64(countOver(b, rng, x.quota, x.quota*x.used/float64(x.users), 5000))
 				}
 			}
-			b.ReportMetric(flagged/asked, "counted-over")
+			b.ReportMetric(over/requests, "counted-over")
 		})
 	}
 }
 
-// countOver is how many of a tenant's requests at one balancer count as over its quota, at a rate.
+// countOver returns how many of a tenant's requests at one balancer count as over its quota, at a rate per second.
 func countOver(b *testing.B, rng *rand.Rand, quota, rate float64, requests int) (over int) {
 	s := settings()
 	s.Balancers, s.Tenants = planBalancers, NewTenants([]Tenant{{Name: "one", Quota: quota}})
-	balancer, err := New(s, 1, 0, quietHost{})
+	balancer, err := New(s, 1, 0, hookHost{})
 	if err != nil {
 		b.Fatal(err)
 	}
@@ -494,11 +502,11 @@
 	return over
 }
 
-// What a module takes to hear of one upstream that drains or is back, of a whole list, and to take one request and its
-// answer, by its upstreams.
+// BenchmarkTold measures, by the number of upstreams, how long a Balancer takes to process an update of one upstream,
+// an update of the full list, and the end of a period.
 func BenchmarkTold(b *testing.B) {
 	for _, n := range []int{2, 37, 300, 2000, 18_000} {
-		x := planned(b, planBalancers, 0, n, nil)
+		x := newPlannedBalancer(b, planBalancers, 0, n, nil)
 		list, now := fleet(n), time.Duration(0)
 		b.Run(fmt.Sprint(n, " one"), func(b *testing.B) {
 			for b.Loop() {
@@ -513,7 +521,7 @@
 				x.EndpointsUpdated(now, ListFull, list)
 			}
 		})
-		b.Run(fmt.Sprint(n, " step"), func(b *testing.B) { // what a pool's module does each second, whether or not it is used
+		b.Run(fmt.Sprint(n, " step"), func(b *testing.B) { // each second, also without requests
 			for b.Loop() {
 				now += time.Second
 				x.endPeriod(now)
@@ -522,61 +530,61 @@
 	}
 }
 
-// What becomes of a service's requests when a part of its upstreams falls silent and nobody tells: new connections do
-// not come up within the 500 ms that serve gives them. Reported are the part of requests that is sent first to a silent
-// one, and that has no answer in time, in the first 6 s, in the minute after them, in the first 10 s after all are
-// back, and in the 20 s after these.
+// BenchmarkSilent simulates a service some of whose upstreams become silent without an update of the endpoint list. New
+// connections to them fail after the connection timeout of the serve command, 500 ms. It reports the attempts sent to
+// silent upstreams and the requests rejected or failed, both as ratios of all requests, in four phases: the first 6 s,
+// the minute after them, the first 10 s after the recovery, and the 20 s after these.
 func BenchmarkSilent(b *testing.B) {
 	for _, n := range []int{10, 37, 300} {
-		for _, lost := range []float64{1.0 / 19, 5.0 / 6} {
-			b.Run(fmt.Sprintf("%d lost %.2f", n, lost), func(b *testing.B) {
+		for _, silent := range []float64{1.0 / 19, 5.0 / 6} {
+			b.Run(fmt.Sprintf("%d lost %.2f", n, silent), func(b *testing.B) {
 				var count silentCount
 				for b.Loop() {
 					count = silentCount{}
 					rng := rand.New(rand.NewPCG(uint64(n), 11))
 					for rank := 0; rank < planBalancers; rank += planBalancers / 300 {
-						x := newBalancerAt(b, planBalancers, rank, n, rng)
-						x.play(2 * time.Minute)
-						count.play(x, func(up UpstreamID) bool { return float64(up-1) < math.Round(lost*float64(n)) })
+						x := newSimulatedBalancer(b, planBalancers, rank, n, rng)
+						x.run(2 * time.Minute)
+						count.run(x, func(up UpstreamID) bool { return float64(up-1) < math.Round(silent*float64(n)) })
 					}
 				}
-				for part, name := range []string{"first-6s", "then", "back", "later"} {
-					b.ReportMetric(count.tried[part]/count.asked[part], "sent-to-silent-"+name)
-					b.ReportMetric(count.late[part]/count.asked[part], "not-served-"+name)
+				for phase, name := range []string{"first-6s", "then", "back", "later"} {
+					b.ReportMetric(count.sentToSilent[phase]/count.arrived[phase], "sent-to-silent-"+name)
+					b.ReportMetric(count.unserved[phase]/count.arrived[phase], "not-served-"+name)
 				}
 			})
 		}
 	}
 }
 
-// silentCount counts requests by the part of the course in which they came.
-type silentCount struct{ asked, tried, late [4]float64 }
+// silentCount counts requests, attempts to silent upstreams, and rejected or failed requests, by phase.
+type silentCount struct{ arrived, sentToSilent, unserved [4]float64 }
 
-// play lets upstreams fall silent after two minutes, and come back after 66 s.
-func (c *silentCount) play(x *balancerAt, dead func(up UpstreamID) bool) {
-	x.dead = dead
-	for part, until := range []time.Duration{126 * time.Second, 186 * time.Second, 196 * time.Second, 216 * time.Second} {
-		if part == 2 {
-			x.dead = func(UpstreamID) bool { return false }
+// run makes upstreams silent, from 2 min after the start on, and lets them recover 66 s later.
+func (c *silentCount) run(x *simulatedBalancer, isSilent func(up UpstreamID) bool) {
+	x.isSilent = isSilent
+	for phase, until := range []time.Duration{126 * time.Second, 186 * time.Second, 196 * time.Second, 216 * time.Second} {
+		if phase == 2 {
+			x.isSilent = func(UpstreamID) bool { return false }
 		}
-		before, tries, lates := x.asked, x.tries, x.refused
-		x.play(until)
-		c.asked[part] += float64(x.asked - before)
-		c.tried[part] += float64(x.tries - tries)
-		c.late[part] += float64(x.refused - lates)
+		before, silentSends, lostBefore := x.arrived, x.silentSends, x.lost
+		x.run(until)
+		c.arrived[phase] += float64(x.arrived - before)
+		c.sentToSilent[phase] += float64(x.silentSends - silentSends)
+		c.unserved[phase] += float64(x.lost - lostBefore)
 	}
 }
 
-// How soon the share of an upstream falls that becomes three times slower and reports that it is full: what is sent to
-// it of what was sent before, in the spans that end after so many seconds. Either each balancer reads what its own
-// answers say, or all are told a reading of each upstream that they use once a second, as balancers of a region could
-// tell each other. And the same where only one in six balancers has the service.
+// BenchmarkSlow reports how fast an upstream loses its share when it becomes three times slower and reports nearly full
+// utilisation: its requests per second, as a ratio of those before, in successive spans. Balancers take readings from
+// their own answers ("own"), or also get one reading per second of each upstream that they use ("shared"), as if the
+// balancers of a region shared them. "A sixth" means that only one in six balancers has the service.
 func BenchmarkSlow(b *testing.B) {
 	for _, n := range []int{10, 37, 300} {
-		for _, how := range []string{"own", "shared", "a sixth, own", "a sixth, shared"} {
-			b.Run(fmt.Sprintf("%d %s", n, how), func(b *testing.B) {
-				balancers, shared := planBalancers, strings.HasSuffix(how, "shared")
-				if strings.HasPrefix(how, "a sixth") {
+		for _, readings := range []string{"own", "shared", "a sixth, own", "a sixth, shared"} {
+			b.Run(fmt.Sprintf("%d %s", n, readings), func(b *testing.B) {
+				balancers, shared := planBalancers, strings.HasSuffix(readings, "shared")
+				if strings.HasPrefix(readings, "a sixth") {
 					balancers /= 6
 				}
 				var sent slowCount
@@ -584,7 +592,7 @@
 					sent = slowCount{}
 					rng := rand.New(rand.NewPCG(uint64(n), 13))
 					for rank := range balancers {
-						sent.play(newBalancerAt(b, balancers, rank, n, rng), shared)
+						sent.run(newSimulatedBalancer(b, balancers, rank, n, rng), shared)
 					}
 				}
 				from := 0
@@ -597,41 +605,41 @@
 	}
 }
 
-// slowEnds are the ends of the spans after an upstream became slow, in seconds.
+// slowEnds are the ends of the spans, in seconds after the upstream became slow.
 var slowEnds = [...]int{10, 30, 60, 300}
 
-// slowCount is what was sent to that upstream: in the minute before, and in each span.
+// slowCount counts the requests sent to the slow upstream: in the minute before it became slow, and in each span.
 type slowCount [len(slowEnds) + 1]float64
 
-// play lets an upstream become slow after two minutes, if the balancer uses it.
-func (c *slowCount) play(x *balancerAt, shared bool) {
+// run makes an upstream slow after 2 min, if the balancer uses it.
+func (c *slowCount) run(x *simulatedBalancer, shared bool) {
 	const slow = 1
 	if !slices.ContainsFunc(x.subset.upstreams, func(u *upstreamState) bool { return u.ID == slow }) {
 		return
 	}
 	span := 0
-	x.sent = func(up UpstreamID) {
+	x.onSend = func(up UpstreamID) {
 		if up == slow {
 			c[span]++
 		}
 	}
 	before := c[0]
-	x.playSeconds(0, 60, shared)
-	c[0] = before // the first minute is no measure
-	x.playSeconds(60, 120, shared)
+	x.runSeconds(0, 60, shared)
+	c[0] = before // the first minute does not count
+	x.runSeconds(60, 120, shared)
 	x.slow = slow
 	from := 120
 	for i, end := range slowEnds {
 		span = i + 1
-		x.playSeconds(from, 120+end, shared)
+		x.runSeconds(from, 120+end, shared)
 		from = 120 + end
 	}
 }
 
-// playSeconds goes on second by second; after each a shared reading of all members comes in.
-func (x *balancerAt) playSeconds(from, to int, shared bool) {
+// runSeconds simulates a range of seconds. If shared, a reading of each upstream arrives at the end of each second.
+func (x *simulatedBalancer) runSeconds(from, to int, shared bool) {
 	for second := from; second < to; second++ {
-		x.play(time.Duration(second+1) * time.Second)
+		x.run(time.Duration(second+1) * time.Second)
 		for _, u := range x.subset.upstreams {
 			if shared && u.inSubset {
 				x.HealthCheckFinished(x.now, HealthCheckResult{Upstream: u.ID, Status: OK, Load: x.load(u.ID)})
