--- a/balancer/idle_test.go
+++ b/balancer/idle_test.go
@@ -81,10 +81,10 @@
 	w.now = now
 }
 
-// state returns the state of the Balancer as text, without whether its ticks are suspended.
+// state returns the state of the Balancer as text, except whether its ticks are suspended.
 func (w *twin) state() string {
 	b := w.Balancer
-	b.catchUp(w.now) // events that are ignored, such as the end of an unknown attempt, do not catch up
+	b.catchUp(w.now) // an ignored event, such as the end of an unknown attempt, does not catch up
 	rng, _ := b.rngSource.MarshalBinary()
 	var s strings.Builder
 	fmt.Fprintf(&s, "%x %v %v %v\n", rng, b.inFlight, len(b.queue.waiting), len(b.requests))
--- a/balancer/limits_test.go
+++ b/balancer/limits_test.go
@@ -83,7 +83,7 @@
 }
 
 // Live weights rise while a server is idle. A server of weight 3 was once compared with a third of the fleet's latency
-// and taken for congested, so one balancer of four rejected most of its requests for 10 s while servers were idle.
+// and taken for congested: when one balancer of four was left for 10 s, it rejected most requests beside idle servers.
 func TestIdleUpstreamOfHighWeightIsNotTakenForCongested(t *testing.T) {
 	b, _ := start(t, settings(), fleet(4))
 	for _, u := range b.upstreams {
@@ -115,7 +115,7 @@
 	}
 }
 
-// Limits once doubled with each answer: many balancers overloaded a fleet before the first reading showed full
+// Limits once doubled with each round trip: many balancers overloaded a fleet before the first reading showed full
 // utilisation.
 func TestLimitAtMostDoublesBetweenPeriods(t *testing.T) {
 	b, _ := start(t, settings(), fleet(1))
@@ -207,7 +207,7 @@
 }
 
 // Where answers are sparse, single slow ones do not cut the limit below full utilisation. With heavy-tailed work they
-// did at half of the utilisation, and a fifth of the requests was rejected.
+// did at a utilisation of one half, and a fifth of the requests was rejected.
 func TestSparseAnswersDoNotCutLimitBelowFullUtilisation(t *testing.T) {
 	for _, c := range []struct {
 		balancers   int
@@ -260,7 +260,8 @@
 	}
 }
 
-// The limit does not grow beyond the cap or what is in use. It once grew to ten thousand with 16 in flight.
+// A limit grows neither beyond the cap nor while less than half of it is in use. It once grew to ten thousand with 16
+// attempts in flight.
 func TestLimitStaysAtWhatTheCapAllows(t *testing.T) {
 	list := fleet(1)
 	list[0].MaxInFlight = 16
--- a/balancer/outlier_test.go
+++ b/balancer/outlier_test.go
@@ -47,8 +47,8 @@
 	}
 }
 
-// Ejected for 1 s: then a request of the safest class may be the trial, and after another such wait one of any class.
-// Each trial doubles the wait.
+// An upstream is ejected for 1 s. After that a request of the safest class may be the trial, and 1 s later a request of
+// any class. Each trial doubles the wait.
 func TestOutlierTrials(t *testing.T) {
 	var o outlierDetector
 	o.eject(time.Hour, time.Second)
@@ -135,7 +135,7 @@
 	toFirst, failed, sent int
 }
 
-// answerNew ends or schedules the end of the attempts in flight that are new, and reports whether there are any.
+// answerNew answers the attempts in flight that it has not seen before, and reports whether there were any.
 func (f *flowState) answerNew(i int) (found bool) {
 	for _, u := range f.b.upstreams {
 		for _, a := range slices.Clone(u.inFlight) {
@@ -186,8 +186,8 @@
 	}
 }
 
-// Errors of all upstreams are due to the requests: no upstream is ejected, and all requests are sent.
-func TestErrorsOfAllUpstreamsEjectNone(t *testing.T) {
+// Errors that all upstreams return are due to the requests, so no share is cut and all requests are sent.
+func TestErrorsOfAllUpstreamsCutNoShare(t *testing.T) {
 	for _, n := range []int{1, 2, 5} {
 		b, _ := start(t, settings(), fleet(n))
 		flow(t, b, time.Hour, 1, 600, func(*upstreamState) bool { return true })
--- a/balancer/queue_test.go
+++ b/balancer/queue_test.go
@@ -136,7 +136,7 @@
 		{"one upstream free, nothing queued", []time.Duration{0}, 0, 0, 50 * ms},
 		{"one upstream free, nine queued", []time.Duration{0}, 0, 9, 500 * ms},
 		{"two upstreams free, nine queued", []time.Duration{0, 0}, 0, 9, 250 * ms},
-		{"the first is free in 1 s", []time.Duration{3 * time.Second, time.Second}, 0, 0, time.Second},
+		{"the earliest is free in 1 s", []time.Duration{3 * time.Second, time.Second}, 0, 0, time.Second},
 		{"a trial is due sooner", []time.Duration{time.Second}, 300 * ms, 0, 300 * ms},
 		{"many queued", []time.Duration{0}, 0, 1000, 2 * time.Second},
 	} {
@@ -251,8 +251,8 @@
 	}
 }
 
-// queue simulates an upstream that serves one request at a time. It returns for each request, in order of
-// arrival, the time until its answer, or 0 if it was rejected.
+// queue simulates an upstream that serves one request at a time. It returns for each request, in order of arrival, the
+// time until its answer or 0 if it was rejected, and the number of rejected requests.
 func queue(t *testing.T, serviceTime time.Duration, arrivals []time.Duration) (waits []time.Duration, rejected int) {
 	list := fleet(1)
 	list[0].MaxInFlight = 1
--- a/balancer/rules_test.go
+++ b/balancer/rules_test.go
@@ -10,7 +10,7 @@
 	"time"
 )
 
-// checker checks the actions of a Balancer against the rules. It uses no code of the decision module.
+// checker checks the actions of a Balancer against the rules. It shares no logic with the decision module.
 type checker struct {
 	t             *testing.T
 	s             Settings
@@ -37,7 +37,7 @@
 
 type checkedAttempt struct {
 	r        *checkedRequest
-	n        int // of the request's attempts
+	n        int // index among the request's attempts
 	up       Upstream
 	at, end  time.Duration
 	status   Status
@@ -314,7 +314,7 @@
 	}
 }
 
-// settingsVariants returns settings under which the rules work differently.
+// settingsVariants returns settings that exercise different parts of the rules.
 func settingsVariants() map[string]Settings {
 	all, cell, hedging, polling := settings(), settings(), settings(), settings()
 	all.Classes[1].KeyScope = KeyScopeAll
--- a/balancer/size_test.go
+++ b/balancer/size_test.go
@@ -256,7 +256,7 @@
 			for b.Loop() {
 				first, part, worst, never = nil, nil, nil, 0
 				for seed := range 5 {
-					f, p, w, u := playSlowStart(b, x.balancers, x.n, uint64(seed))
+					f, p, w, u := simulateSlowStart(b, x.balancers, x.n, uint64(seed))
 					users, part, worst = u, append(part, p), append(worst, w)
 					if math.IsInf(f, 1) {
 						never++
@@ -420,10 +420,10 @@
 	}
 }
 
-// playSlowStart simulates the start of one upstream of a service with n upstreams. It returns the seconds until its
+// simulateSlowStart simulates the start of one upstream of a service with n upstreams. It returns the seconds until its
 // first request, its requests during slow start as a ratio of those to a warm upstream, the worst ratio of the requests
 // in a window to its budget, and the number of balancers that use it.
-func playSlowStart(b *testing.B, balancers, n int, seed uint64) (first, part, worst float64, users int) {
+func simulateSlowStart(b *testing.B, balancers, n int, seed uint64) (first, part, worst float64, users int) {
 	const startedAt = 2 * time.Minute // readings are rare at this size
 	id := UpstreamID(1 + seed%uint64(n))
 	rng := rand.New(rand.NewPCG(seed, 7))
--- a/balancer/tenants_test.go
+++ b/balancer/tenants_test.go
@@ -150,7 +150,7 @@
 	}
 }
 
-// A change of its quota keeps the level of a tenant. The new rate applies from then on.
+// A tenant keeps its level when its quota changes, and the new rate applies from then on.
 func TestQuotaChanges(t *testing.T) {
 	s := settings()
 	s.Balancers, s.Tenants = 1, NewTenants([]Tenant{{"a", 10}})
