--- a/balancer/api.go
+++ b/balancer/api.go
@@ -117,20 +117,20 @@
 
 // The weight kinds.
 const (
-	WeightNone    WeightKind = iota // nothing: it is always 1
-	WeightNominal                   // the server's size
-	WeightRough                     // the server's approximate size
-	WeightLive                      // the server's size, reduced by its load some time ago
+	WeightNone        WeightKind = iota // nothing: it is always 1
+	WeightNominal                       // the server's size
+	WeightApproximate                   // the server's approximate size
+	WeightLive                          // the server's size, reduced by its load some time ago
 )
 
-// ReportVia says where load reports come from.
-type ReportVia uint8
+// ReportSource says where load reports come from.
+type ReportSource uint8
 
 // The sources of load reports.
 const (
-	ReportNone         ReportVia = iota
-	ReportAnswers                // answers and health checks
-	ReportHealthChecks           // health checks only
+	ReportNone         ReportSource = iota
+	ReportAnswers                   // answers and health checks
+	ReportHealthChecks              // health checks only
 )
 
 // Settings configures a Balancer.
@@ -147,7 +147,7 @@
 	Rules                 Rules
 	PollDiscovery         bool // discovery must be polled, as it has no watch
 	Weights               WeightKind
-	Reports               ReportVia
+	Reports               ReportSource
 	Granularity           time.Duration // least time between two batches of events
 	SuspendWhenIdle       bool          // set no timer while nothing is open; decisions are the same
 }
@@ -219,8 +219,8 @@
 
 // The load fields.
 const (
-	HasUtil LoadField = 1 << iota
-	HasInflight
+	HasUtilisation LoadField = 1 << iota
+	HasInFlight
 	HasQueue
 	HasService
 	HasRate
--- a/balancer/idle.go
+++ b/balancer/idle.go
@@ -220,10 +220,10 @@
 // Suspended reports whether the ticks are suspended, as nothing is open.
 func (b *Balancer) Suspended() bool { return b.idle.suspended }
 
-// NextDue returns the time until which b must be kept, because a new Balancer would lack state that it has: what is
+// KeepUntil returns the time until which b must be kept, because a new Balancer would lack state that it has: what is
 // open, the wait of a warming or failing upstream, a deduplication window, or a tenant's use of its quota. If that time
 // is not after now, b may be replaced by a new Balancer.
-func (b *Balancer) NextDue(now time.Duration) (until time.Duration) {
+func (b *Balancer) KeepUntil(now time.Duration) (until time.Duration) {
 	b.catchUp(now)
 	if !b.idle.suspended {
 		return now + b.tickInterval
--- a/balancer/reports.go
+++ b/balancer/reports.go
@@ -36,7 +36,7 @@
 	upstream *upstreamState, load Load, succeeded bool, objectives float64, now time.Duration,
 ) {
 	utilisation := load.utilisation()
-	if load.Fields&(HasUtil|HasInflight|HasQueue) == 0 && b.settings.Reports == ReportNone && succeeded {
+	if load.Fields&(HasUtilisation|HasInFlight|HasQueue) == 0 && b.settings.Reports == ReportNone && succeeded {
 		utilisation = min(1, objectives)
 	}
 	repeated := load.Fields != 0 && load == upstream.lastLoad
@@ -51,7 +51,7 @@
 // utilisation returns the reported utilisation, or an estimate from the requests in flight and queued if only these are
 // reported.
 func (l *Load) utilisation() float64 {
-	if l.Fields&HasUtil == 0 && l.Fields&(HasInflight|HasQueue) != 0 {
+	if l.Fields&HasUtilisation == 0 && l.Fields&(HasInFlight|HasQueue) != 0 {
 		return 1 - 1/(1+l.Inflight+l.Queue)
 	}
 	return l.Util
--- a/balancer/ring_test.go
+++ b/balancer/ring_test.go
@@ -78,7 +78,7 @@
 
 // Live weights are not used: each change of one would shift the arcs of all other upstreams.
 func TestRingLength(t *testing.T) {
-	for kind, want := range map[WeightKind]float64{WeightNone: 3, WeightNominal: 3, WeightRough: 3, WeightLive: 1} {
+	for kind, want := range map[WeightKind]float64{WeightNone: 3, WeightNominal: 3, WeightApproximate: 3, WeightLive: 1} {
 		b := &Balancer{settings: Settings{Weights: kind}}
 		if got := b.ringLength(&upstreamState{share: share{weight: 3}}); got != want {
 			t.Errorf("weights of kind %d: length %v, want %v", kind, got, want)
--- a/balancer/snapshot.go
+++ b/balancer/snapshot.go
@@ -13,16 +13,16 @@
 
 // UpstreamSnapshot holds a Balancer's statistics of one upstream.
 type UpstreamSnapshot struct {
-	ID           UpstreamID         `json:"id"`
-	StartedAt    time.Duration      `json:"started_at"` // start of the process to which the statistics apply
-	Unresponsive bool               `json:"silent,omitempty"`
-	TrialAt      time.Duration      `json:"trial_at,omitempty"`
-	Wait         time.Duration      `json:"wait"`
-	Readings     int                `json:"readings"`
-	Answers      int                `json:"answers"`
-	Unreported   int                `json:"mute"`
-	Window       []float64          `json:"window"`
-	Figures      map[string]float64 `json:"figures"`
+	ID                UpstreamID         `json:"id"`
+	StartedAt         time.Duration      `json:"started_at"` // start of the process to which the statistics apply
+	Unresponsive      bool               `json:"silent,omitempty"`
+	TrialAt           time.Duration      `json:"trial_at,omitempty"`
+	Backoff           time.Duration      `json:"wait"`
+	Readings          int                `json:"readings"`
+	Answers           int                `json:"answers"`
+	UnreportedAnswers int                `json:"mute"`
+	Window            []float64          `json:"window"`
+	Figures           map[string]float64 `json:"figures"`
 }
 
 // Restore takes only figures between these bounds, so that no invalid value gets into a running mean. A figure of 0 has
@@ -99,16 +99,16 @@
 // snapshot returns the statistics of an upstream.
 func (u *upstreamState) snapshot() UpstreamSnapshot {
 	return UpstreamSnapshot{
-		ID:           u.ID,
-		StartedAt:    u.StartedAt,
-		Unresponsive: u.outlier.unresponsive,
-		TrialAt:      u.outlier.trialAt,
-		Wait:         u.outlier.backoff,
-		Readings:     u.band.readings,
-		Answers:      u.outlier.answers,
-		Unreported:   u.unreportedAnswers,
-		Window:       u.band.filled(),
-		Figures:      copyFigures(u.figures()),
+		ID:                u.ID,
+		StartedAt:         u.StartedAt,
+		Unresponsive:      u.outlier.unresponsive,
+		TrialAt:           u.outlier.trialAt,
+		Backoff:           u.outlier.backoff,
+		Readings:          u.band.readings,
+		Answers:           u.outlier.answers,
+		UnreportedAnswers: u.unreportedAnswers,
+		Window:            u.band.filled(),
+		Figures:           copyFigures(u.figures()),
 	}
 }
 
@@ -136,7 +136,7 @@
 // isValid reports whether the counts and the wait are possible values.
 func (s *UpstreamSnapshot) isValid() bool {
 	window := len(s.Window) <= bandWindow && s.Readings >= len(s.Window)
-	counts := s.Answers >= 0 && s.Unreported >= 0 && s.Wait >= 0
+	counts := s.Answers >= 0 && s.UnreportedAnswers >= 0 && s.Backoff >= 0
 	return window && counts
 }
 
@@ -144,7 +144,7 @@
 func (b *Balancer) restoreUpstream(upstream *upstreamState, saved *UpstreamSnapshot, now time.Duration) {
 	restoreFigures(upstream.figures(), saved.Figures)
 	upstream.band.restore(saved.Readings, saved.Window)
-	upstream.unreportedAnswers = saved.Unreported
+	upstream.unreportedAnswers = saved.UnreportedAnswers
 	upstream.slowStart.sentWorkAt = now
 	upstream.outlier.answers = saved.Answers
 	upstream.outlier.lastResponseAt = now
@@ -154,6 +154,6 @@
 	if saved.Unresponsive {
 		upstream.outlier.unresponsive = true
 		upstream.outlier.trialAt = min(saved.TrialAt, now+b.settings.Rules.SlowStartDuration)
-		upstream.outlier.backoff = max(b.tickInterval, saved.Wait)
+		upstream.outlier.backoff = max(b.tickInterval, saved.Backoff)
 	}
 }
--- a/balancer/snapshot_test.go
+++ b/balancer/snapshot_test.go
@@ -20,8 +20,8 @@
 		{"window too long", UpstreamSnapshot{Readings: 100, Window: make([]float64, 9)}, false},
 		{"window longer than the number of readings", UpstreamSnapshot{Readings: 2, Window: make([]float64, 3)}, false},
 		{"negative answers", UpstreamSnapshot{Answers: -1}, false},
-		{"negative unreported answers", UpstreamSnapshot{Unreported: -1}, false},
-		{"negative wait", UpstreamSnapshot{Wait: -1}, false},
+		{"negative unreported answers", UpstreamSnapshot{UnreportedAnswers: -1}, false},
+		{"negative wait", UpstreamSnapshot{Backoff: -1}, false},
 	} {
 		if c.snapshot.isValid() != c.valid {
 			t.Errorf("%s: valid %v", c.name, !c.valid)
--- a/internal/config/settings.go
+++ b/internal/config/settings.go
@@ -21,7 +21,7 @@
 		"zone": balancer.KeyScopeZone,
 		"cell": balancer.KeyScopeCell,
 	}
-	reportSources = map[string]balancer.ReportVia{
+	reportSources = map[string]balancer.ReportSource{
 		"answers": balancer.ReportAnswers,
 		"probes":  balancer.ReportHealthChecks,
 		"none":    balancer.ReportNone,
--- a/internal/experiment/experiment.go
+++ b/internal/experiment/experiment.go
@@ -296,7 +296,7 @@
 		at := time.Since(begin).Milliseconds()
 		for _, n := range s.nodes[:min(len(s.nodes), sampleMost)] {
 			v := views[n.ID]
-			all = append(all, stats.NodeSample{AtMS: at, Node: n.ID, Runs: n.Runs(), Share: v.Share, Mean: v.Mean, Lower: v.Lower, Upper: v.Upper, Bound: v.Bound, Out: v.Out})
+			all = append(all, stats.NodeSample{AtMS: at, Node: n.ID, Runs: n.Runs(), Share: v.Share, Mean: v.Mean, Lower: v.Lower, Upper: v.Upper, Bound: v.ConcurrencyLimit, Out: v.InFlight})
 		}
 	}
 }
--- a/internal/hotrestart/golden_test.go
+++ b/internal/hotrestart/golden_test.go
@@ -20,7 +20,7 @@
 		Classes: map[string]float64{"read": 7},
 		Upstreams: []balancer.UpstreamSnapshot{{
 			ID: 3, StartedAt: time.Second, Unresponsive: true, TrialAt: 2 * time.Second,
-			Wait: time.Millisecond, Readings: 4, Answers: 5, Unreported: 6,
+			Backoff: time.Millisecond, Readings: 4, Answers: 5, UnreportedAnswers: 6,
 			Window: []float64{0.5, 0.25}, Figures: map[string]float64{"bound": 3},
 		}},
 	}
--- a/internal/live/part.go
+++ b/internal/live/part.go
@@ -66,8 +66,8 @@
 	return parameters.Encode()
 }
 
-// Of returns the pool with only the selected endpoints. It may modify the slice of the given pool.
-func (p Part) Of(pool Pool) Pool {
+// Apply returns the pool with only the selected endpoints. It may modify the slice of the given pool.
+func (p Part) Apply(pool Pool) Pool {
 	switch p.Nodes {
 	case NoNodes:
 		pool.Nodes = []Node{}
@@ -79,8 +79,8 @@
 
 // isUsed reports whether UsedNodes selects this endpoint.
 func (n *Node) isUsed() bool {
-	if n.Member || n.Out != 0 {
+	if n.InSubset || n.InFlight != 0 {
 		return true
 	}
-	return n.Cold || n.Silent || n.Phase != phaseUp
+	return n.WarmingUp || n.Unresponsive || n.Phase != phaseUp
 }
--- a/internal/live/part_test.go
+++ b/internal/live/part_test.go
@@ -36,16 +36,16 @@
 	}
 	whole := Pool{Name: "p", Nodes: []Node{
 		{ID: "idle", Phase: "up"},
-		{ID: "used", Phase: "up", Member: true},
-		{ID: "out", Phase: "up", Out: 1},
-		{ID: "cold", Phase: "up", Cold: true},
-		{ID: "silent", Phase: "up", Silent: true},
+		{ID: "used", Phase: "up", InSubset: true},
+		{ID: "out", Phase: "up", InFlight: 1},
+		{ID: "cold", Phase: "up", WarmingUp: true},
+		{ID: "silent", Phase: "up", Unresponsive: true},
 		{ID: "leaving", Phase: "draining"},
 	}}
 	for which, want := range map[string]int{"": 6, AllNodes: 6, UsedNodes: 5, NoNodes: 0} {
 		pool := whole
 		pool.Nodes = append([]Node{}, whole.Nodes...)
-		got := Part{Nodes: which}.Of(pool)
+		got := Part{Nodes: which}.Apply(pool)
 		if len(got.Nodes) != want || got.Nodes == nil {
 			t.Errorf("%q: %+v, want %d nodes", which, got.Nodes, want)
 			continue
--- a/internal/live/size_test.go
+++ b/internal/live/size_test.go
@@ -14,24 +14,24 @@
 		v := View{Version: "1"}
 		for i := range n {
 			if i%37 == 0 {
-				v.Pools = append(v.Pools, Pool{Name: fmt.Sprintf("service-%03d", i/37), Limit: 300, Queue: 200})
+				v.Pools = append(v.Pools, Pool{Name: fmt.Sprintf("service-%03d", i/37), MaxConnections: 300, MaxRequests: 200})
 			}
 			p := &v.Pools[len(v.Pools)-1]
 			p.Nodes = append(p.Nodes, Node{
-				ID:        fmt.Sprintf("s-%08x", i),
-				Address:   fmt.Sprintf("10.1.%d.%d:7070", i>>8, i&255),
-				Phase:     "up",
-				Load:      Reported,
-				Bound:     0.0741,
-				Part:      1,
-				Cut:       1,
-				Member:    i%37 < 2,
-				LatencyMS: 41.873,
-				Mean:      0.51234,
-				Upper:     0.6012,
-				Lower:     0.4234,
-				Readings:  1234,
-				Share:     0.5,
+				ID:                fmt.Sprintf("s-%08x", i),
+				Address:           fmt.Sprintf("10.1.%d.%d:7070", i>>8, i&255),
+				Phase:             "up",
+				LoadSource:        Reported,
+				ConcurrencyLimit:  0.0741,
+				AllotmentFraction: 1,
+				ShareFactor:       1,
+				InSubset:          i%37 < 2,
+				LatencyMS:         41.873,
+				Mean:              0.51234,
+				Upper:             0.6012,
+				Lower:             0.4234,
+				Readings:          1234,
+				Share:             0.5,
 			})
 		}
 		plain, err := json.Marshal(&v)
--- a/internal/live/table.go
+++ b/internal/live/table.go
@@ -44,7 +44,7 @@
 // write prints the pool's state and the table of its endpoints, sorted by ID.
 func (p *Pool) write(w io.Writer) error {
 	fmt.Fprintf(w, "\npool %s: %d of %d open, %d held, %d of %d connections, %d tunnels, ",
-		p.Name, p.Open, p.Queue, p.Held, p.Connections, p.Limit, p.Tunnels)
+		p.Name, p.OpenRequests, p.MaxRequests, p.Queued, p.Connections, p.MaxConnections, p.Tunnels)
 	fmt.Fprintf(w, "%d served, %d refused, %d failed, %d turned away; list %.1f s old%s\n",
 		p.Served, p.Refused, p.Failed, p.TurnedAway, float64(p.ListAgeMS)/1000, p.listNote())
 	table := tabwriter.NewWriter(w, 0, 0, 2, ' ', tabwriter.AlignRight)
@@ -60,9 +60,9 @@
 func (p *Pool) listNote() string {
 	switch {
 	case p.Expired:
-		return ", EXPIRED: all is refused (" + cmp.Or(p.Trouble, "its source is silent") + ")"
-	case p.Trouble != "":
-		return " (" + p.Trouble + ")"
+		return ", EXPIRED: all is refused (" + cmp.Or(p.ListError, "its source is silent") + ")"
+	case p.ListError != "":
+		return " (" + p.ListError + ")"
 	}
 	return ""
 }
@@ -70,30 +70,31 @@
 // writeRow prints the endpoint's row of the table, with the columns of tableHeader.
 func (n *Node) writeRow(w io.Writer) {
 	fmt.Fprintf(w, "%s\t%s\t%.3f\t%.2f\t%.2f\t%.2f\t%.2f\t%.2f\t%d\t%.1f\t%.1f\t%d\t%.2f\t%s\t\n",
-		n.ID, n.Phase, n.Share, n.Cut, n.Lower, n.Mean, n.Upper, n.Area,
-		n.Out, n.Bound, n.LatencyMS, n.Connections, n.Part, n.notes())
+		n.ID, n.Phase, n.Share, n.ShareFactor, n.Lower, n.Mean, n.Upper, n.BandArea,
+		n.InFlight, n.ConcurrencyLimit, n.LatencyMS, n.Connections, n.AllotmentFraction, n.notes())
 }
 
 // notes returns the endpoint's conditions that have no column of their own, separated by commas.
 func (n *Node) notes() string {
 	var notes []string
-	if n.Cold {
+	if n.WarmingUp {
 		notes = append(notes, "cold")
 	}
-	if n.Silent {
+	if n.Unresponsive {
 		notes = append(notes, "silent")
 	}
-	if !n.Member {
+	if !n.InSubset {
 		notes = append(notes, "not used")
 	}
-	if n.Load != Reported {
-		notes = append(notes, "load "+n.Load)
+	if n.LoadSource != Reported {
+		notes = append(notes, "load "+n.LoadSource)
 	}
-	if n.Unreadable > 0 {
-		notes = append(notes, fmt.Sprintf("%d reports unreadable (%s)", n.Unreadable, n.UnreadableWhy))
+	if n.UnreadableReports > 0 {
+		notes = append(notes, fmt.Sprintf("%d reports unreadable (%s)",
+			n.UnreadableReports, n.UnreadableReason))
 	}
-	if n.Strays > 0 {
-		notes = append(notes, fmt.Sprintf("%d strays", n.Strays))
+	if n.Unsolicited > 0 {
+		notes = append(notes, fmt.Sprintf("%d strays", n.Unsolicited))
 	}
 	return strings.Join(notes, ", ")
 }
--- a/internal/live/view.go
+++ b/internal/live/view.go
@@ -42,25 +42,27 @@
 
 // Pool is the state of a pool and of the endpoints on its list.
 type Pool struct {
-	Name        string `json:"name"`
-	Open        int    `json:"open"`  // requests in flight or queued
-	Queue       int    `json:"queue"` // maximum of Open
-	Held        int    `json:"held"`  // requests among Open that are queued
-	Connections int    `json:"connections"`
-	Limit       int    `json:"limit"`   // maximum of Connections
-	Tunnels     int    `json:"tunnels"` // connections that were upgraded to another protocol
-	Served      uint64 `json:"served"`
-	Refused     uint64 `json:"refused"`
-	Failed      uint64 `json:"failed"`
-	TurnedAway  uint64 `json:"turned_away"` // requests rejected because the queue was full; not counted in Refused
-	ListAgeMS   int64  `json:"list_age_ms"` // since the list's source last confirmed it
-	HoldMS      int64  `json:"hold_ms"`     // maximum age of the list; 0: no maximum
-	Expired     bool   `json:"expired"`     // the list is older than its maximum age, so all requests are rejected
-	Trouble     string `json:"trouble,omitempty"`
-	Nodes       []Node `json:"nodes"`
+	Name           string `json:"name"`
+	OpenRequests   int    `json:"open"`  // requests in flight or queued
+	MaxRequests    int    `json:"queue"` // maximum of OpenRequests
+	Queued         int    `json:"held"`  // requests among OpenRequests that are queued
+	Connections    int    `json:"connections"`
+	MaxConnections int    `json:"limit"`   // maximum of Connections
+	Tunnels        int    `json:"tunnels"` // connections that were upgraded to another protocol
+	Served         uint64 `json:"served"`
+	Refused        uint64 `json:"refused"`
+	Failed         uint64 `json:"failed"`
+	// TurnedAway counts requests rejected because the queue was full; they are not counted in Refused.
+	TurnedAway   uint64 `json:"turned_away"`
+	ListAgeMS    int64  `json:"list_age_ms"` // since the list's source last confirmed it
+	MaxListAgeMS int64  `json:"hold_ms"`     // maximum age of the list; 0: no maximum
+	// Expired: the list is older than its maximum age, so all requests are rejected.
+	Expired   bool   `json:"expired"`
+	ListError string `json:"trouble,omitempty"`
+	Nodes     []Node `json:"nodes"`
 }
 
-// Values of Node.Load: the sources of an endpoint's utilisation readings.
+// Values of Node.LoadSource: the sources of an endpoint's utilisation readings.
 const (
 	Reported  = "reported"  // load reports in responses or health checks
 	Estimated = "estimated" // estimates from the latency, since responses have no load reports
@@ -69,28 +71,30 @@
 
 // Node is the state of an endpoint as one pool's balancer sees it.
 type Node struct {
-	ID         string  `json:"id"`
-	Address    string  `json:"address"`
-	Phase      string  `json:"phase"`  // up, draining or gone
-	Member     bool    `json:"member"` // in this balancer's subset
-	Share      float64 `json:"share"`  // of the pool's requests, from 0 to 1
-	Cut        float64 `json:"cut"`    // factor that share cuts apply to the share; 1: not cut
-	Mean       float64 `json:"mean"`   // mean of the utilisation readings
-	Upper      float64 `json:"upper"`  // upper Bollinger band
-	Lower      float64 `json:"lower"`  // lower Bollinger band
-	Area       float64 `json:"area"`   // band area: the gap between the bands, integrated since the period began
-	Readings   int     `json:"readings"`
-	Load       string  `json:"load"`       // Reported, Estimated or Unknown
-	Unreadable uint64  `json:"unreadable"` // load reports that could not be parsed
-	// UnreadableWhy is the error of the last load report that could not be parsed.
-	UnreadableWhy string  `json:"unreadable_why,omitempty"`
-	Strays        uint64  `json:"strays"` // connections on which it sent unsolicited bytes
-	Cold          bool    `json:"cold"`   // warming up (slow start)
-	Silent        bool    `json:"silent"` // unresponsive: it gets only trial requests
-	Out           int     `json:"out"`    // requests in flight
-	Bound         float64 `json:"bound"`  // concurrency limit
-	LatencyMS     float64 `json:"latency_ms"`
-	Connections   int     `json:"connections"`
-	Part          float64 `json:"part"`  // this pool's fraction of the endpoint's slow start budget and connections
-	Limit         int     `json:"limit"` // maximum of connections from this pool; 0: that of the pool
+	ID          string  `json:"id"`
+	Address     string  `json:"address"`
+	Phase       string  `json:"phase"`  // up, draining or gone
+	InSubset    bool    `json:"member"` // in this balancer's subset
+	Share       float64 `json:"share"`  // of the pool's requests, from 0 to 1
+	ShareFactor float64 `json:"cut"`    // factor that share cuts apply to the share; 1: not cut
+	Mean        float64 `json:"mean"`   // mean of the utilisation readings
+	Upper       float64 `json:"upper"`  // upper Bollinger band
+	Lower       float64 `json:"lower"`  // lower Bollinger band
+	// BandArea is the gap between the bands, integrated since the period began.
+	BandArea          float64 `json:"area"`
+	Readings          int     `json:"readings"`
+	LoadSource        string  `json:"load"`       // Reported, Estimated or Unknown
+	UnreadableReports uint64  `json:"unreadable"` // load reports that could not be parsed
+	// UnreadableReason is the error of the last load report that could not be parsed.
+	UnreadableReason string  `json:"unreadable_why,omitempty"`
+	Unsolicited      uint64  `json:"strays"` // connections on which it sent unsolicited bytes
+	WarmingUp        bool    `json:"cold"`   // warming up (slow start)
+	Unresponsive     bool    `json:"silent"` // unresponsive: it gets only trial requests
+	InFlight         int     `json:"out"`    // requests in flight
+	ConcurrencyLimit float64 `json:"bound"`  // concurrency limit
+	LatencyMS        float64 `json:"latency_ms"`
+	Connections      int     `json:"connections"`
+	// AllotmentFraction is this pool's fraction of the endpoint's slow start budget and connections.
+	AllotmentFraction   float64 `json:"part"`
+	AllottedConnections int     `json:"limit"` // maximum of connections from this pool; 0: that of the pool
 }
--- a/internal/pool/clock_step_test.go
+++ b/internal/pool/clock_step_test.go
@@ -44,7 +44,7 @@
 				t.Errorf("the pool's clock advanced by %v, want 0 to 1 minute", passed)
 			}
 			for _, node := range p.View().Nodes {
-				want(t, "warming up: "+node.ID, node.Cold, node.ID == "f")
+				want(t, "warming up: "+node.ID, node.WarmingUp, node.ID == "f")
 			}
 			want(t, "connections to the draining endpoint", draining.Opened(), 0)
 		})
--- a/internal/pool/dormant.go
+++ b/internal/pool/dormant.go
@@ -61,7 +61,7 @@
 }
 
 // releaseBalancer makes the pool dormant. The caller has checked that no request or connection is open and that the
-// balancer's NextDue allows it.
+// balancer's KeepUntil allows it.
 func (l *loop) releaseBalancer(now time.Duration) {
 	dormant := dormantState{members: make([]discovery.Member, 0, len(l.endpoints))}
 	views, _ := l.balancer.View(now)
@@ -100,7 +100,7 @@
 	if !l.hasBalancer() {
 		return l.suspension.dormant.snapshot
 	}
-	l.balancer.NextDue(now) // applies the time that passed while the balancer was suspended
+	l.balancer.KeepUntil(now) // applies the time that passed while the balancer was suspended
 	return l.balancer.Snapshot()
 }
 
--- a/internal/pool/states_test.go
+++ b/internal/pool/states_test.go
@@ -154,7 +154,7 @@
 	cases := []struct {
 		name       string
 		conditions idleConditions
-		nextDue    time.Duration // result of Balancer.NextDue
+		nextDue    time.Duration // result of Balancer.KeepUntil
 		decision   idleDecision
 		at         time.Duration
 	}{
--- a/internal/pool/suspend.go
+++ b/internal/pool/suspend.go
@@ -75,7 +75,7 @@
 		}
 		conditions.releaseAt = l.suspension.unusedSince + l.suspension.balancerIdleTimeout
 	}
-	return conditions.decide(now, func() time.Duration { return l.balancer.NextDue(now) })
+	return conditions.decide(now, func() time.Duration { return l.balancer.KeepUntil(now) })
 }
 
 // balancerUnused reports whether no request or timer needs the balancer, and a request can wait for a new one.
--- a/internal/pool/suspend_test.go
+++ b/internal/pool/suspend_test.go
@@ -423,7 +423,7 @@
 	next.MaxConnections = 7
 	want(t, "configure", p.Configure(next), nil)
 	want(t, "balancer", p.hasBalancer(), false)
-	want(t, "limit", p.View().Limit, 7)
+	want(t, "limit", p.View().MaxConnections, 7)
 	p.awaitParked()
 	p.Shutdown()
 	<-p.Done()
@@ -470,7 +470,7 @@
 	p.setEndpoints(listEntry("a", server), fresh)
 	want(t, "status", p.request("1").Status, http.StatusOK)
 	for _, node := range p.View().Nodes {
-		want(t, "warming up: "+node.ID, node.Cold, node.ID == "b")
+		want(t, "warming up: "+node.ID, node.WarmingUp, node.ID == "b")
 	}
 }
 
--- a/internal/pool/view.go
+++ b/internal/pool/view.go
@@ -20,7 +20,7 @@
 	case view := <-reply:
 		view.Name = p.name
 		view.TurnedAway = p.queueFull.Load()
-		view.Queue = int(p.queueLimit.Load())
+		view.MaxRequests = int(p.queueLimit.Load())
 		return view
 	case <-p.loop.ctx.Done():
 		return live.Pool{Name: p.name}
@@ -40,25 +40,25 @@
 	balancer.Removed:  "gone",
 }
 
-func (e viewRequested) apply(l *loop) { e.reply <- e.part.Of(l.view(e.part)) }
+func (e viewRequested) apply(l *loop) { e.reply <- e.part.Apply(l.view(e.part)) }
 
 // view returns the loop's state. part only tells whether to omit the endpoints.
 func (l *loop) view(part live.Part) live.Pool {
 	now := l.now()
 	view := live.Pool{
-		Open:        len(l.requests),
-		Held:        l.queueLength(),
-		Connections: l.connections.open,
-		Limit:       l.connections.max,
-		Tunnels:     len(l.tunnels),
-		Served:      l.counters.served.Load(),
-		Refused:     l.counters.refused.Load(),
-		Failed:      l.counters.failed.Load(),
-		ListAgeMS:   l.source.age(now).Milliseconds(),
-		HoldMS:      l.source.maxAge.Milliseconds(),
-		Expired:     l.source.expired(now),
-		Trouble:     l.source.lastError,
-		Nodes:       []live.Node{},
+		OpenRequests:   len(l.requests),
+		Queued:         l.queueLength(),
+		Connections:    l.connections.open,
+		MaxConnections: l.connections.max,
+		Tunnels:        len(l.tunnels),
+		Served:         l.counters.served.Load(),
+		Refused:        l.counters.refused.Load(),
+		Failed:         l.counters.failed.Load(),
+		ListAgeMS:      l.source.age(now).Milliseconds(),
+		MaxListAgeMS:   l.source.maxAge.Milliseconds(),
+		Expired:        l.source.expired(now),
+		ListError:      l.source.lastError,
+		Nodes:          []live.Node{},
 	}
 	if part.Nodes != live.NoNodes {
 		view.Nodes = l.appendNodes(view.Nodes, now)
@@ -85,19 +85,19 @@
 // node returns the endpoint's state in the live view, with the figures of the balancer.
 func (e *endpoint) node(view *balancer.UpstreamView) live.Node {
 	node := e.faults.node(e)
-	node.Member = view.InSubset
+	node.InSubset = view.InSubset
 	node.Share = view.Share
-	node.Cut = view.ShareFactor
+	node.ShareFactor = view.ShareFactor
 	node.Mean = view.Mean
 	node.Upper = view.Upper
 	node.Lower = view.Lower
-	node.Area = view.Area
+	node.BandArea = view.Area
 	node.Readings = view.Readings
-	node.Load = loadKind(view)
-	node.Cold = view.WarmingUp
-	node.Silent = view.Unresponsive
-	node.Out = view.InFlight
-	node.Bound = view.ConcurrencyLimit
+	node.LoadSource = loadKind(view)
+	node.WarmingUp = view.WarmingUp
+	node.Unresponsive = view.Unresponsive
+	node.InFlight = view.InFlight
+	node.ConcurrencyLimit = view.ConcurrencyLimit
 	node.LatencyMS = float64(view.Latency.Microseconds()) / 1000
 	node.Connections = e.connections
 	return node
@@ -107,22 +107,22 @@
 func (l *loop) dormantNode(member *discovery.Member) live.Node {
 	faults := l.suspension.dormant.faults[member.ID]
 	node := faults.node(l.dormantEndpoint(member))
-	node.Cut = 1
-	node.Load = live.Unknown
+	node.ShareFactor = 1
+	node.LoadSource = live.Unknown
 	return node
 }
 
 // node returns the part of an endpoint's state that does not depend on the balancer, with these faults.
 func (f endpointFaults) node(e *endpoint) live.Node {
 	return live.Node{
-		ID:            e.name,
-		Address:       e.address,
-		Phase:         phaseNames[e.state],
-		Unreadable:    f.unreadableReports,
-		UnreadableWhy: f.unreadableReason,
-		Strays:        f.unsolicited,
-		Part:          cmp.Or(e.allotment.Fraction, 1),
-		Limit:         e.allotment.Connections,
+		ID:                  e.name,
+		Address:             e.address,
+		Phase:               phaseNames[e.state],
+		UnreadableReports:   f.unreadableReports,
+		UnreadableReason:    f.unreadableReason,
+		Unsolicited:         f.unsolicited,
+		AllotmentFraction:   cmp.Or(e.allotment.Fraction, 1),
+		AllottedConnections: e.allotment.Connections,
 	}
 }
 
--- a/internal/proxy/route_table.go
+++ b/internal/proxy/route_table.go
@@ -27,7 +27,7 @@
 // RouteSettings is how a route's requests are served, apart from the choice of the pool.
 type RouteSettings struct {
 	Class           balancer.Class
-	ResponseTimeout time.Duration // on the wait for a response
+	ResponseTimeout time.Duration // limit on the wait for a response
 	KeyCookie       string        // its value is the request's key, which chooses among the route's pools
 	BodyLimits      *body.Limits  // nil: body.DefaultLimits
 	// Upgrades are protocols that a connection may switch to (RFC 9110, section 7.8), in lower case.
--- a/internal/service/admin_test.go
+++ b/internal/service/admin_test.go
@@ -24,7 +24,10 @@
 	x := startService(t, j, folder, twoPools)
 	x.waitFor(
 		"both pools have an allotment of the node",
-		func(live.View) bool { p := x.pool("a"); return len(p.Nodes) == 1 && p.Nodes[0].Part == 0.5 },
+		func(live.View) bool {
+			p := x.pool("a")
+			return len(p.Nodes) == 1 && p.Nodes[0].AllotmentFraction == 0.5
+		},
 	)
 	resp, err := http.Get("http://" + x.AdminAddress().String() + "/v1/live")
 	if err != nil {
@@ -172,7 +175,7 @@
 	x.waitFor("the source of each node's load is known", func(v live.View) bool {
 		loads := map[string]string{}
 		for _, n := range x.pool("a").Nodes {
-			loads[n.ID] = n.Load
+			loads[n.ID] = n.LoadSource
 		}
 		return loads["reporting"] == live.Reported && loads["silent"] == live.Estimated &&
 			loads["malformed"] == live.Estimated
--- a/internal/service/endpoint_sources_test.go
+++ b/internal/service/endpoint_sources_test.go
@@ -33,7 +33,7 @@
 		t.Fatal(err)
 	}
 	x.waitFor("the error of the list", func(live.View) bool {
-		return strings.Contains(x.pool("a").Trouble, "a.yaml:1:")
+		return strings.Contains(x.pool("a").ListError, "a.yaml:1:")
 	})
 	if p := x.pool("a"); len(p.Nodes) != 1 || p.Nodes[0].Phase != "up" {
 		t.Errorf("an invalid list changed the endpoints: %+v", p.Nodes)
--- a/internal/service/pools_test.go
+++ b/internal/service/pools_test.go
@@ -40,7 +40,9 @@
 	defer cancel()
 	var wg sync.WaitGroup
 	wg.Go(func() { a.Run(ctx) })
-	x.waitFor("pool a has as many requests as it may", func(live.View) bool { return x.pool("a").Open == 80 })
+	x.waitFor("pool a has as many requests as it may", func(live.View) bool {
+		return x.pool("a").OpenRequests == 80
+	})
 	wg.Go(func() { b.Run(ctx) })
 	wg.Wait()
 	s := x.wantNoBreaches()
@@ -127,7 +129,7 @@
 	for i := range 2 {
 		wg.Go(func() { x.clients("a.example.org", "x", fleet.Unsafe, 1).Ask(fmt.Sprint(i)) })
 	}
-	x.waitFor("the pool is full", func(live.View) bool { return x.pool("a").Open == 2 })
+	x.waitFor("the pool is full", func(live.View) bool { return x.pool("a").OpenRequests == 2 })
 	resp := x.roundTrip("POST / HTTP/1.1\r\nHost: a.example.org\r\nContent-Length: 0\r\n\r\n")
 	if resp.StatusCode != 503 || resp.Header.Get("Retry-After") != "1" || resp.Close {
 		t.Errorf("%d, %v, close %v", resp.StatusCode, resp.Header, resp.Close)
--- a/internal/service/reload_test.go
+++ b/internal/service/reload_test.go
@@ -87,7 +87,7 @@
 	go func() { answered <- x.clients("a.example.org", "x", fleet.Unsafe, 1).Ask("held") }()
 	x.waitFor("the request is in flight", func(live.View) bool {
 		for _, n := range x.pool("a").Nodes {
-			if n.Out == 1 {
+			if n.InFlight == 1 {
 				return true
 			}
 		}
--- a/internal/service/streams_test.go
+++ b/internal/service/streams_test.go
@@ -62,7 +62,7 @@
 	}
 	c.Close()
 	<-done
-	x.waitFor("no request is in flight at the node", func(v live.View) bool { return v.Pools[0].Nodes[0].Out == 0 })
+	x.waitFor("no request is in flight at the node", func(v live.View) bool { return v.Pools[0].Nodes[0].InFlight == 0 })
 }
 
 // TestSlowDownloadsDoNotCountAsLoad: long responses that clients read slowly occupy connections but do not count as
@@ -96,10 +96,10 @@
 	}
 	x.waitFor("the utilisation that the node reports",
 		func(v live.View) bool { return v.Pools[0].Nodes[0].Mean > 0.8 })
-	if v := x.pool("p"); v.Nodes[0].Out != 0 || v.Connections < downloads {
+	if v := x.pool("p"); v.Nodes[0].InFlight != 0 || v.Connections < downloads {
 		t.Errorf(
 			"%d requests in flight, %d connections; want none in flight and at least %d connections",
-			v.Nodes[0].Out,
+			v.Nodes[0].InFlight,
 			v.Connections,
 			downloads,
 		)
@@ -129,12 +129,12 @@
 	up := x.dial(fmt.Sprintf("POST /u HTTP/1.1\r\nHost: x\r\nContent-Length: %d\r\n\r\n", size))
 	up.send(strings.Repeat("\x00", size/2)) // more than the buffer holds, so it is streamed to the node
 	x.waitFor("the upload is in flight", func(v live.View) bool {
-		return len(v.Pools) == 1 && len(v.Pools[0].Nodes) == 1 && v.Pools[0].Nodes[0].Out == 1
+		return len(v.Pools) == 1 && len(v.Pools[0].Nodes) == 1 && v.Pools[0].Nodes[0].InFlight == 1
 	})
 	for i := range 20 {
 		time.Sleep(100 * time.Millisecond) // simulates a slow client
 		up.send("x")
-		if x.pool("p").Nodes[0].Silent {
+		if x.pool("p").Nodes[0].Unresponsive {
 			t.Fatal("the node counts as unresponsive while the client is slow")
 		}
 		if i%10 != 9 { // few requests, since each response shows that the node is responsive
--- a/internal/service/tunnels_test.go
+++ b/internal/service/tunnels_test.go
@@ -66,7 +66,7 @@
 		t.Errorf("ended only %v after the last byte", idle)
 	}
 	x.waitFor("no tunnel is left", func(v live.View) bool {
-		return v.Pools[0].Tunnels == 0 && v.Pools[0].Nodes[0].Out == 0
+		return v.Pools[0].Tunnels == 0 && v.Pools[0].Nodes[0].InFlight == 0
 	})
 }
 
--- a/internal/wire/settings.go
+++ b/internal/wire/settings.go
@@ -87,10 +87,10 @@
 	weightKinds = map[string]balancer.WeightKind{
 		"silent":  balancer.WeightNone,
 		"nominal": balancer.WeightNominal,
-		"rough":   balancer.WeightRough,
+		"rough":   balancer.WeightApproximate,
 		"live":    balancer.WeightLive,
 	}
-	reportVias = map[string]balancer.ReportVia{
+	reportVias = map[string]balancer.ReportSource{
 		"silent":    balancer.ReportNone,
 		"piggyback": balancer.ReportAnswers,
 		"pull":      balancer.ReportHealthChecks,
--- a/internal/wire/values.go
+++ b/internal/wire/values.go
@@ -85,10 +85,10 @@
 	switch name {
 	case "load_share", "util":
 		report.Util = value
-		report.Fields |= balancer.HasUtil
+		report.Fields |= balancer.HasUtilisation
 	case "concurrent", "inflight":
 		report.Inflight = value
-		report.Fields |= balancer.HasInflight
+		report.Fields |= balancer.HasInFlight
 	case "depth", "queue":
 		report.Queue = value
 		report.Fields |= balancer.HasQueue
