--- a/internal/coordination/membership/change.go
+++ b/internal/coordination/membership/change.go
@@ -114,7 +114,9 @@
 		if voter.ID != v.Self {
 			return Change{Kind: RemoveMember, ReplacedID: voter.ID}
 		}
-		successor := slices.MinFunc(others, func(a, b MemberStatus) int { return cmp.Compare(a.SinceContact, b.SinceContact) })
+		successor := slices.MinFunc(others, func(a, b MemberStatus) int {
+			return cmp.Compare(a.SinceContact, b.SinceContact)
+		})
 		return Change{Kind: TransferLeadership, Member: successor.Member}
 	}
 	return Change{}
--- a/internal/coordination/membership/change_test.go
+++ b/internal/coordination/membership/change_test.go
@@ -155,8 +155,11 @@
 		want:  Change{Kind: ReplaceVoter, Member: learnerMemberB, ReplacedID: 2},
 	},
 	{
-		name:  "the learner has not caught up",
-		peers: []MemberStatus{silentVoter(2, "b"), {Member: learnerMemberB, SinceAdded: time.Hour, MatchIndex: 500, Level: 1}},
+		name: "the learner has not caught up",
+		peers: []MemberStatus{
+			silentVoter(2, "b"),
+			{Member: learnerMemberB, SinceAdded: time.Hour, MatchIndex: 500, Level: 1},
+		},
 	},
 	{
 		name:     "another change is in progress",
--- a/internal/frontend/fuzz_test.go
+++ b/internal/frontend/fuzz_test.go
@@ -26,7 +26,11 @@
 		return nil, BadRequest("the target is no path")
 	}
 	exchange := &echoExchange{router: r}
-	exchange.Message = upstream.Message{RequestLine: method + " " + target, Header: *h, HasBodyFraming: method == http.MethodPost}
+	exchange.Message = upstream.Message{
+		RequestLine:    method + " " + target,
+		Header:         *h,
+		HasBodyFraming: method == http.MethodPost,
+	}
 	return exchange, nil
 }
 func (r *echoRouter) Ping()                      {}
--- a/internal/frontend/hooked_server_test.go
+++ b/internal/frontend/hooked_server_test.go
@@ -27,7 +27,11 @@
 
 func (r *heldRouter) Check(method, target string, h *http1.Fields) (Exchange, error) {
 	exchange := &heldExchange{router: r}
-	exchange.Message = upstream.Message{RequestLine: method + " " + target, Header: *h, HasBodyFraming: method == http.MethodPost}
+	exchange.Message = upstream.Message{
+		RequestLine:    method + " " + target,
+		Header:         *h,
+		HasBodyFraming: method == http.MethodPost,
+	}
 	return exchange, nil
 }
 func (r *heldRouter) Ping()                      {}
--- a/internal/live/size_test.go
+++ b/internal/live/size_test.go
@@ -14,7 +14,7 @@
 		v := View{Version: "1"}
 		for i := range n {
 			if i%37 == 0 {
-				v.Pools = append(v.Pools, Pool{Name: fmt.Sprintf("service-%03d", i/37), MaxConnections: 300, MaxRequests: 200})
+				v.Pools = append(v.Pools, Pool{Name: fmt.Sprintf("service-%03d", i/37), Limit: 300, MaxRequests: 200})
 			}
 			p := &v.Pools[len(v.Pools)-1]
 			p.Nodes = append(p.Nodes, Node{
--- a/internal/live/table.go
+++ b/internal/live/table.go
@@ -44,7 +44,7 @@
 // write prints the pool's state and the table of its endpoints, sorted by ID.
 func (p *Pool) write(w io.Writer) error {
 	fmt.Fprintf(w, "\npool %s: %d of %d open, %d held, %d of %d connections, %d tunnels, ",
-		p.Name, p.OpenRequests, p.MaxRequests, p.Queued, p.Connections, p.MaxConnections, p.Tunnels)
+		p.Name, p.OpenRequests, p.MaxRequests, p.Queued, p.Connections, p.Limit, p.Tunnels)
 	fmt.Fprintf(w, "%d served, %d refused, %d failed, %d turned away; list %.1f s old%s\n",
 		p.Served, p.Refused, p.Failed, p.TurnedAway, float64(p.ListAgeMS)/1000, p.listNote())
 	table := tabwriter.NewWriter(w, 0, 0, 2, ' ', tabwriter.AlignRight)
--- a/internal/live/view.go
+++ b/internal/live/view.go
@@ -42,16 +42,16 @@
 
 // Pool is the state of a pool and of the endpoints on its list.
 type Pool struct {
-	Name           string `json:"name"`
-	OpenRequests   int    `json:"open"`  // requests in flight or queued
-	MaxRequests    int    `json:"queue"` // maximum of OpenRequests
-	Queued         int    `json:"held"`  // requests among OpenRequests that are queued
-	Connections    int    `json:"connections"`
-	MaxConnections int    `json:"limit"`   // maximum of Connections
-	Tunnels        int    `json:"tunnels"` // connections that were upgraded to another protocol
-	Served         uint64 `json:"served"`
-	Refused        uint64 `json:"refused"`
-	Failed         uint64 `json:"failed"`
+	Name         string `json:"name"`
+	OpenRequests int    `json:"open"`  // requests in flight or queued
+	MaxRequests  int    `json:"queue"` // maximum of OpenRequests
+	Queued       int    `json:"held"`  // requests among OpenRequests that are queued
+	Connections  int    `json:"connections"`
+	Limit        int    `json:"limit"`   // maximum of Connections
+	Tunnels      int    `json:"tunnels"` // connections that were upgraded to another protocol
+	Served       uint64 `json:"served"`
+	Refused      uint64 `json:"refused"`
+	Failed       uint64 `json:"failed"`
 	// TurnedAway counts requests rejected because the queue was full; they are not counted in Refused.
 	TurnedAway   uint64 `json:"turned_away"`
 	ListAgeMS    int64  `json:"list_age_ms"` // since the list's source last confirmed it
--- a/internal/pool/stats_test.go
+++ b/internal/pool/stats_test.go
@@ -35,7 +35,7 @@
 	}
 	return fmt.Sprint(
 		v.Served, v.Refused, v.Failed, v.TurnedAway, v.OpenRequests, v.MaxRequests, v.Queued,
-		v.Connections, v.MaxConnections, v.Tunnels, active, draining, v.Expired,
+		v.Connections, v.Limit, v.Tunnels, active, draining, v.Expired,
 	)
 }
 
--- a/internal/pool/suspend_test.go
+++ b/internal/pool/suspend_test.go
@@ -423,7 +423,7 @@
 	next.MaxConnections = 7
 	want(t, "configure", p.Configure(next), nil)
 	want(t, "balancer", p.hasBalancer(), false)
-	want(t, "limit", p.View().MaxConnections, 7)
+	want(t, "limit", p.View().Limit, 7)
 	p.awaitParked()
 	p.Shutdown()
 	<-p.Done()
--- a/internal/pool/view.go
+++ b/internal/pool/view.go
@@ -46,19 +46,19 @@
 func (l *loop) view(part live.Part) live.Pool {
 	now := l.now()
 	view := live.Pool{
-		OpenRequests:   len(l.requests),
-		Queued:         l.queueLength(),
-		Connections:    l.connections.open,
-		MaxConnections: l.connections.max,
-		Tunnels:        len(l.tunnels),
-		Served:         l.counters.served.Load(),
-		Refused:        l.counters.refused.Load(),
-		Failed:         l.counters.failed.Load(),
-		ListAgeMS:      l.source.age(now).Milliseconds(),
-		MaxListAgeMS:   l.source.maxAge.Milliseconds(),
-		Expired:        l.source.expired(now),
-		ListError:      l.source.lastError,
-		Nodes:          []live.Node{},
+		OpenRequests: len(l.requests),
+		Queued:       l.queueLength(),
+		Connections:  l.connections.open,
+		Limit:        l.connections.max,
+		Tunnels:      len(l.tunnels),
+		Served:       l.counters.served.Load(),
+		Refused:      l.counters.refused.Load(),
+		Failed:       l.counters.failed.Load(),
+		ListAgeMS:    l.source.age(now).Milliseconds(),
+		MaxListAgeMS: l.source.maxAge.Milliseconds(),
+		Expired:      l.source.expired(now),
+		ListError:    l.source.lastError,
+		Nodes:        []live.Node{},
 	}
 	if part.Nodes != live.NoNodes {
 		view.Nodes = l.appendNodes(view.Nodes, now)
