--- a/cmd/simadapter/main.go
+++ b/cmd/simadapter/main.go
@@ -1,5 +1,5 @@
-// Command simadapter connects instances of the decision module with the simulator, over standard input and output. It
-// translates and decides nothing.
+// Command simadapter runs instances of the decision module for the simulator. It reads events from standard input,
+// passes them to the instances, and writes their actions to standard output. It makes no balancing decisions.
 package main
 
 import (
@@ -20,7 +20,7 @@
 	}
 }
 
-// run replies to batches until the end of input.
+// run reads batches and replies to each, until the end of input.
 func run(in io.Reader, out io.Writer) error {
 	reader := wire.NewReader(in)
 	sim := &adapter{writer: wire.NewWriter(out), instances: map[int]*balancer.Balancer{}}
@@ -48,7 +48,7 @@
 	instances map[int]*balancer.Balancer
 }
 
-// deliver hands an event to its instance. If that panics, the simulator is notified and the instance removed.
+// deliver passes an event to its instance. If the instance panics, the simulator is told and the instance removed.
 func (a *adapter) deliver(now time.Duration, event *wire.Event) {
 	defer func() {
 		if cause := recover(); cause != nil {
@@ -65,7 +65,7 @@
 	}
 }
 
-// start starts an instance, in place of one of the same number if there is one.
+// start starts an instance, which replaces any running one of the same number.
 func (a *adapter) start(now time.Duration, event *wire.Event) {
 	host := wire.NewInstanceWriter(a.writer, event.Instance)
 	instance, err := balancer.New(event.Settings, event.Seed, now, host)
@@ -76,7 +76,7 @@
 	a.instances[event.Instance] = instance
 }
 
-// dispatch calls what handles an event of a running instance.
+// dispatch calls the method of a running instance that handles the event.
 func (a *adapter) dispatch(now time.Duration, instance *balancer.Balancer, event *wire.Event) {
 	switch event.Kind {
 	case wire.InstanceStopped:
--- a/cmd/simadapter/main_test.go
+++ b/cmd/simadapter/main_test.go
@@ -38,7 +38,7 @@
 	}
 }
 
-func TestBadSettingsCrashTheDay(t *testing.T) {
+func TestBadSettingsAreReportedAsCrash(t *testing.T) {
 	bad := strings.Replace(params, `"max_attempts":3`, `"max_attempts":0`, 1)
 	got, err := exchange(t, "frame at_time_us=1 serial=1\nattach balancer_id=3 random_seed=5 params="+bad+"\neob\n")
 	if err != nil || !strings.HasPrefix(got, "crash balancer_id=3 note_text=balancer: bad settings: Limits.MaxAttempts") {
@@ -46,7 +46,8 @@
 	}
 }
 
-// A second attach starts the instance anew; events for one that is unknown or has exited do nothing.
+// TestAttachAgainAndUnknownInstances: a second attach replaces the running instance, and events for an unknown instance
+// are ignored.
 func TestAttachAgainAndUnknownInstances(t *testing.T) {
 	attach := "attach balancer_id=3 random_seed=5 params=" + params + "\nendpoints balancer_id=3 mode=C rev=1 bank=0\n"
 	in := "frame at_time_us=1000000 serial=1\nsheet bank=0 items=1\nm upstream=9 availability=active\n" + attach +
--- a/internal/wire/event.go
+++ b/internal/wire/event.go
@@ -1,6 +1,6 @@
-// Package wire speaks the text protocol between the simulator and its adapter: batches of events in, one reply of
-// actions to each out. It also decodes the settings that this protocol and a platform's configuration share. It decides
-// nothing.
+// Package wire implements the text protocol between the simulator and cmd/simadapter: it reads batches of events and
+// writes one reply of actions to each. It also decodes the settings object, which a platform's configuration has in the
+// same form. It makes no balancing decisions.
 package wire
 
 import (
@@ -23,14 +23,14 @@
 	ClientLeft                           // lapsed
 	TimerFired                           // elapsed
 	HealthCheckFinished                  // health
-	MessageReceived                      // inbox, from another instance; its text is not read
+	MessageReceived                      // inbox: from another instance; its text is ignored
 )
 
 // Event is one event for one instance of the balancer. Kind tells which of the other fields are set.
 type Event struct {
 	Kind        EventKind
 	Instance    int
-	Seed        uint64            // InstanceStarted: of the instance's random numbers
+	Seed        uint64            // InstanceStarted: of the random numbers
 	Settings    balancer.Settings // InstanceStarted
 	ListMode    balancer.ListMode // EndpointsUpdated
 	Endpoints   []balancer.Upstream
@@ -40,7 +40,7 @@
 	TimerToken  uint64                     // TimerFired
 }
 
-// Batch is what happened at one moment.
+// Batch holds the events of one moment.
 type Batch struct {
 	At     time.Duration // simulated time
 	Serial uint64        // the reply repeats it
--- a/internal/wire/fields.go
+++ b/internal/wire/fields.go
@@ -8,7 +8,7 @@
 	"time"
 )
 
-// presence says whether a field must be there. An optional one that is missing reads as zero.
+// presence says whether a field is required. A missing optional field reads as zero.
 type presence bool
 
 const (
@@ -21,13 +21,13 @@
 	name, value []byte
 }
 
-// fields holds the fields of one line, which share its memory, and the first error in reading them.
+// fields holds the fields of one line, as slices of that line, and the first error that reading them has met.
 type fields struct {
 	all []field
 	err error
 }
 
-// split reads a line's fields and returns the name of its message.
+// split splits a line into the name of its message, which it returns, and its fields.
 func (f *fields) split(line []byte) (message []byte, err error) {
 	f.all = f.all[:0]
 	f.err = nil
@@ -55,7 +55,7 @@
 	return string(name) == "params" || string(name) == "note_text"
 }
 
-// fail records what is wrong with a field, unless another error was first.
+// fail records an error in a field, unless there is an earlier error.
 func (f *fields) fail(name, reason string) {
 	if f.err == nil {
 		f.err = fmt.Errorf("field %s: %s", name, reason)
@@ -71,7 +71,7 @@
 	return false
 }
 
-// text returns a field's value; nil: it is missing.
+// text returns a field's value, or nil if the field is missing.
 func (f *fields) text(name string, need presence) []byte {
 	for i := range f.all {
 		if string(f.all[i].name) == name {
@@ -84,7 +84,7 @@
 	return nil
 }
 
-// uint reads a decimal number of at most so many bits.
+// uint reads an unsigned decimal number that fits the given number of bits.
 func (f *fields) uint(name string, bits int, need presence) uint64 {
 	value := f.text(name, need)
 	if value == nil {
@@ -100,7 +100,7 @@
 // Lengths of a decimal number, in digits.
 const (
 	maxUint64Digits = 20
-	maxSafeDigits   = 18 // as many can't overflow a uint64
+	maxSafeDigits   = 18 // numbers of up to this length can't overflow a uint64
 )
 
 // parseDecimal reads a number without a sign. It does not allocate for numbers of up to maxSafeDigits.
@@ -121,7 +121,7 @@
 	return number, true
 }
 
-// duration reads a time in microseconds; it may be negative.
+// duration reads a duration in microseconds, which may be negative.
 func (f *fields) duration(name string, need presence) time.Duration {
 	value := f.text(name, need)
 	if value == nil {
@@ -167,7 +167,7 @@
 	return number, len(text) == 16
 }
 
-// flag reads 1 or 0; a missing flag is 0.
+// flag reads 1 or 0; a missing field reads as 0.
 func (f *fields) flag(name string) bool {
 	value := f.text(name, optional)
 	if value != nil && string(value) != "1" && string(value) != "0" {
@@ -176,7 +176,7 @@
 	return string(value) == "1"
 }
 
-// float reads a finite number; a missing field reads as absent.
+// float reads a finite number, or returns absent if the field is missing.
 func (f *fields) float(name string, absent float64) float64 {
 	value := f.text(name, optional)
 	if value == nil {
@@ -185,7 +185,7 @@
 	return f.parseFloat(name, value)
 }
 
-// parseFloat reads a finite number out of the field of a name.
+// parseFloat parses a finite number. An error names the field.
 func (f *fields) parseFloat(name string, text []byte) float64 {
 	number, err := strconv.ParseFloat(string(text), 64)
 	if err != nil || math.IsNaN(number) || math.IsInf(number, 0) {
--- a/internal/wire/golden_test.go
+++ b/internal/wire/golden_test.go
@@ -7,7 +7,7 @@
 	"olivearch/internal/golden"
 )
 
-// TestGoldenKeys pins the keys of the settings, on the simulator's wire and in the file of a platform.
+// TestGoldenKeys pins the keys of the settings object, which the simulator and platforms write.
 func TestGoldenKeys(t *testing.T) {
 	golden.Compare(t, "settings-keys.txt", golden.Keys(reflect.TypeFor[params](), "json"))
 }
--- a/internal/wire/message.go
+++ b/internal/wire/message.go
@@ -6,7 +6,7 @@
 	"olivearch/balancer"
 )
 
-// readMessage reads a line of a batch: an event, or an endpoint list with the lines of its entries.
+// readMessage reads a message of a batch: an event on one line, or an endpoint list with the lines of its entries.
 func (r *Reader) readMessage(line []byte, batch *Batch) error {
 	name, err := r.fields.split(line)
 	if err != nil {
@@ -27,7 +27,7 @@
 	return nil
 }
 
-// readEvent reads the fields of an event's message but for the instance. Errors are left in r.fields.
+// readEvent reads the fields of an event, except the number of its instance. Errors are left in r.fields.
 func (r *Reader) readEvent(message string) (event Event, known bool) {
 	switch message {
 	case "attach":
@@ -66,7 +66,7 @@
 func (r *Reader) readEndpointsUpdated() Event {
 	event := Event{Kind: EndpointsUpdated, ListMode: r.fields.listMode("mode")}
 	if event.ListMode != balancer.ListFailed {
-		event.Endpoints = r.namedList()
+		event.Endpoints = r.referencedList()
 	}
 	return event
 }
@@ -88,7 +88,7 @@
 	}
 }
 
-// readAttempt reads what is known of an attempt from the start of its response on.
+// readAttempt reads the fields that ResponseStarted and AttemptFinished have in common.
 func (r *Reader) readAttempt() balancer.AttemptResult {
 	return balancer.AttemptResult{
 		ID:       r.readRequestID(),
@@ -115,10 +115,10 @@
 	}
 }
 
-// maxPreallocatedEntries bounds what is allocated for a list before its entries have been read.
+// maxPreallocatedEntries bounds the memory allocated for a list by the count in its message, which may be wrong.
 const maxPreallocatedEntries = 1 << 12
 
-// readEndpointList reads a numbered list and the lines of its entries.
+// readEndpointList reads the rest of an endpoint list: its number and size, and the lines of its entries.
 func (r *Reader) readEndpointList() error {
 	number := r.fields.uint("bank", 31, required)
 	count := r.fields.uint("items", 31, required)
@@ -147,7 +147,7 @@
 		}
 		endpoints = append(endpoints, endpoint)
 	}
-	r.lists[number] = endpointList{known: true, endpoints: endpoints}
+	r.lists[number] = endpointList{defined: true, endpoints: endpoints}
 	return nil
 }
 
@@ -162,10 +162,11 @@
 	}
 }
 
-// namedList returns the list that the current message names. A later list of the same number doesn't change it.
-func (r *Reader) namedList() []balancer.Upstream {
+// referencedList returns the list whose number is in the current message. A later list of the same number doesn't
+// change it.
+func (r *Reader) referencedList() []balancer.Upstream {
 	number := r.fields.uint("bank", 31, required)
-	if number >= maxLists || !r.lists[number].known {
+	if number >= maxLists || !r.lists[number].defined {
 		r.fields.fail("bank", "no such list")
 		return nil
 	}
--- a/internal/wire/reader.go
+++ b/internal/wire/reader.go
@@ -9,7 +9,7 @@
 	"olivearch/balancer"
 )
 
-// maxLists is the number of endpoint lists that the protocol has.
+// maxLists is the number of endpoint lists that may be defined at the same time.
 const maxLists = 16
 
 const readBufferSize = 1 << 16
@@ -17,7 +17,7 @@
 // endOfBatch is the line that ends a batch.
 const endOfBatch = "eob"
 
-// Reader reads batches. One goroutine uses it.
+// Reader reads batches. It must be used by one goroutine only.
 type Reader struct {
 	in         *bufio.Reader
 	lineNumber int // of the last line read, from 1
@@ -27,9 +27,9 @@
 	fields     fields // of the last line split
 }
 
-// endpointList is a numbered list that later messages refer to.
+// endpointList is a numbered list, which later messages refer to.
 type endpointList struct {
-	known     bool
+	defined   bool
 	endpoints []balancer.Upstream
 }
 
@@ -38,8 +38,8 @@
 	return &Reader{in: bufio.NewReaderSize(in, readBufferSize), names: map[string]string{}}
 }
 
-// Next reads a batch into batch, whose events are overwritten. It returns io.EOF at the end of input and an error that
-// names line and field if the input is malformed.
+// Next reads a batch into batch and overwrites its events. It returns io.EOF at the end of input. If the input is
+// malformed, the error names the line and the field.
 func (r *Reader) Next(batch *Batch) error {
 	line, err := r.readLine()
 	if err != nil {
@@ -103,7 +103,7 @@
 	return r.fields.err
 }
 
-// intern returns a name as a string, the same one each time, so that requests allocate none.
+// intern returns a name as a string. Each distinct name is allocated once, so that reading requests allocates none.
 func (r *Reader) intern(name []byte) string {
 	if len(name) == 0 {
 		return ""
--- a/internal/wire/settings.go
+++ b/internal/wire/settings.go
@@ -8,7 +8,7 @@
 	"olivearch/balancer"
 )
 
-// params mirrors the settings object of a start message or of a platform's configuration; other keys are ignored.
+// params mirrors the settings object of an attach message or of a platform's configuration. Unknown keys are ignored.
 type params struct {
 	Zone                  string         `json:"az"`
 	Balancers             int            `json:"balancers"`
@@ -72,7 +72,7 @@
 	Quota float64 `json:"quota_rps"`
 }
 
-// The values of the settings that are given by name.
+// Values of settings that are enumerations, by their names in JSON.
 var (
 	idempotencies = map[string]balancer.Idempotency{
 		"read_like":       balancer.Idempotent,
@@ -98,12 +98,12 @@
 	pollsByMembershipMode = map[string]bool{"pushed": false, "on_request": true}
 )
 
-// weightByWork is the value of worth_by with which priority weight counts per unit of work, not per request.
+// weightByWork is the value of worth_by that makes priority weight count per unit of work instead of per request.
 const weightByWork = "work"
 
 func microseconds(count int64) time.Duration { return time.Duration(count) * time.Microsecond }
 
-// settings reads the JSON of a start message.
+// settings reads the settings object of an attach message.
 func (f *fields) settings(name string) balancer.Settings {
 	settings, _, err := DecodeSettings(f.text(name, required))
 	if err != nil {
@@ -112,28 +112,28 @@
 	return settings
 }
 
-// ConnectionSettings is what the settings say of connections to upstreams. The simulator has no use for it; a real
-// balancer acts on it.
+// ConnectionSettings holds the settings of connections to upstreams. The simulator ignores them; a platform's balancer
+// applies them.
 type ConnectionSettings struct {
-	KeepAlive      time.Duration // an upstream closes a connection that has been idle for so long
-	ConnectTimeout time.Duration // a connection not up by then counts as failed
+	KeepAlive      time.Duration // an upstream closes a connection that has been idle for this time
+	ConnectTimeout time.Duration // a connection attempt that takes longer fails
 }
 
-// DecodeSettings reads the settings object of a start message or of a platform's configuration.
+// DecodeSettings decodes the settings object of an attach message or of a platform's configuration.
 func DecodeSettings(text []byte) (balancer.Settings, ConnectionSettings, error) {
 	var decoded params
 	if err := json.Unmarshal(text, &decoded); err != nil {
 		return balancer.Settings{}, ConnectionSettings{}, fmt.Errorf("settings: %w", err)
 	}
-	links := ConnectionSettings{
+	connections := ConnectionSettings{
 		KeepAlive:      microseconds(decoded.Limits.KeepAlive),
 		ConnectTimeout: microseconds(decoded.Limits.ConnectTimeout),
 	}
 	settings, err := decoded.settings()
-	return settings, links, err
+	return settings, connections, err
 }
 
-// settings returns the balancer's settings, or an error that names a key with an unknown value.
+// settings returns the balancer's settings. An error names the key whose value is unknown.
 func (p *params) settings() (balancer.Settings, error) {
 	settings := balancer.Settings{
 		Zone:                  p.Zone,
--- a/internal/wire/values.go
+++ b/internal/wire/values.go
@@ -7,7 +7,7 @@
 	"olivearch/balancer"
 )
 
-// listMode reads how an endpoint list relates to the one before.
+// listMode reads how an endpoint list relates to the previous one.
 func (f *fields) listMode(name string) balancer.ListMode {
 	switch string(f.text(name, required)) {
 	case "D":
@@ -37,7 +37,7 @@
 	return 0
 }
 
-// status reads the result of an attempt or a health check by its code.
+// status reads the result code of an attempt or a health check.
 func (f *fields) status(name string) balancer.Status {
 	code := f.uint(name, 31, required)
 	switch code {
@@ -62,7 +62,7 @@
 	return 0
 }
 
-// load reads a load report: name:value pairs with commas between them. Values of unknown names are ignored.
+// load reads a load report: name:value pairs, separated by commas. Unknown names are ignored.
 func (f *fields) load(name string) balancer.Load {
 	var report balancer.Load
 	rest := f.text(name, optional)
@@ -79,8 +79,8 @@
 	return report
 }
 
-// SetLoadValue sets one value of a load report, by its name in the settings or the short one that upstreams use.
-// Values of unknown names are ignored.
+// SetLoadValue sets one value of a load report, by its name on the simulator's wire or by the short name that upstreams
+// send. Unknown names are ignored.
 func SetLoadValue(report *balancer.Load, name string, value float64) {
 	switch name {
 	case "load_share", "util":
--- a/internal/wire/wire_test.go
+++ b/internal/wire/wire_test.go
@@ -19,8 +19,8 @@
 
 const frame = "frame at_time_us=10 serial=1\n"
 
-// read returns the first error of a stream of batches, and the last batch.
-func read(text string) (Batch, error) {
+// readUntilError reads batches until an error, and returns it with the last batch.
+func readUntilError(text string) (Batch, error) {
 	reader := NewReader(strings.NewReader(text))
 	var batch Batch
 	for {
@@ -76,7 +76,7 @@
 		{"no end", frame + "exit balancer_id=1\n", "without eob"},
 		{"cut line", frame + "exit balan", "line 2: cut short"},
 	} {
-		if _, err := read(c.text); err == nil || errors.Is(err, io.EOF) || !strings.Contains(err.Error(), c.want) {
+		if _, err := readUntilError(c.text); err == nil || errors.Is(err, io.EOF) || !strings.Contains(err.Error(), c.want) {
 			t.Errorf("%s: error %v, want %q", c.name, err, c.want)
 		}
 	}
@@ -95,13 +95,13 @@
 		"verdict balancer_id=3 id=912855b15d3a91c4 upstream=9 go=1 cost_time_us=18500 " +
 		"disposition=254 metrics=err_ps:0.5,load_share:0.62,odd:1\n" +
 		"eob\n"
-	batch, err := read(text)
+	batch, err := readUntilError(text)
 	if !errors.Is(err, io.EOF) {
 		t.Fatal(err)
 	}
 	wantList := "[{ID:9 Zone:z1 Cell:2 Weight:1.5 StartedAt:61µs State:1 WarmUpShare:0 MaxInFlight:0}]"
 	if got := fmt.Sprintf("%+v", batch.Events[1].Endpoints); got != wantList {
-		t.Errorf("list %s, want %s (as it was when referred to)", got, wantList)
+		t.Errorf("list %s, want %s (the list at the time of the reference)", got, wantList)
 	}
 	wantRequest := balancer.Request{
 		ID:     0x912855b15d3a91c4,
@@ -171,8 +171,8 @@
 	}
 }
 
-// FuzzReader: whatever comes in, the reader gives batches or an error that names a line, and never panics. The cases
-// run in every test run; `go test -fuzz FuzzReader ./internal/wire` looks for more.
+// FuzzReader: on any input, Reader returns batches or an error that names a line, and does not panic. Every test run
+// tries the inputs below; `go test -fuzz FuzzReader ./internal/wire` generates more.
 func FuzzReader(f *testing.F) {
 	for _, text := range []string{
 		"", "\n", frame, frame + "eob\n", frame + "sheet bank=0 items=99999999\nm upstream=1 availability=active\neob\n",
@@ -195,7 +195,7 @@
 			if err == nil {
 				continue
 			}
-			isEnd := err.Error() == io.EOF.Error() // errors.Is would take a wrapped one too, which must name a line
+			isEnd := err.Error() == io.EOF.Error() // errors.Is accepts a wrapped io.EOF too, which must name a line
 			if !isEnd && !strings.HasPrefix(err.Error(), "line ") {
 				t.Errorf("error %q names no line", err)
 			}
--- a/internal/wire/writer.go
+++ b/internal/wire/writer.go
@@ -11,16 +11,16 @@
 	"olivearch/balancer"
 )
 
-// Writer collects the actions of one reply. One goroutine uses it and its InstanceWriters.
+// Writer collects the actions of one reply. It and its InstanceWriters must be used by one goroutine only.
 type Writer struct {
 	out   io.Writer
 	reply []byte
 }
 
-// NewWriter returns a Writer to out.
+// NewWriter returns a Writer that writes replies to out.
 func NewWriter(out io.Writer) *Writer { return &Writer{out: out} }
 
-// EndReply ends the reply to the batch of a serial number and writes it out.
+// EndReply ends the reply to the batch with this serial number and writes it out.
 func (w *Writer) EndReply(serial uint64) error {
 	w.reply = append(w.reply, "ok serial="...)
 	w.reply = strconv.AppendUint(w.reply, serial, 10)
@@ -30,20 +30,20 @@
 	return err
 }
 
-// InstanceWriter writes the actions of one instance as messages. It is that instance's balancer.Host.
+// InstanceWriter is the balancer.Host of one instance: it writes the instance's actions as messages.
 type InstanceWriter struct {
 	writer        *Writer
 	instanceField string
 }
 
-// NewInstanceWriter returns the InstanceWriter of an instance.
+// NewInstanceWriter returns an InstanceWriter for the instance of this number.
 func NewInstanceWriter(writer *Writer, instance int) *InstanceWriter {
 	return &InstanceWriter{writer: writer, instanceField: " balancer_id=" + strconv.Itoa(instance)}
 }
 
 var _ balancer.Host = (*InstanceWriter)(nil)
 
-// begin begins a message with its name and the instance.
+// begin writes a message's name and the number of the instance.
 func (w *InstanceWriter) begin(message string) {
 	w.append(message)
 	w.append(w.instanceField)
@@ -55,14 +55,14 @@
 	w.writer.reply = append(w.writer.reply, text...)
 }
 
-// The methods below add a field; field is its name with a space before and an equals sign behind.
+// The methods below add a field. Their parameter field is a space, the field's name and an equals sign.
 
 func (w *InstanceWriter) number(field string, value uint64) {
 	w.append(field)
 	w.writer.reply = strconv.AppendUint(w.writer.reply, value, 10)
 }
 
-// duration adds a time in microseconds, or nothing for 0.
+// duration adds a duration in microseconds, or nothing if it is 0.
 func (w *InstanceWriter) duration(field string, value time.Duration) {
 	if value == 0 {
 		return
@@ -80,13 +80,13 @@
 
 func (w *InstanceWriter) upstream(id balancer.UpstreamID) { w.number(" upstream=", uint64(id)) }
 
-// text adds a text as one line.
+// text adds a text with each run of white space, including line breaks, replaced by one space.
 func (w *InstanceWriter) text(field, value string) {
 	w.append(field)
 	w.append(strings.Join(strings.Fields(value), " "))
 }
 
-// Send writes that an attempt starts.
+// Send writes that an attempt is sent; a timeout of 0 is left out.
 func (w *InstanceWriter) Send(id balancer.RequestID, upstream balancer.UpstreamID, timeout time.Duration) {
 	w.begin("submit_to")
 	w.requestID(id)
@@ -118,7 +118,7 @@
 	w.end()
 }
 
-// HealthCheck writes that an upstream is checked.
+// HealthCheck writes that a health check is sent to an upstream.
 func (w *InstanceWriter) HealthCheck(upstream balancer.UpstreamID) {
 	w.begin("ping")
 	w.upstream(upstream)
@@ -149,7 +149,7 @@
 	w.end()
 }
 
-// SetTimer writes that a timer is set; a time in the past counts as now.
+// SetTimer writes that a timer is set. A negative time counts as 0.
 func (w *InstanceWriter) SetTimer(after time.Duration, token uint64) {
 	w.begin("timer")
 	w.number(" from_now_us=", uint64(max(after, 0).Microseconds()))
