--- a/cmd/olivearch-coordinator/golden_test.go
+++ b/cmd/olivearch-coordinator/golden_test.go
@@ -10,13 +10,13 @@
 	"olivearch/internal/golden"
 )
 
-// flagLine is a line of a command's help that tells a flag.
+// flagLine matches a line of a command's help that names a flag.
 var flagLine = regexp.MustCompile(`(?m)^  -[a-z].*$`)
 
-// defaultValue is what the help tells as a flag's default.
+// defaultValue matches the default of a flag in the help.
 var defaultValue = regexp.MustCompile(`\(default [^)]*\)`)
 
-// TestGoldenFlags pins the flags of each command with their kinds and defaults, and the exit status of its help.
+// TestGoldenFlags pins the flags of each command, with the placeholders and defaults in its help, and its exit status.
 func TestGoldenFlags(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "program")
 	if out, err := exec.Command("go", "build", "-o", path, ".").CombinedOutput(); err != nil {
--- a/cmd/olivearch-coordinator/main.go
+++ b/cmd/olivearch-coordinator/main.go
@@ -1,6 +1,6 @@
-// Command olivearch-coordinator is a server of the coordination cluster: a process on each of three, five or seven
-// machines that together store what balancers grant each other (overrides, leases and reservations). It is a program
-// of its own, so that balancers do not carry its libraries.
+// Command olivearch-coordinator runs a server of the coordination cluster, which stores overrides, leases and
+// reservations for all balancers. A cluster has a server on each of three, five or seven machines. This is a program of
+// its own so that balancers do not link its libraries.
 package main
 
 import (
@@ -24,7 +24,7 @@
 //go:embed usage.txt
 var usage string
 
-// errUsage ends the program with the usage text and exitUsage.
+// errUsage is wrapped by errors about the arguments: the program prints the usage text and exits with exitUsage.
 var errUsage = errors.New("wrong usage")
 
 // The exit statuses, as the usage text lists them.
@@ -82,7 +82,7 @@
 	return fmt.Errorf("%w: there is no command %q", errUsage, args[0])
 }
 
-// withSettings calls do with the settings of the one file that the arguments name.
+// withSettings calls do with the settings of the configuration file, which must be the only argument.
 func withSettings(files []string, do func(*config.Voter) error) error {
 	if len(files) != 1 {
 		return fmt.Errorf("%w: one FILE is wanted", errUsage)
@@ -94,7 +94,7 @@
 	return do(settings)
 }
 
-// check reports everything that is wrong with servers' files, alone and with each other.
+// check reports every error in the configuration files of servers, including contradictions between files.
 func check(files []string, out io.Writer) error {
 	if len(files) == 0 {
 		return fmt.Errorf("%w: check wants a FILE", errUsage)
@@ -117,11 +117,12 @@
 	return errors.Join(append(errs, config.AgreeVoters(valid))...)
 }
 
-// recoverFolder makes one server's folder that of a new cluster, after a majority has been lost for good.
+// recoverFolder turns one server's folder into that of a new cluster, after a majority of the servers has been
+// permanently lost.
 func recoverFolder(args []string, out io.Writer) error {
 	if len(args) != 2 || args[0] != "--accept-loss" {
 		return fmt.Errorf("%w: recover wants --accept-loss and a FILE: "+
-			"what the lost majority held and this folder does not is lost for good", errUsage)
+			"grants that only the lost majority had stored are permanently lost", errUsage)
 	}
 	return withSettings(args[1:], func(settings *config.Voter) error {
 		report, err := server.Recover(settings.Folder, settings.Name, settings.Voters[settings.Name])
@@ -138,7 +139,8 @@
 	if err != nil {
 		return fmt.Errorf("listening: %w", err)
 	}
-	// The process runs beside a balancer. With several threads it uses twice as much when idle, for waking them.
+	// The process shares its machine with a balancer. When idle, several threads would double its CPU time, since
+	// each of them has to be woken.
 	runtime.GOMAXPROCS(1)
 	coordinator, err := server.New(server.Config{
 		Name:         settings.Name,
--- a/cmd/olivearch/check.go
+++ b/cmd/olivearch/check.go
@@ -15,7 +15,7 @@
 	"olivearch/internal/service"
 )
 
-// check checks configuration files and tells everything that is wrong with them.
+// check checks configuration files, describes the valid ones, and returns every error.
 func check(args []string, out io.Writer) error {
 	flagSet, err := parseFlags("check", "FILE...", args, func(*flag.FlagSet) {})
 	if err != nil {
@@ -36,7 +36,7 @@
 	return errors.Join(c.errs...)
 }
 
-// checker checks files one after the other and describes the valid ones.
+// checker checks files and describes the valid ones.
 type checker struct {
 	out    io.Writer
 	voters map[string]*config.Voter // valid ones, by path
@@ -78,14 +78,14 @@
 	printUpgrades(c.out, configuration)
 }
 
-// loadSources describes where a pool's utilization comes from, by the value of "reports".
+// loadSources describes how a pool learns the utilisation of its upstreams, by the value of the key "reports".
 var loadSources = map[string]string{
-	"answers": "load by X-Load in answers; of nodes that send none, an estimate by latency (top tells which)",
-	"probes":  "load by GET /load",
-	"none":    "load by latency as a part of the aim",
+	"answers": "load from X-Load in answers; for nodes that send none, estimated from latency (top shows which)",
+	"probes":  "load from GET /load",
+	"none":    "load estimated from latency, relative to the latency objective (aim)",
 }
 
-// describePools prints what is known of each pool before it runs.
+// describePools prints each pool's source of load and, if there are several balancers, the size of its subset.
 func (c *checker) describePools(path string, configuration *config.Loaded) {
 	subsets := subsetDescriber{configuration: configuration}
 	for _, pool := range slices.Sorted(maps.Keys(configuration.Pools)) {
@@ -100,13 +100,13 @@
 		}
 		fmt.Fprintf(c.out, "  pool %s: %s\n", pool, subset)
 		if configuration.Tenants.Len() == 0 {
-			fmt.Fprintf(c.out, "  pool %s: no tenant has bought anything, "+
-				"so a balancer with more than its part of the traffic is not known to have it\n", pool)
+			fmt.Fprintf(c.out, "  pool %s: no tenant has a quota, "+
+				"so this balancer can't tell when it gets more than an even share of the traffic\n", pool)
 		}
 	}
 }
 
-// printCost prints the memory and the descriptors that a configuration takes.
+// printCost prints the memory and the descriptors that a configuration needs.
 func printCost(out io.Writer, cost config.Cost) {
 	fmt.Fprintf(out, "  cost: %d pools, %d nodes in lists, %d routes, %d tenants: "+
 		"about %d MiB of memory with all pools in use and no request, %d MiB while a new process reads the file; "+
@@ -122,7 +122,7 @@
 	return (bytes + mebibyte - 1) / mebibyte
 }
 
-// printUpgrades prints the protocols that clients of each route may change to.
+// printUpgrades prints the protocols to which clients of each route may upgrade.
 func printUpgrades(out io.Writer, configuration *config.Loaded) {
 	byName := func(a, b *route.Rule) int { return strings.Compare(a.Name, b.Name) }
 	for _, rule := range slices.SortedFunc(configuration.Table.Rules(), byName) {
@@ -135,15 +135,15 @@
 	}
 }
 
-// subsetDescriber describes the subset of a pool's upstreams that this one of many balancers uses. Pools with the same
-// settings use the same, which is computed once.
+// subsetDescriber describes how many of a pool's upstreams this balancer uses when it is one of many. The description
+// is computed once for all pools with the same settings.
 type subsetDescriber struct {
 	configuration *config.Loaded
-	known         []subsetDescription
+	descriptions  []subsetDescription
 }
 
 type subsetDescription struct {
-	settings balancer.Settings // that the subset depends on
+	settings balancer.Settings // only those on which the subset depends
 	text     string
 }
 
@@ -153,9 +153,9 @@
 func (d *subsetDescriber) describe(pool string) (string, error) {
 	settings := d.configuration.Settings(pool)
 	relevant := settings
-	relevant.Limits.MaxInFlight = 0 // the subset depends neither on this nor on further classes
+	relevant.Limits.MaxInFlight = 0 // the subset depends neither on this nor on any class but the first
 	relevant.Classes = settings.Classes[:1]
-	for _, description := range d.known {
+	for _, description := range d.descriptions {
 		if description.settings.Equal(relevant) {
 			return description.text, nil
 		}
@@ -170,6 +170,6 @@
 	}
 	instances := d.configuration.Instances
 	text := fmt.Sprintf("balancer %d of %d uses at first %s", instances.Rank, instances.Count, strings.Join(sizes, ", "))
-	d.known = append(d.known, subsetDescription{settings: relevant, text: text})
+	d.descriptions = append(d.descriptions, subsetDescription{settings: relevant, text: text})
 	return text, nil
 }
--- a/cmd/olivearch/command.go
+++ b/cmd/olivearch/command.go
@@ -11,7 +11,7 @@
 	"olivearch/internal/strictyaml"
 )
 
-// command is a word that may follow the program's name.
+// command is a subcommand of the program.
 type command struct {
 	name      string
 	arguments string // as the help shows them
@@ -26,7 +26,7 @@
 	},
 	{
 		name: "check", arguments: "FILE...", run: check,
-		summary: "tell everything that is wrong with configuration files, with line and column",
+		summary: "report every error in configuration files, with line and column",
 	},
 	{
 		name: "top", arguments: "[--admin ADDRESS]", run: top,
@@ -34,11 +34,11 @@
 	},
 	{
 		name: "promises", arguments: "COMMAND", run: promises,
-		summary: "what balancers hold for each other: list, set, clear, members, replace and more",
+		summary: "show and change what the coordination cluster stores for all balancers",
 	},
 	{
 		name: "demo", arguments: "[--seconds N]", run: runDemo,
-		summary: "run the balancer between a stand-in fleet and clients, with troubles, and judge it",
+		summary: "run the balancer with stand-in servers and clients, inject faults and check its rules",
 	},
 	{
 		name: "version", run: printVersion,
@@ -48,7 +48,7 @@
 
 var helpWords = []string{"--help", "-help", "-h", "help"}
 
-// dispatch runs the command that the arguments name. Without arguments it runs what a platform configures.
+// dispatch runs the command that the arguments name. Without arguments it runs the balancer that a platform configures.
 func dispatch(args []string, out io.Writer) error {
 	if len(args) == 0 {
 		return platform()
@@ -83,18 +83,19 @@
 	for _, c := range commands {
 		fmt.Fprintf(out, "  olivearch %-8s %-18s %s\n", c.name, c.arguments, c.summary)
 	}
-	fmt.Fprint(out, `  olivearch                             be told by a platform: RELAY_CONFIG names a JSON file
+	fmt.Fprint(out, `  olivearch                             run for a platform: RELAY_CONFIG names the JSON configuration
 
-"olivearch COMMAND --help" tells the flags of a command.
+"olivearch COMMAND --help" lists the flags of a command.
 
-Signals of serve: SIGHUP reads the configuration again (all of it or nothing), SIGTERM answers what was taken and ends.
-Exit status: 0 done, 1 it failed or a file is wrong, 2 wrong usage.
-A sample configuration is deploy/services.yaml; docs/operate/services.md goes through it.
+Signals to serve: SIGHUP reloads the configuration, or changes nothing if it is invalid; SIGTERM answers the accepted
+requests and ends.
+Exit status: 0 success, 1 failure or invalid file, 2 wrong usage.
+deploy/services.yaml is a sample configuration; docs/operate/services.md explains it.
 `)
 }
 
-// parseFlags parses a command's flags, which define declares. For --help it prints the usage and returns flag.ErrHelp;
-// other errors wrap errUsage.
+// parseFlags parses a command's flags, which define declares. For --help it prints the usage and returns flag.ErrHelp.
+// Other errors wrap errUsage.
 func parseFlags(name, usage string, args []string, define func(*flag.FlagSet)) (*flag.FlagSet, error) {
 	flagSet := flag.NewFlagSet(name, flag.ContinueOnError)
 	flagSet.SetOutput(io.Discard)
--- a/cmd/olivearch/demo.go
+++ b/cmd/olivearch/demo.go
@@ -27,9 +27,9 @@
 	var options demo.Options
 	var seconds float64
 	flagSet, err := parseFlags("demo", "[--seconds N] [--seed N] [--every TIME]", args, func(f *flag.FlagSet) {
-		f.Float64Var(&seconds, "seconds", defaultDemoSeconds, "length of the run, in seconds: `N`")
-		f.Uint64Var(&options.Seed, "seed", 1, "`N` from which traffic and work are drawn")
-		f.DurationVar(&options.Every, "every", defaultDemoInterval, "`TIME` between two tables; 0 for none")
+		f.Float64Var(&seconds, "seconds", defaultDemoSeconds, "length of the run: `N` seconds")
+		f.Uint64Var(&options.Seed, "seed", 1, "`N`: seed of the random traffic and of the work of each request")
+		f.DurationVar(&options.Every, "every", defaultDemoInterval, "`TIME` between two tables; 0: print none")
 	})
 	if err != nil {
 		return err
--- a/cmd/olivearch/main.go
+++ b/cmd/olivearch/main.go
@@ -1,5 +1,5 @@
-// Command olivearch is a load balancer for fleets of HTTP servers. Without arguments it is configured by a platform,
-// through the RELAY_ environment variables; "olivearch serve" runs from a configuration file.
+// Command olivearch is a load balancer for fleets of HTTP servers. "olivearch serve" runs a configuration file. Without
+// arguments, the program is configured by a platform through the RELAY_ environment variables.
 package main
 
 import (
@@ -16,7 +16,7 @@
 	exitUsage   = 2
 )
 
-// errUsage is wrapped by errors in a command's arguments. It ends the program with a hint at --help and exitUsage.
+// errUsage is wrapped by errors about the arguments: the program prints a hint at --help and exits with exitUsage.
 var errUsage = errors.New("wrong usage")
 
 func main() {
@@ -32,10 +32,10 @@
 	os.Exit(exitFailure)
 }
 
-// shortRevisionLength is how many digits of a commit's hash a version has.
+// shortRevisionLength is the number of digits to which version shortens a commit's hash.
 const shortRevisionLength = 12
 
-// version returns the version and the Go release that the build has recorded; for a development build, the commit.
+// version returns the version that the build has recorded, or the commit of a development build, with the Go release.
 func version() string {
 	info, ok := debug.ReadBuildInfo()
 	if !ok {
--- a/cmd/olivearch/platform.go
+++ b/cmd/olivearch/platform.go
@@ -18,9 +18,9 @@
 	"olivearch/internal/proxy"
 )
 
-// platform runs the pool that a platform configures by the RELAY_ environment variables, until SIGTERM or SIGINT.
+// platform runs the balancer that the RELAY_ environment variables configure, until SIGTERM or SIGINT.
 func platform() error {
-	// Signals are caught before anything slow: one that comes during the start must not end the program.
+	// Signals are caught before anything slow, so that one during the start does not kill the process.
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGTERM, os.Interrupt)
 	defer stop()
 	hangups := make(chan os.Signal, 1)
@@ -44,10 +44,10 @@
 	if configuration.AdminAddress != "" {
 		operators, err := net.Listen("tcp", configuration.AdminAddress)
 		if err != nil {
-			return fmt.Errorf("listening for the staff's calls: %w", err)
+			return fmt.Errorf("listening for operators' commands: %w", err)
 		}
-		// Until the process ends, since operators may send commands while the last requests are answered. Serve returns
-		// an error at no time.
+		// It serves until the process ends, since operators may send commands while the last requests are answered. It
+		// never returns an error.
 		go func() { _ = admincmd.Serve(context.Background(), operators, balancer) }()
 	}
 	reloads := make(chan proxy.Config, 1)
@@ -59,19 +59,20 @@
 	return nil
 }
 
-// limitResources adapts the Go runtime to the machine, which has one core. Collecting garbage later costs memory, which
-// the soft limit bounds, and saves time.
+// limitResources adapts the Go runtime to the machine, which has one core. Less frequent garbage collection saves CPU
+// time and costs memory, which the soft limit bounds.
 func limitResources(memoryMB int) {
 	const (
 		gcPercent       = 400
-		softLimitTenths = 6 // of the memory
+		softLimitTenths = 6 // of the configured memory
 	)
 	runtime.GOMAXPROCS(1)
 	debug.SetGCPercent(gcPercent)
 	debug.SetMemoryLimit(int64(memoryMB) << 20 * softLimitTenths / 10)
 }
 
-// takeOver takes over from a process of this balancer that still serves; nil: there is none, or it doesn't hand over.
+// takeOver takes over from a process of this balancer that still serves. It returns nil if there is none or if that
+// process does not hand over.
 func takeOver(configuration proxy.Config) *proxy.PreviousProcess {
 	if configuration.TakeoverPath == "" {
 		return nil
@@ -88,7 +89,7 @@
 	return previous
 }
 
-// clientListener returns the listener of the previous process, or a new one if it hasn't handed one over.
+// clientListener returns the listener that the previous process has handed over, or else a new one.
 func clientListener(address string, previous *proxy.PreviousProcess) (net.Listener, error) {
 	if previous != nil && previous.Listener != nil {
 		return previous.Listener, nil
@@ -111,8 +112,8 @@
 	return listenConfig.Listen(context.Background(), "tcp", address)
 }
 
-// forwardReloads loads the configuration at each hang-up and sends it on reloads. If it is invalid, that is logged and
-// the current one stays.
+// forwardReloads loads the configuration at each SIGHUP and sends it on reloads. If it is invalid, the error is logged
+// and the current one stays in force.
 func forwardReloads(hangups <-chan os.Signal, current proxy.Config, reloads chan<- proxy.Config) {
 	for range hangups {
 		next, err := proxy.ReloadConfig(os.Getenv, current)
--- a/cmd/olivearch/promises.go
+++ b/cmd/olivearch/promises.go
@@ -17,45 +17,45 @@
 // promisesCommand is a subcommand of "olivearch promises".
 type promisesCommand struct {
 	name             string
-	minArgs, maxArgs int // arguments behind the name
+	minArgs, maxArgs int // number of arguments after the name
 	run              func(*promisesCall, context.Context, []string) error
 	usage            []promisesUsage
 }
 
-// promisesUsage is a line of the usage text.
+// promisesUsage is a line of the usage text: a form of the arguments and what it does.
 type promisesUsage struct{ arguments, summary string }
 
 var promisesCommands = []promisesCommand{
 	{"list", 0, 0, (*promisesCall).list, []promisesUsage{
-		{"", "what staff have said, bounds, leases and slots"},
+		{"", "list overrides, and resources with their limits and leases"},
 	}},
 	{"show", 1, 1, (*promisesCall).show, []promisesUsage{
-		{"TARGET", "what is said of one: an upstream's id, zone/NAME, pool/NAME"},
+		{"TARGET", "list the overrides of an upstream (TARGET is its id), zone/NAME or pool/NAME"},
 	}},
 	{"set", 2, 3, (*promisesCall).set, []promisesUsage{
-		{"out TARGET", "take it out for all balancers"},
-		{"cap ID N", "a balancer has at most N attempts out there"},
-		{"share ID PARTS", "thousandths of its usual share, 1 to 1000"},
+		{"out TARGET", "take the target out of service for all balancers"},
+		{"cap ID N", "let each balancer have at most N attempts in flight at the upstream"},
+		{"share ID PARTS", "give the upstream 1 to 1000 thousandths of its usual traffic share"},
 	}},
 	{"clear", 2, 2, (*promisesCall).clear, []promisesUsage{
-		{"out|cap|share TARGET", "take that back"},
+		{"out|cap|share TARGET", "clear an override of the target"},
 	}},
 	{"bound", 2, 2, (*promisesCall).bound, []promisesUsage{
-		{"NAME LIMIT", "a bound for leases (with --slots: for places in each second); 0 removes it"},
+		{"NAME LIMIT", "limit a resource: units leased at once, or with --slots slots per second; 0 removes it"},
 	}},
 	{"members", 0, 2, (*promisesCall).members, []promisesUsage{
-		{"", "the voters, as each of them sees it"},
-		{"add NAME=ADDRESS", "let a voter of that name join"},
-		{"remove NAME", "take a voter out, once the others can do without"},
+		{"", "show the status of each voter, and the members of the cluster"},
+		{"add NAME=ADDRESS", "let a voter of that name join the cluster"},
+		{"remove NAME", "remove a voter from the cluster, once the others can do without it"},
 	}},
 	{"replace", 1, 1, (*promisesCall).replace, []promisesUsage{
-		{"NAME", "its machine has gone for good: an empty one need not wait"},
+		{"NAME", "declare a voter lost for good: one of that name with an empty folder may replace it at once"},
 	}},
 	{"snapshot", 1, 1, (*promisesCall).snapshot, []promisesUsage{
-		{"FILE", "write what staff have said, and the bounds, to a file"},
+		{"FILE", "write the overrides and the limits of resources to a file"},
 	}},
 	{"restore", 1, 1, (*promisesCall).restore, []promisesUsage{
-		{"FILE", "say it all anew, to an empty ledger"},
+		{"FILE", "set the overrides and limits in the file again; the cluster must have no overrides"},
 	}},
 }
 
@@ -66,7 +66,7 @@
 	within   time.Duration
 	reason   string
 	by       string        // who sets an override
-	duration time.Duration // of an override; 0: until it is cleared
+	duration time.Duration // of an override; 0: it holds until it is cleared
 	slots    bool
 	stale    bool
 }
@@ -78,7 +78,7 @@
 	out    io.Writer
 }
 
-// promises reads or changes what the coordination cluster holds, by a subcommand.
+// promises reads or changes what the coordination cluster stores, by a subcommand.
 func promises(args []string, out io.Writer) error {
 	call := promisesCall{out: out}
 	flagSet := call.flagSet()
@@ -116,21 +116,21 @@
 	flagSet := flag.NewFlagSet("promises", flag.ContinueOnError)
 	flagSet.SetOutput(io.Discard)
 	flagSet.StringVar(&o.voters, "voters", os.Getenv("OLIVEARCH_VOTERS"),
-		"`NAME=ADDRESS,...` of the voters; OLIVEARCH_VOTERS if left out")
+		"`NAME=ADDRESS,...` of the voters, the servers of the cluster; left out: the value of OLIVEARCH_VOTERS")
 	flagSet.StringVar(&o.file, "config", "",
-		"a `FILE` that names the voters: one of a voter, of promises, or of serve")
-	flagSet.DurationVar(&o.within, "within", 2*time.Second, "`TIME` within which an answer comes, yes or no")
-	flagSet.StringVar(&o.reason, "why", "", "`TEXT` for others: why")
-	flagSet.StringVar(&o.by, "by", "", "`NAME` of who says so; the user's if left out")
+		"`FILE` that names the voters: the configuration of a voter, of RELAY_PROMISES or of serve")
+	flagSet.DurationVar(&o.within, "within", 2*time.Second, "`TIME` to wait for the answer of the cluster")
+	flagSet.StringVar(&o.reason, "why", "", "set: `TEXT` that tells other operators the reason")
+	flagSet.StringVar(&o.by, "by", "", "set and clear: `NAME` of the operator; left out: the name of the user")
 	flagSet.DurationVar(&o.duration, "for", 0,
-		"`TIME` after which a word ends by itself; left out: when it is cleared")
-	flagSet.BoolVar(&o.slots, "slots", false, "the bound is for places in each second")
+		"set: `TIME` after which the override ends; left out: it holds until it is cleared")
+	flagSet.BoolVar(&o.slots, "slots", false, "bound: limit the slots per second instead of the units leased at once")
 	flagSet.BoolVar(&o.stale, "stale", false,
-		"list and show: what any voter has, however old, where no quorum answers")
+		"list, show and snapshot: if no quorum answers, use the copy of a single voter, however old")
 	return flagSet
 }
 
-// parseAnywhere parses flags before, between and behind the words, and returns the words.
+// parseAnywhere parses flags, which may stand before, between and after the other arguments, and returns the others.
 func parseAnywhere(flagSet *flag.FlagSet, args []string) ([]string, error) {
 	var words []string
 	for len(args) > 0 {
@@ -145,7 +145,7 @@
 }
 
 func printPromisesHelp(flagSet *flag.FlagSet, out io.Writer) {
-	fmt.Fprint(out, "olivearch promises asks the ledger of promises (docs/operate/promises.md).\n\nUsage:\n")
+	fmt.Fprint(out, "olivearch promises manages the coordination cluster (docs/operate/promises.md).\n\nUsage:\n")
 	for _, command := range promisesCommands {
 		for _, usage := range command.usage {
 			fmt.Fprintf(out, "  olivearch promises %-29s %s\n", command.name+" "+usage.arguments, usage.summary)
@@ -156,7 +156,7 @@
 	flagSet.PrintDefaults()
 }
 
-// promisesCommandNames lists the subcommands in a sentence.
+// promisesCommandNames returns the names of the subcommands as they appear in a sentence.
 func promisesCommandNames() string {
 	names := make([]string, 0, len(promisesCommands))
 	for _, command := range promisesCommands {
@@ -166,7 +166,7 @@
 	return strings.Join(names[:last], ", ") + " or " + names[last]
 }
 
-// findPromisesCommand returns the subcommand that the words name, if it takes that many arguments.
+// findPromisesCommand returns the subcommand that the first word names, if it takes as many arguments as follow.
 func findPromisesCommand(words []string) (*promisesCommand, error) {
 	arguments := len(words) - 1
 	for i := range promisesCommands {
@@ -179,7 +179,7 @@
 		errUsage, strings.Join(words, " "))
 }
 
-// currentUser is the user's name, for the record of who set an override.
+// currentUser returns the name of the user, which an override records as its author.
 func currentUser() string {
 	if current, err := user.Current(); err == nil {
 		return current.Username
--- a/cmd/olivearch/promises_change.go
+++ b/cmd/olivearch/promises_change.go
@@ -20,7 +20,7 @@
 	}
 	hasValue := len(args) == 3
 	if (subject.Kind == state.OutOfService) == hasValue {
-		return fmt.Errorf("%w: out takes a target alone; cap and share take a number behind it", errUsage)
+		return fmt.Errorf("%w: out takes only a target; cap and share take a number after the target", errUsage)
 	}
 	if hasValue {
 		if override.Value, err = parseNumber(args[2]); err != nil {
@@ -48,7 +48,7 @@
 	return c.propose(ctx, &state.SetResource{Name: args[0], PerSecond: c.slots, Limit: limit})
 }
 
-// propose proposes a command and prints by how many voters it is stored.
+// propose proposes a command and prints how many voters have stored it.
 func (c *promisesCall) propose(ctx context.Context, command state.Command) error {
 	response, err := c.client.Propose(ctx, command)
 	if err != nil {
@@ -73,7 +73,7 @@
 func parseNumber(text string) (int64, error) {
 	number, err := strconv.ParseInt(text, 10, 64)
 	if err != nil {
-		return 0, fmt.Errorf("%w: %q is no number", errUsage, text)
+		return 0, fmt.Errorf("%w: %q is not a whole number", errUsage, text)
 	}
 	return number, nil
 }
--- a/cmd/olivearch/promises_members.go
+++ b/cmd/olivearch/promises_members.go
@@ -19,7 +19,7 @@
 const (
 	// statusTimeout bounds the wait for one server's status.
 	statusTimeout = time.Second
-	// longestAge is the longest age that is printed as a time: a longer one stands for never.
+	// longestAge is the longest age that is printed as a duration; a longer one is printed as never.
 	longestAge = 24 * time.Hour
 )
 
@@ -40,7 +40,7 @@
 	return fmt.Errorf("%w: members, members add NAME=ADDRESS or members remove NAME", errUsage)
 }
 
-// replace declares that a voter's machine has gone for good.
+// replace declares that a voter's machine is lost for good.
 func (c *promisesCall) replace(ctx context.Context, args []string) error {
 	if err := c.client.DeclareLost(ctx, args[0]); err != nil {
 		return err
@@ -104,7 +104,7 @@
 		status.DiskMS, status.Followers, cmp.Or(status.Fault, status.LastRejected))
 }
 
-// printLeaderView prints what the leader knows of the cluster, its members and those that want to join.
+// printLeaderView prints what the leader knows of the cluster, its members and the joining voters.
 func printLeaderView(out io.Writer, leader *client.ServerStatus) {
 	fmt.Fprintf(out, "cluster %s: %d of %d bytes, level %d; promises: %s\n",
 		leader.Cluster, leader.UsedBytes, leader.MaxBytes, leader.FeatureLevel, formatCounts(leader.Grants))
@@ -123,7 +123,7 @@
 	}
 }
 
-// formatCounts returns counts by kind as words, sorted by kind, such as "2 out, 1 share"; "none" if there are no kinds.
+// formatCounts formats counts, sorted by kind, in the form "2 out, 1 share". If there are no kinds it returns "none".
 func formatCounts(counts map[string]int) string {
 	if len(counts) == 0 {
 		return "none"
--- a/cmd/olivearch/promises_read.go
+++ b/cmd/olivearch/promises_read.go
@@ -45,15 +45,15 @@
 	return table.writer.Flush()
 }
 
-// readState returns the state that a quorum confirms, or with --stale, where none does, that of the server that has
-// applied most. The note says which it is.
+// readState returns the state that a quorum confirms. With --stale, if no quorum answers, it returns the copy of the
+// server that has applied the most log entries. The note says where the state is from.
 func (c *promisesCall) readState(ctx context.Context) (current *state.State, note string, err error) {
 	current, response, err := c.client.Read(ctx)
 	if err == nil {
 		return current, fmt.Sprintf("held by the ledger, revision %d", response.Index), nil
 	}
 	if !c.stale {
-		return nil, "", fmt.Errorf("%w (--stale shows what a voter has, however old)", err)
+		return nil, "", fmt.Errorf("%w (--stale shows the copy of a single voter, however old)", err)
 	}
 	latest, note := c.readLatestLocal()
 	if latest == nil {
@@ -62,7 +62,7 @@
 	return latest, note, nil
 }
 
-// readLatestLocal returns the copy of the server that has applied most; nil if no server answers.
+// readLatestLocal returns the copy of the server that has applied the most log entries, or nil if no server answers.
 func (c *promisesCall) readLatestLocal() (latest *state.State, note string) {
 	latestIndex := uint64(0)
 	for _, server := range c.client.Voters() {
@@ -82,10 +82,10 @@
 // grantTable prints grants as a table.
 type grantTable struct {
 	writer *tabwriter.Writer
-	clock  uint64 // the cluster's, in milliseconds
+	clock  uint64 // the cluster clock, in milliseconds
 }
 
-// newGrantTable prints the note and how much is stored, and begins the table.
+// newGrantTable prints the note and the size of the state, and begins the table.
 func newGrantTable(out io.Writer, current *state.State, note string) *grantTable {
 	fmt.Fprintf(out, "%s; %d of %d bytes\n", note, current.UsedBytes(), int64(state.MaxBytes))
 	table := &grantTable{writer: tabwriter.NewWriter(out, 0, 0, 2, ' ', 0), clock: current.Clock()}
@@ -123,7 +123,7 @@
 	}
 }
 
-// timeLeft is how long it is until a time of the cluster's clock, in milliseconds; 0 if it has passed.
+// timeLeft returns the time until a moment of the cluster clock, which is given in milliseconds; 0 if it has passed.
 func (t *grantTable) timeLeft(until uint64) time.Duration {
 	return time.Duration(until-min(until, t.clock)) * time.Millisecond
 }
--- a/cmd/olivearch/promises_snapshot.go
+++ b/cmd/olivearch/promises_snapshot.go
@@ -9,10 +9,10 @@
 	"olivearch/internal/disk"
 )
 
-// maxSnapshot bounds a snapshot's file, in bytes.
+// maxSnapshot bounds the file of a snapshot that is restored, in bytes.
 const maxSnapshot = 64 << 20
 
-// snapshot writes the state to a file.
+// snapshot writes the overrides and resources to a file.
 func (c *promisesCall) snapshot(ctx context.Context, args []string) error {
 	path := args[0]
 	current, note, err := c.readState(ctx)
@@ -27,8 +27,8 @@
 	return err
 }
 
-// restore proposes the overrides and resources of a snapshot to a cluster without overrides: where there are some
-// already, it can't be told which of two overrides of a subject is the later.
+// restore proposes the overrides and resources of a snapshot. It requires a cluster without overrides, since it can't
+// tell which of two overrides of the same subject is the later one.
 func (c *promisesCall) restore(ctx context.Context, args []string) error {
 	path := args[0]
 	encoded, err := disk.Read(path, maxSnapshot)
@@ -44,12 +44,12 @@
 		return err
 	}
 	if present := len(current.Overrides()); present > 0 {
-		return fmt.Errorf("the ledger holds %d words already: a snapshot is restored to an empty one", present)
+		return fmt.Errorf("the cluster has %d overrides: a snapshot is only restored to a cluster without any", present)
 	}
 	commands := restoreCommands(stored)
 	for i, command := range commands {
 		if err := c.proposeWithin(command); err != nil {
-			return fmt.Errorf("%d of %d are held, then: %w", i, len(commands), err)
+			return fmt.Errorf("restored %d of %d overrides and resources, then failed: %w", i, len(commands), err)
 		}
 	}
 	_, err = fmt.Fprintf(c.out, "%d words and %d bounds are held again\n",
@@ -57,8 +57,8 @@
 	return err
 }
 
-// restoreCommands returns the commands that set a snapshot's resources and overrides. An override that ends does so
-// after the time that was left when the snapshot was written.
+// restoreCommands returns the commands that set a snapshot's resources and overrides. An override of limited duration
+// gets the time that it had left when the snapshot was written.
 func restoreCommands(stored *state.State) []state.Command {
 	var commands []state.Command
 	for _, resource := range stored.Resources() {
--- a/cmd/olivearch/promises_voters.go
+++ b/cmd/olivearch/promises_voters.go
@@ -25,7 +25,7 @@
 		voters[name] = address
 	}
 	if len(voters) == 0 {
-		return nil, fmt.Errorf("%w: which voters? --voters k1=127.0.0.1:7101,... or --config FILE", errUsage)
+		return nil, fmt.Errorf("%w: no voters are given: use --voters k1=127.0.0.1:7101,... or --config FILE", errUsage)
 	}
 	return voters, nil
 }
@@ -39,8 +39,8 @@
 	return name, address, ok
 }
 
-// votersFromFile reads the voters from a configuration file of a voter, of promises, or of serve. If it is none of
-// them, the error is that of the first kind.
+// votersFromFile reads the voters from the configuration of a voter, of RELAY_PROMISES or of serve. If the file is none
+// of them, the error says why it is not that of a voter.
 func votersFromFile(path string) (map[string]string, error) {
 	voter, voterErr := config.LoadVoter(path)
 	if voterErr == nil {
@@ -51,23 +51,23 @@
 	}
 	if service, err := config.Load(path); err == nil {
 		if service.Promises == nil {
-			return nil, fmt.Errorf("%s: it has no promises: it names no voters", path)
+			return nil, fmt.Errorf("%s: the key promises, which names the voters, is missing", path)
 		}
 		return service.Promises.Voters, nil
 	}
 	return nil, voterErr
 }
 
-// checkPromises reports what a configuration of promises leads to, and what speaks against it.
+// checkPromises prints the voters in a configuration of promises, and warns of settings that are valid but unsafe.
 func checkPromises(settings *config.Promises, out io.Writer) {
 	names := slices.Sorted(maps.Keys(settings.Voters))
 	fmt.Fprintf(out, "  promises: follows %s\n", strings.Join(names, ", "))
 	if len(names) == 2 {
-		fmt.Fprintln(out, "  promises: two voters hold nothing that one would not: "+
-			"if either is lost, no promise can be given")
+		fmt.Fprintln(out, "  promises: two voters are no safer than one: "+
+			"if either is lost, nothing can be granted or changed")
 	}
 	if settings.Copy == "" {
 		fmt.Fprintln(out, "  promises: no copy is kept, "+
-			"so a start while no voter can be reached knows of no word of staff's")
+			"so a process that starts while no voter can be reached does not know the overrides")
 	}
 }
--- a/cmd/olivearch/serve.go
+++ b/cmd/olivearch/serve.go
@@ -25,7 +25,7 @@
 	if path == "" || flagSet.NArg() > 0 {
 		return fmt.Errorf("%w: serve wants --config FILE and nothing else", errUsage)
 	}
-	// Of signals that come while one waits, one is enough.
+	// One place is enough: a signal that arrives while the same one is waiting adds nothing.
 	hangups := make(chan os.Signal, 1)
 	terminations := make(chan os.Signal, 1)
 	signal.Notify(hangups, syscall.SIGHUP)
@@ -54,7 +54,7 @@
 	return s.run()
 }
 
-// server is a service that runs, with what may change its configuration or end it. One goroutine uses it.
+// server is a running service with the signals that reload its configuration or end it. One goroutine uses it.
 type server struct {
 	service       *service.Service
 	configuration *config.Loaded // in force
@@ -63,8 +63,8 @@
 	reload        func(current *config.Loaded) (*config.Loaded, error)
 }
 
-// run serves until a termination signal or a failure, and reloads the configuration at each hang-up: a signal that
-// comes during a reload leads to one more after it.
+// run serves until a termination signal or a failure, and reloads the configuration at each SIGHUP. A SIGHUP during a
+// reload causes another reload after it.
 func (s *server) run() error {
 	for {
 		select {
@@ -81,8 +81,8 @@
 	}
 }
 
-// reloadConfiguration puts a new configuration in force. If it is invalid or can't be applied, that is logged and the
-// current one stays.
+// reloadConfiguration loads and applies the configuration. If it is invalid or can't be applied, the error is logged
+// and the current one stays in force.
 func (s *server) reloadConfiguration() {
 	next, err := s.reload(s.configuration)
 	if err == nil {
--- a/cmd/olivearch/services_test.go
+++ b/cmd/olivearch/services_test.go
@@ -109,7 +109,7 @@
 		{[]string{"check", sample}, 0, "1 listeners, 2 routes, 2 pools"},
 		{[]string{"check", sample, unknownKey}, 1, `bad.yaml:1:1: unknown key "listenrs"; did you mean "listeners"?`},
 		{[]string{"check", many}, 0, "balancer 17 of 300 uses at first 3 of 10 nodes, 3 of 100 nodes"},
-		{[]string{"check", many}, 0, "no tenant has bought anything"},
+		{[]string{"check", many}, 0, "no tenant has a quota"},
 		{[]string{"check", missingList}, 1, "none.yaml"},
 		{[]string{"check", filepath.Join(folder, "none")}, 1, "no such file"},
 		{[]string{"check"}, 2, "wants a FILE"},
--- a/cmd/olivearch/top.go
+++ b/cmd/olivearch/top.go
@@ -17,10 +17,10 @@
 	clearScreen = "\x1b[H\x1b[J"
 
 	liveViewTimeout     = 5 * time.Second
-	maxErrorAnswerBytes = 256 // of an error's answer that are shown
+	maxErrorAnswerBytes = 256 // shown of an error response
 )
 
-// top shows the live view until it is interrupted, or once.
+// top shows the live view once, or repeatedly until it is interrupted.
 func top(args []string, out io.Writer) error {
 	var address string
 	var interval time.Duration
@@ -28,13 +28,13 @@
 	var part live.Part
 	const usage = "[--admin ADDRESS] [--every TIME] [--pool NAME]... [--nodes WHICH] [--once]"
 	flagSet, err := parseFlags("top", usage, args, func(f *flag.FlagSet) {
-		f.Func("pool", "the pool of this `NAME`; more than once for several; all if left out", func(name string) error {
+		f.Func("pool", "show only the pool `NAME`; may be repeated; left out: all pools", func(name string) error {
 			part.Pools = append(part.Pools, name)
 			return nil
 		})
-		f.StringVar(&part.Nodes, "nodes", live.AllNodes, "`WHICH` nodes: all, used or none")
-		f.StringVar(&address, "admin", "127.0.0.1:8081", "`ADDRESS` of the admin listener")
-		f.DurationVar(&interval, "every", time.Second, "`TIME` between two looks")
+		f.StringVar(&part.Nodes, "nodes", live.AllNodes, "`WHICH` nodes to show: all, used or none")
+		f.StringVar(&address, "admin", "127.0.0.1:8081", "`ADDRESS` of the admin listener of the running olivearch")
+		f.DurationVar(&interval, "every", time.Second, "`TIME` between two updates")
 		f.BoolVar(&once, "once", false, "print one table and end")
 	})
 	if err != nil {
