--- a/cmd/olivearch-bench/golden_test.go
+++ b/cmd/olivearch-bench/golden_test.go
@@ -42,4 +42,8 @@
 	golden.Compare(t, "flags.txt", text.String())
 }
 
-var goldenCommands = []string{"--help", "", "run --help", "check --help", "compare --help", "report --help", "ground --help", "list --help", "nothing", "run --nothing"}
+var goldenCommands = []string{
+	"--help", "",
+	"run --help", "check --help", "compare --help", "report --help", "ground --help", "list --help",
+	"nothing", "run --nothing",
+}
--- a/cmd/olivearch-bench/ground.go
+++ b/cmd/olivearch-bench/ground.go
@@ -19,31 +19,35 @@
 	"olivearch/internal/faulttest/timeline"
 )
 
-// standinRole is the word with which this program starts itself as a process of stand-ins.
+// standinRole is the argument with which this program starts itself as a process of stand-ins.
 const standinRole = "standin"
 
-// errBroken ends the program with exit status 1; what is broken has been printed.
+// errBroken ends the program with exit status 1, after the result, which says which bound is broken, has been printed.
 var errBroken = errors.New("a bound is broken")
 
-// groundFlags are those of the command ground.
+// groundFlags are the values of the flags of the command ground.
 type groundFlags struct {
-	program, ledger, out, keep string
-	seed, faults               int
-	check, figures             bool
+	program, coordinator, out, keep string
+	seed, faults                    int
+	check, figures                  bool
 }
 
-// playGround plays scripts of faults between many processes.
-func playGround(ctx context.Context, args []string, out io.Writer) error {
+// runGround plays fault scripts between many processes.
+func runGround(ctx context.Context, args []string, out io.Writer) error {
 	var x groundFlags
-	f, err := flags("ground", "[flags] SCRIPT.yaml...", args, out, func(f *flag.FlagSet) {
-		f.StringVar(&x.program, "olivearch", "", "`PROGRAM` under test; left out: this source, built with the tag ground")
-		f.StringVar(&x.ledger, "oliveledger", "", "`PROGRAM` of the ledger's voters; left out: this source, built likewise")
-		f.StringVar(&x.out, "out", "", "`FOLDER` for a plot of each script's time (NAME-SEED.svg), and for schedules that fail")
-		f.StringVar(&x.keep, "keep", "", "`FOLDER` in which the processes' disks and logs stay")
-		f.IntVar(&x.seed, "seed", 0, "draw `N`: the script's seed, and with --faults the faults too; 0: the script's own")
-		f.IntVar(&x.faults, "faults", 0, "draw so many faults in the place of the script's")
-		f.BoolVar(&x.check, "check", false, "read the scripts and play nothing")
-		f.BoolVar(&x.figures, "figures", false, "list the figures that bounds may use")
+	f, err := parseFlags("ground", "[flags] SCRIPT.yaml...", args, out, func(f *flag.FlagSet) {
+		f.StringVar(&x.program, "olivearch", "",
+			"`PROGRAM` under test; left out: built from this source with the tag faultinject")
+		f.StringVar(&x.coordinator, "oliveledger", "",
+			"`PROGRAM` of the voters (olivearch-coordinator); left out: built from this source with the tag faultinject")
+		f.StringVar(&x.out, "out", "",
+			"`FOLDER` for a timeline of each script (NAME-SEED.svg), and for drawn faults that break a bound (NAME-SEED.yaml)")
+		f.StringVar(&x.keep, "keep", "", "`FOLDER` in which to keep the files and logs of the processes")
+		f.IntVar(&x.seed, "seed", 0,
+			"seed `N` of what the script draws at random, and of --faults; 0: the seed in the script")
+		f.IntVar(&x.faults, "faults", 0, "replace the faults of the script by this number of random ones; 0: keep them")
+		f.BoolVar(&x.check, "check", false, "only check the scripts")
+		f.BoolVar(&x.figures, "figures", false, "list the figures that bounds may name, and play nothing")
 	})
 	if err != nil {
 		return err
@@ -68,22 +72,24 @@
 	}
 	if x.check {
 		for i, file := range files {
-			fmt.Fprintf(out, "%s is well: %d balancers, %d nodes, %d faults, %d bounds\n", f.Arg(i), file.Balancers.Count, file.Nodes.Count, len(file.Faults), len(file.Bounds))
+			fmt.Fprintf(out, "%s is well: %d balancers, %d nodes, %d faults, %d bounds\n",
+				f.Arg(i), file.Balancers.Count, file.Nodes.Count, len(file.Faults), len(file.Bounds))
 		}
 		return nil
 	}
-	votes := slices.ContainsFunc(files, func(f *script.File) bool { return f.Voters.Count > 0 })
-	if x.program == "" || (votes && x.ledger == "") {
+	hasVoters := slices.ContainsFunc(files, func(f *script.File) bool { return f.Voters.Count > 0 })
+	if x.program == "" || (hasVoters && x.coordinator == "") {
 		folder, err := os.MkdirTemp("", "olivearch-")
 		if err != nil {
 			return err
 		}
 		defer os.RemoveAll(folder)
-		program, ledger, err := faulttest.Build(ctx, folder)
+		program, coordinator, err := faulttest.Build(ctx, folder)
 		if err != nil {
-			return fmt.Errorf("building the programs under test (or name them with --olivearch and --oliveledger): %w", err)
+			return fmt.Errorf(
+				"building the programs under test (or name them with --olivearch and --oliveledger): %w", err)
 		}
-		x.program, x.ledger = cmp.Or(x.program, program), cmp.Or(x.ledger, ledger)
+		x.program, x.coordinator = cmp.Or(x.program, program), cmp.Or(x.coordinator, coordinator)
 	}
 	for _, file := range files {
 		errs = append(errs, x.play(ctx, file, out))
@@ -91,13 +97,16 @@
 	return errors.Join(errs...)
 }
 
-// play plays one script, and makes the schedule of faults shorter if one that was drawn fails.
+// play plays one script and prints the result. If the faults were drawn at random and a bound is broken, it also looks
+// for a shorter schedule that breaks one.
 func (x *groundFlags) play(ctx context.Context, file *script.File, out io.Writer) error {
 	self, err := os.Executable()
 	if err != nil {
 		return err
 	}
-	o := faulttest.Options{Program: x.program, Ledger: x.ledger, Self: []string{self, standinRole}, Progress: os.Stderr}
+	o := faulttest.Options{
+		Program: x.program, Ledger: x.coordinator, Self: []string{self, standinRole}, Progress: os.Stderr,
+	}
 	if x.keep != "" {
 		o.Folder = filepath.Join(x.keep, file.Name)
 		if err := os.MkdirAll(o.Folder, 0o755); err != nil {
@@ -136,18 +145,18 @@
 	return fmt.Errorf("%s: %w", file.Name, errBroken)
 }
 
-// shrink looks for a shorter schedule that fails too, and prints it as a script that plays again.
+// shrink looks for a shorter schedule of faults that breaks a bound too, and prints it as a script.
 func (x *groundFlags) shrink(ctx context.Context, file *script.File, o faulttest.Options, out io.Writer) error {
 	o.Progress = io.Discard
-	short, plays := schedule.Shrink(file, schedule.Plays, func(f *script.File) bool {
+	shortest, plays := schedule.Shrink(file, schedule.Plays, func(f *script.File) bool {
 		r, err := faulttest.Play(ctx, f, o)
 		return err == nil && !r.Holds
 	})
-	text, err := short.Text()
+	text, err := shortest.Text()
 	if err != nil {
 		return err
 	}
-	fmt.Fprintf(out, "# %d of %d faults, after %d plays\n%s", len(short.Faults), len(file.Faults), plays, text)
+	fmt.Fprintf(out, "# %d of %d faults, after %d plays\n%s", len(shortest.Faults), len(file.Faults), plays, text)
 	if x.out == "" {
 		return nil
 	}
--- a/cmd/olivearch-bench/main.go
+++ b/cmd/olivearch-bench/main.go
@@ -1,5 +1,5 @@
-// Command olivearch-bench plays scenarios (a fleet, its troubles and a load) against olivearch and against what people would use
-// instead, and tells what it saw.
+// Command olivearch-bench runs experiments. It plays scenarios (a fleet of servers, faults and load) against olivearch
+// and against other load balancers, and reports their figures. It also plays fault scripts between many processes.
 package main
 
 import (
@@ -25,33 +25,39 @@
 	"olivearch/internal/strictyaml"
 )
 
-// command is a word that may follow the program's name.
+// command is a subcommand of the program.
 type command struct {
-	name, arguments, about string
-	run                    func(ctx context.Context, args []string, out io.Writer) error
+	name, arguments, summary string
+	run                      func(ctx context.Context, args []string, out io.Writer) error
 }
 
 var commands = []command{
 	{"run", "[flags] SCENARIO.yaml...", "play scenarios; exit 1 if a bound is broken", run},
-	{"check", "SCENARIO.yaml...", "tell everything that is wrong with scenarios, with line and column", check},
-	{"compare", "[flags] NEW.json OLD.json", "tell what has changed between two results; exit 1 past a bound", compare},
-	{"report", "[flags] RESULT.json...", "write a page with plots", write},
-	{"ground", "[flags] SCRIPT.yaml...", "play scripts of faults between many processes; exit 1 if a bound is broken", playGround},
+	{"check", "SCENARIO.yaml...", "report every error in scenarios, with line and column", check},
+	{
+		"compare", "[flags] NEW.json OLD.json",
+		"show what differs between two results; exit 1 if olivearch is worse by more than --most", compare,
+	},
+	{"report", "[flags] RESULT.json...", "write a page with plots for each result", writeReports},
+	{
+		"ground", "[flags] SCRIPT.yaml...",
+		"play fault scripts between many processes; exit 1 if a bound is broken", runGround,
+	},
 	{"list", "[FOLDER]", "list the scenarios of a folder", list},
 }
 
-// errUsage ends the program with exit status 2.
+// errUsage is wrapped by errors about the arguments, which end the program with exit status 2.
 var errUsage = errors.New("wrong usage")
 
 func main() {
-	if len(os.Args) > 1 && os.Args[1] == experiment.Role { // started by itself
+	if len(os.Args) > 1 && os.Args[1] == experiment.Role { // started by this program, as a contender
 		if err := experiment.Contend(os.Args[2:], os.Stdout); err != nil {
 			fmt.Fprintln(os.Stderr, "olivearch-bench:", err)
 			os.Exit(1)
 		}
 		return
 	}
-	if len(os.Args) == 2 && os.Args[1] == standinRole { // and as stand-ins of a ground
+	if len(os.Args) == 2 && os.Args[1] == standinRole { // started by this program, as stand-ins in a fault test
 		if err := fleetsim.Run(os.Stdin, os.Stdout); err != nil {
 			fmt.Fprintln(os.Stderr, "olivearch-bench:", err)
 			os.Exit(1)
@@ -84,25 +90,30 @@
 		}
 		names = append(names, c.name)
 	}
-	if near := strictyaml.Nearest(args[0], names); near != "" {
-		return fmt.Errorf("%w: there is no command %q; did you mean %q?", errUsage, args[0], near)
+	if nearest := strictyaml.Nearest(args[0], names); nearest != "" {
+		return fmt.Errorf("%w: there is no command %q; did you mean %q?", errUsage, args[0], nearest)
 	}
 	return fmt.Errorf("%w: there is no command %q", errUsage, args[0])
 }
 
 func help(out io.Writer) {
-	fmt.Fprint(out, "olivearch-bench plays scenarios against olivearch and against what people would use instead.\n\nUsage:\n")
+	fmt.Fprint(out, "olivearch-bench plays scenarios against olivearch and against other load balancers.\n\nUsage:\n")
 	for _, c := range commands {
-		fmt.Fprintf(out, "  olivearch-bench %-8s %-27s %s\n", c.name, c.arguments, c.about)
+		fmt.Fprintf(out, "  olivearch-bench %-8s %-27s %s\n", c.name, c.arguments, c.summary)
 	}
 	fmt.Fprint(out, `
-"olivearch-bench COMMAND --help" tells the flags of a command. Scenarios are in scenarios/; docs/operate/experiments.md tells how
-to write one for your own fleet. All traffic stays on 127.0.0.1.
-Exit status: 0 done, 1 a bound is broken, it failed or a file is wrong, 2 wrong usage.
+"olivearch-bench COMMAND --help" lists the flags of a command. The folder scenarios/ has scenarios, faultscripts/ has
+fault scripts for the command ground; docs/operate/experiments.md explains how to write a scenario for your own fleet.
+All traffic stays on 127.0.0.1.
+Exit status: 0 success, 1 a bound is broken, a failure or an invalid file, 2 wrong usage.
 `)
 }
 
-func flags(name, usage string, args []string, out io.Writer, define func(*flag.FlagSet)) (*flag.FlagSet, error) {
+// parseFlags parses a command's flags, which define declares. For --help it prints the usage and returns flag.ErrHelp.
+// Other errors wrap errUsage.
+func parseFlags(
+	name, usage string, args []string, out io.Writer, define func(*flag.FlagSet),
+) (*flag.FlagSet, error) {
 	f := flag.NewFlagSet(name, flag.ContinueOnError)
 	f.SetOutput(io.Discard)
 	define(f)
@@ -118,17 +129,19 @@
 	return f, nil
 }
 
-// run plays scenarios.
+// run plays scenarios and prints the figures of each. It returns an error if a bound is broken.
 func run(ctx context.Context, args []string, out io.Writer) error {
-	var mode, only, folder, program string
+	var mode, contenderNames, folder, program string
 	var repeats, seed int
-	f, err := flags("run", "[flags] SCENARIO.yaml...", args, out, func(f *flag.FlagSet) {
-		f.StringVar(&mode, "mode", experiment.Sockets, "`MODE`: sockets or simulated")
-		f.StringVar(&only, "contenders", "", "`NAMES` of the scenario's contenders, with commas; left out: all")
-		f.StringVar(&folder, "out", "", "`FOLDER` for the raw figures (NAME-MODE.json) and a page with plots (NAME-MODE.html)")
-		f.StringVar(&program, "olivearch", "", "`PROGRAM` to play as olivearch; left out: this build")
-		f.IntVar(&repeats, "repeats", 0, "turns of each contender; 0: the scenario's")
-		f.IntVar(&seed, "seed", 0, "of arrivals, sizes and pickers; 0: the scenario's")
+	f, err := parseFlags("run", "[flags] SCENARIO.yaml...", args, out, func(f *flag.FlagSet) {
+		f.StringVar(&mode, "mode", experiment.Sockets, "`MODE`: sockets (on loopback) or simulated (in simulated time)")
+		f.StringVar(&contenderNames, "contenders", "",
+			"`NAMES` of contenders (load balancers) of the scenario, separated by commas; left out: all")
+		f.StringVar(&folder, "out", "",
+			"`FOLDER` for the raw figures (NAME-MODE.json) and a page with plots (NAME-MODE.html); left out: none are written")
+		f.StringVar(&program, "olivearch", "", "`PROGRAM` that runs as olivearch; left out: the code of this build")
+		f.IntVar(&repeats, "repeats", 0, "number of turns of each contender; 0: as in the scenario")
+		f.IntVar(&seed, "seed", 0, "seed of random arrivals, sizes and choices of servers; 0: as in the scenario")
 	})
 	if err != nil {
 		return err
@@ -136,13 +149,13 @@
 	if f.NArg() == 0 || (mode != experiment.Sockets && mode != experiment.Simulated) || repeats < 0 || seed < 0 {
 		return fmt.Errorf("%w: run wants scenarios, --mode sockets or simulated, and no negative number", errUsage)
 	}
-	files, err := read(f.Args())
+	files, err := readScenarios(f.Args())
 	if err != nil {
 		return err
 	}
 	o := experiment.Options{Mode: mode, Repeats: repeats, Seed: seed, Program: program, Progress: os.Stderr}
-	if only != "" {
-		o.Contenders = strings.Split(only, ",")
+	if contenderNames != "" {
+		o.Contenders = strings.Split(contenderNames, ",")
 	}
 	broken := 0
 	for _, file := range files {
@@ -160,7 +173,7 @@
 			}
 		}
 		if folder != "" {
-			if err := keep(folder, r, findings); err != nil {
+			if err := saveResult(folder, r, findings); err != nil {
 				return err
 			}
 		}
@@ -171,8 +184,8 @@
 	return nil
 }
 
-// read reads scenarios, and tells everything that is wrong with them.
-func read(paths []string) ([]*scenario.File, error) {
+// readScenarios reads scenarios. The error joins every error in them; a file with an error is nil in the result.
+func readScenarios(paths []string) ([]*scenario.File, error) {
 	var files []*scenario.File
 	var errs []error
 	for _, path := range paths {
@@ -182,8 +195,8 @@
 	return files, errors.Join(errs...)
 }
 
-// keep writes a result and its page.
-func keep(folder string, r *stats.Result, findings []stats.Finding) error {
+// saveResult writes a result and its page to a folder.
+func saveResult(folder string, r *stats.Result, findings []stats.Finding) error {
 	if err := os.MkdirAll(folder, 0o755); err != nil {
 		return err
 	}
@@ -195,10 +208,10 @@
 	if err := os.WriteFile(base+".json", append(text, '\n'), 0o644); err != nil {
 		return err
 	}
-	return page(base+".html", r, findings)
+	return writePage(base+".html", r, findings)
 }
 
-func page(path string, r *stats.Result, findings []stats.Finding) error {
+func writePage(path string, r *stats.Result, findings []stats.Finding) error {
 	f, err := os.Create(path)
 	if err != nil {
 		return err
@@ -214,7 +227,7 @@
 	if len(args) == 0 {
 		return fmt.Errorf("%w: check wants scenarios", errUsage)
 	}
-	files, err := read(args)
+	files, err := readScenarios(args)
 	for i, f := range files {
 		if f != nil {
 			fmt.Fprintf(out, "%s: well: %d contenders, %d bounds\n", args[i], len(f.Contenders), len(f.Bounds))
@@ -223,8 +236,8 @@
 	return err
 }
 
-// result reads the raw figures of a run.
-func result(path string) (*stats.Result, error) {
+// readResult reads the raw figures of a run.
+func readResult(path string) (*stats.Result, error) {
 	text, err := os.ReadFile(path)
 	if err != nil {
 		return nil, err
@@ -239,60 +252,63 @@
 	return r, nil
 }
 
-// compare tells what has changed.
+// compare prints the figures that differ between two results. It returns an error if olivearch has lost more than is
+// allowed in one of them.
 func compare(_ context.Context, args []string, out io.Writer) error {
-	var most float64
-	var only string
-	f, err := flags("compare", "[flags] NEW.json OLD.json", args, out, func(f *flag.FlagSet) {
-		f.Float64Var(&most, "most", 0.05, "`PART` that olivearch may lose in a figure, beyond the noise, before the exit status is 1")
-		f.StringVar(&only, "figures", "p50,p99,in_aim,per_second,executions,cpu_us,resident_mb", "`NAMES` of figures, with commas")
+	var maxLoss float64
+	var figureNames string
+	f, err := parseFlags("compare", "[flags] NEW.json OLD.json", args, out, func(f *flag.FlagSet) {
+		f.Float64Var(&maxLoss, "most", 0.05,
+			"`PART` (0.05: 5 %) by which a figure of olivearch may be worse, beyond the noise, before the exit status is 1")
+		f.StringVar(&figureNames, "figures", "p50,p99,in_aim,per_second,executions,cpu_us,resident_mb",
+			"`NAMES` of the figures to compare, separated by commas")
 	})
 	if err != nil {
 		return err
 	}
-	if f.NArg() != 2 || !(most >= 0) {
+	if f.NArg() != 2 || !(maxLoss >= 0) {
 		return fmt.Errorf("%w: compare wants two results, the new one first", errUsage)
 	}
-	names := strings.Split(only, ",")
+	names := strings.Split(figureNames, ",")
 	for _, name := range names {
 		if _, ok := scenario.Figures[name]; !ok {
 			return fmt.Errorf("%w: there is no figure %q", errUsage, name)
 		}
 	}
-	a, err := result(f.Arg(0))
+	newer, err := readResult(f.Arg(0))
 	if err != nil {
 		return err
 	}
-	b, err := result(f.Arg(1))
+	older, err := readResult(f.Arg(1))
 	if err != nil {
 		return err
 	}
-	changes, err := stats.Changes(a, b, names)
+	changes, err := stats.Changes(newer, older, names)
 	if err != nil {
 		return err
 	}
-	fmt.Fprintf(out, "%s (%s): new against old\n", a.Scenario, a.Mode)
-	lost := 0
+	fmt.Fprintf(out, "%s (%s): new against old\n", newer.Scenario, newer.Mode)
+	worse := 0
 	for _, c := range changes {
 		if c.Verdict != stats.Noise {
 			fmt.Fprintf(out, "%-12s %v\n", c.Contender, c.Ratio)
 		}
-		if c.Contender == scenario.Olivearch && c.Worse(most) {
-			lost++
+		if c.Contender == scenario.Olivearch && c.Worse(maxLoss) {
+			worse++
 		}
 	}
 	fmt.Fprintf(out, "%d figures; those not shown are %s\n", len(changes), stats.Noise)
-	if lost > 0 {
-		return fmt.Errorf("%d figures of olivearch are worse by over %g %%", lost, most*100)
+	if worse > 0 {
+		return fmt.Errorf("%d figures of olivearch are worse by over %g %%", worse, maxLoss*100)
 	}
 	return nil
 }
 
-// write makes a page of each result.
-func write(_ context.Context, args []string, out io.Writer) error {
+// writeReports writes a page for each result, and with --svg its plots.
+func writeReports(_ context.Context, args []string, out io.Writer) error {
 	var svg string
-	f, err := flags("report", "[flags] RESULT.json...", args, out, func(f *flag.FlagSet) {
-		f.StringVar(&svg, "svg", "", "`FOLDER` for the plots alone, as SVG")
+	f, err := parseFlags("report", "[flags] RESULT.json...", args, out, func(f *flag.FlagSet) {
+		f.StringVar(&svg, "svg", "", "`FOLDER` for the plots as SVG files; left out: none are written")
 	})
 	if err != nil {
 		return err
@@ -301,12 +317,12 @@
 		return fmt.Errorf("%w: report wants results", errUsage)
 	}
 	for _, path := range f.Args() {
-		r, err := result(path)
+		r, err := readResult(path)
 		if err != nil {
 			return err
 		}
 		to := strings.TrimSuffix(path, ".json") + ".html"
-		if err := page(to, r, nil); err != nil {
+		if err := writePage(to, r, nil); err != nil {
 			return err
 		}
 		fmt.Fprintln(out, to)
@@ -319,7 +335,7 @@
 	return nil
 }
 
-// list shows the scenarios of a folder.
+// list prints the scenarios of a folder.
 func list(_ context.Context, args []string, out io.Writer) error {
 	folder := "scenarios"
 	if len(args) == 1 {
@@ -334,7 +350,7 @@
 	if len(paths) == 0 {
 		return fmt.Errorf("no scenarios are in %s", folder)
 	}
-	files, err := read(paths)
+	files, err := readScenarios(paths)
 	t := tabwriter.NewWriter(out, 0, 0, 2, ' ', 0)
 	for i, f := range files {
 		if f != nil {
--- a/cmd/olivearch/descriptors_test.go
+++ b/cmd/olivearch/descriptors_test.go
@@ -16,8 +16,8 @@
 	"time"
 )
 
-// askAndKeep sends a request on a new connection, which is kept open until the test ends, and returns the status.
-func askAndKeep(t *testing.T, listen string, serial int) (status int, err error) {
+// sendAndKeepOpen sends a request on a new connection, which stays open until the test ends, and returns the status.
+func sendAndKeepOpen(t *testing.T, listen string, serial int) (status int, err error) {
 	t.Helper()
 	conn, err := net.Dial("tcp", listen)
 	if err != nil {
@@ -34,7 +34,7 @@
 	return got.status, err
 }
 
-// withDescriptors returns the program with a limit on its descriptors.
+// withDescriptors returns a command that runs the program with a limit on its file descriptors.
 func withDescriptors(t *testing.T, limit int) *exec.Cmd {
 	t.Helper()
 	unlimited := program(t)
@@ -44,19 +44,22 @@
 	return cmd
 }
 
-// TestIdleClientsLeaveDescriptorsForOthers: the system gives the process fewer descriptors than its configuration says,
-// and while discovery is down clients that say nothing, and such as ask once and keep their connection, come for many
-// more than there are. All who ask are answered; discovery and a new upstream are reached as soon as discovery is back.
+// TestIdleClientsLeaveDescriptorsForOthers: the process gets fewer file descriptors than its configuration says. While
+// discovery is down, clients open more connections than it has descriptors: some send nothing, others send one request
+// and keep the connection. Each request must be answered, and when discovery is back, it and the upstream that it lists
+// must be reached.
 func TestIdleClientsLeaveDescriptorsForOthers(t *testing.T) {
 	const descriptors = 80
 	var down atomic.Bool
 	down.Store(true)
-	node := handle(t, func(w http.ResponseWriter, r *http.Request) { respondText(t, w, r.Header.Get("X-Request-Id")) })
+	node := startServer(t, func(w http.ResponseWriter, r *http.Request) {
+		respondText(t, w, r.Header.Get("X-Request-Id"))
+	})
 	list := fmt.Sprintf(`{"revision":7,"complete":true,"members":[`+
 		`{"id":"s-00000001","host_port":"%s","phase":"up","size":1}]}`, node.Listener.Addr())
-	discovery := handle(t, func(w http.ResponseWriter, _ *http.Request) {
+	discovery := startServer(t, func(w http.ResponseWriter, _ *http.Request) {
 		if down.Load() {
-			w.Header().Set("Connection", "close") // each call needs a descriptor of its own
+			w.Header().Set("Connection", "close") // each call needs a new descriptor
 			w.WriteHeader(http.StatusServiceUnavailable)
 			return
 		}
@@ -82,7 +85,7 @@
 	serial := 0
 	ask := func() (status int, err error) {
 		serial++
-		return askAndKeep(t, listen, serial)
+		return sendAndKeepOpen(t, listen, serial)
 	}
 	waitUntil(t, 20*time.Second, "ready", func() bool {
 		_, err := ask()
--- a/cmd/olivearch/helpers_test.go
+++ b/cmd/olivearch/helpers_test.go
@@ -24,7 +24,8 @@
 "profiles":[{"name":"c","target_us":250000,"give_up_us":750000,"repeat":"non_idempotent","worth":1}],
 "reporting":{"via":"piggyback"}}}`
 
-// program returns the command to start: the deployed one if RUN names it, from the root, or else one built here.
+// program returns the command that starts the balancer: the platform's, run from the repository's root, if RUN has it,
+// or else a program built here.
 func program(t *testing.T) *exec.Cmd {
 	t.Helper()
 	if run := os.Getenv("RUN"); run != "" {
@@ -35,7 +36,8 @@
 	return exec.Command(buildProgram(t))
 }
 
-// buildProgram returns the path of the program, built here: RUN names the platform's start, which takes no arguments.
+// buildProgram builds the program and returns its path. Tests with arguments need it, since the command in RUN takes
+// none.
 func buildProgram(t *testing.T) string {
 	t.Helper()
 	path := filepath.Join(t.TempDir(), "olivearch")
@@ -56,7 +58,7 @@
 	return listener.Addr().String()
 }
 
-// writeFile replaces a file by a rename, so that nobody reads half of it.
+// writeFile replaces a file by a rename, so that no reader sees a part of it.
 func writeFile(t *testing.T, path, text string) {
 	t.Helper()
 	if err := os.WriteFile(path+".new", []byte(text), 0o600); err != nil {
@@ -67,7 +69,7 @@
 	}
 }
 
-// waitUntil polls a condition and ends the test if it doesn't hold within a limit.
+// waitUntil polls a condition and fails the test if it doesn't hold within a limit.
 func waitUntil(t *testing.T, limit time.Duration, what string, condition func() bool) {
 	t.Helper()
 	for deadline := time.Now().Add(limit); !condition(); time.Sleep(time.Millisecond) {
@@ -91,7 +93,7 @@
 type answer struct {
 	status int
 	body   string
-	closes bool // the connection is closed behind it
+	closes bool // the connection is closed after it
 }
 
 func readAnswer(reader *bufio.Reader) (answer, error) {
@@ -104,33 +106,33 @@
 	return answer{status: response.StatusCode, body: string(body), closes: response.Close}, err
 }
 
-// requestHeader is the header of a request of class c with a body of so many bytes.
+// requestHeader returns the header of a request of class c with a body of the given length.
 func requestHeader(id string, bodyLength int) string {
 	return fmt.Sprintf("POST /c HTTP/1.1\r\nHost: x\r\nX-Class: c\r\nX-Request-Id: %s\r\nContent-Length: %d\r\n\r\n",
 		id, bodyLength)
 }
 
-// handle starts a server until the test ends and returns its address.
-func handle(t *testing.T, handler http.HandlerFunc) *httptest.Server {
+// startServer starts a server, which runs until the test ends.
+func startServer(t *testing.T, handler http.HandlerFunc) *httptest.Server {
 	t.Helper()
 	server := httptest.NewServer(handler)
 	t.Cleanup(server.Close)
 	return server
 }
 
-// discover starts so many upstreams and a discovery service that lists them, all until the test ends.
-func discover(
+// startDiscovery starts upstreams and a discovery service that lists them. All run until the test ends.
+func startDiscovery(
 	t *testing.T, upstreams int, respond func(upstream int, w http.ResponseWriter, r *http.Request),
 ) *httptest.Server {
 	t.Helper()
 	var members []string
 	for i := range upstreams {
-		server := handle(t, func(w http.ResponseWriter, r *http.Request) { respond(i, w, r) })
+		server := startServer(t, func(w http.ResponseWriter, r *http.Request) { respond(i, w, r) })
 		members = append(members,
 			fmt.Sprintf(`{"id":"s-%08x","host_port":"%s","phase":"up","size":1}`, i+1, server.Listener.Addr()))
 	}
 	list := fmt.Sprintf(`{"revision":7,"complete":true,"members":[%s]}`, strings.Join(members, ","))
-	return handle(t, func(w http.ResponseWriter, r *http.Request) {
+	return startServer(t, func(w http.ResponseWriter, r *http.Request) {
 		if r.URL.Query().Get("since") == "7" { // nothing newer
 			select {
 			case <-r.Context().Done():
@@ -141,7 +143,7 @@
 	})
 }
 
-// respondText writes a response; an error, such as that the client has gone, is only logged.
+// respondText writes a response. An error is only logged, since the client may have left.
 func respondText(t *testing.T, w io.Writer, text string) {
 	if _, err := io.WriteString(w, text); err != nil {
 		t.Log(err)
@@ -160,10 +162,10 @@
 type loggedProcess struct {
 	cmd   *exec.Cmd
 	lines chan string // closed when the log ends
-	seen  []string    // lines that have been taken
+	seen  []string    // lines received so far
 }
 
-// startLogged starts a process, which is killed after a limit, at which the test fails, or when the test ends.
+// startLogged starts a process. It is killed when the test ends, or after a limit, so that awaitLog and awaitEnd fail.
 func startLogged(t *testing.T, cmd *exec.Cmd, limit time.Duration) *loggedProcess {
 	t.Helper()
 	log, err := cmd.StderrPipe()
@@ -199,7 +201,7 @@
 	}
 }
 
-// awaitLog waits for a line with a text in it, from the last line that was taken on.
+// awaitLog waits for a line that contains a text, after the lines received so far.
 func (p *loggedProcess) awaitLog(t *testing.T, text string) {
 	t.Helper()
 	for line := range p.lines {
@@ -211,7 +213,7 @@
 	t.Fatalf("%q was not logged", text)
 }
 
-// awaitEnd waits until the process has ended and requires status 0, which one that was killed does not have.
+// awaitEnd waits until the process has ended and requires exit status 0, which a killed process does not have.
 func (p *loggedProcess) awaitEnd(t *testing.T) {
 	t.Helper()
 	p.drain()
--- a/cmd/olivearch/main_test.go
+++ b/cmd/olivearch/main_test.go
@@ -11,8 +11,8 @@
 	"time"
 )
 
-// TestSmoke starts the program, waits until it is healthy, sends SIGHUP with a bad and with a good configuration, and
-// ends it by SIGTERM. The first discovery is down, also in RELAY_DISCOVERY; the second must be asked.
+// TestSmoke starts the program, waits until it is healthy, sends SIGHUP with an invalid and with a valid configuration,
+// and ends it by SIGTERM. At first, no discovery service answers; after the reload, the new one must get a call.
 func TestSmoke(t *testing.T) {
 	const limit = 30 * time.Second
 	listen := freeAddress(t)
@@ -20,7 +20,7 @@
 	path := filepath.Join(t.TempDir(), "config.json")
 	writeFile(t, path, fmt.Sprintf(platformConfig, listen, down))
 	asked := make(chan struct{}, 100)
-	second := handle(t, func(w http.ResponseWriter, _ *http.Request) {
+	second := startServer(t, func(w http.ResponseWriter, _ *http.Request) {
 		asked <- struct{}{}
 		w.WriteHeader(http.StatusServiceUnavailable)
 	})
@@ -38,14 +38,14 @@
 	select {
 	case <-asked:
 	case <-time.After(limit):
-		t.Fatal("the new discovery is not asked")
+		t.Fatal("the new discovery service gets no call")
 	}
 
 	sendSignal(t, cmd, syscall.SIGTERM)
 	process.awaitEnd(t)
 }
 
-func TestBadStartSaysWhy(t *testing.T) {
+func TestStartWithoutConfigurationFails(t *testing.T) {
 	cmd := program(t)
 	cmd.Env = append(os.Environ(), "RELAY_CONFIG=")
 	out, err := cmd.CombinedOutput()
--- a/cmd/olivearch/promises_test.go
+++ b/cmd/olivearch/promises_test.go
@@ -19,11 +19,11 @@
 )
 
 // TestOverrideIsShared starts three coordination servers and two balancers. An override that is set at one balancer
-// holds at the other, survives the death of the first, and an answer says when it could not be stored by the cluster;
-// requests are served throughout.
+// holds at the other and survives a restart of the first without the cluster. Without the cluster, the answers to
+// operators say that an override was not stored there. Requests are served throughout.
 func TestOverrideIsShared(t *testing.T) {
 	var hits [2]atomic.Int64
-	discovery := discover(t, len(hits), func(node int, w http.ResponseWriter, _ *http.Request) {
+	discovery := startDiscovery(t, len(hits), func(node int, w http.ResponseWriter, _ *http.Request) {
 		hits[node].Add(1)
 		if _, err := io.WriteString(w, "done"); err != nil {
 			t.Log(err)
@@ -42,46 +42,46 @@
 	_, secondAddress := starter.start(t, "two")
 	requireServed(t, secondAddress)
 
-	got := first.call(t, "maint-on s-00000001")
+	got := first.send(t, "maint-on s-00000001")
 	if !strings.HasPrefix(got, "+OK held by ") || !strings.HasSuffix(got, " of 3") {
 		t.Fatalf("maint-on: %s", got)
 	}
-	if !isSpared(t, secondAddress, &hits[0]) {
+	if !stopsSending(t, secondAddress, &hits[0]) {
 		t.Error("the other balancer was not notified")
 	}
-	if got := first.call(t, "maint-on s-00000009"); !strings.HasPrefix(got, "-ERR there is no upstream") {
-		t.Errorf("an unknown one: %s", got)
+	if got := first.send(t, "maint-on s-00000009"); !strings.HasPrefix(got, "-ERR there is no upstream") {
+		t.Errorf("maint-on of an unknown upstream: %s", got)
 	}
 	awaitStoredOverride(t, filepath.Join(folder, "one", "copy"), "s-00000001")
 	killAndWait(first.cmd)
 	cluster.kill()
 
 	restarted, address := starter.start(t, "one")
-	if !isSpared(t, address, &hits[0]) {
-		t.Error("a restart has put it back")
+	if !stopsSending(t, address, &hits[0]) {
+		t.Error("the override does not hold after a restart")
 	}
 	checkAnswersWithoutQuorum(t, restarted)
 	// An upstream that is back in service warms up first.
 	for deadline := time.Now().Add(10 * time.Second); post(t, address) != http.StatusOK; {
 		if time.Now().After(deadline) {
-			t.Fatal("nothing is served by the one that is back")
+			t.Fatal("the upstream that is back in service serves nothing")
 		}
 	}
 }
 
-// checkAnswersWithoutQuorum sets and clears overrides at a balancer for which s-00000001 is out by the cluster's
+// checkAnswersWithoutQuorum sets and clears overrides at a balancer for which s-00000001 is out of service by a shared
 // override.
-func checkAnswersWithoutQuorum(t *testing.T, balancer *running) {
+func checkAnswersWithoutQuorum(t *testing.T, balancer *balancerProcess) {
 	t.Helper()
 	began := time.Now()
-	if got := balancer.call(t, "maint-off s-00000001"); !strings.HasPrefix(got, "-ERR still out, here and at the others") {
+	if got := balancer.send(t, "maint-off s-00000001"); !strings.HasPrefix(got, "-ERR still out, here and at the others") {
 		t.Errorf("maint-off without a quorum: %s", got)
 	}
-	if got := balancer.call(t, "maint-on s-00000002"); !strings.HasPrefix(got, "-ERR only here, not copied") {
+	if got := balancer.send(t, "maint-on s-00000002"); !strings.HasPrefix(got, "-ERR only here, not copied") {
 		t.Errorf("maint-on without a quorum: %s", got)
 	}
-	if got := balancer.call(t, "maint-off s-00000002"); !strings.HasPrefix(got, "-ERR back here") {
-		t.Errorf("maint-off of what was only here: %s", got)
+	if got := balancer.send(t, "maint-off s-00000002"); !strings.HasPrefix(got, "-ERR back here") {
+		t.Errorf("maint-off of a local override: %s", got)
 	}
 	if took := time.Since(began); took > 8*time.Second {
 		t.Errorf("three answers took %v", took)
@@ -128,7 +128,7 @@
 	return cluster
 }
 
-// awaitLeader waits until a quorum answers.
+// awaitLeader waits until a linearizable read succeeds, which requires a leader.
 func (c *coordinationCluster) awaitLeader(t *testing.T) {
 	t.Helper()
 	caller := client.New("test", c.addresses)
@@ -161,8 +161,8 @@
 	voters    string
 }
 
-// start starts a balancer of that name, with a folder of its own, and returns it and the address that it listens at.
-func (s balancerStarter) start(t *testing.T, name string) (*running, string) {
+// start starts a balancer of that name with its own folder, and returns it and its address for clients.
+func (s balancerStarter) start(t *testing.T, name string) (*balancerProcess, string) {
 	t.Helper()
 	own := filepath.Join(s.folder, name)
 	if err := os.MkdirAll(own, 0o700); err != nil {
@@ -180,9 +180,9 @@
 		}
 	}
 	cmd := &exec.Cmd{Path: s.program.Path, Args: s.program.Args, Dir: s.program.Dir}
-	balancer := &running{cmd: cmd, calls: freeAddress(t), log: &bytes.Buffer{}}
+	balancer := &balancerProcess{cmd: cmd, adminAddress: freeAddress(t), log: &bytes.Buffer{}}
 	cmd.Env = append(os.Environ(),
-		"RELAY_CONFIG="+config, "RELAY_MANAGEMENT="+balancer.calls, "RELAY_PROMISES="+promises, "TMPDIR="+own)
+		"RELAY_CONFIG="+config, "RELAY_MANAGEMENT="+balancer.adminAddress, "RELAY_PROMISES="+promises, "TMPDIR="+own)
 	cmd.Stderr = balancer.log
 	if err := cmd.Start(); err != nil {
 		t.Fatal(err)
@@ -219,8 +219,8 @@
 	}
 }
 
-// isSpared tells whether a balancer soon sends nothing more to the node whose requests are counted.
-func isSpared(t *testing.T, address string, hits *atomic.Int64) bool {
+// stopsSending reports whether a balancer soon sends no more requests to the upstream that counts them in hits.
+func stopsSending(t *testing.T, address string, hits *atomic.Int64) bool {
 	t.Helper()
 	for deadline := time.Now().Add(10 * time.Second); time.Now().Before(deadline); {
 		before := hits.Load()
@@ -234,7 +234,7 @@
 	return false
 }
 
-// awaitStoredOverride waits until a balancer's copy names the target: it is on the disk moments after the answer.
+// awaitStoredOverride waits until a balancer's stored copy names the target. It is written after the answer is sent.
 func awaitStoredOverride(t *testing.T, path, target string) {
 	t.Helper()
 	for deadline := time.Now().Add(10 * time.Second); ; time.Sleep(5 * time.Millisecond) {
@@ -243,12 +243,12 @@
 			return
 		}
 		if time.Now().After(deadline) {
-			t.Fatalf("the copy does not have it: %v", err)
+			t.Fatalf("the override is not in the stored copy: %v", err)
 		}
 	}
 }
 
-// TestFormatCounts checks how members prints the number of grants.
+// TestFormatCounts checks the form in which the subcommand members prints the numbers of grants.
 func TestFormatCounts(t *testing.T) {
 	for _, test := range []struct {
 		counts map[string]int
@@ -264,7 +264,7 @@
 	}
 }
 
-// TestPromisesArguments checks which subcommands are found, with how many arguments.
+// TestPromisesArguments checks which subcommands are accepted, with which numbers of arguments.
 func TestPromisesArguments(t *testing.T) {
 	for _, known := range []string{
 		"list", "show s-1", "set out s-1", "set cap s-1 7", "clear out s-1", "bound b 4", "members",
--- a/cmd/olivearch/refused_test.go
+++ b/cmd/olivearch/refused_test.go
@@ -22,9 +22,9 @@
 	"golang.org/x/sys/unix"
 )
 
-// Some environments deny system calls that the program would like to use. This test's own binary installs a filter on
-// itself (seccomp(2), which needs no rights) and becomes the program: denied are splice (EINVAL), sendfile, io_uring,
-// fork and the like (ENOSYS).
+// Some environments deny system calls that the program uses where it can. To test this, the test binary installs a
+// filter on itself by seccomp(2), which needs no privileges, and executes the program. The filter denies splice
+// (EINVAL), and sendfile, io_uring, fork, vfork, clone3 and clone of processes (ENOSYS).
 const (
 	filterVariable  = "OLIVEARCH_TEST_REFUSE" // a filterMode
 	programVariable = "OLIVEARCH_TEST_BECOME" // the path of the program
@@ -36,7 +36,7 @@
 const (
 	spliceDenied filterMode = "refused" // splice fails
 	spliceFatal  filterMode = "fatal"   // splice ends the process
-	probeFilter  filterMode = "probe"   // instead of a program, try the calls and print whether they are denied
+	probeFilter  filterMode = "probe"   // instead of executing the program, try the calls and print whether each is denied
 )
 
 const exitFilterFailed = 3
@@ -59,7 +59,7 @@
 	os.Exit(exitFilterFailed)
 }
 
-// printDenied prints for each kind of calls whether it is denied.
+// printDenied prints whether each kind of call is denied.
 func printDenied() {
 	_, splice := unix.Splice(-1, nil, -1, nil, 1, 0)
 	_, _, ring := syscall.RawSyscall(unix.SYS_IO_URING_SETUP, 1, 0, 0)
@@ -94,7 +94,7 @@
 	return unix.SockFilter{Code: unix.BPF_LD | unix.BPF_W | unix.BPF_ABS, K: offset}
 }
 
-// bpfJump skips so many instructions if the test of the loaded word with an operand is true, and so many otherwise.
+// bpfJump tests the loaded word against an operand, and skips ifTrue instructions if the test holds, else ifFalse.
 func bpfJump(test uint16, operand uint32, ifTrue, ifFalse uint8) unix.SockFilter {
 	return unix.SockFilter{Code: unix.BPF_JMP | test | unix.BPF_K, K: operand, Jt: ifTrue, Jf: ifFalse}
 }
@@ -103,7 +103,7 @@
 	return unix.SockFilter{Code: unix.BPF_RET | unix.BPF_K, K: result}
 }
 
-// installFilter installs the filter on all threads of this process and on what it becomes.
+// installFilter installs the filter on all threads of this process. It stays in force for a program executed later.
 func installFilter(spliceIsFatal bool) error {
 	filter := filterProgram(spliceIsFatal)
 	if err := unix.Prctl(unix.PR_SET_NO_NEW_PRIVS, 1, 0, 0, 0); err != nil {
@@ -139,7 +139,7 @@
 	} {
 		filter = append(filter, bpfJump(unix.BPF_JEQ, call, 0, 1), noSuchCall)
 	}
-	// clone is denied but for new threads.
+	// clone is denied, except for new threads.
 	return append(filter,
 		bpfJump(unix.BPF_JEQ, unix.SYS_CLONE, 0, 3),
 		bpfLoad(offsetFirstArgument),
@@ -156,8 +156,8 @@
 	listen string
 }
 
-// startFiltered starts the program under the filter, with a folder for temporary files of its own, and returns once it
-// is healthy.
+// startFiltered starts the program under the filter, with the given folder for temporary files, and returns once it is
+// healthy.
 func startFiltered(t *testing.T, mode filterMode, discovery, temporary string) *filteredProcess {
 	t.Helper()
 	self, err := os.Executable()
@@ -185,8 +185,8 @@
 	return p
 }
 
-// sendBody sends a body of so many bytes in two parts, so that some of it comes when its upstream has been chosen, and
-// returns the body of the answer.
+// sendBody sends a body of the given size after the header, in a separate write, so that a part of it arrives after an
+// upstream has been chosen. It returns the body of the answer.
 func (p *filteredProcess) sendBody(size int) (string, error) {
 	conn, err := net.Dial("tcp", p.listen)
 	if err != nil {
@@ -206,7 +206,7 @@
 	return got.body, err
 }
 
-// listenSilently takes connections where a previous process of the program would answer, and says nothing.
+// listenSilently listens at the Unix socket of a previous process of the program, and never answers.
 func listenSilently(t *testing.T, temporary string) {
 	t.Helper()
 	address := &net.UnixAddr{Name: filepath.Join(temporary, "olivearch-n0.sock"), Net: "unixpacket"}
@@ -230,13 +230,13 @@
 	}
 }
 
-// TestSystemCallsThatAreRefused: where splice is denied bodies are copied instead; that they would be spliced shows
-// where splice is fatal. Nothing else that is denied is missed, and a Unix socket at which nobody answers, or nobody
-// is, keeps nothing from starting.
+// TestSystemCallsThatAreRefused: if splice is denied, bodies are copied instead. The case "fatal" shows that the
+// program would use splice. The program works without the other denied calls, and starts although nothing answers at
+// the Unix socket of a previous process.
 func TestSystemCallsThatAreRefused(t *testing.T) {
 	requireFilterWorks(t)
 	const size = 4 << 20
-	discovery := discover(t, 1, func(_ int, w http.ResponseWriter, r *http.Request) {
+	discovery := startDiscovery(t, 1, func(_ int, w http.ResponseWriter, r *http.Request) {
 		received, err := io.Copy(io.Discard, r.Body)
 		if err != nil {
 			t.Log(err)
@@ -248,7 +248,7 @@
 		temporary := t.TempDir()
 		listenSilently(t, temporary)
 		process := startFiltered(t, spliceDenied, discovery, temporary)
-		waitUntil(t, 20*time.Second, "answered", func() bool { // until its list has come
+		waitUntil(t, 20*time.Second, "answered", func() bool { // the endpoint list may not have come yet
 			got, err := process.sendBody(size)
 			if err != nil {
 				t.Fatalf("splice is denied: %v", err)
@@ -260,7 +260,7 @@
 			t.Errorf("ended with %v", err)
 		}
 		if !strings.Contains(process.log.String(), "previous process not taken over") {
-			t.Error("nothing is logged of the silent socket")
+			t.Error("the silent socket is not logged")
 		}
 	})
 
@@ -271,7 +271,7 @@
 		waitUntil(t, 20*time.Second, "killed at a splice", func() bool {
 			got, err := process.sendBody(size)
 			if got != "" {
-				t.Fatal("a body went through where splice is fatal: the other case shows nothing")
+				t.Fatal("a body was sent although splice is fatal: the case denied does not test splice")
 			}
 			return err != nil
 		})
--- a/cmd/olivearch/reload_test.go
+++ b/cmd/olivearch/reload_test.go
@@ -17,7 +17,7 @@
 
 const reloadLimit = 20 * time.Second
 
-// reloadable is a server in this process whose signals the test sends.
+// reloadable is a server in the test's process, which gets its signals from the test.
 type reloadable struct {
 	server       *server
 	hangups      chan os.Signal
@@ -26,7 +26,7 @@
 	url          string
 }
 
-// startReloadable starts a server of a configuration file, with what reads the file at a reload.
+// startReloadable prepares a server of a configuration file. At a reload it calls reload.
 func startReloadable(
 	t *testing.T, path string, reload func(current *config.Loaded) (*config.Loaded, error),
 ) *reloadable {
@@ -54,7 +54,7 @@
 
 func (r *reloadable) run() { go func() { r.ended <- r.server.run() }() }
 
-// hangup sends a hang-up as signal.Notify does: one that finds no room is dropped.
+// hangup sends SIGHUP as signal.Notify does: it is dropped if one is waiting already.
 func (r *reloadable) hangup() {
 	select {
 	case r.hangups <- syscall.SIGHUP:
@@ -62,8 +62,8 @@
 	}
 }
 
-// knows reports whether a route with this path is in force.
-func (r *reloadable) knows(t *testing.T, path string) bool {
+// hasRoute reports whether a route with this path is in force.
+func (r *reloadable) hasRoute(t *testing.T, path string) bool {
 	t.Helper()
 	response, err := http.Get(r.url + path)
 	if err != nil {
@@ -82,18 +82,18 @@
 `
 }
 
-// TestReloadDuringReload: while a configuration is being read it is written again twice, with a hang-up each; the last
-// text wins, and SIGTERM is not lost behind hang-ups, however many there are.
+// TestReloadDuringReload: during a reload, the configuration changes twice, with a SIGHUP after each change. The last
+// version must be in force in the end, and SIGTERM must not be lost among many SIGHUPs.
 func TestReloadDuringReload(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "c.yaml")
 	writeFile(t, path, configurationWithRoute("/a"))
-	reloaded := make(chan string) // paths of the route, as read
+	reloaded := make(chan string) // the path of the route in each configuration read
 	var r *reloadable
 	reloads := 0
 	r = startReloadable(t, path, func(current *config.Loaded) (*config.Loaded, error) {
 		next, err := config.Reload(path, current)
 		reloads++
-		if reloads == 1 { // it has been read: what comes now is too late for it
+		if reloads == 1 { // the file has been read: a later change needs another reload
 			writeFile(t, path, configurationWithRoute("/c"))
 			r.hangup()
 			writeFile(t, path, configurationWithRoute("/d"))
@@ -113,13 +113,13 @@
 				t.Errorf("read %s, want %s", got, want)
 			}
 		case <-time.After(reloadLimit):
-			t.Fatal("a hang-up was lost")
+			t.Fatal("a SIGHUP was lost")
 		}
 	}
-	waitUntil(t, reloadLimit, "the last text is in force", func() bool { return r.knows(t, "/d") })
+	waitUntil(t, reloadLimit, "the last version is in force", func() bool { return r.hasRoute(t, "/d") })
 	for _, path := range []string{"/a", "/b", "/c"} {
-		if r.knows(t, path) {
-			t.Errorf("an old text is in force: it has %s", path)
+		if r.hasRoute(t, path) {
+			t.Errorf("an old version is in force: it has %s", path)
 		}
 	}
 	for range 10 {
@@ -129,7 +129,7 @@
 	requireEnds(t, r, reloaded)
 }
 
-// requireEnds waits until a server has ended, whatever it still reloads.
+// requireEnds waits until a server has ended, and accepts further reloads before.
 func requireEnds(t *testing.T, r *reloadable, reloaded <-chan string) {
 	t.Helper()
 	for {
@@ -164,8 +164,8 @@
 	return text.String()
 }
 
-// TestMemoryAtItsLimit: a configuration that the memory can't hold is rejected in one line with its place, by check, at
-// the start and by a reload, at which the current one stays.
+// TestMemoryAtItsLimit: a configuration that needs more memory than its limit is rejected by check, at the start and by
+// a reload, in one line with the place of the limit. After the reload, the current configuration stays in force.
 func TestMemoryAtItsLimit(t *testing.T) {
 	folder := t.TempDir()
 	path := filepath.Join(folder, "c.yaml")
@@ -229,8 +229,8 @@
 	return "pools:\n" + pools.String() + "routes:\n" + routes.String()
 }
 
-// TestCheckAtSize: 490 pools of one of many balancers are checked within a few seconds, with what they cost; with too
-// few descriptors or too little memory for their nodes it says how much is needed.
+// TestCheckAtSize: check reports the cost of 490 pools of one of many balancers within a few seconds. If there are too
+// few descriptors or too little memory for them, it reports how much is needed.
 func TestCheckAtSize(t *testing.T) {
 	const limit = 5 * time.Second
 	folder := t.TempDir()
--- a/cmd/olivearch/services_test.go
+++ b/cmd/olivearch/services_test.go
@@ -15,7 +15,7 @@
 	"olivearch/internal/standin/instant"
 )
 
-// requireStatuses posts to paths of a balancer and compares the statuses.
+// requireStatuses posts to paths of a balancer and compares the status codes.
 func requireStatuses(t *testing.T, when, listen string, want map[string]int) {
 	t.Helper()
 	for path, status := range want {
@@ -30,7 +30,7 @@
 	}
 }
 
-// TestServe runs a configuration, reloads it with a bad and a good file, looks with top, and ends by SIGTERM.
+// TestServe runs a configuration, reloads an invalid and a valid one, shows the live view by top, and ends by SIGTERM.
 func TestServe(t *testing.T) {
 	node, err := instant.Start(5)
 	if err != nil {
--- a/cmd/olivearch/upgrade_test.go
+++ b/cmd/olivearch/upgrade_test.go
@@ -18,17 +18,17 @@
 	"time"
 )
 
-// running is a process of the balancer with the address for operators' commands.
-type running struct {
-	cmd   *exec.Cmd
-	calls string
-	log   *bytes.Buffer // to be read once the process has ended
+// balancerProcess is a process of the balancer with an address for operators' commands.
+type balancerProcess struct {
+	cmd          *exec.Cmd
+	adminAddress string
+	log          *bytes.Buffer // to be read once the process has ended
 }
 
-// call sends an operator's command and returns the answer.
-func (r *running) call(t *testing.T, line string) string {
+// send sends an operator's command and returns the answer.
+func (r *balancerProcess) send(t *testing.T, line string) string {
 	t.Helper()
-	conn, err := net.Dial("tcp", r.calls)
+	conn, err := net.Dial("tcp", r.adminAddress)
 	if err != nil {
 		return err.Error()
 	}
@@ -47,17 +47,17 @@
 }
 
 // await repeats a command until it is accepted.
-func (r *running) await(t *testing.T, line string) {
+func (r *balancerProcess) await(t *testing.T, line string) {
 	t.Helper()
-	for deadline := time.Now().Add(20 * time.Second); r.call(t, line) != "+OK"; time.Sleep(10 * time.Millisecond) {
+	for deadline := time.Now().Add(20 * time.Second); r.send(t, line) != "+OK"; time.Sleep(10 * time.Millisecond) {
 		if time.Now().After(deadline) {
-			t.Fatalf("%s: %s\n%s", line, r.call(t, line), r.log)
+			t.Fatalf("%s: %s\n%s", line, r.send(t, line), r.log)
 		}
 	}
 }
 
 // end ends the process by SIGTERM and waits for it.
-func (r *running) end(t *testing.T) {
+func (r *balancerProcess) end(t *testing.T) {
 	t.Helper()
 	sendSignal(t, r.cmd, syscall.SIGTERM)
 	if err := r.cmd.Wait(); err != nil {
@@ -65,8 +65,8 @@
 	}
 }
 
-// upgradeClients send requests one after the other until they are stopped. Any that isn't answered by an upstream, or
-// whose connection is closed, is an error of the test.
+// upgradeClients send requests one after the other until they are stopped. A request that no upstream answers, and an
+// answer that closes the connection, is an error of the test.
 type upgradeClients struct {
 	listen   string
 	stopped  atomic.Bool
@@ -74,7 +74,7 @@
 	group    sync.WaitGroup
 }
 
-// start starts so many clients; every other one uses a new connection for each request.
+// start starts clients. Every other one uses a new connection for each request.
 func (c *upgradeClients) start(t *testing.T, count int) {
 	for client := range count {
 		c.group.Go(func() {
@@ -134,7 +134,7 @@
 	return readAnswer(reader)
 }
 
-// awaitAnswers waits until so many more requests have been answered.
+// awaitAnswers waits until count more requests have been answered.
 func (c *upgradeClients) awaitAnswers(t *testing.T, count int64) {
 	t.Helper()
 	before := c.answered.Load()
@@ -146,7 +146,7 @@
 	})
 }
 
-// requireHealthyOn asks for the balancer's health on an open connection.
+// requireHealthyOn requests the balancer's health on an open connection.
 func requireHealthyOn(t *testing.T, when string, conn net.Conn, reader *bufio.Reader) {
 	t.Helper()
 	if _, err := io.WriteString(conn, "GET /healthz HTTP/1.1\r\nHost: x\r\n\r\n"); err != nil {
@@ -157,18 +157,18 @@
 	}
 }
 
-// upgradable starts processes of one balancer beside each other.
+// upgradable starts processes of one balancer, which may run at the same time.
 type upgradable struct {
 	program *exec.Cmd
 	env     []string
 }
 
-func (u upgradable) start(t *testing.T) *running {
+func (u upgradable) start(t *testing.T) *balancerProcess {
 	t.Helper()
 	cmd := &exec.Cmd{Path: u.program.Path, Args: u.program.Args, Dir: u.program.Dir}
-	process := &running{cmd: cmd, calls: freeAddress(t), log: &bytes.Buffer{}}
+	process := &balancerProcess{cmd: cmd, adminAddress: freeAddress(t), log: &bytes.Buffer{}}
 	cmd.Env = append(os.Environ(), u.env...)
-	cmd.Env = append(cmd.Env, "RELAY_MANAGEMENT="+process.calls)
+	cmd.Env = append(cmd.Env, "RELAY_MANAGEMENT="+process.adminAddress)
 	cmd.Stderr = process.log
 	if err := cmd.Start(); err != nil {
 		t.Fatal(err)
@@ -178,12 +178,12 @@
 	return process
 }
 
-// TestUpgrade starts the program, and twice another beside it that takes over, while clients send requests on
-// connections that they keep and on new ones. No request is lost or rejected, kept connections stay open, and
-// operators' overrides hold.
+// TestUpgrade starts the program, and twice a new process that takes over from the running one, while clients send
+// requests on kept and on new connections. No request is lost or rejected, kept connections stay open, and operators'
+// overrides hold.
 func TestUpgrade(t *testing.T) {
 	var hits [2]atomic.Int64
-	discovery := discover(t, len(hits), func(upstream int, w http.ResponseWriter, r *http.Request) {
+	discovery := startDiscovery(t, len(hits), func(upstream int, w http.ResponseWriter, r *http.Request) {
 		hits[upstream].Add(1)
 		time.Sleep(2 * time.Millisecond)
 		respondText(t, w, r.Header.Get("X-Request-Id"))
@@ -194,7 +194,8 @@
 	if err := os.Mkdir(temporary, 0o700); err != nil {
 		t.Fatal(err)
 	}
-	// Between two commands no upstream is left, and requests wait for the second: here longer than a slow machine takes.
+	// Between the commands maint-on and maint-off no upstream is in service, and requests are queued. The deadlines allow
+	// for a slow machine.
 	config := strings.Replace(platformConfig,
 		`"target_us":250000,"give_up_us":750000`, `"target_us":8000000,"give_up_us":9000000`, 1)
 	path := filepath.Join(folder, "config.json")
@@ -213,11 +214,11 @@
 	requireHealthyOn(t, "at first", idle, idleReader)
 
 	current.await(t, "maint-on s-00000002")
-	clients.awaitAnswers(t, 100) // what was sent before the command was accepted has arrived by then
+	clients.awaitAnswers(t, 100) // requests sent before the command was accepted have arrived by then
 	hitsBefore := hits[1].Load()
 	for range 2 {
 		next := balancer.start(t)
-		// A command to one process holds in the other at once while both run.
+		// While both processes run, a command to one holds in the other at once.
 		current.await(t, "maint-on s-00000001")
 		next.await(t, "maint-off s-00000001")
 		current.end(t)
@@ -225,10 +226,10 @@
 		clients.awaitAnswers(t, 100)
 	}
 	if n := hits[1].Load(); n != hitsBefore {
-		t.Errorf("%d requests at the upstream that is out", n-hitsBefore)
+		t.Errorf("%d requests at the upstream that is out of service", n-hitsBefore)
 	}
 	current.await(t, "maint-off s-00000002")
-	waitUntil(t, 20*time.Second, "requests at the upstream that is back", func() bool {
+	waitUntil(t, 20*time.Second, "requests at the upstream that is back in service", func() bool {
 		return hits[1].Load() != hitsBefore
 	})
 	clients.stop()
