--- a/cmd/olivearch-bench/ground.go
+++ b/cmd/olivearch-bench/ground.go
@@ -34,31 +34,31 @@
 
 // runGround plays fault scripts between many processes.
 func runGround(ctx context.Context, args []string, out io.Writer) error {
-	var x groundFlags
+	var flags groundFlags
 	f, err := parseFlags("ground", "[flags] SCRIPT.yaml...", args, out, func(f *flag.FlagSet) {
-		f.StringVar(&x.program, "olivearch", "",
+		f.StringVar(&flags.program, "olivearch", "",
 			"`PROGRAM` under test; left out: built from this source with the tag faultinject")
-		f.StringVar(&x.coordinator, "oliveledger", "",
+		f.StringVar(&flags.coordinator, "oliveledger", "",
 			"`PROGRAM` of the voters (olivearch-coordinator); left out: built from this source with the tag faultinject")
-		f.StringVar(&x.out, "out", "",
+		f.StringVar(&flags.out, "out", "",
 			"`FOLDER` for a timeline of each script (NAME-SEED.svg), and for drawn faults that break a bound (NAME-SEED.yaml)")
-		f.StringVar(&x.keep, "keep", "", "`FOLDER` in which to keep the files and logs of the processes")
-		f.IntVar(&x.seed, "seed", 0,
+		f.StringVar(&flags.keep, "keep", "", "`FOLDER` in which to keep the files and logs of the processes")
+		f.IntVar(&flags.seed, "seed", 0,
 			"seed `N` of what the script draws at random, and of --faults; 0: the seed in the script")
-		f.IntVar(&x.faults, "faults", 0, "replace the faults of the script by this number of random ones; 0: keep them")
-		f.BoolVar(&x.check, "check", false, "only check the scripts")
-		f.BoolVar(&x.figures, "figures", false, "list the figures that bounds may name, and play nothing")
+		f.IntVar(&flags.faults, "faults", 0, "replace the faults of the script by this number of random ones; 0: keep them")
+		f.BoolVar(&flags.check, "check", false, "only check the scripts")
+		f.BoolVar(&flags.figures, "figures", false, "list the figures that bounds may name, and play nothing")
 	})
 	if err != nil {
 		return err
 	}
-	if x.figures {
+	if flags.figures {
 		for _, name := range slices.Sorted(maps.Keys(script.Figures)) {
 			fmt.Fprintf(out, "%-17s %s\n", name, script.Figures[name])
 		}
 		return nil
 	}
-	if f.NArg() == 0 || x.seed < 0 || x.faults < 0 {
+	if f.NArg() == 0 || flags.seed < 0 || flags.faults < 0 {
 		return fmt.Errorf("%w: ground wants scripts, and no negative number", errUsage)
 	}
 	var files []*script.File
@@ -70,7 +70,7 @@
 	if err := errors.Join(errs...); err != nil {
 		return err
 	}
-	if x.check {
+	if flags.check {
 		for i, file := range files {
 			fmt.Fprintf(out, "%s is well: %d balancers, %d nodes, %d faults, %d bounds\n",
 				f.Arg(i), file.Balancers.Count, file.Nodes.Count, len(file.Faults), len(file.Bounds))
@@ -78,7 +78,7 @@
 		return nil
 	}
 	hasVoters := slices.ContainsFunc(files, func(f *script.File) bool { return f.Voters.Count > 0 })
-	if x.program == "" || (hasVoters && x.coordinator == "") {
+	if flags.program == "" || (hasVoters && flags.coordinator == "") {
 		folder, err := os.MkdirTemp("", "olivearch-")
 		if err != nil {
 			return err
@@ -89,76 +89,80 @@
 			return fmt.Errorf(
 				"building the programs under test (or name them with --olivearch and --oliveledger): %w", err)
 		}
-		x.program, x.coordinator = cmp.Or(x.program, program), cmp.Or(x.coordinator, coordinator)
+		flags.program, flags.coordinator = cmp.Or(flags.program, program), cmp.Or(flags.coordinator, coordinator)
 	}
 	for _, file := range files {
-		errs = append(errs, x.play(ctx, file, out))
+		errs = append(errs, flags.play(ctx, file, out))
 	}
 	return errors.Join(errs...)
 }
 
 // play plays one script and prints the result. If the faults were drawn at random and a bound is broken, it also looks
 // for a shorter schedule that breaks one.
-func (x *groundFlags) play(ctx context.Context, file *script.File, out io.Writer) error {
+func (flags *groundFlags) play(ctx context.Context, file *script.File, out io.Writer) error {
 	self, err := os.Executable()
 	if err != nil {
 		return err
 	}
-	o := faulttest.Options{
-		Program: x.program, Ledger: x.coordinator, Self: []string{self, standinRole}, Progress: os.Stderr,
+	options := faulttest.Options{
+		Program: flags.program, Ledger: flags.coordinator, Self: []string{self, standinRole}, Progress: os.Stderr,
 	}
-	if x.keep != "" {
-		o.Folder = filepath.Join(x.keep, file.Name)
-		if err := os.MkdirAll(o.Folder, 0o755); err != nil {
+	if flags.keep != "" {
+		options.Folder = filepath.Join(flags.keep, file.Name)
+		if err := os.MkdirAll(options.Folder, 0o755); err != nil {
 			return err
 		}
 	}
-	if x.seed > 0 {
-		file.Seed = x.seed
+	if flags.seed > 0 {
+		file.Seed = flags.seed
 	}
-	if x.faults > 0 {
-		file.Faults = schedule.Faults(file, x.faults)
+	if flags.faults > 0 {
+		file.Faults = schedule.Faults(file, flags.faults)
 	}
-	r, err := faulttest.Play(ctx, file, o)
+	result, err := faulttest.Play(ctx, file, options)
 	if err != nil {
 		return err
 	}
-	text, err := json.Marshal(r)
+	text, err := json.Marshal(result)
 	if err != nil {
 		return err
 	}
 	fmt.Fprintf(out, "%s\n", text)
-	if x.out != "" {
-		if err := os.MkdirAll(x.out, 0o755); err != nil {
+	if flags.out != "" {
+		if err := os.MkdirAll(flags.out, 0o755); err != nil {
 			return err
 		}
-		if err := timeline.Write(filepath.Join(x.out, fmt.Sprintf("%s-%d.svg", file.Name, file.Seed)), r); err != nil {
+		if err := timeline.Write(
+			filepath.Join(flags.out, fmt.Sprintf("%s-%d.svg", file.Name, file.Seed)), result,
+		); err != nil {
 			return err
 		}
 	}
-	if r.Holds {
+	if result.Holds {
 		return nil
 	}
-	if x.faults > 0 {
-		return errors.Join(errBroken, x.shrink(ctx, file, o, out))
+	if flags.faults > 0 {
+		return errors.Join(errBroken, flags.shrink(ctx, file, options, out))
 	}
 	return fmt.Errorf("%s: %w", file.Name, errBroken)
 }
 
 // shrink looks for a shorter schedule of faults that breaks a bound too, and prints it as a script.
-func (x *groundFlags) shrink(ctx context.Context, file *script.File, o faulttest.Options, out io.Writer) error {
-	o.Progress = io.Discard
+func (flags *groundFlags) shrink(
+	ctx context.Context, file *script.File, options faulttest.Options, out io.Writer,
+) error {
+	options.Progress = io.Discard
 	shortest, plays := schedule.Shrink(file, schedule.Plays, func(f *script.File) bool {
-		r, err := faulttest.Play(ctx, f, o)
-		return err == nil && !r.Holds
+		result, err := faulttest.Play(ctx, f, options)
+		return err == nil && !result.Holds
 	})
 	text, err := shortest.Text()
 	if err != nil {
 		return err
 	}
 	fmt.Fprintf(out, "# %d of %d faults, after %d plays\n%s", len(shortest.Faults), len(file.Faults), plays, text)
-	if x.out == "" {
+	if flags.out == "" {
 		return nil
 	}
-	return os.WriteFile(filepath.Join(x.out, fmt.Sprintf("%s-%d.yaml", file.Name, file.Seed)), []byte(text), 0o644)
+	return os.WriteFile(filepath.Join(flags.out, fmt.Sprintf("%s-%d.yaml", file.Name, file.Seed)), []byte(text), 0o644)
 }
--- a/cmd/olivearch-bench/main.go
+++ b/cmd/olivearch-bench/main.go
@@ -114,19 +114,19 @@
 func parseFlags(
 	name, usage string, args []string, out io.Writer, define func(*flag.FlagSet),
 ) (*flag.FlagSet, error) {
-	f := flag.NewFlagSet(name, flag.ContinueOnError)
-	f.SetOutput(io.Discard)
-	define(f)
-	switch err := f.Parse(args); {
+	flagSet := flag.NewFlagSet(name, flag.ContinueOnError)
+	flagSet.SetOutput(io.Discard)
+	define(flagSet)
+	switch err := flagSet.Parse(args); {
 	case errors.Is(err, flag.ErrHelp):
 		fmt.Fprintln(out, "Usage: olivearch-bench", name, usage)
-		f.SetOutput(out)
-		f.PrintDefaults()
+		flagSet.SetOutput(out)
+		flagSet.PrintDefaults()
 		return nil, err
 	case err != nil:
 		return nil, fmt.Errorf("%w: %s: %v", errUsage, name, err)
 	}
-	return f, nil
+	return flagSet, nil
 }
 
 // run plays scenarios and prints the figures of each. It returns an error if a bound is broken.
@@ -153,27 +153,27 @@
 	if err != nil {
 		return err
 	}
-	o := experiment.Options{Mode: mode, Repeats: repeats, Seed: seed, Program: program, Progress: os.Stderr}
+	options := experiment.Options{Mode: mode, Repeats: repeats, Seed: seed, Program: program, Progress: os.Stderr}
 	if contenderNames != "" {
-		o.Contenders = strings.Split(contenderNames, ",")
+		options.Contenders = strings.Split(contenderNames, ",")
 	}
 	broken := 0
 	for _, file := range files {
-		r, err := experiment.Run(ctx, file, o)
+		result, err := experiment.Run(ctx, file, options)
 		if err != nil {
 			return err
 		}
-		findings := r.Judge(file.Bounds)
-		if err := report.Table(out, r, findings); err != nil {
+		findings := result.Judge(file.Bounds)
+		if err := report.Table(out, result, findings); err != nil {
 			return err
 		}
-		for _, x := range findings {
-			if !x.Holds {
+		for _, finding := range findings {
+			if !finding.Holds {
 				broken++
 			}
 		}
 		if folder != "" {
-			if err := saveResult(folder, r, findings); err != nil {
+			if err := saveResult(folder, result, findings); err != nil {
 				return err
 			}
 		}
@@ -196,27 +196,27 @@
 }
 
 // saveResult writes a result and its page to a folder.
-func saveResult(folder string, r *stats.Result, findings []stats.Finding) error {
+func saveResult(folder string, result *stats.Result, findings []stats.Finding) error {
 	if err := os.MkdirAll(folder, 0o755); err != nil {
 		return err
 	}
-	text, err := json.Marshal(r)
+	text, err := json.Marshal(result)
 	if err != nil {
 		return err
 	}
-	base := filepath.Join(folder, r.Scenario+"-"+r.Mode)
+	base := filepath.Join(folder, result.Scenario+"-"+result.Mode)
 	if err := os.WriteFile(base+".json", append(text, '\n'), 0o644); err != nil {
 		return err
 	}
-	return writePage(base+".html", r, findings)
+	return writePage(base+".html", result, findings)
 }
 
-func writePage(path string, r *stats.Result, findings []stats.Finding) error {
+func writePage(path string, result *stats.Result, findings []stats.Finding) error {
 	f, err := os.Create(path)
 	if err != nil {
 		return err
 	}
-	if err := report.Page(f, r, findings); err != nil {
+	if err := report.Page(f, result, findings); err != nil {
 		f.Close()
 		return err
 	}
@@ -242,18 +242,18 @@
 	if err != nil {
 		return nil, err
 	}
-	r := &stats.Result{}
-	if err := json.Unmarshal(text, r); err != nil {
+	result := &stats.Result{}
+	if err := json.Unmarshal(text, result); err != nil {
 		return nil, fmt.Errorf("%s: %w", path, err)
 	}
-	if err := r.Load(); err != nil {
+	if err := result.Load(); err != nil {
 		return nil, fmt.Errorf("%s: %w", path, err)
 	}
-	return r, nil
+	return result, nil
 }
 
-// compare prints the figures that differ between two results. It returns an error if olivearch has lost more than is
-// allowed in one of them.
+// compare prints the figures that differ between two results. It returns an error if a figure of olivearch is worse by
+// more than --most.
 func compare(_ context.Context, args []string, out io.Writer) error {
 	var maxLoss float64
 	var figureNames string
@@ -317,17 +317,17 @@
 		return fmt.Errorf("%w: report wants results", errUsage)
 	}
 	for _, path := range f.Args() {
-		r, err := readResult(path)
+		result, err := readResult(path)
 		if err != nil {
 			return err
 		}
-		to := strings.TrimSuffix(path, ".json") + ".html"
-		if err := writePage(to, r, nil); err != nil {
+		pagePath := strings.TrimSuffix(path, ".json") + ".html"
+		if err := writePage(pagePath, result, nil); err != nil {
 			return err
 		}
-		fmt.Fprintln(out, to)
+		fmt.Fprintln(out, pagePath)
 		if svg != "" {
-			if err := report.Plots(svg, r); err != nil {
+			if err := report.Plots(svg, result); err != nil {
 				return err
 			}
 		}
@@ -351,11 +351,11 @@
 		return fmt.Errorf("no scenarios are in %s", folder)
 	}
 	files, err := readScenarios(paths)
-	t := tabwriter.NewWriter(out, 0, 0, 2, ' ', 0)
+	table := tabwriter.NewWriter(out, 0, 0, 2, ' ', 0)
 	for i, f := range files {
 		if f != nil {
-			fmt.Fprintf(t, "%s\t%s\t%s\n", paths[i], f.Modes, f.About)
+			fmt.Fprintf(table, "%s\t%s\t%s\n", paths[i], f.Modes, f.About)
 		}
 	}
-	return errors.Join(t.Flush(), err)
+	return errors.Join(table.Flush(), err)
 }
--- a/cmd/olivearch/command.go
+++ b/cmd/olivearch/command.go
@@ -34,7 +34,7 @@
 	},
 	{
 		name: "promises", arguments: "COMMAND", run: promises,
-		summary: "show and change what the coordination cluster stores for all balancers",
+		summary: "manage the coordination cluster: overrides for all balancers, limits of resources, members",
 	},
 	{
 		name: "demo", arguments: "[--seconds N]", run: runDemo,
--- a/cmd/olivearch/platform.go
+++ b/cmd/olivearch/platform.go
@@ -46,7 +46,7 @@
 		if err != nil {
 			return fmt.Errorf("listening for operators' commands: %w", err)
 		}
-		// It serves until the process ends, since operators may send commands while the last requests are answered. It
+		// Serve runs until the process ends, since operators may send commands while the last requests are answered. It
 		// never returns an error.
 		go func() { _ = admincmd.Serve(context.Background(), operators, balancer) }()
 	}
--- a/cmd/olivearch/promises.go
+++ b/cmd/olivearch/promises.go
@@ -111,7 +111,7 @@
 	return command.run(&call, ctx, words[1:])
 }
 
-// flagSet returns the flags, whose values go to the options.
+// flagSet returns the flags of the command, which write their values to the options.
 func (o *promisesOptions) flagSet() *flag.FlagSet {
 	flagSet := flag.NewFlagSet("promises", flag.ContinueOnError)
 	flagSet.SetOutput(io.Discard)
--- a/cmd/olivearch/reload_test.go
+++ b/cmd/olivearch/reload_test.go
@@ -17,19 +17,19 @@
 
 const reloadLimit = 20 * time.Second
 
-// reloadable is a server in the test's process, which gets its signals from the test.
-type reloadable struct {
+// testServer is a server in the test's process, which gets its signals from the test.
+type testServer struct {
 	server       *server
 	hangups      chan os.Signal
 	terminations chan os.Signal
-	ended        chan error // what the server's run returned
+	ended        chan error // the result of server.run
 	url          string
 }
 
-// startReloadable prepares a server of a configuration file. At a reload it calls reload.
-func startReloadable(
+// newTestServer prepares a server of a configuration file. At a reload it calls reload.
+func newTestServer(
 	t *testing.T, path string, reload func(current *config.Loaded) (*config.Loaded, error),
-) *reloadable {
+) *testServer {
 	t.Helper()
 	configuration, err := config.Load(path)
 	if err != nil {
@@ -39,7 +39,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	r := &reloadable{
+	r := &testServer{
 		hangups:      make(chan os.Signal, 1),
 		terminations: make(chan os.Signal, 1),
 		ended:        make(chan error, 1),
@@ -52,10 +52,10 @@
 	return r
 }
 
-func (r *reloadable) run() { go func() { r.ended <- r.server.run() }() }
+func (r *testServer) run() { go func() { r.ended <- r.server.run() }() }
 
 // hangup sends SIGHUP as signal.Notify does: it is dropped if one is waiting already.
-func (r *reloadable) hangup() {
+func (r *testServer) hangup() {
 	select {
 	case r.hangups <- syscall.SIGHUP:
 	default:
@@ -63,7 +63,7 @@
 }
 
 // hasRoute reports whether a route with this path is in force.
-func (r *reloadable) hasRoute(t *testing.T, path string) bool {
+func (r *testServer) hasRoute(t *testing.T, path string) bool {
 	t.Helper()
 	response, err := http.Get(r.url + path)
 	if err != nil {
@@ -88,9 +88,9 @@
 	path := filepath.Join(t.TempDir(), "c.yaml")
 	writeFile(t, path, configurationWithRoute("/a"))
 	reloaded := make(chan string) // the path of the route in each configuration read
-	var r *reloadable
+	var r *testServer
 	reloads := 0
-	r = startReloadable(t, path, func(current *config.Loaded) (*config.Loaded, error) {
+	r = newTestServer(t, path, func(current *config.Loaded) (*config.Loaded, error) {
 		next, err := config.Reload(path, current)
 		reloads++
 		if reloads == 1 { // the file has been read: a later change needs another reload
@@ -129,8 +129,8 @@
 	requireEnds(t, r, reloaded)
 }
 
-// requireEnds waits until a server has ended, and accepts further reloads before.
-func requireEnds(t *testing.T, r *reloadable, reloaded <-chan string) {
+// requireEnds waits until a server has ended without an error. It accepts further reloads before that.
+func requireEnds(t *testing.T, r *testServer, reloaded <-chan string) {
 	t.Helper()
 	for {
 		select {
@@ -185,9 +185,9 @@
 		t.Error("a start accepts it")
 	}
 	reloaded := make(chan error)
-	var r *reloadable
+	var r *testServer
 	var first *config.Loaded
-	r = startReloadable(t, path, func(current *config.Loaded) (*config.Loaded, error) {
+	r = newTestServer(t, path, func(current *config.Loaded) (*config.Loaded, error) {
 		if current != first {
 			t.Error("another configuration is in force")
 		}
--- a/cmd/olivearch/upgrade_test.go
+++ b/cmd/olivearch/upgrade_test.go
@@ -65,8 +65,8 @@
 	}
 }
 
-// upgradeClients send requests one after the other until they are stopped. A request that no upstream answers, and an
-// answer that closes the connection, is an error of the test.
+// upgradeClients send requests one after the other until they are stopped. The test fails if a request is not
+// answered by an upstream, or if its connection is closed.
 type upgradeClients struct {
 	listen   string
 	stopped  atomic.Bool
@@ -157,13 +157,13 @@
 	}
 }
 
-// upgradable starts processes of one balancer, which may run at the same time.
-type upgradable struct {
+// processStarter starts processes of one balancer, which may run at the same time.
+type processStarter struct {
 	program *exec.Cmd
 	env     []string
 }
 
-func (u upgradable) start(t *testing.T) *balancerProcess {
+func (u processStarter) start(t *testing.T) *balancerProcess {
 	t.Helper()
 	cmd := &exec.Cmd{Path: u.program.Path, Args: u.program.Args, Dir: u.program.Dir}
 	process := &balancerProcess{cmd: cmd, adminAddress: freeAddress(t), log: &bytes.Buffer{}}
@@ -194,13 +194,13 @@
 	if err := os.Mkdir(temporary, 0o700); err != nil {
 		t.Fatal(err)
 	}
-	// Between the commands maint-on and maint-off no upstream is in service, and requests are queued. The deadlines allow
-	// for a slow machine.
+	// Between the commands maint-on and maint-off no upstream is in service, and requests are queued. Their deadline is
+	// longer than a slow machine takes for the commands.
 	config := strings.Replace(platformConfig,
 		`"target_us":250000,"give_up_us":750000`, `"target_us":8000000,"give_up_us":9000000`, 1)
 	path := filepath.Join(folder, "config.json")
 	writeFile(t, path, fmt.Sprintf(config, listen, discovery.Listener.Addr()))
-	balancer := upgradable{program: program(t), env: []string{"RELAY_CONFIG=" + path, "TMPDIR=" + temporary}}
+	balancer := processStarter{program: program(t), env: []string{"RELAY_CONFIG=" + path, "TMPDIR=" + temporary}}
 	current := balancer.start(t)
 
 	clients := &upgradeClients{listen: listen}
--- a/cmd/simadapter/main_test.go
+++ b/cmd/simadapter/main_test.go
@@ -11,7 +11,7 @@
 	`"ramp_time_us":9000000,"tip_after_us":1500000,"tip_multiple":3.0},"profiles":[{"name":"c","target_us":160000,` +
 	`"give_up_us":750000,"repeat":"non_idempotent","worth":1}],"reporting":{"via":"piggyback"}}`
 
-func exchange(t *testing.T, in string) (string, error) {
+func runAdapter(t *testing.T, in string) (string, error) {
 	t.Helper()
 	var out bytes.Buffer
 	err := run(strings.NewReader(in), &out)
@@ -32,7 +32,7 @@
 		"timer balancer_id=3 from_now_us=10000 ctx=1\nsubmit_to balancer_id=3 id=912855b15d3a91c4 upstream=9\nok serial=2\n" +
 		"report_failure balancer_id=3 id=912855b15d3a91c4\nok serial=3\n" +
 		"ok serial=4\n"
-	got, err := exchange(t, in)
+	got, err := runAdapter(t, in)
 	if err != nil || got != want {
 		t.Errorf("error %v, got\n%s", err, got)
 	}
@@ -40,7 +40,7 @@
 
 func TestBadSettingsAreReportedAsCrash(t *testing.T) {
 	bad := strings.Replace(params, `"max_attempts":3`, `"max_attempts":0`, 1)
-	got, err := exchange(t, "frame at_time_us=1 serial=1\nattach balancer_id=3 random_seed=5 params="+bad+"\neob\n")
+	got, err := runAdapter(t, "frame at_time_us=1 serial=1\nattach balancer_id=3 random_seed=5 params="+bad+"\neob\n")
 	if err != nil || !strings.HasPrefix(got, "crash balancer_id=3 note_text=balancer: bad settings: Limits.MaxAttempts") {
 		t.Errorf("error %v, got %q", err, got)
 	}
@@ -55,7 +55,7 @@
 		"frame at_time_us=1010000 serial=2\n" + attach +
 		"verdict balancer_id=3 id=912855b15d3a91c4 upstream=9 go=0 cost_time_us=1 disposition=251\n" +
 		"lapsed balancer_id=8 id=912855b15d3a91c4\nhealth balancer_id=8 upstream=9 disposition=0 cost_time_us=1\neob\n"
-	got, err := exchange(t, in)
+	got, err := runAdapter(t, in)
 	want := "timer balancer_id=3 from_now_us=10000 ctx=1\nsubmit_to balancer_id=3 id=912855b15d3a91c4 upstream=9\n" +
 		"ok serial=1\ntimer balancer_id=3 from_now_us=10000 ctx=1\nok serial=2\n"
 	if err != nil || got != want {
@@ -64,7 +64,7 @@
 }
 
 func TestMalformedInputStopsWithoutAReply(t *testing.T) {
-	got, err := exchange(t, "frame at_time_us=1 serial=1\nbogus balancer_id=1\neob\n")
+	got, err := runAdapter(t, "frame at_time_us=1 serial=1\nbogus balancer_id=1\neob\n")
 	if err == nil || got != "" {
 		t.Errorf("error %v, got %q", err, got)
 	}
--- a/internal/wire/event.go
+++ b/internal/wire/event.go
@@ -30,10 +30,10 @@
 type Event struct {
 	Kind        EventKind
 	Instance    int
-	Seed        uint64            // InstanceStarted: of the random numbers
-	Settings    balancer.Settings // InstanceStarted
-	ListMode    balancer.ListMode // EndpointsUpdated
-	Endpoints   []balancer.Upstream
+	Seed        uint64                     // InstanceStarted: seeds the random numbers
+	Settings    balancer.Settings          // InstanceStarted
+	ListMode    balancer.ListMode          // EndpointsUpdated
+	Endpoints   []balancer.Upstream        // EndpointsUpdated
 	Request     balancer.Request           // RequestArrived; ClientLeft: only its ID
 	Attempt     balancer.AttemptResult     // AttemptFinished; ResponseStarted: ID, Upstream, Attempt, Latency
 	HealthCheck balancer.HealthCheckResult // HealthCheckFinished
--- a/internal/wire/fields.go
+++ b/internal/wire/fields.go
@@ -21,13 +21,13 @@
 	name, value []byte
 }
 
-// fields holds the fields of one line, as slices of that line, and the first error that reading them has met.
+// fields holds the fields of one line, as slices of that line, and the first error found in them.
 type fields struct {
 	all []field
 	err error
 }
 
-// split splits a line into the name of its message, which it returns, and its fields.
+// split reads the fields of a line and returns the name of its message.
 func (f *fields) split(line []byte) (message []byte, err error) {
 	f.all = f.all[:0]
 	f.err = nil
--- a/internal/wire/writer.go
+++ b/internal/wire/writer.go
@@ -55,7 +55,7 @@
 	w.writer.reply = append(w.writer.reply, text...)
 }
 
-// The methods below add a field. Their parameter field is a space, the field's name and an equals sign.
+// The methods below add a field. Their parameter named field has the form " name=".
 
 func (w *InstanceWriter) number(field string, value uint64) {
 	w.append(field)
