--- a/cmd/olivearch/reload_test.go
+++ b/cmd/olivearch/reload_test.go
@@ -17,19 +17,19 @@
 
 const reloadLimit = 20 * time.Second
 
-// reloadable is a server in this process whose signals the test sends.
-type reloadable struct {
+// testServer is a server in the test's process, which gets its signals from the test.
+type testServer struct {
 	server       *server
 	hangups      chan os.Signal
 	terminations chan os.Signal
-	ended        chan error // what the server's run returned
+	ended        chan error // the result of server.run
 	url          string
 }
 
-// startReloadable starts a server of a configuration file, with what reads the file at a reload.
-func startReloadable(
+// newTestServer prepares a server of a configuration file. At a reload it calls reload.
+func newTestServer(
 	t *testing.T, path string, reload func(current *config.Loaded) (*config.Loaded, error),
-) *reloadable {
+) *testServer {
 	t.Helper()
 	configuration, err := config.Load(path)
 	if err != nil {
@@ -39,7 +39,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	r := &reloadable{
+	r := &testServer{
 		hangups:      make(chan os.Signal, 1),
 		terminations: make(chan os.Signal, 1),
 		ended:        make(chan error, 1),
@@ -52,18 +52,18 @@
 	return r
 }
 
-func (r *reloadable) run() { go func() { r.ended <- r.server.run() }() }
+func (r *testServer) run() { go func() { r.ended <- r.server.run() }() }
 
-// hangup sends a hang-up as signal.Notify does: one that finds no room is dropped.
-func (r *reloadable) hangup() {
+// hangup sends SIGHUP as signal.Notify does: it is dropped if one is waiting already.
+func (r *testServer) hangup() {
 	select {
 	case r.hangups <- syscall.SIGHUP:
 	default:
 	}
 }
 
-// knows reports whether a route with this path is in force.
-func (r *reloadable) knows(t *testing.T, path string) bool {
+// hasRoute reports whether a route with this path is in force.
+func (r *testServer) hasRoute(t *testing.T, path string) bool {
 	t.Helper()
 	response, err := http.Get(r.url + path)
 	if err != nil {
@@ -82,18 +82,18 @@
 `
 }
 
-// TestReloadDuringReload: while a configuration is being read it is written again twice, with a hang-up each; the last
-// text wins, and SIGTERM is not lost behind hang-ups, however many there are.
+// TestReloadDuringReload: during a reload, the configuration changes twice, with a SIGHUP after each change. The last
+// version must be in force in the end, and SIGTERM must not be lost among many SIGHUPs.
 func TestReloadDuringReload(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "c.yaml")
 	writeFile(t, path, configurationWithRoute("/a"))
-	reloaded := make(chan string) // paths of the route, as read
-	var r *reloadable
+	reloaded := make(chan string) // the path of the route in each configuration read
+	var r *testServer
 	reloads := 0
-	r = startReloadable(t, path, func(current *config.Loaded) (*config.Loaded, error) {
+	r = newTestServer(t, path, func(current *config.Loaded) (*config.Loaded, error) {
 		next, err := config.Reload(path, current)
 		reloads++
-		if reloads == 1 { // it has been read: what comes now is too late for it
+		if reloads == 1 { // the file has been read: a later change needs another reload
 			writeFile(t, path, configurationWithRoute("/c"))
 			r.hangup()
 			writeFile(t, path, configurationWithRoute("/d"))
@@ -113,13 +113,13 @@
 				t.Errorf("read %s, want %s", got, want)
 			}
 		case <-time.After(reloadLimit):
-			t.Fatal("a hang-up was lost")
+			t.Fatal("a SIGHUP was lost")
 		}
 	}
-	waitUntil(t, reloadLimit, "the last text is in force", func() bool { return r.knows(t, "/d") })
+	waitUntil(t, reloadLimit, "the last version is in force", func() bool { return r.hasRoute(t, "/d") })
 	for _, path := range []string{"/a", "/b", "/c"} {
-		if r.knows(t, path) {
-			t.Errorf("an old text is in force: it has %s", path)
+		if r.hasRoute(t, path) {
+			t.Errorf("an old version is in force: it has %s", path)
 		}
 	}
 	for range 10 {
@@ -129,8 +129,8 @@
 	requireEnds(t, r, reloaded)
 }
 
-// requireEnds waits until a server has ended, whatever it still reloads.
-func requireEnds(t *testing.T, r *reloadable, reloaded <-chan string) {
+// requireEnds waits until a server has ended without an error. It accepts further reloads before that.
+func requireEnds(t *testing.T, r *testServer, reloaded <-chan string) {
 	t.Helper()
 	for {
 		select {
@@ -164,8 +164,8 @@
 	return text.String()
 }
 
-// TestMemoryAtItsLimit: a configuration that the memory can't hold is rejected in one line with its place, by check, at
-// the start and by a reload, at which the current one stays.
+// TestMemoryAtItsLimit: a configuration that needs more memory than its limit is rejected by check, at the start and by
+// a reload, in one line with the place of the limit. After the reload, the current configuration stays in force.
 func TestMemoryAtItsLimit(t *testing.T) {
 	folder := t.TempDir()
 	path := filepath.Join(folder, "c.yaml")
@@ -185,9 +185,9 @@
 		t.Error("a start accepts it")
 	}
 	reloaded := make(chan error)
-	var r *reloadable
+	var r *testServer
 	var first *config.Loaded
-	r = startReloadable(t, path, func(current *config.Loaded) (*config.Loaded, error) {
+	r = newTestServer(t, path, func(current *config.Loaded) (*config.Loaded, error) {
 		if current != first {
 			t.Error("another configuration is in force")
 		}
@@ -229,8 +229,8 @@
 	return "pools:\n" + pools.String() + "routes:\n" + routes.String()
 }
 
-// TestCheckAtSize: 490 pools of one of many balancers are checked within a few seconds, with what they cost; with too
-// few descriptors or too little memory for their nodes it says how much is needed.
+// TestCheckAtSize: check reports the cost of 490 pools of one of many balancers within a few seconds. If there are too
+// few descriptors or too little memory for them, it reports how much is needed.
 func TestCheckAtSize(t *testing.T) {
 	const limit = 5 * time.Second
 	folder := t.TempDir()
