--- a/internal/discovery/listing.go
+++ b/internal/discovery/listing.go
@@ -13,8 +13,7 @@
 const (
 	PhaseUp       = "up"
 	PhaseDraining = "draining"
-	// PhaseRemoved is the phase of a Member that was removed from the list. Only listings of changes have such
-	// members.
+	// PhaseRemoved is the phase of a Member that was removed from the list. Only listings of changes have these.
 	PhaseRemoved = "removed"
 )
 
--- a/internal/discovery/timing.go
+++ b/internal/discovery/timing.go
@@ -21,8 +21,7 @@
 	ListTimeout = 2500 * time.Millisecond
 )
 
-// The time limits of calls to an agent that pushes lists. They are shorter, as an agent answers immediately or not at
-// all.
+// The time limits of calls to an agent that pushes lists. An agent answers immediately or not at all.
 const (
 	// PushWait is the WatchWait of calls to an agent.
 	PushWait = time.Second
--- a/internal/endpointlist/folderevents.go
+++ b/internal/endpointlist/folderevents.go
@@ -109,7 +109,8 @@
 	}
 }
 
-// recordRefusal starts or doubles the backoff after the system has refused a watch, and reports the first refusal.
+// recordRefusal starts or doubles the backoff after the system has refused a watch or the notifier has failed. It
+// reports only the first of several such errors.
 func (w *Watcher) recordRefusal(refusal error) {
 	w.backoff = min(max(2*w.backoff, w.firstBackoff), maxRetryBackoff)
 	w.retryAt = time.Now().Add(w.backoff)
--- a/internal/endpointlist/schedule.go
+++ b/internal/endpointlist/schedule.go
@@ -25,8 +25,8 @@
 }
 
 // folderChanged schedules checks after a change of a file in a folder. If lists are followed in that file, it checks
-// these. Otherwise it checks the lists of the folder that are symbolic links, missing or invalid, as they may depend on
-// the file. An empty fileName stands for any file, so all lists of the folder are checked.
+// these. Otherwise it checks the lists of the folder that are symbolic links or could not be read, such as missing
+// files, as they may depend on the file. An empty fileName stands for any file, so all lists of the folder are checked.
 func (w *Watcher) folderChanged(folder *followedFolder, fileName string) {
 	now := time.Now()
 	sameFile := folder.subscriptions[fileName]
@@ -47,7 +47,7 @@
 	}
 }
 
-// fileChanged schedules a check after the settle time, or after the check that is running.
+// fileChanged schedules a check after the settle time. If a check is running, it schedules the next one after that.
 func (w *Watcher) fileChanged(subscription *Subscription, now time.Time) {
 	if subscription.queueIndex == checkRunning {
 		subscription.recheck = true
--- a/internal/endpointlist/watcher.go
+++ b/internal/endpointlist/watcher.go
@@ -12,8 +12,8 @@
 )
 
 // defaultPollInterval is the interval between checks of a list that is missing or invalid, or for which the system
-// sends no events. It is also the interval between folder checks. A change takes effect within
-// 1 s, including the time to read the list.
+// sends no events. It is also the interval between folder checks. A change takes effect within 1 s, including the time
+// to read the list.
 const defaultPollInterval = 500 * time.Millisecond
 
 // Update is the result of a check of a followed list. If it has neither a list nor an error, the text of the file has
@@ -86,8 +86,8 @@
 }
 
 // NewWatcher starts a Watcher that ends with the context. Each list is checked at every interval, even if the system
-// sends no event. The Watcher calls report with the error when the system refuses a watch, and with nil when all
-// folders are watched again.
+// sends no event. The Watcher calls report with the error when the system refuses a watch or its events fail, and
+// with nil when all folders are watched again.
 func NewWatcher(ctx context.Context, interval time.Duration, report func(error)) *Watcher {
 	w := newWatcher(ctx, interval, report)
 	go w.run(ctx)
