--- a/internal/coordination/state/codec_reservations.go
+++ b/internal/coordination/state/codec_reservations.go
@@ -121,7 +121,7 @@
 func (s *State) decodeReservation(encoded []byte) error {
 	var stored reservation
 	err := protomsg.EachField(encoded, stored.decode)
-	err = cmp.Or(err, checkName("resource", stored.resource), checkName("holder", stored.holder))
+	err = cmp.Or(err, checkName("stored resource", stored.resource), checkName("holder", stored.holder))
 	if err != nil {
 		return err
 	}
--- a/internal/coordination/state/codec_resources.go
+++ b/internal/coordination/state/codec_resources.go
@@ -62,7 +62,7 @@
 		}
 		return nil
 	})
-	if err = cmp.Or(err, checkName("resource", resource.Name)); err != nil {
+	if err = cmp.Or(err, checkName("stored resource", resource.Name)); err != nil {
 		return err
 	}
 	if s.resources[resource.Name] != nil {
