--- a/balancer/api.go
+++ b/balancer/api.go
@@ -229,13 +229,13 @@
 
 // Load is an upstream's load report. Fields says which values it holds.
 type Load struct {
-	Fields   LoadField
-	Util     float64 // CPU utilisation, 0 to 1
-	Inflight float64 // requests in flight
-	Queue    float64 // requests waiting
-	Service  float64 // recent service time, ms
-	Rate     float64 // requests served a second
-	Errors   float64 // errors a second
+	Fields      LoadField
+	Utilisation float64 // CPU utilisation, 0 to 1
+	InFlight    float64 // requests in flight
+	Queue       float64 // requests waiting
+	Service     float64 // recent service time, ms
+	Rate        float64 // requests served a second
+	Errors      float64 // errors a second
 }
 
 // AttemptResult describes how one attempt ended.
--- a/balancer/balancer_test.go
+++ b/balancer/balancer_test.go
@@ -27,8 +27,8 @@
 		b.RequestArrived(now, Request{ID: id, Class: "read", Budget: time.Second, Cost: time.Duration(invalid[i%3+2])})
 		if r := b.requests[id]; r != nil && r.inFlight > 0 {
 			l := Load{
-				Fields: HasUtilisation | HasInFlight | HasQueue,
-				Util:   invalid[i%6], Inflight: invalid[(i+1)%6], Queue: invalid[(i+2)%6],
+				Fields:      HasUtilisation | HasInFlight | HasQueue,
+				Utilisation: invalid[i%6], InFlight: invalid[(i+1)%6], Queue: invalid[(i+2)%6],
 			}
 			o := AttemptResult{
 				ID: id, Upstream: r.attempts[0].upstream.ID, Latency: time.Duration(i%3-1) * 30 * ms,
@@ -37,8 +37,10 @@
 			b.AttemptFinished(now, o)
 			b.AttemptFinished(now, o)
 		}
-		b.HealthCheckFinished(now, HealthCheckResult{Upstream: 99, Load: Load{Fields: HasUtilisation, Util: 1}})
-		b.HealthCheckFinished(now, HealthCheckResult{Upstream: 2, Load: Load{Fields: HasUtilisation, Util: invalid[i%6]}})
+		b.HealthCheckFinished(now, HealthCheckResult{Upstream: 99, Load: Load{Fields: HasUtilisation, Utilisation: 1}})
+		b.HealthCheckFinished(now, HealthCheckResult{
+			Upstream: 2, Load: Load{Fields: HasUtilisation, Utilisation: invalid[i%6]},
+		})
 		b.TimerFired(now, tickToken)
 		b.TimerFired(now, 12345)
 	}
--- a/balancer/golden_test.go
+++ b/balancer/golden_test.go
@@ -85,7 +85,7 @@
 		case i%90 == 89:
 			outcome.Status = Timeout
 		case i%2 == 0:
-			outcome.Load = Load{Fields: HasUtilisation, Util: float64(i%10) / 10}
+			outcome.Load = Load{Fields: HasUtilisation, Utilisation: float64(i%10) / 10}
 		}
 		b.AttemptFinished(now+time.Millisecond, outcome)
 	}
--- a/balancer/idle_test.go
+++ b/balancer/idle_test.go
@@ -245,7 +245,7 @@
 		snapshot := c.ticking.Snapshot()
 		c.both(func(w *twin) { w.Restore(c.now, snapshot) })
 	case n < 19:
-		load := Load{Fields: HasUtilisation, Util: float64(c.lastID%10) / 10}
+		load := Load{Fields: HasUtilisation, Utilisation: float64(c.lastID%10) / 10}
 		result := HealthCheckResult{Upstream: c.list[c.rng.IntN(len(c.list))].ID, Status: OK, Load: load}
 		c.both(func(w *twin) { w.HealthCheckFinished(c.now, result) })
 	default:
@@ -322,7 +322,7 @@
 		o := AttemptResult{ID: x.id, Upstream: x.up, Attempt: n, Latency: time.Duration(1+c.rng.IntN(200)) * ms}
 		o.Status = []Status{OK, OK, OK, OK, OK, OK, Error, Rejected, Timeout, ConnectFailed, Reset}[c.rng.IntN(11)]
 		if c.rng.IntN(2) == 0 {
-			o.Load = Load{Fields: HasUtilisation, Util: c.rng.Float64()}
+			o.Load = Load{Fields: HasUtilisation, Utilisation: c.rng.Float64()}
 		}
 		c.results = append(c.results, scheduledResult{c.now + o.Latency, o})
 	}
@@ -439,7 +439,7 @@
 			for _, x := range w.sent {
 				w.AttemptFinished(now, AttemptResult{
 					ID: x.id, Upstream: x.up, Latency: 20 * ms, Status: OK,
-					Load: Load{Fields: HasUtilisation, Util: float64(i%7) / 7},
+					Load: Load{Fields: HasUtilisation, Utilisation: float64(i%7) / 7},
 				})
 			}
 			w.sent = nil
--- a/balancer/interleaver_test.go
+++ b/balancer/interleaver_test.go
@@ -51,8 +51,9 @@
 	}
 }
 
-// The paper's example: of two equal servers, one takes turns 1, 3 and 5. Once its share is a third of the other's, it
-// takes turns 9, 13 and 17.
+// The example is from Badea and Borcoci, "Content Server Saturation Detection and Load Balancing Based on Financial
+// Techniques": of two upstreams with equal shares, each gets every second turn. Once the share of one is a third of the
+// other's, which is a quarter of the traffic, it gets every fourth turn.
 func TestQuarterOfTheTrafficIsEveryFourthTurn(t *testing.T) {
 	b, _ := start(t, settings(), fleet(2))
 	one := b.upstreams[0]
--- a/balancer/outlier_test.go
+++ b/balancer/outlier_test.go
@@ -157,7 +157,7 @@
 	}
 	o := AttemptResult{
 		ID: a.request.ID, Upstream: a.upstream.ID, Latency: 20 * ms, Status: OK, Closed: true,
-		Load: Load{Fields: HasUtilisation, Util: 0.3 + float64(i%7)/1000},
+		Load: Load{Fields: HasUtilisation, Utilisation: 0.3 + float64(i%7)/1000},
 	}
 	if f.failing(a.upstream) {
 		o.Status, o.Latency, o.Closed = Error, ms, false
--- a/balancer/reports.go
+++ b/balancer/reports.go
@@ -52,9 +52,9 @@
 // reported.
 func (l *Load) utilisation() float64 {
 	if l.Fields&HasUtilisation == 0 && l.Fields&(HasInFlight|HasQueue) != 0 {
-		return 1 - 1/(1+l.Inflight+l.Queue)
+		return 1 - 1/(1+l.InFlight+l.Queue)
 	}
-	return l.Util
+	return l.Utilisation
 }
 
 // addReading adds a reading of utilisation to the band.
--- a/balancer/reports_test.go
+++ b/balancer/reports_test.go
@@ -10,7 +10,7 @@
 	b, _ := start(t, settings(), fleet(1))
 	u := b.upstreams[0]
 	for i, util := range []float64{0.5, 0.5, 0.6, 0.6, 0.5} {
-		b.recordLoad(u, Load{Fields: HasUtilisation, Util: util}, true, 0, time.Hour+time.Duration(i)*ms)
+		b.recordLoad(u, Load{Fields: HasUtilisation, Utilisation: util}, true, 0, time.Hour+time.Duration(i)*ms)
 	}
 	if u.band.readings != 3 {
 		t.Errorf("%d readings, want 3", u.band.readings)
@@ -27,8 +27,8 @@
 		ratio   float64 // latency in multiples of the latency objective
 		want    float64
 	}{
-		{"utilisation", ReportAnswers, Load{Fields: HasUtilisation | HasQueue, Util: 0.7, Queue: 9}, 0.2, 0.7},
-		{"requests in flight", ReportAnswers, Load{Fields: HasInFlight, Inflight: 3}, 0.2, 0.75},
+		{"utilisation", ReportAnswers, Load{Fields: HasUtilisation | HasQueue, Utilisation: 0.7, Queue: 9}, 0.2, 0.7},
+		{"requests in flight", ReportAnswers, Load{Fields: HasInFlight, InFlight: 3}, 0.2, 0.75},
 		{"requests queued", ReportAnswers, Load{Fields: HasQueue, Queue: 1}, 0.2, 0.5},
 		{"no load reports: latency in multiples of the objective", ReportNone, Load{}, 0.2, 0.2},
 	} {
@@ -74,7 +74,7 @@
 			t.Errorf("upstream %d: %+v", v.ID, v)
 		}
 	}
-	run(time.Second, Load{Fields: HasUtilisation, Util: 0.3})
+	run(time.Second, Load{Fields: HasUtilisation, Utilisation: 0.3})
 	if views, _ = b.View(now); views[1].Estimated {
 		t.Error("the utilisation of an upstream that reports it is estimated")
 	}
@@ -86,9 +86,13 @@
 		load Load
 		want float64
 	}{
-		{"utilisation takes precedence", Load{Fields: HasUtilisation | HasInFlight | HasQueue, Util: 0.7, Inflight: 9}, 0.7},
-		{"three in flight", Load{Fields: HasInFlight, Inflight: 3}, 0.75},
-		{"one in flight and two queued", Load{Fields: HasInFlight | HasQueue, Inflight: 1, Queue: 2}, 0.75},
+		{
+			"utilisation takes precedence",
+			Load{Fields: HasUtilisation | HasInFlight | HasQueue, Utilisation: 0.7, InFlight: 9},
+			0.7,
+		},
+		{"three in flight", Load{Fields: HasInFlight, InFlight: 3}, 0.75},
+		{"one in flight and two queued", Load{Fields: HasInFlight | HasQueue, InFlight: 1, Queue: 2}, 0.75},
 		{"nothing in flight", Load{Fields: HasInFlight}, 0},
 		{"other values only", Load{Fields: HasRate | HasErrors, Rate: 100, Errors: 3}, 0},
 		{"no values", Load{}, 0},
--- a/balancer/rules_test.go
+++ b/balancer/rules_test.go
@@ -236,9 +236,9 @@
 		c.inFlight = slices.DeleteFunc(c.inFlight, func(y *checkedAttempt) bool { return y == x })
 		r, load := x.r, Load{}
 		if rng.IntN(2) == 0 {
-			load = Load{Fields: HasUtilisation, Util: rng.Float64()}
+			load = Load{Fields: HasUtilisation, Utilisation: rng.Float64()}
 		} else if rng.IntN(20) == 0 {
-			load = Load{Fields: HasUtilisation | HasInFlight, Util: math.NaN(), Inflight: math.Inf(-1)}
+			load = Load{Fields: HasUtilisation | HasInFlight, Utilisation: math.NaN(), InFlight: math.Inf(-1)}
 		}
 		closed := r.endedAt > 0 || r.finals > 0
 		if x.status == OK && !closed {
--- a/balancer/settings.go
+++ b/balancer/settings.go
@@ -92,7 +92,7 @@
 // Invalid values in events are corrected instead of reported, so that none gets into a running mean.
 // clean returns l without the values that are negative or not finite.
 func (l Load) clean() Load {
-	for i, value := range []*float64{&l.Util, &l.Inflight, &l.Queue, &l.Service, &l.Rate, &l.Errors} {
+	for i, value := range []*float64{&l.Utilisation, &l.InFlight, &l.Queue, &l.Service, &l.Rate, &l.Errors} {
 		if !isFiniteNonNegative(*value) || *value > math.MaxInt32 {
 			*value = 0
 			l.Fields &^= 1 << i
--- a/balancer/size_test.go
+++ b/balancer/size_test.go
@@ -351,7 +351,7 @@
 	if up == x.slow {
 		utilisation = 0.95
 	}
-	return Load{Fields: HasUtilisation, Util: min(1, utilisation+0.03*x.rng.NormFloat64())}
+	return Load{Fields: HasUtilisation, Utilisation: min(1, utilisation+0.03*x.rng.NormFloat64())}
 }
 
 // run simulates until a time.
--- a/internal/emulator/module.go
+++ b/internal/emulator/module.go
@@ -118,7 +118,7 @@
 		Status: s, Closed: closed,
 	}
 	if x.known {
-		o.Load = balancer.Load{Fields: balancer.HasUtilisation | balancer.HasService | balancer.HasRate | balancer.HasErrors, Util: x.util, Service: x.latency, Rate: x.qps}
+		o.Load = balancer.Load{Fields: balancer.HasUtilisation | balancer.HasService | balancer.HasRate | balancer.HasErrors, Utilisation: x.util, Service: x.latency, Rate: x.qps}
 	}
 	m.call(func() { m.b.AttemptFinished(m.w.now, o) })
 }
--- a/internal/upstream/load_report.go
+++ b/internal/upstream/load_report.go
@@ -50,8 +50,8 @@
 		seen[name] = true
 		wire.SetLoadValue(&load, name, value)
 	}
-	if load.Util > maxUtilisation {
-		return balancer.Load{}, fmt.Errorf("a utilisation of %g: 1 is all cores busy", load.Util)
+	if load.Utilisation > maxUtilisation {
+		return balancer.Load{}, fmt.Errorf("a utilisation of %g: 1 is all cores busy", load.Utilisation)
 	}
 	if load.Fields == 0 {
 		return balancer.Load{}, fmt.Errorf("%.40q names no load that is known", report)
--- a/internal/upstream/load_report_test.go
+++ b/internal/upstream/load_report_test.go
@@ -9,10 +9,10 @@
 // A malformed load report yields no load, and an error with the reason.
 func TestLoadReports(t *testing.T) {
 	complete := balancer.Load{
-		Fields:  balancer.HasErrors | balancer.HasUtilisation | balancer.HasService,
-		Errors:  0.5,
-		Util:    0.61,
-		Service: 14.5,
+		Fields:      balancer.HasErrors | balancer.HasUtilisation | balancer.HasService,
+		Errors:      0.5,
+		Utilisation: 0.61,
+		Service:     14.5,
 	}
 	for _, c := range []struct {
 		name    string
--- a/internal/wire/values.go
+++ b/internal/wire/values.go
@@ -84,10 +84,10 @@
 func SetLoadValue(report *balancer.Load, name string, value float64) {
 	switch name {
 	case "load_share", "util":
-		report.Util = value
+		report.Utilisation = value
 		report.Fields |= balancer.HasUtilisation
 	case "concurrent", "inflight":
-		report.Inflight = value
+		report.InFlight = value
 		report.Fields |= balancer.HasInFlight
 	case "depth", "queue":
 		report.Queue = value
--- a/internal/wire/wire_test.go
+++ b/internal/wire/wire_test.go
@@ -119,7 +119,7 @@
 	if attempt.Attempt != 1 || attempt.Status != balancer.Rejected || attempt.Closed {
 		t.Errorf("attempt %+v", attempt)
 	}
-	if attempt.Load.Util != 0.62 || attempt.Load.Fields != balancer.HasUtilisation|balancer.HasErrors {
+	if attempt.Load.Utilisation != 0.62 || attempt.Load.Fields != balancer.HasUtilisation|balancer.HasErrors {
 		t.Errorf("load %+v", attempt.Load)
 	}
 	settings := batch.Events[0].Settings
