--- a/balancer/idle_test.go
+++ b/balancer/idle_test.go
@@ -339,7 +339,7 @@
 	a, b := strings.Split(x, "\n"), strings.Split(y, "\n")
 	for i := range min(len(a), len(b)) {
 		if a[i] != b[i] {
-			c.t.Fatalf("at %v: line %d of %d suspended:\n%s\nof %d ticking:\n%s", c.now, i, len(b), b[i], len(a), a[i])
+			c.t.Fatalf("at %v: line %d of %d with suspension:\n%s\nof %d without:\n%s", c.now, i, len(b), b[i], len(a), a[i])
 		}
 	}
 	c.t.Fatalf("at %v: state of %d lines with suspension, of %d without", c.now, len(b), len(a))
--- a/balancer/subset.go
+++ b/balancer/subset.go
@@ -158,9 +158,9 @@
 	return max(w.remaining, w.healthyWanted) <= w.minPart/2 && visited >= minSubsetSize
 }
 
-// pass goes past an upstream of the given length, and returns the length of it that lies in the arc, and whether it is
-// chosen. Fewer balancers use a warming upstream, each with more of its traffic, since otherwise all of them together
-// would overload it.
+// pass goes past an upstream of the given length. It returns the part of the length that lies in the arc, and whether
+// the upstream is chosen. Fewer balancers use a warming upstream, each with more of its traffic, since otherwise all of
+// them together would overload it.
 func (w *ringWalk) pass(length float64, warming, healthy bool) (part float64, chosen bool) {
 	part = max(0, min(length-w.offset, max(w.remaining, w.healthyWanted)))
 	w.offset = 0
--- a/balancer/tenants.go
+++ b/balancer/tenants.go
@@ -101,7 +101,7 @@
 }
 
 // shardIndex returns the index of a name's shard: the high bits of its FNV-1a hash, after a mixing step that makes them
-// depend on all bits of it.
+// depend on all bits of the hash.
 func (t *Tenants) shardIndex(name string) int {
 	if len(t.shards) == 1 {
 		return 0
--- a/internal/config/textbuffers.go
+++ b/internal/config/textbuffers.go
@@ -38,8 +38,8 @@
 	bufferUnit = 64 << 10
 )
 
-// read reads a file into a buffer that is not the one with the index other. index is that of the buffer, or notBuffered
-// for a small file and for one that did not fit.
+// read reads a file into a buffer whose index is not other. It returns the text and the index of its buffer, which is
+// notBuffered for a small file and for one that did not fit.
 func (b *textBuffers) read(path string, other int) (text []byte, index int, err error) {
 	index = b.prepare(path, other)
 	var buffer []byte
--- a/internal/config/textbuffers_test.go
+++ b/internal/config/textbuffers_test.go
@@ -18,7 +18,7 @@
 type bufferTest struct {
 	path    string
 	inForce *Loaded
-	used    map[int]int // the number of texts in force by the index of their buffer
+	used    map[int]int // by index of a buffer, or notBuffered: number of texts put in force that were read into it
 }
 
 // TestTextBuffersAlternate: over reloads that are put in force or discarded, that fail, and whose files grow and
--- a/internal/coordination/server/membership.go
+++ b/internal/coordination/server/membership.go
@@ -121,7 +121,7 @@
 	return peer
 }
 
-// countVoters counts the voters, and those of them that are reachable. self always counts as reachable.
+// countVoters counts the voters and the reachable voters. self always counts as reachable.
 func (t *membershipTracker) countVoters(members []state.Member, self uint64, now time.Time) (voters, reachable uint32) {
 	for _, member := range members {
 		if member.Learner {
--- a/internal/endpointlist/watcher.go
+++ b/internal/endpointlist/watcher.go
@@ -21,7 +21,7 @@
 type Update struct {
 	List   *List // its text differs from that of the last list, or the previous check failed
 	Err    error // why the last list stays in force; not repeated while the error stays the same
-	Failed int   // number of checks right before this one that failed, all with the same other error
+	Failed int   // number of failed checks in a row, just before this one, that had the previous error
 }
 
 // Watcher follows many lists in files with a single inotify instance. It watches the folder of a file, as the file may
--- a/internal/frontend/timing.go
+++ b/internal/frontend/timing.go
@@ -45,7 +45,7 @@
 	lingerTimeout = 300 * time.Millisecond
 	// lingerBytes is the largest number of bytes that a lingering close discards.
 	lingerBytes = 256 << 10
-	// lingerBodyBytes is that number if the client is still sending its body. The time limit is requestTimeout
-	// then.
+	// lingerBodyBytes and requestTimeout replace lingerBytes and lingerTimeout if the client is still sending its
+	// body.
 	lingerBodyBytes = 48 << 20
 )
--- a/internal/pool/request.go
+++ b/internal/pool/request.go
@@ -174,7 +174,7 @@
 }
 
 // discardResponses ends the streams and tunnels of responses that were sent while the client was leaving, because
-// nobody else will read them.
+// they have no other reader.
 func (r *Request) discardResponses() {
 	for {
 		select {
--- a/internal/pool/suspend_test.go
+++ b/internal/pool/suspend_test.go
@@ -106,7 +106,7 @@
 }
 
 // TestDrainWhileDormant: an endpoint that starts draining while the pool is dormant gets no requests, however the pool
-// is told of the drain.
+// is notified of the drain.
 func TestDrainWhileDormant(t *testing.T) {
 	a, b := startServer(t), startServer(t)
 	change := func(member discovery.Member) event {
--- a/internal/proxy/harness_test.go
+++ b/internal/proxy/harness_test.go
@@ -226,7 +226,7 @@
 	return conn
 }
 
-// sendHead sends the head of a checkin request on a new connection, and returns the connection and a reader of it.
+// sendHead sends the head of a checkin request on a new connection, and returns the connection and its buffered reader.
 func (b *testBalancer) sendHead(t *testing.T, fields string) (net.Conn, *bufio.Reader) {
 	t.Helper()
 	conn := b.dial(t)
--- a/internal/sharedlimit/allocator.go
+++ b/internal/sharedlimit/allocator.go
@@ -137,7 +137,7 @@
 // Changes returns the changes since the last call, by the pool to notify. Cuts reduce what a pool may use. All pools
 // must be notified of them before any pool is notified of the rest, so that the pools never exceed a limit together. A
 // pool's first allotment of an endpoint is in the rest. An endpoint that stays exclusive causes no change: its pool may
-// use all of it.
+// use the whole endpoint.
 //
 // Over all pools, the fractions of an endpoint add up to 1, and its connections to no more than the limit, except that
 // each pool gets at least one.
@@ -169,8 +169,8 @@
 	return cuts, rest
 }
 
-// endSharing drops the allotments of an endpoint that at most one pool still lists. If that pool knows of an allotment,
-// endSharing adds a change that makes the endpoint exclusive.
+// endSharing drops the allotments of an endpoint that at most one pool still lists. If that pool was notified of an
+// allotment, endSharing adds a change that makes the endpoint exclusive.
 func (a *Allocator) endSharing(address string, changes map[*Pool][]Change) {
 	usages := a.shared[address]
 	delete(a.shared, address)
--- a/internal/upstream/http1.go
+++ b/internal/upstream/http1.go
@@ -103,7 +103,7 @@
 }
 
 // limitAttemptWrites sets the deadline for writing the request. Without it the write to a machine that stops responding
-// would block for ever once the buffers are full.
+// would block indefinitely once the buffers are full.
 func (c *conn) limitAttemptWrites(a *Attempt) {
 	c.limitWrites(a.Timeout)
 	if !a.WriteDeadline.IsZero() && a.WriteDeadline.Before(c.writeDeadline) {
--- a/internal/upstream/load_report_test.go
+++ b/internal/upstream/load_report_test.go
@@ -23,8 +23,8 @@
 		{"complete", []string{"err_ps=0.5, load_share=0.61,mean_ms=14.5,other=3"}, complete, ""},
 		{"none", nil, balancer.Load{}, ""},
 		{"empty", []string{""}, balancer.Load{}, `"" is not NAME=NUMBER`},
-		{"half of it", []string{"load_share=0.61,mean_ms=x"}, balancer.Load{}, `"mean_ms=x" is not NAME=NUMBER`},
-		{"cut", []string{"load_share=0.61,mean"}, balancer.Load{}, `"mean" is not NAME=NUMBER`},
+		{"one malformed value", []string{"load_share=0.61,mean_ms=x"}, balancer.Load{}, `"mean_ms=x" is not NAME=NUMBER`},
+		{"truncated", []string{"load_share=0.61,mean"}, balancer.Load{}, `"mean" is not NAME=NUMBER`},
 		{"two", []string{"load_share=0.61", "load_share=0.62"}, balancer.Load{}, "X-Load stands there more than once"},
 		{
 			"a name twice",
