--- a/balancer/bollinger.go
+++ b/balancer/bollinger.go
@@ -8,8 +8,8 @@
 )
 
 const (
-	bandWindow     = 8           // readings in an upstream's moving window
-	bandAlpha      = 2.0         // half the band gap in standard deviations; the usual value for Bollinger bands
+	bandWindow     = 8           // readings in an upstream's moving window (N of the paper by Badea and Borcoci)
+	bandAlpha      = 2.0         // half the band gap in standard deviations (α of the paper); usual for Bollinger bands
 	bandPeriod     = time.Second // time over which the band gap is integrated before shares are adjusted
 	minExcessLevel = 0.5         // utilisation below it is never in excess of the fleet's
 )
